--- a/fordtrestle/cluster/members.py
+++ b/fordtrestle/cluster/members.py
@@ -12,11 +12,12 @@
 for the newcomer itself, which may be lost again; but where there is a sole other voter, it has to be.
 
 **A disk put back** to an older copy has forgotten what it promised in between. Each start is a new life, one
-higher; others store the life before they count anything of it. At its start a disk asks the others (`Hello`),
-and votes and acknowledges nothing before enough have answered. A life as high as its own, or a committed
-entry that it acknowledged and no longer has, says that it was put back: then it is treated as lost. A copy of
-the same life shows neither; therefore it also gives no vote in the terms that the others tell of, and to no
-candidate whose log ends before theirs, since all that it can have promised to one of them lies within these.
+higher; others store the life before they count anything of it. At its start a disk asks the others
+(`RecoveryQuery`), and votes and acknowledges nothing before enough have answered. A life as high as its own,
+or a committed entry that it acknowledged and no longer has, says that it was put back: then it is treated as
+lost. A copy of the same life shows neither; therefore it also gives no vote in the terms that the others tell
+of, and to no candidate whose log ends before theirs, since all that it can have promised to one of them lies
+within these.
 
 Enough: one in common with every majority in which the disk was (of 3 both others, of 5 three of the four).
 After `alone_ms` as many do as make a majority with it, since a voter that is gone for good would otherwise
@@ -31,10 +32,10 @@
 from dataclasses import dataclass, field
 
 from fordtrestle.cluster.log import Applied, Log, State
-from fordtrestle.cluster.messages import NAME_MOST, Compact, Entry, Meta, Remembered, Voter, Voters
+from fordtrestle.cluster.messages import NAME_MOST, Compact, Entry, Meta, RecoveryResponse, Voter, Voters
 
 SEATS_MOST = 9  # seven voters, and what a change needs
-ASKED_MOST = 64  # beats to one member that may be unanswered
+ASKED_MOST = 64  # heartbeats to one member that may be unanswered
 LIVES_MOST = 64  # disks whose lives are remembered
 RECOVERED_TERMS = 1000  # by which a recovered log is ahead of any term that the lost ones may have reached
 
@@ -88,22 +89,22 @@
     life: int = 0
     match: int = 0  # up to where it has the leader's log, on disk
     mark: int = 0  # the leader's last index when this disk came
-    back: int = 0  # the last beat when it was gone back to what it lacked
-    asked: dict[int, float] = field(default_factory=dict)  # when each unanswered beat was sent
-    answered_ms: float = -math.inf  # when the last answered beat was sent
+    back: int = 0  # the last heartbeat when it was gone back to what it lacked
+    asked: dict[int, float] = field(default_factory=dict)  # when each unanswered heartbeat was sent
+    answered_ms: float = -math.inf  # when the last answered heartbeat was sent
     installed_ms: float = -math.inf  # when a snapshot was sent last
 
-    def ask(self, now_ms: float, beat: int) -> None:
-        """A beat is sent; the oldest unanswered ones are forgotten."""
-        self.asked[beat] = now_ms
+    def ask(self, now_ms: float, sequence: int) -> None:
+        """A heartbeat is sent; the oldest unanswered ones are forgotten."""
+        self.asked[sequence] = now_ms
         if len(self.asked) > ASKED_MOST:
             del self.asked[next(iter(self.asked))]
 
-    def answer(self, beat: int) -> float | None:
-        """When an answered beat was sent; None for one that is not awaited (any more)."""
-        sent = self.asked.get(beat)
+    def answer(self, sequence: int) -> float | None:
+        """When an answered heartbeat was sent; None for one that is not awaited (any more)."""
+        sent = self.asked.get(sequence)
         if sent is not None:
-            self.asked = {other: ms for other, ms in self.asked.items() if other > beat}
+            self.asked = {other: ms for other, ms in self.asked.items() if other > sequence}
             self.answered_ms = max(self.answered_ms, sent)
         return sent
 
@@ -147,9 +148,9 @@
 
     def __init__(self, nonce: int) -> None:
         self.nonce = nonce
-        self.told: dict[str, Remembered] = {}  # only of names that have a seat
+        self.told: dict[str, RecoveryResponse] = {}  # only of names that have a seat
 
-    def _voters(self, seats: Seats) -> list[Remembered]:
+    def _voters(self, seats: Seats) -> list[RecoveryResponse]:
         return [told for name, told in self.told.items() if Voter(name, told.by) in seats]
 
     def enough(self, seats: Seats, me: Voter, alone: bool) -> bool:
@@ -168,7 +169,8 @@
     def floor(self, seats: Seats) -> tuple[int, int]:
         """Term and index of the last entry of the furthest log of a voter. One who does not vote can't lead
         either, and to wait for it would be for ever."""
-        return max(((told.last_term, told.last_index) for told in self._voters(seats)), default=(0, 0))
+        ends = [(told.last_log_term, told.last_log_index) for told in self._voters(seats)]
+        return max(ends, default=(0, 0))
 
 
 def init_state(voters: Mapping[str, str], name: str) -> State:
--- a/fordtrestle/cluster/messages.py
+++ b/fordtrestle/cluster/messages.py
@@ -97,20 +97,20 @@
 # --- order ------------------------------------------------------------------------------------
 
 
-class Hello(Message, frozen=True, tag="hello"):
+class RecoveryQuery(Message, frozen=True, tag="recovery_query"):
     """A voter that has started asks what others remember of its disk. `nonce`: drawn at each start, so that
     an answer to an earlier one can be told."""
 
     disk: str
     life: int
-    last_index: int
+    last_log_index: int
     nonce: int
 
 
-class Remembered(Message, frozen=True, tag="remembered"):
+class RecoveryResponse(Message, frozen=True, tag="recovery_response"):
     """The answer: the highest life of that disk of which anything was counted, and the highest committed
-    index that it acknowledged; 0 for none. `by`: the disk of who answers. `term`, `last_index` and
-    `last_term` are its own: what the asking disk may have promised to it lies within them."""
+    index that it acknowledged; 0 for none. `by`: the disk of who answers. `term`, `last_log_index` and
+    `last_log_term` are its own: what the asking disk may have promised to it lies within them."""
 
     disk: str
     life: int
@@ -118,61 +118,79 @@
     nonce: int
     by: str
     term: int
-    last_index: int
-    last_term: int
+    last_log_index: int
+    last_log_term: int
 
 
-class Ask(Message, frozen=True, tag="ask"):
-    """A candidate asks for a vote; with `pre` it only asks whether it would get one, and no term changes."""
+class PreVote(Message, frozen=True, tag="pre_vote"):
+    """Asks whether a vote would be given in `term`, the one after the own; it raises nobody's term."""
 
     term: int
-    last_index: int
-    last_term: int
+    last_log_index: int
+    last_log_term: int
     disk: str
     life: int
-    pre: bool
 
 
-class Vote(Message, frozen=True, tag="vote"):
-    """The answer. `term` is the asked one where it is given, else the voter's own."""
+class PreVoteResponse(Message, frozen=True, tag="pre_vote_response"):
+    """The answer. `term` is the asked one where it would be given, else the voter's own."""
 
     term: int
-    given: bool
+    vote_granted: bool
     disk: str
     life: int
-    pre: bool
 
 
-class Append(Message, frozen=True, tag="append"):
-    """A leader's entries, or none, as its heartbeat. `beat` goes up with each one that it sends, by which an
-    answer tells when it was asked."""
+class RequestVote(Message, frozen=True, tag="request_vote"):
+    """A candidate asks for a vote."""
 
     term: int
-    beat: int
-    previous_index: int
-    previous_term: int
+    last_log_index: int
+    last_log_term: int
+    disk: str
+    life: int
+
+
+class RequestVoteResponse(Message, frozen=True, tag="request_vote_response"):
+    """The answer. `term` is the voter's own."""
+
+    term: int
+    vote_granted: bool
+    disk: str
+    life: int
+
+
+class AppendEntries(Message, frozen=True, tag="append_entries"):
+    """A leader's entries, or none, as its heartbeat. `sequence` goes up with each message that it sends, by
+    which a response tells when it was asked."""
+
+    term: int
+    sequence: int
+    prev_log_index: int
+    prev_log_term: int
     entries: tuple[Entry, ...]
-    committed: int
+    leader_commit: int
 
 
-class Appended(Message, frozen=True, tag="appended"):
-    """The answer, after the sync. `match`: up to where the log agrees; where `ok` is not, from where to
-    try."""
+class AppendEntriesResponse(Message, frozen=True, tag="append_entries_response"):
+    """The answer, after the sync. `match_index`: up to where the log agrees; where there is no `success`,
+    from where to try."""
 
     term: int
-    beat: int
-    ok: bool
-    match: int
+    sequence: int
+    success: bool
+    match_index: int
     disk: str
     life: int
 
 
-class Install(Message, frozen=True, tag="install"):
-    """A leader's snapshot, to who lacks entries that it no longer has."""
+class InstallSnapshot(Message, frozen=True, tag="install_snapshot"):
+    """A leader's snapshot, whole, to who lacks entries that it no longer has. An `AppendEntriesResponse`
+    answers it: by `match_index` as much is known as after entries up to there."""
 
     term: int
-    beat: int
-    compact: Compact
+    sequence: int
+    snapshot: Compact
 
 
 # --- leases and spread ------------------------------------------------------------------------
@@ -267,7 +285,8 @@
 
 
 AnyMessage = (
-    Hello | Remembered | Ask | Vote | Append | Appended | Install | Renew | Grant | Denied | Fetch | Books
+    RecoveryQuery | RecoveryResponse | PreVote | PreVoteResponse | RequestVote | RequestVoteResponse
+    | AppendEntries | AppendEntriesResponse | InstallSnapshot | Renew | Grant | Denied | Fetch | Books
     | Propose | Proposed | Question | Reply
 )  # fmt: skip
 
--- a/fordtrestle/cluster/order.py
+++ b/fordtrestle/cluster/order.py
@@ -1,8 +1,9 @@
 """One member's part in one order of entries, agreed by a majority of voters. Pure.
 
 Raft (Ongaro and Ousterhout 2014) with pre-vote, check of the own majority, and voters that give no vote
-within `election_ms` of a leader's beat (Ongaro 2014, 4.2.3, 6.2, 9.6). Who votes, and what a lost or older
-disk may not do, is in `members.py`; that nothing is said before what it rests on is durable, in `outbox.py`.
+within `election_ms` of a leader's heartbeat (Ongaro 2014, 4.2.3, 6.2, 9.6). Who votes, and what a lost or
+older disk may not do, is in `members.py`; that nothing is said before what it rests on is durable, in
+`outbox.py`.
 """
 
 from __future__ import annotations
@@ -31,23 +32,25 @@
     NAME_MOST,
     Action,
     Answer,
-    Append,
-    Appended,
-    Ask,
+    AppendEntries,
+    AppendEntriesResponse,
     Body,
     Book,
     Compact,
     Effective,
     Entry,
-    Hello,
-    Install,
+    InstallSnapshot,
     Meta,
     Noop,
+    PreVote,
+    PreVoteResponse,
     Proposed,
-    Remembered,
+    RecoveryQuery,
+    RecoveryResponse,
+    RequestVote,
+    RequestVoteResponse,
     Take,
     Tell,
-    Vote,
     Voter,
     Voters,
 )
@@ -55,8 +58,8 @@
 from fordtrestle.cluster.rulebook import Change, apply, check
 
 FAULTS_MOST = 4  # of a refused rulebook that are told
-NUMBER_MOST = 2**53  # of terms, indexes, beats and lives: what is higher is nobody's
-Role = Literal["follower", "pre", "candidate", "leader"]
+NUMBER_MOST = 2**53  # of terms, indexes, heartbeats and lives: what is higher is nobody's
+Role = Literal["follower", "pre_candidate", "candidate", "leader"]
 
 
 @dataclass(frozen=True, slots=True)
@@ -64,7 +67,7 @@
     """Times in ms of the own clock; `drift_ppm`: by how much the rates of two clocks may differ."""
 
     election_ms: float = 1000.0
-    beat_ms: float = 100.0
+    heartbeat_ms: float = 100.0
     drift_ppm: float = 1000.0
     alone_ms: float = 10_000.0  # as `members.py` tells
     waiting_most: int = 64  # proposals that are not yet committed
@@ -78,7 +81,7 @@
 @dataclass(frozen=True, slots=True)
 class SeatTold:
     """What a leader knows of one seat: `match`: up to where its disk has the log; `silent_ms`: since the last
-    beat that it answered was sent; `counts`: whether it answers by the disk that votes."""
+    heartbeat that it answered was sent; `counts`: whether it answers by the disk that votes."""
 
     name: str
     disk: str
@@ -107,7 +110,7 @@
         self.config = config
         self.log = Log(state.compact, state.entries)
         self.applied = Applied.of(state.compact)
-        self.committed = self.applied.index
+        self.commit_index = self.applied.index
         self.meta: Meta = state.meta
         self.role: Role = "follower"
         self.leader = ""
@@ -128,17 +131,19 @@
         self._peers: dict[str, Peer] = {}
         self._acknowledged: dict[str, int] = {}  # by disk: the highest committed index that it said it had
         self._since = math.inf  # when the own leadership began
-        self._beat = 0
-        self._beat_at = math.inf
+        self._sequence = 0
+        self._heartbeat_at = math.inf
         self._waiting: dict[int, list[tuple[int, str]]] = {}  # clients and proposals by index
         self._on: dict[type, Callable[[float, str, Any], None]] = {
-            Hello: self._hello,
-            Remembered: self._remembered,
-            Ask: self._asked,
-            Vote: self._voted,
-            Append: self._append,
-            Install: self._install,
-            Appended: self._appended,
+            RecoveryQuery: self._on_recovery_query,
+            RecoveryResponse: self._on_recovery_response,
+            PreVote: self._on_pre_vote,
+            PreVoteResponse: self._on_pre_vote_response,
+            RequestVote: self._on_request_vote,
+            RequestVoteResponse: self._on_request_vote_response,
+            AppendEntries: self._on_append_entries,
+            InstallSnapshot: self._on_install_snapshot,
+            AppendEntriesResponse: self._on_append_entries_response,
         }
 
     # --- what is known ------------------------------------------------------------------------
@@ -162,14 +167,14 @@
     def ready(self) -> bool:
         """Whether it leads and has committed an entry of its term: before, `applied` may lack what an earlier
         leader committed."""
-        return self.role == "leader" and self.log.term_at(self.committed) == self.term
+        return self.role == "leader" and self.log.term_at(self.commit_index) == self.term
 
     def authority_until(self, now_ms: float) -> float:
         """Until when no other leader can exist, on the own clock; -inf if that can't be known, and while not
         `ready`.
 
-        A majority has answered a beat, and gives no other vote within `election_ms` of it. The time counts
-        from when the beat was sent, and is shorter by what their clocks may be faster."""
+        A majority has answered a heartbeat, and gives no other vote within `election_ms` of it. The time
+        counts from when the heartbeat was sent, and is shorter by what their clocks may be faster."""
         if not self.ready:
             return -math.inf
         span = self.config.election_ms * (1 - self.config.drift_ppm * 1e-6)
@@ -231,8 +236,8 @@
         """When `tick` is wanted next, on the own clock."""
         if not self._begun:
             return -math.inf
-        dues = [self._deadline] if self.role != "leader" else [self._beat_at, self._lapse()]
-        if self.role in ("pre", "candidate"):
+        dues = [self._deadline] if self.role != "leader" else [self._heartbeat_at, self._lapse()]
+        if self.role in ("pre_candidate", "candidate"):
             dues.append(self._ask_at)
         if self._recall is not None:
             dues.append(self._hello_at)
@@ -332,14 +337,14 @@
 
     def _ask_others(self, now_ms: float) -> None:
         if now_ms >= self._hello_at and self._recall is not None:
-            self._hello_at = now_ms + self.config.beat_ms
-            hello = Hello(self.meta.disk, self.meta.life, self.log.last_index, self._recall.nonce)
+            self._hello_at = now_ms + self.config.heartbeat_ms
+            hello = RecoveryQuery(self.meta.disk, self.meta.life, self.log.last_index, self._recall.nonce)
             for seat in self.log.voters:
                 if seat.name != self.name:
                     self._out.say(seat.name, hello)
         self._remember(now_ms)
 
-    def _hello(self, now_ms: float, sender: str, hello: Hello) -> None:
+    def _on_recovery_query(self, now_ms: float, sender: str, hello: RecoveryQuery) -> None:
         self._recall_to(sender, hello.disk, hello.nonce)
 
     def _recall_to(self, to: str, disk: str, nonce: int) -> None:
@@ -347,9 +352,9 @@
         by = "" if self._out.failed else self.meta.disk
         life, acknowledged = self._lives.of(disk), self._acknowledged.get(disk, 0)
         last = self.log.last_index, self.log.last_term
-        self._out.say(to, Remembered(disk, life, acknowledged, nonce, by, self.term, *last))
+        self._out.say(to, RecoveryResponse(disk, life, acknowledged, nonce, by, self.term, *last))
 
-    def _remembered(self, now_ms: float, sender: str, told: Remembered) -> None:
+    def _on_recovery_response(self, now_ms: float, sender: str, told: RecoveryResponse) -> None:
         recall = self._recall
         if not told.by or told.disk != self.meta.disk or seat_of(self.log.voters, sender) is None:
             return
@@ -383,7 +388,7 @@
     def _stands(self) -> bool:
         """Whether it may lead: also to commit a change that takes its own seat, which none but it may have
         (Ongaro 2014, 4.2.2)."""
-        open_change = self.log.voters_index > self.committed and self._me in self.log.voters_before
+        open_change = self.log.voters_index > self.commit_index and self._me in self.log.voters_before
         return self._sure and (self._me in self.log.voters or open_change)
 
     def _rest(self, now_ms: float) -> None:
@@ -393,7 +398,7 @@
 
     def _free(self, now_ms: float) -> bool:
         """Whether a vote may be given at all: to no one while a leader may hold the own answer to its
-        beat."""
+        heartbeat."""
         if not self._sure or self.role == "leader" or now_ms < self._quiet_until:
             return False
         return now_ms >= self._heard + self.config.election_ms
@@ -410,7 +415,7 @@
         last = self.log.last_term, self.log.last_index
         if not self._stands or not self._free(now_ms) or self._behind(now_ms, last):
             return
-        self.role = "pre"
+        self.role = "pre_candidate"
         self._votes = set()
         self._ask(now_ms)
         self._count(now_ms, self.name)
@@ -425,49 +430,64 @@
 
     def _ask(self, now_ms: float) -> None:
         """Ask those whose votes are missing, again too: a question or an answer may be lost."""
-        self._ask_at = now_ms + self.config.beat_ms
-        pre = self.role == "pre"
+        self._ask_at = now_ms + self.config.heartbeat_ms
         last = self.log.last_index, self.log.last_term
-        ask = Ask(self.term + pre, *last, self.meta.disk, self.meta.life, pre)
+        own = self.meta.disk, self.meta.life
+        ask: PreVote | RequestVote
+        if self.role == "pre_candidate":
+            ask = PreVote(self.term + 1, *last, *own)
+        else:
+            ask = RequestVote(self.term, *last, *own)
         for seat in voting(self.log.voters):
             if seat.name != self.name and seat.name not in self._votes:
                 self._out.say(seat.name, ask)
 
-    def _asked(self, now_ms: float, sender: str, ask: Ask) -> None:
-        if not ask.disk or self._out.busy:
-            return
-        if ask.life < self._lives.of(ask.disk):
-            self._recall_to(sender, ask.disk, 0)  # of a life that is over
+    def _on_pre_vote(self, now_ms: float, sender: str, ask: PreVote) -> None:
+        if self._out.busy or self._over(sender, ask):
             return
-        last = ask.last_term, ask.last_index
-        if ask.term < self.term or (ask.pre and ask.term == self.term):
-            self._vote(sender, self.term, False, ask.pre)
-        elif not self._free(now_ms):
+        if ask.term <= self.term:
+            self._out.say(sender, PreVoteResponse(self.term, False, *self._voice()))
+        elif self._free(now_ms) and not self._behind(now_ms, (ask.last_log_term, ask.last_log_index)):
+            self._out.say(sender, PreVoteResponse(ask.term, True, *self._voice()))
+
+    def _on_request_vote(self, now_ms: float, sender: str, ask: RequestVote) -> None:
+        if self._out.busy or self._over(sender, ask):
             return
-        elif ask.pre:
-            if not self._behind(now_ms, last):
-                self._vote(sender, ask.term, True, True)
-        else:
+        granted = False
+        if ask.term >= self.term:
+            if not self._free(now_ms):
+                return
             if ask.term > self.term:
                 self._adopt(now_ms, ask.term, "")
-            given = self.meta.vote in ("", sender) and not self._behind(now_ms, last)
-            if given:
-                self._rest(now_ms)
-                if not self.meta.vote:
-                    self._keep(vote=sender)
-            self._vote(sender, self.term, given, False)
-
-    def _vote(self, to: str, term: int, given: bool, pre: bool) -> None:
-        self._out.say(to, Vote(term, given, *self._voice(), pre))
-
-    def _voted(self, now_ms: float, sender: str, vote: Vote) -> None:
-        if vote.term > self.term and not (vote.pre and vote.given):
-            self._adopt(now_ms, vote.term, "")
-            return
-        pre = self.role == "pre"
-        if not vote.given or vote.pre != pre or (not pre and self.role != "candidate"):
-            return
-        if vote.term == self.term + pre and self._counts(Voter(sender, vote.disk), vote.life):
+            behind = self._behind(now_ms, (ask.last_log_term, ask.last_log_index))
+            granted = self.meta.vote in ("", sender) and not behind
+        if granted:
+            self._rest(now_ms)
+            if not self.meta.vote:
+                self._keep(vote=sender)
+        self._out.say(sender, RequestVoteResponse(self.term, granted, *self._voice()))
+
+    def _over(self, sender: str, ask: PreVote | RequestVote) -> bool:
+        """Whether who asks has no disk that votes, or is of a life that is over, which it is told."""
+        over = bool(ask.disk) and ask.life < self._lives.of(ask.disk)
+        if over:
+            self._recall_to(sender, ask.disk, 0)
+        return over or not ask.disk
+
+    def _on_pre_vote_response(self, now_ms: float, sender: str, response: PreVoteResponse) -> None:
+        if not response.vote_granted and response.term > self.term:
+            self._adopt(now_ms, response.term, "")
+        elif self.role == "pre_candidate" and response.term == self.term + 1:
+            self._on_vote(now_ms, sender, response)
+
+    def _on_request_vote_response(self, now_ms: float, sender: str, response: RequestVoteResponse) -> None:
+        if response.term > self.term:
+            self._adopt(now_ms, response.term, "")
+        elif self.role == "candidate" and response.term == self.term:
+            self._on_vote(now_ms, sender, response)
+
+    def _on_vote(self, now_ms: float, sender: str, response: PreVoteResponse | RequestVoteResponse) -> None:
+        if response.vote_granted and self._counts(Voter(sender, response.disk), response.life):
             self._count(now_ms, sender)
 
     def _count(self, now_ms: float, name: str) -> None:
@@ -501,10 +521,10 @@
 
     # --- following ----------------------------------------------------------------------------
 
-    def _follow(self, now_ms: float, sender: str, message: Append | Install) -> bool:
+    def _follow(self, now_ms: float, sender: str, message: AppendEntries | InstallSnapshot) -> bool:
         """Whether a leader's message is one to go by; its term is answered where not."""
         if message.term < self.term:
-            self._agree(sender, message.beat, False, 0)
+            self._agree(sender, message.sequence, False, 0)
             return False
         if message.term == self.term and self.role == "leader":
             self._tell(f"{sender} leads in the own term {self.term}: two of one name?")
@@ -518,40 +538,44 @@
         self._rest(now_ms)
         return True
 
-    def _agree(self, to: str, beat: int, ok: bool, match: int) -> None:
-        """Answer a beat: at once, since the leader's authority rests on it, but only for what is on disk."""
+    def _agree(self, to: str, sequence: int, ok: bool, match: int) -> None:
+        """Answer at once, since the leader's authority rests on it, but only for what is on disk."""
         kept = match if self._out.failed or not ok else min(match, self._out.durable_index)
-        self._out.say(to, Appended(self.term, beat, ok, kept, *self._voice()))
+        self._out.say(to, AppendEntriesResponse(self.term, sequence, ok, kept, *self._voice()))
+
+    def _promise(self, to: str, sequence: int, match: int) -> None:
+        """Answer once all that is stored by now is on disk."""
+        self._out.promise(to, AppendEntriesResponse(self.term, sequence, True, match, *self._voice()))
 
-    def _append(self, now_ms: float, sender: str, told: Append) -> None:
+    def _on_append_entries(self, now_ms: float, sender: str, told: AppendEntries) -> None:
         if (told.entries and self._out.busy) or not self._follow(now_ms, sender, told):
             return
         hint = self._fits(told)
         if any(
-            self.log.base < e.index <= self.committed and self.log.term_at(e.index) != e.term
+            self.log.base < e.index <= self.commit_index and self.log.term_at(e.index) != e.term
             for e in told.entries
         ):
             self._tell(f"{sender} would change what is committed: not followed")
             return
         if hint is not None:
-            self._agree(sender, told.beat, False, hint)
+            self._agree(sender, told.sequence, False, hint)
             return
-        match = told.previous_index + len(told.entries)
+        match = told.prev_log_index + len(told.entries)
         if self._take_in(told.entries):
-            self._out.promise(sender, Appended(self.term, told.beat, True, match, *self._voice()))
+            self._promise(sender, told.sequence, match)
         else:
-            self._agree(sender, told.beat, True, match)
-        self._commit(now_ms, min(told.committed, match))
+            self._agree(sender, told.sequence, True, match)
+        self._commit(now_ms, min(told.leader_commit, match))
 
-    def _fits(self, told: Append) -> int | None:
+    def _fits(self, told: AppendEntries) -> int | None:
         """None where the log has what stands before the entries; else from where the leader is to try."""
-        index = told.previous_index
+        index = told.prev_log_index
         if index > self.log.last_index:
             return self.log.last_index
         term = self.log.term_at(index)
-        if index < self.log.base or term == told.previous_term:
+        if index < self.log.base or term == told.prev_log_term:
             return None
-        while index > self.committed and self.log.term_at(index) == term:
+        while index > self.commit_index and self.log.term_at(index) == term:
             index -= 1
         return index
 
@@ -569,28 +593,28 @@
             new = True
         return new
 
-    def _install(self, now_ms: float, sender: str, told: Install) -> None:
+    def _on_install_snapshot(self, now_ms: float, sender: str, told: InstallSnapshot) -> None:
         if self._out.busy or not self._follow(now_ms, sender, told):
             return
-        compact = told.compact
-        if compact.index <= self.committed:
-            self._agree(sender, told.beat, True, compact.index)
+        compact = told.snapshot
+        if compact.index <= self.commit_index:
+            self._agree(sender, told.sequence, True, compact.index)
             return
         other = self.log.term_at(compact.index) != compact.term
         if other:
-            self._out.lower(self.committed)
+            self._out.lower(self.commit_index)
         self.log.shorten(compact, whole=other)
         self._out.snapshot(compact, cut=other)
         self.applied = Applied.of(compact)
-        self.committed = compact.index
+        self.commit_index = compact.index
         self._out.tell(Take())
-        self._out.promise(sender, Appended(self.term, told.beat, True, compact.index, *self._voice()))
+        self._promise(sender, told.sequence, compact.index)
 
     def _commit(self, now_ms: float, index: int) -> None:
         """Go by all entries up to `index`."""
         taken = False
-        self.committed = max(self.committed, index)
-        while self.applied.index < self.committed:
+        self.commit_index = max(self.commit_index, index)
+        while self.applied.index < self.commit_index:
             entry = self.log.at(self.applied.index + 1)
             taken |= self.applied.take(entry)
             self._done(entry)
@@ -614,7 +638,7 @@
         self._peers = {}
         self._tell(f"{self.name} leads in term {self.term}")
         self._put(now_ms, Noop())
-        self._beats(now_ms)
+        self._send_heartbeats(now_ms)
 
     def _step_down(self, why: str) -> None:
         if self.role != "leader":
@@ -633,8 +657,8 @@
         if now_ms >= self._lapse():
             self._step_down("no majority answers")
             self._rest(now_ms)
-        elif now_ms >= self._beat_at:
-            self._beats(now_ms)
+        elif now_ms >= self._heartbeat_at:
+            self._send_heartbeats(now_ms)
 
     def _lapse(self) -> float:
         """When the own majority is given up, unless it answers."""
@@ -645,7 +669,7 @@
         return reached(self.log.voters, heard) + self.config.election_ms
 
     def _answered(self, voter: Voter, now_ms: float) -> float:
-        """When the last beat was sent that a voter answered; the own vote is always there."""
+        """When the last heartbeat was sent that a voter answered; the own vote is always there."""
         if voter == self._me:
             return now_ms
         peer = self._peers.get(voter.name)
@@ -667,37 +691,38 @@
             self._feed(now_ms, peer)
         return index
 
-    def _beats(self, now_ms: float) -> None:
-        """A beat to all. It has no entries, so that no disk delays the answer; it shows what was lost on its
-        way."""
-        self._beat_at = now_ms + self.config.beat_ms
+    def _send_heartbeats(self, now_ms: float) -> None:
+        """To all. A heartbeat has no entries, so that no disk delays the answer; it shows what was lost on
+        its way."""
+        self._heartbeat_at = now_ms + self.config.heartbeat_ms
         for peer in self._peers.values():
             self._send(now_ms, peer, max(peer.next - 1, self.log.base), ())
             self._feed(now_ms, peer)
 
     def _send(self, now_ms: float, peer: Peer, index: int, entries: tuple[Entry, ...]) -> None:
-        self._beat += 1
-        peer.ask(now_ms, self._beat)
+        self._sequence += 1
+        peer.ask(now_ms, self._sequence)
         before = self.log.term_at(index)
-        self._out.say(peer.name, Append(self.term, self._beat, index, before, entries, self.committed))
+        message = AppendEntries(self.term, self._sequence, index, before, entries, self.commit_index)
+        self._out.say(peer.name, message)
 
     def _feed(self, now_ms: float, peer: Peer) -> None:
         """Send what a member lacks, as far as the window goes."""
         if peer.next <= self.log.base:
             if now_ms >= peer.installed_ms + self.config.election_ms:
                 peer.installed_ms = now_ms
-                self._beat += 1
-                peer.ask(now_ms, self._beat)
+                self._sequence += 1
+                peer.ask(now_ms, self._sequence)
                 compact = self.log.compact
                 assert compact is not None  # the base is a snapshot's
-                self._out.say(peer.name, Install(self.term, self._beat, compact))
+                self._out.say(peer.name, InstallSnapshot(self.term, self._sequence, compact))
             return
         while peer.next <= self.log.last_index and peer.next - 1 - peer.match < self.config.window:
             entries = self.log.batch(peer.next)
             self._send(now_ms, peer, peer.next - 1, entries)
             peer.next += len(entries)
 
-    def _appended(self, now_ms: float, sender: str, told: Appended) -> None:
+    def _on_append_entries_response(self, now_ms: float, sender: str, told: AppendEntriesResponse) -> None:
         if told.term > self.term:
             self._adopt(now_ms, told.term, "")
         peer = self._peers.get(sender)
@@ -711,31 +736,31 @@
         voter = Voter(sender, told.disk)
         if told.disk and voter in self.log.voters and not self._counts(voter, told.life):
             return
-        peer.answer(told.beat)
-        if told.ok:
-            peer.match = max(peer.match, min(told.match, self.log.last_index))
+        peer.answer(told.sequence)
+        if told.success:
+            peer.match = max(peer.match, min(told.match_index, self.log.last_index))
             peer.next = max(peer.next, peer.match + 1)
-        elif told.beat <= peer.back:
+        elif told.sequence <= peer.back:
             return  # it was asked before the last one that was gone by: each would have all sent again
         else:
-            peer.back = self._beat
-            if told.match < self._acknowledged.get(told.disk, 0):
+            peer.back = self._sequence
+            if told.match_index < self._acknowledged.get(told.disk, 0):
                 self._recall_to(sender, told.disk, 0)  # it may have had more, in this life
             if not told.disk:
-                peer.match = min(peer.match, told.match)  # without a disk it may have begun anew
-            peer.next = max(peer.match, min(told.match, peer.next - 1)) + 1
+                peer.match = min(peer.match, told.match_index)  # without a disk it may have begun anew
+            peer.next = max(peer.match, min(told.match_index, peer.next - 1)) + 1
         self._advance(now_ms)
         if self.role == "leader":
             self._note()
             self._seat(now_ms, peer)
             self._feed(now_ms, peer)
 
-    def _same(self, now_ms: float, peer: Peer, told: Appended) -> bool:
+    def _same(self, now_ms: float, peer: Peer, told: AppendEntriesResponse) -> bool:
         """Whether an answer is of the disk and life that answer under this name now, or of ones that take
         their turn."""
         if (told.disk, told.life) == (peer.disk, peer.life):
             return True
-        if told.beat not in peer.asked or (told.disk == peer.disk and told.life < peer.life):
+        if told.sequence not in peer.asked or (told.disk == peer.disk and told.life < peer.life):
             return False  # late
         seat = seat_of(self.log.voters, peer.name)
         answers = now_ms < peer.answered_ms + self.config.election_ms
@@ -747,10 +772,10 @@
     def _advance(self, now_ms: float) -> None:
         """Commit what a majority has on disk; what is of earlier terms only with an entry of the own one."""
         index = reached(self.log.voters, self._matched)
-        if index <= self.committed or self.log.term_at(int(index)) != self.term:
+        if index <= self.commit_index or self.log.term_at(int(index)) != self.term:
             return
         self._commit(now_ms, int(index))
-        if self.log.voters_index <= self.committed and self._me not in self.log.voters:
+        if self.log.voters_index <= self.commit_index and self._me not in self.log.voters:
             self._step_down("it has no vote any more")
             self._rest(now_ms)
 
@@ -761,7 +786,7 @@
         for voter in voting(self.log.voters):
             peer, before = self._peers.get(voter.name), self._acknowledged.get(voter.disk, 0)
             sound = peer is not None and self._sound(voter, peer)
-            noted[voter.disk] = max(before, min(peer.match, self.committed) if peer and sound else 0)
+            noted[voter.disk] = max(before, min(peer.match, self.commit_index) if peer and sound else 0)
         self._acknowledged = noted
 
     def _matched(self, voter: Voter) -> float:
@@ -836,7 +861,7 @@
         raft-dev 2015)."""
         if not self.ready:
             return "the leader has not committed an entry of its term"
-        if self.log.voters_index > self.committed:
+        if self.log.voters_index > self.commit_index:
             return "another change of voters is under way"
         return "too much waits to be committed" if self._full else ""
 
@@ -865,7 +890,7 @@
         if now_ms < self._since + self.config.election_ms:
             return  # the disk that votes may not have come to answer yet
         caught_up = peer.mark if seat.disk else max(peer.mark, self.log.voters_index)
-        if peer.match < caught_up or self.committed < caught_up:
+        if peer.match < caught_up or self.commit_index < caught_up:
             return
         after = with_disk(self.log.voters, peer.name, "" if seat.disk else peer.disk)
         if self._unbacked(now_ms, after, "" if seat.disk else peer.name):
@@ -893,16 +918,15 @@
 
 def sane(message: Any) -> bool:
     """Whether the numbers of a message can be anybody's, and its entries follow one another."""
-    numbers = [
-        getattr(message, key, 0) for key in ("term", "beat", "life", "last_index", "committed", "match")
-    ]
+    keys = ("term", "sequence", "life", "last_log_index", "leader_commit", "match_index")
+    numbers = [getattr(message, key, 0) for key in keys]
     if not all(0 <= number <= NUMBER_MOST for number in numbers):
         return False
-    if isinstance(message, Install):
-        return _sane_compact(message.compact, message.term)
-    if not isinstance(message, Append):
+    if isinstance(message, InstallSnapshot):
+        return _sane_compact(message.snapshot, message.term)
+    if not isinstance(message, AppendEntries):
         return True
-    index, term = message.previous_index, message.previous_term
+    index, term = message.prev_log_index, message.prev_log_term
     if index < 0 or len(message.entries) > ENTRIES_MOST:
         return False
     for entry in message.entries:
--- a/fordtrestle/daemon/lines.py
+++ b/fordtrestle/daemon/lines.py
@@ -22,8 +22,8 @@
 from fordtrestle.cluster.frames import PROBE, Frame, FrameError, Greeting, Packer, Splitter
 from fordtrestle.cluster.messages import (
     AnyMessage,
-    Append,
-    Appended,
+    AppendEntries,
+    AppendEntriesResponse,
     Denied,
     Grant,
     Propose,
@@ -67,9 +67,9 @@
 
 def passes(message: AnyMessage) -> bool:
     """Whether it is said again soon in any case: leases and heartbeats."""
-    if isinstance(message, Append):
+    if isinstance(message, AppendEntries):
         return not message.entries
-    return isinstance(message, Renew | Grant | Denied | Appended)
+    return isinstance(message, Renew | Grant | Denied | AppendEntriesResponse)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/cluster/test_frames.py
+++ b/tests/cluster/test_frames.py
@@ -22,7 +22,15 @@
     Packer,
     Splitter,
 )
-from fordtrestle.cluster.messages import AnyMessage, Appended, Denied, Envelope, Fetch, Propose, Reply
+from fordtrestle.cluster.messages import (
+    AnyMessage,
+    AppendEntriesResponse,
+    Denied,
+    Envelope,
+    Fetch,
+    Propose,
+    Reply,
+)
 from tests.cluster.books import books
 
 GREETING = Greeting("c", "n0", 7)
@@ -69,7 +77,7 @@
     for message in (
         Fetch(1, 2),
         Denied(1, "w" * 300, "n2", 40.0),
-        Appended(1, 2, True, 3, "d", 4),
+        AppendEntriesResponse(1, 2, True, 3, "d", 4),
         Fetch(0, 0),
     )
 ]
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -18,7 +18,7 @@
     recover_state,
     with_disk,
 )
-from fordtrestle.cluster.messages import Append, Appended, Remembered, Voter, Voters
+from fordtrestle.cluster.messages import AppendEntries, AppendEntriesResponse, RecoveryResponse, Voter, Voters
 from tests.cluster.test_order import cut, elect, grown, led
 from tests.cluster.world import CONFIG, Disk, World
 
@@ -52,7 +52,7 @@
 
 
 def told(by, term=1, last=(1, 1)):
-    return Remembered("disk-a", 0, 0, 7, by, term, last[1], last[0])
+    return RecoveryResponse("disk-a", 0, 0, 7, by, term, last[1], last[0])
 
 
 @pytest.mark.parametrize(
@@ -91,10 +91,10 @@
     world.restart("c")
     cut(world, "a", "b")
     world.nodes["a"].disk_ms = 1e6  # it stores nothing more
-    committed = world.order("a").committed
+    committed = world.order("a").commit_index
     world.propose("a", "p")
     world.run(CONFIG.election_ms / 2)
-    assert world.order("c").log.last_index > committed == world.order("a").committed
+    assert world.order("c").log.last_index > committed == world.order("a").commit_index
     assert not [seat for seat in world.order("a").seats(0.0) if seat.name == "c" and seat.counts]
 
 
@@ -128,7 +128,7 @@
     grown(world, "a", 20)
     world.crash("c")
     world.nodes["c"].disk = Disk(State())
-    world.drop = lambda src, send: send.to == "c" and not isinstance(send.message, Append)
+    world.drop = lambda src, send: send.to == "c" and not isinstance(send.message, AppendEntries)
     world.start("c")
     world.run(2000)
     assert changes(world) == [["disk-a", "disk-b", "disk-c"]]
@@ -140,7 +140,9 @@
     world = led()
     world.crash("c")
     world.nodes["c"].disk = Disk(State())
-    world.drop = lambda src, send: (src, send.to) == ("b", "a") and isinstance(send.message, Appended)
+    world.drop = lambda src, send: (
+        (src, send.to) == ("b", "a") and isinstance(send.message, AppendEntriesResponse)
+    )
     world.start("c")
     world.run(100)
     assert len(changes(world)) == 1 and len(world.order("a").voters) == 3
@@ -155,8 +157,8 @@
     order, node = world.order("a"), world.nodes["a"]
     for _ in range(100):
         world.run(10)
-        beat = max(order._peers["c"].asked, default=0)
-        answer = Appended(2, beat, True, order.log.last_index, "other", 1)
+        sequence = max(order._peers["c"].asked, default=0)
+        answer = AppendEntriesResponse(2, sequence, True, order.log.last_index, "other", 1)
         world.do("a", lambda order, now, answer=answer: order.receive(now, "c", answer))
     assert order.voters[2].disk == "disk-c" and order._peers["c"].disk == "disk-c"
     assert order.authority_until(node.clock(world.now)) > node.clock(world.now)
@@ -170,8 +172,8 @@
     peer = world.order("a")._peers["c"]
     for _ in range(2):
         assert world.until(lambda: bool(peer.asked), 50)
-        beat, last = max(peer.asked), world.order("a").log.last_index
-        answer = Appended(world.order("a").term, beat, True, last, "other", 1)
+        sequence, last = max(peer.asked), world.order("a").log.last_index
+        answer = AppendEntriesResponse(world.order("a").term, sequence, True, last, "other", 1)
         world.do("a", lambda order, now, answer=answer: order.receive(now, "c", answer))
     assert world.order("a").voters[2].disk == "disk-c"
 
--- a/tests/cluster/test_order.py
+++ b/tests/cluster/test_order.py
@@ -13,25 +13,27 @@
 from fordtrestle.cluster.members import Recall, init_state, position, recover_state
 from fordtrestle.cluster.messages import (
     ENTRIES_MOST,
-    Append,
-    Appended,
-    Ask,
+    AppendEntries,
+    AppendEntriesResponse,
     Book,
     Compact,
     Entry,
-    Hello,
-    Install,
+    InstallSnapshot,
     Noop,
+    PreVote,
+    PreVoteResponse,
     Proposed,
-    Remembered,
+    RecoveryQuery,
+    RecoveryResponse,
+    RequestVote,
+    RequestVoteResponse,
     Send,
     Store,
-    Vote,
     Voter,
 )
 from fordtrestle.cluster.order import NUMBER_MOST, Order, OrderConfig, sane
 from fordtrestle.cluster.rulebook import EMPTY, apply
-from tests.cluster.world import CONFIG, DRIFT, STRICT, Disk, Storm, World, change
+from tests.cluster.world import CONFIG, DRIFT, STRICT, VOTING, Disk, Storm, World, change
 
 GUARD = pytest.mark.parametrize("guarded", [True, False])
 
@@ -46,9 +48,12 @@
     then on."""
 
     def without(src, send):
-        return (src, send.to) == (name, unheard) and isinstance(send.message, Append)
+        return (src, send.to) == (name, unheard) and isinstance(send.message, AppendEntries)
 
-    world.drop = lambda src, send: (src != name and isinstance(send.message, Ask)) or without(src, send)
+    def unasked(src, send):
+        return src != name and isinstance(send.message, PreVote | RequestVote)
+
+    world.drop = lambda src, send: unasked(src, send) or without(src, send)
     assert world.until(lambda: world.order(name).role == "leader", 2000), f"{name} does not win"
     world.drop = without
 
@@ -57,7 +62,7 @@
     """A world that `a` leads, with its first entry committed by all."""
     world = World(seed, names, config).start()
     elect(world, "a")
-    assert world.until(lambda: all(world.order(name).committed >= 2 for name in names), 500)
+    assert world.until(lambda: all(world.order(name).commit_index >= 2 for name in names), 500)
     return world
 
 
@@ -104,9 +109,9 @@
 
     def known(self):
         """The others remember nothing; the time goes by in which a new one votes for nobody."""
-        hello = next(message for message in self.sync() if isinstance(message, Hello))
+        hello = next(message for message in self.sync() if isinstance(message, RecoveryQuery))
         for seat in self.order.voters:
-            told = Remembered(hello.disk, 0, 0, hello.nonce, seat.disk, 1, 1, 1)
+            told = RecoveryResponse(hello.disk, 0, 0, hello.nonce, seat.disk, 1, 1, 1)
             if seat.name != self.order.name:
                 self.hear(seat.name, told)
         self.sync()
@@ -117,7 +122,8 @@
         """Won by the vote of `b`."""
         self.known().call(self.order.tick)
         for pre in (True, True, False):  # the first one's life has to be remembered
-            self.hear("b", Vote(self.order.term + pre, True, "disk-b", 1, pre))
+            vote = PreVoteResponse if pre else RequestVoteResponse
+            self.hear("b", vote(self.order.term + pre, True, "disk-b", 1))
             self.sync()
         assert self.order.role == "leader"
         return self
@@ -170,10 +176,10 @@
         leader = world.leader()
         if not leader:
             return False
-        seats, committed = world.order(leader).voters, world.order(leader).committed
+        seats, committed = world.order(leader).voters, world.order(leader).commit_index
         return all(
             seat.disk == world.nodes[seat.name].disk.meta.disk
-            and world.order(seat.name).committed == committed
+            and world.order(seat.name).commit_index == committed
             for seat in seats
         )
 
@@ -194,7 +200,7 @@
     assert world.now - before <= CONFIG.election_ms * (1 + DRIFT) + 10
     assert world.answers[1] == [Proposed("p", "elsewhere")]
     assert world.lead() in "cde"
-    assert world.order("b").committed == 2
+    assert world.order("b").commit_index == 2
 
 
 def test_a_leader_that_is_cut_off_confirms_nothing_and_its_entry_is_not_kept():
@@ -207,7 +213,7 @@
     world.run(1000)
     assert [answer.state for answer in world.answers[1]] == ["elsewhere"]
     assert "alone" not in world.order("a").applied.proposals
-    assert len({world.order(name).committed for name in "abc"}) == 1
+    assert len({world.order(name).commit_index for name in "abc"}) == 1
 
 
 def test_one_heard_by_none_gives_up_the_lead_and_disturbs_nobody():
@@ -234,7 +240,7 @@
 
 
 @GUARD
-def test_who_has_answered_a_beat_votes_for_nobody_while_the_authority_may_hold(monkeypatch, guarded):
+def test_who_has_answered_a_heartbeat_votes_for_nobody_while_the_authority_may_hold(monkeypatch, guarded):
     if not guarded:
         monkeypatch.setattr(Order, "_free", lambda order, now: order._sure and order.role != "leader")
     world = led()
@@ -245,26 +251,26 @@
 
 @GUARD
 def test_who_has_just_started_votes_for_nobody_while_the_authority_may_hold(guarded):
-    config = OrderConfig(election_ms=600.0, beat_ms=40.0)
+    config = OrderConfig(election_ms=600.0, heartbeat_ms=40.0)
     world = led(config=config)
     cut(world, "a", "c")
-    assert world.until(lambda: world.order("c").role == "pre", 3000)
+    assert world.until(lambda: world.order("c").role == "pre_candidate", 3000)
     world.restart("b")
     if not guarded:
         world.order("b")._quiet_until = -math.inf
     world.cut.clear()
     # Only what `b` asks and is told of its disk comes from `a` any more.
-    world.drop = lambda src, send: src == "a" and isinstance(send.message, Append)
+    world.drop = lambda src, send: src == "a" and isinstance(send.message, AppendEntries)
     with breaks(guarded):
         world.run(config.election_ms / 2)
 
 
-def test_the_authority_counts_from_when_the_beat_was_sent_and_only_with_an_own_entry_committed():
+def test_the_authority_counts_from_when_the_heartbeat_was_sent_and_only_with_an_own_entry_committed():
     world = World(1, "abc").start()
     elect(world, "a")
     node, order = world.nodes["a"], world.order("a")
     for name in "bc":
-        world.nodes[name].disk_ms = 400.0  # beats are answered, entries are not
+        world.nodes[name].disk_ms = 400.0  # heartbeats are answered, entries are not
     world.run(60)
     assert order.authority_until(node.clock(world.now)) == -math.inf
     assert min(seat.silent_ms for seat in order.seats(node.clock(world.now)) if seat.name != "a") < 60
@@ -303,7 +309,7 @@
     before = [(world.order(name).log.last_index, world.order(name).term) for name in "bc"]
     heard = [world.order(name)._heard for name in "bc"]
     for src, send in late:
-        if isinstance(send.message, Append | Appended):
+        if isinstance(send.message, AppendEntries | AppendEntriesResponse):
             world.deliver(src, send)
     assert [(world.order(name).log.last_index, world.order(name).term) for name in "bc"] == before
     assert [world.order(name)._heard for name in "bc"] == heard
@@ -365,7 +371,7 @@
     world.nodes["c"].disk = before
     world.restart("a")  # it no longer knows what `c` acknowledged
     world.cut.clear()
-    world.drop = lambda src, send: "a" in (src, send.to) and isinstance(send.message, Ask | Vote | Append)
+    world.drop = lambda src, send: "a" in (src, send.to) and isinstance(send.message, VOTING | AppendEntries)
     world.order("a")._deadline = math.inf
     world.start("c")
     with breaks(guarded):
@@ -380,7 +386,7 @@
     world.nodes["c"].disk = before
     world.restart("a")
     world.cut.clear()
-    world.drop = lambda src, send: "a" in (src, send.to) and isinstance(send.message, Ask | Vote | Append)
+    world.drop = lambda src, send: "a" in (src, send.to) and isinstance(send.message, VOTING | AppendEntries)
     world.order("a")._deadline = math.inf
     world.start("c")
     with breaks(guarded):
@@ -420,7 +426,9 @@
     copy.meta = World(1, "abc").nodes["c"].disk.meta  # an early life with the whole log
     world.crash("c")
     world.nodes["c"].disk = copy
-    world.drop = lambda src, send: src != "b" and send.to == "c" and not isinstance(send.message, Append)
+    world.drop = lambda src, send: (
+        src != "b" and send.to == "c" and not isinstance(send.message, AppendEntries)
+    )
     world.start("c")
     world.run(CONFIG.alone_ms + 100)
     assert world.nodes["c"].disk.meta.life <= known and world.order("c").votes
@@ -432,17 +440,17 @@
     world = led()
     said = []
     world.crash("a")
-    world.drop = lambda src, send: isinstance(send.message, Ask) and src != "b"
-    assert world.until(lambda: world.order("b").role == "pre", 2000)
+    world.drop = lambda src, send: isinstance(send.message, PreVote | RequestVote) and src != "b"
+    assert world.until(lambda: world.order("b").role == "pre_candidate", 2000)
     world.nodes["c"].disk.full = True
     world.drop = lambda src, send: src == "c" and (said.append(send.message) or False)
     world.run(1500)
-    assert not [m for m in said if isinstance(m, Vote) and m.given and not m.pre]
+    assert not [m for m in said if isinstance(m, RequestVoteResponse) and m.vote_granted]
     assert any("the disk of c failed" in text for _, text in world.told) and world.leader() == ""
     world.start("a")
     grown(world, world.lead(), 3)
     assert world.order("c").applied.pending == 3 and not world.order("c").votes
-    assert not [m for m in said if isinstance(m, Appended) and m.disk and m.match > 2]
+    assert not [m for m in said if isinstance(m, AppendEntriesResponse) and m.disk and m.match_index > 2]
 
 
 def test_a_leader_whose_disk_fails_steps_down_at_once():
@@ -468,25 +476,26 @@
 def test_a_disk_put_back_within_one_life_is_told_so_by_the_leader():
     bench = Bench().leads()
     last = bench.order.log.last_index
-    ok = Appended(2, max(bench.order._peers["b"].asked), True, last, "disk-b", 1)
+    ok = AppendEntriesResponse(2, max(bench.order._peers["b"].asked), True, last, "disk-b", 1)
     bench.hear("b", ok)
     bench.call(bench.order.tick)
-    bench.now += CONFIG.beat_ms
+    bench.now += CONFIG.heartbeat_ms
     bench.call(bench.order.tick)
-    said = bench.hear("b", Appended(2, max(bench.order._peers["b"].asked), False, 1, "disk-b", 1))
-    told = [message for message in said if isinstance(message, Remembered)]
+    gone = AppendEntriesResponse(2, max(bench.order._peers["b"].asked), False, 1, "disk-b", 1)
+    said = bench.hear("b", gone)
+    told = [message for message in said if isinstance(message, RecoveryResponse)]
     assert [(message.disk, message.acknowledged) for message in told] == [("disk-b", last)]
 
 
 def test_one_without_a_disk_may_have_forgotten_what_it_had():
     bench = Bench().leads()
     peer = bench.order._peers["c"]
-    bench.hear("c", Appended(2, max(peer.asked), True, 2, "", 0))
+    bench.hear("c", AppendEntriesResponse(2, max(peer.asked), True, 2, "", 0))
     assert peer.match == 2
-    bench.now += CONFIG.beat_ms
+    bench.now += CONFIG.heartbeat_ms
     bench.call(bench.order.tick)
-    said = bench.hear("c", Appended(2, max(peer.asked), False, 0, "", 0))
-    sent = [message for message in said if isinstance(message, Append)]
+    said = bench.hear("c", AppendEntriesResponse(2, max(peer.asked), False, 0, "", 0))
+    sent = [message for message in said if isinstance(message, AppendEntries)]
     assert [entry.index for message in sent for entry in message.entries] == [1, 2]
 
 
@@ -496,36 +505,37 @@
     bench.call(bench.order.tick)
     bench.sync()
     assert not bench.order._counts(Voter("c", "disk-c"), 2) and bench.order._counts(Voter("c", "disk-c"), 3)
-    bench.hear("c", Appended(5, 1, False, 0, "", 0))
+    bench.hear("c", AppendEntriesResponse(5, 1, False, 0, "", 0))
     bench.sync()
     bench.now += 3 * CONFIG.election_ms
-    said = bench.hear("c", Ask(6, 99, 5, "disk-c", 2, False))
-    assert [type(message) for message in said] == [Remembered] and said[0].life == 3
+    said = bench.hear("c", RequestVote(6, 99, 5, "disk-c", 2))
+    assert [type(message) for message in said] == [RecoveryResponse] and said[0].life == 3
 
 
 def test_who_goes_by_a_leader_votes_for_no_other_in_its_term():
     bench = Bench().known()
-    bench.hear("b", Append(2, 1, 1, 1, (), 1))
+    bench.hear("b", AppendEntries(2, 1, 1, 1, (), 1))
     bench.sync()
     bench.now += 2 * CONFIG.election_ms
-    bench.hear("c", Ask(2, 9, 1, "disk-c", 1, False))
-    assert [message.given for message in bench.sync() + bench.said if isinstance(message, Vote)] == [False]
+    bench.hear("c", RequestVote(2, 9, 1, "disk-c", 1))
+    votes = [message for message in bench.sync() + bench.said if isinstance(message, RequestVoteResponse)]
+    assert [vote.vote_granted for vote in votes] == [False]
 
 
 def test_entries_of_earlier_terms_are_committed_only_with_one_of_the_own():
     """Figure 8 of Ongaro and Ousterhout: they may still be replaced."""
     first = init_state({name: f"disk-{name}" for name in "abc"}, "a")
     bench = Bench(state=State(first.meta, (*first.entries, Entry(2, 1, Noop())))).leads()
-    beat = max(bench.order._peers["b"].asked)
-    bench.hear("b", Appended(2, beat - 1, True, 2, "disk-b", 1))
-    assert bench.order.committed == 0
-    bench.hear("b", Appended(2, beat, True, 3, "disk-b", 1))
-    assert bench.order.committed == 3
+    sequence = max(bench.order._peers["b"].asked)
+    bench.hear("b", AppendEntriesResponse(2, sequence - 1, True, 2, "disk-b", 1))
+    assert bench.order.commit_index == 0
+    bench.hear("b", AppendEntriesResponse(2, sequence, True, 3, "disk-b", 1))
+    assert bench.order.commit_index == 3
 
 
 def test_a_second_leader_of_one_term_is_told_of_and_not_followed():
     bench = Bench().leads()
-    actions = bench.order.receive(bench.now, "c", Append(2, 1, 2, 2, (), 2))
+    actions = bench.order.receive(bench.now, "c", AppendEntries(2, 1, 2, 2, (), 2))
     assert bench.order.role == "leader" and "two of one name" in str(actions)
 
 
@@ -536,14 +546,14 @@
     world.run(20)
     world.crash("c")
     world.cut.clear()
-    world.drop = lambda src, send: src == "a" and not isinstance(send.message, Remembered)
+    world.drop = lambda src, send: src == "a" and not isinstance(send.message, RecoveryResponse)
     world.start("c")
     assert world.until(lambda: world.order("c")._sure, 100)
     world.crash("a")
     assert world.lead(CONFIG.alone_ms + 10 * CONFIG.election_ms) in "bc"
 
 
-def test_beats_are_answered_though_a_disk_is_slow():
+def test_heartbeats_are_answered_though_a_disk_is_slow():
     world = led()
     for name in "bc":
         world.nodes[name].disk_ms = 1000.0
@@ -614,7 +624,7 @@
     for number in range(CONFIG.books_most + 1):
         world.propose("a", f"p{number}", number, attempts=number + 1)
     assert world.answers[CONFIG.books_most][0].why == f"{CONFIG.books_most} rulebooks wait to take effect"
-    small = OrderConfig(election_ms=150.0, beat_ms=40.0, waiting_most=2, stores_most=3)
+    small = OrderConfig(election_ms=150.0, heartbeat_ms=40.0, waiting_most=2, stores_most=3)
     world = led(config=small)
     world.nodes["a"].disk_ms = 1e6
     for number in range(4):
@@ -655,32 +665,35 @@
     world.run(500)
     grown(world, world.lead(), 20)
     installs = []
-    world.drop = lambda src, send: send.to == "a" and isinstance(send.message, Install) and installs.append(1)
+    world.drop = lambda src, send: (
+        send.to == "a" and isinstance(send.message, InstallSnapshot) and installs.append(1)
+    )
     world.cut.clear()
     assert world.until(lambda: world.nodes["a"].disk.compact is not None, 1000)
     world.restart("a")
     assert len(installs) <= 2
     assert all(entry.term > 2 for entry in world.nodes["a"].disk.entries)
-    assert world.until(lambda: world.order("a").committed == world.order("b").committed, 1000)
+    assert world.until(lambda: world.order("a").commit_index == world.order("b").commit_index, 1000)
 
 
 @pytest.mark.parametrize("same", [True, False])
 def test_a_snapshot_cuts_the_log_only_where_that_is_another(same):
     bench = Bench().known()
-    bench.hear("b", Append(2, 1, 1, 1, tuple(Entry(index, 2, Noop()) for index in range(2, 7)), 1))
+    bench.hear("b", AppendEntries(2, 1, 1, 1, tuple(Entry(index, 2, Noop()) for index in range(2, 7)), 1))
     bench.sync()
     compact = Compact(4, 2 if same else 3, bench.order.voters, 0, ())
-    bench.hear("b", Install(4, 2, compact))
+    bench.hear("b", InstallSnapshot(4, 2, compact))
     assert bench.stores[-1].cut is not same
     assert bench.order.log.last_index == (6 if same else 4)
     assert bench.order._out.durable_index == (6 if same else 1)
-    assert [message.match for message in bench.sync() if isinstance(message, Appended)] == [4]
+    answers = [message for message in bench.sync() if isinstance(message, AppendEntriesResponse)]
+    assert [answer.match_index for answer in answers] == [4]
 
 
 def test_what_was_being_stored_of_a_log_that_is_another_now_is_not_acknowledged():
     bench = Bench().known()
-    bench.hear("b", Append(2, 1, 1, 1, tuple(Entry(index, 2, Noop()) for index in range(2, 6)), 1))
-    bench.hear("c", Append(3, 1, 2, 2, (Entry(3, 3, Noop()), Entry(4, 3, Noop())), 1))
+    bench.hear("b", AppendEntries(2, 1, 1, 1, tuple(Entry(index, 2, Noop()) for index in range(2, 6)), 1))
+    bench.hear("c", AppendEntries(3, 1, 2, 2, (Entry(3, 3, Noop()), Entry(4, 3, Noop())), 1))
     first, _ = bench.stores
     bench.call(bench.order.stored, first.token)
     assert bench.order._out.durable_index == 2
@@ -689,8 +702,9 @@
 def test_stores_under_way_are_bounded():
     bench = Bench(config=OrderConfig(stores_most=3)).known()
     for index in range(2, 9):
-        bench.hear("b", Append(2, index, index - 1, 1 if index == 2 else 2, (Entry(index, 2, Noop()),), 1))
-    bench.hear("c", Append(9, 1, 1, 1, (), 1))
+        before = 1 if index == 2 else 2
+        bench.hear("b", AppendEntries(2, index, index - 1, before, (Entry(index, 2, Noop()),), 1))
+    bench.hear("c", AppendEntries(9, 1, 1, 1, (), 1))
     assert len(bench.stores) == 3 and bench.order.term == 2
 
 
@@ -706,16 +720,16 @@
     order._out._meta_token = 0
     for _ in range(5):
         now = world.nodes["a"].clock(world.now)
-        refusal = Appended(2, max(peer.asked, default=1), False, 2, "disk-c", peer.life)
+        refusal = AppendEntriesResponse(2, max(peer.asked, default=1), False, 2, "disk-c", peer.life)
         actions = order.receive(now, "c", refusal)
         sent.append([action.message for action in actions if isinstance(action, Send) and action.to == "c"])
-        peer.asked.setdefault(refusal.beat, now)
-    batches = [message for message in sent[0] if isinstance(message, Append) and message.entries]
+        peer.asked.setdefault(refusal.sequence, now)
+    batches = [message for message in sent[0] if isinstance(message, AppendEntries) and message.entries]
     assert sum(len(message.entries) for message in batches) <= CONFIG.window + ENTRIES_MOST
     for message in batches:
         assert len(message.entries) <= ENTRIES_MOST
         assert sum(isinstance(entry.body, Book) for entry in message.entries) <= 4
-    again = Appended(2, batches[0].beat - 1, False, 2, "disk-c", peer.life)
+    again = AppendEntriesResponse(2, batches[0].sequence - 1, False, 2, "disk-c", peer.life)
     assert not [
         a for a in order.receive(world.nodes["a"].clock(world.now), "c", again) if isinstance(a, Send)
     ]
@@ -723,23 +737,23 @@
 
 def test_committed_entries_are_not_changed_by_whoever_leads():
     bench = Bench().known()
-    bench.hear("b", Append(2, 1, 1, 1, (Entry(2, 2, Noop()),), 2))
-    told = bench.order.receive(bench.now, "b", Append(3, 1, 1, 1, (Entry(2, 3, Noop()),), 2))
+    bench.hear("b", AppendEntries(2, 1, 1, 1, (Entry(2, 2, Noop()),), 2))
+    told = bench.order.receive(bench.now, "b", AppendEntries(3, 1, 1, 1, (Entry(2, 3, Noop()),), 2))
     assert bench.order.log.term_at(2) == 2 and "would change what is committed" in str(told)
 
 
 @pytest.mark.parametrize(
     "message",
     [
-        Append(2, 1, 1, 1, (Entry(3, 2, Noop()),), 0),
-        Append(2, 1, 1, 2, (Entry(2, 1, Noop()),), 0),
-        Append(2, 1, 1, 1, (Entry(2, 3, Noop()),), 0),
-        Append(2, 1, -1, 1, (), 0),
-        Append(2, 1, 1, 1, tuple(Entry(index, 2, Noop()) for index in range(2, ENTRIES_MOST + 3)), 0),
-        Append(NUMBER_MOST + 1, 1, 1, 1, (), 0),
-        Ask(2, -1, 1, "x", 1, False),
-        Install(2, 1, Compact(0, 1, (), 0, ())),
-        Install(2, 1, Compact(4, 3, (), 0, ())),
+        AppendEntries(2, 1, 1, 1, (Entry(3, 2, Noop()),), 0),
+        AppendEntries(2, 1, 1, 2, (Entry(2, 1, Noop()),), 0),
+        AppendEntries(2, 1, 1, 1, (Entry(2, 3, Noop()),), 0),
+        AppendEntries(2, 1, -1, 1, (), 0),
+        AppendEntries(2, 1, 1, 1, tuple(Entry(index, 2, Noop()) for index in range(2, ENTRIES_MOST + 3)), 0),
+        AppendEntries(NUMBER_MOST + 1, 1, 1, 1, (), 0),
+        RequestVote(2, -1, 1, "x", 1),
+        InstallSnapshot(2, 1, Compact(0, 1, (), 0, ())),
+        InstallSnapshot(2, 1, Compact(4, 3, (), 0, ())),
     ],
 )
 def test_messages_that_make_no_sense_are_dropped(message):
@@ -773,7 +787,7 @@
     if guarded:
         assert world.answers[9][0].why == "the leader has not committed an entry of its term"
         return
-    assert world.until(lambda: world.order("c").committed > 3, 200)
+    assert world.until(lambda: world.order("c").commit_index > 3, 200)
     world.cut.clear()
     for one in "cd":
         cut(world, one, "a", "b")
--- a/tests/cluster/world.py
+++ b/tests/cluster/world.py
@@ -19,23 +19,26 @@
 from fordtrestle.cluster.messages import (
     Action,
     Answer,
-    Append,
-    Appended,
-    Ask,
+    AppendEntries,
+    AppendEntriesResponse,
     Compact,
     Entry,
-    Install,
+    InstallSnapshot,
+    PreVote,
+    PreVoteResponse,
     Proposed,
+    RequestVote,
+    RequestVoteResponse,
     Send,
     Store,
     Tell,
-    Vote,
 )
 from fordtrestle.cluster.order import Order, OrderConfig
 from fordtrestle.cluster.rulebook import Change, ClassRules, ServiceRules
 
-CONFIG = OrderConfig(election_ms=150.0, beat_ms=40.0, alone_ms=1500.0, entries_most=12, books_most=8)
-STRICT = OrderConfig(election_ms=150.0, beat_ms=40.0, alone_ms=math.inf, entries_most=12, books_most=8)
+CONFIG = OrderConfig(election_ms=150.0, heartbeat_ms=40.0, alone_ms=1500.0, entries_most=12, books_most=8)
+STRICT = OrderConfig(election_ms=150.0, heartbeat_ms=40.0, alone_ms=math.inf, entries_most=12, books_most=8)
+VOTING = PreVote | PreVoteResponse | RequestVote | RequestVoteResponse
 DRIFT = 1e-3  # between any two clocks
 
 
@@ -319,16 +322,17 @@
     def _check_promise(self, node: Node, send: Send) -> None:
         """Nothing is said before that on which it rests is durable; no disk votes twice in a term."""
         disk, message = node.disk, send.message
-        if isinstance(message, Ask | Vote | Appended) and message.disk:
+        if isinstance(message, VOTING | AppendEntriesResponse) and message.disk:
             assert (disk.meta.disk, disk.meta.life) == (message.disk, message.life), f"seed {self.seed}"
-        if isinstance(message, Append | Install):
+        if isinstance(message, AppendEntries | InstallSnapshot):
             assert disk.meta.term >= message.term, f"seed {self.seed}: leads in a term not stored"
-        if isinstance(message, Appended) and message.disk:
+        if isinstance(message, AppendEntriesResponse) and message.disk:
             assert disk.meta.term >= message.term, f"seed {self.seed}: term not stored"
-            assert not message.ok or disk.has(message.match), f"seed {self.seed}: not stored: {message}"
-        if isinstance(message, Ask) and not message.pre:
+            durable = not message.success or disk.has(message.match_index)
+            assert durable, f"seed {self.seed}: not stored: {message}"
+        if isinstance(message, RequestVote):
             assert disk.meta.term >= message.term, f"seed {self.seed}: own vote not stored"
-        if isinstance(message, Vote) and message.given and not message.pre:
+        if isinstance(message, RequestVoteResponse) and message.vote_granted:
             stored = (disk.meta.term, disk.meta.vote)
             assert stored == (message.term, send.to) or stored[0] > message.term, (
                 f"seed {self.seed}: {stored}"
@@ -360,7 +364,7 @@
     def _check_committed(self, node: Node, order: Order, where: str) -> None:
         """What is committed is the same everywhere and for good, and comes to the same."""
         index = max(node.applied, order.log.base)
-        while index < order.committed:
+        while index < order.commit_index:
             index += 1
             entry = order.log.at(index)
             assert self._chain.setdefault(index, entry) == entry, f"{where}: another entry {index}"
@@ -370,7 +374,7 @@
             assert self._results.setdefault(told.index, told) == told, (
                 f"{where}: other result of {told.index}"
             )
-        assert order.applied.index == order.committed, where
+        assert order.applied.index == order.commit_index, where
 
     def _check_authority(self, where: str) -> None:
         """While one may believe that it is the only leader, none leads in a higher term."""
@@ -510,9 +514,8 @@
         if not orders or self.doubted or any(node.disk.full for node in nodes.values()):
             return False
         seats = orders[0].voters
-        known = [
-            order for order in orders if order.voters == seats and order.log.voters_index <= order.committed
-        ]
+        agree = [order for order in orders if order.voters == seats]
+        known = [order for order in agree if order.log.voters_index <= order.commit_index]
         names = {seat.name for seat in seats}
         held = {(other, node.disk.meta.disk) for other, node in nodes.items()}
         whole = len(names) > 2 and {(seat.name, seat.disk) for seat in seats} <= held
--- a/tests/daemon/test_links.py
+++ b/tests/daemon/test_links.py
@@ -14,7 +14,7 @@
 from fordtrestle.cluster import frames
 from fordtrestle.cluster.frames import FRAME_MOST, PROBE, Greeting, Packer, Splitter
 from fordtrestle.cluster.messages import (
-    Append,
+    AppendEntries,
     Denied,
     Entry,
     Envelope,
@@ -305,8 +305,8 @@
 @pytest.mark.parametrize(
     ("message", "passes"),
     [
-        (Append(1, 1, 0, 0, (), 0), True),
-        (Append(1, 1, 0, 0, (Entry(1, 1, Noop()),), 0), False),
+        (AppendEntries(1, 1, 0, 0, (), 0), True),
+        (AppendEntries(1, 1, 0, 0, (Entry(1, 1, Noop()),), 0), False),
         (Renew(1, 0, (0, 0)), True),
         (Grant(1, 1, "", 0, 1.0, 0, 0, "", ""), True),
         (Propose("a", 0, None), False),
