--- a/fordtrestle/engine/driver.py
+++ b/fordtrestle/engine/driver.py
@@ -269,7 +269,7 @@
                 self._registry.fetch()
             case model.Probe(server) if not self.optional:
                 now = self._clock.now()
-                self._loop.call_soon(self._probed, server, now, Result(Outcome.MOOT))
+                self._loop.call_soon(self._probed, server, now, Result(Outcome.ABANDONED))
             case model.Probe(server):
                 self._probe(server)
             case model.Tell(peer, data):
@@ -289,7 +289,7 @@
         left = request.give_up_at - now
         over = request.ended or left <= 0.0 or action.timeout < 0.0
         if over or attempt.hop >= self._settings.max_attempts:
-            self._loop.call_soon(self._outcome, attempt, Result(Outcome.MOOT))
+            self._loop.call_soon(self._outcome, attempt, Result(Outcome.ABANDONED))
             return
         begin_by = now + action.begin_within
         wait = min(action.timeout, left) if action.timeout > 0.0 else left
--- a/fordtrestle/http/pool.py
+++ b/fordtrestle/http/pool.py
@@ -85,7 +85,7 @@
         self, server: str, message: Callable[[float], bytes | None], expires: float, done: Done
     ) -> UpstreamExchange:
         """Begin an attempt on an idle connection, the newest first, or on a new one; where `message` says
-        None nothing is written, and it is moot."""
+        None nothing is written, and it is abandoned."""
         return self._begin(server, UpstreamExchange(message, expires, done, probe=False))
 
     def probe(self, server: str, done: Done) -> UpstreamExchange:
@@ -245,7 +245,7 @@
         now = self._clock.now()
         message = exchange.message(exchange.expires - now)
         if message is None:  # its client has left
-            self._loop.call_soon(exchange.end, Result(Outcome.MOOT))
+            self._loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
             return exchange
         settling: list[UpstreamConnection] = []
         while server.idle:
@@ -287,7 +287,7 @@
     def _open(self, server: UpstreamServer, exchange: UpstreamExchange) -> None:
         if not self._room():
             # Not the server's fault: it was never asked.
-            self._loop.call_soon(exchange.end, Result(Outcome.MOOT))
+            self._loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
             return
         made: list[UpstreamConnection] = []  # once it is there it gives its descriptor back itself
         task = self._loop.create_task(self._connect(server, exchange, made))
@@ -321,7 +321,7 @@
             short = error.errno in (errno.EMFILE, errno.ENFILE)
             if short:
                 self._close_oldest()  # the next attempt finds a descriptor
-            exchange.end(Result(Outcome.MOOT if short else Outcome.CONNECT_FAILED))
+            exchange.end(Result(Outcome.ABANDONED if short else Outcome.CONNECT_FAILED))
             return
         except Exception as error:  # guards against an exchange that nothing ever ends
             log(f"a connection to {server.name}: {error!r}")
@@ -335,7 +335,7 @@
         message = exchange.message(exchange.expires - self._clock.now())
         if message is None:  # its client has left meanwhile, or has its answer
             self.free(connection)
-            self._loop.call_soon(exchange.end, Result(Outcome.MOOT))
+            self._loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
         else:
             self._write(connection, exchange, message)
 
--- a/poppypulley/balancer.py
+++ b/poppypulley/balancer.py
@@ -19,8 +19,9 @@
 
 Report = Mapping[str, float] | None
 
-OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, MOOT = map(int, model.Outcome)
-NEVER_RAN = frozenset((FULL, CONNECT_FAILED, MOOT))
+OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = map(int, model.Outcome)
+NEVER_RAN = frozenset((FULL, CONNECT_FAILED, ABANDONED))
+OWN_ENDS = frozenset((CANCELLED, ABANDONED))  # ended on our side: they tell nothing of the service
 DOUBTS = frozenset((TIMEOUT, RESET, CANCELLED))  # the server may be at it still
 FAULTS = frozenset((ERROR, TIMEOUT, CONNECT_FAILED, RESET))
 
@@ -581,15 +582,14 @@
             return []
         if not math.isfinite(spent):
             spent = now - attempt.sent
-        attempt.out = False
-        attempt.may_have_run = status not in NEVER_RAN
+        attempt.out, attempt.may_have_run = False, status not in NEVER_RAN
         attempt.server.open -= 1
         attempt.server.used_at = now
         if status in (OK, ERROR, FULL):
             attempt.server.idle += 1
         elif status == RESET:
             attempt.server.idle = 0
-        if attempt.fresh and status not in (MOOT, CANCELLED) and not self._is_cut_off(now, attempt.server):
+        if attempt.fresh and status not in OWN_ENDS and not self._is_cut_off(now, attempt.server):
             self._connect_ill += (1.0 - ILL_MEMORY) * ((status == CONNECT_FAILED) - self._connect_ill)
         attempt.server.out.pop(attempt, None)
         self._hear_of_zone(now, attempt, status, spent)
@@ -610,7 +610,7 @@
         return self._take()
 
     def answer_started(self, now: float, request_id: int, hop: int) -> list[model.Action]:
-        """A stream has begun: it belongs to the client, other copies are moot."""
+        """A stream has begun: it belongs to the client, other copies are of no use."""
         request = self._requests.get(request_id)
         if request is not None:
             self._cancel_rest(request, hop)
@@ -978,7 +978,7 @@
     def _learn(self, now: float, request: Request, attempt: Attempt, status: int, spent: float) -> None:
         """Charge an outcome to the server's own health or to the service."""
         server, aim, traffic_class = attempt.server, request.profile.objective, request.traffic_class
-        if status in (MOOT, CANCELLED) or self._stale(now, attempt, status, spent):
+        if status in OWN_ENDS or self._stale(now, attempt, status, spent):
             return  # its client went, or it was spoilt on our side: that tells nothing of the service
         if status == TIMEOUT and spent < self._patience_for(request):
             return  # its client waits for less than answers take
--- a/poppypulley/model.py
+++ b/poppypulley/model.py
@@ -19,12 +19,12 @@
     CONNECT_FAILED = 4
     RESET = 5
     CANCELLED = 6
-    MOOT = 7
+    ABANDONED = 7
 
 
 class Send(NamedTuple):
     """Start an attempt; it times out after `timeout` milliseconds. One whose first byte is not written
-    `begin_within` milliseconds from now must not begin any more: its outcome is MOOT."""
+    `begin_within` milliseconds from now must not begin any more: its outcome is ABANDONED."""
 
     request: int
     server: str
--- a/poppypulley/wirehost.py
+++ b/poppypulley/wirehost.py
@@ -297,7 +297,7 @@
 
 def _status(members: dict[str, str]) -> int:
     status = int(members["Status"])
-    if not 0 <= status <= model.Outcome.MOOT:
+    if not 0 <= status <= model.Outcome.ABANDONED:
         raise WireError(f"Status: {status} is not known")
     return status
 
--- a/tests/daemon/test_overload.py
+++ b/tests/daemon/test_overload.py
@@ -103,7 +103,7 @@
         await until(lambda: not sidecar.pool._idle)
         sidecar.driver._act(Probe("s0"))
         await until(lambda: module.named("probe_result"))
-        assert module.named("probe_result")[0][1] == Outcome.MOOT
+        assert module.named("probe_result")[0][1] == Outcome.ABANDONED
         assert len(upstream.seen) == 1
 
 
--- a/tests/engine/test_driver.py
+++ b/tests/engine/test_driver.py
@@ -154,7 +154,7 @@
     )
     call = arrive(made, Served("c1"))
     due(made, made._outcome)
-    assert made.servers.done == [] and made._balancer.outcomes() == [(0, Outcome.MOOT, True)]
+    assert made.servers.done == [] and made._balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
     assert call.answers == ["refused"] and not made._requests
 
 
--- a/tests/http/test_client_gone.py
+++ b/tests/http/test_client_gone.py
@@ -89,7 +89,7 @@
         module.scripts["timer"] = due
         await asyncio.get_running_loop().sock_sendall(sock, request())
         await until(lambda: module.outcomes())
-        assert module.outcomes() == [(0, Outcome.MOOT, True)]  # `client_gone` was told before
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True)]  # `client_gone` was told before
         assert len(module.named("client_gone")) == 1
         assert upstream.writers == []  # no connection is made for it, either
         await nothing_is_held(sidecar)
@@ -114,7 +114,7 @@
         module.scripts["outcome"] = again
         await asyncio.get_running_loop().sock_sendall(sock, request())
         await until(lambda: len(module.outcomes()) == 2)
-        assert module.outcomes()[1] == (1, Outcome.MOOT, True)
+        assert module.outcomes()[1] == (1, Outcome.ABANDONED, True)
         assert len(upstream.seen) == 1
         assert len(sidecar.pool._idle) == 1  # nothing was written on what it left
         await nothing_is_held(sidecar)
@@ -152,7 +152,7 @@
             sock.close()
             assert poll.poll(PATIENCE_S * 1000.0)
         await until(lambda: module.named("client_gone") and module.outcomes())
-        assert [status for _, status, _ in module.outcomes()] == [Outcome.MOOT]
+        assert [status for _, status, _ in module.outcomes()] == [Outcome.ABANDONED]
         assert upstream.writers == []
         await nothing_is_held(sidecar)
 
@@ -183,7 +183,7 @@
         module.scripts["request"] = begin
         await asyncio.get_running_loop().sock_sendall(sock, request())
         await until(lambda: module.outcomes())
-        assert [status for _, status, _ in module.outcomes()] == [Outcome.MOOT]
+        assert [status for _, status, _ in module.outcomes()] == [Outcome.ABANDONED]
         assert len(module.named("client_gone")) == 1 and upstream.writers == []
         await nothing_is_held(sidecar)
         assert sidecar.limits.descriptors.held == 0 and not raised
@@ -320,7 +320,7 @@
         await until(lambda: module.named("client_gone"))
         held.gate.set()
         await until(lambda: module.outcomes())
-        assert module.outcomes() == [(0, Outcome.MOOT, True)] and upstream.seen == []
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True)] and upstream.seen == []
         other = await App.connect(sidecar.address)
         assert (await other.ask()).body == b"done"
         assert [seen.connection for seen in upstream.seen] == [0]
@@ -337,7 +337,7 @@
         held.gate.set()
         leave(sidecar, sock, close)
         await until(lambda: module.outcomes())
-        assert module.outcomes() == [(0, Outcome.MOOT, True)] and upstream.seen == []
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True)] and upstream.seen == []
         await nothing_is_held(sidecar)
 
 
@@ -364,11 +364,11 @@
         await until(lambda: held.up)
         held.gate.set()
         await until(lambda: len(module.outcomes()) == 1 + served)
-        assert module.outcomes()[-1] == (0, Outcome.MOOT, True) and first.seen == []
+        assert module.outcomes()[-1] == (0, Outcome.ABANDONED, True) and first.seen == []
         await until(lambda: not sidecar.driver._requests)
 
 
-@pytest.mark.parametrize(("begin_within", "outcome"), [(20.0, Outcome.MOOT), (3_600_000.0, Outcome.OK)])
+@pytest.mark.parametrize(("begin_within", "outcome"), [(20.0, Outcome.ABANDONED), (3_600_000.0, Outcome.OK)])
 @loopback
 async def test_an_attempt_whose_connection_comes_up_too_late_for_it_carries_nothing(
     begin_within, outcome, monkeypatch
--- a/tests/http/test_upstream.py
+++ b/tests/http/test_upstream.py
@@ -324,7 +324,7 @@
 
 
 @loopback
-async def test_past_the_most_attempts_and_after_the_answer_a_send_is_moot():
+async def test_past_the_most_attempts_and_after_the_answer_a_send_is_abandoned():
     upstream = await Upstream([FULL, FULL, FULL, OK]).start()
 
     def again(now, number, hop, status, spent, last, report):
@@ -336,7 +336,7 @@
     async with running(upstream, balancer=module) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         await until(lambda: len(module.outcomes()) == 5)
-        assert module.outcomes()[3:] == [(3, Outcome.MOOT, False), (4, Outcome.MOOT, True)]
+        assert module.outcomes()[3:] == [(3, Outcome.ABANDONED, False), (4, Outcome.ABANDONED, True)]
         assert len(upstream.seen) == 3
         assert not sidecar.driver._requests
 
@@ -458,7 +458,7 @@
         app.send()
         await until(lambda: len(second.seen) == 2)
         await other.ask()
-        assert module.outcomes()[-1] == (0, Outcome.MOOT, False)
+        assert module.outcomes()[-1] == (0, Outcome.ABANDONED, False)
 
 
 # --- drains -----------------------------------------------------------------------
--- a/tests/poppypulley/test_rules_property.py
+++ b/tests/poppypulley/test_rules_property.py
@@ -24,7 +24,7 @@
     Watch,
 )
 
-NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT}
+NEVER_RAN = {Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.ABANDONED}
 ENDS = [
     Outcome.OK,
     Outcome.OK,
