--- a/fordtrestle/cluster/clocks.py
+++ b/fordtrestle/cluster/clocks.py
@@ -92,7 +92,7 @@
             return
         known = self._peers.get(peer)
         if known is None or sample.peer_ms < known.best.peer_ms or sample.sent_ms < known.best.sent_ms:
-            self._peers.pop(peer, None)  # another life of the peer, or of ours
+            self._peers.pop(peer, None)  # another incarnation of the peer, or of ours
             while len(self._peers) >= PEERS_MOST:
                 del self._peers[next(iter(self._peers))]
             self._peers[peer] = _Peer(sample, sample)
--- a/fordtrestle/cluster/lease.py
+++ b/fordtrestle/cluster/lease.py
@@ -20,26 +20,24 @@
    too little, by `2 * drift ** 2`.)
 3. Who vouches. That a node has heard of `v` says: it acts on no range below `v` any more (it ceased
    `check_ms` ago, so no act that was checked before is to come), nor does anyone under the leases that it
-   granted: each of those was granted with `v`, or was vouched for, or has run out. In one life that number
-   never goes down, so a renewal that comes late or twice says nothing wrong. What a child was granted
-   elsewhere is counted there.
-4. Lives. A node that has started, or that doubted its clock, does not know what it granted before. Those
-   subleases end with its old lease, which its grantors go on counting for its old life: the high bits of a
-   nonce tell the life, and another life is another child. So it can't vouch for what it forgot. (To be
-   silent for `hold_ms` after a start is not enough: of two processes under one name, one would vouch for the
-   other.)
-5. Terms. A leader grants only while its authority holds, and only once an entry of its own term is
-   committed, by which it knows every committed number. A new one knows nothing of earlier leaders' grants,
-   but all of them were asked for before its term: it proposes no `Effective` before `hold_ms` of its term.
-   What an earlier leader proposed stays right if it is committed later: every lease granted since had that
-   number pending.
+   granted: each of those was granted with `v`, or was vouched for, or has run out. In one incarnation that
+   number never goes down, so a renewal that comes late or twice says nothing wrong. What a child was granted
+   elsewhere is counted there. 4. Incarnations. A node that has started, or that doubted its clock, does not
+   know what it granted before. Those subleases end with its old lease, which its grantors go on counting for
+   its old incarnation: the high bits of a nonce tell the incarnation, and another incarnation is another
+   child. So it can't vouch for what it forgot. (To be silent for `hold_ms` after a start is not enough: of
+   two processes under one name, one would vouch for the other.) 5. Terms. A leader grants only while its
+   authority holds, and only once an entry of its own term is committed, by which it knows every committed
+   number. A new one knows nothing of earlier leaders' grants, but all of them were asked for before its term:
+   it proposes no `Effective` before `hold_ms` of its term. What an earlier leader proposed stays right if it
+   is committed later: every lease granted since had that number pending.
 
 What differs in order only: who acts on an older `effective` was granted it before the newer one was
 committed, and so ends at most `lease_ms / (1 - drift)` later, which is less than `contradiction_ms`.
 
-It rests on this, too: `now_ms` is read after the message was taken from its socket and before what answers
-it is sent; all members have one `contradiction_ms`, `drift_ppm` and `check_ms`; a life's random numbers are
-its own.
+It rests on this, too: `now_ms` is read after the message was taken from its socket and before what answers it
+is sent; all members have one `contradiction_ms`, `drift_ppm` and `check_ms`; an incarnation's random numbers
+are its own.
 """
 
 from __future__ import annotations
@@ -60,12 +58,12 @@
 OFFERS_MOST = 4  # grants whose books are awaited
 ENDS_MOST = 8  # ends of a child's leases that are told apart by number
 TRIES_MOST = 3  # questions in one renewal, each to another
-COUNT_BITS = 32  # of a nonce: which question of its life; those above tell the life
-LIFE_BITS = 31
+COUNT_BITS = 32  # of a nonce: which question of its incarnation; those above tell the incarnation
+INCARNATION_BITS = 31
 
 
 class Draws(Protocol):
-    """What is used of a `random.Random`; it must not repeat itself from one life to the next."""
+    """What is used of a `random.Random`; it must not repeat itself from one incarnation to the next."""
 
     def random(self) -> float: ...
 
@@ -186,10 +184,10 @@
         self.overdue = ""  # who was asked last and has not answered
         self.barred = ""  # why it may hold none
         self.counts: Counter[str] = Counter()  # answers refused, and leases dropped, by why
-        self.life = self._draw()
+        self.incarnation = self._draw()
 
     def _draw(self) -> int:
-        return self._rng.getrandbits(LIFE_BITS)
+        return self._rng.getrandbits(INCARNATION_BITS)
 
     # --- acting -------------------------------------------------------------------------------
 
@@ -228,7 +226,7 @@
         while len(self._out) >= NONCES_MOST:
             del self._out[next(iter(self._out))]
         self._count += 1
-        nonce = self.life << COUNT_BITS | self._count
+        nonce = self.incarnation << COUNT_BITS | self._count
         self._out[nonce] = (now_ms, to)
         self._asked_ms, self._said, self._granting, self.overdue = now_ms, heard, granting, to
         self._tries += 1
@@ -376,10 +374,10 @@
     # --- doubt --------------------------------------------------------------------------------
 
     def drop(self, now_ms: float, why: str) -> None:
-        """Begin a new life, without a lease: the clock jumped, or the process was stopped."""
+        """Begin a new incarnation, without a lease: the clock jumped, or the process was stopped."""
         self.counts[why] += 1
-        life = self._draw()
-        self.life = life if life != self.life else life ^ 1
+        incarnation = self._draw()
+        self.incarnation = incarnation if incarnation != self.incarnation else incarnation ^ 1
         self._until_ms = self._authority_ms = -math.inf
         self._out.clear()
         self._offers.clear()
@@ -418,7 +416,8 @@
 
 @dataclass(slots=True)
 class _Child:
-    """One life of a node that was granted leases. `ends`: on the own clock, by number, lowest first."""
+    """One incarnation of a node that was granted leases. `ends`: on the own clock, by number, lowest
+    first."""
 
     confirmed: int = 0
     ends: list[tuple[int, float]] = field(default_factory=list)
@@ -450,20 +449,20 @@
         self._me = me
         self.holder = holder
         self._most = (children_most, leader_children_most)
-        self._children: dict[tuple[str, int], _Child] = {}  # by name and life
-        self._life = holder.life
+        self._children: dict[tuple[str, int], _Child] = {}  # by name and incarnation
+        self._incarnation = holder.incarnation
         self._turn = 0
         self.counts: Counter[str] = Counter()  # refusals, by why
 
     def children(self, now_ms: float) -> int:
-        """How many lives hold a lease by it."""
+        """How many incarnations hold a lease by it."""
         self._sweep(now_ms)
         return len(self._children)
 
     def _sweep(self, now_ms: float) -> None:
-        if self._life != self.holder.life:  # it is not the one that granted them
+        if self._incarnation != self.holder.incarnation:  # it is not the one that granted them
             self._children.clear()
-            self._life = self.holder.life
+            self._incarnation = self.holder.incarnation
         for key, child in list(self._children.items()):
             child.ends = [(number, end_ms) for number, end_ms in child.ends if end_ms > now_ms]
             if not child.ends:
@@ -544,16 +543,16 @@
     def __init__(self, config: LeaseConfig) -> None:
         self._config = config
         self._since_ms = math.inf
-        self._life = -1
+        self._incarnation = -1
 
     def begin(self, now_ms: float, grantor: Grantor) -> None:
         """A term of the own has begun: of leases from before nothing is known."""
         self._since_ms = now_ms
-        self._life = grantor.holder.life
+        self._incarnation = grantor.holder.incarnation
 
     def ready(self, now_ms: float, grantor: Grantor, proposed: int) -> int:
         """The number that may be proposed as effective; 0 if none. `proposed`: the highest in the own log."""
-        if self._life != grantor.holder.life and self._since_ms < math.inf:
+        if self._incarnation != grantor.holder.incarnation and self._since_ms < math.inf:
             self.begin(now_ms, grantor)  # the clock by which the grants were counted is not believed
         if now_ms < self._since_ms + self._config.hold_ms or not grantor.holder.leading(now_ms):
             return 0
--- a/fordtrestle/cluster/members.py
+++ b/fordtrestle/cluster/members.py
@@ -3,7 +3,7 @@
 A vote that a disk forgot must not be given twice. So a disk has an identity, a voter is a name with a disk,
 and votes and acknowledgements of a disk that the log does not name are not counted.
 
-**A lost disk** is replaced in two entries, never in one. The first makes its seat vacant, the second fills it
+**A lost disk** is replaced in two entries, never in one. The first makes its slot vacant, the second fills it
 with the new disk. In one entry, {A, B, C1} to {A, B, C2}, two majorities need have nobody in common: {A, C2}
 and {B, C1}, where C1 turns up again; each could commit something else at one index. Taking one voter away, or
 adding one, leaves any majority of before and any of after with a voter in common (Ongaro 2014, 4.1), and so
@@ -11,13 +11,13 @@
 the lost disk acknowledges nothing in any case. The second is not put into the log where its commit would wait
 for the newcomer itself, which may be lost again; but where there is a sole other voter, it has to be.
 
-**A disk put back** to an older copy has forgotten what it promised in between. Each start is a new life, one
-higher; others store the life before they count anything of it. At its start a disk asks the others
-(`RecoveryQuery`), and votes and acknowledges nothing before enough have answered. A life as high as its own,
-or a committed entry that it acknowledged and no longer has, says that it was put back: then it is treated as
-lost. A copy of the same life shows neither; therefore it also gives no vote in the terms that the others tell
-of, and to no candidate whose log ends before theirs, since all that it can have promised to one of them lies
-within these.
+**A disk put back** to an older copy has forgotten what it promised in between. Each start is a new
+incarnation, one higher; others store the incarnation before they count anything of it. At its start a disk
+asks the others (`RecoveryQuery`), and votes and acknowledges nothing before enough have answered. An
+incarnation as high as its own, or a committed entry that it acknowledged and no longer has, says that it was
+put back: then it is treated as lost. A copy of the same incarnation shows neither; therefore it also gives no
+vote in the terms that the others tell of, and to no candidate whose log ends before theirs, since all that it
+can have promised to one of them lies within these.
 
 Enough: one in common with every majority in which the disk was (of 3 both others, of 5 three of the four).
 After `alone_ms` as many do as make a majority with it, since a voter that is gone for good would otherwise
@@ -34,59 +34,59 @@
 from fordtrestle.cluster.log import Applied, Log, State
 from fordtrestle.cluster.messages import NAME_MOST, Compact, Entry, Meta, RecoveryResponse, Voter, Voters
 
-SEATS_MOST = 9  # seven voters, and what a change needs
+SLOTS_MOST = 9  # seven voters, and what a change needs
 ASKED_MOST = 64  # heartbeats to one member that may be unanswered
-LIVES_MOST = 64  # disks whose lives are remembered
+INCARNATIONS_MOST = 64  # disks whose incarnations are remembered
 RECOVERED_TERMS = 1000  # by which a recovered log is ahead of any term that the lost ones may have reached
 
-Seats = tuple[Voter, ...]
+VoterSlots = tuple[Voter, ...]
 
 
-def voting(seats: Seats) -> Seats:
+def voting(slots: VoterSlots) -> VoterSlots:
     """Those that are not vacant."""
-    return tuple(seat for seat in seats if seat.disk)
+    return tuple(slot for slot in slots if slot.disk)
 
 
-def reached(seats: Seats, value: Callable[[Voter], float]) -> float:
+def reached(slots: VoterSlots, value: Callable[[Voter], float]) -> float:
     """The highest value that a majority has reached; -inf where nobody votes."""
-    values = sorted(map(value, voting(seats)), reverse=True)
+    values = sorted(map(value, voting(slots)), reverse=True)
     return values[len(values) // 2] if values else -math.inf
 
 
-def seat_of(seats: Seats, name: str) -> Voter | None:
-    """The seat of a name, if it has one."""
-    return next((seat for seat in seats if seat.name == name), None)
+def slot_of(slots: VoterSlots, name: str) -> Voter | None:
+    """The slot of a name, if it has one."""
+    return next((slot for slot in slots if slot.name == name), None)
 
 
-def with_disk(seats: Seats, name: str, disk: str) -> Seats:
-    """The seats, with another disk in one; `disk` empty: vacant."""
-    return tuple(Voter(name, disk) if seat.name == name else seat for seat in seats)
+def with_disk(slots: VoterSlots, name: str, disk: str) -> VoterSlots:
+    """The slots, with another disk in one; `disk` empty: vacant."""
+    return tuple(Voter(name, disk) if slot.name == name else slot for slot in slots)
 
 
-def changed(seats: Seats, away: str = "", new: str = "") -> Seats:
-    """The seats without `away`, and with a vacant one for `new`; `ValueError` says why that can't be."""
-    if away and seat_of(seats, away) is None:
-        raise ValueError(f"{away} has no seat")
-    if new and seat_of(seats, new) is not None:
-        raise ValueError(f"{new} has a seat")
+def changed(slots: VoterSlots, away: str = "", new: str = "") -> VoterSlots:
+    """The slots without `away`, and with a vacant one for `new`; `ValueError` says why that can't be."""
+    if away and slot_of(slots, away) is None:
+        raise ValueError(f"{away} has no slot")
+    if new and slot_of(slots, new) is not None:
+        raise ValueError(f"{new} has a slot")
     if len(new) > NAME_MOST:
         raise ValueError(f"a name has {NAME_MOST} characters at the most")
-    after = tuple(seat for seat in seats if seat.name != away) + ((Voter(new, ""),) if new else ())
+    after = tuple(slot for slot in slots if slot.name != away) + ((Voter(new, ""),) if new else ())
     if not voting(after):
         raise ValueError("nobody would vote")
-    if len(after) > SEATS_MOST:
-        raise ValueError(f"there may be {SEATS_MOST} seats")
+    if len(after) > SLOTS_MOST:
+        raise ValueError(f"there may be {SLOTS_MOST} slots")
     return after
 
 
 @dataclass(slots=True)
 class Peer:
-    """How far a leader is with one member. `disk` and `life` are those of its last answer."""
+    """How far a leader is with one member. `disk` and `incarnation` are those of its last answer."""
 
     name: str
     next: int  # the first index to send
     disk: str = ""
-    life: int = 0
+    incarnation: int = 0
     match: int = 0  # up to where it has the leader's log, on disk
     mark: int = 0  # the leader's last index when this disk came
     back: int = 0  # the last heartbeat when it was gone back to what it lacked
@@ -108,77 +108,80 @@
             self.answered_ms = max(self.answered_ms, sent)
         return sent
 
-    def turn(self, disk: str, life: int, last_index: int) -> None:
-        """Another disk or life answers under this name: nothing that the one before had is known of it."""
+    def turn(self, disk: str, incarnation: int, last_index: int) -> None:
+        """Another disk or incarnation answers under this name: nothing that the one before had is known of
+        it."""
         if disk != self.disk:
             self.mark = last_index
-        self.disk, self.life, self.match = disk, life, 0
+        self.disk, self.incarnation, self.match = disk, incarnation, 0
         self.next = last_index + 1
         self.installed_ms = -math.inf
 
 
-class Lives:
-    """The highest life of each disk of which anything was counted, and since which store that is durable."""
+class Incarnations:
+    """The highest incarnation of each disk of which anything was counted, and since which store that is
+    durable."""
 
     def __init__(self, seen: Iterable[tuple[str, int]]) -> None:
         self._seen = dict(seen)
         self._tokens: dict[str, int] = {}
 
     def of(self, disk: str) -> int:
-        """The highest life of a disk; 0 for none."""
+        """The highest incarnation of a disk; 0 for none."""
         return self._seen.get(disk, 0)
 
-    def note(self, disk: str, life: int, token: int, seats: Seats) -> tuple[tuple[str, int], ...]:
+    def note(self, disk: str, incarnation: int, token: int, slots: VoterSlots) -> tuple[tuple[str, int], ...]:
         """All of them with this one, which the store `token` makes durable. The oldest that don't vote go."""
         self._seen.pop(disk, None)
-        self._seen[disk], self._tokens[disk] = life, token
-        named = {seat.disk for seat in seats}
-        for other in [disk for disk in self._seen if disk not in named][: len(self._seen) - LIVES_MOST]:
+        self._seen[disk], self._tokens[disk] = incarnation, token
+        named = {slot.disk for slot in slots}
+        unnamed = [disk for disk in self._seen if disk not in named]
+        for other in unnamed[: len(self._seen) - INCARNATIONS_MOST]:
             del self._seen[other]
             self._tokens.pop(other, None)
         return tuple(self._seen.items())
 
-    def known(self, disk: str, life: int, durable: int) -> bool:
-        """Whether this is the highest life and durably remembered."""
-        return self.of(disk) == life and self._tokens.get(disk, 0) <= durable
+    def known(self, disk: str, incarnation: int, durable: int) -> bool:
+        """Whether this is the highest incarnation and durably remembered."""
+        return self.of(disk) == incarnation and self._tokens.get(disk, 0) <= durable
 
 
-class Recall:
+class Recovery:
     """What the others remember of a disk that has started."""
 
     def __init__(self, nonce: int) -> None:
         self.nonce = nonce
-        self.told: dict[str, RecoveryResponse] = {}  # only of names that have a seat
+        self.responses: dict[str, RecoveryResponse] = {}  # only of names that have a slot
 
-    def _voters(self, seats: Seats) -> list[RecoveryResponse]:
-        return [told for name, told in self.told.items() if Voter(name, told.by) in seats]
+    def _of_voters(self, slots: VoterSlots) -> list[RecoveryResponse]:
+        return [told for name, told in self.responses.items() if Voter(name, told.by) in slots]
 
-    def enough(self, seats: Seats, me: Voter, alone: bool) -> bool:
+    def enough(self, slots: VoterSlots, me: Voter, alone: bool) -> bool:
         """Whether enough have answered; `alone`: after `alone_ms`, when those count too that vote by a
         change that is not known here."""
-        others = len([seat for seat in voting(seats) if seat.name != me.name])
+        others = len([slot for slot in voting(slots) if slot.name != me.name])
         if not others:
-            return me in seats  # the sole voter; a disk that knows no voters can't know
+            return me in slots  # the sole voter; a disk that knows no voters can't know
         most = (others + 1) // 2 + 1
-        return len(self._voters(seats)) >= others + 2 - most or (alone and len(self.told) >= most - 1)
+        return len(self._of_voters(slots)) >= others + 2 - most or (alone and len(self.responses) >= most - 1)
 
     def term(self) -> int:
         """The highest term told."""
-        return max((told.term for told in self.told.values()), default=0)
+        return max((told.term for told in self.responses.values()), default=0)
 
-    def floor(self, seats: Seats) -> tuple[int, int]:
+    def floor(self, slots: VoterSlots) -> tuple[int, int]:
         """Term and index of the last entry of the furthest log of a voter. One who does not vote can't lead
         either, and to wait for it would be for ever."""
-        ends = [(told.last_log_term, told.last_log_index) for told in self._voters(seats)]
+        ends = [(told.last_log_term, told.last_log_index) for told in self._of_voters(slots)]
         return max(ends, default=(0, 0))
 
 
 def init_state(voters: Mapping[str, str], name: str) -> State:
     """What the disk of `name` holds before its first start, where `voters` names the disk of each voter.
 
-    An empty disk is a vacant seat: who starts there with an empty folder is taken in by the first leader."""
-    seats = tuple(Voter(other, disk) for other, disk in sorted(voters.items()))
-    return State(Meta(disk=voters[name], term=1), (Entry(1, 1, Voters(seats)),))
+    An empty disk is a vacant slot: who starts there with an empty folder is taken in by the first leader."""
+    slots = tuple(Voter(other, disk) for other, disk in sorted(voters.items()))
+    return State(Meta(disk=voters[name], term=1), (Entry(1, 1, Voters(slots)),))
 
 
 def position(state: State) -> tuple[int, int]:
@@ -189,7 +192,7 @@
 
 def recover_state(state: State, name: str, disk: str, names: Iterable[str]) -> State:
     """The way back from a majority lost for good: `name` is the sole voter, by a new disk; `names` get vacant
-    seats.
+    slots.
 
     All that this disk has counts as committed from here on, confirmed or not; what only the lost ones had is
     lost, though it may have been confirmed. None of them may start again but with an empty folder: two of
@@ -199,7 +202,7 @@
     for entry in log.entries:
         applied.take(entry)
     term = max(state.meta.term, log.last_term) + RECOVERED_TERMS
-    seats = (Voter(name, disk), *(Voter(other, "") for other in sorted(set(names) - {name})))
+    slots = (Voter(name, disk), *(Voter(other, "") for other in sorted(set(names) - {name})))
     told = applied.compact()
-    compact = Compact(log.last_index + 1, term, seats, told.effective, told.books, told.proposals)
+    compact = Compact(log.last_index + 1, term, slots, told.effective, told.books, told.proposals)
     return State(Meta(disk=disk, term=term), (), compact)
--- a/fordtrestle/cluster/messages.py
+++ b/fordtrestle/cluster/messages.py
@@ -26,9 +26,9 @@
 
 
 class Voter(Struct, frozen=True):
-    """A member's seat: its name, and the identity of the disk by which it votes.
+    """A member's slot: its name, and the identity of the disk by which it votes.
 
-    Without a disk the seat is vacant: it is kept for that name, counts in no majority, and the leader fills
+    Without a disk the slot is vacant: it is kept for that name, counts in no majority, and the leader fills
     it once a disk under that name has all that is committed."""
 
     name: str
@@ -84,11 +84,11 @@
 
 
 class Meta(Struct, frozen=True):
-    """What a voter must not forget beside its log. `seen`: the highest life of each other disk of which
-    anything was counted."""
+    """What a voter must not forget beside its log. `seen`: the highest incarnation of each other disk of
+    which anything was counted."""
 
     disk: str = ""
-    life: int = 0
+    incarnation: int = 0
     term: int = 0
     vote: str = ""
     seen: tuple[tuple[str, int], ...] = ()
@@ -102,18 +102,18 @@
     an answer to an earlier one can be told."""
 
     disk: str
-    life: int
+    incarnation: int
     last_log_index: int
     nonce: int
 
 
 class RecoveryResponse(Message, frozen=True, tag="recovery_response"):
-    """The answer: the highest life of that disk of which anything was counted, and the highest committed
-    index that it acknowledged; 0 for none. `by`: the disk of who answers. `term`, `last_log_index` and
-    `last_log_term` are its own: what the asking disk may have promised to it lies within them."""
+    """The answer: the highest incarnation of that disk of which anything was counted, and the highest
+    committed index that it acknowledged; 0 for none. `by`: the disk of who answers. `term`, `last_log_index`
+    and `last_log_term` are its own: what the asking disk may have promised to it lies within them."""
 
     disk: str
-    life: int
+    incarnation: int
     acknowledged: int
     nonce: int
     by: str
@@ -129,7 +129,7 @@
     last_log_index: int
     last_log_term: int
     disk: str
-    life: int
+    incarnation: int
 
 
 class PreVoteResponse(Message, frozen=True, tag="pre_vote_response"):
@@ -138,7 +138,7 @@
     term: int
     vote_granted: bool
     disk: str
-    life: int
+    incarnation: int
 
 
 class RequestVote(Message, frozen=True, tag="request_vote"):
@@ -148,7 +148,7 @@
     last_log_index: int
     last_log_term: int
     disk: str
-    life: int
+    incarnation: int
 
 
 class RequestVoteResponse(Message, frozen=True, tag="request_vote_response"):
@@ -157,7 +157,7 @@
     term: int
     vote_granted: bool
     disk: str
-    life: int
+    incarnation: int
 
 
 class AppendEntries(Message, frozen=True, tag="append_entries"):
@@ -181,7 +181,7 @@
     success: bool
     match_index: int
     disk: str
-    life: int
+    incarnation: int
 
 
 class InstallSnapshot(Message, frozen=True, tag="install_snapshot"):
--- a/fordtrestle/cluster/order.py
+++ b/fordtrestle/cluster/order.py
@@ -17,13 +17,13 @@
 
 from fordtrestle.cluster.log import Applied, Log, State
 from fordtrestle.cluster.members import (
-    Lives,
+    Incarnations,
     Peer,
-    Recall,
-    Seats,
+    Recovery,
+    VoterSlots,
     changed,
     reached,
-    seat_of,
+    slot_of,
     voting,
     with_disk,
 )
@@ -58,7 +58,7 @@
 from fordtrestle.cluster.rulebook import Change, apply, check
 
 FAULTS_MOST = 4  # of a refused rulebook that are told
-NUMBER_MOST = 2**53  # of terms, indexes, heartbeats and lives: what is higher is nobody's
+NUMBER_MOST = 2**53  # of terms, indexes, heartbeats and incarnations: what is higher is nobody's
 Role = Literal["follower", "pre_candidate", "candidate", "leader"]
 
 
@@ -79,8 +79,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeatTold:
-    """What a leader knows of one seat: `match`: up to where its disk has the log; `silent_ms`: since the last
+class SlotStatus:
+    """What a leader knows of one slot: `match`: up to where its disk has the log; `silent_ms`: since the last
     heartbeat that it answered was sent; `counts`: whether it answers by the disk that votes."""
 
     name: str
@@ -101,7 +101,8 @@
 
 
 class Order:
-    """A voter, or one that learns. `tick` is wanted at `next_ms`; the first call of any kind begins a life.
+    """A voter, or one that learns. `tick` is wanted at `next_ms`; the first call of any kind begins an
+    incarnation.
 
     `rng` draws disk identities too: outside of tests its seed has to come from the system's randomness."""
 
@@ -117,12 +118,12 @@
         self._rng = rng
         self._damaged = state.damaged or not self.log.whole
         self._out = Outbox(config.stores_most, config.held_most, self.log.last_index)
-        self._lives = Lives(state.meta.seen)
-        self._recall: Recall | None = None  # until it is known what this disk may have promised
+        self._incarnations = Incarnations(state.meta.seen)
+        self._recovery: Recovery | None = None  # until it is known what this disk may have promised
         self._floor = (0, 0)  # the furthest log that the others told of then
         self._floor_until = self._alone_at = math.inf
         self._begun = False
-        self._quiet_until = self._hello_at = math.inf
+        self._quiet_until = self._query_at = math.inf
         self._heard = -math.inf  # when a leader was heard of last
         self._deadline = math.inf  # when to stand for leader
         self._ask_at = math.inf
@@ -154,8 +155,8 @@
         return self.meta.term
 
     @property
-    def voters(self) -> Seats:
-        """The seats in force: those of the last entry that names them, committed or not."""
+    def voters(self) -> VoterSlots:
+        """The slots in force: those of the last entry that names them, committed or not."""
         return self.log.voters
 
     @property
@@ -180,17 +181,17 @@
         span = self.config.election_ms * (1 - self.config.drift_ppm * 1e-6)
         return reached(self.log.voters, lambda voter: self._answered(voter, now_ms)) + span
 
-    def seats(self, now_ms: float) -> list[SeatTold]:
-        """What the leader knows of each seat, in order; of a follower only the own one."""
+    def slots(self, now_ms: float) -> list[SlotStatus]:
+        """What the leader knows of each slot, in order; of a follower only the own one."""
         told = []
-        for seat in self.log.voters:
-            peer = self._peers.get(seat.name)
-            if seat.name == self.name:
-                own = SeatTold(seat.name, seat.disk, self._out.durable_index, 0.0, self.votes)
+        for slot in self.log.voters:
+            peer = self._peers.get(slot.name)
+            if slot.name == self.name:
+                own = SlotStatus(slot.name, slot.disk, self._out.durable_index, 0.0, self.votes)
                 told.append(own)
             elif peer is not None:
                 silent = now_ms - peer.answered_ms
-                told.append(SeatTold(seat.name, seat.disk, peer.match, silent, self._sound(seat, peer)))
+                told.append(SlotStatus(slot.name, slot.disk, peer.match, silent, self._sound(slot, peer)))
         return told
 
     @property
@@ -200,11 +201,11 @@
     @property
     def _sure(self) -> bool:
         """Whether it may promise anything."""
-        return self._begun and self._recall is None and not self._out.failed
+        return self._begun and self._recovery is None and not self._out.failed
 
     def _voice(self) -> tuple[str, int]:
-        """Disk and life by which it speaks; who may promise nothing has none, and is not counted."""
-        return (self.meta.disk, self.meta.life) if self._sure else ("", 0)
+        """Disk and incarnation by which it speaks; who may promise nothing has none, and is not counted."""
+        return (self.meta.disk, self.meta.incarnation) if self._sure else ("", 0)
 
     # --- events -------------------------------------------------------------------------------
 
@@ -221,8 +222,8 @@
     def tick(self, now_ms: float) -> list[Action]:
         """Time has passed."""
         self._begin(now_ms)
-        if self._recall is not None:
-            self._ask_others(now_ms)
+        if self._recovery is not None:
+            self._query_others(now_ms)
         if self.role == "leader":
             self._lead_on(now_ms)
         elif now_ms >= self._deadline:
@@ -239,8 +240,8 @@
         dues = [self._deadline] if self.role != "leader" else [self._heartbeat_at, self._lapse()]
         if self.role in ("pre_candidate", "candidate"):
             dues.append(self._ask_at)
-        if self._recall is not None:
-            dues.append(self._hello_at)
+        if self._recovery is not None:
+            dues.append(self._query_at)
         return min(dues)
 
     def stored(self, now_ms: float, token: int) -> list[Action]:
@@ -262,7 +263,7 @@
             self._tell(f"the disk of {self.name} failed: it votes no more until it starts with a sound one")
             self._step_down("its disk failed")
             self.role = "follower"
-            self._recall = None
+            self._recovery = None
         return self._end()
 
     def propose(
@@ -293,24 +294,25 @@
         return self._end()
 
     def add_voter(self, now_ms: float, name: str, client: int = 0) -> list[Action]:
-        """Give a name a vacant seat; it votes once its disk has all that is committed."""
+        """Give a name a vacant slot; it votes once its disk has all that is committed."""
         return self._change(now_ms, client, "", name)
 
     def remove_voter(self, now_ms: float, name: str, client: int = 0) -> list[Action]:
-        """Take a name's seat away; a leader that is away with it steps down as soon as that is committed."""
+        """Take a name's slot away; a leader that is away with it steps down as soon as that is committed."""
         return self._change(now_ms, client, name, "")
 
     def replace_voter(self, now_ms: float, name: str, other: str, client: int = 0) -> list[Action]:
-        """Take a name's seat away, and give `other` a vacant one."""
+        """Take a name's slot away, and give `other` a vacant one."""
         return self._change(now_ms, client, name, other)
 
-    # --- a life begins ------------------------------------------------------------------------
+    # --- an incarnation begins ------------------------------------------------------------------------
 
     def _begin(self, now_ms: float) -> None:
         if self._begun:
             return
         self._begun = True
-        # A vote in the last life may have been refused for a leader's sake, which this one doesn't know.
+        # A vote in the last incarnation may have been refused for a leader's sake, which this one doesn't
+        # know.
         self._quiet_until = now_ms + self.config.election_ms
         self._rest(now_ms)
         if self._damaged:
@@ -318,11 +320,11 @@
         elif not self.meta.disk:
             self._new_disk("")
         else:
-            self._keep(life=self.meta.life + 1)
-            self._recall = Recall(self._rng.getrandbits(48))
+            self._keep(incarnation=self.meta.incarnation + 1)
+            self._recovery = Recovery(self._rng.getrandbits(48))
             self._alone_at = now_ms + self.config.alone_ms
-            self._hello_at = now_ms
-            self._remember(now_ms)
+            self._query_at = now_ms
+            self._recover(now_ms)
         if self.applied.books:
             self._out.tell(Take())
 
@@ -330,54 +332,56 @@
         """Be another disk, which never promised anything: what the one before promised is not known any
         more."""
         disk = f"{self._rng.getrandbits(64):016x}"
-        self._keep(disk=disk, life=1, vote="")
-        self._recall = None
+        self._keep(disk=disk, incarnation=1, vote="")
+        self._recovery = None
         if why:
             self._tell(f"{why}: {self.name} votes no more until the leader takes it in as disk {disk}")
 
-    def _ask_others(self, now_ms: float) -> None:
-        if now_ms >= self._hello_at and self._recall is not None:
-            self._hello_at = now_ms + self.config.heartbeat_ms
-            hello = RecoveryQuery(self.meta.disk, self.meta.life, self.log.last_index, self._recall.nonce)
-            for seat in self.log.voters:
-                if seat.name != self.name:
-                    self._out.say(seat.name, hello)
-        self._remember(now_ms)
+    def _query_others(self, now_ms: float) -> None:
+        if now_ms >= self._query_at and self._recovery is not None:
+            self._query_at = now_ms + self.config.heartbeat_ms
+            own = self.meta.disk, self.meta.incarnation
+            query = RecoveryQuery(*own, self.log.last_index, self._recovery.nonce)
+            for slot in self.log.voters:
+                if slot.name != self.name:
+                    self._out.say(slot.name, query)
+        self._recover(now_ms)
 
-    def _on_recovery_query(self, now_ms: float, sender: str, hello: RecoveryQuery) -> None:
-        self._recall_to(sender, hello.disk, hello.nonce)
+    def _on_recovery_query(self, now_ms: float, sender: str, query: RecoveryQuery) -> None:
+        self._respond_to_recovery(sender, query.disk, query.nonce)
 
-    def _recall_to(self, to: str, disk: str, nonce: int) -> None:
+    def _respond_to_recovery(self, to: str, disk: str, nonce: int) -> None:
         """Tell what is remembered of a disk: no less than was ever counted. A failed one vouches for none."""
         by = "" if self._out.failed else self.meta.disk
-        life, acknowledged = self._lives.of(disk), self._acknowledged.get(disk, 0)
+        incarnation, acknowledged = self._incarnations.of(disk), self._acknowledged.get(disk, 0)
         last = self.log.last_index, self.log.last_term
-        self._out.say(to, RecoveryResponse(disk, life, acknowledged, nonce, by, self.term, *last))
+        self._out.say(to, RecoveryResponse(disk, incarnation, acknowledged, nonce, by, self.term, *last))
 
     def _on_recovery_response(self, now_ms: float, sender: str, told: RecoveryResponse) -> None:
-        recall = self._recall
-        if not told.by or told.disk != self.meta.disk or seat_of(self.log.voters, sender) is None:
+        recovery = self._recovery
+        if not told.by or told.disk != self.meta.disk or slot_of(self.log.voters, sender) is None:
             return
-        asked = recall is not None and told.nonce == recall.nonce
-        # Once it may promise, its own life is remembered too. A higher one was never its own; what is
+        asked = recovery is not None and told.nonce == recovery.nonce
+        # Once it may promise, its own incarnation is remembered too. A higher one was never its own; what is
         # committed and was acknowledged is never dropped: these say so unasked and late too.
-        older = told.life > self.meta.life or (asked and told.life == self.meta.life)
+        own = self.meta.incarnation
+        older = told.incarnation > own or (asked and told.incarnation == own)
         if older or told.acknowledged > self.log.last_index:
             self._step_down("its disk is an older copy")
             self.role = "follower"
             self._new_disk(f"its disk was put back to an older copy, as {sender} remembers")
-        elif recall is not None and asked:
-            recall.told[sender] = told
-            self._remember(now_ms)
+        elif recovery is not None and asked:
+            recovery.responses[sender] = told
+            self._recover(now_ms)
 
-    def _remember(self, now_ms: float) -> None:
+    def _recover(self, now_ms: float) -> None:
         """Go by what the others told, if they are enough."""
-        recall, seats = self._recall, self.log.voters
-        if recall is None or not recall.enough(seats, self._me, now_ms >= self._alone_at):
+        recovery, slots = self._recovery, self.log.voters
+        if recovery is None or not recovery.enough(slots, self._me, now_ms >= self._alone_at):
             return
-        self._recall = None
-        self._floor, self._floor_until = recall.floor(seats), now_ms + self.config.alone_ms
-        term = recall.term()
+        self._recovery = None
+        self._floor, self._floor_until = recovery.floor(slots), now_ms + self.config.alone_ms
+        term = recovery.term()
         if term > self.term or (term == self.term and not self.meta.vote):
             # It may have voted in that term and not know any more: the own name bars any other.
             self._keep(term=term, vote=self.name)
@@ -386,7 +390,7 @@
 
     @property
     def _stands(self) -> bool:
-        """Whether it may lead: also to commit a change that takes its own seat, which none but it may have
+        """Whether it may lead: also to commit a change that takes its own slot, which none but it may have
         (Ongaro 2014, 4.2.2)."""
         open_change = self.log.voters_index > self.commit_index and self._me in self.log.voters_before
         return self._sure and (self._me in self.log.voters or open_change)
@@ -432,15 +436,15 @@
         """Ask those whose votes are missing, again too: a question or an answer may be lost."""
         self._ask_at = now_ms + self.config.heartbeat_ms
         last = self.log.last_index, self.log.last_term
-        own = self.meta.disk, self.meta.life
+        own = self.meta.disk, self.meta.incarnation
         ask: PreVote | RequestVote
         if self.role == "pre_candidate":
             ask = PreVote(self.term + 1, *last, *own)
         else:
             ask = RequestVote(self.term, *last, *own)
-        for seat in voting(self.log.voters):
-            if seat.name != self.name and seat.name not in self._votes:
-                self._out.say(seat.name, ask)
+        for slot in voting(self.log.voters):
+            if slot.name != self.name and slot.name not in self._votes:
+                self._out.say(slot.name, ask)
 
     def _on_pre_vote(self, now_ms: float, sender: str, ask: PreVote) -> None:
         if self._out.busy or self._over(sender, ask):
@@ -468,10 +472,10 @@
         self._out.say(sender, RequestVoteResponse(self.term, granted, *self._voice()))
 
     def _over(self, sender: str, ask: PreVote | RequestVote) -> bool:
-        """Whether who asks has no disk that votes, or is of a life that is over, which it is told."""
-        over = bool(ask.disk) and ask.life < self._lives.of(ask.disk)
+        """Whether who asks has no disk that votes, or is of an incarnation that is over, which it is told."""
+        over = bool(ask.disk) and ask.incarnation < self._incarnations.of(ask.disk)
         if over:
-            self._recall_to(sender, ask.disk, 0)
+            self._respond_to_recovery(sender, ask.disk, 0)
         return over or not ask.disk
 
     def _on_pre_vote_response(self, now_ms: float, sender: str, response: PreVoteResponse) -> None:
@@ -487,7 +491,7 @@
             self._on_vote(now_ms, sender, response)
 
     def _on_vote(self, now_ms: float, sender: str, response: PreVoteResponse | RequestVoteResponse) -> None:
-        if response.vote_granted and self._counts(Voter(sender, response.disk), response.life):
+        if response.vote_granted and self._counts(Voter(sender, response.disk), response.incarnation):
             self._count(now_ms, sender)
 
     def _count(self, now_ms: float, name: str) -> None:
@@ -499,16 +503,18 @@
         elif self._free(now_ms):
             self._run(now_ms)
 
-    def _counts(self, voter: Voter, life: int) -> bool:
-        """Whether votes and acknowledgements of a disk count: not before its life is durably remembered."""
-        known = self._lives.of(voter.disk)
-        if not voter.disk or voter not in self.log.voters or life < known:
+    def _counts(self, voter: Voter, incarnation: int) -> bool:
+        """Whether votes and acknowledgements of a disk count: not before its incarnation is durably
+        remembered."""
+        known = self._incarnations.of(voter.disk)
+        if not voter.disk or voter not in self.log.voters or incarnation < known:
             return False
-        if life > known:
+        if incarnation > known:
             if not self._out.busy:
-                self._keep(seen=self._lives.note(voter.disk, life, self._out.token, self.log.voters))
+                token, slots = self._out.token, self.log.voters
+                self._keep(seen=self._incarnations.note(voter.disk, incarnation, token, slots))
             return False
-        return self._lives.known(voter.disk, life, self._out.durable)
+        return self._incarnations.known(voter.disk, incarnation, self._out.durable)
 
     def _adopt(self, now_ms: float, term: int, vote: str) -> None:
         """Go over to a higher term, as a follower."""
@@ -676,8 +682,9 @@
         return peer.answered_ms if peer is not None and self._sound(voter, peer) else -math.inf
 
     def _sound(self, voter: Voter, peer: Peer) -> bool:
-        """Whether what is known of a peer is of the disk that votes, in a life that is remembered."""
-        return voter.disk == peer.disk and self._lives.known(peer.disk, peer.life, self._out.durable)
+        """Whether what is known of a peer is of the disk that votes, in an incarnation that is remembered."""
+        known = self._incarnations.known(peer.disk, peer.incarnation, self._out.durable)
+        return voter.disk == peer.disk and known
 
     def _put(self, now_ms: float, body: Body) -> int:
         """Put an entry into the own log and send it; its index."""
@@ -685,7 +692,7 @@
         self.log.append(Entry(index, self.term, body))
         self._out.write(index)
         if isinstance(body, Noop | Voters):
-            names = {seat.name for seat in self.log.voters} - {self.name}
+            names = {slot.name for slot in self.log.voters} - {self.name}
             self._peers = {name: self._peers.get(name) or Peer(name, index) for name in sorted(names)}
         for peer in self._peers.values():
             self._feed(now_ms, peer)
@@ -728,13 +735,13 @@
         peer = self._peers.get(sender)
         if self.role != "leader" or told.term != self.term or peer is None:
             return
-        if told.life < self._lives.of(told.disk):
-            self._recall_to(sender, told.disk, 0)
+        if told.incarnation < self._incarnations.of(told.disk):
+            self._respond_to_recovery(sender, told.disk, 0)
             return
         if not self._same(now_ms, peer, told):
             return
         voter = Voter(sender, told.disk)
-        if told.disk and voter in self.log.voters and not self._counts(voter, told.life):
+        if told.disk and voter in self.log.voters and not self._counts(voter, told.incarnation):
             return
         peer.answer(told.sequence)
         if told.success:
@@ -745,28 +752,29 @@
         else:
             peer.back = self._sequence
             if told.match_index < self._acknowledged.get(told.disk, 0):
-                self._recall_to(sender, told.disk, 0)  # it may have had more, in this life
+                self._respond_to_recovery(sender, told.disk, 0)  # it may have had more, in this incarnation
             if not told.disk:
                 peer.match = min(peer.match, told.match_index)  # without a disk it may have begun anew
             peer.next = max(peer.match, min(told.match_index, peer.next - 1)) + 1
         self._advance(now_ms)
         if self.role == "leader":
             self._note()
-            self._seat(now_ms, peer)
+            self._fill_slot(now_ms, peer)
             self._feed(now_ms, peer)
 
     def _same(self, now_ms: float, peer: Peer, told: AppendEntriesResponse) -> bool:
-        """Whether an answer is of the disk and life that answer under this name now, or of ones that take
-        their turn."""
-        if (told.disk, told.life) == (peer.disk, peer.life):
+        """Whether an answer is of the disk and incarnation that answer under this name now, or of ones that
+        take their turn."""
+        if (told.disk, told.incarnation) == (peer.disk, peer.incarnation):
             return True
-        if told.sequence not in peer.asked or (told.disk == peer.disk and told.life < peer.life):
+        over = told.disk == peer.disk and told.incarnation < peer.incarnation
+        if over or told.sequence not in peer.asked:
             return False  # late
-        seat = seat_of(self.log.voters, peer.name)
+        slot = slot_of(self.log.voters, peer.name)
         answers = now_ms < peer.answered_ms + self.config.election_ms
-        if answers and seat is not None and seat.disk == peer.disk != told.disk:
+        if answers and slot is not None and slot.disk == peer.disk != told.disk:
             return False  # two under one name: the one that votes stays as long as it answers
-        peer.turn(told.disk, told.life, self.log.last_index)
+        peer.turn(told.disk, told.incarnation, self.log.last_index)
         return True
 
     def _advance(self, now_ms: float) -> None:
@@ -865,7 +873,7 @@
             return "another change of voters is under way"
         return "too much waits to be committed" if self._full else ""
 
-    def _unbacked(self, now_ms: float, after: Seats, newcomer: str = "") -> str:
+    def _unbacked(self, now_ms: float, after: VoterSlots, newcomer: str = "") -> str:
         """Why a change would leave the cluster without a majority that answers; the newcomer's answer is not
         enough, unless there is but one other."""
         sole = len(voting(after)) <= 2
@@ -879,24 +887,24 @@
             return ""
         return "too few of the voters after it answer"
 
-    def _seat(self, now_ms: float, peer: Peer) -> None:
+    def _fill_slot(self, now_ms: float, peer: Peer) -> None:
         """Take in a member that answers by a new disk, once that has all that was there when it came: first
-        its seat is made vacant, then filled, as `members.py` tells."""
-        seat = seat_of(self.log.voters, peer.name)
-        if seat is None or not peer.disk or peer.disk in {other.disk for other in self.log.voters}:
+        its slot is made vacant, then filled, as `members.py` tells."""
+        slot = slot_of(self.log.voters, peer.name)
+        if slot is None or not peer.disk or peer.disk in {other.disk for other in self.log.voters}:
             return
         if now_ms >= peer.answered_ms + self.config.election_ms or self._unready():
             return
         if now_ms < self._since + self.config.election_ms:
             return  # the disk that votes may not have come to answer yet
-        caught_up = peer.mark if seat.disk else max(peer.mark, self.log.voters_index)
+        caught_up = peer.mark if slot.disk else max(peer.mark, self.log.voters_index)
         if peer.match < caught_up or self.commit_index < caught_up:
             return
-        after = with_disk(self.log.voters, peer.name, "" if seat.disk else peer.disk)
-        if self._unbacked(now_ms, after, "" if seat.disk else peer.name):
+        after = with_disk(self.log.voters, peer.name, "" if slot.disk else peer.disk)
+        if self._unbacked(now_ms, after, "" if slot.disk else peer.name):
             return
         self._put(now_ms, Voters(after))
-        how = "has lost its disk: its seat is vacant" if seat.disk else f"votes by disk {peer.disk}"
+        how = "has lost its disk: its slot is vacant" if slot.disk else f"votes by disk {peer.disk}"
         self._tell(f"{peer.name} {how}")
 
     # --- out ----------------------------------------------------------------------------------
@@ -918,7 +926,7 @@
 
 def sane(message: Any) -> bool:
     """Whether the numbers of a message can be anybody's, and its entries follow one another."""
-    keys = ("term", "sequence", "life", "last_log_index", "leader_commit", "match_index")
+    keys = ("term", "sequence", "incarnation", "last_log_index", "leader_commit", "match_index")
     numbers = [getattr(message, key, 0) for key in keys]
     if not all(0 <= number <= NUMBER_MOST for number in numbers):
         return False
--- a/fordtrestle/cluster/outbox.py
+++ b/fordtrestle/cluster/outbox.py
@@ -54,7 +54,8 @@
         self._actions.append(action)
 
     def say(self, to: str, message: AnyMessage) -> None:
-        """A message that rests on what was not to be forgotten beside the log: disk, life, term and vote."""
+        """A message that rests on what was not to be forgotten beside the log: disk, incarnation, term and
+        vote."""
         self._said.append((False, Send(to, message)))
 
     def promise(self, to: str, message: AnyMessage) -> None:
--- a/fordtrestle/state/journal.py
+++ b/fordtrestle/state/journal.py
@@ -8,8 +8,8 @@
 
 An opening has three answers: nothing was ever written (`Opened.meta` is None, and `whole`); something was, of
 which `Opened` tells what is missing; or it is of another version (`FormatError`). A folder that was put back
-to an older state can't be told by itself: whoever owns the journal has to count its lives and ask others
-about them.
+to an older state can't be told by itself: whoever owns the journal has to count its incarnations and ask
+others about them.
 """
 
 from __future__ import annotations
--- a/tests/cluster/test_lease.py
+++ b/tests/cluster/test_lease.py
@@ -112,7 +112,7 @@
     assert it.counts == {"unasked": 3, "late": 1}
     again = holder(seed=2)
     again.ask(0.0, "l", 0, False)
-    assert not again.granted(4.0, "l", grant(renew, 1, 2))  # of a life before
+    assert not again.granted(4.0, "l", grant(renew, 1, 2))  # of an incarnation before
 
 
 def test_an_older_answer_neither_shortens_a_lease_nor_takes_numbers_back():
@@ -166,16 +166,16 @@
     assert [it.vouched(1000.0 + ms) for ms in (2.0, CONFIG.check_ms, SETTLED)] == [2, 2, 6]
 
 
-def test_a_doubt_ends_the_lease_the_life_and_all_that_was_asked():
+def test_a_doubt_ends_the_lease_the_incarnation_and_all_that_was_asked():
     it = holding(1, 2)
-    life, renew = it.life, it.ask(10.0, "l", 0, False)
+    incarnation, renew = it.incarnation, it.ask(10.0, "l", 0, False)
     it.granted(15.0, "l", grant(it.ask(15.0, "l", 0, False), 1, 3))
     it.drop(20.0, "jump")
     it.apply(20.0, BOOKS)
     assert not it.may_act(20.0)
     assert not it.granted(30.0, "l", grant(renew, 1, 2))
-    assert it.life != life
-    assert it.ask(30.0, "l", 0, False).nonce >> COUNT_BITS == it.life
+    assert it.incarnation != incarnation
+    assert it.ask(30.0, "l", 0, False).nonce >> COUNT_BITS == it.incarnation
     it.bar(40.0, "drift")
     assert it.next_ms() == float("inf")
     it.lead(50.0, 1000.0, known(1, 2))
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -1,4 +1,5 @@
-"""Who votes: majorities, seats that are made vacant and filled, lives, and what a started disk waits for."""
+"""Who votes: majorities, slots that are made vacant and filled, incarnations, and what a started disk waits
+for."""
 
 from __future__ import annotations
 
@@ -8,10 +9,10 @@
 
 from fordtrestle.cluster.log import State
 from fordtrestle.cluster.members import (
-    LIVES_MOST,
-    SEATS_MOST,
-    Lives,
-    Recall,
+    INCARNATIONS_MOST,
+    SLOTS_MOST,
+    Incarnations,
+    Recovery,
     changed,
     init_state,
     reached,
@@ -22,33 +23,33 @@
 from tests.cluster.test_order import cut, elect, grown, led
 from tests.cluster.world import CONFIG, Disk, World
 
-SEATS = tuple(Voter(name, f"disk-{name}") for name in "abcde")
+SLOTS = tuple(Voter(name, f"disk-{name}") for name in "abcde")
 VACANT = Voter("f", "")
 
 
 def test_a_majority_is_of_those_that_vote():
     values = {"a": 5, "b": 9, "c": 7, "d": 1, "e": 3}
-    assert [reached(SEATS[:n], lambda v: values[v.name]) for n in (1, 2, 3, 4, 5)] == [5, 5, 7, 5, 5]
-    assert reached((*SEATS[:3], VACANT), lambda v: values.get(v.name, 10)) == 7
+    assert [reached(SLOTS[:n], lambda v: values[v.name]) for n in (1, 2, 3, 4, 5)] == [5, 5, 7, 5, 5]
+    assert reached((*SLOTS[:3], VACANT), lambda v: values.get(v.name, 10)) == 7
     assert reached((VACANT,), lambda v: 1.0) == -math.inf
 
 
 def test_changes_that_can_not_be_say_why():
-    assert changed(SEATS[:3], "c", "f") == (*SEATS[:2], VACANT)
-    for seats, away, new, why in (
-        (SEATS, "x", "", "x has no seat"),
-        (SEATS, "", "b", "b has a seat"),
-        (SEATS[:1], "a", "f", "nobody would vote"),
-        (SEATS, "", "n" * 65, "a name has 64 characters at the most"),
+    assert changed(SLOTS[:3], "c", "f") == (*SLOTS[:2], VACANT)
+    for slots, away, new, why in (
+        (SLOTS, "x", "", "x has no slot"),
+        (SLOTS, "", "b", "b has a slot"),
+        (SLOTS[:1], "a", "f", "nobody would vote"),
+        (SLOTS, "", "n" * 65, "a name has 64 characters at the most"),
         (
-            (*SEATS, *[Voter(str(n), "") for n in range(SEATS_MOST - 5)]),
+            (*SLOTS, *[Voter(str(n), "") for n in range(SLOTS_MOST - 5)]),
             "",
             "f",
-            f"there may be {SEATS_MOST} seats",
+            f"there may be {SLOTS_MOST} slots",
         ),
     ):
         with pytest.raises(ValueError, match=why):
-            changed(seats, away, new)
+            changed(slots, away, new)
 
 
 def told(by, term=1, last=(1, 1)):
@@ -59,34 +60,34 @@
     ("voters", "enough", "alone"), [(1, 0, 0), (2, 1, 1), (3, 2, 1), (4, 2, 2), (5, 3, 2)]
 )
 def test_a_started_disk_waits_for_one_in_common_with_every_majority_it_was_in(voters, enough, alone):
-    seats, recall = SEATS[:voters], Recall(7)
+    slots, recovery = SLOTS[:voters], Recovery(7)
     for count in range(voters):
-        assert recall.enough(seats, SEATS[0], alone=False) == (count >= enough)
-        assert recall.enough(seats, SEATS[0], alone=True) == (count >= alone)
+        assert recovery.enough(slots, SLOTS[0], alone=False) == (count >= enough)
+        assert recovery.enough(slots, SLOTS[0], alone=True) == (count >= alone)
         if count + 1 < voters:
-            recall.told[SEATS[count + 1].name] = told(SEATS[count + 1].disk)
+            recovery.responses[SLOTS[count + 1].name] = told(SLOTS[count + 1].disk)
 
 
 def test_only_voters_by_their_disks_are_enough_and_set_the_floor():
-    recall = Recall(7)
-    recall.told = {"b": told("other", term=9, last=(9, 9)), "c": told("disk-c", term=2, last=(2, 4))}
-    assert not recall.enough(SEATS[:3], SEATS[0], alone=False)
-    assert recall.enough(SEATS[:3], SEATS[0], alone=True)
-    assert (recall.term(), recall.floor(SEATS[:3])) == (9, (2, 4))
-    assert not Recall(7).enough((), SEATS[0], alone=True)
+    recovery = Recovery(7)
+    recovery.responses = {"b": told("other", term=9, last=(9, 9)), "c": told("disk-c", term=2, last=(2, 4))}
+    assert not recovery.enough(SLOTS[:3], SLOTS[0], alone=False)
+    assert recovery.enough(SLOTS[:3], SLOTS[0], alone=True)
+    assert (recovery.term(), recovery.floor(SLOTS[:3])) == (9, (2, 4))
+    assert not Recovery(7).enough((), SLOTS[0], alone=True)
 
 
-def test_lives_are_known_once_durable_and_bounded():
-    lives = Lives([("x", 3)])
-    assert lives.known("x", 3, 0) and not lives.known("x", 2, 0)
-    lives.note("x", 4, token=5, seats=())
-    assert not lives.known("x", 4, 4) and lives.known("x", 4, 5)
-    for number in range(2 * LIVES_MOST):
-        kept = lives.note(f"d{number}", 1, token=6, seats=(Voter("x", "x"),))
-    assert len(kept) <= LIVES_MOST and lives.of("x") == 4
+def test_incarnations_are_known_once_durable_and_bounded():
+    incarnations = Incarnations([("x", 3)])
+    assert incarnations.known("x", 3, 0) and not incarnations.known("x", 2, 0)
+    incarnations.note("x", 4, token=5, slots=())
+    assert not incarnations.known("x", 4, 4) and incarnations.known("x", 4, 5)
+    for number in range(2 * INCARNATIONS_MOST):
+        kept = incarnations.note(f"d{number}", 1, token=6, slots=(Voter("x", "x"),))
+    assert len(kept) <= INCARNATIONS_MOST and incarnations.of("x") == 4
 
 
-def test_a_life_is_durable_before_anything_of_it_is_counted():
+def test_an_incarnation_is_durable_before_anything_of_it_is_counted():
     world = led()
     world.restart("c")
     cut(world, "a", "b")
@@ -95,10 +96,10 @@
     world.propose("a", "p")
     world.run(CONFIG.election_ms / 2)
     assert world.order("c").log.last_index > committed == world.order("a").commit_index
-    assert not [seat for seat in world.order("a").seats(0.0) if seat.name == "c" and seat.counts]
+    assert not [slot for slot in world.order("a").slots(0.0) if slot.name == "c" and slot.counts]
 
 
-# --- seats ------------------------------------------------------------------------------------
+# --- slots ------------------------------------------------------------------------------------
 
 
 def changes(world):
@@ -108,7 +109,7 @@
 
 
 @pytest.mark.parametrize("names", ["abc", "abcde"])
-def test_a_lost_disk_is_replaced_by_a_vacant_seat_first(names):
+def test_a_lost_disk_is_replaced_by_a_vacant_slot_first(names):
     world = led(names=names)
     grown(world, "a", 20)
     world.crash("c")
@@ -117,7 +118,7 @@
     assert world.until(lambda: world.order("c").votes, 2000)
     world.run(100)
     new = world.order("c").meta.disk
-    assert [seats[2] for seats in changes(world)][-2:] == ["", new]
+    assert [slots[2] for slots in changes(world)][-2:] == ["", new]
     assert world.order("c").applied.pending == 20
     world.crash("b")
     grown(world, "a", 2, first=21)
@@ -192,7 +193,7 @@
     assert world.until(lambda: world.order("c").votes, 2000)
 
 
-def test_one_voter_grows_to_three_by_vacant_seats():
+def test_one_voter_grows_to_three_by_vacant_slots():
     world = World(1, "abc", empty="bc").start()
     assert world.lead() == "a"
     assert world.until(lambda: all(world.order(name).votes for name in "abc"), 3000)
@@ -212,7 +213,7 @@
     world.run(CONFIG.election_ms + 10)
     world.do("a", lambda order, now: order.replace_voter(now, "c", "d", client=1))
     assert world.until(lambda: world.order("d").votes, 2000)
-    assert [seat.name for seat in world.order("a").voters] == ["a", "b", "d"]
+    assert [slot.name for slot in world.order("a").voters] == ["a", "b", "d"]
     world.crash("b")
     world.propose("a", "p", client=2)
     assert world.until(lambda: bool(world.answers[2]), 500)
--- a/tests/cluster/test_order.py
+++ b/tests/cluster/test_order.py
@@ -10,7 +10,7 @@
 import pytest
 
 from fordtrestle.cluster.log import PROPOSALS_MOST, Applied, Log, State
-from fordtrestle.cluster.members import Recall, init_state, position, recover_state
+from fordtrestle.cluster.members import Recovery, init_state, position, recover_state
 from fordtrestle.cluster.messages import (
     ENTRIES_MOST,
     AppendEntries,
@@ -109,11 +109,11 @@
 
     def known(self):
         """The others remember nothing; the time goes by in which a new one votes for nobody."""
-        hello = next(message for message in self.sync() if isinstance(message, RecoveryQuery))
-        for seat in self.order.voters:
-            told = RecoveryResponse(hello.disk, 0, 0, hello.nonce, seat.disk, 1, 1, 1)
-            if seat.name != self.order.name:
-                self.hear(seat.name, told)
+        query = next(message for message in self.sync() if isinstance(message, RecoveryQuery))
+        for slot in self.order.voters:
+            told = RecoveryResponse(query.disk, 0, 0, query.nonce, slot.disk, 1, 1, 1)
+            if slot.name != self.order.name:
+                self.hear(slot.name, told)
         self.sync()
         self.now += 2 * self.order.config.election_ms
         return self
@@ -121,7 +121,7 @@
     def leads(self):
         """Won by the vote of `b`."""
         self.known().call(self.order.tick)
-        for pre in (True, True, False):  # the first one's life has to be remembered
+        for pre in (True, True, False):  # the first one's incarnation has to be remembered
             vote = PreVoteResponse if pre else RequestVoteResponse
             self.hear("b", vote(self.order.term + pre, True, "disk-b", 1))
             self.sync()
@@ -157,7 +157,7 @@
 
 
 def settles(world):
-    """A leader within bounded time, a proposal committed, all seats filled and level."""
+    """A leader within bounded time, a proposal committed, all slots filled and level."""
     patience = world.config.alone_ms + 20 * world.config.election_ms
     assert world.until(lambda: bool(world.leader()), patience), f"seed {world.seed}: no leader"
 
@@ -176,11 +176,11 @@
         leader = world.leader()
         if not leader:
             return False
-        seats, committed = world.order(leader).voters, world.order(leader).commit_index
+        slots, committed = world.order(leader).voters, world.order(leader).commit_index
         return all(
-            seat.disk == world.nodes[seat.name].disk.meta.disk
-            and world.order(seat.name).commit_index == committed
-            for seat in seats
+            slot.disk == world.nodes[slot.name].disk.meta.disk
+            and world.order(slot.name).commit_index == committed
+            for slot in slots
         )
 
     assert world.until(level, patience), f"seed {world.seed}: not level"
@@ -273,13 +273,13 @@
         world.nodes[name].disk_ms = 400.0  # heartbeats are answered, entries are not
     world.run(60)
     assert order.authority_until(node.clock(world.now)) == -math.inf
-    assert min(seat.silent_ms for seat in order.seats(node.clock(world.now)) if seat.name != "a") < 60
+    assert min(slot.silent_ms for slot in order.slots(node.clock(world.now)) if slot.name != "a") < 60
     assert world.until(lambda: order.ready, 1000)
     world.isolate("a")
     world.run(1)
     now = node.clock(world.now)
-    told = order.seats(now)
-    sent = now - min(seat.silent_ms for seat in told if seat.name != "a")
+    told = order.slots(now)
+    sent = now - min(slot.silent_ms for slot in told if slot.name != "a")
     assert order.authority_until(now) == pytest.approx(
         sent + CONFIG.election_ms * (1 - 1e-3), rel=0, abs=1e-3
     )
@@ -335,7 +335,7 @@
 def test_a_lost_disk_gives_no_vote_again(monkeypatch, guarded):
     world, _ = voted(CONFIG)
     if not guarded:
-        monkeypatch.setattr(Order, "_counts", lambda order, voter, life: True)
+        monkeypatch.setattr(Order, "_counts", lambda order, voter, incarnation: True)
         monkeypatch.setattr(
             "fordtrestle.cluster.order.Voter.__eq__", lambda one, other: one.name == other.name
         )
@@ -352,7 +352,7 @@
 def test_a_disk_put_back_gives_no_vote_before_enough_others_have_told_what_they_know(monkeypatch, guarded):
     world, before = voted(STRICT)
     if not guarded:
-        monkeypatch.setattr(Recall, "enough", lambda recall, seats, me, alone: True)
+        monkeypatch.setattr(Recovery, "enough", lambda recovery, slots, me, alone: True)
     world.nodes["c"].disk = before
     world.cut.clear()
     world.isolate("a")
@@ -366,8 +366,8 @@
 def test_a_disk_put_back_gives_no_vote_in_a_term_that_another_tells_of(monkeypatch, guarded):
     world, before = voted(STRICT)
     if not guarded:
-        monkeypatch.setattr(Recall, "term", lambda recall: 0)
-        monkeypatch.setattr(Recall, "floor", lambda recall, seats: (0, 0))
+        monkeypatch.setattr(Recovery, "term", lambda recovery: 0)
+        monkeypatch.setattr(Recovery, "floor", lambda recovery, slots: (0, 0))
     world.nodes["c"].disk = before
     world.restart("a")  # it no longer knows what `c` acknowledged
     world.cut.clear()
@@ -382,7 +382,7 @@
 def test_a_disk_put_back_helps_no_log_that_may_lack_what_it_acknowledged(monkeypatch, guarded):
     world, before = voted(STRICT)
     if not guarded:
-        monkeypatch.setattr(Recall, "floor", lambda recall, seats: (0, 0))
+        monkeypatch.setattr(Recovery, "floor", lambda recovery, slots: (0, 0))
     world.nodes["c"].disk = before
     world.restart("a")
     world.cut.clear()
@@ -397,12 +397,12 @@
         assert world.lead() in "ac"
 
 
-@pytest.mark.parametrize("life", ["before its first start", "of the same life"])
-def test_a_disk_put_back_is_noticed_and_taken_in_as_another(life):
+@pytest.mark.parametrize("incarnation", ["before its first start", "of the same incarnation"])
+def test_a_disk_put_back_is_noticed_and_taken_in_as_another(incarnation):
     world = World(1, "abc")
     copy = world.nodes["c"].disk.copy()
     world.start()
-    if life == "of the same life":
+    if incarnation == "of the same incarnation":
         assert world.until(lambda: world.order("c")._sure, 500)
         copy = world.nodes["c"].disk.copy()
     elect(world, "a")
@@ -421,9 +421,9 @@
     for _ in range(2):
         world.restart("c")
         world.run(300)
-    known = world.order("a")._lives.of("disk-c")
+    known = world.order("a")._incarnations.of("disk-c")
     copy = world.nodes["c"].disk.copy()
-    copy.meta = World(1, "abc").nodes["c"].disk.meta  # an early life with the whole log
+    copy.meta = World(1, "abc").nodes["c"].disk.meta  # an early incarnation with the whole log
     world.crash("c")
     world.nodes["c"].disk = copy
     world.drop = lambda src, send: (
@@ -431,7 +431,7 @@
     )
     world.start("c")
     world.run(CONFIG.alone_ms + 100)
-    assert world.nodes["c"].disk.meta.life <= known and world.order("c").votes
+    assert world.nodes["c"].disk.meta.incarnation <= known and world.order("c").votes
     world.drop = lambda src, send: False
     assert world.until(lambda: world.order("c").meta.disk != "disk-c", 500)
 
@@ -473,7 +473,7 @@
         assert order.log.last_index == 1 and order.meta.disk not in ("", "x") and not order.votes
 
 
-def test_a_disk_put_back_within_one_life_is_told_so_by_the_leader():
+def test_a_disk_put_back_within_one_incarnation_is_told_so_by_the_leader():
     bench = Bench().leads()
     last = bench.order.log.last_index
     ok = AppendEntriesResponse(2, max(bench.order._peers["b"].asked), True, last, "disk-b", 1)
@@ -499,7 +499,7 @@
     assert [entry.index for message in sent for entry in message.entries] == [1, 2]
 
 
-def test_a_life_that_is_over_gets_no_vote_and_gives_none():
+def test_an_incarnation_that_is_over_gets_no_vote_and_gives_none():
     bench = Bench().leads()
     bench.order._counts(Voter("c", "disk-c"), 3)
     bench.call(bench.order.tick)
@@ -509,7 +509,7 @@
     bench.sync()
     bench.now += 3 * CONFIG.election_ms
     said = bench.hear("c", RequestVote(6, 99, 5, "disk-c", 2))
-    assert [type(message) for message in said] == [RecoveryResponse] and said[0].life == 3
+    assert [type(message) for message in said] == [RecoveryResponse] and said[0].incarnation == 3
 
 
 def test_who_goes_by_a_leader_votes_for_no_other_in_its_term():
@@ -720,7 +720,7 @@
     order._out._meta_token = 0
     for _ in range(5):
         now = world.nodes["a"].clock(world.now)
-        refusal = AppendEntriesResponse(2, max(peer.asked, default=1), False, 2, "disk-c", peer.life)
+        refusal = AppendEntriesResponse(2, max(peer.asked, default=1), False, 2, "disk-c", peer.incarnation)
         actions = order.receive(now, "c", refusal)
         sent.append([action.message for action in actions if isinstance(action, Send) and action.to == "c"])
         peer.asked.setdefault(refusal.sequence, now)
@@ -729,7 +729,7 @@
     for message in batches:
         assert len(message.entries) <= ENTRIES_MOST
         assert sum(isinstance(entry.body, Book) for entry in message.entries) <= 4
-    again = AppendEntriesResponse(2, batches[0].sequence - 1, False, 2, "disk-c", peer.life)
+    again = AppendEntriesResponse(2, batches[0].sequence - 1, False, 2, "disk-c", peer.incarnation)
     assert not [
         a for a in order.receive(world.nodes["a"].clock(world.now), "c", again) if isinstance(a, Send)
     ]
@@ -815,7 +815,7 @@
     assert world.lead() in "bc" and world.order("b").voters[-1] == Voter("a2", "")
 
 
-def test_one_whose_seat_is_being_taken_leads_on_where_no_other_has_that_entry():
+def test_one_whose_slot_is_being_taken_leads_on_where_no_other_has_that_entry():
     world = led(names="ab")
     cut(world, "a", "b")
     world.do("a", lambda order, now: order.remove_voter(now, "a"))
@@ -839,7 +839,7 @@
     world._chain = {index: entry for index, entry in world._chain.items() if index <= position(state)[1]}
     world.start()
     assert world.lead() == "d" and world.order("d").term > 1000
-    assert world.until(lambda: all(seat.disk for seat in world.order("d").voters), 5000)
+    assert world.until(lambda: all(slot.disk for slot in world.order("d").voters), 5000)
     assert world.until(lambda: world.order("b").applied.pending == 5, 500)
     world.propose("d", "p5", client=50)
     assert world.answers[50][0].number == 5
--- a/tests/cluster/world.py
+++ b/tests/cluster/world.py
@@ -96,7 +96,7 @@
         self.order: Order | None = None
         self.stores: list[Store] = []
         self.disk_ms = 2.0
-        self.run = 0  # which of its lives: what an earlier one left under way is void
+        self.run = 0  # which of its incarnations: what an earlier one left under way is void
         self.due = 0  # which tick is the one that counts
         self.applied = 0
 
@@ -142,7 +142,7 @@
     # --- what is done to it -------------------------------------------------------------------
 
     def start(self, *names: str) -> World:
-        """Begin a life of each, of all by default."""
+        """Begin an incarnation of each, of all by default."""
         for name in names or self.names:
             node = self.nodes[name]
             assert node.order is None, name
@@ -155,14 +155,14 @@
         return self
 
     def crash(self, *names: str) -> None:
-        """End a life of each: what is not on its disk is gone."""
+        """End an incarnation of each: what is not on its disk is gone."""
         for name in names:
             node = self.nodes[name]
             node.order, node.stores = None, []
             node.run += 1
 
     def restart(self, *names: str) -> None:
-        """End a life and begin another."""
+        """End an incarnation and begin another."""
         self.crash(*names)
         self.start(*names)
 
@@ -323,7 +323,8 @@
         """Nothing is said before that on which it rests is durable; no disk votes twice in a term."""
         disk, message = node.disk, send.message
         if isinstance(message, VOTING | AppendEntriesResponse) and message.disk:
-            assert (disk.meta.disk, disk.meta.life) == (message.disk, message.life), f"seed {self.seed}"
+            stored = disk.meta.disk, disk.meta.incarnation
+            assert stored == (message.disk, message.incarnation), f"seed {self.seed}"
         if isinstance(message, AppendEntries | InstallSnapshot):
             assert disk.meta.term >= message.term, f"seed {self.seed}: leads in a term not stored"
         if isinstance(message, AppendEntriesResponse) and message.disk:
@@ -333,10 +334,8 @@
         if isinstance(message, RequestVote):
             assert disk.meta.term >= message.term, f"seed {self.seed}: own vote not stored"
         if isinstance(message, RequestVoteResponse) and message.vote_granted:
-            stored = (disk.meta.term, disk.meta.vote)
-            assert stored == (message.term, send.to) or stored[0] > message.term, (
-                f"seed {self.seed}: {stored}"
-            )
+            vote = (disk.meta.term, disk.meta.vote)
+            assert vote == (message.term, send.to) or vote[0] > message.term, f"seed {self.seed}: {vote}"
             self._check_vote(message.disk, message.term, send.to)
 
     def _check_vote(self, disk: str, term: int, to: str) -> None:
@@ -399,7 +398,7 @@
 class Storm:
     """Faults drawn from the world's seed: of links, processes and disks, overlapping, each for a while.
 
-    A disk is emptied, fills up or is put back only while all seats are held by sound disks that are level, so
+    A disk is emptied, fills up or is put back only while all slots are held by sound disks that are level, so
     that no more is lost than the design bears. With `put_back` one is put back at any time, else only where
     the others can be asked."""
 
@@ -411,7 +410,7 @@
         self.acts: list[Callable[[], None]] = [
             *(self.cut, self.cut, self.isolate, self.links, self.crash, self.crash, self.slow, self.copy),
             *(self.propose, self.propose, self.propose, self.burst, self.effective, self.effective),
-            *(self.empty, self.full, self.put_back, self.all_down, self.seats, self.seats),
+            *(self.empty, self.full, self.put_back, self.all_down, self.slots, self.slots),
         ]
 
     def run(self, ms: float) -> None:
@@ -492,13 +491,13 @@
             pending = self.world.order(name).applied.pending
             self.world.do(name, lambda order, now: order.propose_effective(now, pending))
 
-    def seats(self) -> None:
-        """A name loses its seat, or gets one; not while a disk may be lost, which are two failures."""
+    def slots(self) -> None:
+        """A name loses its slot, or gets one; not while a disk may be lost, which are two failures."""
         leader, name, other = self.world.leader(), self.one(), self.one()
         self.doubted = {name for name in self.doubted if not self.level(name)}
         if not leader or self.doubted:
             return
-        named = {seat.name for seat in self.world.order(leader).voters}
+        named = {slot.name for slot in self.world.order(leader).voters}
         if name not in named:
             self.world.do(leader, lambda order, now: order.add_voter(now, name))
         elif other not in named:
@@ -507,18 +506,18 @@
             self.world.do(leader, lambda order, now: order.remove_voter(now, name))
 
     def spare(self, name: str) -> bool:
-        """Whether a disk may be lost: of three seats or more, all held, none in doubt, none failed."""
+        """Whether a disk may be lost: of three slots or more, all held, none in doubt, none failed."""
         nodes = self.world.nodes
         self.doubted = {name for name in self.doubted if not self.level(name)}
         orders = [node.order for node in nodes.values() if node.order is not None]
         if not orders or self.doubted or any(node.disk.full for node in nodes.values()):
             return False
-        seats = orders[0].voters
-        agree = [order for order in orders if order.voters == seats]
+        slots = orders[0].voters
+        agree = [order for order in orders if order.voters == slots]
         known = [order for order in agree if order.log.voters_index <= order.commit_index]
-        names = {seat.name for seat in seats}
+        names = {slot.name for slot in slots}
         held = {(other, node.disk.meta.disk) for other, node in nodes.items()}
-        whole = len(names) > 2 and {(seat.name, seat.disk) for seat in seats} <= held
+        whole = len(names) > 2 and {(slot.name, slot.disk) for slot in slots} <= held
         return whole and name in names <= {order.name for order in known}
 
     def level(self, name: str) -> bool:
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -34,8 +34,8 @@
     return messages.Store(token, meta, tuple(entries), compact, cut)
 
 
-def meta(term=1, disk="d", life=1, vote=""):
-    return Meta(disk, life, term, vote)
+def meta(term=1, disk="d", incarnation=1, vote=""):
+    return Meta(disk, incarnation, term, vote)
 
 
 def entry(index, term=1, size=0):
@@ -136,7 +136,7 @@
     @initialize(segment_bytes=st.sampled_from((300, 2000, 2**20)))
     def begin(self, segment_bytes):
         self.disk, self.segment_bytes = Platter(), segment_bytes
-        self.allowed, self.term, self.life = [NOTHING], 1, 0
+        self.allowed, self.term, self.incarnation = [NOTHING], 1, 0
         self.reopen()
 
     def reopen(self):
@@ -149,8 +149,8 @@
             assert self.torn == "sectors"
             log = opened.entries
             assert any(log == one[2][: len(log)] for one in self.allowed if one[1] == opened.compact)
-            self.life += 1
-            self.journal.write([store(Meta(f"d{self.life}"))])
+            self.incarnation += 1
+            self.journal.write([store(Meta(f"d{self.incarnation}"))])
             opened = self.journal.read()
             assert opened.whole
         self.allowed = [kept(opened)]
@@ -574,12 +574,13 @@
 
 
 def test_an_older_folder_can_not_be_told_but_by_its_life():
-    disk, _ = played([[store(meta(life=1))]])
+    disk, _ = played([[store(meta(incarnation=1))]])
     older = Platter(disk.files())
     journal, _ = opened_at(disk)
-    journal.write([store(meta(7, life=2, vote="them"))])
+    journal.write([store(meta(7, incarnation=2, vote="them"))])
     opened = opened_at(older)[1]
-    assert opened.whole and opened.meta == meta(life=1)  # as what others remember of life 2 will tell
+    # What others remember of incarnation 2 will tell.
+    assert opened.whole and opened.meta == meta(incarnation=1)
 
 
 # --- in a thread -------------------------------------------------------------------------------------------
