--- a/rig/sim/policy.py
+++ b/rig/sim/policy.py
@@ -143,6 +143,7 @@
         self.error_share = 0.0
         self.errs: Callable[[Asked], bool] = lambda _: False
         self.error_ms = 1.0
+        self.lost_share = 0.0  # of its answers, which nobody hears
         self.machine = Machine(make, world.repeats, -1e9, cold=False)
         self.held: dict[Sidecar, list[float]] = {}  # idle connections, by when each was last used
         self._jobs: dict[int, Attempt] = {}
@@ -255,6 +256,8 @@
             attempt = self._jobs.pop(id(ended.job), None)
             if attempt is None:
                 continue
+            if self.lost_share and self._world.rng.random() < self.lost_share:
+                continue
             if self.how == "up" and ended.end == "done" and not self._world.is_cut(attempt.sidecar, self):
                 self._world.ended(attempt, Outcome.OK, self._world.half_ms)
         self._wake()
