--- a/benchmarks/lock_in.py
+++ b/benchmarks/lock_in.py
@@ -84,6 +84,10 @@
     ("port-commit", 0.37, 43.5, 106.0, 6000.0, 8000.0, 2.0),
 )
 
+# After what clients try again: the first class may be repeated, the others only when refused.
+SAFE_AGAIN: tuple[End, ...] = ("refused", "failed", "unanswered")
+UNSAFE_AGAIN: tuple[End, ...] = ("refused",)
+
 Builds = Callable[[float, Settings, int], Any]
 
 
@@ -212,17 +216,16 @@
         """Have clients ask at this rate, of all classes; those that wait as told apart from the others."""
         honours = self.drawn.honours
         for part, waits in ((honours, True), (1.0 - honours, False)):
-            for band, (name, share, work, io, aim, deadline, worth) in enumerate(self.classes):
+            for traffic_class, (name, share, work, io, aim, deadline, worth) in enumerate(self.classes):
                 if part <= 0.0:
                     continue
-                again: tuple[End, ...] = ("refused",) if band else ("refused", "failed", "unanswered")
                 flow = Flow(
                     rate_per_s=rate * share * part,
                     budget_ms=deadline,
                     work_ms=work,
                     io_ms=io,
                     spread=0.8,
-                    band=band,
+                    traffic_class=traffic_class,
                     tenant=tenant,
                     from_ms=from_ms,
                     until_ms=until_ms,
@@ -230,7 +233,7 @@
                     retries=self.drawn.tries - 1,
                     wait_ms=self.drawn.wait_ms,
                     honours=waits,
-                    again=again,
+                    again=UNSAFE_AGAIN if traffic_class else SAFE_AGAIN,
                     weights=self.weights,
                     keys=fleet_size.KEYS,
                     key_zipf=1.0,
