--- a/fordtrestle/cluster/lease.py
+++ b/fordtrestle/cluster/lease.py
@@ -27,7 +27,7 @@
    its old incarnation: the high bits of a nonce tell the incarnation, and another incarnation is another
    child. So it can't vouch for what it forgot. (To be silent for `hold_ms` after a start is not enough: of
    two processes under one name, one would vouch for the other.) 5. Terms. A leader grants only while its
-   authority holds, and only once an entry of its own term is committed, by which it knows every committed
+   leader lease holds, and only once an entry of its own term is committed, by which it knows every committed
    number. A new one knows nothing of earlier leaders' grants, but all of them were asked for before its term:
    it proposes no `Effective` before `hold_ms` of its term. What an earlier leader proposed stays right if it
    is committed later: every lease granted since had that number pending.
@@ -166,7 +166,7 @@
         self._config = config
         self._rng = rng
         self._until_ms = -math.inf
-        self._authority_ms = -math.inf
+        self._leader_lease_ms = -math.inf
         self._out: dict[int, tuple[float, str]] = {}  # when and whom, by nonce
         self._offers: list[Offer] = []
         self._count = 0
@@ -353,17 +353,17 @@
             self.counts["barred" if self.barred else "older"] += 1
             return
         self._learn(now_ms, known)
-        self._authority_ms = until_ms
+        self._leader_lease_ms = until_ms
         self._until_ms = max(self._until_ms, until_ms)
         self.depth, self.source = 0, ""
 
     def follow(self) -> None:
         """Lead no more; what is left of the own lease stays."""
-        self._authority_ms = -math.inf
+        self._leader_lease_ms = -math.inf
 
     def leading(self, now_ms: float) -> bool:
         """Whether it grants as the leader."""
-        return now_ms < self._authority_ms
+        return now_ms < self._leader_lease_ms
 
     def span_ms(self, now_ms: float) -> float:
         """The longest lease that it may grant."""
@@ -378,7 +378,7 @@
         self.counts[why] += 1
         incarnation = self._draw()
         self.incarnation = incarnation if incarnation != self.incarnation else incarnation ^ 1
-        self._until_ms = self._authority_ms = -math.inf
+        self._until_ms = self._leader_lease_ms = -math.inf
         self._out.clear()
         self._offers.clear()
         self._tries = self._rounds = 0
--- a/fordtrestle/cluster/log.py
+++ b/fordtrestle/cluster/log.py
@@ -134,22 +134,22 @@
 
 
 @dataclass(slots=True)
-class Applied:
-    """What the committed entries up to `index` have come to.
+class StateMachine:
+    """What the committed entries up to `last_applied` have come to; `last_term` is that of the last.
 
     `books`: from the effective one (or number 1) to the pending one, oldest first. `proposals`: the numbers
     of the last `PROPOSALS_MOST` ids; one that is asked for again after so many others would get a second
     number."""
 
-    index: int = 0
-    term: int = 0
+    last_applied: int = 0
+    last_term: int = 0
     voters: tuple[Voter, ...] = ()
     effective: int = 0
     books: tuple[Rulebook, ...] = ()
     proposals: dict[str, int] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, told: Compact | None) -> Applied:
+    def of(cls, told: Compact | None) -> StateMachine:
         """What a snapshot holds."""
         if told is None:
             return cls()
@@ -165,11 +165,11 @@
     def compact(self) -> Compact:
         """As a snapshot."""
         proposals = tuple(self.proposals.items())
-        return Compact(self.index, self.term, self.voters, self.effective, self.books, proposals)
+        return Compact(self.last_applied, self.last_term, self.voters, self.effective, self.books, proposals)
 
-    def take(self, entry: Entry) -> bool:
+    def apply(self, entry: Entry) -> bool:
         """Go by the next committed entry; whether anything that is acted on has changed."""
-        self.index, self.term = entry.index, entry.term
+        self.last_applied, self.last_term = entry.index, entry.term
         body = entry.body
         if isinstance(body, Book):
             self._book(body)
--- a/fordtrestle/cluster/members.py
+++ b/fordtrestle/cluster/members.py
@@ -31,11 +31,11 @@
 from collections.abc import Callable, Iterable, Mapping
 from dataclasses import dataclass, field
 
-from fordtrestle.cluster.log import Applied, Log, State
+from fordtrestle.cluster.log import Log, State, StateMachine
 from fordtrestle.cluster.messages import NAME_MOST, Compact, Entry, Meta, RecoveryResponse, Voter, Voters
 
 SLOTS_MOST = 9  # seven voters, and what a change needs
-ASKED_MOST = 64  # heartbeats to one member that may be unanswered
+UNANSWERED_MOST = 64  # heartbeats to one member that may be unanswered
 INCARNATIONS_MOST = 64  # disks whose incarnations are remembered
 RECOVERED_TERMS = 1000  # by which a recovered log is ahead of any term that the lost ones may have reached
 
@@ -84,27 +84,27 @@
     """How far a leader is with one member. `disk` and `incarnation` are those of its last answer."""
 
     name: str
-    next: int  # the first index to send
+    next_index: int  # the first one to send
     disk: str = ""
     incarnation: int = 0
-    match: int = 0  # up to where it has the leader's log, on disk
+    match_index: int = 0  # up to where it has the leader's log, on disk
     mark: int = 0  # the leader's last index when this disk came
     back: int = 0  # the last heartbeat when it was gone back to what it lacked
-    asked: dict[int, float] = field(default_factory=dict)  # when each unanswered heartbeat was sent
+    unanswered: dict[int, float] = field(default_factory=dict)  # when each unanswered heartbeat was sent
     answered_ms: float = -math.inf  # when the last answered heartbeat was sent
     installed_ms: float = -math.inf  # when a snapshot was sent last
 
     def ask(self, now_ms: float, sequence: int) -> None:
         """A heartbeat is sent; the oldest unanswered ones are forgotten."""
-        self.asked[sequence] = now_ms
-        if len(self.asked) > ASKED_MOST:
-            del self.asked[next(iter(self.asked))]
+        self.unanswered[sequence] = now_ms
+        if len(self.unanswered) > UNANSWERED_MOST:
+            del self.unanswered[next(iter(self.unanswered))]
 
     def answer(self, sequence: int) -> float | None:
         """When an answered heartbeat was sent; None for one that is not awaited (any more)."""
-        sent = self.asked.get(sequence)
+        sent = self.unanswered.get(sequence)
         if sent is not None:
-            self.asked = {other: ms for other, ms in self.asked.items() if other > sequence}
+            self.unanswered = {other: ms for other, ms in self.unanswered.items() if other > sequence}
             self.answered_ms = max(self.answered_ms, sent)
         return sent
 
@@ -113,8 +113,8 @@
         it."""
         if disk != self.disk:
             self.mark = last_index
-        self.disk, self.incarnation, self.match = disk, incarnation, 0
-        self.next = last_index + 1
+        self.disk, self.incarnation, self.match_index = disk, incarnation, 0
+        self.next_index = last_index + 1
         self.installed_ms = -math.inf
 
 
@@ -198,11 +198,11 @@
     lost, though it may have been confirmed. None of them may start again but with an empty folder: two of
     them with their old disks could still elect a leader of their own."""
     log = Log(state.compact, state.entries)
-    applied = Applied.of(state.compact)
+    machine = StateMachine.of(state.compact)
     for entry in log.entries:
-        applied.take(entry)
+        machine.apply(entry)
     term = max(state.meta.term, log.last_term) + RECOVERED_TERMS
     slots = (Voter(name, disk), *(Voter(other, "") for other in sorted(set(names) - {name})))
-    told = applied.compact()
+    told = machine.compact()
     compact = Compact(log.last_index + 1, term, slots, told.effective, told.books, told.proposals)
     return State(Meta(disk=disk, term=term), (), compact)
--- a/fordtrestle/cluster/messages.py
+++ b/fordtrestle/cluster/messages.py
@@ -90,7 +90,7 @@
     disk: str = ""
     incarnation: int = 0
     term: int = 0
-    vote: str = ""
+    voted_for: str = ""
     seen: tuple[tuple[str, int], ...] = ()
 
 
@@ -338,10 +338,10 @@
     """What this member acts on has changed: read `view`."""
 
 
-class Tell(Struct, frozen=True):
+class LogLine(Struct, frozen=True):
     """A line for on-call staff."""
 
     text: str
 
 
-Action = Send | Store | Answer | Take | Tell
+Action = Send | Store | Answer | Take | LogLine
--- a/fordtrestle/cluster/order.py
+++ b/fordtrestle/cluster/order.py
@@ -15,7 +15,7 @@
 
 from msgspec.structs import replace
 
-from fordtrestle.cluster.log import Applied, Log, State
+from fordtrestle.cluster.log import Log, State, StateMachine
 from fordtrestle.cluster.members import (
     Incarnations,
     Peer,
@@ -40,6 +40,7 @@
     Effective,
     Entry,
     InstallSnapshot,
+    LogLine,
     Meta,
     Noop,
     PreVote,
@@ -50,7 +51,6 @@
     RequestVote,
     RequestVoteResponse,
     Take,
-    Tell,
     Voter,
     Voters,
 )
@@ -80,12 +80,12 @@
 
 @dataclass(frozen=True, slots=True)
 class SlotStatus:
-    """What a leader knows of one slot: `match`: up to where its disk has the log; `silent_ms`: since the last
-    heartbeat that it answered was sent; `counts`: whether it answers by the disk that votes."""
+    """What a leader knows of one slot: `match_index`: up to where its disk has the log; `silent_ms`: since
+    the last heartbeat that it answered was sent; `counts`: whether it answers by the disk that votes."""
 
     name: str
     disk: str
-    match: int
+    match_index: int
     silent_ms: float
     counts: bool
 
@@ -110,8 +110,8 @@
         self.name = name
         self.config = config
         self.log = Log(state.compact, state.entries)
-        self.applied = Applied.of(state.compact)
-        self.commit_index = self.applied.index
+        self.machine = StateMachine.of(state.compact)
+        self.commit_index = self.machine.last_applied
         self.meta: Meta = state.meta
         self.role: Role = "follower"
         self.leader = ""
@@ -166,11 +166,11 @@
 
     @property
     def ready(self) -> bool:
-        """Whether it leads and has committed an entry of its term: before, `applied` may lack what an earlier
+        """Whether it leads and has committed an entry of its term: before, `machine` may lack what an earlier
         leader committed."""
         return self.role == "leader" and self.log.term_at(self.commit_index) == self.term
 
-    def authority_until(self, now_ms: float) -> float:
+    def leader_lease_until(self, now_ms: float) -> float:
         """Until when no other leader can exist, on the own clock; -inf if that can't be known, and while not
         `ready`.
 
@@ -191,7 +191,8 @@
                 told.append(own)
             elif peer is not None:
                 silent = now_ms - peer.answered_ms
-                told.append(SlotStatus(slot.name, slot.disk, peer.match, silent, self._sound(slot, peer)))
+                counts = self._sound(slot, peer)
+                told.append(SlotStatus(slot.name, slot.disk, peer.match_index, silent, counts))
         return told
 
     @property
@@ -260,7 +261,8 @@
         self._begin(now_ms)
         if not self._out.failed:
             self._out.fail()
-            self._tell(f"the disk of {self.name} failed: it votes no more until it starts with a sound one")
+            why = "it votes no more until it starts with a sound one"
+            self._log_line(f"the disk of {self.name} failed: {why}")
             self._step_down("its disk failed")
             self.role = "follower"
             self._recovery = None
@@ -274,12 +276,12 @@
 
         One that was asked before is answered with the number it got then, by any member that knows of it."""
         self._begin(now_ms)
-        number = self.applied.proposals.get(proposal, 0)
+        number = self.machine.proposals.get(proposal, 0)
         if number:
-            self._answer(client, Proposed(proposal, "durable", number, self.applied.effective))
+            self._answer(client, Proposed(proposal, "durable", number, self.machine.effective))
         elif self.role != "leader":
             self._answer(client, self._elsewhere(proposal))
-        elif (entry := self.log.proposed(proposal, self.applied.index)) is not None:
+        elif (entry := self.log.proposed(proposal, self.machine.last_applied)) is not None:
             self._wait_for(entry.index, client, proposal)
         else:
             self._propose(now_ms, change, proposal, base, client)
@@ -289,7 +291,7 @@
         """Put into the log that `number` is in effect; nothing unless it is committed and higher than
         before."""
         self._begin(now_ms)
-        if self.ready and self.log.effective < number <= self.applied.pending and not self._out.busy:
+        if self.ready and self.log.effective < number <= self.machine.pending and not self._out.busy:
             self._put(now_ms, Effective(number))
         return self._end()
 
@@ -325,17 +327,17 @@
             self._alone_at = now_ms + self.config.alone_ms
             self._query_at = now_ms
             self._recover(now_ms)
-        if self.applied.books:
-            self._out.tell(Take())
+        if self.machine.books:
+            self._out.emit(Take())
 
     def _new_disk(self, why: str) -> None:
         """Be another disk, which never promised anything: what the one before promised is not known any
         more."""
         disk = f"{self._rng.getrandbits(64):016x}"
-        self._keep(disk=disk, incarnation=1, vote="")
+        self._keep(disk=disk, incarnation=1, voted_for="")
         self._recovery = None
         if why:
-            self._tell(f"{why}: {self.name} votes no more until the leader takes it in as disk {disk}")
+            self._log_line(f"{why}: {self.name} votes no more until the leader takes it in as disk {disk}")
 
     def _query_others(self, now_ms: float) -> None:
         if now_ms >= self._query_at and self._recovery is not None:
@@ -344,7 +346,7 @@
             query = RecoveryQuery(*own, self.log.last_index, self._recovery.nonce)
             for slot in self.log.voters:
                 if slot.name != self.name:
-                    self._out.say(slot.name, query)
+                    self._out.send(slot.name, query)
         self._recover(now_ms)
 
     def _on_recovery_query(self, now_ms: float, sender: str, query: RecoveryQuery) -> None:
@@ -355,7 +357,7 @@
         by = "" if self._out.failed else self.meta.disk
         incarnation, acknowledged = self._incarnations.of(disk), self._acknowledged.get(disk, 0)
         last = self.log.last_index, self.log.last_term
-        self._out.say(to, RecoveryResponse(disk, incarnation, acknowledged, nonce, by, self.term, *last))
+        self._out.send(to, RecoveryResponse(disk, incarnation, acknowledged, nonce, by, self.term, *last))
 
     def _on_recovery_response(self, now_ms: float, sender: str, told: RecoveryResponse) -> None:
         recovery = self._recovery
@@ -382,9 +384,9 @@
         self._recovery = None
         self._floor, self._floor_until = recovery.floor(slots), now_ms + self.config.alone_ms
         term = recovery.term()
-        if term > self.term or (term == self.term and not self.meta.vote):
+        if term > self.term or (term == self.term and not self.meta.voted_for):
             # It may have voted in that term and not know any more: the own name bars any other.
-            self._keep(term=term, vote=self.name)
+            self._keep(term=term, voted_for=self.name)
 
     # --- votes --------------------------------------------------------------------------------
 
@@ -428,7 +430,7 @@
         self._rest(now_ms)
         self.role = "candidate"
         self._votes = set()
-        self._keep(term=self.term + 1, vote=self.name)
+        self._keep(term=self.term + 1, voted_for=self.name)
         self._vote_token = self._out.token
         self._ask(now_ms)
 
@@ -444,15 +446,15 @@
             ask = RequestVote(self.term, *last, *own)
         for slot in voting(self.log.voters):
             if slot.name != self.name and slot.name not in self._votes:
-                self._out.say(slot.name, ask)
+                self._out.send(slot.name, ask)
 
     def _on_pre_vote(self, now_ms: float, sender: str, ask: PreVote) -> None:
         if self._out.busy or self._over(sender, ask):
             return
         if ask.term <= self.term:
-            self._out.say(sender, PreVoteResponse(self.term, False, *self._voice()))
+            self._out.send(sender, PreVoteResponse(self.term, False, *self._voice()))
         elif self._free(now_ms) and not self._behind(now_ms, (ask.last_log_term, ask.last_log_index)):
-            self._out.say(sender, PreVoteResponse(ask.term, True, *self._voice()))
+            self._out.send(sender, PreVoteResponse(ask.term, True, *self._voice()))
 
     def _on_request_vote(self, now_ms: float, sender: str, ask: RequestVote) -> None:
         if self._out.busy or self._over(sender, ask):
@@ -464,12 +466,12 @@
             if ask.term > self.term:
                 self._adopt(now_ms, ask.term, "")
             behind = self._behind(now_ms, (ask.last_log_term, ask.last_log_index))
-            granted = self.meta.vote in ("", sender) and not behind
+            granted = self.meta.voted_for in ("", sender) and not behind
         if granted:
             self._rest(now_ms)
-            if not self.meta.vote:
-                self._keep(vote=sender)
-        self._out.say(sender, RequestVoteResponse(self.term, granted, *self._voice()))
+            if not self.meta.voted_for:
+                self._keep(voted_for=sender)
+        self._out.send(sender, RequestVoteResponse(self.term, granted, *self._voice()))
 
     def _over(self, sender: str, ask: PreVote | RequestVote) -> bool:
         """Whether who asks has no disk that votes, or is of an incarnation that is over, which it is told."""
@@ -516,14 +518,14 @@
             return False
         return self._incarnations.known(voter.disk, incarnation, self._out.durable)
 
-    def _adopt(self, now_ms: float, term: int, vote: str) -> None:
+    def _adopt(self, now_ms: float, term: int, voted_for: str) -> None:
         """Go over to a higher term, as a follower."""
         if self.role == "leader":
             self._step_down("another has a higher term")
             self._rest(now_ms)
         self.role = "follower"
         self.leader = ""
-        self._keep(term=term, vote=vote)
+        self._keep(term=term, voted_for=voted_for)
 
     # --- following ----------------------------------------------------------------------------
 
@@ -533,25 +535,25 @@
             self._agree(sender, message.sequence, False, 0)
             return False
         if message.term == self.term and self.role == "leader":
-            self._tell(f"{sender} leads in the own term {self.term}: two of one name?")
+            self._log_line(f"{sender} leads in the own term {self.term}: two of one name?")
             return False
         if message.term > self.term:
             self._adopt(now_ms, message.term, sender)
-        elif not self.meta.vote:
-            self._keep(vote=sender)  # no other can win this term: a vote for one could only do harm
+        elif not self.meta.voted_for:
+            self._keep(voted_for=sender)  # no other can win this term: a vote for one could only do harm
         self.role, self.leader = "follower", sender
         self._heard = now_ms
         self._rest(now_ms)
         return True
 
-    def _agree(self, to: str, sequence: int, ok: bool, match: int) -> None:
-        """Answer at once, since the leader's authority rests on it, but only for what is on disk."""
-        kept = match if self._out.failed or not ok else min(match, self._out.durable_index)
-        self._out.say(to, AppendEntriesResponse(self.term, sequence, ok, kept, *self._voice()))
+    def _agree(self, to: str, sequence: int, ok: bool, match_index: int) -> None:
+        """Answer at once, since the leader's lease rests on it, but only for what is on disk."""
+        kept = match_index if self._out.failed or not ok else min(match_index, self._out.durable_index)
+        self._out.send(to, AppendEntriesResponse(self.term, sequence, ok, kept, *self._voice()))
 
-    def _promise(self, to: str, sequence: int, match: int) -> None:
+    def _promise(self, to: str, sequence: int, match_index: int) -> None:
         """Answer once all that is stored by now is on disk."""
-        self._out.promise(to, AppendEntriesResponse(self.term, sequence, True, match, *self._voice()))
+        self._out.promise(to, AppendEntriesResponse(self.term, sequence, True, match_index, *self._voice()))
 
     def _on_append_entries(self, now_ms: float, sender: str, told: AppendEntries) -> None:
         if (told.entries and self._out.busy) or not self._follow(now_ms, sender, told):
@@ -561,17 +563,17 @@
             self.log.base < e.index <= self.commit_index and self.log.term_at(e.index) != e.term
             for e in told.entries
         ):
-            self._tell(f"{sender} would change what is committed: not followed")
+            self._log_line(f"{sender} would change what is committed: not followed")
             return
         if hint is not None:
             self._agree(sender, told.sequence, False, hint)
             return
-        match = told.prev_log_index + len(told.entries)
+        match_index = told.prev_log_index + len(told.entries)
         if self._take_in(told.entries):
-            self._promise(sender, told.sequence, match)
+            self._promise(sender, told.sequence, match_index)
         else:
-            self._agree(sender, told.sequence, True, match)
-        self._commit(now_ms, min(told.leader_commit, match))
+            self._agree(sender, told.sequence, True, match_index)
+        self._commit(now_ms, min(told.leader_commit, match_index))
 
     def _fits(self, told: AppendEntries) -> int | None:
         """None where the log has what stands before the entries; else from where the leader is to try."""
@@ -611,28 +613,28 @@
             self._out.lower(self.commit_index)
         self.log.shorten(compact, whole=other)
         self._out.snapshot(compact, cut=other)
-        self.applied = Applied.of(compact)
+        self.machine = StateMachine.of(compact)
         self.commit_index = compact.index
-        self._out.tell(Take())
+        self._out.emit(Take())
         self._promise(sender, told.sequence, compact.index)
 
     def _commit(self, now_ms: float, index: int) -> None:
         """Go by all entries up to `index`."""
         taken = False
         self.commit_index = max(self.commit_index, index)
-        while self.applied.index < self.commit_index:
-            entry = self.log.at(self.applied.index + 1)
-            taken |= self.applied.take(entry)
+        while self.machine.last_applied < self.commit_index:
+            entry = self.log.at(self.machine.last_applied + 1)
+            taken |= self.machine.apply(entry)
             self._done(entry)
         if taken:
-            self._out.tell(Take())
+            self._out.emit(Take())
 
     def _shorten(self) -> None:
         """Put the applied entries into a snapshot, once they are many."""
-        many = self.applied.index - self.log.base >= self.config.entries_most
-        many |= self.log.books >= 2 * self.config.books_most and self.applied.index > self.log.base
+        many = self.machine.last_applied - self.log.base >= self.config.entries_most
+        many |= self.log.books >= 2 * self.config.books_most and self.machine.last_applied > self.log.base
         if many and not self._out.writes and not self._out.busy:
-            compact = self.applied.compact()
+            compact = self.machine.compact()
             self.log.shorten(compact)
             self._out.snapshot(compact, cut=False)
 
@@ -642,7 +644,7 @@
         self.role, self.leader = "leader", self.name
         self._since = now_ms
         self._peers = {}
-        self._tell(f"{self.name} leads in term {self.term}")
+        self._log_line(f"{self.name} leads in term {self.term}")
         self._put(now_ms, Noop())
         self._send_heartbeats(now_ms)
 
@@ -651,7 +653,7 @@
             return
         self.role, self.leader = "follower", ""
         self._peers = {}
-        self._tell(f"{self.name} leads no more: {why}")
+        self._log_line(f"{self.name} leads no more: {why}")
         for waiting in self._waiting.values():
             for client, proposal in waiting:
                 self._answer(client, self._elsewhere(proposal))
@@ -703,7 +705,7 @@
         its way."""
         self._heartbeat_at = now_ms + self.config.heartbeat_ms
         for peer in self._peers.values():
-            self._send(now_ms, peer, max(peer.next - 1, self.log.base), ())
+            self._send(now_ms, peer, max(peer.next_index - 1, self.log.base), ())
             self._feed(now_ms, peer)
 
     def _send(self, now_ms: float, peer: Peer, index: int, entries: tuple[Entry, ...]) -> None:
@@ -711,23 +713,24 @@
         peer.ask(now_ms, self._sequence)
         before = self.log.term_at(index)
         message = AppendEntries(self.term, self._sequence, index, before, entries, self.commit_index)
-        self._out.say(peer.name, message)
+        self._out.send(peer.name, message)
 
     def _feed(self, now_ms: float, peer: Peer) -> None:
         """Send what a member lacks, as far as the window goes."""
-        if peer.next <= self.log.base:
+        if peer.next_index <= self.log.base:
             if now_ms >= peer.installed_ms + self.config.election_ms:
                 peer.installed_ms = now_ms
                 self._sequence += 1
                 peer.ask(now_ms, self._sequence)
                 compact = self.log.compact
                 assert compact is not None  # the base is a snapshot's
-                self._out.say(peer.name, InstallSnapshot(self.term, self._sequence, compact))
+                self._out.send(peer.name, InstallSnapshot(self.term, self._sequence, compact))
             return
-        while peer.next <= self.log.last_index and peer.next - 1 - peer.match < self.config.window:
-            entries = self.log.batch(peer.next)
-            self._send(now_ms, peer, peer.next - 1, entries)
-            peer.next += len(entries)
+        most = peer.match_index + self.config.window
+        while peer.next_index <= min(self.log.last_index, most):
+            entries = self.log.batch(peer.next_index)
+            self._send(now_ms, peer, peer.next_index - 1, entries)
+            peer.next_index += len(entries)
 
     def _on_append_entries_response(self, now_ms: float, sender: str, told: AppendEntriesResponse) -> None:
         if told.term > self.term:
@@ -745,8 +748,8 @@
             return
         peer.answer(told.sequence)
         if told.success:
-            peer.match = max(peer.match, min(told.match_index, self.log.last_index))
-            peer.next = max(peer.next, peer.match + 1)
+            peer.match_index = max(peer.match_index, min(told.match_index, self.log.last_index))
+            peer.next_index = max(peer.next_index, peer.match_index + 1)
         elif told.sequence <= peer.back:
             return  # it was asked before the last one that was gone by: each would have all sent again
         else:
@@ -754,8 +757,9 @@
             if told.match_index < self._acknowledged.get(told.disk, 0):
                 self._respond_to_recovery(sender, told.disk, 0)  # it may have had more, in this incarnation
             if not told.disk:
-                peer.match = min(peer.match, told.match_index)  # without a disk it may have begun anew
-            peer.next = max(peer.match, min(told.match_index, peer.next - 1)) + 1
+                # Without a disk it may have begun anew.
+                peer.match_index = min(peer.match_index, told.match_index)
+            peer.next_index = max(peer.match_index, min(told.match_index, peer.next_index - 1)) + 1
         self._advance(now_ms)
         if self.role == "leader":
             self._note()
@@ -768,7 +772,7 @@
         if (told.disk, told.incarnation) == (peer.disk, peer.incarnation):
             return True
         over = told.disk == peer.disk and told.incarnation < peer.incarnation
-        if over or told.sequence not in peer.asked:
+        if over or told.sequence not in peer.unanswered:
             return False  # late
         slot = slot_of(self.log.voters, peer.name)
         answers = now_ms < peer.answered_ms + self.config.election_ms
@@ -779,7 +783,7 @@
 
     def _advance(self, now_ms: float) -> None:
         """Commit what a majority has on disk; what is of earlier terms only with an entry of the own one."""
-        index = reached(self.log.voters, self._matched)
+        index = reached(self.log.voters, self._match_index_of)
         if index <= self.commit_index or self.log.term_at(int(index)) != self.term:
             return
         self._commit(now_ms, int(index))
@@ -794,14 +798,14 @@
         for voter in voting(self.log.voters):
             peer, before = self._peers.get(voter.name), self._acknowledged.get(voter.disk, 0)
             sound = peer is not None and self._sound(voter, peer)
-            noted[voter.disk] = max(before, min(peer.match, self.commit_index) if peer and sound else 0)
+            noted[voter.disk] = max(before, min(peer.match_index, self.commit_index) if peer and sound else 0)
         self._acknowledged = noted
 
-    def _matched(self, voter: Voter) -> float:
+    def _match_index_of(self, voter: Voter) -> float:
         if voter == self._me:
             return self._out.durable_index
         peer = self._peers.get(voter.name)
-        return peer.match if peer is not None and self._sound(voter, peer) else 0
+        return peer.match_index if peer is not None and self._sound(voter, peer) else 0
 
     # --- proposals and changes of voters ------------------------------------------------------
 
@@ -815,12 +819,12 @@
             why = f"made on number {base}, and the last is {last.number}"
         elif faults := check(book, last):
             why = "; ".join(faults[:FAULTS_MOST])
-        elif last.number - self.applied.effective >= self.config.books_most:
+        elif last.number - self.machine.effective >= self.config.books_most:
             state, why = "busy", f"{self.config.books_most} rulebooks wait to take effect"
         elif self._full:
             state, why = "busy", "too much waits to be committed"
         if why:
-            self._answer(client, Proposed(proposal, state, effective=self.applied.effective, why=why))
+            self._answer(client, Proposed(proposal, state, effective=self.machine.effective, why=why))
             return
         self._wait_for(self._put(now_ms, Book(book, proposal)), client, proposal)
 
@@ -834,17 +838,17 @@
             waiting.append((client, proposal))
         else:
             why = "too many ask for it"
-            self._answer(client, Proposed(proposal, "busy", effective=self.applied.effective, why=why))
+            self._answer(client, Proposed(proposal, "busy", effective=self.machine.effective, why=why))
 
     def _done(self, entry: Entry) -> None:
         """Answer those who waited for a committed entry."""
         number = entry.body.book.number if isinstance(entry.body, Book) else 0
         for client, proposal in self._waiting.pop(entry.index, ()):
-            self._answer(client, Proposed(proposal, "durable", number, self.applied.effective))
+            self._answer(client, Proposed(proposal, "durable", number, self.machine.effective))
 
     def _elsewhere(self, proposal: str) -> Proposed:
         leader = "" if self.leader == self.name else self.leader
-        return Proposed(proposal, "elsewhere", effective=self.applied.effective, leader=leader)
+        return Proposed(proposal, "elsewhere", effective=self.machine.effective, leader=leader)
 
     def _change(self, now_ms: float, client: int, away: str, new: str) -> list[Action]:
         self._begin(now_ms)
@@ -858,7 +862,7 @@
         else:
             why = self._unready() or self._unbacked(now_ms, after)
         if why:
-            self._answer(client, Proposed("", "refused", effective=self.applied.effective, why=why))
+            self._answer(client, Proposed("", "refused", effective=self.machine.effective, why=why))
         else:
             self._wait_for(self._put(now_ms, Voters(after)), client, "")
         return self._end()
@@ -898,14 +902,14 @@
         if now_ms < self._since + self.config.election_ms:
             return  # the disk that votes may not have come to answer yet
         caught_up = peer.mark if slot.disk else max(peer.mark, self.log.voters_index)
-        if peer.match < caught_up or self.commit_index < caught_up:
+        if peer.match_index < caught_up or self.commit_index < caught_up:
             return
         after = with_disk(self.log.voters, peer.name, "" if slot.disk else peer.disk)
         if self._unbacked(now_ms, after, "" if slot.disk else peer.name):
             return
         self._put(now_ms, Voters(after))
         how = "has lost its disk: its slot is vacant" if slot.disk else f"votes by disk {peer.disk}"
-        self._tell(f"{peer.name} {how}")
+        self._log_line(f"{peer.name} {how}")
 
     # --- out ----------------------------------------------------------------------------------
 
@@ -914,10 +918,10 @@
         self._out.keep(self.meta)
 
     def _answer(self, client: int, told: Proposed) -> None:
-        self._out.tell(Answer(client, told))
+        self._out.emit(Answer(client, told))
 
-    def _tell(self, text: str) -> None:
-        self._out.tell(Tell(text))
+    def _log_line(self, text: str) -> None:
+        self._out.emit(LogLine(text))
 
     def _end(self) -> list[Action]:
         self._shorten()
--- a/fordtrestle/cluster/outbox.py
+++ b/fordtrestle/cluster/outbox.py
@@ -26,7 +26,7 @@
         self._stores: deque[list[int]] = deque()  # token, and up to where it has the log
         self._held: list[tuple[int, Send]] = []
         self._actions: list[Action] = []
-        self._said: list[tuple[bool, Send]] = []
+        self._sends: list[tuple[bool, Send]] = []
         self._meta: Meta | None = None
         self._first = 0  # the first index to write; 0 for none
         self._compact: Compact | None = None
@@ -49,18 +49,18 @@
             return False
         return bool(self._first) or self._compact is not None or self._compact_token > self.durable
 
-    def tell(self, action: Action) -> None:
+    def emit(self, action: Action) -> None:
         """An action that rests on nothing."""
         self._actions.append(action)
 
-    def say(self, to: str, message: AnyMessage) -> None:
+    def send(self, to: str, message: AnyMessage) -> None:
         """A message that rests on what was not to be forgotten beside the log: disk, incarnation, term and
         vote."""
-        self._said.append((False, Send(to, message)))
+        self._sends.append((False, Send(to, message)))
 
     def promise(self, to: str, message: AnyMessage) -> None:
         """A message that rests on all that was stored up to the end of this call."""
-        self._said.append((True, Send(to, message)))
+        self._sends.append((True, Send(to, message)))
 
     def keep(self, meta: Meta) -> None:
         """Store what must not be forgotten beside the log."""
@@ -85,13 +85,13 @@
         if not self.failed:
             self._store(log)
         actions = self._actions
-        for all_of_it, send in self._said:
+        for all_of_it, message in self._sends:
             token = self._issued if all_of_it else self._meta_token
             if self.failed or token <= self.durable:
-                actions.append(send)
+                actions.append(message)
             elif len(self._held) < self._held_most:  # else it is as if the network had lost it
-                self._held.append((token, send))
-        self._actions, self._said = [], []
+                self._held.append((token, message))
+        self._actions, self._sends = [], []
         self._meta, self._first, self._compact, self._cut = None, 0, None, False
         return actions
 
@@ -116,8 +116,8 @@
         self.durable = max(self.durable, token)
         while self._stores and self._stores[0][0] <= token:
             self.durable_index = max(self.durable_index, self._stores.popleft()[1])
-        ready = [send for rests, send in self._held if rests <= self.durable]
-        self._held = [(rests, send) for rests, send in self._held if rests > self.durable]
+        ready = [message for rests, message in self._held if rests <= self.durable]
+        self._held = [(rests, message) for rests, message in self._held if rests > self.durable]
         self._actions.extend(ready)
 
     def fail(self) -> None:
--- a/tests/cluster/test_lease.py
+++ b/tests/cluster/test_lease.py
@@ -239,7 +239,7 @@
     assert (none.why, none.ask) == ("no lease", "l")
 
 
-def test_a_leader_grants_while_its_authority_holds_and_then_what_is_left():
+def test_a_leader_grants_while_its_leader_lease_holds_and_then_what_is_left():
     upper = leader(1, 2, until_ms=100.0)
     assert upper.answer(0.0, "a", Renew(1, 0, (0, 0))).span_ms == CONFIG.lease_ms
     assert upper.answer(100.0, "a", Renew(2, 0, (0, 0))).why == "no lease"
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -119,7 +119,7 @@
     world.run(100)
     new = world.order("c").meta.disk
     assert [slots[2] for slots in changes(world)][-2:] == ["", new]
-    assert world.order("c").applied.pending == 20
+    assert world.order("c").machine.pending == 20
     world.crash("b")
     grown(world, "a", 2, first=21)
 
@@ -158,11 +158,11 @@
     order, node = world.order("a"), world.nodes["a"]
     for _ in range(100):
         world.run(10)
-        sequence = max(order._peers["c"].asked, default=0)
+        sequence = max(order._peers["c"].unanswered, default=0)
         answer = AppendEntriesResponse(2, sequence, True, order.log.last_index, "other", 1)
         world.do("a", lambda order, now, answer=answer: order.receive(now, "c", answer))
     assert order.voters[2].disk == "disk-c" and order._peers["c"].disk == "disk-c"
-    assert order.authority_until(node.clock(world.now)) > node.clock(world.now)
+    assert order.leader_lease_until(node.clock(world.now)) > node.clock(world.now)
 
 
 def test_a_new_leader_waits_for_the_disk_that_votes_before_it_takes_another():
@@ -172,8 +172,8 @@
     assert world.until(lambda: world.order("a").ready, 200)
     peer = world.order("a")._peers["c"]
     for _ in range(2):
-        assert world.until(lambda: bool(peer.asked), 50)
-        sequence, last = max(peer.asked), world.order("a").log.last_index
+        assert world.until(lambda: bool(peer.unanswered), 50)
+        sequence, last = max(peer.unanswered), world.order("a").log.last_index
         answer = AppendEntriesResponse(world.order("a").term, sequence, True, last, "other", 1)
         world.do("a", lambda order, now, answer=answer: order.receive(now, "c", answer))
     assert world.order("a").voters[2].disk == "disk-c"
--- a/tests/cluster/test_order.py
+++ b/tests/cluster/test_order.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from fordtrestle.cluster.log import PROPOSALS_MOST, Applied, Log, State
+from fordtrestle.cluster.log import PROPOSALS_MOST, Log, State, StateMachine
 from fordtrestle.cluster.members import Recovery, init_state, position, recover_state
 from fordtrestle.cluster.messages import (
     ENTRIES_MOST,
@@ -76,7 +76,7 @@
     for number in range(first, first + count):
         world.propose(leader, f"p{number}", number, attempts=number)
         assert world.until(lambda: bool(world.answers[number]), 500), f"{number} is not answered"  # noqa: B023
-        world.do(leader, lambda order, now: order.propose_effective(now, order.applied.pending))
+        world.do(leader, lambda order, now: order.propose_effective(now, order.machine.pending))
     world.run(100)
 
 
@@ -166,7 +166,7 @@
 
     for _ in range(40):
         if leader := world.leader():
-            world.do(leader, lambda order, now: order.propose_effective(now, order.applied.pending))
+            world.do(leader, lambda order, now: order.propose_effective(now, order.machine.pending))
             world.propose(leader, "last", client=-1)
         if world.until(agreed, 100):
             break
@@ -212,7 +212,7 @@
     world.heal()
     world.run(1000)
     assert [answer.state for answer in world.answers[1]] == ["elsewhere"]
-    assert "alone" not in world.order("a").applied.proposals
+    assert "alone" not in world.order("a").machine.proposals
     assert len({world.order(name).commit_index for name in "abc"}) == 1
 
 
@@ -240,7 +240,7 @@
 
 
 @GUARD
-def test_who_has_answered_a_heartbeat_votes_for_nobody_while_the_authority_may_hold(monkeypatch, guarded):
+def test_who_has_answered_a_heartbeat_votes_for_nobody_while_a_leader_lease_may_hold(monkeypatch, guarded):
     if not guarded:
         monkeypatch.setattr(Order, "_free", lambda order, now: order._sure and order.role != "leader")
     world = led()
@@ -250,7 +250,7 @@
 
 
 @GUARD
-def test_who_has_just_started_votes_for_nobody_while_the_authority_may_hold(guarded):
+def test_who_has_just_started_votes_for_nobody_while_a_leader_lease_may_hold(guarded):
     config = OrderConfig(election_ms=600.0, heartbeat_ms=40.0)
     world = led(config=config)
     cut(world, "a", "c")
@@ -265,14 +265,14 @@
         world.run(config.election_ms / 2)
 
 
-def test_the_authority_counts_from_when_the_heartbeat_was_sent_and_only_with_an_own_entry_committed():
+def test_the_leader_lease_counts_from_when_the_heartbeat_was_sent_and_only_with_an_own_entry_committed():
     world = World(1, "abc").start()
     elect(world, "a")
     node, order = world.nodes["a"], world.order("a")
     for name in "bc":
         world.nodes[name].disk_ms = 400.0  # heartbeats are answered, entries are not
     world.run(60)
-    assert order.authority_until(node.clock(world.now)) == -math.inf
+    assert order.leader_lease_until(node.clock(world.now)) == -math.inf
     assert min(slot.silent_ms for slot in order.slots(node.clock(world.now)) if slot.name != "a") < 60
     assert world.until(lambda: order.ready, 1000)
     world.isolate("a")
@@ -280,17 +280,17 @@
     now = node.clock(world.now)
     told = order.slots(now)
     sent = now - min(slot.silent_ms for slot in told if slot.name != "a")
-    assert order.authority_until(now) == pytest.approx(
+    assert order.leader_lease_until(now) == pytest.approx(
         sent + CONFIG.election_ms * (1 - 1e-3), rel=0, abs=1e-3
     )
-    assert order.authority_until(now) < now + CONFIG.election_ms * (1 - 1e-3)
+    assert order.leader_lease_until(now) < now + CONFIG.election_ms * (1 - 1e-3)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_other_leads_before_the_authority_of_the_last_one_is_over(seed):
+def test_no_other_leads_before_the_leader_lease_of_the_last_one_is_over(seed):
     world = led(seed)
     node = world.nodes["a"]
-    until = world.order("a").authority_until(node.clock(world.now))
+    until = world.order("a").leader_lease_until(node.clock(world.now))
     assert until > node.clock(world.now)
     world.isolate("a")
     assert world.until(lambda: any(world.order(name).role == "leader" for name in "bc"), 3000)
@@ -326,7 +326,7 @@
     world.isolate("b")
     elect(world, "a")
     assert world.until(lambda: world.order("a").ready, 200)
-    assert (world.nodes["c"].disk.meta.term, world.nodes["c"].disk.meta.vote) == (2, "a")
+    assert (world.nodes["c"].disk.meta.term, world.nodes["c"].disk.meta.voted_for) == (2, "a")
     world.crash("c")
     return world, before
 
@@ -449,7 +449,7 @@
     assert any("the disk of c failed" in text for _, text in world.told) and world.leader() == ""
     world.start("a")
     grown(world, world.lead(), 3)
-    assert world.order("c").applied.pending == 3 and not world.order("c").votes
+    assert world.order("c").machine.pending == 3 and not world.order("c").votes
     assert not [m for m in said if isinstance(m, AppendEntriesResponse) and m.disk and m.match_index > 2]
 
 
@@ -476,12 +476,12 @@
 def test_a_disk_put_back_within_one_incarnation_is_told_so_by_the_leader():
     bench = Bench().leads()
     last = bench.order.log.last_index
-    ok = AppendEntriesResponse(2, max(bench.order._peers["b"].asked), True, last, "disk-b", 1)
+    ok = AppendEntriesResponse(2, max(bench.order._peers["b"].unanswered), True, last, "disk-b", 1)
     bench.hear("b", ok)
     bench.call(bench.order.tick)
     bench.now += CONFIG.heartbeat_ms
     bench.call(bench.order.tick)
-    gone = AppendEntriesResponse(2, max(bench.order._peers["b"].asked), False, 1, "disk-b", 1)
+    gone = AppendEntriesResponse(2, max(bench.order._peers["b"].unanswered), False, 1, "disk-b", 1)
     said = bench.hear("b", gone)
     told = [message for message in said if isinstance(message, RecoveryResponse)]
     assert [(message.disk, message.acknowledged) for message in told] == [("disk-b", last)]
@@ -490,11 +490,11 @@
 def test_one_without_a_disk_may_have_forgotten_what_it_had():
     bench = Bench().leads()
     peer = bench.order._peers["c"]
-    bench.hear("c", AppendEntriesResponse(2, max(peer.asked), True, 2, "", 0))
-    assert peer.match == 2
+    bench.hear("c", AppendEntriesResponse(2, max(peer.unanswered), True, 2, "", 0))
+    assert peer.match_index == 2
     bench.now += CONFIG.heartbeat_ms
     bench.call(bench.order.tick)
-    said = bench.hear("c", AppendEntriesResponse(2, max(peer.asked), False, 0, "", 0))
+    said = bench.hear("c", AppendEntriesResponse(2, max(peer.unanswered), False, 0, "", 0))
     sent = [message for message in said if isinstance(message, AppendEntries)]
     assert [entry.index for message in sent for entry in message.entries] == [1, 2]
 
@@ -526,7 +526,7 @@
     """Figure 8 of Ongaro and Ousterhout: they may still be replaced."""
     first = init_state({name: f"disk-{name}" for name in "abc"}, "a")
     bench = Bench(state=State(first.meta, (*first.entries, Entry(2, 1, Noop())))).leads()
-    sequence = max(bench.order._peers["b"].asked)
+    sequence = max(bench.order._peers["b"].unanswered)
     bench.hear("b", AppendEntriesResponse(2, sequence - 1, True, 2, "disk-b", 1))
     assert bench.order.commit_index == 0
     bench.hear("b", AppendEntriesResponse(2, sequence, True, 3, "disk-b", 1))
@@ -592,7 +592,7 @@
     leader = world.lead()
     world.propose(leader, "p1", client=100)
     assert world.answers[100][0].number == 1
-    assert [book.number for book in world.order(leader).applied.books] == [30]
+    assert [book.number for book in world.order(leader).machine.books] == [30]
 
 
 def test_books_follow_one_another_by_number_and_parent():
@@ -600,7 +600,7 @@
     for number in range(1, 4):
         world.propose("a", f"p{number}", number, attempts=number)
     world.run(200)
-    books = world.order("c").applied.books
+    books = world.order("c").machine.books
     assert [book.number for book in books] == [1, 2, 3]
     assert [book.parent for book in books] == ["", books[0].digest, books[1].digest]
 
@@ -642,16 +642,16 @@
     for number in (2, 1, 1, 0):
         world.do("a", lambda order, now, number=number: order.propose_effective(now, number))
     world.run(100)
-    assert world.order("c").applied.effective == 1 and world.order("a").log.last_index == last + 1
+    assert world.order("c").machine.effective == 1 and world.order("a").log.last_index == last + 1
 
 
 def test_ids_are_remembered_up_to_a_bound():
-    applied = Applied()
+    machine = StateMachine()
     for number in range(1, PROPOSALS_MOST + 3):
-        applied.take(Entry(number, 1, Book(EMPTY, f"p{number}")))
-        applied.books = ()
-    assert len(applied.proposals) == PROPOSALS_MOST and "p2" not in applied.proposals
-    assert Applied.of(applied.compact()).proposals == applied.proposals
+        machine.apply(Entry(number, 1, Book(EMPTY, f"p{number}")))
+        machine.books = ()
+    assert len(machine.proposals) == PROPOSALS_MOST and "p2" not in machine.proposals
+    assert StateMachine.of(machine.compact()).proposals == machine.proposals
 
 
 # --- followers that lack entries --------------------------------------------------------------
@@ -720,10 +720,11 @@
     order._out._meta_token = 0
     for _ in range(5):
         now = world.nodes["a"].clock(world.now)
-        refusal = AppendEntriesResponse(2, max(peer.asked, default=1), False, 2, "disk-c", peer.incarnation)
+        sequence = max(peer.unanswered, default=1)
+        refusal = AppendEntriesResponse(2, sequence, False, 2, "disk-c", peer.incarnation)
         actions = order.receive(now, "c", refusal)
         sent.append([action.message for action in actions if isinstance(action, Send) and action.to == "c"])
-        peer.asked.setdefault(refusal.sequence, now)
+        peer.unanswered.setdefault(refusal.sequence, now)
     batches = [message for message in sent[0] if isinstance(message, AppendEntries) and message.entries]
     assert sum(len(message.entries) for message in batches) <= CONFIG.window + ENTRIES_MOST
     for message in batches:
@@ -840,6 +841,6 @@
     world.start()
     assert world.lead() == "d" and world.order("d").term > 1000
     assert world.until(lambda: all(slot.disk for slot in world.order("d").voters), 5000)
-    assert world.until(lambda: world.order("b").applied.pending == 5, 500)
+    assert world.until(lambda: world.order("b").machine.pending == 5, 500)
     world.propose("d", "p5", client=50)
     assert world.answers[50][0].number == 5
--- a/tests/cluster/world.py
+++ b/tests/cluster/world.py
@@ -24,6 +24,7 @@
     Compact,
     Entry,
     InstallSnapshot,
+    LogLine,
     PreVote,
     PreVoteResponse,
     Proposed,
@@ -31,7 +32,6 @@
     RequestVoteResponse,
     Send,
     Store,
-    Tell,
 )
 from fordtrestle.cluster.order import Order, OrderConfig
 from fordtrestle.cluster.rulebook import Change, ClassRules, ServiceRules
@@ -98,7 +98,7 @@
         self.disk_ms = 2.0
         self.run = 0  # which of its incarnations: what an earlier one left under way is void
         self.due = 0  # which tick is the one that counts
-        self.applied = 0
+        self.last_applied = 0
 
     def clock(self, true_ms: float) -> float:
         """Its reading at a true time."""
@@ -150,7 +150,7 @@
             node.stores = []
             rng = random.Random(self.rng.getrandbits(64))
             node.order = Order(name, self.config, node.disk.state(), rng)
-            node.applied = node.order.applied.index
+            node.last_applied = node.order.machine.last_applied
             self._call(node, node.order.tick)
         return self
 
@@ -256,7 +256,7 @@
             elif isinstance(action, Answer):
                 assert isinstance(action.message, Proposed)
                 self.answers[action.client].append(action.message)
-            elif isinstance(action, Tell):
+            elif isinstance(action, LogLine):
                 self.told.append((node.name, action.text))
         self._check(node, order)
         self._wake(node, order)
@@ -334,7 +334,7 @@
         if isinstance(message, RequestVote):
             assert disk.meta.term >= message.term, f"seed {self.seed}: own vote not stored"
         if isinstance(message, RequestVoteResponse) and message.vote_granted:
-            vote = (disk.meta.term, disk.meta.vote)
+            vote = (disk.meta.term, disk.meta.voted_for)
             assert vote == (message.term, send.to) or vote[0] > message.term, f"seed {self.seed}: {vote}"
             self._check_vote(message.disk, message.term, send.to)
 
@@ -352,7 +352,7 @@
                 self._check_vote(order.meta.disk, order.term, order.name)
                 self._check_complete(order, where)
         self._check_committed(node, order, where)
-        self._check_authority(where)
+        self._check_leader_lease(where)
 
     def _check_complete(self, order: Order, where: str) -> None:
         """Every leader has all that was committed before."""
@@ -362,20 +362,20 @@
 
     def _check_committed(self, node: Node, order: Order, where: str) -> None:
         """What is committed is the same everywhere and for good, and comes to the same."""
-        index = max(node.applied, order.log.base)
+        index = max(node.last_applied, order.log.base)
         while index < order.commit_index:
             index += 1
             entry = order.log.at(index)
             assert self._chain.setdefault(index, entry) == entry, f"{where}: another entry {index}"
-        if node.applied != order.applied.index:
-            node.applied = order.applied.index
-            told: Compact = order.applied.compact()
+        if node.last_applied != order.machine.last_applied:
+            node.last_applied = order.machine.last_applied
+            told: Compact = order.machine.compact()
             assert self._results.setdefault(told.index, told) == told, (
                 f"{where}: other result of {told.index}"
             )
-        assert order.applied.index == order.commit_index, where
+        assert order.machine.last_applied == order.commit_index, where
 
-    def _check_authority(self, where: str) -> None:
+    def _check_leader_lease(self, where: str) -> None:
         """While one may believe that it is the only leader, none leads in a higher term."""
         leaders = [n for n in self.nodes.values() if n.order is not None and n.order.role == "leader"]
         if len(leaders) < 2:
@@ -385,8 +385,8 @@
             assert node.order is not None
             clock = node.clock(self.now)
             if terms[node.name] < max(terms.values()):
-                assert node.order.authority_until(clock) <= clock, (
-                    f"{where}: authority of {node.name}: {terms}"
+                assert node.order.leader_lease_until(clock) <= clock, (
+                    f"{where}: leader lease of {node.name}: {terms}"
                 )
 
 
@@ -488,7 +488,7 @@
     def effective(self) -> None:
         """What is pending takes effect."""
         if name := self.world.leader():
-            pending = self.world.order(name).applied.pending
+            pending = self.world.order(name).machine.pending
             self.world.do(name, lambda order, now: order.propose_effective(now, pending))
 
     def slots(self) -> None:
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -34,8 +34,8 @@
     return messages.Store(token, meta, tuple(entries), compact, cut)
 
 
-def meta(term=1, disk="d", incarnation=1, vote=""):
-    return Meta(disk, incarnation, term, vote)
+def meta(term=1, disk="d", incarnation=1, voted_for=""):
+    return Meta(disk, incarnation, term, voted_for)
 
 
 def entry(index, term=1, size=0):
@@ -199,7 +199,7 @@
 
 HISTORY = [
     [store(meta(), entries(1, 3))],
-    [store(meta(2, vote="n"), entries(2, 4, 2, 200))],
+    [store(meta(2, voted_for="n"), entries(2, 4, 2, 200))],
     [store(None, entries(5, 6, 2), compact(3, 2))],
     [store(meta(3)), store(None, entries(6, 6, 3)), store(None, [], compact(5, 3))],
     [store(None, entries(10, 11, 4, 300), compact(9, 4), True)],
@@ -331,7 +331,8 @@
 
 @pytest.mark.parametrize("place", [bit_of, header_of])
 def test_a_vote_that_rotted_is_not_forgotten_silently(place):
-    disk, _ = played([[store(meta())], [store(meta(2, vote="them"))], [store(None, entries(1, 1))]], 2**20)
+    voted = store(meta(2, voted_for="them"))
+    disk, _ = played([[store(meta())], [voted], [store(None, entries(1, 1))]], 2**20)
     _, opened = opened_at(rotted(disk, *place(disk, b"them")))
     assert opened.meta == meta() and not opened.whole
 
@@ -540,7 +541,8 @@
     disk, _ = played(HISTORY[:1])
     journal, _ = opened_at(disk, 2**20)
     calls = len(disk.calls)
-    journal.write([store(meta(2, vote="n"), entries(4, 6)), store(meta(3)), store(None, entries(6, 9, 3))])
+    voted = store(meta(2, voted_for="n"), entries(4, 6))
+    journal.write([voted, store(meta(3)), store(None, entries(6, 9, 3))])
     assert [call.split()[0] for call in disk.calls[calls:]] == ["append", "sync"]
 
 
@@ -577,7 +579,7 @@
     disk, _ = played([[store(meta(incarnation=1))]])
     older = Platter(disk.files())
     journal, _ = opened_at(disk)
-    journal.write([store(meta(7, incarnation=2, vote="them"))])
+    journal.write([store(meta(7, incarnation=2, voted_for="them"))])
     opened = opened_at(older)[1]
     # What others remember of incarnation 2 will tell.
     assert opened.whole and opened.meta == meta(incarnation=1)
