--- a/fordtrestle/http/requests.py
+++ b/fordtrestle/http/requests.py
@@ -14,7 +14,7 @@
 TAIL = 64  # bytes of a target by which its end is found again
 
 BUDGET_MOST_MS = 3_600_000.0
-BUDGET = re.compile(r"(\d{1,12}(?:\.\d{1,6})?)([mu])")
+BUDGET = re.compile(r"(\d{1,12}(?:\.\d{1,20})?)([mu])")  # as many decimals as any machine writes of a number
 IDENTITY = re.compile(r"[!-~]{1,128}")
 TARGET = re.compile(rb"/[!\"$-~]*")  # RFC 9112, 3.2.1: a path and a query; a fragment is never sent
 # RFC 3986, 5.2.4: a server may take these away, and find the path of another class. And control
@@ -97,14 +97,14 @@
     def end_head(self) -> None:
         """The head is whole: index its fields, and reject what can be read in two ways."""
         values = self._values
-        for field in self.headers:
-            name = small(field[0])
+        for key, raw in self.headers:
+            name, value = small(key), raw.rstrip(b" \t")  # RFC 9110, 5.5: what is behind it is not of it
             if name in ONCE and name in values:
                 raise BadRequest(400, f"{name}: more than once")
-            values[name] = field[1]
+            values[name] = value
             if name in PASSED_ON:
-                self._passed.append(field)
-        if values.get("transfer-encoding", b"chunked") != b"chunked":
+                self._passed.append((key, value))
+        if values.get("transfer-encoding", b"chunked").lower() != b"chunked":
             raise BadRequest(501, "Transfer-Encoding: only chunked")
         if int(values.get("content-length") or 0) > wire.MAX_BODY:
             raise BadRequest(413, "body too large")
--- a/fordtrestle/http/wire.py
+++ b/fordtrestle/http/wire.py
@@ -112,10 +112,10 @@
         del self._parser
 
     def header(self, name: bytes) -> bytes | None:
-        """A header's first value."""
+        """A header's first value, without what is blank behind it (RFC 9110, 5.5)."""
         for key, value in self.headers:
             if key.lower() == name:
-                return value
+                return value.rstrip(b" \t")
         return None
 
     def _count(self, size: int) -> None:
--- /dev/null
+++ b/tests/http/test_forms.py
@@ -0,0 +1,154 @@
+"""Requests and answers in all forms that the protocol allows, whole and in pieces of any size."""
+
+from __future__ import annotations
+
+import asyncio
+import itertools
+
+import pytest
+
+from poppypulley.model import Fail, Outcome
+from tests.loopback import OK, App, Scripted, Upstream, loopback, running, until
+
+IDS = itertools.count()
+KEY = b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
+HEAD = b"Host: api.internal\r\nX-Call-Id: %b\r\nX-Caller: globex\r\n"
+
+
+def form(start, *rows, body=b"", budget=b"4000m"):
+    """A request but for its identity: its class is the first part of its path."""
+    name = start.split(b"/")[1].split(b"?")[0].split(b" ")[0]
+    lines = [b"X-Call-Class: " + name, b"X-Budget: " + budget, *rows]
+    return start + b" HTTP/1.1\r\n" + HEAD + b"\r\n".join(lines) + b"\r\n\r\n" + body
+
+
+KEYED = b"Idempotency-Key: " + KEY
+CHUNKS = b"3\r\nabc\r\n1;name=value\r\nd\r\n0\r\n\r\n"
+FORMS = {
+    "safe": form(b"GET /look"),
+    "a longer path and a query": form(b"GET /look/a/b?c=d&e=f%20g"),
+    "microseconds": form(b"GET /look", budget=b"4000000u"),
+    "a fraction": form(b"GET /look", budget=b"3999.9999999999995m"),
+    "no user among cookies": form(b"GET /look", b"Cookie: theme=dark"),
+    "a user among cookies": form(b"GET /look", b"Cookie: theme=dark; user=7f3a9c21e0b4d655; last=1"),
+    "a retry": form(b"GET /look", b"X-Again: 1"),
+    "a guess at the work and figures": form(b"GET /look", b"X-Call-Cost: 1250.5", b"X-Call-Info: a=1,b=0.5"),
+    "a length of 0": form(b"GET /look", b"Content-Length: 0"),
+    "kept open in words": form(b"GET /look", b"Connection: keep-alive"),
+    "small letters": form(b"GET /look").replace(b"X-C", b"x-c").replace(b"X-B", b"x-b"),
+    "capitals": form(b"GET /look").replace(b"X-Budget", b"X-BUDGET").replace(b"Host", b"HOST"),
+    "no space behind the colon": form(b"GET /look").replace(b": ", b":"),
+    "spaces and tabs round values": form(b"GET /look").replace(b": ", b": \t ").replace(b"m\r", b"m \t\r"),
+    "an empty line before it": b"\r\n" + form(b"GET /look"),
+    "fields that nobody knows": form(b"GET /look", b"X-Other: 1", b"X-Other: 2", b"Accept: */*"),
+    "keyed": form(b"POST /book/1", KEYED, b"Content-Length: 5", body=b"hello"),
+    "keyed, in chunks": form(b"POST /book", KEYED, b"Transfer-Encoding: chunked", body=CHUNKS),
+    "keyed, no body": form(b"POST /book", KEYED, b"Content-Length: 0"),
+    "unsafe": form(b"POST /pay", b"Content-Length: 4", body=b"\r\n\r\n"),
+    "unsafe, in chunks": form(b"POST /pay", b"transfer-encoding: Chunked", body=CHUNKS),
+    "unsafe, in chunks with a trailer": form(
+        b"POST /pay", b"Transfer-Encoding: chunked", body=CHUNKS[:-2] + b"X-Sum: 1\r\n\r\n"
+    ),
+    "the largest body": form(b"POST /pay", b"Content-Length: 65536", body=b"x" * 65536),
+}
+
+
+def whole_body(raw):
+    """The body as it has to reach a server."""
+    body = raw.lstrip().partition(b"\r\n\r\n")[2]
+    return b"abcd" if b"hunked\r\n" in raw else body
+
+
+async def send_in(writer, pieces):
+    for piece in pieces:
+        writer.write(piece)
+        await writer.drain()
+        await asyncio.sleep(0)
+
+
+def cut(raw, size):
+    return [raw[at : at + size] for at in range(0, len(raw), size)]
+
+
+@pytest.mark.parametrize("what", FORMS)
+@loopback
+async def test_a_request_of_any_form_in_any_pieces_goes_on_unchanged_and_is_answered(what):
+    raw = FORMS[what]
+    upstream = await Upstream([OK]).start()
+    async with running(upstream, balancer=Scripted()) as sidecar:
+        app = await App.connect(sidecar.address)
+        small = len(raw) < 1000
+        ways = [[len(raw)], *([[1], [2], [7]] if small else [[1000]])]
+        halves = [[at, len(raw)] for at in range(1, len(raw), 3)] if small else []
+        for sizes in ways + halves:
+            name = b"%016x" % next(IDS)
+            told = raw.replace(b"%b", name)
+            pieces = cut(told, sizes[0]) if len(sizes) == 1 else [told[: sizes[0]], told[sizes[0] :]]
+            await send_in(app.writer, pieces)
+            answer = await app.answer()
+            assert answer is not None and (answer.start[9:12], answer.body) == ("200", b"done"), answer
+            seen = upstream.seen[-1]
+            assert seen.headers["x-call-id"] == name.decode()
+            assert seen.start.encode() == raw.lstrip().partition(b"\r\n")[0]
+            assert seen.headers.get("idempotency-key") == (KEY.decode() if KEY in raw else None)
+            assert seen.body == whole_body(raw)
+            assert 0 < int(seen.headers["x-budget"].removesuffix("u")) <= 4_000_000
+        assert len(upstream.seen) == len(ways + halves)
+        app.close()
+
+
+CHUNKED = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+ANSWERS = {
+    "a length": OK,
+    "chunks": CHUNKED + b"4\r\ndone\r\n0\r\n\r\n",
+    "chunks of one byte": CHUNKED + b"1\r\nd\r\n1\r\no\r\n1\r\nn\r\n1\r\ne\r\n0\r\n\r\n",
+    "chunks with extensions and a trailer": CHUNKED + b"4;a=b\r\ndone\r\n0\r\nX-Sum: 1\r\n\r\n",
+    "chunks in capitals": CHUNKED.replace(b"chunked", b"Chunked") + b"4\r\ndone\r\n0\r\n\r\n",
+    "names in small letters": OK.lower().replace(b"http/1.1 200 ok", b"HTTP/1.1 200 OK"),
+    "no words behind the status": OK.replace(b" OK", b" "),
+    "closed behind it": OK.replace(b"\r\n\r\n", b"\r\nConnection: close\r\n\r\n"),
+    "interim answers ahead": b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + OK,
+    "spaces round values": OK.replace(b": ", b": \t ").replace(b"4\r\n", b"4 \t\r\n"),
+}
+REJECTED = b"HTTP/1.1 %d Full\r\nx-rejected: 1%b\r\nContent-Length: 4\r\n\r\nfull"
+REJECTIONS = {
+    f"{status}, {blank!r} behind the value": REJECTED % (status, blank.encode())
+    for status in (503, 504)
+    for blank in ("", " \t")
+}
+
+
+def in_pieces(raw, size):
+    async def reply(reader, writer):
+        await send_in(writer, cut(raw, size))
+        return b""
+
+    return reply
+
+
+@pytest.mark.parametrize("size", [1, 3, 1000])
+@pytest.mark.parametrize("what", ANSWERS)
+@loopback
+async def test_an_answer_of_any_form_in_any_pieces_is_served_unchanged(what, size):
+    upstream = await Upstream([in_pieces(ANSWERS[what], size)]).start()
+    async with running(upstream, balancer=Scripted()) as sidecar:
+        app = await App.connect(sidecar.address)
+        for _ in range(3):
+            answer = await app.ask()
+            assert answer is not None and (answer.start[9:12], answer.body) == ("200", b"done"), answer
+        app.close()
+
+
+@pytest.mark.parametrize("size", [1, 3, 1000])
+@pytest.mark.parametrize("what", REJECTIONS)
+@loopback
+async def test_a_rejection_in_any_pieces_never_ran(what, size):
+    """An unsafe request that was rejected may be sent again, once it is known to be that."""
+    upstream = await Upstream([in_pieces(REJECTIONS[what], size)]).start()
+    module = Scripted(outcome=lambda now, number, *rest: [Fail(number)])
+    async with running(upstream, balancer=module) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.send("POST", "/pay", b"now")
+        await until(lambda: module.outcomes())
+        assert module.outcomes()[0][1] == Outcome.FULL
+        app.close()
