--- a/rig/cluster/cluster.py
+++ b/rig/cluster/cluster.py
@@ -21,9 +21,10 @@
 from rig import ledger
 from rig.callers import Caller, Callers, Seen
 from rig.cluster import history, site
-from rig.cluster.judging import Change, Down, Played, Used, alike, told_rows
+from rig.cluster.judging import Change, Played, Used, alike, told_rows
 from rig.cluster.links import Address, Player
 from rig.cluster.nodes import Life, Node, Processes, start_all
+from rig.cluster.outages import Down
 from rig.cluster.relays import Relays
 from rig.cluster.schedules import SERVERS, Link, News, Schedule, Step, line_of, names, servers
 from rig.helper import ROOT
--- a/rig/cluster/judging.py
+++ b/rig/cluster/judging.py
@@ -21,13 +21,13 @@
 from rig.cluster.checkers import Finding, check_rules, check_versions, worst
 from rig.cluster.entries import check_entries, contradictions_by_entry, recovery_by_entry_ms
 from rig.cluster.history import LIST, Acted, Event, Learned, Started, Stored
+from rig.cluster.outages import Down, Faulted
 from rig.cluster.promises import check_drains, check_durable
 from rig.cluster.schedules import Link, Reload, Schedule, Step, Stop
 
 if TYPE_CHECKING:
     from rig.cluster.checkers import Span
     from rig.cluster.links import Counts
-    from rig.cluster.nodes import Faulted
 
 DELAYS = ("cut", "stall", "loss", "late", "narrow")  # what makes bytes late on TCP
 HELD_S = 0.1  # after a link's fault until what it held has arrived
@@ -44,15 +44,6 @@
     status: str
 
 
-class Down(NamedTuple):
-    """A node's process was away, from when the rig ended it to when it was ready again."""
-
-    node: str
-    from_s: float
-    until_s: float
-    killed: bool
-
-
 @dataclass(frozen=True, slots=True)
 class Used:
     """What a node used in a play, over all of its lives; its memory is the most of its last."""
--- a/rig/cluster/nodes.py
+++ b/rig/cluster/nodes.py
@@ -30,8 +30,8 @@
 from fordtrestle.config.operator import OperatorError
 from rig.balancers import answers_ready
 from rig.cluster.clocks import DRIFT_MOST_PPM, JUMP_MOST_MS
-from rig.cluster.judging import Down
 from rig.cluster.links import Address, address_of, free_port
+from rig.cluster.outages import Down, Faulted
 from rig.cluster.schedules import Clock, Disk, DiskFault, Kill, Reload, Step, Stop, Writes
 from rig.helper import ROOT
 from rig.process import Program, ProgramError, Usage, clean_environment
@@ -594,19 +594,6 @@
 # --- steps of a schedule ------------------------------------------------------------------
 
 
-@dataclass(slots=True)
-class Faulted:
-    """A disk was not what it promises, by the loop's milliseconds; infinite where it still is not.
-
-    `writes` is the fault's word, or `emptied` or `older` for what a kill left: what was stored from
-    `begin_ms` to `end_ms` is gone then."""
-
-    node: str
-    writes: str
-    begin_ms: float
-    end_ms: float = math.inf
-
-
 Act = Callable[[float], Coroutine[Any, Any, None]]  # given the loop time at which it is to be over
 
 
--- a/tests/rig/cluster/test_cluster.py
+++ b/tests/rig/cluster/test_cluster.py
@@ -20,9 +20,10 @@
 from rig.cluster import schedules, site
 from rig.cluster.cluster import REGISTRY, Cluster, Restorable, _killed_s
 from rig.cluster.history import Started
-from rig.cluster.judging import Change, Disks, Down, Excuses, Played, alike, judge, told_rows
+from rig.cluster.judging import Change, Disks, Excuses, Played, alike, judge, told_rows
 from rig.cluster.live import View, Watch, tail
-from rig.cluster.nodes import Faulted, PlatformNode, Processes
+from rig.cluster.nodes import PlatformNode, Processes
+from rig.cluster.outages import Down, Faulted
 from rig.cluster.schedules import FORMAT, Head, Kill, Link, News, Reload, Schedule, Stop
 from rig.helper import ROOT
 from rig.ledger import Asked, Breach, Crash, Execution, Ledger
