--- a/poppypulley/balancer.py
+++ b/poppypulley/balancer.py
@@ -16,6 +16,7 @@
 from hashlib import blake2b
 
 from poppypulley import model
+from poppypulley.model import Cause
 
 Report = Mapping[str, float] | None
 
@@ -295,6 +296,11 @@
                 least, chance = cost, part if mine else 0.0
         return chance
 
+    def blamed(self, now: float, drop: float) -> Cause:
+        """Which of the three that `chance` goes by asks for the most."""
+        shed = self.level(now) - SHED_IDLE
+        return max((drop, Cause.THROTTLE), (shed, Cause.SHED), (self.pressure, Cause.PRESSURE))[1]
+
 
 @dataclass(slots=True, eq=False)
 class Pace:
@@ -403,6 +409,7 @@
     attempts: list[Attempt] = field(default_factory=list)
     out: int = 0
     done: bool = False
+    why: Cause = Cause.DRAIN  # no server was drawn for it
 
     def useful_until(self) -> float:
         """When an answer stops earning anything."""
@@ -556,7 +563,7 @@
         if self._set.warm_keys and key is not None:
             self._count_key(key)
         if self._too_heavy(now, request):
-            self._give_up(now, request)
+            self._give_up(now, request, Cause.NO_TIME)
         elif request.in_turn and key is not None:
             self._queue(now, request, key)
         else:
@@ -626,7 +633,7 @@
         elif token.startswith(LATE):
             request = self._requests.get(int(token[len(LATE) :]))
             if request is not None and not request.attempts:
-                self._give_up(now, request)
+                self._give_up(now, request, Cause.NO_TIME)
         elif token.startswith(TURN):
             self._advance(now, int(token[len(TURN) :]))
         elif token.startswith(CLOSE):
@@ -694,16 +701,15 @@
             chance = self._shed.chance(now, drop, request.traffic_class, request.over)
             if chance > 0.0 and self._rng.random() < chance:
                 self._throttle.add(now, 0.0)
-                self._give_up(now, request)
+                self._give_up(now, request, self._shed.blamed(now, drop))
                 return
         elif not self._trial(now):
-            self._give_up(now, request)
+            self._give_up(now, request, Cause.OUTAGE)
             return
-        drawn = self._draw(now, request)
-        if not drawn:
-            self._give_up(now, request)
-        else:
+        if drawn := self._draw(now, request):
             self._send(now, request, min(drawn, key=lambda server: self._load(now, server)))
+        else:
+            self._give_up(now, request, request.why)
 
     def _is_out(self, now: float) -> bool:
         """Whether nothing is accepted: five attempts and 0.3 s without an accept or a `full`."""
@@ -796,7 +802,7 @@
         """A few random servers, each as likely as its share of the capacity."""
         if self._cut_off and (drawn := self._zone_trial(now, request)):
             return drawn
-        drawn = []
+        drawn, request.why = [], Cause.ATTEMPTS if request.attempts else Cause.DRAIN
         tried = [attempt.server for attempt in request.attempts if not attempt.stale]
         if self._set.warm_keys and request.key is not None:
             drawn = self._draw_for_key(now, request, request.key)
@@ -822,9 +828,7 @@
             share = self._capacity(now, server) / top
             if share < 1.0 and self._rng.random() >= share:
                 continue
-            if server in tried or server in drawn:
-                continue
-            if not self._may_draw(now, request, server, ring, reach):
+            if server in tried or server in drawn or not self._may_draw(now, request, server, ring, reach):
                 continue
             drawn.append(server)
             if len(drawn) >= CANDIDATES + FRESH_CANDIDATES * max(0.0, self._connect_ill - FRESH_ILL):
@@ -873,9 +877,8 @@
             if (warmth < 1.0 and request.attempts) or server.open >= crowd:
                 continue
             fitness = warmth * server.pace.speed
-            if fitness < 1.0 and self._rng.random() >= fitness:
-                continue
-            if server in tried or not self._may_draw(now, request, server, near, len(near)):
+            passed = fitness < 1.0 and self._rng.random() >= fitness
+            if passed or server in tried or not self._may_draw(now, request, server, near, len(near)):
                 continue
             drawn.append(server)
             if len(drawn) >= width:
@@ -945,7 +948,7 @@
         asked = now, request.id, len(ring), reach
         if asked != self._to_cold[0]:
             full = sum(self._capacity(math.inf, other) for other in ring[:reach])
-            fit = sum(self._capacity(now, other) for other in ring[:reach] if self._fit(now, other))
+            fit = sum(self._capacity(now, other) for other in ring[:reach] if not self._unfit(now, other))
             left = fit / full * len(self._ring) / self._most_servers
             if ring is self._near:  # all of this zone keep to it, however few are left there
                 left *= min(1.0, len(ring) * self._set.zones / len(self._ring))
@@ -964,16 +967,21 @@
     # --- health -----------------------------------------------------------
 
     def _may_draw(self, now: float, request: Request, server: Server, ring: list[Server], reach: int) -> bool:
-        fit = self._fit(now, server) and self._may_send(now, request, server)
-        return fit and self._cold_room(now, request, server, ring, reach)
-
-    def _fit(self, now: float, server: Server) -> bool:
-        """Whether a server may be drawn; one that struck gets a single trial."""
-        if now < server.rest_until or self._is_cut_off(now, server):
-            return False
+        why = self._unfit(now, server) or self._barred(now, request, server)
+        if why is None and self._cold_room(now, request, server, ring, reach):
+            return True
+        request.why = max(request.why, why or Cause.COLD)
+        return False
+
+    def _unfit(self, now: float, server: Server) -> Cause | None:
+        """Why a server may not be drawn, if so; one that struck gets a single trial."""
+        if now < server.rest_until or not server.usable:
+            return Cause.RESTING
+        if self._is_cut_off(now, server):
+            return Cause.CUT_OFF
         if server.open >= server.room + (now - server.room_at) / ROOM_REGAIN_MS:
-            return False
-        return server.strikes == 0 or server.open == 0
+            return Cause.FULL_ROOM
+        return Cause.RESTING if server.strikes and server.open else None
 
     def _learn(self, now: float, request: Request, attempt: Attempt, status: int, spent: float) -> None:
         """Charge an outcome to the server's own health or to the service."""
@@ -1152,15 +1160,14 @@
         if len(request.attempts) < request.attempts_most and now < request.useful_until():
             self._try(now, request)
         else:
-            self._give_up(now, request)
+            self._give_up(now, request, Cause.ATTEMPTS if now < request.useful_until() else Cause.NO_TIME)
 
     def _timeout(self, now: float, request: Request) -> float:
         """How long to wait for an attempt before it is better spent elsewhere."""
         useful, profile = request.useful_until(), request.profile
         whole = max(0.0, (useful if useful > now else request.give_up_at) - now)
-        again = profile.semantics == "pure" or (profile.semantics == "token" and profile.group == "all")
         quick = self._slowness < SLOW and now - self._silent_at < REST_MAX_MS
-        if again and quick and len(request.attempts) + 1 < request.attempts_most:
+        if profile.harmless and quick and len(request.attempts) + 1 < request.attempts_most:
             # Guards against hung and silent servers, also where they hold up a key's line. Only
             # after one was met and while answers are quick: in a crowd repeats would add to it.
             usual = self._usual()
@@ -1177,7 +1184,7 @@
         usual = self._usual()
         left = request.useful_until() - usual - now
         if left < usual * len(turn.line) and turn.line:
-            self._give_up(now, request)
+            self._give_up(now, request, Cause.NO_TIME)
             return
         turn.line.append(request)
         self._advance(now, key)
@@ -1213,31 +1220,22 @@
 
     # --- the rules: every send, refusal and failure passes here -------------
 
-    def _may_send(self, now: float, request: Request, server: Server) -> bool:
-        if request.done or not server.usable or now >= request.give_up_at:
-            return False
-        if len(request.attempts) >= request.attempts_most:
-            return False
-        if request.out and not self._set.parallel_tries:
-            return False
+    def _barred(self, now: float, request: Request, server: Server) -> Cause | None:
+        """Why a request may not be sent to a server, if so."""
+        if request.done or now >= request.give_up_at:
+            return Cause.NO_TIME
+        if len(request.attempts) >= request.attempts_most or (request.out and not self._set.parallel_tries):
+            return Cause.ATTEMPTS
         if request.in_turn and request.key is not None:
             turn = self._turns[request.key]
             if turn.line[0] is not request or (now < turn.rest_until and not request.attempts):
-                return False
-        bound = request.bound()
-        profile = request.profile
-        if bound is None or profile.semantics == "pure":
-            return True
-        if profile.semantics == "side_effect" or now - bound.sent >= profile.key_ttl:
-            return False
-        group = profile.group
-        return group == "all" or self._group(group, server) == self._group(group, bound.server)
-
-    def _may_refuse(self, request: Request) -> bool:
-        profile = request.profile
-        if profile.semantics == "pure" or request.bound() is None:
-            return True
-        return profile.semantics == "token" and profile.group == "all"
+                return Cause.NO_TIME
+        bound, profile, group = request.bound(), request.profile, request.profile.group
+        if bound is not None and profile.semantics != "pure":
+            lost = profile.semantics == "side_effect" or now - bound.sent >= profile.key_ttl
+            if lost or (group != "all" and self._group(group, server) != self._group(group, bound.server)):
+                return Cause.MAY_HAVE_RUN
+        return None
 
     def _send(self, now: float, request: Request, server: Server) -> None:
         timeout, within, bound = self._timeout(now, request), math.inf, request.bound()
@@ -1264,13 +1262,16 @@
         self._open += 1
         self._out.append(model.Send(request.id, server.name, timeout, within))
 
-    def _give_up(self, now: float, request: Request) -> None:
+    def _give_up(self, now: float, request: Request, cause: Cause) -> None:
         """The final answer where no attempt has served."""
         if request.done or request.out:
             return
         wait = min(COME_BACK * request.profile.objective, request.wait_most)
-        refuse = self._may_refuse(request)
-        self._out.append(model.Refuse(request.id, wait) if refuse else model.Fail(request.id))
+        bound = request.bound()
+        if bound is not None and cause != Cause.NO_TIME:
+            cause = self._barred(now, request, bound.server) or cause
+        refuse = bound is None or request.profile.harmless
+        self._out.append(model.Refuse(request.id, wait, cause) if refuse else model.Fail(request.id, cause))
         self._close(request)
         self._forget(now, request)
 
@@ -1350,7 +1351,5 @@
             self._out.append(model.Timer(delay, WATCH))
 
     def _take(self) -> list[model.Action]:
-        out = self._out
-        if out:
-            self._out = []
+        out, self._out = self._out, []
         return out
--- a/poppypulley/model.py
+++ b/poppypulley/model.py
@@ -22,6 +22,29 @@
     ABANDONED = 7
 
 
+class Cause(IntEnum):
+    """Why a request was refused or failed; each answer has one.
+
+    Of several that hold, that its time is over comes first; for one that may have run, then that its attempts
+    are used up, or else that no rule lets it be sent again; and then the first check that turned it away: the
+    lots (of THROTTLE, SHED and PRESSURE the one that asks for the most, of equals the last), the trials of an
+    OUTAGE, the draw. Where servers were kept from the draw for several reasons, the last of them as listed
+    here is blamed: its server came nearest to being sent to."""
+
+    DRAIN = 0  # no server of the list takes requests: none is told, or all of them leave
+    ATTEMPTS = 1  # none is left, or each server that it may go to was tried
+    MAY_HAVE_RUN = 2  # and no rule lets it be sent again, or not there
+    NO_TIME = 3  # left; or it would come too late: too heavy, or its turn too far off
+    RESTING = 4  # the server was ejected, turned all away or refused connections, and has its one trial out
+    CUT_OFF = 5  # the server's zone is silent while another is not
+    FULL_ROOM = 6  # the server holds as many of ours as it takes
+    COLD = 7  # the server is cold, and has had what it may have of this fleet
+    OUTAGE = 8  # nothing at all is accepted, and its trials are out
+    THROTTLE = 9  # the window's requests exceed what was accepted too far
+    SHED = 10  # servers turn work away: what is worth least goes
+    PRESSURE = 11  # this sidecar itself is pressed
+
+
 class Send(NamedTuple):
     """Start an attempt; it times out after `timeout` milliseconds. One whose first byte is not written
     `begin_within` milliseconds from now must not begin any more: its outcome is ABANDONED."""
@@ -37,12 +60,14 @@
 
     request: int
     retry_after: float
+    cause: Cause = Cause.DRAIN
 
 
 class Fail(NamedTuple):
     """Final answer: failed, with no promise about effects."""
 
     request: int
+    cause: Cause = Cause.DRAIN
 
 
 class Cancel(NamedTuple):
@@ -137,6 +162,11 @@
     in_turn: bool  # requests with one key run one at a time, in the order taken
     gone: bool = False  # of settings that have changed: the class keeps its place, and no attempt is begun
 
+    @property
+    def harmless(self) -> bool:
+        """Whether one that may have run may be sent again to any server, by its client, too."""
+        return self.semantics == "pure" or (self.semantics == "token" and self.group == "all")
+
 
 @dataclass(frozen=True, slots=True)
 class Settings:
--- a/tests/poppypulley/test_settle.py
+++ b/tests/poppypulley/test_settle.py
@@ -11,7 +11,7 @@
 
 from poppypulley import Balancer, Settings
 from poppypulley.balancer import Zone
-from poppypulley.model import Arrival, CloseIdle, Fail, Listing, Outcome, Refuse, Send, Timer
+from poppypulley.model import Arrival, Cause, CloseIdle, Fail, Listing, Outcome, Refuse, Send, Timer
 from tests.poppypulley.helpers import arrival, balancer, of_type, raw_settings
 from tests.poppypulley.test_rules_property import NEVER_RAN, STEPS, World, play, site
 
@@ -97,7 +97,7 @@
     for before, after, wait in ((50.0, 5.0, 5.0), (5.0, 50.0, 5.0), (50.0, 0.0, 0.0)):
         waits = [{**LIMITS, "MaxAttempts": 1, "MaxRetryAfter": most} for most in (before, after)]
         made = changed(["safe"], told("safe", PolicyLimits=waits[1]), PolicyLimits=waits[0])
-        assert made.outcome(20.0, 1, 0, Outcome.RESET, 20.0)[-1] == Refuse(1, wait)
+        assert made.outcome(20.0, 1, 0, Outcome.RESET, 20.0)[-1] == Refuse(1, wait, Cause.ATTEMPTS)
 
 
 def test_a_class_that_goes_begins_no_attempt_and_what_is_open_gets_its_one_answer():
