--- a/fordtrestle/http/accept.py
+++ b/fordtrestle/http/accept.py
@@ -12,7 +12,7 @@
 from fordtrestle.engine.connections import TableEntry
 from fordtrestle.engine.limits import Part
 from fordtrestle.http import stream
-from fordtrestle.http.listener import HeldConnection
+from fordtrestle.http.held import HeldConnection
 
 # Connections accepted in one turn of the loop. Guards against a flood that keeps the loop from all
 # else: what was accepted in a turn is looked at before more is.
--- a/fordtrestle/http/call.py
+++ b/fordtrestle/http/call.py
@@ -2,16 +2,39 @@
 
 from __future__ import annotations
 
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from fordtrestle.engine.driver import OpenRequest
 from fordtrestle.engine.ports import Answer
 from fordtrestle.http import requests
+from fordtrestle.http.held import HeldConnection
 from fordtrestle.http.requests import BadRequest, Message, RequestNames
 from fordtrestle.http.wire import Headers
 
-if TYPE_CHECKING:
-    from fordtrestle.http.downstream import ClientConnection
+
+class OpenConnection(HeldConnection, Protocol):
+    """A connection whose client has said something, as its calls and the front see it."""
+
+    held: int  # bytes in the front's accounting
+
+    @property
+    def taken(self) -> int:
+        """Bytes of answers that its client's kernel has."""
+
+    def has_left(self) -> bool:
+        """Whether its client has closed or reset it."""
+
+    def answered(self) -> None:
+        """A call has its answer."""
+
+    def over(self, call: ClientCall) -> None:
+        """Nothing of a request is out any more."""
+
+    def reject(self, status: int, text: str = "") -> None:
+        """Answer what can't be read on from, once requests before it are answered."""
+
+    def end_with_this(self) -> None:
+        """Read no more requests: it ends with the answer to the last one read."""
 
 
 class ClientCall:
@@ -22,7 +45,7 @@
         *("keep_alive", "key", "mutates", "names", "request", "size", "tenant", "work"),
     )
 
-    def __init__(self, connection: ClientConnection) -> None:
+    def __init__(self, connection: OpenConnection) -> None:
         self.connection = connection
         self.keep_alive = True
         self.request: OpenRequest | None = None
--- a/fordtrestle/http/downstream.py
+++ b/fordtrestle/http/downstream.py
@@ -10,7 +10,8 @@
 from fordtrestle.engine.connections import TableEntry
 from fordtrestle.http import requests, stream, wire
 from fordtrestle.http.call import ClientCall
-from fordtrestle.http.listener import HeldConnection, Listener
+from fordtrestle.http.held import HeldConnection
+from fordtrestle.http.listener import Listener
 from fordtrestle.http.requests import BadRequest, Message
 
 READY_PATH = "/health/ready"
--- a/fordtrestle/http/front.py
+++ b/fordtrestle/http/front.py
@@ -16,9 +16,10 @@
 from fordtrestle.engine.ports import Address
 from fordtrestle.http import requests, stream
 from fordtrestle.http.accept import Acceptor, PendingConnection, queued
-from fordtrestle.http.call import ClientCall
+from fordtrestle.http.call import ClientCall, OpenConnection
 from fordtrestle.http.downstream import SEND_BUFFER, ClientConnection
-from fordtrestle.http.listener import HeldConnection, Taker
+from fordtrestle.http.held import HeldConnection
+from fordtrestle.http.listener import Taker
 from fordtrestle.http.requests import BadRequest, Message, RequestNames
 
 BACKLOG = 1024
@@ -79,9 +80,9 @@
         self._calls: set[str] = set()  # identities of requests of which something is open
         self._parts: dict[HeldConnection, Part] = {}  # which part its descriptor is taken from
         # Whose client does not read, the longest first.
-        self._stuck: dict[ClientConnection, Stuck] = {}
-        self.unread: dict[ClientConnection, None] = {}  # of whom nothing is read at present
-        self._halves: dict[ClientConnection, None] = {}  # half of a request is held of them, the oldest first
+        self._stuck: dict[OpenConnection, Stuck] = {}
+        self.unread: dict[OpenConnection, None] = {}  # of whom nothing is read at present
+        self._halves: dict[OpenConnection, None] = {}  # half of a request is held of them, the oldest first
         self._starting: set[asyncio.Task[None]] = set()
         self._sweeping: asyncio.TimerHandle | None = None
         self._acceptors: list[Acceptor] = []
@@ -299,16 +300,16 @@
 
     # --- bytes ------------------------------------------------------------------
 
-    def stuck(self, connection: ClientConnection) -> None:
+    def stuck(self, connection: OpenConnection) -> None:
         """Its client does not read; who has not for longest stands first."""
         now = self.clock.now()
         self._stuck[connection] = Stuck(connection.taken, now, now)
 
-    def flowing(self, connection: ClientConnection) -> None:
+    def flowing(self, connection: OpenConnection) -> None:
         """It has read all of it."""
         self._stuck.pop(connection, None)
 
-    def hold(self, connection: ClientConnection, size: int, half: bool = False) -> bool:
+    def hold(self, connection: OpenConnection, size: int, half: bool = False) -> bool:
         """So many bytes are held by a connection now, if it is `half` of a request it has sent; whether there
         is room for them."""
         if half:
@@ -398,7 +399,7 @@
         elif call.call_id in self._calls:
             call.request = request
 
-    def _has_place(self, connection: ClientConnection) -> bool:
+    def _has_place(self, connection: OpenConnection) -> bool:
         """Whether a connection has a place, or gets one now; one that has none ends with its answer.
 
         Guards against cutting a client off at the limit: it is told, and told when to come back."""
--- a/fordtrestle/http/listener.py
+++ b/fordtrestle/http/listener.py
@@ -1,20 +1,18 @@
-"""What a client's connection sees of the front that holds it, and the front of a connection it holds."""
+"""What a client's connection sees of the front that holds it."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import TYPE_CHECKING, Protocol
+from typing import Protocol
 
 from fordtrestle.engine.clock import Clock
 from fordtrestle.engine.connections import ConnectionTable, TableEntry
 from fordtrestle.engine.driver import OpenRequest
 from fordtrestle.engine.lag import LagMeter
-from fordtrestle.http.call import ClientCall
+from fordtrestle.http.call import ClientCall, OpenConnection
+from fordtrestle.http.held import HeldConnection
 from fordtrestle.http.requests import Message
 
-if TYPE_CHECKING:
-    from fordtrestle.http.downstream import ClientConnection
-
 
 class Taker(Protocol):
     """What requests are given to."""
@@ -35,7 +33,7 @@
     draining: bool
     table: ConnectionTable[HeldConnection]
     lag: LagMeter
-    unread: dict[ClientConnection, None]  # of whom nothing is read at present
+    unread: dict[OpenConnection, None]  # of whom nothing is read at present
 
     def rests(self, entry: TableEntry[HeldConnection]) -> None:
         """All that a connection asked is answered."""
@@ -49,38 +47,15 @@
     def over(self, call: ClientCall) -> None:
         """Nothing of a request is open any more."""
 
-    def hold(self, connection: ClientConnection, size: int, half: bool = False) -> bool:
+    def hold(self, connection: OpenConnection, size: int, half: bool = False) -> bool:
         """So many bytes are held by a connection now, if it is `half` of a request among them; whether there
         is room for them."""
 
-    def stuck(self, connection: ClientConnection) -> None:
+    def stuck(self, connection: OpenConnection) -> None:
         """Its client does not read what is written."""
 
-    def flowing(self, connection: ClientConnection) -> None:
+    def flowing(self, connection: OpenConnection) -> None:
         """It has read all of it."""
 
     def released(self, connection: HeldConnection) -> None:
         """Its socket is closed."""
-
-
-class HeldConnection(Protocol):
-    """A client's connection, before or after its first byte."""
-
-    entry: TableEntry[HeldConnection]
-
-    @property
-    def idle(self) -> bool:
-        """Whether it stands between requests, with nothing unread on either side."""
-
-    @property
-    def quiet(self) -> bool:
-        """Whether it may be closed for another's sake."""
-
-    def close(self) -> None:
-        """Close it, between requests."""
-
-    def abort(self) -> None:
-        """Close it whatever it holds."""
-
-    def first_is_overdue(self) -> None:
-        """It has not sent a whole request for longer than any healthy client takes."""
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -82,6 +82,7 @@
     "engine/ports.py",
     "engine/pressure.py",
     "engine/schema.py",
+    "http/held.py",
     "http/requests.py",
     "http/wire.py",
     "load/arrivals.py",
