--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -150,7 +150,7 @@
     order = world.order("a")
     now = world.nodes["a"].clock(world.now) + CONFIG.election_ms
     after = with_disk(order.voters, "c", "new")
-    assert order._unbacked(now, after, "c") == "too few of the voters after it answer"
+    assert order._membership.unbacked(now, after, "c") == "too few of the voters after it answer"
 
 
 def test_of_two_under_one_name_the_one_that_votes_stays():
@@ -158,10 +158,10 @@
     order, node = world.order("a"), world.nodes["a"]
     for _ in range(100):
         world.run(10)
-        sequence = max(order._peers["c"].unanswered, default=0)
+        sequence = max(order.state.peers["c"].unanswered, default=0)
         answer = AppendEntriesResponse(2, sequence, True, order.log.last_index, "other", 1)
         world.do("a", lambda order, now, answer=answer: order.receive(now, "c", answer))
-    assert order.voters[2].disk == "disk-c" and order._peers["c"].disk == "disk-c"
+    assert order.voters[2].disk == "disk-c" and order.state.peers["c"].disk == "disk-c"
     assert order.leader_lease_until(node.clock(world.now)) > node.clock(world.now)
 
 
@@ -170,7 +170,7 @@
     elect(world, "a")
     world.drop = lambda src, send: (src, send.to) == ("c", "a")
     assert world.until(lambda: world.order("a").ready, 200)
-    peer = world.order("a")._peers["c"]
+    peer = world.order("a").state.peers["c"]
     for _ in range(2):
         assert world.until(lambda: bool(peer.unanswered), 50)
         sequence, last = max(peer.unanswered), world.order("a").log.last_index
--- a/tests/cluster/test_order.py
+++ b/tests/cluster/test_order.py
@@ -9,6 +9,7 @@
 
 import pytest
 
+from fordtrestle.cluster.election import Election
 from fordtrestle.cluster.log import PROPOSALS_MOST, Log, State, StateMachine
 from fordtrestle.cluster.members import Recovery, init_state, position, recover_state
 from fordtrestle.cluster.messages import (
@@ -31,7 +32,8 @@
     Store,
     Voter,
 )
-from fordtrestle.cluster.order import NUMBER_MOST, Order, OrderConfig, sane
+from fordtrestle.cluster.order import NUMBER_MOST, Order, sane
+from fordtrestle.cluster.raft_state import OrderConfig, RaftState
 from fordtrestle.cluster.rulebook import EMPTY, apply
 from tests.cluster.world import CONFIG, DRIFT, STRICT, VOTING, Disk, Storm, World, change
 
@@ -241,8 +243,11 @@
 
 @GUARD
 def test_who_has_answered_a_heartbeat_votes_for_nobody_while_a_leader_lease_may_hold(monkeypatch, guarded):
+    def careless(election, now):
+        return election._state.sure and election._state.role != "leader"
+
     if not guarded:
-        monkeypatch.setattr(Order, "_free", lambda order, now: order._sure and order.role != "leader")
+        monkeypatch.setattr(Election, "free", careless)
     world = led()
     cut(world, "a", "c")
     with breaks(guarded):
@@ -257,7 +262,7 @@
     assert world.until(lambda: world.order("c").role == "pre_candidate", 3000)
     world.restart("b")
     if not guarded:
-        world.order("b")._quiet_until = -math.inf
+        world.order("b").state.quiet_until = -math.inf
     world.cut.clear()
     # Only what `b` asks and is told of its disk comes from `a` any more.
     world.drop = lambda src, send: src == "a" and isinstance(send.message, AppendEntries)
@@ -307,12 +312,12 @@
     world.drop = lambda src, send: src == "a"
     grown(world, world.lead(), count=3)
     before = [(world.order(name).log.last_index, world.order(name).term) for name in "bc"]
-    heard = [world.order(name)._heard for name in "bc"]
+    heard = [world.order(name).state.heard for name in "bc"]
     for src, send in late:
         if isinstance(send.message, AppendEntries | AppendEntriesResponse):
             world.deliver(src, send)
     assert [(world.order(name).log.last_index, world.order(name).term) for name in "bc"] == before
-    assert [world.order(name)._heard for name in "bc"] == heard
+    assert [world.order(name).state.heard for name in "bc"] == heard
 
 
 # --- disks ------------------------------------------------------------------------------------
@@ -321,7 +326,7 @@
 def voted(config):
     """`c` has voted for `a` in term 2, which then is cut off; the disk of `c` as it was before, too."""
     world = World(3, "abc", config).start()
-    assert world.until(lambda: all(world.order(name)._sure for name in "abc"), 200)
+    assert world.until(lambda: all(world.order(name).state.sure for name in "abc"), 200)
     before = world.nodes["c"].disk.copy()
     world.isolate("b")
     elect(world, "a")
@@ -335,9 +340,9 @@
 def test_a_lost_disk_gives_no_vote_again(monkeypatch, guarded):
     world, _ = voted(CONFIG)
     if not guarded:
-        monkeypatch.setattr(Order, "_counts", lambda order, voter, incarnation: True)
+        monkeypatch.setattr(RaftState, "counts", lambda state, voter, incarnation: True)
         monkeypatch.setattr(
-            "fordtrestle.cluster.order.Voter.__eq__", lambda one, other: one.name == other.name
+            "fordtrestle.cluster.messages.Voter.__eq__", lambda one, other: one.name == other.name
         )
     world.nodes["c"].disk = Disk(State())
     world.cut.clear()
@@ -372,7 +377,7 @@
     world.restart("a")  # it no longer knows what `c` acknowledged
     world.cut.clear()
     world.drop = lambda src, send: "a" in (src, send.to) and isinstance(send.message, VOTING | AppendEntries)
-    world.order("a")._deadline = math.inf
+    world.order("a").state.election_at = math.inf
     world.start("c")
     with breaks(guarded):
         world.run(1000)
@@ -387,7 +392,7 @@
     world.restart("a")
     world.cut.clear()
     world.drop = lambda src, send: "a" in (src, send.to) and isinstance(send.message, VOTING | AppendEntries)
-    world.order("a")._deadline = math.inf
+    world.order("a").state.election_at = math.inf
     world.start("c")
     with breaks(guarded):
         world.run(3000)
@@ -403,7 +408,7 @@
     copy = world.nodes["c"].disk.copy()
     world.start()
     if incarnation == "of the same incarnation":
-        assert world.until(lambda: world.order("c")._sure, 500)
+        assert world.until(lambda: world.order("c").state.sure, 500)
         copy = world.nodes["c"].disk.copy()
     elect(world, "a")
     grown(world, "a", 3)
@@ -421,7 +426,7 @@
     for _ in range(2):
         world.restart("c")
         world.run(300)
-    known = world.order("a")._incarnations.of("disk-c")
+    known = world.order("a").state.incarnations.of("disk-c")
     copy = world.nodes["c"].disk.copy()
     copy.meta = World(1, "abc").nodes["c"].disk.meta  # an early incarnation with the whole log
     world.crash("c")
@@ -476,12 +481,12 @@
 def test_a_disk_put_back_within_one_incarnation_is_told_so_by_the_leader():
     bench = Bench().leads()
     last = bench.order.log.last_index
-    ok = AppendEntriesResponse(2, max(bench.order._peers["b"].unanswered), True, last, "disk-b", 1)
+    ok = AppendEntriesResponse(2, max(bench.order.state.peers["b"].unanswered), True, last, "disk-b", 1)
     bench.hear("b", ok)
     bench.call(bench.order.tick)
     bench.now += CONFIG.heartbeat_ms
     bench.call(bench.order.tick)
-    gone = AppendEntriesResponse(2, max(bench.order._peers["b"].unanswered), False, 1, "disk-b", 1)
+    gone = AppendEntriesResponse(2, max(bench.order.state.peers["b"].unanswered), False, 1, "disk-b", 1)
     said = bench.hear("b", gone)
     told = [message for message in said if isinstance(message, RecoveryResponse)]
     assert [(message.disk, message.acknowledged) for message in told] == [("disk-b", last)]
@@ -489,7 +494,7 @@
 
 def test_one_without_a_disk_may_have_forgotten_what_it_had():
     bench = Bench().leads()
-    peer = bench.order._peers["c"]
+    peer = bench.order.state.peers["c"]
     bench.hear("c", AppendEntriesResponse(2, max(peer.unanswered), True, 2, "", 0))
     assert peer.match_index == 2
     bench.now += CONFIG.heartbeat_ms
@@ -501,10 +506,11 @@
 
 def test_an_incarnation_that_is_over_gets_no_vote_and_gives_none():
     bench = Bench().leads()
-    bench.order._counts(Voter("c", "disk-c"), 3)
+    bench.order.state.counts(Voter("c", "disk-c"), 3)
     bench.call(bench.order.tick)
     bench.sync()
-    assert not bench.order._counts(Voter("c", "disk-c"), 2) and bench.order._counts(Voter("c", "disk-c"), 3)
+    counts = [bench.order.state.counts(Voter("c", "disk-c"), incarnation) for incarnation in (2, 3)]
+    assert counts == [False, True]
     bench.hear("c", AppendEntriesResponse(5, 1, False, 0, "", 0))
     bench.sync()
     bench.now += 3 * CONFIG.election_ms
@@ -526,7 +532,7 @@
     """Figure 8 of Ongaro and Ousterhout: they may still be replaced."""
     first = init_state({name: f"disk-{name}" for name in "abc"}, "a")
     bench = Bench(state=State(first.meta, (*first.entries, Entry(2, 1, Noop())))).leads()
-    sequence = max(bench.order._peers["b"].unanswered)
+    sequence = max(bench.order.state.peers["b"].unanswered)
     bench.hear("b", AppendEntriesResponse(2, sequence - 1, True, 2, "disk-b", 1))
     assert bench.order.commit_index == 0
     bench.hear("b", AppendEntriesResponse(2, sequence, True, 3, "disk-b", 1))
@@ -548,7 +554,7 @@
     world.cut.clear()
     world.drop = lambda src, send: src == "a" and not isinstance(send.message, RecoveryResponse)
     world.start("c")
-    assert world.until(lambda: world.order("c")._sure, 100)
+    assert world.until(lambda: world.order("c").state.sure, 100)
     world.crash("a")
     assert world.lead(CONFIG.alone_ms + 10 * CONFIG.election_ms) in "bc"
 
@@ -685,7 +691,7 @@
     bench.hear("b", InstallSnapshot(4, 2, compact))
     assert bench.stores[-1].cut is not same
     assert bench.order.log.last_index == (6 if same else 4)
-    assert bench.order._out.durable_index == (6 if same else 1)
+    assert bench.order.state.out.durable_index == (6 if same else 1)
     answers = [message for message in bench.sync() if isinstance(message, AppendEntriesResponse)]
     assert [answer.match_index for answer in answers] == [4]
 
@@ -696,7 +702,7 @@
     bench.hear("c", AppendEntries(3, 1, 2, 2, (Entry(3, 3, Noop()), Entry(4, 3, Noop())), 1))
     first, _ = bench.stores
     bench.call(bench.order.stored, first.token)
-    assert bench.order._out.durable_index == 2
+    assert bench.order.state.out.durable_index == 2
 
 
 def test_stores_under_way_are_bounded():
@@ -715,9 +721,9 @@
     for index in range(600):
         body = Book(books[0]) if index % 3 == 0 else Noop()
         order.log.append(Entry(order.log.last_index + 1, 2, body))
-    peer = order._peers["c"]
+    peer = order.state.peers["c"]
     sent = []
-    order._out._meta_token = 0
+    order.state.out._meta_token = 0
     for _ in range(5):
         now = world.nodes["a"].clock(world.now)
         sequence = max(peer.unanswered, default=1)
@@ -781,7 +787,7 @@
     assert len(world.order("a").voters) == 3  # known to none but itself
     elect(world, "c", unheard="b")
     if not guarded:
-        monkeypatch.setattr(Order, "ready", property(lambda order: order.role == "leader"))
+        monkeypatch.setattr(RaftState, "ready", property(lambda state: state.role == "leader"))
     assert world.until(lambda: world.order("d").term == 3 and world.order("d").log.last_term == 3, 200)
     world.run(20)
     world.do("c", lambda order, now: order.remove_voter(now, "a", client=9))
--- a/tests/cluster/world.py
+++ b/tests/cluster/world.py
@@ -33,7 +33,8 @@
     Send,
     Store,
 )
-from fordtrestle.cluster.order import Order, OrderConfig
+from fordtrestle.cluster.order import Order
+from fordtrestle.cluster.raft_state import OrderConfig
 from fordtrestle.cluster.rulebook import Change, ClassRules, ServiceRules
 
 CONFIG = OrderConfig(election_ms=150.0, heartbeat_ms=40.0, alone_ms=1500.0, entries_most=12, books_most=8)
@@ -182,7 +183,7 @@
         self.calm()
         for node in self.nodes.values():
             node.disk.full, node.disk_ms = False, 2.0
-            if node.order is not None and node.order._out.failed:
+            if node.order is not None and node.order.state.out.failed:
                 self.crash(node.name)
             if node.order is None:
                 self.start(node.name)
@@ -523,9 +524,9 @@
     def level(self, name: str) -> bool:
         """Whether a member votes, and its log is level with those of the others."""
         order = self.world.nodes[name].order
-        return (
-            order is not None and order.votes and order._floor <= (order.log.last_term, order.log.last_index)
-        )
+        if order is None or not order.votes:
+            return False
+        return order.state.floor <= (order.log.last_term, order.log.last_index)
 
     def copy(self) -> None:
         """Keep a copy of a disk."""
