--- a/fordtrestle/daemon/lines.py
+++ b/fordtrestle/daemon/lines.py
@@ -16,7 +16,7 @@
 import socket
 from collections import Counter, deque
 from dataclasses import dataclass, field
-from typing import TYPE_CHECKING, Any, Literal
+from typing import Any, Literal, Protocol
 
 from fordtrestle.cluster import frames
 from fordtrestle.cluster.frames import PROBE, Frame, FrameError, Greeting, Packer, Splitter
@@ -25,6 +25,7 @@
     AppendEntries,
     AppendEntriesResponse,
     Denied,
+    Envelope,
     Grant,
     Propose,
     Question,
@@ -32,9 +33,6 @@
 )
 from fordtrestle.http import stream
 
-if TYPE_CHECKING:
-    from fordtrestle.daemon.links import Link, Links
-
 GREET_S = 2.0  # for the other end's greeting
 PROBE_S = 1.0  # between two probes of a connection
 STALL_S = 2.0
@@ -151,10 +149,56 @@
         self._room.bytes -= len(row.payload)
 
 
+class LineOwner(Protocol):
+    """What holds all connections of a process, as each of them sees it."""
+
+    loop: asyncio.AbstractEventLoop
+    cluster: str
+    counts: Counts
+    held: int  # bytes of frames that are not whole
+    taken_room: Room
+
+    @property
+    def now(self) -> float:
+        """The loop's time in seconds."""
+
+    def greeting(self, session: int) -> Greeting:
+        """What is said first."""
+
+    def strange(self, said: Envelope, name: str) -> str:
+        """Why what came from `name` is dropped; empty where it is not."""
+
+    def hear(self, sender: str, message: AnyMessage) -> None:
+        """A member said something."""
+
+    def asked(self, client: int, message: AnyMessage) -> None:
+        """A client asks something."""
+
+    def takes(self, line: Taken) -> None:
+        """A connection came."""
+
+    def seat(self, line: Taken, greeting: Greeting) -> str:
+        """Give one that says who it is its place; why it gets none, empty where it does."""
+
+    def leaves(self, line: Taken) -> None:
+        """A connection that was taken is closed."""
+
+
+class MemberLink(Protocol):
+    """The way to one member, as the connection made to it sees it."""
+
+    name: str
+    line: Made | None
+    queue: Queue
+
+    def lost(self, line: Made) -> None:
+        """Its connection is gone."""
+
+
 class Line(stream.Reader):
     """One connection, made or taken: frames in, and what waits in its queue out."""
 
-    def __init__(self, links: Links, queue: Queue) -> None:
+    def __init__(self, links: LineOwner, queue: Queue) -> None:
         self._links = links
         self.queue = queue
         self.name = ""  # who is at the other end, once it has said so
@@ -296,7 +340,7 @@
 class Taken(Line):
     """A connection that somebody else made; `number` goes up with each."""
 
-    def __init__(self, links: Links, number: int) -> None:
+    def __init__(self, links: LineOwner, number: int) -> None:
         super().__init__(links, Queue(links.taken_room, links.counts))
         self.number = number
         self.role: Role = "stranger"
@@ -345,7 +389,7 @@
 class Made(Line):
     """A connection to a member, made here."""
 
-    def __init__(self, links: Links, link: Link) -> None:
+    def __init__(self, links: LineOwner, link: MemberLink) -> None:
         super().__init__(links, link.queue)
         self._link = link
         self.used_at = links.now
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -3,6 +3,8 @@
 from __future__ import annotations
 
 import ast
+from collections.abc import Mapping
+from graphlib import CycleError, TopologicalSorter
 from pathlib import Path
 
 import pytest
@@ -221,3 +223,51 @@
         if name.startswith("engine/"):
             met = {met.split(".")[0] for met in names(ROOT / "fordtrestle" / name)}
             assert not met & {"socket", "select", "ssl", "httptools"}
+
+
+def imports_by_file(root: Path) -> dict[str, set[str]]:
+    """By file of the code below a root, both by full module names, the other files of it that it imports:
+    also inside functions, and for types alone."""
+    files = {}
+    for top in ("poppypulley", "fordtrestle", "rig", "benchmarks"):
+        for path in sorted((root / top).rglob("*.py")):
+            files[".".join(path.relative_to(root).with_suffix("").parts).removesuffix(".__init__")] = path
+    found = {}
+    for name, path in files.items():
+        met = set()
+        for full in names(path):
+            parts = full.split(".")
+            parents = [".".join(parts[:n]) for n in range(len(parts), 0, -1)]
+            met |= {next((parent for parent in parents if parent in files), name)}
+        found[name] = met - {name}
+    return found
+
+
+def circle(imports: Mapping[str, set[str]]) -> list[str]:
+    """Files of which each is imported by the one before it, the first again at the end; empty if none are."""
+    try:
+        TopologicalSorter(imports).prepare()
+    except CycleError as error:
+        found: list[str] = error.args[1]
+        return found[::-1]
+    return []
+
+
+def test_no_files_import_each_other_in_a_circle():
+    assert not circle(imports_by_file(ROOT))
+
+
+def test_a_circle_is_seen_also_for_types_alone_and_inside_a_function(tmp_path):
+    for name, text in {
+        "rig/__init__.py": "",
+        "rig/top.py": "import rig.first",
+        "rig/first.py": "from typing import TYPE_CHECKING\nif TYPE_CHECKING:\n  from rig.second import one",
+        "rig/second.py": "def late():\n    from rig import third",
+        "rig/third/__init__.py": "from rig.first import other",
+    }.items():
+        (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
+        (tmp_path / name).write_text(text)
+    found = circle(imports_by_file(tmp_path))
+    assert sorted(found[1:]) == ["rig.first", "rig.second", "rig.third"] and found[0] == found[-1]
+    (tmp_path / "rig/third/__init__.py").write_text("")
+    assert not circle(imports_by_file(tmp_path))
