--- a/fordtrestle/daemon/events.py
+++ b/fordtrestle/daemon/events.py
@@ -83,8 +83,10 @@
         server: str,
         hop: int,
         settings: str,
+        cause: str = "",
     ) -> None:
-        """Something was done that rests on a list and on settings."""
+        """Something was done that rests on a list and on settings; `cause` of a refusal or a failure."""
+        more = {"cause": cause} if cause else {}
         self._note(
             "acted",
             rule=rule,
@@ -95,6 +97,7 @@
             server=server,
             hop=hop,
             settings=settings,
+            **more,
         )
 
     def stored(self, rule: str, version: int, digest: str) -> None:
--- a/fordtrestle/daemon/rules.py
+++ b/fordtrestle/daemon/rules.py
@@ -175,11 +175,11 @@
             self._keep(self._service, self._whole.listed(), self._whole.digest)
         self._begun = True
 
-    def acted(self, what: str, call: str, server: str, hop: int) -> None:
+    def acted(self, what: str, call: str, server: str, hop: int, cause: str) -> None:
         """The engine did something by what is in force."""
         if self._events is not None:
             rule, digest = self._list_rule, self._whole.digest
-            self._events.acted(rule, self._version, digest, what, call, server, hop, self._settings)
+            self._events.acted(rule, self._version, digest, what, call, server, hop, self._settings, cause)
 
     @property
     def _version(self) -> int:
--- a/fordtrestle/engine/driver.py
+++ b/fordtrestle/engine/driver.py
@@ -25,8 +25,9 @@
     ServerList,
     Upstreams,
 )
+from fordtrestle.engine.tally import OwnCause, Tally
 from poppypulley import Balancer, model
-from poppypulley.model import Outcome
+from poppypulley.model import Cause, Outcome
 
 # The client counts from its send and we from the read: transit, and what the loop lags.
 DEADLINE_MARGIN_MS = 8.0
@@ -82,6 +83,7 @@
         self._max_open = options.max_open
         self._requests: dict[int, OpenRequest] = {}
         self.optional = True  # whether work may be done that no request waits for
+        self.tally = Tally()  # of its refusals and failures
         self._open = 0
         self._next_id = options.seed % 2**32
         self._balancer = Balancer(clock.now(), options.settings, options.seed)
@@ -109,6 +111,7 @@
     def arrive(self, call: Call, now: float) -> OpenRequest | None:
         """Take a request whose last byte was read at `now`; its `call` gets one final answer."""
         if self._open >= self._max_open:
+            self.tally.refused(call.traffic_class, OwnCause.MAX_OPEN)
             call.refused(0.0)
             return None
         give_up_at = now + call.budget - DEADLINE_MARGIN_MS
@@ -178,7 +181,7 @@
     def _overdue(self, request: OpenRequest) -> None:
         if self._end(request):
             log(f"request {request.id}: no answer at its deadline")
-            self._fail(request, True)
+            self._fail(request, True, OwnCause.UNANSWERED)
             self._ask(request, self._balancer.client_gone, request.id)
 
     def _outcome(self, attempt: OpenAttempt, result: Result) -> None:
@@ -235,7 +238,7 @@
         except Exception:
             log(traceback.format_exc())
             if request is not None and self._end(request):
-                self._fail(request, False)
+                self._fail(request, False, OwnCause.MODULE_FAULT)
                 self._ask(None, self._balancer.client_gone, request.id)
         if request is not None:
             self._forget(request)
@@ -246,14 +249,14 @@
                 self._send(action)
             case model.Timer(delay, token):
                 self._loop.call_later(max(0.0, delay) / 1000.0, self._timer, token)
-            case model.Refuse(number, retry_after):
+            case model.Refuse(number, retry_after, cause):
                 request = self._requests.get(number)
                 if request is not None and self._end(request):
-                    self._refuse(request, retry_after)
-            case model.Fail(number):
+                    self._refuse(request, retry_after, cause)
+            case model.Fail(number, cause):
                 request = self._requests.get(number)
                 if request is not None and self._end(request):
-                    self._fail(request, self._clock.now() >= request.give_up_at)
+                    self._fail(request, self._clock.now() >= request.give_up_at, cause)
             case model.Cancel(number, hop):
                 self._cancel(number, hop)
             case model.CloseIdle(server):
@@ -312,10 +315,12 @@
             return None
         return attempt.request.call.wire(left)
 
-    def _refuse(self, request: OpenRequest, retry_after: float) -> None:
+    def _refuse(self, request: OpenRequest, retry_after: float, cause: Cause) -> None:
+        self.tally.refused(request.call.traffic_class, cause)
         request.call.refused(retry_after)
 
-    def _fail(self, request: OpenRequest, late: bool) -> None:
+    def _fail(self, request: OpenRequest, late: bool, cause: Cause | OwnCause) -> None:
+        self.tally.failed(request.call.traffic_class, cause)
         request.call.failed(late)
 
     def _cancel(self, number: int, hop: int) -> None:
--- a/fordtrestle/engine/watched.py
+++ b/fordtrestle/engine/watched.py
@@ -7,10 +7,12 @@
 from fordtrestle.engine.clock import Clock
 from fordtrestle.engine.driver import Driver, EngineOptions, OpenRequest
 from fordtrestle.engine.ports import Call, Scheduler
+from fordtrestle.engine.tally import OwnCause, word
 from poppypulley import model
 
-# What was done, the call's own number, the server it went to (empty for an answer), and which attempt it was.
-Note = Callable[[str, str, str, int], None]
+# What was done, the call's own number, the server it went to (empty for an answer), which attempt it was, and
+# why (empty for an attempt).
+Note = Callable[[str, str, str, int, str], None]
 
 
 class WatchedDriver(Driver):
@@ -24,7 +26,7 @@
         """See `Driver`; what there is no room for is refused by the settings alone."""
         request = super().arrive(call, now)
         if request is None:
-            self._note("refusal", _number(call), "", 0)
+            self._note("refusal", _number(call), "", 0, word(OwnCause.MAX_OPEN))
         return request
 
     def _send(self, action: model.Send) -> None:
@@ -35,15 +37,15 @@
             return
         hop = len(request.attempts) - 1
         first = "repeat" if request.call.again else "pick"
-        self._note("retry" if hop else first, _number(request.call), action.server, hop)
+        self._note("retry" if hop else first, _number(request.call), action.server, hop, "")
 
-    def _refuse(self, request: OpenRequest, retry_after: float) -> None:
-        self._note("refusal", _number(request.call), "", len(request.attempts))
-        super()._refuse(request, retry_after)
+    def _refuse(self, request: OpenRequest, retry_after: float, cause: model.Cause) -> None:
+        self._note("refusal", _number(request.call), "", len(request.attempts), word(cause))
+        super()._refuse(request, retry_after, cause)
 
-    def _fail(self, request: OpenRequest, late: bool) -> None:
-        self._note("failure", _number(request.call), "", len(request.attempts))
-        super()._fail(request, late)
+    def _fail(self, request: OpenRequest, late: bool, cause: model.Cause | OwnCause) -> None:
+        self._note("failure", _number(request.call), "", len(request.attempts), word(cause))
+        super()._fail(request, late, cause)
 
 
 def _number(call: Call) -> str:
--- /dev/null
+++ b/tests/engine/test_tally.py
@@ -0,0 +1,77 @@
+"""What is counted of refusals and failures, on random days of an engine whose module answers anything."""
+
+from __future__ import annotations
+
+import random
+
+import pytest
+
+from fordtrestle.engine.ports import Result
+from fordtrestle.engine.tally import NO_CLASS, OwnCause, Tally, lines
+from poppypulley.model import Cause, Fail, Outcome, Refuse, Send
+from tests.engine.test_watched import Call, driver
+
+
+def test_counts_are_told_by_class_end_and_cause_the_largest_first():
+    made = Tally()
+    for cause, times in ((Cause.THROTTLE, 1), (Cause.COLD, 3), (OwnCause.MAX_OPEN, 2)):
+        for _ in range(times):
+            made.refused(0, cause)
+    made.failed(0, Cause.MAY_HAVE_RUN)
+    made.refused(NO_CLASS, OwnCause.BAD_REQUEST)
+    made.refused(7, Cause.DRAIN)
+    counts = made.counts({0: "book"})
+    assert counts == {
+        "book": {"refused": {"cold": 3, "max_open": 2, "throttle": 1}, "failed": {"may_have_run": 1}},
+        "-": {"refused": {"bad_request": 1}},
+        "7": {"refused": {"drain": 1}},
+    }
+    assert list(counts["book"]["refused"]) == ["cold", "max_open", "throttle"]
+    assert list(lines("service shop", counts))[:2] == [
+        "service shop: class book: 6 refused: cold 3, max_open 2, throttle 1",
+        "service shop: class book: 1 failed: may_have_run 1",
+    ]
+    assert (made.total("refused"), made.total("failed")) == (8, 1)
+
+
+def test_no_word_stands_for_two_causes():
+    words = [cause.name.lower() for kind in (Cause, OwnCause) for cause in kind]
+    assert len(words) == len(set(words))
+
+
+@pytest.mark.parametrize("seed", range(20))
+def test_all_refusals_and_failures_are_counted_once(seed, capsys):
+    """A module that answers at random, twice, late, never, or with an error over it."""
+    rng = random.Random(seed)
+
+    def decide(number):
+        kind = rng.randrange(7)
+        if kind == 0:
+            raise RuntimeError("a fault")
+        made = [Refuse(number, 0.0, rng.choice(list(Cause)))] if kind < 3 else []
+        made += [Fail(number, rng.choice(list(Cause)))] if kind in (2, 3) else []
+        return made + ([Send(number, "s0", 0.0)] if kind > 3 else [])
+
+    made = driver(
+        most=9,
+        request=lambda now, arrival: decide(arrival.request),
+        outcome=lambda now, number, *rest: decide(number),
+    )
+    calls = []
+    for turn in range(200):
+        call = Call(f"c{turn}")
+        call.traffic_class = rng.randrange(3)
+        calls.append(call)
+        made.arrive(call, made._clock.now())
+        if made.servers.done and rng.random() < 0.7:
+            made.servers.done.pop(0)(Result(rng.choice([Outcome.ERROR, Outcome.FULL, Outcome.RESET])))
+    for callback, *args in list(made.loop.later):
+        if callback == made._overdue:
+            callback(*args)
+    for end in ("refused", "failed"):
+        answered = [call for call in calls if call.answers == [end]]
+        assert len(answered) > 5 and made.tally.total(end) == len(answered)
+        for number in range(3):
+            of_class = made.tally.counts({}).get(str(number), {}).get(end, {})
+            assert sum(of_class.values()) == sum(call.traffic_class == number for call in answered)
+    assert all(len(call.answers) <= 1 for call in calls)
--- a/tests/engine/test_watched.py
+++ b/tests/engine/test_watched.py
@@ -9,7 +9,7 @@
 from fordtrestle.engine.ports import Result
 from fordtrestle.engine.watched import WatchedDriver
 from poppypulley import model
-from poppypulley.model import Fail, Outcome, Refuse, Send
+from poppypulley.model import Cause, Fail, Outcome, Refuse, Send
 from tests.loopback import SETTINGS, Scripted
 
 
@@ -92,7 +92,7 @@
 
 
 def retried(now, number, hop, *rest):
-    return [Send(number, "s1", 0.0)] if hop == 0 else [Fail(number)]
+    return [Send(number, "s1", 0.0)] if hop == 0 else [Fail(number, Cause.ATTEMPTS)]
 
 
 def test_attempts_are_picks_repeats_and_retries_and_an_answer_of_its_own_a_failure():
@@ -102,26 +102,26 @@
     for turn in (1, 2):
         made.servers.done[turn](Result(Outcome.ERROR))
     assert made.told == [
-        ("pick", "c1", "s0", 0),
-        ("repeat", "c2", "s0", 0),
-        ("retry", "c2", "s1", 1),
-        ("failure", "c2", "", 2),
+        ("pick", "c1", "s0", 0, ""),
+        ("repeat", "c2", "s0", 0, ""),
+        ("retry", "c2", "s1", 1, ""),
+        ("failure", "c2", "", 2, "attempts"),
     ]
     assert call.answers == ["failed"]
 
 
 @pytest.mark.parametrize(
-    ("script", "what"),
+    ("script", "what", "cause"),
     [
-        (lambda now, arrival: [Refuse(arrival.request, 0.0)], "refusal"),
-        (lambda now, arrival: [Fail(arrival.request)], "failure"),
-        (lambda now, arrival: 1 / 0, "failure"),
+        (lambda now, arrival: [Refuse(arrival.request, 0.0, Cause.COLD)], "refusal", "cold"),
+        (lambda now, arrival: [Fail(arrival.request, Cause.NO_TIME)], "failure", "no_time"),
+        (lambda now, arrival: 1 / 0, "failure", "module_fault"),
     ],
 )
-def test_each_answer_is_told_once(script, what, capsys):
+def test_each_answer_is_told_once(script, what, cause, capsys):
     made = driver(request=script)
     call = arrive(made, Call("c1"))
-    assert made.told == [(what, "c1", "", 0)] and len(call.answers) == 1
+    assert made.told == [(what, "c1", "", 0, cause)] and len(call.answers) == 1
 
 
 def test_a_request_past_the_most_is_a_refusal_and_one_that_is_forgotten_a_failure(capsys):
@@ -130,7 +130,7 @@
     arrive(made, Call("c2"))
     guard, request = made.loop.later[0]
     guard(request)
-    assert made.told == [("refusal", "c2", "", 0), ("failure", "c1", "", 0)]
+    assert made.told == [("refusal", "c2", "", 0, "max_open"), ("failure", "c1", "", 0, "unanswered")]
 
 
 def test_an_attempt_that_never_began_is_no_act():
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -90,6 +90,7 @@
     "engine/limits.py",
     "engine/ports.py",
     "engine/pressure.py",
+    "engine/tally.py",
     "engine/schema.py",
     "http/held.py",
     "http/requests.py",
