--- a/fordtrestle/daemon/lines.py
+++ b/fordtrestle/daemon/lines.py
@@ -177,8 +177,8 @@
     def takes(self, line: Taken) -> None:
         """A connection came."""
 
-    def seat(self, line: Taken, greeting: Greeting) -> str:
-        """Give one that says who it is its place; why it gets none, empty where it does."""
+    def admit(self, line: Taken, greeting: Greeting) -> str:
+        """Enter one that says who it is, by its name; why it may not stay, empty where it may."""
 
     def leaves(self, line: Taken) -> None:
         """A connection that was taken is closed."""
@@ -352,7 +352,7 @@
 
     def greeted(self, greeting: Greeting) -> None:
         """Answer, if it may stay."""
-        if why := self._links.seat(self, greeting):
+        if why := self._links.admit(self, greeting):
             self.end(why)
         else:
             self.greet()
@@ -381,7 +381,7 @@
             self.end("stalled")
 
     def ended(self) -> None:
-        """Its place is free."""
+        """Its entry is free."""
         self._links.leaves(self)
         self.queue.clear()
 
--- a/fordtrestle/daemon/links.py
+++ b/fordtrestle/daemon/links.py
@@ -161,7 +161,7 @@
         self._asked = asked
         self._links: dict[str, Link] = {}
         self._taken: dict[int, Taken] = {}  # in the order in which they came
-        self._seats: dict[str, Taken] = {}  # of members and followers, by name
+        self._taken_by_name: dict[str, Taken] = {}  # members and followers only
         self._number = 0
         self._server: asyncio.Server | None = None
         self._sweeping: asyncio.TimerHandle | None = None
@@ -205,7 +205,7 @@
             if to not in self._links:
                 self._links[to] = Link(self, to, self._addresses[to])
             return self._links[to].send(row)
-        return self._answer(self._seats.get(to), row)
+        return self._answer(self._taken_by_name.get(to), row)
 
     def reply(self, client: int, message: AnyMessage) -> bool:
         """Answer a client; False where it is gone, or there is no room."""
@@ -298,14 +298,14 @@
         if len(strangers) > STRANGERS_MOST:
             strangers[0].end("crowded")
 
-    def seat(self, line: Taken, greeting: Greeting) -> str:
-        """Give one that says who it is its place; why it gets none, empty where it does."""
+    def admit(self, line: Taken, greeting: Greeting) -> str:
+        """Enter one that says who it is, by its name; why it may not stay, empty where it may."""
         name = greeting.name
         if greeting.cluster != self.cluster:
             return "other_cluster"
         if name == self._name:
             return "own_name"
-        old = self._seats.get(name)
+        old = self._taken_by_name.get(name)
         if old is not None and old.number > line.number:
             return "replaced"  # what was said on it before is older than what came since
         role = self._role(name)
@@ -315,7 +315,7 @@
             return "crowded"
         line.role = role
         if role != "client":
-            self._seats[name] = line
+            self._taken_by_name[name] = line
         if old is not None:
             old.end("replaced")
         return ""
@@ -328,8 +328,8 @@
     def leaves(self, line: Taken) -> None:
         """A connection that was taken is closed."""
         self._taken.pop(line.number, None)
-        if self._seats.get(line.name) is line:
-            del self._seats[line.name]
+        if self._taken_by_name.get(line.name) is line:
+            del self._taken_by_name[line.name]
 
     def _sweep(self) -> None:
         self._sweeping = self.loop.call_later(SWEEP_S, self._sweep)
--- a/tests/daemon/test_links.py
+++ b/tests/daemon/test_links.py
@@ -225,7 +225,7 @@
         assert n0.counts.closed == {"replaced": 1} and n0.links.told()["taken"] == {"follower": 1}
         for follower in lives:
             follower.links.close()
-        await until(lambda: not n0.links._seats)
+        await until(lambda: not n0.links._taken_by_name)
         assert not n0.say("f", 9)
 
 
