--- a/tests/cluster/leases.py
+++ b/tests/cluster/leases.py
@@ -7,7 +7,9 @@
 import random
 from collections import Counter
 
-from fordtrestle.cluster.lease import Effect, Grantor, Holder, Known, LeaseConfig
+from fordtrestle.cluster.grantor import Effect, Grantor
+from fordtrestle.cluster.holder import Holder
+from fordtrestle.cluster.lease import Known, LeaseConfig
 from fordtrestle.cluster.messages import Grant, Renew
 
 CONFIG = LeaseConfig(drift_ppm=50_000.0, check_ms=50.0, contradiction_ms=2000.0, message_ms=10.0)
--- a/tests/cluster/test_lease.py
+++ b/tests/cluster/test_lease.py
@@ -6,19 +6,9 @@
 
 import pytest
 
-from fordtrestle.cluster.lease import (
-    COUNT_BITS,
-    DEPTH_MOST,
-    ENDS_MOST,
-    NONCES_MOST,
-    OFFERS_MOST,
-    TRIES_MOST,
-    Effect,
-    Grantor,
-    Holder,
-    Known,
-    LeaseConfig,
-)
+from fordtrestle.cluster.grantor import ENDS_MOST, Effect, Grantor
+from fordtrestle.cluster.holder import NONCES_MOST, OFFERS_MOST, TRIES_MOST, Holder
+from fordtrestle.cluster.lease import COUNT_BITS, DEPTH_MOST, Known, LeaseConfig
 from fordtrestle.cluster.messages import Denied, Grant, Renew
 from tests.cluster.leases import CONFIG, World
 
--- a/tests/cluster/test_spread.py
+++ b/tests/cluster/test_spread.py
@@ -10,7 +10,8 @@
 from msgspec.structs import replace
 
 from fordtrestle.cluster import spread
-from fordtrestle.cluster.lease import CHILDREN_MOST, DEPTH_MOST, LEADER_CHILDREN_MOST, Known, LeaseConfig
+from fordtrestle.cluster.grantor import CHILDREN_MOST, LEADER_CHILDREN_MOST
+from fordtrestle.cluster.lease import DEPTH_MOST, Known, LeaseConfig
 from fordtrestle.cluster.messages import Envelope, Grant, Renew
 from fordtrestle.cluster.rulebook import EMPTY, Change, ClassRules, ServerRules, ServiceRules, apply
 from fordtrestle.cluster.spread import Parents, Shelf, levels, parents, top_rank
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -62,6 +62,8 @@
     "cluster/election.py",
     "cluster/follower.py",
     "cluster/frames.py",
+    "cluster/grantor.py",
+    "cluster/holder.py",
     "cluster/leader.py",
     "cluster/lease.py",
     "cluster/log.py",
