--- a/fordtrestle/daemon/process.py
+++ b/fordtrestle/daemon/process.py
@@ -154,15 +154,15 @@
             bound[name] = [await place.front.listen(sock) for sock in made]
         return bound
 
-    async def drain(self, told_at: float | None = None) -> None:
+    async def drain(self, signalled_at: float | None = None) -> None:
         """Stop listening, finish what was taken, close connections between requests.
 
         It lasts until the last request that was taken has its answer, which is at its deadline at the latest,
-        and LAST_BYTES_S more for clients that have yet to read or to end their connection. `told_at`: when it
-        was told to end, in the loop's seconds; None: as long ago as it listens on."""
+        and LAST_BYTES_S more for clients that have yet to read or to end their connection. `signalled_at`: when
+        the signal to end came, in the loop's seconds; None: as long ago as it listens on."""
         fronts = [place.front for place in self.fronts.values()]
         now = self._loop.time()
-        last = STILL_TAKE_S + (now - STILL_LISTEN_S if told_at is None else told_at)
+        last = STILL_TAKE_S + (now - STILL_LISTEN_S if signalled_at is None else signalled_at)
         for front in fronts:
             front.stop_listening(last - now)
         while self._may_take(fronts, last) or any(service.driver.due for service in self.services.values()):
@@ -209,8 +209,9 @@
     def reload(self) -> None:
         """Read the configuration anew."""
 
-    async def drain(self, told_at: float | None = None) -> None:
-        """Stop listening and finish what was taken; `told_at`: when it was told so, in the loop's seconds."""
+    async def drain(self, signalled_at: float | None = None) -> None:
+        """Stop listening and finish what was taken; `signalled_at`: when the signal to end came, in the
+        loop's seconds."""
 
     def close(self) -> None:
         """Close what is left."""
@@ -258,9 +259,9 @@
         ending()
         # Guards against a signal that came as it was starting, or long before this turn of the loop: the time
         # to SIGKILL runs from then.
-        told_at = loop.time() if signals.told_at is None else signals.told_at
-        await asyncio.sleep(max(0.0, told_at + STILL_LISTEN_S - loop.time()))
-        await program.drain(told_at)
+        signalled_at = loop.time() if signals.signalled_at is None else signals.signalled_at
+        await asyncio.sleep(max(0.0, signalled_at + STILL_LISTEN_S - loop.time()))
+        await program.drain(signalled_at)
     finally:
         reloads.close()
         program.close()
--- a/fordtrestle/daemon/sidecar.py
+++ b/fordtrestle/daemon/sidecar.py
@@ -64,9 +64,9 @@
             return
         self.discovery.move(told.discovery)
 
-    async def drain(self, told_at: float | None = None) -> None:
+    async def drain(self, signalled_at: float | None = None) -> None:
         """Stop listening, finish what was taken, close connections between requests."""
-        await self._process.drain(told_at)
+        await self._process.drain(signalled_at)
 
     def close(self) -> None:
         """Close what is left."""
--- a/fordtrestle/daemon/signals.py
+++ b/fordtrestle/daemon/signals.py
@@ -28,7 +28,7 @@
 
     def __init__(self) -> None:
         self._stop = self._reload = False
-        self.told_at: float | None = None  # when it was first told to end: monotonic seconds, as the loop's
+        self.signalled_at: float | None = None  # the first signal to end, in monotonic seconds, as the loop's
         self._loop: asyncio.AbstractEventLoop | None = None
         self._wake: tuple[socket.socket, socket.socket] | None = None
         self._on_stop: Callable[[], object] = int
@@ -45,8 +45,8 @@
             self._reload = True
         else:
             self._stop = True
-            if self.told_at is None:
-                self.told_at = time.monotonic()
+            if self.signalled_at is None:
+                self.signalled_at = time.monotonic()
 
     def attach(
         self, loop: asyncio.AbstractEventLoop, stop: Callable[[], object], reload: Callable[[], object]
--- a/fordtrestle/daemon/standalone.py
+++ b/fordtrestle/daemon/standalone.py
@@ -145,9 +145,9 @@
         if self._rules is not None:
             self._rules.ending()
 
-    async def drain(self, told_at: float | None = None) -> None:
+    async def drain(self, signalled_at: float | None = None) -> None:
         """Stop listening, finish what was taken, close connections between requests."""
-        await self._process.drain(told_at)
+        await self._process.drain(signalled_at)
 
     def close(self) -> None:
         """Close what is left."""
--- a/tests/daemon/test_draining.py
+++ b/tests/daemon/test_draining.py
@@ -200,13 +200,13 @@
     async def start(self):
         for number in self._numbers:
             signal.raise_signal(number)
-        self._signals.told_at -= self._late_s  # as if the start took so long
+        self._signals.signalled_at -= self._late_s  # as if the start took so long
 
     def reload(self):
         self.told.append("reload")
 
-    async def drain(self, told_at=None):
-        self.told.append(told_at)
+    async def drain(self, signalled_at=None):
+        self.told.append(signalled_at)
 
     def close(self):
         self.told.append("close")
@@ -228,9 +228,9 @@
     program = Counting(signals, *numbers, late_s=3600.0)
     before = time.monotonic()
     await asyncio.wait_for(process.run(lambda loop: program, signals), PATIENCE_S)
-    told, told_at, closed = program.told
+    told, signalled_at, closed = program.told
     assert (told, closed) == ("reload", "close")
-    assert before - 3600.0 <= told_at <= time.monotonic() - 3600.0
+    assert before - 3600.0 <= signalled_at <= time.monotonic() - 3600.0
 
 
 def catches(pid, number):
