--- a/fordtrestle/daemon/process.py
+++ b/fordtrestle/daemon/process.py
@@ -158,8 +158,8 @@
         """Stop listening, finish what was taken, close connections between requests.
 
         It lasts until the last request that was taken has its answer, which is at its deadline at the latest,
-        and LAST_BYTES_S more for clients that have yet to read or to end their connection. `signalled_at`: when
-        the signal to end came, in the loop's seconds; None: as long ago as it listens on."""
+        and LAST_BYTES_S more for clients that have yet to read or to end their connection. `signalled_at`:
+        when the signal to end came, in the loop's seconds; None: as long ago as it listens on."""
         fronts = [place.front for place in self.fronts.values()]
         now = self._loop.time()
         last = STILL_TAKE_S + (now - STILL_LISTEN_S if signalled_at is None else signalled_at)
