--- a/fordtrestle/daemon/process.py
+++ b/fordtrestle/daemon/process.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import gc
+import json
 from collections.abc import Callable, Mapping, Sequence
 from dataclasses import dataclass
 from typing import Protocol, TypeVar
@@ -18,6 +19,7 @@
 from fordtrestle.engine.limits import Budget, Limits
 from fordtrestle.engine.log import log
 from fordtrestle.engine.ports import Address, Registry, ServerList
+from fordtrestle.engine.tally import Counts, lines
 from fordtrestle.http.front import Front
 from fordtrestle.http.pool import Pool, PoolOptions
 
@@ -143,6 +145,7 @@
         )
         for front in pressed:
             front.wake = self.overload.wake
+            front.status = self._status
 
     async def start(self) -> dict[str, list[Address]]:
         """Be ready, then listen; the addresses bound, by front. `OSError` where one can't be."""
@@ -154,8 +157,23 @@
             bound[name] = [await place.front.listen(sock) for sock in made]
         return bound
 
+    def counts(self) -> dict[str, dict[str, Counts]]:
+        """What was refused, failed or rejected since the start: by service what its engine answered, by
+        front what that did without one; each by class, end and cause."""
+        services = {}
+        for name, service in self.services.items():
+            fronts = (place.front for place in self.fronts.values() if place.front.taker is service.driver)
+            classes = {number: kind for front in fronts for number, kind in front.class_names.items()}
+            services[name] = service.driver.tally.counts(classes)
+        by_front = {n: place.front.tally.counts(place.front.class_names) for n, place in self.fronts.items()}
+        return {"service": services, "front": by_front}
+
+    def _status(self) -> bytes:
+        return json.dumps(self.counts()).encode() + b"\n"
+
     async def drain(self, signalled_at: float | None = None) -> None:
-        """Stop listening, finish what was taken, close connections between requests.
+        """Stop listening, finish what was taken, close connections between requests; then say
+        what was refused or failed in all, and why.
 
         It lasts until the last request that was taken has its answer, which is at its deadline at the latest,
         and LAST_BYTES_S more for clients that have yet to read or to end their connection. `signalled_at`:
@@ -174,6 +192,10 @@
             await self._close_idle(fronts)
         for front in fronts:
             front.close()  # whoever does not end its connection, though it was ended here
+        for kind, parts in self.counts().items():
+            for name, counts in parts.items():
+                for line in lines(f"{kind} {name}", counts):
+                    log(line)
 
     def _may_take(self, fronts: list[Front], last: float) -> bool:
         """Whether a request may come yet that is taken, or a connection that has to be told."""
--- a/fordtrestle/http/call.py
+++ b/fordtrestle/http/call.py
@@ -42,7 +42,7 @@
 
     __slots__ = (
         *("_body", "_head", "again", "answer", "traffic_class", "budget", "call_id", "charged", "connection"),
-        *("keep_alive", "key", "mutates", "names", "request", "size", "tenant", "work"),
+        *("counts", "keep_alive", "key", "mutates", "names", "request", "size", "tenant", "work"),
     )
 
     def __init__(self, connection: OpenConnection) -> None:
@@ -57,6 +57,7 @@
         self.budget = 0.0
         self.names: RequestNames | None = None  # by which its head was judged
         self.call_id = ""
+        self.counts = False  # it asks whether this process is ready, and for its counts
         self.size = 0  # bytes that it holds for as long as it may be sent
         self.charged = 0  # bytes in the front's accounting, from taking it until nothing of it is out
         self._head = b""
--- a/fordtrestle/http/downstream.py
+++ b/fordtrestle/http/downstream.py
@@ -8,6 +8,7 @@
 import httptools
 
 from fordtrestle.engine.connections import TableEntry
+from fordtrestle.engine.tally import OwnCause
 from fordtrestle.http import requests, stream, wire
 from fordtrestle.http.call import ClientCall
 from fordtrestle.http.held import HeldConnection
@@ -15,6 +16,7 @@
 from fordtrestle.http.requests import BadRequest, Message
 
 READY_PATH = "/health/ready"
+COUNTS = b"/health/ready?counts"
 PIPELINED_MOST = 16  # requests read and not answered; past it the connection ends with the last of them
 IN_CALL_MOST = 4  # of them, taken at a time: guards against a client that asks on and reads nothing
 SEND_BUFFER = 128 * 1024  # bytes that the kernel may hold for a client that does not read (it doubles them)
@@ -232,6 +234,7 @@
         self._call = call = ClientCall(self)
         if message.target.partition(b"?")[0] != READY_PATH.encode():
             self._front.read(call, message)
+        call.counts = message.target == COUNTS and message.method == "GET"
         message.judged = True
         if (message.text("expect") or "").lower() == "100-continue" and not self._waiting:
             self._transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -364,6 +367,7 @@
         self._message = self._call = None
         self._deaf = True
         self._front.table.reject(self.entry, self._front.clock.now())
+        self._front.rejected(status)
         self._stop_clock()
         self._waiting.append(call)
         call.answer = (status, [], f"{text}\n".encode("latin-1") if text and not head_only else b"")
@@ -380,8 +384,10 @@
                 continue
             request = call.request
             if request is None:
+                self._front.tally.refused(call.traffic_class, OwnCause.CUT_SHORT)
                 call.refused(0.0)  # never taken
             else:
+                self._front.tally.failed(call.traffic_class, OwnCause.CUT_SHORT)
                 call.failed(False)
                 self._front.taker.client_gone(request)
 
--- a/fordtrestle/http/front.py
+++ b/fordtrestle/http/front.py
@@ -14,6 +14,7 @@
 from fordtrestle.engine.limits import Budget, Part
 from fordtrestle.engine.log import log
 from fordtrestle.engine.ports import Address
+from fordtrestle.engine.tally import NO_CLASS, OwnCause, Tally
 from fordtrestle.http import requests, stream
 from fordtrestle.http.accept import Acceptor, PendingConnection, queued
 from fordtrestle.http.call import ClientCall, OpenConnection
@@ -71,6 +72,8 @@
         self.lag = lag
         self.wake: Callable[[], object] = lag.wake  # told when a connection comes
         self.note: Callable[[ClientCall], None] | None = None  # told of each whole request
+        self.tally = Tally()  # of what is answered here, and not by an engine
+        self.status: Callable[[], bytes] = bytes  # the body for who asks for counts, as JSON
         self.budget = budget
         # Descriptors for connections at the limit: each whole request there is answered, with 503.
         self.reserve = reserve
@@ -375,7 +378,7 @@
     def serve(self, call: ClientCall, read_at: float) -> None:
         """A whole request: answered here, or taken."""
         if not call.call_id:
-            call.answer = (503 if self.draining else 200, [], b"")
+            call.answer = (503 if self.draining else 200, [], self.status() if call.counts else b"")
             return
         if self.note is not None:
             self.note(call)
@@ -384,12 +387,11 @@
             if call.names is not self._names and call.names is not None:
                 requests.judge_again(call.traffic_class, call.tenant, call.names, self._names)
         except BadRequest as error:
+            self.tally.rejected(call.traffic_class, OwnCause.BAD_REQUEST)
             call.answer = (error.status, [], f"{error}\n".encode())
             return
-        if self.clock.now() > self._last_ms:
-            call.refused(self._retry_after_ms)  # it could outlast this process
-            return
-        if not self._has_place(call.connection) or not self._charge(call):
+        if (cause := self._no_room(call)) is not None:
+            self.tally.refused(call.traffic_class, cause)
             call.refused(self._retry_after_ms)
             return
         self._calls.add(call.call_id)
@@ -399,6 +401,26 @@
         elif call.call_id in self._calls:
             call.request = request
 
+    def _no_room(self, call: ClientCall) -> OwnCause | None:
+        """Why a whole request can't be taken, if so; else it is accounted for."""
+        if self.clock.now() > self._last_ms:
+            return OwnCause.ENDING  # it could outlast this process
+        if not self._has_place(call.connection):
+            return OwnCause.NO_DESCRIPTOR
+        return None if self._charge(call) else OwnCause.NO_ROOM
+
+    def rejected(self, status: int) -> None:
+        """A connection is told so, and ends with that: count it."""
+        if status == 503:
+            self.tally.refused(NO_CLASS, OwnCause.ENDING if self.draining else OwnCause.NO_ROOM)
+        else:
+            self.tally.rejected(NO_CLASS, OwnCause.UNFINISHED if status == 408 else OwnCause.BAD_REQUEST)
+
+    @property
+    def class_names(self) -> dict[int, str]:
+        """The classes that requests may name, by their numbers."""
+        return {kind.traffic_class: name for name, kind in self._names.classes.items()}
+
     def _has_place(self, connection: OpenConnection) -> bool:
         """Whether a connection has a place, or gets one now; one that has none ends with its answer.
 
--- a/fordtrestle/http/listener.py
+++ b/fordtrestle/http/listener.py
@@ -9,6 +9,7 @@
 from fordtrestle.engine.connections import ConnectionTable, TableEntry
 from fordtrestle.engine.driver import OpenRequest
 from fordtrestle.engine.lag import LagMeter
+from fordtrestle.engine.tally import Tally
 from fordtrestle.http.call import ClientCall, OpenConnection
 from fordtrestle.http.held import HeldConnection
 from fordtrestle.http.requests import Message
@@ -33,6 +34,7 @@
     draining: bool
     table: ConnectionTable[HeldConnection]
     lag: LagMeter
+    tally: Tally  # of what is answered here, and not by an engine
     unread: dict[OpenConnection, None]  # of whom nothing is read at present
 
     def rests(self, entry: TableEntry[HeldConnection]) -> None:
@@ -44,6 +46,9 @@
     def serve(self, call: ClientCall, read_at: float) -> None:
         """A whole request: answered here, or taken."""
 
+    def rejected(self, status: int) -> None:
+        """A connection is told so, and ends with that: count it."""
+
     def over(self, call: ClientCall) -> None:
         """Nothing of a request is open any more."""
 
--- a/tests/daemon/test_events.py
+++ b/tests/daemon/test_events.py
@@ -50,6 +50,18 @@
     assert [type(event).__name__.lower() for event in told] == kinds.split() and not gaps(told)
 
 
+@loopback
+async def test_a_refusal_tells_its_cause_and_an_attempt_none(tmp_path):
+    events = opened(tmp_path / "e")
+    events.started(1)
+    act(events)
+    events.acted("list:a", 1, "d", "refusal", "c", "", 0, "e", "cold")
+    events.ended()
+    _, attempt, refusal, _ = lines(tmp_path / "e")
+    assert "cause" not in attempt and (refusal["what"], refusal["cause"]) == ("refusal", "cold")
+    assert not gaps(list(parse((tmp_path / "e").read_bytes(), "e")))
+
+
 @loopback
 async def test_a_line_is_there_soon_and_what_must_outlive_a_kill_at_once(tmp_path, monkeypatch):
     path = tmp_path / "e"
--- /dev/null
+++ b/tests/http/test_counts.py
@@ -0,0 +1,137 @@
+"""What a process says of its refusals and failures: who asks for it, and as it ends."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+
+from poppypulley.model import Cause, Fail, Refuse, Send
+from tests.loopback import OK, SETTINGS, App, Scripted, Upstream, hang, loopback, running, until
+
+COUNTS = "/health/ready?counts"
+
+
+async def counts(sidecar):
+    answer = await (await App.connect(sidecar.address)).ask("GET", COUNTS, X_Call_Id=None)
+    assert answer.start.split(" ")[1] == "200"
+    told = json.loads(answer.body)
+    return told["service"]["sidecar"], told["front"]["sidecar"]
+
+
+async def told_as(sidecar, status, *args, **headers):
+    answer = await (await App.connect(sidecar.address)).ask(*args, **headers)
+    assert int(answer.start.split(" ")[1]) == status
+
+
+def answering(kind):
+    return lambda now, arrival: [kind(arrival.request)]
+
+
+@loopback
+async def test_the_modules_answers_are_told_by_class_end_and_cause():
+    answers = [
+        lambda number: Refuse(number, 0.0, Cause.COLD),
+        lambda number: Refuse(number, 0.0, Cause.COLD),
+        lambda number: Refuse(number, 0.0, Cause.SHED),
+        lambda number: Fail(number, Cause.NO_TIME),
+    ]
+    module = Scripted(request=lambda now, arrival: [answers.pop(0)(arrival.request)])
+    async with running(balancer=module) as sidecar:
+        for status in (503, 503, 503, 502):
+            await told_as(sidecar, status)
+        service, front = await counts(sidecar)
+    assert service == {"look": {"refused": {"cold": 2, "shed": 1}, "failed": {"no_time": 1}}}
+    assert front == {}
+
+
+@loopback
+async def test_who_asks_only_whether_it_is_ready_is_told_nothing_else():
+    async with running(balancer=Scripted(request=answering(lambda n: Refuse(n, 0.0, Cause.COLD)))) as sidecar:
+        await told_as(sidecar, 503)
+        for method, target in (("GET", "/health/ready"), ("GET", "/health/ready?x=1"), ("HEAD", COUNTS)):
+            app = await App.connect(sidecar.address)
+            app.send(method, target, X_Call_Id=None)
+            head = await app.reader.readuntil(b"\r\n\r\n")
+            assert head.startswith(b"HTTP/1.1 200") and b"Content-Length: 0\r\n" in head
+
+
+@loopback
+async def test_what_is_answered_without_the_module_has_causes_of_its_own():
+    upstream = await Upstream([hang]).start()
+    limits = {**SETTINGS["PolicyLimits"], "MaxOpen": 1}
+    async with running(upstream, PolicyLimits=limits) as sidecar:
+        held = await App.connect(sidecar.address)
+        held.send(X_Call_Id="abc")
+        await until(lambda: upstream.seen)
+        await told_as(sidecar, 503)
+        await told_as(sidecar, 409, X_Call_Id="abc")
+        await told_as(sidecar, 400, X_Caller="nobody")
+        await told_as(sidecar, 431, X_Long="x" * 20_000)
+        service, front = await counts(sidecar)
+        held.close()
+    assert service == {"look": {"refused": {"max_open": 1}}}
+    assert front == {"-": {"rejected": {"bad_request": 3}}}
+
+
+@loopback
+async def test_no_room_for_a_call_and_too_late_a_one_are_refused_by_the_front():
+    upstream = await Upstream([hang]).start()
+    async with running(upstream) as sidecar:
+        sidecar.limits.calls.resize(1)
+        busy = await App.connect(sidecar.address)
+        busy.send("POST", "/pay")
+        await until(lambda: upstream.seen)
+        await told_as(sidecar, 503)
+        sidecar.front._has_place = lambda connection: False
+        await told_as(sidecar, 503)
+        sidecar.front._last_ms = 0.0
+        await told_as(sidecar, 503)
+        await told_as(sidecar, 503, "POST", "/pay")
+        service, front = await counts(sidecar)
+        busy.close()
+    assert service == {} and len(upstream.seen) == 1
+    assert front["look"] == {"refused": {"no_room": 1, "no_descriptor": 1, "ending": 1}}
+    assert front["pay"] == {"refused": {"ending": 1}}
+
+
+@loopback
+async def test_a_call_before_one_that_is_rejected_is_cut_short_and_half_of_one_is_unfinished(monkeypatch):
+    monkeypatch.setattr("fordtrestle.http.downstream.OWED_S", 0.01)
+    monkeypatch.setattr("fordtrestle.http.downstream.HALF_SENT_S", 0.01)
+    upstream = await Upstream([hang]).start()
+    async with running(upstream) as sidecar:
+        app = await App.connect(sidecar.address)
+        app.send()
+        await until(lambda: upstream.seen)
+        app.writer.write(b"no request at all\r\n\r\n")
+        assert (await app.answer()).start.split(" ")[1] == "502"
+        half = await App.connect(sidecar.address)
+        half.writer.write(b"GET /look HTTP/1.1\r\nHost: x\r\n")
+        assert (await half.answer()).start.split(" ")[1] == "408"
+        service, front = await counts(sidecar)
+    assert service == {}
+    assert front["look"] == {"failed": {"cut_short": 1}}
+    assert front["-"] == {"rejected": {"bad_request": 1, "unfinished": 1}}
+
+
+@loopback
+async def test_as_it_ends_it_says_what_it_refused_and_why(capsys):
+    module = Scripted(request=answering(lambda n: Refuse(n, 0.0, Cause.THROTTLE)))
+    async with running(balancer=module) as sidecar:
+        await told_as(sidecar, 503)
+        await told_as(sidecar, 503)
+        await told_as(sidecar, 400, X_Caller="nobody")
+        await sidecar.drain(asyncio.get_running_loop().time())
+    said = capsys.readouterr().err.splitlines()
+    assert "service sidecar: class look: 2 refused: throttle 2" in said
+    assert "front sidecar: class -: 1 rejected: bad_request 1" in said
+
+
+@loopback
+async def test_a_process_that_refused_nothing_says_nothing_of_it(capsys):
+    upstream = await Upstream([OK]).start()
+    module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 0.0)])
+    async with running(upstream, balancer=module) as sidecar:
+        await told_as(sidecar, 200)
+        await sidecar.drain(asyncio.get_running_loop().time())
+    assert "class" not in capsys.readouterr().err
--- a/tests/poppypulley/test_causes.py
+++ b/tests/poppypulley/test_causes.py
@@ -2,12 +2,14 @@
 
 from __future__ import annotations
 
+import re
 from collections import Counter
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from fordtrestle.engine.tally import OwnCause
 from poppypulley.model import Cause, Fail, Listing, Outcome, Refuse
 from rig.helper import ROOT
 from tests.poppypulley.helpers import arrival, balancer, listing
@@ -206,6 +208,7 @@
     assert sum(world.by_cause.values()) == world.answers
 
 
-def test_every_cause_stands_in_the_page_for_operators():
+def test_every_cause_stands_in_the_page_for_operators_and_no_other():
     page = (ROOT / "docs" / "operate" / "refusals.md").read_text()
-    assert [cause.name for cause in Cause if f"| `{cause.name.lower()}` |" not in page] == []
+    causes = {cause.name.lower() for kind in (Cause, OwnCause) for cause in kind}
+    assert set(re.findall(r"^\| `(\w+)` \|", page, re.M)) == causes
