--- a/tests/daemon/test_customers.py
+++ b/tests/daemon/test_customers.py
@@ -8,8 +8,8 @@
 import pytest
 
 from tests.http.test_bad_servers import judged, later
-from tests.judged import hang, reject, reset, serve
-from tests.loopback import SETTINGS, App, loopback
+from tests.judged import Site, hang, reject, reset, serve
+from tests.loopback import SETTINGS, App, loopback, running
 
 LIMITS = SETTINGS["PolicyLimits"]
 BEHAVIOURS = (serve, later(0.02, serve), later(0.1, serve), hang, reset, reject, later(0.05, reset))
@@ -92,3 +92,71 @@
             *(client(site, sidecar.address, row, [rng.uniform(0.0, 0.05) for _ in range(8)]) for row in rows)
         )
     assert len(site.asked) == 8 * len(rows) and site.got
+
+
+# --- what each limit forbids, where there is every reason to do it ------------------------
+
+SLOW_RESET = later(0.12, reset)
+# The class; what those have who are allowed more; servers by zone and cell; the fault.
+# An unsafe class can't be told otherwise by settings, since its method follows from its kind.
+EACH_LIMIT = {
+    "cells": (
+        keyed("key", "cell", 5000.0),
+        {"Group": "all"},
+        [(reset, "east", 0), (reset, "east", 1), (serve, "east", 2)],
+        "of another group",
+    ),
+    "zones": (
+        keyed("key", "zone", 5000.0),
+        {"Group": "all"},
+        [(reset, "east", 0), (serve, "west", 0), (serve, "west", 0)],
+        "of another group",
+    ),
+    "a window": (
+        keyed("key", "all", 50.0),
+        {"KeyTtl": 5000.0},
+        [(SLOW_RESET, "east", 0), (SLOW_RESET, "east", 0), (serve, "east", 0)],
+        "sent again after",
+    ),
+    "a window by cell": (
+        keyed("key", "cell", 50.0),
+        {"KeyTtl": 5000.0},
+        [(SLOW_RESET, "east", 0), (SLOW_RESET, "east", 0), (serve, "east", 0)],
+        "sent again after",
+    ),
+    "most attempts": (
+        kind("look", "pure"),
+        {},
+        [(reset, "east", 0), (reset, "east", 0), (reset, "east", 0), (reset, "east", 0)],
+        "3 attempts",
+    ),
+}
+
+
+@pytest.mark.parametrize("allowed", [False, True], ids=["as told", "told to do so"])
+@pytest.mark.parametrize("limit", EACH_LIMIT)
+@loopback
+async def test_what_a_limit_forbids_is_not_done_though_it_would_serve_and_is_found_where_it_is(
+    limit, allowed
+):
+    """Judged by one customer's settings; "told to do so", the sidecar has those of another that allows it."""
+    row, more, servers, fault = EACH_LIMIT[limit]
+    settings = {**SETTINGS, "Profiles": [row], "PolicyLimits": {**LIMITS, "MaxAttempts": 2}}
+    told = settings
+    if allowed:
+        most = 3 if limit == "most attempts" else 2
+        told = {**settings, "Profiles": [{**row, **more}], "PolicyLimits": {**LIMITS, "MaxAttempts": most}}
+    site = Site(settings)
+    for number, (behave, zone, cell) in enumerate(servers):
+        await site.add(f"s{number}", behave, zone=zone, group=cell)
+    watching = asyncio.create_task(site.lag.watch())
+    async with running(raw={"known": site.known()}, **told) as sidecar:
+        sidecar.front.wake = sidecar.front.lag.wake
+        for _ in range(10):
+            await site.ask(sidecar.address, row, row["Deadline"] / 1000.0)
+    watching.cancel()
+    site.stop()
+    broken = site.broken()
+    assert [line for line in broken if fault in line] if allowed else broken == []
+    # There was something to break it with.
+    assert any(got.server.behave is not serve for got in site.got)
