--- a/tests/http/test_client_gone.py
+++ b/tests/http/test_client_gone.py
@@ -248,6 +248,36 @@
         sock.close()
 
 
+@pytest.mark.parametrize("open_attempt", [True, False])
+@pytest.mark.parametrize("how", [shut, close])
+@loopback
+async def test_a_client_that_ends_its_sending_has_gone_as_one_that_closes(how, open_attempt):
+    """The protocol: a client that closes its connection has gone away. On the wire a close and an end of
+    sending are the same segment, and what tells them apart (a reset) comes only once something is written
+    back: too late for a further attempt, which may begin for 0.1 s at the most. So both count as gone, and
+    one that still reads gets an end without an answer."""
+    upstream = await Upstream([hang]).start()
+    module = Scripted(
+        request=lambda now, arrival: [
+            *([Send(arrival.request, "s0", 0.0)] if open_attempt else []),
+            Timer(300.0, str(arrival.request)),
+        ],
+        timer=lambda now, token: [Send(int(token), "s0", 0.0)],
+    )
+    async with running(upstream, balancer=module) as sidecar:
+        sock = await rested(sidecar)
+        await asyncio.get_running_loop().sock_sendall(sock, request())
+        await until(lambda: len(upstream.seen) == open_attempt and module.named("request"))
+        how(sock)
+        await until(lambda: module.named("client_gone"))
+        if how is shut:
+            assert await asyncio.get_running_loop().sock_recv(sock, 1000) == b""
+        await until(lambda: module.named("timer"))
+        await asyncio.sleep(0.05)
+        assert len(upstream.seen) == open_attempt and len(module.named("client_gone")) == 1
+        sock.close()
+
+
 @loopback
 async def test_what_was_paused_before_its_transport_stood_stays_paused():
     upstream = await Upstream([hang]).start()
