--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -2,13 +2,18 @@
 
 One line each, three at most: `test id | cause | issue`. A test id is the node id of one test, as
 `pytest --collect-only -q` prints it. A listed test is run and has to fail in its own body. The run fails
-if it does not, if a run of the whole suite does not collect it, and if the file can't be read."""
+if it does not, if a run of the whole suite does not collect it, and if the file can't be read.
+
+With pytest-xdist, `Turned` acts in the workers, which run the tests, and `Told` in the controller, which
+judges the run; without it both act in one process. What came of a test goes with its reports."""
 
 from __future__ import annotations
 
 import re
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from pathlib import Path
+from typing import Any
 
 import pytest
 
@@ -17,6 +22,8 @@
 FIELDS = ("test id", "cause", "issue")
 FORMS = (r"\S+\.py::.+", r".+", r"#?[0-9]+")  # of the fields
 RED = "fails"
+NOT_COLLECTED = "was not collected"
+SEEN = "known_red"  # the attribute of a report that says what came of a listed test
 
 # Options with which a run is one of a part of the suite.
 PARTS = ("keyword", "markexpr", "deselect", "ignore", "ignore_glob", "lf", "stepwise", "pyargs")
@@ -34,7 +41,7 @@
     test: str
     cause: str
     issue: str
-    seen: str = "was not collected"
+    seen: str = NOT_COLLECTED
 
 
 def read(path: Path) -> list[Entry]:
@@ -77,22 +84,16 @@
         raise pytest.UsageError(str(error)) from error
     judged = not (config.getoption("collectonly") or config.getoption("setuponly"))
     if entries and judged:
-        config.pluginmanager.register(KnownRed(entries), "known-red")
+        config.pluginmanager.register(Turned(entries), "known-red-turned")
+        if not hasattr(config, "workerinput"):  # a worker judges no run
+            config.pluginmanager.register(Told(entries), "known-red")
 
 
-class KnownRed:
-    """Turns the listed tests' verdicts round, and tells at the end what came of each."""
+class Turned:
+    """Turns the listed tests' verdicts round where they are run; each report says what came of its test."""
 
     def __init__(self, entries: list[Entry]) -> None:
         self._entries = {entry.test: entry for entry in entries}
-        self._whole = False
-
-    def pytest_collection_finish(self, session: pytest.Session) -> None:
-        """Note which tests will run."""
-        self._whole = _is_whole(session.config)
-        for item in session.items:
-            if item.nodeid in self._entries:
-                self._entries[item.nodeid].seen = "was not run"
 
     @pytest.hookimpl(wrapper=True, tryfirst=True)  # outside the hook that reads the marks
     def pytest_runtest_makereport(self, item: pytest.Item, call: pytest.CallInfo):
@@ -102,6 +103,36 @@
             _judge(entry, call, report)
         return report
 
+
+class Told:
+    """Judges the run by the reports of the listed tests, and tells at the end what came of each."""
+
+    def __init__(self, entries: list[Entry]) -> None:
+        self._entries = {entry.test: entry for entry in entries}
+        self._whole = False
+
+    def pytest_collection_finish(self, session: pytest.Session) -> None:
+        """Note which tests will run, where this process runs them."""
+        self._collected(session.config, [item.nodeid for item in session.items])
+
+    @pytest.hookimpl(optionalhook=True)
+    def pytest_xdist_node_collection_finished(self, node: Any, ids: Sequence[str]) -> None:
+        """Note which tests a worker found: all find the same, or xdist fails the run."""
+        self._collected(node.config, ids)
+
+    def _collected(self, config: pytest.Config, ids: Iterable[str]) -> None:
+        self._whole = _is_whole(config)
+        for nodeid in ids:
+            entry = self._entries.get(nodeid)
+            if entry is not None and entry.seen == NOT_COLLECTED:
+                entry.seen = "was not run"
+
+    def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
+        """Take what a report says came of a listed test; one of a worker's crash says nothing."""
+        entry = self._entries.get(report.nodeid)
+        if entry is not None:
+            entry.seen = getattr(report, SEEN, entry.seen)
+
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
         """One line for each entry, with its cause."""
         terminalreporter.section("known red")
@@ -118,7 +149,7 @@
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def _breaks(self, entry: Entry) -> bool:
-        return entry.seen != RED and (self._whole or entry.seen != "was not collected")
+        return entry.seen != RED and (self._whole or entry.seen != NOT_COLLECTED)
 
 
 def _judge(entry: Entry, call: pytest.CallInfo, report: pytest.TestReport) -> None:
@@ -126,20 +157,23 @@
 
     Guards against a fault that is gone, or no longer looked at, while its line still stands: a skip, an
     error in a fixture and a failure told by `pytest.xfail()` say nothing of it."""
-    if call.excinfo is None:
-        if call.when == "setup":
-            return
-        entry.seen = "passes"
-    elif call.excinfo.errisinstance((pytest.skip.Exception, pytest.xfail.Exception)):
-        entry.seen = "was skipped"
-    elif call.when == "setup":
-        entry.seen = "fails before its body"
-    else:
-        entry.seen = RED
-        report.outcome, report.wasxfail = "skipped", f"{FILE}: {entry.cause}"
+    seen = _seen(call)
+    if seen is None:
         return
-    if not report.failed:
-        report.outcome, report.longrepr = "failed", f"{FILE}, line {entry.line}: {entry.test} {entry.seen}"
+    setattr(report, SEEN, seen)
+    if seen == RED:
+        report.outcome, report.wasxfail = "skipped", f"{FILE}: {entry.cause}"
+    elif not report.failed:
+        report.outcome, report.longrepr = "failed", f"{FILE}, line {entry.line}: {entry.test} {seen}"
+
+
+def _seen(call: pytest.CallInfo) -> str | None:
+    """What came of a listed test by its setup or its body; None if it goes on."""
+    if call.excinfo is None:
+        return None if call.when == "setup" else "passes"
+    if call.excinfo.errisinstance((pytest.skip.Exception, pytest.xfail.Exception)):
+        return "was skipped"
+    return "fails before its body" if call.when == "setup" else RED
 
 
 def _is_whole(config: pytest.Config) -> bool:
--- a/tests/rig/cluster/test_command.py
+++ b/tests/rig/cluster/test_command.py
@@ -15,6 +15,7 @@
 from rig.ledger import Ledger
 from tests.rig.cluster.logs import Log
 
+SCHEDULES = sorted(file.stem for file in command.REGRESSIONS.glob("*.jsonl"))
 HEAD = Head(FORMAT, 3, 3, 4500)
 CUT = Schedule(HEAD, (Link(300, 3800, "cut", ("registry",), ("n0",)), News(800, 1, "s1")))
 
@@ -78,15 +79,19 @@
     assert picture.read_text().count("<path") > 10
 
 
-def test_all_kinds_of_faults_come_to_what_their_files_state(capsys):
-    """A schedule for each kind of fault, on 3 to 5 processes each."""
-    code = command.main(["ci", "--at-once", "4"])
+@pytest.mark.parametrize("name", SCHEDULES)
+def test_each_kind_of_fault_comes_to_what_its_file_states(name, capsys):
+    """A schedule on 3 to 5 processes; a test each, which workers share out between them."""
+    code = command.main(["ci", "--only", name])
     said = capsys.readouterr().out
     assert "where its file states" not in said, said
     if code and "UNSOUND" in said:
         pytest.skip("this machine is too busy: an unsound play says nothing")
-    files = len(list(command.REGRESSIONS.glob("*.jsonl")))
-    assert code == 0 and f"{files} passed, 0 failed" in said and files >= 32
+    assert code == 0 and "1 passed, 0 failed" in said
+
+
+def test_there_is_a_schedule_of_each_kind_of_fault():
+    assert len(SCHEDULES) >= 32
 
 
 # --- judging without processes ------------------------------------------------------------
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,6 @@
-"""The reading of KNOWN-RED.txt: runs of pytest in a folder of their own, with files of all kinds."""
+"""The reading of KNOWN-RED.txt: runs of pytest in a folder of their own, with files of all kinds.
+
+Where the verdict has another way to take with workers, the tests are run with them too (`shared`)."""
 
 from __future__ import annotations
 
@@ -6,6 +8,7 @@
 
 from tests import known_red
 
+SHARED = ("-p", "xdist", "-n", "2", "--dist", "loadscope")
 RED, GREEN = "testing/test_one.py::test_red", "testing/test_one.py::test_green"
 SUITE = """
     import pytest
@@ -34,6 +37,12 @@
     return with_lines
 
 
+@pytest.fixture
+def shared(run):
+    """The same suite shared out between two workers."""
+    return lambda *lines, suite=SUITE, options=(): run(*lines, suite=suite, options=(*SHARED, *options))
+
+
 def listed(test=RED, cause="counts wrong", issue="30"):
     return f"{test} | {cause} | {issue}"
 
@@ -191,3 +200,68 @@
     result = run()
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     assert len(lines_of(result, "ERROR: KNOWN-RED.txt: ")) == 1
+
+
+def test_workers_know_a_listed_test_that_fails(shared):
+    suite = SUITE + "\n    @pytest.mark.parametrize('n', ['a@b'])\n    def test_more(n): assert False\n"
+    result = shared(listed(), listed("testing/test_one.py::test_more[a@b]"), suite=suite)
+    assert result.ret == pytest.ExitCode.OK
+    result.assert_outcomes(passed=1, xfailed=2)
+    assert lines_of(result, "line 1") == [f"KNOWN-RED.txt, line 1: known: {RED} fails | counts wrong | 30"]
+    assert len(lines_of(result, "known: ")) == 2
+
+
+def test_workers_fail_the_run_for_a_test_that_is_not_listed(shared):
+    result = shared(listed(), suite=SUITE + "\n    def test_other():\n        assert False\n")
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+    result.assert_outcomes(passed=1, xfailed=1, failed=1)
+
+
+def test_workers_fail_the_run_for_each_listed_test_that_does_not_fail_in_its_body(shared):
+    bodies = {
+        "passes": "def test_passes(): pass",
+        "was skipped": "def test_skipped(): pytest.skip('not here')",
+        "fails before its body": "@pytest.fixture\ndef none(): assert 0\ndef test_before(none): assert 0",
+    }
+    names = ["test_passes", "test_skipped", "test_before"]
+    suite = "\n".join(["import pytest", *bodies.values()])
+    result = shared(*(listed(f"testing/test_one.py::{name}") for name in names), suite=suite)
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+    for number, (name, seen) in enumerate(zip(names, bodies, strict=True), 1):
+        assert lines_of(result, f"line {number}: FAILED") == [
+            f"KNOWN-RED.txt, line {number}: FAILED: testing/test_one.py::{name} {seen} | counts wrong | 30"
+        ]
+
+
+def test_workers_fail_the_run_for_a_listed_test_that_is_not_there_and_for_nothing_else(shared):
+    missing = "testing/test_one.py::test_gone"
+    result = shared(listed(missing), suite="def test_green(): pass")
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+    result.assert_outcomes(passed=1)
+    assert lines_of(result, "line 1: FAILED") == [
+        f"KNOWN-RED.txt, line 1: FAILED: {missing} was not collected | counts wrong | 30"
+    ]
+
+
+def test_workers_pass_a_part_of_the_suite_without_what_it_leaves_out(shared):
+    result = shared(listed(), options=("-k", "green"))
+    assert result.ret == pytest.ExitCode.OK
+    assert lines_of(result, "left out: ")
+
+
+def test_a_listed_test_that_ends_its_worker_fails_the_run(shared):
+    """Guards against a crash that is taken for the failure which is listed."""
+    suite = "import os\ndef test_green(): pass\ndef test_red(): os._exit(1)\n"
+    result = shared(listed(), suite=suite, options=("--max-worker-restart", "0"))
+    assert result.ret == pytest.ExitCode.TESTS_FAILED
+    assert lines_of(result, "line 1: FAILED") == [
+        f"KNOWN-RED.txt, line 1: FAILED: {RED} was not run | counts wrong | 30"
+    ]
+
+
+def test_a_file_that_can_not_be_read_fails_the_run_before_there_are_workers(shared):
+    result = shared("test_red")
+    assert result.ret == pytest.ExitCode.USAGE_ERROR
+    assert lines_of(result, "KNOWN-RED") == [
+        "ERROR: KNOWN-RED.txt, line 1: test id: can't be read: 'test_red'"
+    ]
