--- /dev/null
+++ b/tests/daemon/test_where_it_runs.py
@@ -0,0 +1,81 @@
+"""What the place where it runs forbids: other programs, forks, splice, sendfile, io_uring. It is one process,
+linked dynamically against the C library."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import signal
+import sys
+import tomllib
+from pathlib import Path
+
+from tests.daemon.test_process import ROOT, environment, free_port
+from tests.loopback import App, Registry, Upstream, entry, listed, loopback, until
+
+# `fordtrestle load` is a program of its own, of which nothing is loaded here (tests/cli/test_cli.py).
+PROGRAM = [
+    path
+    for folder in ("fordtrestle", "poppypulley")
+    for path in (ROOT / folder).rglob("*.py")
+    if path.parent.name != "load"
+]
+FORBIDDEN = ("sendfile", "splice", "io_uring", "os.fork", "posix_spawn", "subprocess", "multiprocessing")
+# Runs the program, and ends it at once where it starts another or makes a copy of itself.
+WATCHED = """
+import os, runpy, sys
+STARTS = {"os.fork", "os.forkpty", "os.posix_spawn", "os.spawn", "os.exec", "os.system", "subprocess.Popen"}
+def hook(event, told):
+    if event in STARTS:
+        os.write(2, f"starts: {event}\\n".encode())
+        os._exit(99)
+sys.addaudithook(hook)
+runpy.run_module("fordtrestle", run_name="__main__", alter_sys=True)
+"""
+
+
+def test_the_deploy_files_run_lines_end_in_one_process():
+    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    for name in ("run", "sim"):
+        assert told[name].startswith("exec ") and not set("&;|\n") & set(told[name]), name
+
+
+def test_nothing_forbidden_is_named_in_the_program():
+    named = [(path.name, word) for path in PROGRAM for word in FORBIDDEN if word in path.read_text("utf-8")]
+    assert len(PROGRAM) > 80 and named == []
+
+
+@loopback
+async def test_from_start_to_end_it_starts_nothing_and_is_one_process(tmp_path):
+    """Through requests, a reload that moves discovery, and a drain."""
+    upstream, first, second = await Upstream().start(), await Registry().start(), await Registry().start()
+    known = listed(1, entry("s0", upstream.address))
+    second.listed = known
+    address = ("127.0.0.1", free_port())
+    listen = f"{address[0]}:{address[1]}"
+    env = environment(tmp_path, discovery=first.address, known=known, listen=listen)
+    with (tmp_path / "log").open("wb") as log:
+        made = await asyncio.create_subprocess_exec(
+            sys.executable, "-c", WATCHED, env=env, cwd=ROOT, stderr=log
+        )
+    try:
+        await until(lambda: first.watches or made.returncode is not None)
+        assert made.returncode is None, (tmp_path / "log").read_text()
+        app = await App.connect(address)
+        assert (await app.ask()).body == b"done"
+        path = tmp_path / "config.json"
+        path.write_text(json.dumps({**json.loads(path.read_text()), "discovery": second.address}))
+        made.send_signal(signal.SIGHUP)
+        await until(lambda: second.watches)
+        assert (await app.ask()).body == b"done"
+        assert Path(f"/proc/{made.pid}/task/{made.pid}/children").read_text().split() == []
+        assert "libc.so" in Path(f"/proc/{made.pid}/maps").read_text()
+        app.close()
+        made.terminate()
+        assert await made.wait() == 0
+    finally:
+        if made.returncode is None:
+            made.kill()
+    assert "starts:" not in (tmp_path / "log").read_text()
+    for partner in (upstream, first, second):
+        partner.stop()
--- a/tests/http/test_forms.py
+++ b/tests/http/test_forms.py
@@ -7,8 +7,11 @@
 
 import pytest
 
+from fordtrestle.engine import driver
+from fordtrestle.http import downstream
 from poppypulley.model import Fail, Outcome
-from tests.loopback import OK, App, Scripted, Upstream, loopback, running, until
+from tests.loopback import OK, App, Scripted, Upstream, loopback, request, running, until
+from tests.virtual import virtual
 
 IDS = itertools.count()
 KEY = b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -152,3 +155,53 @@
         await until(lambda: module.outcomes())
         assert module.outcomes()[0][1] == Outcome.FULL
         app.close()
+
+
+@pytest.mark.parametrize("first", [True, False], ids=["first", "later"])
+@virtual
+async def test_a_request_that_is_written_slowly_is_taken_and_its_time_counts_from_its_last_byte(first):
+    """As slowly as a client may write: its rest has to come in 2 s."""
+    upstream, module, loop = await Upstream([OK]).start(), Scripted(), asyncio.get_running_loop()
+    async with running(upstream, balancer=module) as sidecar:
+        app = await App.connect(sidecar.address)
+        if not first:
+            await app.ask()
+        raw = request("POST", "/pay", b"x" * 60, X_Budget="500m")
+        for piece in cut(raw, len(raw) // 18):
+            app.writer.write(piece)
+            await asyncio.sleep(0.1)
+        whole_at = (loop.time() - 0.1) * 1000.0 + sidecar.driver._clock._offset
+        answer = await app.answer()
+        assert (answer.start[9:12], answer.body) == ("200", b"done")
+        (arrival,) = module.named("request")[-1]
+        assert arrival.give_up_at == pytest.approx(whole_at + 500.0 - driver.DEADLINE_MARGIN_MS, abs=5.0)
+        app.close()
+
+
+@pytest.mark.parametrize("target", ["/look", "/pay"])
+@loopback
+async def test_a_flood_of_requests_at_once_is_answered_in_order_and_ended_orderly(target):
+    """300 at once: so many as are read get their answers, in order, then an end and no reset; of the others
+    none is sent on, so their client may send them again."""
+    upstream = await Upstream([OK]).start()
+    raised = []
+    asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
+    async with running(upstream, balancer=Scripted()) as sidecar:
+        app = await App.connect(sidecar.address)
+        method = "GET" if target == "/look" else "POST"
+        names = [f"flood-{number}" for number in range(300)]
+        app.writer.write(b"".join(request(method, target, X_Call_Id=name) for name in names))
+        answers = []
+        while (answer := await app.answer()) is not None:
+            answers.append(answer)
+        assert app.reader.exception() is None  # an end
+        taken = [seen.headers["x-call-id"] for seen in upstream.seen]
+        assert taken == names[: len(answers)]
+        assert len(answers) == downstream.PIPELINED_MOST + 1
+        assert [answer.body for answer in answers] == [b"done"] * len(answers)
+        assert answers[-1].headers["connection"] == "close"
+        again = await App.connect(sidecar.address)
+        assert (await again.ask()).body == b"done"
+        for one in (app, again):
+            one.close()
+    assert [told for told in raised if not isinstance(told.get("exception"), asyncio.CancelledError)] == []
