--- a/benchmarks/lock_in.py
+++ b/benchmarks/lock_in.py
@@ -34,12 +34,16 @@
 
 from __future__ import annotations
 
+import contextlib
+import itertools
 import math
+import multiprocessing
 import os
 import random
 import statistics
 import sys
-from collections.abc import Callable, Sequence
+import tempfile
+from collections.abc import Callable, Iterator, Sequence
 from concurrent.futures import ProcessPoolExecutor
 from dataclasses import asdict, dataclass, replace
 from pathlib import Path
@@ -48,7 +52,7 @@
 from benchmarks import fleet_size
 from benchmarks.common import BAD_INPUT, DONE, NOT_MET, chosen, figure, options, table, write_json
 from benchmarks.fleet_size import ZONES, balancer_of
-from poppypulley import model
+from poppypulley import Balancer, model
 from poppypulley.model import Settings
 from rig.model import Make
 from rig.sim.plain import Plain
@@ -444,31 +448,32 @@
     return Plain(settings.max_attempts, seed)
 
 
-@dataclass(slots=True)
-class Worker:
-    """What a process of the pool plays with."""
+def _play(drawn: Conditions, plainly: bool) -> tuple[Conditions, Figures]:
+    return drawn, play(drawn, plain if plainly else Balancer)
 
-    balancer: Builds = plain
 
+@contextlib.contextmanager
+def module_of(tree: Path) -> Iterator[None]:
+    """Have processes that start from here on import the decision module and its interface from a checkout.
 
-WORKER = Worker()
-
-
-def _ready_worker(tree: Path | None) -> None:
-    WORKER.balancer = plain if tree is None else balancer_of(tree)
-
-
-def _play(drawn: Conditions) -> tuple[Conditions, Figures]:
-    return drawn, play(drawn, WORKER.balancer)
+    Guards against one build's module called by the field names of another build's interface."""
+    with tempfile.TemporaryDirectory(prefix="lock-in-") as folder:
+        (Path(folder) / "poppypulley").symlink_to(tree / "poppypulley")
+        sys.path.insert(0, folder)
+        try:
+            yield
+        finally:
+            sys.path.remove(folder)
 
 
 def play_all(
-    runs: Sequence[Conditions], tree: Path | None, jobs: int
+    runs: Sequence[Conditions], tree: Path, jobs: int, plainly: bool = False
 ) -> dict[str, list[tuple[Conditions, Figures]]]:
-    """Play runs in so many processes; by trigger, in the order of the seeds. No tree: the plain policy."""
+    """Play runs in so many processes; by trigger, in the order of the seeds."""
     played: dict[str, list[tuple[Conditions, Figures]]] = {}
-    with ProcessPoolExecutor(jobs, initializer=_ready_worker, initargs=(tree,)) as pool:
-        for conditions, figures in pool.map(_play, runs):
+    fresh = multiprocessing.get_context("spawn")
+    with module_of(tree), ProcessPoolExecutor(jobs, fresh) as pool:
+        for conditions, figures in pool.map(_play, runs, itertools.repeat(plainly)):
             played.setdefault(conditions.trigger, []).append((conditions, figures))
     return played
 
@@ -545,13 +550,13 @@
     if given.use is not None and not 0.1 <= given.use <= 0.95:
         made.error("--use: from 0.1 to 0.95")
     try:
-        balancer_of(given.tree)  # guards against a pool that breaks since no worker can load it
+        balancer_of(given.tree)  # guards against processes that can't load it
     except ValueError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
     seeds = range(given.seed, given.seed + count)
     runs = [drawn(name, seed, not given.quick, given.use) for name in names for seed in seeds]
-    played = play_all(runs, None if given.plain else given.tree, given.jobs)
+    played = play_all(runs, given.tree, given.jobs, given.plain)
     rows = {name: summed([figures for _, figures in pairs]) for name, pairs in played.items()}
     print(table(HEADS, [cells(name, row) for name, row in rows.items()]))
     met = all(map(is_met, rows.values()))
--- a/tests/rig/test_lock_in.py
+++ b/tests/rig/test_lock_in.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import math
+import sys
 
 import pytest
 
@@ -10,6 +11,7 @@
 from benchmarks.lock_in import TRIGGERS, Day, drawn, in_time, plain, play, seconds_back, summed
 from poppypulley import Balancer
 from poppypulley.model import Arrival, Listing, Outcome, Refuse, Send
+from rig.helper import ROOT
 from rig.model import Make
 from rig.sim.plain import Plain
 from rig.sim.policy import Asked, Flow, World
@@ -171,3 +173,44 @@
     monkeypatch.setattr("sys.argv", ["lock_in", *words])
     assert lock_in.main() == 0
     assert "errors" in capsys.readouterr().out and '"back_s"' in path.read_text()
+
+
+def checkout(folder, balancer):
+    """A checkout with that decision module, and a field of the interface called by another name."""
+    for name in ("poppypulley", "fordtrestle"):
+        (folder / name).mkdir()
+    (folder / "fordtrestle" / "__main__.py").touch()
+    for path in (ROOT / "poppypulley").glob("*.py"):
+        text = balancer if path.name == "balancer.py" and balancer else path.read_text()
+        (folder / "poppypulley" / path.name).write_text(text.replace("traffic_class", "grade"))
+    return folder
+
+
+REFUSES_ALL = """
+from poppypulley.model import Refuse
+
+
+class Balancer:
+    def __init__(self, now, settings, seed):
+        pass
+
+    def request(self, now, arrival):
+        return [Refuse(arrival.request, 0.0)]
+
+    def server_list(self, now, form, entries):
+        return []
+"""
+
+
+def test_a_build_of_other_names_plays_the_same(tmp_path):
+    runs = [drawn("errors", seed, False) for seed in (1, 3)]
+    assert lock_in.play_all(runs, checkout(tmp_path, ""), 1) == lock_in.play_all(runs, ROOT, 1)
+    assert not [path for path in sys.path if "lock-in-" in path]
+
+
+def test_a_build_that_refuses_all_is_told_as_locked(monkeypatch, capsys, tmp_path):
+    tree = str(checkout(tmp_path, REFUSES_ALL))
+    words = ["--quick", "--seeds", "1", "--only", "blip", "--jobs", "1", "--tree", tree]
+    monkeypatch.setattr("sys.argv", ["lock_in", *words])
+    assert lock_in.main() == 1
+    assert "never" in capsys.readouterr().out
