--- a/fordtrestle/daemon/links.py
+++ b/fordtrestle/daemon/links.py
@@ -174,7 +174,7 @@
 
     @property
     def descriptors_most(self) -> int:
-        """So many descriptors all of it may hold, for who keeps the books."""
+        """So many descriptors all of it may hold, for who accounts for them."""
         return 2 * len(self._addresses) + FOLLOWERS_MOST + CLIENTS_MOST + STRANGERS_MOST + BACKLOG + 1
 
     async def start(self) -> Address:
@@ -224,8 +224,8 @@
             elif link.address != self._addresses[name]:
                 link.move(self._addresses[name])
 
-    def told(self) -> dict[str, Any]:
-        """For who asks: connections, what waits, and all counts."""
+    def status(self) -> dict[str, Any]:
+        """Connections, what waits, and all counts, as JSON values."""
         counts = self.counts
         return {
             "up": sorted(name for name, link in self._links.items() if link.line and link.line.name),
--- a/tests/daemon/test_links.py
+++ b/tests/daemon/test_links.py
@@ -188,7 +188,7 @@
         lines.Line, "_write", lambda self, rows: (writes.append(len(rows)), write(self, rows))
     )
     async with members("n0", "n1") as (n0, n1):
-        assert n0.links.told()["taken"] == n1.links.told()["taken"] == {}
+        assert n0.links.status()["taken"] == n1.links.status()["taken"] == {}
         assert all(n0.say("n1", number) for number in range(100))
         await until(lambda: len(n1.heard) == 100)
         assert n1.heard_of("n0") == list(range(100))
@@ -196,8 +196,8 @@
         assert n1.say("n0", 7)
         await until(lambda: n0.heard == [("n1", 7)])
         for member, other in ((n0, "n1"), (n1, "n0")):
-            told = member.links.told()
-            assert (told["up"], told["taken"], told["dropped"], told["closed"]) == (
+            status = member.links.status()
+            assert (status["up"], status["taken"], status["dropped"], status["closed"]) == (
                 [other],
                 {"member": 1},
                 {},
@@ -222,7 +222,7 @@
             await until(lambda number=number: n0.heard_of("f") == list(range(number + 1)))
             assert n0.say("f", number)
             await until(lambda number=number, follower=follower: follower.heard == [("n0", number)])
-        assert n0.counts.closed == {"replaced": 1} and n0.links.told()["taken"] == {"follower": 1}
+        assert n0.counts.closed == {"replaced": 1} and n0.links.status()["taken"] == {"follower": 1}
         for follower in lives:
             follower.links.close()
         await until(lambda: not n0.links._taken_by_name)
@@ -324,7 +324,7 @@
     await n0.links.start()
     for number in range(1500):
         n0.say("n1", number)
-    assert n0.links.told()["waiting"] == {"n1": 1000}
+    assert n0.links.status()["waiting"] == {"n1": 1000}
     await until(lambda: n0.counts.dropped == {"full": 500, "stale": 1000} and n0.links.made_room.bytes == 0)
     (link,) = n0.links._links.values()
     await until(lambda: link._timer is None and link._dialling is None)
@@ -560,7 +560,7 @@
         await until(lambda: n0.counts.closed["idle"] == 2)
         assert set(n1.heard_of("n0")) == {0, 1}
         await until(lambda: not n1.links._taken)
-        assert n0.links.told()["up"] == []
+        assert n0.links.status()["up"] == []
         monkeypatch.setattr(lines, "HEARD_S", 0.2)
         silent = await Raw.greeted(n0)
         assert await silent.closed()
@@ -577,7 +577,7 @@
         moved = Member("n1", {})
         address = await moved.links.start()
         n0.links.move({"n1": address})
-        assert n0.counts.closed == {"moved": 1} and n0.links.told()["up"] == []
+        assert n0.counts.closed == {"moved": 1} and n0.links.status()["up"] == []
         n0.say("n1", 2)
         await until(lambda: moved.heard == [("n0", 2)])
         line = n0.line
@@ -610,7 +610,7 @@
             assert n0.say(name, 1)
         await until(lambda: all(n0.counts.closed[why] for why in ("other_name", "own_name", "lost")))
         assert n1.heard == n2.heard == n0.heard == []
-        assert n2.counts.closed["other_cluster"] and n0.links.told()["up"] == []
+        assert n2.counts.closed["other_cluster"] and n0.links.status()["up"] == []
 
 
 @loopback
@@ -627,13 +627,13 @@
     async with members("n0", "n1") as (n0, n1):
         strangers = [await Raw.open(n0, "") for _ in range(20)]
         await until(lambda: n0.counts.closed["crowded"] == 15)
-        assert n0.links.told()["taken"] == {"stranger": 5}
+        assert n0.links.status()["taken"] == {"stranger": 5}
         followers = [await Raw.greeted(n0, f"f{number}") for number in range(3)]
         late = await Raw.open(n0, "f3")
         assert await late.closed()
         n1.say("n0", 1)
         await until(lambda: n0.heard == [("n1", 1)])
-        assert n0.links.told()["taken"]["follower"] == 3 and n0.links.told()["taken"]["member"] == 1
+        assert n0.links.status()["taken"]["follower"] == 3 and n0.links.status()["taken"]["member"] == 1
         again = await Raw.greeted(n0, "f0")  # in place of itself
         assert await followers[0].closed()
         for raw in (*strangers, *followers, again):
