--- a/fordtrestle/config/cluster.py
+++ b/fordtrestle/config/cluster.py
@@ -103,6 +103,6 @@
     except ModuleNotFoundError as error:
         table.faults.add(table.at, f"{error.name} is missing: {NEEDED}")
         return
-    told = LeaseConfig(read.contradiction_ms, read.check_ms, read.drift_ppm, read.message_ms)
-    if line := told.fault():
+    lease = LeaseConfig(read.contradiction_ms, read.check_ms, read.drift_ppm, read.message_ms)
+    if line := lease.fault():
         table.fault(*line.split(": ", 1))
--- a/fordtrestle/config/operator.py
+++ b/fordtrestle/config/operator.py
@@ -71,7 +71,7 @@
     """An operator file for `serve`; `OperatorError` holds all that is wrong with it."""
     faults = Faults()
     root = Table(_raw(file), "", faults)
-    told = Operator(
+    config = Operator(
         services=read_services(root),
         fronts=read_fronts(root),
         sources=read_sources(root),
@@ -83,10 +83,10 @@
         cluster=_optional(root, "cluster", read_cluster),
     )
     root.end()
-    _check(told, faults)
+    _check(config, faults)
     if faults.found:
         raise OperatorError(file, faults.found)
-    return told
+    return config
 
 
 def read_limits(file: str) -> LimitsOptions:
@@ -171,27 +171,27 @@
 # --- what holds between tables ------------------------------------------------
 
 
-def _check(told: Operator, faults: Faults) -> None:
-    for name, front in told.fronts.items():
-        if front.service and front.service not in told.services:
+def _check(config: Operator, faults: Faults) -> None:
+    for name, front in config.fronts.items():
+        if front.service and front.service not in config.services:
             faults.add(f"front.{name}.service", f"there is no service {front.service}")
-    for name, service in told.services.items():
-        source = told.sources.get(service.source)
+    for name, service in config.services.items():
+        source = config.sources.get(service.source)
         if isinstance(source, StaticSpec):
             _check_localities(name, service, source, faults)
         elif service.source and source is None:
             faults.add(f"service.{name}.source", f"there is no source {service.source}")
-    if told.peers is not None and len(told.services) > 1:
-        faults.add("peers", f"one service may speak to its peers, and there are {len(told.services)}")
-    _check_shares(told, faults)
-    if told.cluster is not None:
-        _check_cluster(told, faults)
+    if config.peers is not None and len(config.services) > 1:
+        faults.add("peers", f"one service may speak to its peers, and there are {len(config.services)}")
+    _check_shares(config, faults)
+    if config.cluster is not None:
+        _check_cluster(config, faults)
 
 
-def _check_shares(told: Operator, faults: Faults) -> None:
+def _check_shares(config: Operator, faults: Faults) -> None:
     """Guards against guarantees that can't all be kept, and fronts that would get nothing."""
-    most = told.limits.fronts_guaranteed_share
-    shares = [front.guaranteed_share for front in told.fronts.values()]
+    most = config.limits.fronts_guaranteed_share
+    shares = [front.guaranteed_share for front in config.fronts.values()]
     whole = sum(share or 0.0 for share in shares)
     if whole > most + 1e-9:
         reason = f"guaranteed_share makes {whole:g} in all, limits.fronts_guaranteed_share is {most:g}"
@@ -200,11 +200,11 @@
         faults.add("front", "guaranteed_share leaves nothing for the fronts that have none")
 
 
-def _check_cluster(told: Operator, faults: Faults) -> None:
+def _check_cluster(config: Operator, faults: Faults) -> None:
     """Guards against a member whose vote or name another life or process could have as well."""
-    if told.state is None:
+    if config.state is None:
         faults.add("cluster", "[state] is needed, to keep what this process has promised")
-    if not told.process.name and not any(fault.at == "process.name" for fault in faults.found):
+    if not config.process.name and not any(fault.at == "process.name" for fault in faults.found):
         faults.add("cluster", "process.name is needed, to tell this process from the other members")
 
 
--- a/fordtrestle/config/options.py
+++ b/fordtrestle/config/options.py
@@ -39,35 +39,35 @@
     granted: int | None
 
 
-def start_of(told: Operator) -> Start:
+def start_of(config: Operator) -> Start:
     """What this start is told: by the file, and where it is silent by the machine."""
-    seed = told.process.seed
+    seed = config.process.seed
     granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return Start(
-        number=stable_number(node_name(told)) % 2**16,
+        number=stable_number(node_name(config)) % 2**16,
         seed=int.from_bytes(os.urandom(6)) if seed is None else seed,
         granted=None if granted < 0 else granted,
     )
 
 
-def node_name(told: Operator) -> str:
+def node_name(config: Operator) -> str:
     """The name of this process among those of its fleet."""
-    return told.process.name or socket.gethostname()
+    return config.process.name or socket.gethostname()
 
 
 # --- a service ------------------------------------------------------------------
 
 
-def engine_options(told: Operator, name: str, start: Start) -> EngineOptions:
+def engine_options(config: Operator, name: str, start: Start) -> EngineOptions:
     """What the engine of a service is told."""
-    most = told.services[name].open_most
+    most = config.services[name].open_most
     seed = stable_number(f"{start.seed}:{name}")
-    return EngineOptions(settings(told, name, start), seed, OPEN_CALLS_MOST if most is None else most)
+    return EngineOptions(settings(config, name, start), seed, OPEN_CALLS_MOST if most is None else most)
 
 
-def pool_options(told: Operator, name: str, start: Start) -> PoolOptions:
+def pool_options(config: Operator, name: str, start: Start) -> PoolOptions:
     """What its pool is told."""
-    service = told.services[name]
+    service = config.services[name]
     return PoolOptions(
         connect_timeout_ms=service.connect_timeout_ms,
         idle_close_ms=service.idle_close_ms,
@@ -97,15 +97,15 @@
     return blake2b(numbered, digest_size=8).hexdigest()
 
 
-def settings(told: Operator, name: str, start: Start) -> model.Settings:
+def settings(config: Operator, name: str, start: Start) -> model.Settings:
     """The decision module's settings; `ValueError` names the first that is senseless."""
-    service = told.services[name]
-    source = told.sources[service.source]
+    service = config.services[name]
+    source = config.sources[service.source]
     asked = isinstance(source, RegistrySpec) and not source.pushed
     raw = {
         "Profiles": [_profile(row) for row in service.classes.values()],
-        "Me": start.number if told.peers is None else told.peers.me,
-        "Balancers": 1 if told.peers is None else len(told.peers.at),
+        "Me": start.number if config.peers is None else config.peers.me,
+        "Balancers": 1 if config.peers is None else len(config.peers.at),
         "Locality": service.zones.index(service.zone) if service.zone else 0,
         "FailureDomains": list(service.zones),
         "Kinds": list(service.kinds),
@@ -114,7 +114,7 @@
         "Tenants": [_tenant(row) for row in service.tenants],
         "OverShareWorth": service.over_share_worth,
         "WorthBy": service.worth_by,
-        "PolicyLimits": {**_policy_limits(service), "PeerMessages": told.peers is not None},
+        "PolicyLimits": {**_policy_limits(service), "PeerMessages": config.peers is not None},
         "Report": {"How": "inline" if service.load_reports else "off", "Fields": list(service.load_reports)},
         "Rules": _rules(service, source.ask_within_ms if isinstance(source, RegistrySpec) else 10_000.0),
     }
@@ -164,11 +164,11 @@
     }
 
 
-def settings_digest(told: Operator, name: str) -> str:
+def settings_digest(config: Operator, name: str) -> str:
     """16 hex digits that tell the settings of a service from others, alike in all processes that are told the
     same: nothing counts that is a process's own, such as its zone and addresses."""
-    service = told.services[name]
-    source = told.sources[service.source]
+    service = config.services[name]
+    source = config.sources[service.source]
     if isinstance(source, RegistrySpec):
         asked: tuple[object, ...] = (source.pushed, source.ask_within_ms)
     else:
@@ -176,7 +176,7 @@
     counted = [
         dataclasses.asdict(dataclasses.replace(service, zone="")),
         asked,
-        dataclasses.asdict(told.limits),
+        dataclasses.asdict(config.limits),
     ]
     return blake2b(json.dumps(counted).encode(), digest_size=8).hexdigest()
 
@@ -184,26 +184,26 @@
 # --- fronts and sources -----------------------------------------------------------
 
 
-def front_options(told: Operator, name: str, start: Start) -> FrontOptions:
+def front_options(config: Operator, name: str, start: Start) -> FrontOptions:
     """What a front is told; its clients may hold what it is guaranteed, and the common rest."""
-    limits = told.limits
+    limits = config.limits
     common = 1.0 - limits.fronts_guaranteed_share - limits.upstreams_guaranteed_share
-    clients_most = max(4, int(limits.connections_most(start.granted) * (front_share(told, name) + common)))
-    service = told.services[told.fronts[name].service]
+    clients_most = max(4, int(limits.connections_most(start.granted) * (front_share(config, name) + common)))
+    service = config.services[config.fronts[name].service]
     return FrontOptions(names(service), clients_most, min(RETRY_AFTER_MS, service.retry_after_most_ms))
 
 
-def upstream_share(told: Operator) -> float:
+def upstream_share(config: Operator) -> float:
     """What a service's connections to servers are guaranteed of each resource: equal parts."""
-    return told.limits.upstreams_guaranteed_share / len(told.services)
+    return config.limits.upstreams_guaranteed_share / len(config.services)
 
 
-def front_share(told: Operator, name: str) -> float:
+def front_share(config: Operator, name: str) -> float:
     """What a front is guaranteed: where the file is silent, an equal part of what the others leave."""
-    share = told.fronts[name].guaranteed_share
+    share = config.fronts[name].guaranteed_share
     if share is None:
-        given = [other.guaranteed_share for other in told.fronts.values()]
-        left = told.limits.fronts_guaranteed_share - sum(part or 0.0 for part in given)
+        given = [other.guaranteed_share for other in config.fronts.values()]
+        left = config.limits.fronts_guaranteed_share - sum(part or 0.0 for part in given)
         share = max(0.0, left) / given.count(None)
     return share
 
--- a/fordtrestle/config/platform.py
+++ b/fordtrestle/config/platform.py
@@ -134,29 +134,29 @@
     return {str(name): i for i, name in enumerate(names)}
 
 
-def engine_options(told: Config) -> EngineOptions:
+def engine_options(config: Config) -> EngineOptions:
     """What the one engine of the platform's sidecar is told."""
-    return EngineOptions(told.settings, told.seed, told.max_open)
+    return EngineOptions(config.settings, config.seed, config.max_open)
 
 
-def pool_options(told: Config) -> PoolOptions:
+def pool_options(config: Config) -> PoolOptions:
     """What its pool is told."""
-    settings = told.settings
+    settings = config.settings
     return PoolOptions(
         connect_timeout_ms=settings.connect_timeout,
         idle_close_ms=settings.idle_close,
-        drain_grace_ms=told.drain_grace_ms,
+        drain_grace_ms=config.drain_grace_ms,
         report_fields=settings.report_fields if settings.report_how != "off" else (),
     )
 
 
-def front_options(told: Config) -> FrontOptions:
+def front_options(config: Config) -> FrontOptions:
     """What its front is told."""
-    back = min(RETRY_AFTER_MS, told.settings.max_retry_after) if told.settings.retry_after else 0.0
-    return FrontOptions(told.names, max(4, told.sockets // 3), back)
+    back = min(RETRY_AFTER_MS, config.settings.max_retry_after) if config.settings.retry_after else 0.0
+    return FrontOptions(config.names, max(4, config.sockets // 3), back)
 
 
-def registry_options(told: Config) -> RegistryOptions:
+def registry_options(config: Config) -> RegistryOptions:
     """What its discovery is told."""
-    pushed = told.settings.discovery == "automatic"
-    return RegistryOptions(told.discovery, told.indices, pushed, told.known, told.seed)
+    pushed = config.settings.discovery == "automatic"
+    return RegistryOptions(config.discovery, config.indices, pushed, config.known, config.seed)
--- a/fordtrestle/config/rulebooks.py
+++ b/fordtrestle/config/rulebooks.py
@@ -57,11 +57,11 @@
     return change
 
 
-def change_of(told: Operator) -> Change:
+def change_of(config: Operator) -> Change:
     """What an operator file says of rules, as a change: its services, and the lists that stand in it."""
     return Change(
-        services={name: service_rules(spec) for name, spec in told.services.items()},
-        lists=_lists(told.services, told.sources),
+        services={name: service_rules(spec) for name, spec in config.services.items()},
+        lists=_lists(config.services, config.sources),
     )
 
 
@@ -188,22 +188,22 @@
 # --- the rules in force -----------------------------------------------------------------------
 
 
-def acted_on(told: Operator, acting: Acting) -> Operator:
+def acted_on(config: Operator, acting: Acting) -> Operator:
     """An operator file with the rules in force in place of its own; all of `options` can be made of it but
     `names` (see `names_of`) and lists (see `server_list_of`).
 
     A service that the rules lack, or leave no class, stays as the file has it: nothing may be done for it."""
-    services = dict(told.services)
-    for name, spec in told.services.items():
+    services = dict(config.services)
+    for name, spec in config.services.items():
         acted = acting.services.get(name)
         if acted is not None and acted.rules.classes:
             services[name] = service_spec(_enforced(acted), spec.source, spec.zone)
-    return dataclasses.replace(told, services=services)
+    return dataclasses.replace(config, services=services)
 
 
-def settings_of(acting: Acting, told: Operator, service: str, start: Start) -> model.Settings:
+def settings_of(acting: Acting, config: Operator, service: str, start: Start) -> model.Settings:
     """The decision module's settings for a service by the rules in force; raises as `options.settings`."""
-    return options.settings(acted_on(told, acting), service, start)
+    return options.settings(acted_on(config, acting), service, start)
 
 
 def names_of(acting: Acting, service: str) -> RequestNames:
--- a/fordtrestle/daemon/rules.py
+++ b/fordtrestle/daemon/rules.py
@@ -37,28 +37,28 @@
     `OSError` where another process holds the state, or where the events can't be written. A state folder that
     can't be used is told in one line, and nothing is stored."""
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, told: Operator, seams: Seams) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, config: Operator, seams: Seams) -> None:
         self._loop = loop
-        self._told = told
+        self._config = config
         self._keeper: ListKeeper | None = None
         self._events: Events | None = None
         self.known: dict[str, ServerList] = {}
-        sources = told.sources
-        self._fed = [n for n, row in told.services.items() if isinstance(sources[row.source], RegistrySpec)]
+        sources = config.sources
+        self._fed = [n for n, row in config.services.items() if isinstance(sources[row.source], RegistrySpec)]
         life = self._remember(seams)
-        if told.events is not None:
+        if config.events is not None:
             from fordtrestle.daemon.events import Events
 
-            stamp, bytes_most = seams.stamp or time.time, told.events.mb_most * 2**20
-            self._events = Events(loop, told.events.file, bytes_most, options.node_name(told), stamp)
+            stamp, bytes_most = seams.stamp or time.time, config.events.mb_most * 2**20
+            self._events = Events(loop, config.events.file, bytes_most, options.node_name(config), stamp)
             self._events.started(life)
         keep = None if self._keeper is None else self._keeper.keep
         self._rules = {
             name: Rules(name, name in self._fed, self._events, keep if name in self._fed else None)
-            for name in told.services
+            for name in config.services
         }
-        self.settle(told)
-        if told.state is not None and life == 0:
+        self.settle(config)
+        if config.state is not None and life == 0:
             for name in self._fed:
                 self._unstored(name, "the folder can't be used")
 
@@ -79,10 +79,10 @@
 
         return news
 
-    def settle(self, told: Operator) -> None:
+    def settle(self, config: Operator) -> None:
         """What a file says is in force from now on."""
         for name, rules in self._rules.items():
-            rules.settle(options.settings_digest(told, name))
+            rules.settle(options.settings_digest(config, name))
 
     def ending(self) -> None:
         """The process is told to end."""
@@ -100,9 +100,9 @@
 
     def _remember(self, seams: Seams) -> int:
         """Take in what an earlier life left; the number of this one, 0 where nothing is kept."""
-        if self._told.state is None:
+        if self._config.state is None:
             return 0
-        kept = self._kept(self._told.state.folder, seams)
+        kept = self._kept(self._config.state.folder, seams)
         for line in kept.told:
             log(line)
         self.known = kept.lists
@@ -122,7 +122,7 @@
             return Kept(told=[f"state: {folder}: {error.strerror or error}; {OFF}"])
         finally:
             opening.close(0.0)
-        bases = {name: options.basis(self._told.services[name]) for name in self._fed}
+        bases = {name: options.basis(self._config.services[name]) for name in self._fed}
         self._keeper = ListKeeper(self._loop, store, self._stored, self._failed, bases)
         return self._keeper.load(self._fed)
 
--- a/fordtrestle/daemon/sidecar.py
+++ b/fordtrestle/daemon/sidecar.py
@@ -25,26 +25,26 @@
     """All parts of one sidecar, wired together; `environment` names the file that a reload reads."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, told: Config, environment: Mapping[str, str] | None = None
+        self, loop: asyncio.AbstractEventLoop, config: Config, environment: Mapping[str, str] | None = None
     ) -> None:
         self._environment = environment or {}
 
         def discovery(news: News) -> Discovery:
-            self.discovery = Discovery(loop, platform.registry_options(told), news)
+            self.discovery = Discovery(loop, platform.registry_options(config), news)
             return self.discovery
 
         clock = Clock(loop)
-        engine, pool = platform.engine_options(told), platform.pool_options(told)
-        limits = told.limits
-        self.limits = limits.ledgers(told.sockets)
+        engine, pool = platform.engine_options(config), platform.pool_options(config)
+        limits = config.limits
+        self.limits = limits.ledgers(config.sockets)
         to_servers = budget(self.limits, "servers", limits.upstreams_guaranteed_share)
         to_clients = budget(self.limits, "clients", limits.fronts_guaranteed_share)
-        service = Service(loop, clock, engine, pool, to_servers, discovery, peer_options(told))
+        service = Service(loop, clock, engine, pool, to_servers, discovery, peer_options(config))
         self.driver, self.pool, self.peers = service.driver, service.pool, service.peers
-        machine = Machine(loop, clock, self.limits, limits.memory_mb, told.cores)
-        front, at_limit = platform.front_options(told), reserve(self.limits)
+        machine = Machine(loop, clock, self.limits, limits.memory_mb, config.cores)
+        front, at_limit = platform.front_options(config), reserve(self.limits)
         self.front = Front(loop, clock, front, self.driver, to_clients, at_limit, machine.lag)
-        fronts = {ONLY: FrontAt(self.front, [told.listen])}
+        fronts = {ONLY: FrontAt(self.front, [config.listen])}
         self._process = Process(loop, machine, {ONLY: service}, fronts)
         self.overload = self._process.overload
 
@@ -58,11 +58,11 @@
 
         Guards against a file that can't be read at that moment: the old state is kept."""
         try:
-            told = platform.reload(self._environment)
+            config = platform.reload(self._environment)
         except ConfigError as error:
             log(f"reload: {error}; nothing changes")
             return
-        self.discovery.move(told.discovery)
+        self.discovery.move(config.discovery)
 
     async def drain(self, signalled_at: float | None = None) -> None:
         """Stop listening, finish what was taken, close connections between requests."""
@@ -77,21 +77,21 @@
         return self._process.unsettled()
 
 
-def peer_options(told: Config) -> PeerOptions:
+def peer_options(config: Config) -> PeerOptions:
     """Where other sidecars are, if the settings allow messages."""
-    bind = told.peer_listen if told.settings.peer_messages else None
-    return PeerOptions(bind, told.settings.me, told.peers, told.peers_all)
+    bind = config.peer_listen if config.settings.peer_messages else None
+    return PeerOptions(bind, config.settings.me, config.peers, config.peers_all)
 
 
 def main(signals: Signals, limits: LimitsOptions = platform.USUAL) -> int:
     """Run as the environment tells; the exit code."""
     try:
-        told = platform.load(os.environ, limits)
+        config = platform.load(os.environ, limits)
     except ConfigError as error:
         log(str(error))
         return 2
     try:
-        asyncio.run(run(lambda loop: Sidecar(loop, told, os.environ), signals))
+        asyncio.run(run(lambda loop: Sidecar(loop, config, os.environ), signals))
     except OSError as error:
         log(f"can't start: {error}")
         return 1
--- a/fordtrestle/daemon/standalone.py
+++ b/fordtrestle/daemon/standalone.py
@@ -36,22 +36,22 @@
     `OSError` where another process holds its state, or its events or traces can't be written."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, file: str, told: Operator, seams: Seams = USUAL
+        self, loop: asyncio.AbstractEventLoop, file: str, config: Operator, seams: Seams = USUAL
     ) -> None:
         self._loop = loop
         self._file = file
-        self._told = told
-        self._start = options.start_of(told)
-        self.limits = told.limits.ledgers(self._start.granted)
+        self._config = config
+        self._start = options.start_of(config)
+        self.limits = config.limits.ledgers(self._start.granted)
         self._clock = Clock(loop, seams.wall)
-        self._machine = Machine(loop, self._clock, self.limits, told.limits.memory_mb)
+        self._machine = Machine(loop, self._clock, self.limits, config.limits.memory_mb)
         self._recordings: list[Recording] = []
         self._version = 0  # of static lists
         self._rules = self._rulebook(seams)
-        self.services = {name: self._service(name) for name in told.services}
+        self.services = {name: self._service(name) for name in config.services}
         parts = {
-            name: budget(self.limits, f"front.{name}", options.front_share(told, name))
-            for name in told.fronts
+            name: budget(self.limits, f"front.{name}", options.front_share(config, name))
+            for name in config.fronts
         }
         at_limit = reserve(self.limits)
         fronts = {name: self._front(name, part, at_limit) for name, part in parts.items()}
@@ -59,45 +59,45 @@
 
     def _rulebook(self, seams: Seams) -> Rulebook | None:
         """What tells and keeps the rules in force, if the file asks for it."""
-        if self._told.state is None and self._told.events is None:
+        if self._config.state is None and self._config.events is None:
             return None
         from fordtrestle.daemon.rules import Rulebook
 
-        return Rulebook(self._loop, self._told, seams)
+        return Rulebook(self._loop, self._config, seams)
 
     def _service(self, name: str) -> Service:
-        engine = options.engine_options(self._told, name, self._start)
-        pool = options.pool_options(self._told, name, self._start)
-        part = budget(self.limits, f"service.{name}", options.upstream_share(self._told))
+        engine = options.engine_options(self._config, name, self._start)
+        pool = options.pool_options(self._config, name, self._start)
+        part = budget(self.limits, f"service.{name}", options.upstream_share(self._config))
         driver = None if self._rules is None else self._rules.driver(name, self._clock, engine)
-        peers = peer_options(self._told)
+        peers = peer_options(self._config)
         return Service(self._loop, self._clock, engine, pool, part, self._source(name), peers, driver)
 
     def _front(self, name: str, part: Budget, at_limit: Part) -> FrontAt:
-        spec = self._told.fronts[name]
-        told = options.front_options(self._told, name, self._start)
+        spec = self._config.fronts[name]
+        front_options = options.front_options(self._config, name, self._start)
         driver = self.services[spec.service].driver
-        front = Front(self._loop, self._clock, told, driver, part, at_limit, self._machine.lag)
+        front = Front(self._loop, self._clock, front_options, driver, part, at_limit, self._machine.lag)
         if spec.trace_file is not None:
             from fordtrestle.daemon.recording import Recording  # loaded only where it is on
 
             bytes_most = spec.trace_mb_most * 2**20
-            recording = Recording(Path(spec.trace_file), bytes_most, told.names, self._clock.now)
+            recording = Recording(Path(spec.trace_file), bytes_most, front_options.names, self._clock.now)
             self._recordings.append(recording)
             front.note = recording.note
         return FrontAt(front, spec.listen)
 
     def _source(self, name: str) -> Callable[[News], Source]:
-        service = self._told.services[name]
-        spec = self._told.sources[service.source]
+        service = self._config.services[name]
+        spec = self._config.sources[service.source]
 
         def make(hear: News) -> Source:
             news = hear if self._rules is None else self._rules.first(name, hear)
             if isinstance(spec, StaticSpec):
                 return StaticList(self._loop, options.server_list(spec, service, 0), news)
             known = None if self._rules is None else self._rules.known.get(name)
-            told = options.registry_options(spec, service, self._start.seed, known)
-            return Discovery(self._loop, told, news)
+            registry_options = options.registry_options(spec, service, self._start.seed, known)
+            return Discovery(self._loop, registry_options, news)
 
         return make
 
@@ -110,33 +110,33 @@
     def reload(self) -> None:
         """Read the file anew: what it says takes effect whole, or nothing does."""
         try:
-            told = operator.read(self._file)
+            config = operator.read(self._file)
         except OperatorError as error:
             for line in error.lines:
                 log(f"reload: {line}")
             log("reload: nothing changes")
             return
-        keys = changes.changed(self._told, told)
+        keys = changes.changed(self._config, config)
         restarts = changes.restarts(keys)
         if restarts:
             log(f"reload: {self._file}: {', '.join(restarts)}: needs a restart; nothing changes")
             return
         self._version += 1
-        self._told = told
+        self._config = config
         if self._rules is not None:
-            self._rules.settle(told)
+            self._rules.settle(config)
         if any(key.startswith("limits.") for key in keys):
-            self.limits.resize(*told.limits.capacities(self._start.granted))
-        for name, service in told.services.items():
+            self.limits.resize(*config.limits.capacities(self._start.granted))
+        for name, service in config.services.items():
             self._change(name, service.source, keys)
         log(f"reload: {', '.join(keys) or 'nothing'} changed")
 
     def _change(self, name: str, source: str, keys: list[str]) -> None:
         """Tell one service of what is new in its source."""
-        spec, holder = self._told.sources[source], self.services[name].source
+        spec, holder = self._config.sources[source], self.services[name].source
         if isinstance(spec, StaticSpec):
             if f"source.{source}.server" in keys and isinstance(holder, StaticList):
-                holder.change(options.server_list(spec, self._told.services[name], self._version))
+                holder.change(options.server_list(spec, self._config.services[name], self._version))
         elif spec.address is not None and isinstance(holder, Discovery):
             holder.move(spec.address)
 
@@ -162,26 +162,26 @@
         return self._process.unsettled()
 
 
-def peer_options(told: Operator) -> PeerOptions | None:
+def peer_options(config: Operator) -> PeerOptions | None:
     """Where the other processes of the fleet are, if the file says so."""
-    spec = told.peers
+    spec = config.peers
     return None if spec is None else PeerOptions(spec.listen, spec.me, spec.at)
 
 
 def main(file: str, signals: Signals, seams: Seams = USUAL) -> int:
     """Run as an operator file tells; the exit code."""
     try:
-        told = operator.read(file)
+        config = operator.read(file)
     except OperatorError as error:
         for line in error.lines:
             log(line)
         return 2
-    if told.cluster is not None:
+    if config.cluster is not None:
         # Guards against an operator who takes the claim for kept: nothing agrees on rules yet.
         log(f"{file}: cluster: this release checks the table and does not act on it; take it out to serve")
         return 2
     try:
-        asyncio.run(run(lambda loop: Standalone(loop, file, told, seams), signals, Standalone.ending))
+        asyncio.run(run(lambda loop: Standalone(loop, file, config, seams), signals, Standalone.ending))
     except OSError as error:
         log(f"can't start: {error}")
         return 1
