--- a/fordtrestle/cli/check.py
+++ b/fordtrestle/cli/check.py
@@ -30,8 +30,8 @@
         if given.platform:
             operator.read_limits(given.file)
         else:
-            told = operator.read(given.file)
-            named = {table: list(getattr(told, table)) for table in TABLES}
+            config = operator.read(given.file)
+            named = {table: list(getattr(config, table)) for table in TABLES}
     except OperatorError as error:
         faults = error.faults
         if not given.json:
--- a/fordtrestle/daemon/rules.py
+++ b/fordtrestle/daemon/rules.py
@@ -103,7 +103,7 @@
         if self._config.state is None:
             return 0
         kept = self._kept(self._config.state.folder, seams)
-        for line in kept.told:
+        for line in kept.log_lines:
             log(line)
         self.known = kept.lists
         return kept.life
@@ -119,7 +119,7 @@
         except OSError as error:
             if error.errno == errno.EBUSY:  # two processes would overwrite each other's there
                 raise
-            return Kept(told=[f"state: {folder}: {error.strerror or error}; {OFF}"])
+            return Kept(log_lines=[f"state: {folder}: {error.strerror or error}; {OFF}"])
         finally:
             opening.close(0.0)
         bases = {name: options.basis(self._config.services[name]) for name in self._fed}
--- a/fordtrestle/state/journal.py
+++ b/fordtrestle/state/journal.py
@@ -51,7 +51,7 @@
     those before and after. `doubtful_from`: from this index on entries may have been confirmed that are not
     here. Where `whole` is False, the disk of `meta` may have promised what is not told here, a vote or
     entries: it may neither vote nor acknowledge. That stays so over openings, until a meta with another disk
-    is written. `told`: lines for the log."""
+    is written. `log_lines`: what to log of it."""
 
     meta: Meta | None
     compact: Compact | None
@@ -59,7 +59,7 @@
     damaged: tuple[tuple[int, int], ...] = ()
     doubtful_from: int | None = None
     whole: bool = True
-    told: list[str] = field(default_factory=list)
+    log_lines: list[str] = field(default_factory=list)
 
 
 class Journal:
@@ -134,10 +134,10 @@
     # --- opening -------------------------------------------------------------------------
 
     def _read(self) -> tuple[Opened, Recovered, int]:
-        snapshot, fallback, told = self._newest()
+        snapshot, fallback, log_lines = self._newest()
         found = self._log.read()
         recovered = recover(found.records, found.unknown, snapshot, fallback)
-        told += found.told + _lines(recovered)
+        log_lines += found.log_lines + _lines(recovered)
         opened = Opened(
             recovered.meta,
             None if snapshot is None else snapshot.compact,
@@ -145,23 +145,23 @@
             recovered.damaged,
             recovered.doubtful_from,
             recovered.whole,
-            told,
+            log_lines,
         )
         return opened, recovered, max(found.highest, 0 if snapshot is None else snapshot.number)
 
     def _newest(self) -> tuple[Snapshot | None, bool, list[str]]:
         """The newest snapshot that can be read, whether there is a newer one, and lines about those."""
-        self._snapshots, told, newest = [], [], None
+        self._snapshots, log_lines, newest = [], [], None
         names = [name for name in self._store.names() if NAME.fullmatch(name)]
         for name in reversed(names):
             try:
                 snapshot = self._snapshot(name)
             except SnapshotError as error:
-                told.append(f"{name}: {error}; an older one and the log are used")
+                log_lines.append(f"{name}: {error}; an older one and the log are used")
                 continue
             newest = newest or snapshot
             self._snapshots.append((name, snapshot.compact.index))
-        return newest, bool(told) and (newest is None or names[-1] != self._snapshots[0][0]), told
+        return newest, bool(log_lines) and (newest is None or names[-1] != self._snapshots[0][0]), log_lines
 
     def _snapshot(self, name: str) -> Snapshot:
         try:
--- a/fordtrestle/state/lists.py
+++ b/fordtrestle/state/lists.py
@@ -32,7 +32,7 @@
 
     life: int = 0
     lists: dict[str, ServerList] = field(default_factory=dict)
-    told: list[str] = field(default_factory=list)
+    log_lines: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
@@ -83,9 +83,9 @@
                 kept.life = found.life + 1
                 return kept
         except OSError as error:
-            kept.told.append(f"state: {reason(error)}")
+            kept.log_lines.append(f"state: {reason(error)}")
         self._off = True
-        kept.told.append(f"state: {OFF}")
+        kept.log_lines.append(f"state: {OFF}")
         return kept
 
     def keep(self, service: str, listed: ServerList, digest: str) -> None:
@@ -129,13 +129,13 @@
             read()
         except FileNotFoundError:
             if name != LIFE:  # the first start of all
-                found.kept.told.append(f"state: {name}: none kept; {so}")
+                found.kept.log_lines.append(f"state: {name}: none kept; {so}")
         except SnapshotError as error:
             found.damaged.append(name)
-            found.kept.told.append(f"state: {name}: {error}; {so}")
+            found.kept.log_lines.append(f"state: {name}: {error}; {so}")
         except OSError as error:
             found.failed = True
-            found.kept.told.append(f"state: {name}: {reason(error)}; {so}")
+            found.kept.log_lines.append(f"state: {name}: {reason(error)}; {so}")
 
     def _read_life(self, found: _Found) -> None:
         found.life = records.decode_life(snapshots.read(self._store, LIFE, LIFE_BYTES_MOST))
--- a/fordtrestle/state/segments.py
+++ b/fordtrestle/state/segments.py
@@ -46,7 +46,7 @@
     records: list[Record]
     unknown: bool  # see `recovery.recover`
     highest: int
-    told: list[str]
+    log_lines: list[str]
 
 
 class Segments:
@@ -75,7 +75,7 @@
         """All records. `FormatError` for files of another version, EFBIG for more than is ever written."""
         self._segments = []
         records: list[Record] = []
-        told: list[str] = []
+        log_lines: list[str] = []
         unknown, open_to, most = False, 0, (OVER + 1) * self._bytes_most
         for name in self._store.names():
             if not (match := NAME.fullmatch(name)):
@@ -88,16 +88,16 @@
             except FormatError as error:
                 raise FormatError(f"{name}: {error}") from error
             if any(record.data is not None for record in scan.records):
-                unknown, open_to, told = False, 0, []  # what came before is judged by its numbers
+                unknown, open_to, log_lines = False, 0, []  # what came before is judged by its numbers
             unknown = unknown or scan.unknown
             open_to += -(-scan.rest // LEAST)
             self._clean = not scan.rest
             if scan.rest:
-                told.append(f"{name}: {scan.rest} bytes at the end are no whole record")
+                log_lines.append(f"{name}: {scan.rest} bytes at the end are no whole record")
             self._segments.append(Segment(int(match[1]), len(raw), top))
             records += scan.records
         numbers = [segment.first for segment in self._segments] + [record.number for record in records]
-        return Found(records, unknown, max(numbers, default=0) + open_to, told)
+        return Found(records, unknown, max(numbers, default=0) + open_to, log_lines)
 
     def begin(self, highest: int, proved: int, ends: int, start: bytes, items: Sequence[Item]) -> None:
         """Write START, which holds `items` and leaves what is up to `proved` standing, with the log ending at
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -99,7 +99,7 @@
         assert max(have, default=0) < opened.doubtful_from
         named |= {index for index in missing if index >= opened.doubtful_from}
     assert missing <= named
-    assert opened.whole or opened.told
+    assert opened.whole or opened.log_lines
 
 
 # --- power cuts --------------------------------------------------------------------------------------------
@@ -378,7 +378,7 @@
     disk, state = played()
     older = disk.files()[disk.names()[0]]
     _, opened = opened_at(Platter(disk.files() | {"log-0000000000009999": older}))
-    assert kept(opened) == state and "out of their order" in "".join(opened.told)
+    assert kept(opened) == state and "out of their order" in "".join(opened.log_lines)
 
 
 GROUPS = [[store(meta(n), entries(2 * n - 1, 2 * n, n))] for n in range(1, 4)]
@@ -410,7 +410,7 @@
     names = [name for name in disk.names() if name.startswith("snapshot")]
     assert len(names) == 2
     _, opened = opened_at(rotted(disk, names[-1], 700))
-    assert opened.compact == compact(10, 4) and opened.whole and names[-1] in opened.told[0]
+    assert opened.compact == compact(10, 4) and opened.whole and names[-1] in opened.log_lines[0]
     assert opened.entries == (entry(11, 4, 300), *entries(12, 13, 5))
     _, opened = opened_at(rotted(rotted(disk, names[-1], 700), names[0], 700))
     assert opened.compact is None and not opened.whole and opened.damaged[0][0] == 1
--- a/tests/state/test_lists.py
+++ b/tests/state/test_lists.py
@@ -54,7 +54,7 @@
         cold = [
             f"state: list-{name}: none kept; service {name} starts without a list" for name in ("a", "b-2")
         ]
-        assert kept.told == (cold if life == 1 else [])
+        assert kept.log_lines == (cold if life == 1 else [])
         await held.keep("a", life)
         await held.keep("b-2", life)
         assert held.told == [("a", life, f"d{life}"), ("b-2", life, f"d{life}")]
@@ -108,7 +108,7 @@
         found = Held(store.crash(names_kept)).keeper.load(["a", "b"])
         assert found.life > life
         assert all(found.lists[service].version >= version for service, version in last.items())
-        assert all("none kept" in line for line in found.told)
+        assert all("none kept" in line for line in found.log_lines)
     assert not failed, "every call has failed once"
     assert last == {"a": 3, "b": 4}
 
@@ -127,7 +127,7 @@
     held = Held(left)
     kept = held.keeper.load(["a", "b"])
     assert (kept.life, kept.lists) == (1, {"b": servers(5)})
-    assert kept.told == [
+    assert kept.log_lines == [
         "state: life: too long: more than 64 bytes; lives count from 1 again",
         "state: list-a: wrong checksum; service a starts without a list",
     ]
@@ -148,7 +148,7 @@
     assert Held(left, {"a": "east,west"}).keeper.load(["a"]).lists == {"a": servers(1)}
     kept = Held(left, {"a": "west,east"}).keeper.load(["a", "b"])
     assert kept.lists == {}
-    assert ["other zones" in kept.told[0], "another service" in kept.told[1]] == [True, True]
+    assert ["other zones" in kept.log_lines[0], "another service" in kept.log_lines[1]] == [True, True]
 
 
 @loopback
@@ -166,7 +166,7 @@
     assert time.monotonic() - began < 5.0
     assert kept.life == 0
     assert kept.lists == {"a": servers(1)}  # read before the disk stood still
-    assert kept.told == [
+    assert kept.log_lines == [
         "state: the disk did not answer in time",
         "state: nothing is stored until a restart",
     ]
