--- a/tests/daemon/test_told.py
+++ b/tests/daemon/test_told.py
@@ -253,6 +253,24 @@
         server.stop()
 
 
+@pytest.mark.parametrize("whole", [True, False], ids=["the whole list", "what changed"])
+@virtual
+async def test_what_the_agent_has_holds_from_the_first_moment_of_a_process(whole, tmp_path):
+    """Its file knows a server that drains by now: nothing of it is sent there past the grace."""
+    servers, rows = await partners()
+    place = await Place(rows[1:], whole=whole, changed=[{**rows[0], "status": "leaving"}]).start()
+    loop = asyncio.get_running_loop()
+    async with Load(place, servers, tmp_path / "config.json", True).running() as load:
+        load.pause_s = PAUSE_S / 5.0
+        started_at = loop.time()
+        await asyncio.sleep(5.0)
+        assert servers[0].at == [] or max(servers[0].at) <= started_at + GRACE_S + SLACK_S
+        assert max(at for server in servers[1:] for at in server.at) > started_at + 4.0
+    place.stop()
+    for server in servers:
+        server.stop()
+
+
 @pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
 @pytest.mark.parametrize("old", ["well", "silent", "closed"])
 @virtual
