--- a/tests/rig/cluster/test_journal_faults.py
+++ b/tests/rig/cluster/test_journal_faults.py
@@ -81,13 +81,13 @@
 
 @pytest.mark.parametrize("word", ["lie", "lost_rename"])
 def test_a_disk_that_lied_can_have_gone_back_without_a_trace(tmp_path, word):
-    """The journal can't know: this is what asking others about the life is for (`Hello`)."""
+    """The journal can't know: this is what asking others about the incarnation is for (`Recovery`)."""
     gone_back = 0
     for seed, rounds in itertools.product(range(10), (6, ROUNDS)):
         folder = tmp_path / f"{seed}-{rounds}"
         assert told_until_failure(folder, seed, word, rounds) == rounds
         _, _, opened = opened_at(folder)
-        gone_back += opened.whole and opened.meta.life < rounds
+        gone_back += opened.whole and opened.meta.incarnation < rounds
     assert gone_back
 
 
