--- a/benchmarks/lock_in.py
+++ b/benchmarks/lock_in.py
@@ -4,6 +4,7 @@
 [--only NAME[,NAME]] [--use SHARE] [--jobs N] [--plain]`. The decision module (of another checkout with
 `--tree`) plays a day with steady load round one trigger, for each of so many seeds from `--seed` on:
 
+- calm: nothing happens; a module that locks here needs no trigger.
 - release: a quarter to half of the servers are replaced by cold ones within 4 s; no fault at all.
 - blip: all servers stand still for 1 s. burst: twice what the servers can carry, for 2 to 3 s.
 - outage: all servers are gone for 3 s and return, warm or cold. cold: all restart at once.
@@ -366,6 +367,10 @@
 # --- the triggers ----------------------------------------------------------------------
 
 
+def calm(day: Day) -> None:
+    """Nothing happens."""
+
+
 def release(day: Day) -> None:
     hosts = day.some(day.rng.uniform(0.25, 0.5))
     span_ms = day.rng.uniform(0.0, 4000.0)
@@ -428,7 +433,7 @@
 
 
 TRIGGERS: dict[str, Callable[[Day], None]] = {
-    "release": release, "blip": blip, "burst": burst, "outage": outage, "cold": cold,
+    "calm": calm, "release": release, "blip": blip, "burst": burst, "outage": outage, "cold": cold,
     "scale_down": scale_down, "errors": errors, "tenant": tenant, "mixed": burst, "overload": overload,
 }  # fmt: skip
 
