--- a/benchmarks/load_accuracy.py
+++ b/benchmarks/load_accuracy.py
@@ -90,9 +90,9 @@
         """The control's long gaps, for a table."""
         return f"{self.noise.long_share:.3%}"
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """The same for JSON, with what the host says that it took of all cores."""
-        return {"noise": self.noise.told(), "stolen_share": self.stolen_share}
+        return {"noise": self.noise.summary(), "stolen_share": self.stolen_share}
 
 
 @dataclass(slots=True)
@@ -155,8 +155,8 @@
         late_ms = quantile([(record.went - record.due) / 1e6 for record in sent.records], 0.999)
         true = [quantile(recorded, share) for share in SHARES]
         latency = sent.run.recorder.whole.latency.at([share * 100.0 for share in SHARES])
-        apart = max(abs((told or math.inf) - was) for told, was in zip(latency, true, strict=True))
-        lag_ms = sent.run.recorder.lag.told()["p999"]
+        apart = max(abs((got or math.inf) - was) for got, was in zip(latency, true, strict=True))
+        lag_ms = sent.run.recorder.lag.summary()["p999"]
         whole = len(recorded) == len(sent.samples)
         judged = figures.judge(apart <= APART_MOST_MS and whole, f"percentiles of {name}", sent.noise)
         for what, values in (("truth", true), ("told", latency)):
@@ -173,7 +173,7 @@
                 "apart_ms": apart,
                 "lag_p999_ms": lag_ms,
                 "standin_late_p999_ms": late_ms,
-                **sent.told(),
+                **sent.summary(),
             }
         )
     heads = (
@@ -208,7 +208,7 @@
         # Served one at a time, each waits for its own work, too.
         work_s = 1.0 / per_s if per_s else 0.0
         apart = distance_to_even([s.latency_ns / 1e9 - work_s for s in hit], STALL_S)
-        open_ms = sent.run.recorder.whole.latency.told()["p99"] or math.nan
+        open_ms = sent.run.recorder.whole.latency.summary()["p99"] or math.nan
         closed = closed_loop(bench.truth, plan, until_s + 2.0)
         closed_ms = quantile(closed, 0.99)
         over = [
@@ -239,8 +239,8 @@
                 "open_over_100_ms": over[0],
                 "closed_p99_ms": closed_ms,
                 "closed_over_100_ms": over[1],
-                "lag_p99_ms": sent.run.recorder.lag.told()["p99"],
-                **sent.told(),
+                "lag_p99_ms": sent.run.recorder.lag.summary()["p99"],
+                **sent.summary(),
             }
         )
     closed_heads = ("closed: p99 ms", "over 100 ms")
@@ -302,7 +302,7 @@
     swapped = sum(a > b for (_, a), (_, b) in pairwise(sends))
     came = [int(r.key) for r in sorted(sent.records, key=lambda record: record.came)]
     crossed = sum(a > b for a, b in pairwise(came))
-    lag = sent.run.recorder.lag.told()
+    lag = sent.run.recorder.lag.summary()
     good = (
         (lag["p99"] or math.inf) < LAG_MOST_MS and served == count and not lost and not twice and not swapped
     )
@@ -317,7 +317,7 @@
             "out_of_order": swapped,
             "read_out_of_order": crossed,
             "lag_ms": lag,
-            **sent.told(),
+            **sent.summary(),
         }
     )
     row = [
@@ -376,7 +376,7 @@
     for what in figures.not_met:
         print(f"NOT MET: {what}")
     write_json(
-        given.json, given.tree, {"machine": still.told(), "rows": figures.rows, "not_met": figures.not_met}
+        given.json, given.tree, {"machine": still.summary(), "rows": figures.rows, "not_met": figures.not_met}
     )
     return NOT_MET if figures.not_met else DONE
 
--- a/benchmarks/noise.py
+++ b/benchmarks/noise.py
@@ -29,7 +29,7 @@
     away_share: float = 0.0  # in gaps of over 0.1 ms
     long_share: float = 0.0  # in gaps of over 0.5 ms
 
-    def told(self) -> dict[str, float]:
+    def summary(self) -> dict[str, float]:
         """The figures, for JSON."""
         return asdict(self)
 
@@ -51,7 +51,7 @@
             if gap > LONG_NS:
                 self._long += gap
 
-    def told(self) -> Noise:
+    def summary(self) -> Noise:
         """What they come to."""
         whole = max(1, self._last - self._began)
         return Noise(whole / 1e9, self._longest / 1e6, self._away / whole, self._long / whole)
@@ -73,7 +73,7 @@
                 return
         except EOFError:
             return
-        control.send(gaps.told())
+        control.send(gaps.summary())
         # Waits, without a look at the clock, until it is to watch again.
         try:
             if control.recv() is None:
--- a/fordtrestle/cli/load.py
+++ b/fordtrestle/cli/load.py
@@ -128,10 +128,10 @@
 
 
 def _trace(given: argparse.Namespace, files: list[str]) -> int:
-    told: list[dict[str, Any]] = []
+    rows: list[dict[str, Any]] = []
     for file in files:
         summary = trace.inspect(Path(file))
-        told.append(
+        rows.append(
             {
                 "file": file,
                 "requests": summary.requests,
@@ -142,9 +142,9 @@
             }
         )
     if given.json:
-        print(json.dumps(told))
+        print(json.dumps(rows))
         return DONE
-    for row in told:
+    for row in rows:
         kinds = ", ".join(f"{name} {count}" for name, count in row["classes"].items())
         print(
             f"{row['file']}: good: {row['requests']} requests in {row['length_s']:g} s, "
@@ -173,14 +173,14 @@
             raise _BadOption(f"--plot: {as_plot}: a plot ends with {' or '.join(plot.SUFFIXES)}")
         library("matplotlib", "plot")
     schedule = _schedule(given, files[0])
-    told = report.report(_run(schedule), schedule, files[0])
-    text = json.dumps(told, indent=1, allow_nan=False)
-    print(text if given.json == "-" else report.table(told))
+    summary = report.report(_run(schedule), schedule, files[0])
+    text = json.dumps(summary, indent=1, allow_nan=False)
+    print(text if given.json == "-" else report.table(summary))
     if as_json is not None:
         as_json.write_text(text + "\n", encoding="utf-8")
     if as_plot is not None:
-        plot.plot(told, as_plot)
-    return DONE if report.met(told) else NOT_MET
+        plot.plot(summary, as_plot)
+    return DONE if report.met(summary) else NOT_MET
 
 
 def _run(schedule: Schedule) -> Run:
--- a/fordtrestle/load/generator.py
+++ b/fordtrestle/load/generator.py
@@ -121,11 +121,11 @@
         for number in range(spec.workers):
             caps = [_part(most, number, spec.workers) for most in (spec.open_most, spec.connections_most)]
             job = Job(self._schedule, number, spec.workers, family, address, *caps)
-            told, control = context.Pipe(duplex=False)
+            receiver, control = context.Pipe(duplex=False)
             pipe, out = context.Pipe(duplex=False)
-            process = context.Process(target=work, args=(job, told, out), daemon=True)
+            process = context.Process(target=work, args=(job, receiver, out), daemon=True)
             process.start()
-            told.close()
+            receiver.close()
             out.close()
             os.set_blocking(pipe.fileno(), False)
             self._workers.append(_Worker(process, control, pipe))
@@ -148,7 +148,7 @@
             worker.control.send(self._run.start_ns)
 
     def _follow(self, selector: selectors.BaseSelector) -> None:
-        told, stop_by = 0, 0.0
+        reported, stop_by = 0, 0.0
         while selector.get_map():
             self._read(selector, TURN_S)
             now_s = (time.monotonic_ns() - self._run.start_ns) / 1e9
@@ -158,8 +158,8 @@
             if self._run.cut and now_s > stop_by:
                 self._run.problems.append("a worker did not stop")
                 return
-            if now_s >= told + 1:
-                told = int(now_s)
+            if now_s >= reported + 1:
+                reported = int(now_s)
                 self._run.recorder.settle(now_s - self._open_s)
                 if self._watch is not None:
                     self._watch(self._run, now_s)
--- a/fordtrestle/load/plot.py
+++ b/fordtrestle/load/plot.py
@@ -13,7 +13,7 @@
 LEAST_MS = 0.001  # what a logarithmic axis shows for nothing
 
 
-def plot(told: dict[str, Any], path: Path) -> None:
+def plot(summary: dict[str, Any], path: Path) -> None:
     """Draw a report. `NoLibrary` without matplotlib; `ValueError` for a suffix that is none of `SUFFIXES`."""
     if path.suffix not in SUFFIXES:
         raise ValueError(f"{path}: a plot ends with {' or '.join(SUFFIXES)}")
@@ -21,22 +21,22 @@
     library("matplotlib", "plot").rcParams["svg.hashsalt"] = "load"  # the same report is the same file
     figure, (over_time, curve) = library("matplotlib.pyplot", "plot").subplots(2, 1, figsize=(10, 9))
     try:
-        _over_time(over_time, told)
-        _curve(curve, told)
-        figure.suptitle(_title(told))
+        _over_time(over_time, summary)
+        _curve(curve, summary)
+        figure.suptitle(_title(summary))
         figure.tight_layout()
         figure.savefig(path, metadata={"Date": None} if path.suffix == ".svg" else None)
     finally:
         library("matplotlib.pyplot", "plot").close(figure)
 
 
-def _title(told: dict[str, Any]) -> str:
-    marks = [mark for mark, on in (("CUT", told["cut"]), ("UNSOUND", not told["sound"])) if on]
-    return f"{told['target']}, seed {told['seed']}" + "".join(f" - {mark}" for mark in marks)
+def _title(summary: dict[str, Any]) -> str:
+    marks = [mark for mark, on in (("CUT", summary["cut"]), ("UNSOUND", not summary["sound"])) if on]
+    return f"{summary['target']}, seed {summary['seed']}" + "".join(f" - {mark}" for mark in marks)
 
 
-def _over_time(axes: Any, told: dict[str, Any]) -> None:
-    seconds = told["seconds"]
+def _over_time(axes: Any, summary: dict[str, Any]) -> None:
+    seconds = summary["seconds"]
     for name, colour in LINES.items():
         values = [row["latency_ms"][name] for row in seconds]
         points = [
@@ -54,11 +54,11 @@
         axes.legend(loc="upper left", ncols=len(LINES))
 
 
-def _curve(axes: Any, told: dict[str, Any]) -> None:
-    percentiles = [p for p in told["curve"]["percentiles"] if p < 100.0]
+def _curve(axes: Any, summary: dict[str, Any]) -> None:
+    percentiles = [p for p in summary["curve"]["percentiles"] if p < 100.0]
     places = [-math.log10(1.0 - p / 100.0) for p in percentiles]
     for key, label in (("latency_ms", "from the intended time"), ("service_ms", "from the send")):
-        values = told["curve"][key][: len(percentiles)]
+        values = summary["curve"][key][: len(percentiles)]
         if all(value is not None for value in values):
             axes.plot(places, [max(LEAST_MS, value) for value in values], label=label, marker=".")
             axes.legend(loc="upper left")
--- a/fordtrestle/load/recorder.py
+++ b/fordtrestle/load/recorder.py
@@ -36,7 +36,7 @@
 
 
 class Histogram:
-    """Durations; told in milliseconds."""
+    """Durations; reported in milliseconds."""
 
     def __init__(self) -> None:
         self._counts = library("hdrh.histogram", "load").HdrHistogram(1, HIGHEST_US, DIGITS)
@@ -57,7 +57,7 @@
         found = self._counts.get_percentile_to_value_dict(list(percentiles))
         return [found[percentile] / 1000.0 for percentile in percentiles]
 
-    def told(self) -> dict[str, float | None]:
+    def summary(self) -> dict[str, float | None]:
         """The quantiles that every report has, in milliseconds."""
         return dict(zip(QUANTILES, self.at(list(QUANTILES.values())), strict=True))
 
@@ -67,7 +67,7 @@
 
 
 @dataclass(slots=True)
-class Book:
+class OutcomeStats:
     """Counts, worth and latency of one part of a run."""
 
     latency: Histogram = field(default_factory=Histogram)
@@ -97,7 +97,7 @@
         """Worth served within the aim over worth asked for; None where nothing was."""
         return self.worth_in_aim / self.worth_asked if self.worth_asked > 0.0 else None
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """All of it as JSON values."""
         return {
             "asked": self.asked,
@@ -106,23 +106,24 @@
             "worth_asked": round(self.worth_asked, 6),
             "worth_in_aim": round(self.worth_in_aim, 6),
             "share_in_aim": self.share_in_aim(),
-            "latency_ms": self.latency.told(),
+            "latency_ms": self.latency.summary(),
         }
 
 
 class Recorder:
-    """All books of a run. Seconds are of intended times; each is closed once nothing more of it can come."""
+    """All statistics of a run. Seconds are of intended times; each is closed once nothing more of it can
+    come."""
 
     def __init__(self, classes: Sequence[Class], tenants: Sequence[str]) -> None:
         self._figures = [(c.aim_ms * 1e6, c.worth) for c in classes]
-        self.whole = Book()
+        self.whole = OutcomeStats()
         self.service = Histogram()
         self.lag = Histogram()
-        self.classes = {c.name: Book() for c in classes}
-        self.tenants = {name: Book() for name in tenants}
+        self.classes = {c.name: OutcomeStats() for c in classes}
+        self.tenants = {name: OutcomeStats() for name in tenants}
         self._by_class = list(self.classes.values())
         self._by_tenant = list(self.tenants.values())
-        self._seconds: dict[int, Book] = {}
+        self._seconds: dict[int, OutcomeStats] = {}
         self._rows: dict[int, dict[str, Any]] = {}
         self.statuses: dict[int, int] = {}
         self.retries = 0
@@ -137,14 +138,14 @@
             return
         aim_ns, worth = self._figures[sample.kind]
         in_aim = outcome == Outcome.SERVED and sample.latency_ns <= aim_ns
-        books = [self.whole, self._by_class[sample.kind], self._by_tenant[sample.tenant]]
+        parts = [self.whole, self._by_class[sample.kind], self._by_tenant[sample.tenant]]
         second = sample.at_us // US
         if second in self._rows:
             self.tardy += 1
         else:
-            books.append(self._seconds.get(second) or self._open(second))
-        for book in books:
-            book.add(sample, worth, in_aim)
+            parts.append(self._seconds.get(second) or self._open(second))
+        for part in parts:
+            part.add(sample, worth, in_aim)
         if outcome not in NOT_SENT:
             self.lag.add(sample.lag_ns)
         if outcome in TIMED:
@@ -152,15 +153,15 @@
         if sample.status:
             self.statuses[sample.status] = self.statuses.get(sample.status, 0) + 1
 
-    def _open(self, second: int) -> Book:
-        self._seconds[second] = Book()
+    def _open(self, second: int) -> OutcomeStats:
+        self._seconds[second] = OutcomeStats()
         return self._seconds[second]
 
     def settle(self, before_s: float | None = None) -> None:
         """Close the seconds that end before a time, all for None: their histograms become quantiles."""
         closed = [s for s in sorted(self._seconds) if before_s is None or s + 1 <= before_s]
         for second in closed:
-            self._rows[second] = {"second": second, **self._seconds.pop(second).told()}
+            self._rows[second] = {"second": second, **self._seconds.pop(second).summary()}
         if closed:
             gc.collect()  # guards against megabytes a second: the library's histograms refer to themselves
 
--- a/fordtrestle/load/report.py
+++ b/fordtrestle/load/report.py
@@ -36,15 +36,15 @@
         "sound": not unsound,
         "unsound_because": unsound,
         "bounds": bounds(spec.bounds, recorder),
-        "whole": recorder.whole.told(),
-        "service_ms": recorder.service.told(),
-        "lag_ms": recorder.lag.told(),
+        "whole": recorder.whole.summary(),
+        "service_ms": recorder.service.summary(),
+        "lag_ms": recorder.lag.summary(),
         "lag_p99_most_ms": spec.lag_p99_most_ms,
         "retries": recorder.retries,
         "statuses": {str(status): count for status, count in sorted(recorder.statuses.items())},
         "workers_told": run.counts,
-        "classes": {name: book.told() for name, book in recorder.classes.items()},
-        "tenants": {name: book.told() for name, book in recorder.tenants.items()},
+        "classes": {name: part.summary() for name, part in recorder.classes.items()},
+        "tenants": {name: part.summary() for name, part in recorder.tenants.items()},
         "seconds": recorder.seconds(),
         "curve": {
             "percentiles": list(CURVE),
@@ -61,7 +61,7 @@
 
 def bounds(asked: Bounds, recorder: Recorder) -> list[dict[str, Any]]:
     """Each bound that the load states, with what was measured and whether that meets it."""
-    whole = recorder.whole.told()
+    whole = recorder.whole.summary()
     rows = [
         ("in_aim_share_least", asked.in_aim_share_least, whole["share_in_aim"], True),
         ("p99_most_ms", asked.p99_most_ms, whole["latency_ms"]["p99"], False),
@@ -80,9 +80,9 @@
     ]
 
 
-def met(told: dict[str, Any]) -> bool:
+def met(summary: dict[str, Any]) -> bool:
     """Whether the run is sound, whole, and within its bounds."""
-    return bool(told["sound"]) and not told["cut"] and all(row["met"] for row in told["bounds"])
+    return bool(summary["sound"]) and not summary["cut"] and all(row["met"] for row in summary["bounds"])
 
 
 def live(run: Run, now_s: float, spec: Spec) -> str:
@@ -99,36 +99,36 @@
     return "  ".join(parts)
 
 
-def table(told: dict[str, Any]) -> str:
+def table(summary: dict[str, Any]) -> str:
     """A report as a person reads it."""
     rows: list[tuple[str, ...]] = [("", "asked", "served", "in aim", *COLUMNS)]
-    rows.append(_row("all", told["whole"]))
+    rows.append(_row("all", summary["whole"]))
     for what in ("classes", "tenants"):
-        if len(told[what]) > 1:
+        if len(summary[what]) > 1:
             rows += [
                 _row(f"{what[:-2] if what == 'classes' else 'tenant'} {n or '-'}", b)
-                for n, b in told[what].items()
+                for n, b in summary[what].items()
             ]
     for name, key in (("service time", "service_ms"), ("lag of sends", "lag_ms")):
-        rows.append((name, "", "", "", *(_ms(told[key][column]) for column in COLUMNS)))
-    lines = [f"{told['target']}: {told['length_s']:g} s, seed {told['seed']}, {told['workers']} workers", ""]
-    lines += [*_aligned(rows), "", _ends(told["whole"])]
-    if told["retries"]:
-        lines.append(
-            f"retries: {told['retries']}; answers that crossed one: {told['workers_told'].get('crossed', 0)}"
-        )
-    lines += [_judged(row) for row in told["bounds"]]
-    if told["cut"]:
+        rows.append((name, "", "", "", *(_ms(summary[key][column]) for column in COLUMNS)))
+    ran = f"{summary['length_s']:g} s, seed {summary['seed']}, {summary['workers']} workers"
+    lines = [f"{summary['target']}: {ran}", ""]
+    lines += [*_aligned(rows), "", _ends(summary["whole"])]
+    if summary["retries"]:
+        crossed = summary["workers_told"].get("crossed", 0)
+        lines.append(f"retries: {summary['retries']}; answers that crossed one: {crossed}")
+    lines += [_judged(row) for row in summary["bounds"]]
+    if summary["cut"]:
         lines.append("CUT: stopped before its end")
-    lines += [f"UNSOUND: {reason}" for reason in told["unsound_because"]]
+    lines += [f"UNSOUND: {reason}" for reason in summary["unsound_because"]]
     return "\n".join(lines)
 
 
-def _row(name: str, book: dict[str, Any]) -> tuple[str, ...]:
-    share = book["share_in_aim"]
+def _row(name: str, part: dict[str, Any]) -> tuple[str, ...]:
+    share = part["share_in_aim"]
     aim = "-" if share is None else f"{share:.4f}"
-    took = (_ms(book["latency_ms"][column]) for column in COLUMNS)
-    return (name, str(book["asked"]), str(book["outcomes"]["served"]), aim, *took)
+    took = (_ms(part["latency_ms"][column]) for column in COLUMNS)
+    return (name, str(part["asked"]), str(part["outcomes"]["served"]), aim, *took)
 
 
 def _ends(whole: dict[str, Any]) -> str:
--- a/fordtrestle/load/schedule.py
+++ b/fordtrestle/load/schedule.py
@@ -55,13 +55,14 @@
         budget_us = max(c.kind().budget_us for c in spec.classes)
         return Schedule(spec, round(spec.length_s * US), tuple(name for name, _ in spec.tenants), budget_us)
     path = beside / spec.replay.file
-    told = trace.inspect(path)
-    unknown = sorted(told.kinds.keys() - {c.name for c in spec.classes})
+    summary = trace.inspect(path)
+    unknown = sorted(summary.kinds.keys() - {c.name for c in spec.classes})
     if unknown:
         raise trace.BadTrace(f"{path}: class: the load has no [class.{unknown[0]}]")
     cut = _cut(spec)
-    to_us = told.length_us if cut.to_us is None else min(cut.to_us, told.length_us)
+    to_us = summary.length_us if cut.to_us is None else min(cut.to_us, summary.length_us)
     if to_us <= cut.from_us:
-        raise trace.BadTrace(f"{path}: from_s: nothing is left of {told.length_us / US:g} s")
+        raise trace.BadTrace(f"{path}: from_s: nothing is left of {summary.length_us / US:g} s")
     length_us = round((to_us - cut.from_us) / cut.speed * cut.loop)
-    return Schedule(spec, length_us, tuple(sorted(told.tenants)), told.budget_most_us, path, told.length_us)
+    tenants = tuple(sorted(summary.tenants))
+    return Schedule(spec, length_us, tenants, summary.budget_most_us, path, summary.length_us)
--- a/fordtrestle/load/spec.py
+++ b/fordtrestle/load/spec.py
@@ -246,13 +246,13 @@
 
 
 def _keys(table: Table) -> dict[str, Any]:
-    told = {
+    keys = {
         "keys": _count(table, "count", 0, 0, KEYS_MOST),
         "key_exponent": _number(table, "exponent", 1.0, 0.0, 10.0),
         "keyed_share": _number(table, "share", 1.0, 0.0, 1.0),
     }
     table.end()
-    return told
+    return keys
 
 
 def _arrivals(name: str, table: Table, length_s: float) -> Arrivals:
--- a/fordtrestle/load/trace.py
+++ b/fordtrestle/load/trace.py
@@ -23,7 +23,7 @@
 END = "#end"
 NONE = "-"
 LINE_MOST = 512  # bytes; guards against a file of another kind that has no lines
-NAMES_MOST = 64  # classes, and tenants; each has books of its own
+NAMES_MOST = 64  # classes, and tenants; each has statistics of its own
 OFFSET_MOST_US = 7 * 24 * 3600 * US
 BUDGET_MOST_US = 60 * US
 WORD = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_-]{0,63}")
@@ -124,10 +124,10 @@
 
 def line(request: Request) -> str:
     """A request as its line; `ValueError` where it has none."""
-    told = f"{request.at_us} {request.kind} {request.tenant or NONE} {request.key or NONE} "
-    told += f"{request.budget_us} {request.size}\n"
-    parse(told.rstrip("\n"))
-    return told
+    text = f"{request.at_us} {request.kind} {request.tenant or NONE} {request.key or NONE} "
+    text += f"{request.budget_us} {request.size}\n"
+    parse(text.rstrip("\n"))
+    return text
 
 
 def parse(text: str) -> Request:
@@ -227,24 +227,24 @@
 
 def inspect(path: Path) -> Summary:
     """Read the whole of a file; `BadTrace` at the first thing that is wrong with it."""
-    told = Summary()
+    summary = Summary()
     reader = Reader(path)
     second, in_second = 0, 0
     for request in reader:
-        told.requests += 1
+        summary.requests += 1
         for names, name, what in (
-            (told.kinds, request.kind, "class"),
-            (told.tenants, request.tenant, "tenant"),
+            (summary.kinds, request.kind, "class"),
+            (summary.tenants, request.tenant, "tenant"),
         ):
             names[name] = names.get(name, 0) + 1
             if len(names) > NAMES_MOST:
                 raise reader.wrong(f"{what}: more than {NAMES_MOST} different ones")
         in_second = in_second + 1 if request.at_us // US == second else 1
         second = request.at_us // US
-        told.budget_most_us = max(told.budget_most_us, request.budget_us)
-        told.most_in_a_second = max(told.most_in_a_second, in_second)
-    told.length_us = reader.length_us
-    return told
+        summary.budget_most_us = max(summary.budget_most_us, request.budget_us)
+        summary.most_in_a_second = max(summary.most_in_a_second, in_second)
+    summary.length_us = reader.length_us
+    return summary
 
 
 def replay(path: Path, cut: Cut, length_us: int) -> Iterator[Request]:
--- a/fordtrestle/load/worker.py
+++ b/fordtrestle/load/worker.py
@@ -550,14 +550,14 @@
         outbox.end(FAILURE, " ".join(f"{type(error).__name__}: {error}".split()).encode())
         raise
     used = resource.getrusage(resource.RUSAGE_SELF)
-    told = {
+    summary = {
         **worker.counts,
         "lost": outbox.lost,
         "cpu_s": round(used.ru_utime + used.ru_stime, 3),
         "memory_kb": used.ru_maxrss,
         "preempted": used.ru_nivcsw,
     }
-    outbox.end(SUMMARY, json.dumps(told).encode())
+    outbox.end(SUMMARY, json.dumps(summary).encode())
 
 
 def _raise_descriptors() -> None:
--- a/tests/load/test_accuracy.py
+++ b/tests/load/test_accuracy.py
@@ -1,4 +1,4 @@
-"""The benchmark's own instruments: its distance, its stand-in's books, and the trace that it replays."""
+"""The benchmark's own instruments: its distance, its stand-in's records, and the trace that it replays."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
     gaps = Gaps(0)
     for now in (50_000, 150_000, 350_000, 1_350_000, 1_400_000):  # 0.2 ms, and 1 ms
         gaps.read(now)
-    assert gaps.told() == Noise(0.0014, 1.0, 1_200_000 / 1_400_000, 1_000_000 / 1_400_000)
+    assert gaps.summary() == Noise(0.0014, 1.0, 1_200_000 / 1_400_000, 1_000_000 / 1_400_000)
 
 
 def test_a_row_is_void_where_the_machine_was_not_at_rest_and_counts_as_not_met():
--- a/tests/load/test_generator.py
+++ b/tests/load/test_generator.py
@@ -47,7 +47,7 @@
     with StandIn(lambda number, head: [0.5, answer()]) as server:
         run, samples = sent(server.port, run="open_most = 5")
     assert ends(samples) == {"SERVED": 5, "NO_ROOM": 15} and len(server.requests) == 5
-    assert run.recorder.whole.told()["not_sent"] == 15
+    assert run.recorder.whole.summary()["not_sent"] == 15
 
 
 def test_a_full_connection_table_does_not_hold_sends_up():
@@ -186,10 +186,10 @@
     with StandIn(lambda number, head: [30.0, answer()] if number == 0 else answer()) as server:
         made = schedule.made(spec.parse(load(server.port, length_s=60, budget_ms=20000), "test"), None)
         run = Generator(made, stopping=lambda: len(server.requests) >= 20).run()
-    told = run.recorder.whole
+    whole = run.recorder.whole
     assert run.cut and not run.problems
-    still_open = told.count(Outcome.OPEN)  # the first, and what was just sent as it stopped
-    assert 1 <= still_open < 5 and told.count(Outcome.SERVED) == told.asked - still_open >= 12
+    still_open = whole.count(Outcome.OPEN)  # the first, and what was just sent as it stopped
+    assert 1 <= still_open < 5 and whole.count(Outcome.SERVED) == whole.asked - still_open >= 12
 
 
 def test_a_lag_past_its_bound_marks_the_run_unsound():
--- a/tests/load/test_recorder.py
+++ b/tests/load/test_recorder.py
@@ -1,4 +1,4 @@
-"""Books: exact whatever the order, by intended second, and worth only within the aim."""
+"""Statistics: exact whatever the order, by intended second, and worth only within the aim."""
 
 from __future__ import annotations
 
@@ -50,17 +50,22 @@
     ]
 
 
-def told(made):
+def figures(made):
     made.settle()
-    books = [made.whole, *made.classes.values(), *made.tenants.values()]
-    return [book.told() for book in books], made.seconds(), made.whole.latency.encoded(), made.service.told()
+    parts = [made.whole, *made.classes.values(), *made.tenants.values()]
+    return (
+        [part.summary() for part in parts],
+        made.seconds(),
+        made.whole.latency.encoded(),
+        made.service.summary(),
+    )
 
 
 def test_what_workers_tell_adds_up_exactly_in_any_order():
     rows = some()
     other = rows[:]
     random.Random(2).shuffle(other)
-    assert told(recorded(rows)) == told(recorded(other))
+    assert figures(recorded(rows)) == figures(recorded(other))
 
 
 def test_worth_counts_within_the_aim_over_all_that_was_asked():
@@ -75,20 +80,20 @@
     )
     assert (made.whole.worth_in_aim, made.whole.worth_asked) == (6.0, 17.0)
     assert made.classes["look"].share_in_aim() == 0.5
-    assert made.whole.told()["not_sent"] == 1
+    assert made.whole.summary()["not_sent"] == 1
 
 
 def test_quantiles_have_four_digits():
     made = recorded([sample(latency_ms=n / 10.0) for n in range(1, 10_001)])
     for name, true in (("p50", 500.0), ("p99", 990.0), ("p999", 999.0), ("max", 1000.0)):
-        assert made.whole.latency.told()[name] == pytest.approx(true, rel=1e-4)
+        assert made.whole.latency.summary()[name] == pytest.approx(true, rel=1e-4)
 
 
 def test_what_was_given_up_is_in_the_tail_and_what_was_refused_is_not():
     made = recorded(
         [sample(), sample(Outcome.UNANSWERED, latency_ms=500.0), sample(Outcome.REFUSED, latency_ms=900.0)]
     )
-    assert made.whole.latency.told()["max"] == pytest.approx(500.0, rel=1e-4)
+    assert made.whole.latency.summary()["max"] == pytest.approx(500.0, rel=1e-4)
     assert made.whole.latency.count == 2
 
 
@@ -97,7 +102,7 @@
         [sample(lag_ms=1.0), sample(Outcome.NO_ROOM, lag_ms=9.0), sample(Outcome.RETRY, lag_ms=3.0)]
     )
     assert made.lag.count == 2 and made.retries == 1 and made.whole.asked == 2
-    assert made.lag.told()["max"] == pytest.approx(3.0, rel=1e-4)
+    assert made.lag.summary()["max"] == pytest.approx(3.0, rel=1e-4)
 
 
 def test_seconds_are_those_of_intended_times_and_close_when_told():
@@ -112,7 +117,7 @@
 
 
 def test_nothing_measured_is_no_figure():
-    assert set(recorded([]).whole.latency.told().values()) == {None}
+    assert set(recorded([]).whole.latency.summary().values()) == {None}
     assert recorded([]).whole.share_in_aim() is None
 
 
@@ -151,7 +156,7 @@
 def test_closed_seconds_leave_no_histogram_behind():
     """The library's histograms are in cycles; without a collection each second would keep some megabytes."""
     made = recorded([sample(at_us=second * 1_000_000) for second in range(5)])
-    kept = [weakref.ref(book.latency._counts) for book in made._seconds.values()]
+    kept = [weakref.ref(part.latency._counts) for part in made._seconds.values()]
     gc.disable()
     try:
         made.settle()
--- a/tests/load/test_report.py
+++ b/tests/load/test_report.py
@@ -46,11 +46,14 @@
 
 
 def test_the_schema_is_the_documented_one():
-    told = json.loads(json.dumps(made(SOME), allow_nan=False))
-    assert set(told) == FIELDS and (told["format"], told["version"]) == ("fordtrestle-load-report", 1)
+    summary = json.loads(json.dumps(made(SOME), allow_nan=False))
+    assert set(summary) == FIELDS and (summary["format"], summary["version"]) == (
+        "fordtrestle-load-report",
+        1,
+    )
     page = (ROOT / "docs/operate/load.md").read_text()
-    assert all(f"`{name}`" in page for name in FIELDS | set(told["whole"]))
-    assert sum(row["asked"] for row in told["seconds"]) == told["whole"]["asked"] == 199
+    assert all(f"`{name}`" in page for name in FIELDS | set(summary["whole"]))
+    assert sum(row["asked"] for row in summary["seconds"]) == summary["whole"]["asked"] == 199
 
 
 def test_every_key_of_a_spec_is_documented():
@@ -73,9 +76,9 @@
     ],
 )
 def test_bounds_are_judged(more, good):
-    told = made(SOME, more=more)
-    assert report.met(told) is good and len(told["bounds"]) == 1
-    assert ("NOT MET" in report.table(told)) is not good
+    summary = made(SOME, more=more)
+    assert report.met(summary) is good and len(summary["bounds"]) == 1
+    assert ("NOT MET" in report.table(summary)) is not good
 
 
 def test_what_could_not_be_measured_meets_no_bound():
@@ -83,9 +86,9 @@
 
 
 def test_the_table_says_what_must_not_be_missed():
-    told = made([*SOME, Sample(Outcome.NO_ROOM, 0, 0, 0, 0, 0, 0, 0, 0)])
-    told.update(cut=True, unsound_because=["sends were late"])
-    text = report.table(told)
+    summary = made([*SOME, Sample(Outcome.NO_ROOM, 0, 0, 0, 0, 0, 0, 0, 0)])
+    summary.update(cut=True, unsound_because=["sends were late"])
+    text = report.table(summary)
     assert "NOT SENT 1" in text and "CUT:" in text and "UNSOUND: sends were late" in text
     assert re.search(r"^all +200 +199 ", text, re.M)
 
@@ -101,9 +104,9 @@
 
 def test_the_same_report_is_the_same_picture(tmp_path):
     pytest.importorskip("matplotlib")
-    told = made(SOME)
+    summary = made(SOME)
     for name in ("a.svg", "b.svg"):
-        plot.plot(told, tmp_path / name)
+        plot.plot(summary, tmp_path / name)
     assert (tmp_path / "a.svg").read_bytes() == (tmp_path / "b.svg").read_bytes()
 
 
@@ -121,9 +124,9 @@
         code = cli.main(
             ["load", file, "--to", f"127.0.0.1:{server.port}", "--json", str(tmp_path / "r.json")]
         )
-    told = json.loads((tmp_path / "r.json").read_text())
-    assert code == 0 and told["whole"]["outcomes"]["served"] == 20 == len(server.requests)
-    assert told["target"] == f"127.0.0.1:{server.port}"
+    summary = json.loads((tmp_path / "r.json").read_text())
+    assert code == 0 and summary["whole"]["outcomes"]["served"] == 20 == len(server.requests)
+    assert summary["target"] == f"127.0.0.1:{server.port}"
     assert "ends: served 20" in capsys.readouterr().out
 
 
@@ -144,8 +147,8 @@
     path = str(tmp_path / "t.trace.gz")
     assert cli.main(["load", "write", file, path]) == 0
     assert cli.main(["load", "trace", path, "--json"]) == 0
-    told = json.loads(capsys.readouterr().out.splitlines()[-1])[0]
-    assert (told["requests"], told["length_s"], told["classes"]) == (20, 0.2, {"look": 20})
+    summary = json.loads(capsys.readouterr().out.splitlines()[-1])[0]
+    assert (summary["requests"], summary["length_s"], summary["classes"]) == (20, 0.2, {"look": 20})
     assert len(list(trace.Reader(Path(path)))) == 20
 
 
@@ -176,9 +179,9 @@
         text = re.sub(r"\[arrivals.*?(?=\[class)", '[trace]\nfile = "t"\n', load(server.port), flags=re.S)
         files["damaged"] = put(tmp_path / "d.toml", text.replace("length_s = 0.2\n", ""))
         code = cli.main(["load", *(word.format(**files) for word in words)])
-    told = capsys.readouterr()
-    assert code == 2 and told.out == "" and told.err.count("\n") == 1
-    assert told.err.startswith(said.format(**files)) and not server.connections
+    captured = capsys.readouterr()
+    assert code == 2 and captured.out == "" and captured.err.count("\n") == 1
+    assert captured.err.startswith(said.format(**files)) and not server.connections
 
 
 def test_sigint_cuts_a_run_and_what_was_measured_is_reported(tmp_path):
@@ -191,10 +194,10 @@
             assert child.poll() is None
             time.sleep(0.01)
         os.killpg(child.pid, signal.SIGINT)
-        told = json.loads(child.communicate(timeout=30)[0])
-    assert child.returncode == 1 and told["cut"] and told["sound"]
-    assert 0 < told["whole"]["asked"] <= len(server.requests)
-    assert told["whole"]["outcomes"]["served"] >= 15
+        summary = json.loads(child.communicate(timeout=30)[0])
+    assert child.returncode == 1 and summary["cut"] and summary["sound"]
+    assert 0 < summary["whole"]["asked"] <= len(server.requests)
+    assert summary["whole"]["outcomes"]["served"] >= 15
 
 
 def test_a_terminal_sees_a_live_line(tmp_path):
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -51,9 +51,9 @@
 
 
 def test_a_summary_tells_what_is_in_it(path):
-    told = inspect(put(path, GOOD))
-    assert (told.requests, told.length_us, told.most_in_a_second) == (4, 3_000_000, 3)
-    assert told.kinds == {"look": 3, "pay": 1} and told.tenants == {"acme": 2, "": 1, "other": 1}
+    summary = inspect(put(path, GOOD))
+    assert (summary.requests, summary.length_us, summary.most_in_a_second) == (4, 3_000_000, 3)
+    assert summary.kinds == {"look": 3, "pay": 1} and summary.tenants == {"acme": 2, "": 1, "other": 1}
 
 
 @pytest.mark.parametrize(
