--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -30,7 +30,8 @@
 RSS_GROWTH_MOST_MB = 2.0  # from the median of the second quarter to that of the last one
 BACK_S = 30.0  # then as few descriptors are held as before the load
 EXIT_S = 20.0  # from SIGTERM to exit code 0
-WRONG = ("books:", "Traceback", "Exception ignored")  # no line of the log begins so
+# No line of the log begins so; "books:" is what ledgers were called in the logs of older checkouts.
+WRONG = ("ledgers:", "books:", "Traceback", "Exception ignored")
 
 MINUTES, MINUTES_MOST = 30.0, 24.0 * 60.0
 CROWD_S = 20.0  # that a crowd stays, and that none is there after it
--- a/fordtrestle/__init__.py
+++ b/fordtrestle/__init__.py
@@ -1,1 +1,1 @@
-"""The real sidecar: sockets, timers and books around the decision module."""
+"""The real sidecar: sockets, timers and ledgers around the decision module."""
--- a/fordtrestle/daemon/process.py
+++ b/fordtrestle/daemon/process.py
@@ -290,4 +290,4 @@
     for _ in range(CLOSING_TURNS):
         await asyncio.sleep(0)
     if program.unsettled():
-        log(f"books: not given back: {', '.join(program.unsettled())}")
+        log(f"ledgers: not given back: {', '.join(program.unsettled())}")
--- a/tests/engine/test_limits.py
+++ b/tests/engine/test_limits.py
@@ -136,12 +136,12 @@
     for number, share in enumerate(shares):
         if sum(part.guaranteed for part in parts) + share <= capacity:
             parts.append(ledger.part(str(number), share, weight=1.0 + number))
-    books = dict.fromkeys(parts, 0)
+    expected = dict.fromkeys(parts, 0)
 
     def gives(part):
         def reclaim(count):
             given_back = min(count, part.held) // 2
-            books[part] -= given_back
+            expected[part] -= given_back
             part.give(given_back)
 
         return reclaim
@@ -158,7 +158,7 @@
             room = part.room
             taken = part.take(count)
             if taken:
-                books[part] += count
+                expected[part] += count
             else:
                 assert part.held == before
             if not lowered and count <= room:
@@ -171,15 +171,15 @@
         elif step == "give":
             count = min(count, part.held)
             part.give(count)
-            books[part] -= count
+            expected[part] -= count
         elif step == "die":
             part.give(part.held)
-            books[part] = 0
+            expected[part] = 0
         else:
             over = ledger.resize(max(1, count + capacity // 2))
             lowered = True
             assert over == max(0, ledger.held - ledger.capacity)
-        assert {part: part.held for part in parts} == books
+        assert {part: part.held for part in parts} == expected
         if not lowered:
             assert ledger.held <= ledger.capacity
         assert ledger.spoken_for == sum(max(part.held, part.guaranteed) for part in parts)
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -45,7 +45,7 @@
         ({"left": 11, "back_s": None}, "11 descriptors, 10 before"),
         ({"code": -signal.SIGKILL}, "exit code -9"),
         ({"died": "process 7 ended with code 1: no word"}, "ended: process 7"),
-        ({"noted": ["books: descriptors 3"]}, "log: books: descriptors 3"),
+        ({"noted": ["ledgers: descriptors 3"]}, "log: ledgers: descriptors 3"),
     ],
 )
 def test_each_bound_can_be_missed(wrong, bound):
