--- a/fordtrestle/engine/lag.py
+++ b/fordtrestle/engine/lag.py
@@ -50,9 +50,23 @@
         if late_ms < BEAT_S * 1000.0:
             self._go_on()
         else:
-            # Guards against a stop that counts for nothing: a process that was stopped as it slept sees its
-            # timers before its sockets (EINTR, signal(7)), which are read in the next turn.
-            self._scheduler.call_later(0.0, self._go_on)
+            self._look_again()
+
+    def _look_again(self) -> None:
+        # Guards against a stop that counts for nothing: a process that was stopped as it slept sees its
+        # timers before its sockets (EINTR, signal(7)), which are read in the next turn.
+        self._scheduler.call_later(0.0, self._after_stall, self._now())
+
+    def _after_stall(self, beat_ms: float) -> None:
+        """The turn after a late beat is over."""
+        late_ms = self._now() - beat_ms
+        if late_ms < BEAT_S * 1000.0:
+            self._go_on()
+            return
+        # It stood still once more, amid that turn: what is read in the next has waited for that, too.
+        self.due_ms = beat_ms
+        self._late.append(late_ms)
+        self._look_again()
 
     def _go_on(self) -> None:
         self.due_ms = math.inf
--- a/tests/daemon/test_customers.py
+++ b/tests/daemon/test_customers.py
@@ -9,7 +9,8 @@
 
 from tests.http.test_bad_servers import judged, later
 from tests.judged import Site, hang, reject, reset, serve
-from tests.loopback import SETTINGS, App, loopback, running
+from tests.loopback import SETTINGS, App, running
+from tests.virtual import virtual
 
 LIMITS = SETTINGS["PolicyLimits"]
 BEHAVIOURS = (serve, later(0.02, serve), later(0.1, serve), hang, reset, reject, later(0.05, reset))
@@ -65,7 +66,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("customer", CUSTOMERS)
-@loopback
+@virtual
 async def test_the_rules_hold_by_any_settings(customer, seed):
     """Six servers in two zones and three cells; drawn from the seed, one of them serves."""
     rng = random.Random(f"{customer}/{seed}")
@@ -135,7 +136,7 @@
 
 @pytest.mark.parametrize("allowed", [False, True], ids=["as told", "told to do so"])
 @pytest.mark.parametrize("limit", EACH_LIMIT)
-@loopback
+@virtual
 async def test_what_a_limit_forbids_is_not_done_though_it_would_serve_and_is_found_where_it_is(
     limit, allowed
 ):
--- a/tests/engine/test_lag.py
+++ b/tests/engine/test_lag.py
@@ -107,3 +107,19 @@
     loop.stall(0.03)
     loop.turn()  # a beat that is a little late tells of no stop
     assert meter.now_ms == 0.0
+
+
+def test_a_stall_in_the_turn_after_a_late_beat_counts_like_any_other():
+    """Guards against a second stall that nobody is charged with, since the first is just being counted."""
+    loop = Virtual()
+    meter = LagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
+    meter.wake()
+    loop.stall(0.5)
+    loop.turn()  # the beat
+    for _ in range(3):
+        loop.stall(0.3)  # before the next turn is over
+        loop.turn()
+        assert 299.0 <= meter.now_ms <= 301.0  # what is read now
+    loop.turn()
+    assert meter.now_ms == 0.0 and loop.pending == 1
+    assert 129.0 <= meter.mean_ms <= 131.0  # 400 and three times 300 ms in a second of beats
--- a/tests/http/test_accept.py
+++ b/tests/http/test_accept.py
@@ -13,7 +13,8 @@
 from fordtrestle.http import accept
 from poppypulley.model import Send
 from tests import loopback as partners
-from tests.loopback import OK, App, Scripted, Upstream, hang, loopback, running, until
+from tests.loopback import OK, App, Scripted, Upstream, hang, running, until
+from tests.virtual import virtual
 
 
 def status_of(answer):
@@ -34,7 +35,7 @@
     return wait
 
 
-@loopback
+@virtual
 async def test_more_connections_than_places_and_each_whole_request_is_answered():
     """Guards against accepting what there is no place for, only to cut it off."""
     release = asyncio.Event()
@@ -55,7 +56,7 @@
         assert sidecar.limits.descriptors.held <= sidecar.limits.descriptors.capacity
 
 
-@loopback
+@virtual
 async def test_who_is_answered_at_the_limit_can_read_it_though_it_sends_on():
     upstream = await Upstream([hang]).start()
     async with running(upstream) as sidecar:
@@ -71,7 +72,7 @@
         assert len(upstream.seen) == 1
 
 
-@loopback
+@virtual
 async def test_who_waits_at_the_limit_gets_a_place_that_has_come_free_when_it_asks():
     release = asyncio.Event()
     upstream = await Upstream([until_event(release), OK]).start()
@@ -88,7 +89,7 @@
         assert sidecar.front.reserve.held == 0
 
 
-@loopback
+@virtual
 async def test_with_no_place_at_all_connections_wait_in_the_backlog_and_are_served_then():
     release = asyncio.Event()
     upstream = await Upstream([until_event(release)]).start()
@@ -116,7 +117,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /pay HTT", partners.request("POST", "/pay", b"hello")[:-2]])
-@loopback
+@virtual
 async def test_silent_and_half_sent_connections_give_way_to_who_asks(sent):
     """Guards against a crowd that fills the table three times over: what a connection has sent of its
     first request does not keep it."""
@@ -136,7 +137,7 @@
             app.close()
 
 
-@loopback
+@virtual
 async def test_a_newcomer_is_closed_only_if_the_next_has_waited_for_as_long_as_it_may():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -167,7 +168,7 @@
         return super().accept()
 
 
-@loopback
+@virtual
 async def test_where_the_system_grants_no_descriptor_it_neither_spins_nor_stops():
     """Guards against a listening socket that stays readable: a busy loop, or a pause of a second."""
     upstream = await Upstream([OK]).start()
@@ -189,7 +190,7 @@
         assert status_of(await good.answer()) == 200
 
 
-@loopback
+@virtual
 async def test_a_connection_that_ends_with_its_first_bytes_leaves_nothing_behind():
     upstream = await Upstream([hang]).start()
     module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 0.0)])
@@ -204,7 +205,7 @@
         assert not sidecar.front._parts and not sidecar.front._starting
 
 
-@loopback
+@virtual
 async def test_who_was_answered_at_the_limit_and_keeps_its_connection_shields_nobody_at_rest():
     """Guards against refusing a client because many at the limit have yet to end what was ended here."""
     release = asyncio.Event()
--- a/tests/http/test_bad_clients.py
+++ b/tests/http/test_bad_clients.py
@@ -13,7 +13,8 @@
 import pytest
 
 from fordtrestle.http import downstream
-from tests.loopback import App, Upstream, loopback, read_message, request, running, until
+from tests.loopback import App, Upstream, read_message, request, running, until
+from tests.virtual import virtual
 
 GONE_S = 0.3  # so long after its client left a request may still be sent on
 CLIENTS = 20  # of a kind, at once
@@ -192,7 +193,7 @@
 
 
 @pytest.mark.parametrize("send", HALVES, ids=lambda send: send.__name__)
-@loopback
+@virtual
 async def test_a_flood_of_half_requests_is_over_soon_and_sends_nothing_on(send, monkeypatch):
     """Each client sends on for as long as it is let, and is ended by the sidecar."""
     monkeypatch.setattr(downstream, "HALF_SENT_S", 0.3)
@@ -215,7 +216,7 @@
 
 
 @pytest.mark.parametrize("how", ["close", "reset"])
-@loopback
+@virtual
 async def test_a_request_and_its_clients_leaving_in_one_moment_are_one_attempt_at_the_most(how):
     upstream = await Echo().start()
     upstream.open.clear()
@@ -244,7 +245,7 @@
         (b"\r\n\r\n", 1),
     ],
 )
-@loopback
+@virtual
 async def test_what_comes_behind_a_last_request_is_no_request(behind, answers):
     upstream = await Echo().start()
     async with all_given_back(upstream) as sidecar:
@@ -259,7 +260,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset", "end"])
 @pytest.mark.parametrize("target", ["/look", "/pay"])
-@loopback
+@virtual
 async def test_of_a_burst_whose_client_goes_at_once_nothing_is_sent_on_later(target, how):
     """50 whole requests on each connection, and gone: no more than a few of them are sent on, at once."""
     upstream = await Echo().start()
--- a/tests/http/test_bad_servers.py
+++ b/tests/http/test_bad_servers.py
@@ -12,7 +12,8 @@
 from fordtrestle.engine import driver
 from poppypulley.model import Fail, Refuse, Send
 from tests.judged import REJECTED, STRAY, Site, hang, ok, reject, reset, serve
-from tests.loopback import SETTINGS, App, Scripted, loopback, running, until
+from tests.loopback import SETTINGS, App, Scripted, running, until
+from tests.virtual import virtual
 
 OWN = {**SETTINGS, "PolicyLimits": {**SETTINGS["PolicyLimits"], "ParallelTries": False}}
 OWN["Profiles"] = [
@@ -180,7 +181,7 @@
 
 
 @pytest.mark.parametrize("what", BEHAVIOURS)
-@loopback
+@virtual
 async def test_a_bad_server_breaks_no_rule_and_harms_no_other_request(what):
     servers = [
         ("s0", BEHAVIOURS[what], {"zone": "east"}),
@@ -233,7 +234,7 @@
 
 
 @pytest.mark.parametrize(("traffic_class", "behave", "scripts", "fault"), FAULTS)
-@loopback
+@virtual
 async def test_the_judge_finds_each_fault(traffic_class, behave, scripts, fault, monkeypatch):
     """A module that breaks a rule is found out; the same servers and clients as above."""
     monkeypatch.setattr(driver, "GUARD_MS", 1500.0)  # so that a request left unanswered is lost
@@ -247,7 +248,7 @@
     assert [line for line in site.broken() if fault in line], site.broken()
 
 
-@loopback
+@virtual
 async def test_the_judge_finds_a_body_that_was_made_for_nobody():
     async def mixed(reader, writer, got):
         writer.write(ok(STRAY))
--- a/tests/http/test_client_gone.py
+++ b/tests/http/test_client_gone.py
@@ -15,7 +15,8 @@
 from tests import loopback as partners
 from tests.http.test_holding import LARGE, bare
 from tests.http.test_upstream import FULL
-from tests.loopback import OK, PATIENCE_S, App, Scripted, Upstream, hang, loopback, request, running, until
+from tests.loopback import OK, PATIENCE_S, App, Scripted, Upstream, hang, request, running, until
+from tests.virtual import virtual
 
 LIMITS = {**partners.SETTINGS["PolicyLimits"], "ConnectTimeout": 10_000.0}
 AT_REST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -75,7 +76,7 @@
 
 
 @pytest.mark.parametrize("how", [close, reset, shut])
-@loopback
+@virtual
 async def test_a_timer_in_the_turn_in_which_the_client_leaves_begins_no_attempt(how):
     upstream = await Upstream().start()
     module = Scripted(request=lambda now, arrival: [Timer(0.0, str(arrival.request))])
@@ -98,7 +99,7 @@
 
 @pytest.mark.usefixtures("no_settling")
 @pytest.mark.parametrize("how", [close, reset])
-@loopback
+@virtual
 async def test_no_further_attempt_begins_in_the_turn_in_which_the_client_leaves(how):
     upstream = await Upstream([FULL, OK]).start()
     module = Scripted()
@@ -122,7 +123,7 @@
 
 @pytest.mark.parametrize("how", [close, reset])
 @pytest.mark.parametrize("first", [True, False])
-@loopback
+@virtual
 async def test_a_request_whose_clients_end_has_come_with_it_is_not_sent(first, how):
     """Read in one turn, told of in the next, whether or not the connection has its transport by then."""
     upstream = await Upstream().start()
@@ -159,7 +160,7 @@
 
 @pytest.mark.parametrize("how", [close, reset])
 @pytest.mark.parametrize("after", range(6))
-@loopback
+@virtual
 async def test_a_client_that_leaves_in_any_turn_of_its_transports_making_is_sent_nothing_for(after, how):
     """From the turn in which its first bytes are read to where its transport stands."""
     upstream = await Upstream().start()
@@ -192,7 +193,7 @@
 
 @pytest.mark.usefixtures("no_sweep")
 @pytest.mark.parametrize("how", [close, reset, shut])
-@loopback
+@virtual
 async def test_what_waits_behind_an_open_request_is_not_taken_once_the_client_has_left(how, monkeypatch):
     """Nothing is read meanwhile, so the loop does not tell of the end."""
     monkeypatch.setattr(downstream, "IN_CALL_MOST", 1)
@@ -214,7 +215,7 @@
 
 
 @pytest.mark.parametrize("how", [close, reset, shut])
-@loopback
+@virtual
 async def test_a_client_that_leaves_while_nothing_is_read_is_noticed_soon(how, monkeypatch):
     monkeypatch.setattr(downstream, "IN_CALL_MOST", 2)
     module = Scripted()
@@ -231,7 +232,7 @@
         sock.close()
 
 
-@loopback
+@virtual
 async def test_a_client_that_reads_nothing_and_ends_its_sending_is_noticed_soon(monkeypatch):
     monkeypatch.setattr(front, "STALLED_MS", 3_600_000.0)
     monkeypatch.setattr(front, "STUCK_MOST_MS", 3_600_000.0)
@@ -250,7 +251,7 @@
 
 @pytest.mark.parametrize("open_attempt", [True, False])
 @pytest.mark.parametrize("how", [shut, close])
-@loopback
+@virtual
 async def test_a_client_that_ends_its_sending_has_gone_as_one_that_closes(how, open_attempt):
     """The protocol: a client that closes its connection has gone away. On the wire a close and an end of
     sending are the same segment, and what tells them apart (a reset) comes only once something is written
@@ -278,7 +279,7 @@
         sock.close()
 
 
-@loopback
+@virtual
 async def test_what_was_paused_before_its_transport_stood_stays_paused():
     upstream = await Upstream([hang]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
@@ -337,7 +338,7 @@
 
 
 @pytest.mark.usefixtures("no_settling")
-@loopback
+@virtual
 async def test_a_dial_that_comes_up_after_the_client_left_carries_nothing_and_serves_the_next(monkeypatch):
     """Also where the settings forbid to cancel, so that the attempt is awaited."""
     upstream = await Upstream().start()
@@ -356,7 +357,7 @@
         assert [seen.connection for seen in upstream.seen] == [0]
 
 
-@loopback
+@virtual
 async def test_a_dial_that_comes_up_in_the_turn_in_which_the_client_leaves_carries_nothing(monkeypatch):
     upstream = await Upstream().start()
     module = Scripted()
@@ -372,7 +373,7 @@
 
 
 @pytest.mark.parametrize("served", [True, False])
-@loopback
+@virtual
 async def test_a_dial_that_comes_up_after_the_final_answer_carries_nothing(served, monkeypatch):
     first, second = await Upstream().start(), await Upstream().start()
     module = Scripted()
@@ -399,7 +400,7 @@
 
 
 @pytest.mark.parametrize(("begin_within", "outcome"), [(20.0, Outcome.ABANDONED), (3_600_000.0, Outcome.OK)])
-@loopback
+@virtual
 async def test_an_attempt_whose_connection_comes_up_too_late_for_it_carries_nothing(
     begin_within, outcome, monkeypatch
 ):
--- a/tests/http/test_closing.py
+++ b/tests/http/test_closing.py
@@ -13,7 +13,8 @@
 from fordtrestle.http import downstream
 from fordtrestle.http import front as front_module
 from fordtrestle.http.downstream import ClientConnection
-from tests.loopback import OK, App, Upstream, loopback, request, running, until
+from tests.loopback import OK, App, Upstream, request, running, until
+from tests.virtual import virtual
 
 BODY = 65536
 LARGE = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (BODY, b"x" * BODY)
@@ -80,7 +81,7 @@
 
 
 @pytest.mark.parametrize("why", ["drain", "rest", "too many", "overdue"])
-@loopback
+@virtual
 async def test_a_request_that_crosses_the_close_of_a_resting_connection_meets_an_end_and_is_not_sent_on(
     why, monkeypatch
 ):
@@ -125,7 +126,7 @@
         (request(Connection="close"), b"200"),  # answered by a server
     ],
 )
-@loopback
+@virtual
 async def test_bytes_that_cross_the_close_behind_a_last_answer_take_nothing_of_it(first, status, monkeypatch):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -143,7 +144,7 @@
         assert sidecar.front.budget.descriptors.held == 0 and not sidecar.front._parts
 
 
-@loopback
+@virtual
 async def test_a_slow_reader_gets_its_last_answer_whole_however_long_that_takes(monkeypatch):
     """Guards against a bound on the client's end that cuts an answer which it still reads."""
     monkeypatch.setattr(front_module, "SEND_BUFFER", 4096)
@@ -159,7 +160,7 @@
         sock.close()
 
 
-@loopback
+@virtual
 async def test_a_last_answer_on_its_way_is_not_cut_for_anothers_place():
     """Guards against a close over what the kernel still holds: by a reset, the client would lose it."""
     upstream = await Upstream([LARGE]).start()
@@ -175,7 +176,7 @@
         sock.close()
 
 
-@loopback
+@virtual
 async def test_no_answer_is_held_back_on_a_connection_that_has_no_transport_yet():
     async with running() as sidecar:
         socks = [await client(sidecar.address) for _ in range(2)]
@@ -189,7 +190,7 @@
             sock.close()
 
 
-@loopback
+@virtual
 async def test_a_reset_as_the_last_of_a_slow_readers_answer_is_written_raises_nothing(monkeypatch):
     """Guards against an error that leaves a callback of the loop: it shuts by itself what it has written."""
     raised = []
@@ -219,7 +220,7 @@
 
 
 @pytest.mark.parametrize("asked_before", [False, True])
-@loopback
+@virtual
 async def test_a_request_that_crosses_a_close_for_anothers_place_is_not_sent_on(asked_before, monkeypatch):
     """Closed outright, since its descriptor is needed: it held nothing, and its client sends once more."""
     upstream = await Upstream([OK]).start()
--- a/tests/http/test_counts.py
+++ b/tests/http/test_counts.py
@@ -6,7 +6,8 @@
 import json
 
 from poppypulley.model import Cause, Fail, Refuse, Send
-from tests.loopback import OK, SETTINGS, App, Scripted, Upstream, hang, loopback, running, until
+from tests.loopback import OK, SETTINGS, App, Scripted, Upstream, hang, running, until
+from tests.virtual import virtual
 
 COUNTS = "/health/ready?counts"
 
@@ -27,7 +28,7 @@
     return lambda now, arrival: [kind(arrival.request)]
 
 
-@loopback
+@virtual
 async def test_the_modules_answers_are_told_by_class_end_and_cause():
     answers = [
         lambda number: Refuse(number, 0.0, Cause.COLD),
@@ -44,7 +45,7 @@
     assert front == {}
 
 
-@loopback
+@virtual
 async def test_who_asks_only_whether_it_is_ready_is_told_nothing_else():
     async with running(balancer=Scripted(request=answering(lambda n: Refuse(n, 0.0, Cause.COLD)))) as sidecar:
         await told_as(sidecar, 503)
@@ -55,7 +56,7 @@
             assert head.startswith(b"HTTP/1.1 200") and b"Content-Length: 0\r\n" in head
 
 
-@loopback
+@virtual
 async def test_what_is_answered_without_the_module_has_causes_of_its_own():
     upstream = await Upstream([hang]).start()
     limits = {**SETTINGS["PolicyLimits"], "MaxOpen": 1}
@@ -73,7 +74,7 @@
     assert front == {"-": {"rejected": {"bad_request": 3}}}
 
 
-@loopback
+@virtual
 async def test_no_room_for_a_call_and_too_late_a_one_are_refused_by_the_front():
     upstream = await Upstream([hang]).start()
     async with running(upstream) as sidecar:
@@ -94,7 +95,7 @@
     assert front["pay"] == {"refused": {"ending": 1}}
 
 
-@loopback
+@virtual
 async def test_a_call_before_one_that_is_rejected_is_cut_short_and_half_of_one_is_unfinished(monkeypatch):
     monkeypatch.setattr("fordtrestle.http.downstream.OWED_S", 0.01)
     monkeypatch.setattr("fordtrestle.http.downstream.HALF_SENT_S", 0.01)
@@ -114,7 +115,7 @@
     assert front["-"] == {"rejected": {"bad_request": 1, "unfinished": 1}}
 
 
-@loopback
+@virtual
 async def test_as_it_ends_it_says_what_it_refused_and_why(capsys):
     module = Scripted(request=answering(lambda n: Refuse(n, 0.0, Cause.THROTTLE)))
     async with running(balancer=module) as sidecar:
@@ -127,7 +128,7 @@
     assert "front sidecar: class -: 1 rejected: bad_request 1" in said
 
 
-@loopback
+@virtual
 async def test_a_process_that_refused_nothing_says_nothing_of_it(capsys):
     upstream = await Upstream([OK]).start()
     module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 0.0)])
--- a/tests/http/test_dials.py
+++ b/tests/http/test_dials.py
@@ -24,10 +24,10 @@
     Upstream,
     break_off,
     hang,
-    loopback,
     running,
     until,
 )
+from tests.virtual import virtual
 
 
 async def nothing_leaks(sidecar):
@@ -43,7 +43,7 @@
 
 @pytest.mark.parametrize("after", range(10))
 @pytest.mark.parametrize("how", ["cancel", "expire"])
-@loopback
+@virtual
 async def test_a_dial_that_is_given_up_in_any_turn_of_its_coming_up_leaks_nothing(how, after):
     """Before it begins, while it is made, as it comes up, and once its request is written."""
     upstream = await Upstream([hang]).start()
@@ -73,7 +73,7 @@
 
 
 @pytest.mark.parametrize("first", ["dial", "end"])
-@loopback
+@virtual
 async def test_a_dial_that_comes_up_in_the_turn_of_its_end_writes_nothing(first, monkeypatch):
     upstream = await Upstream().start()
     module = Scripted(outcome=failing)
@@ -93,7 +93,7 @@
         assert upstream.seen == []
 
 
-@loopback
+@virtual
 async def test_a_dial_that_comes_up_in_the_turn_of_its_own_time_out_ends_once_and_leaks_nothing(monkeypatch):
     """The loop stood still: that the connection is up and that its time is over are read in one turn."""
     upstream = await Upstream().start()
@@ -105,7 +105,7 @@
         real = loop.sock_connect
 
         async def stands_still(sock, address):
-            loop.call_soon(time.sleep, 0.1)
+            loop.call_soon(loop.stall, 0.1)
             await real(sock, address)
             await asyncio.sleep(0)
 
@@ -129,7 +129,7 @@
         yield listening.getsockname()
 
 
-@loopback
+@virtual
 async def test_a_dial_slower_than_its_request_ends_with_it():
     upstream = await Upstream().start()
     module = Scripted(outcome=failing)
@@ -147,7 +147,7 @@
             assert not sidecar.pool._connections
 
 
-@loopback
+@virtual
 async def test_a_dial_ends_with_its_own_time_and_the_request_is_known_not_to_have_run():
     upstream = await Upstream().start()
     module = Scripted(outcome=failing)
@@ -184,7 +184,7 @@
 
 
 @pytest.mark.parametrize("real", [True, False])
-@loopback
+@virtual
 async def test_an_end_behind_the_look_may_have_let_the_request_run(real, ends_behind_the_look):
     """The kernel takes the write, and a reset comes back: an unsafe request is failed, neither sent again
     nor refused."""
@@ -209,7 +209,7 @@
             assert module.outcomes()[-1] == (0, Outcome.RESET, False)
 
 
-@loopback
+@virtual
 async def test_a_reset_behind_the_look_proves_that_nothing_was_written(ends_behind_the_look):
     upstream = await Upstream([OK]).start()
     module = Scripted(outcome=failing)
@@ -228,7 +228,7 @@
         assert len(upstream.seen) == 1
 
 
-@loopback
+@virtual
 async def test_a_reset_behind_the_write_fails_an_unsafe_request(monkeypatch):
     monkeypatch.setattr(pools, "SETTLE_MS", 0.0)
     upstream = await Upstream([OK, break_off, OK]).start()
@@ -239,7 +239,7 @@
         assert len(upstream.seen) == 2
 
 
-@loopback
+@virtual
 async def test_half_a_line_that_comes_as_an_idle_connection_is_closed_harms_nothing():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
@@ -257,7 +257,7 @@
 
 
 @pytest.mark.parametrize(("wait", "budget"), [(100.0, "4000m"), (0.0, "250m")])
-@loopback
+@virtual
 async def test_an_answer_that_stands_there_as_its_time_is_over_is_served(wait, budget):
     """Read in the turn in which the time-out, or the guard of the deadline, is due."""
 
@@ -278,7 +278,7 @@
 # --- small writes -------------------------------------------------------------------------------
 
 
-@loopback
+@virtual
 async def test_no_small_write_is_held_back_on_either_side():
     upstream = await Upstream([hang]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
--- a/tests/http/test_endless.py
+++ b/tests/http/test_endless.py
@@ -12,7 +12,8 @@
 from fordtrestle.http import wire
 from poppypulley.model import Outcome, Send
 from tests.http.test_upstream import CHUNKED, failing
-from tests.loopback import OK, App, Scripted, Upstream, loopback, running, until
+from tests.loopback import OK, App, Scripted, Upstream, running, until
+from tests.virtual import virtual
 
 BARE = b"HTTP/1.1 200 OK\r\n"
 
@@ -52,7 +53,7 @@
     assert parser.complete and parser.body == b"x" * wire.MAX_BODY
 
 
-@loopback
+@virtual
 async def test_a_trailer_that_does_not_end_fails_its_attempt_and_its_connection():
     async def endless(reader, writer):
         writer.write(CHUNKED + b"4\r\ndone\r\n0\r\nX-A: ")
@@ -72,7 +73,7 @@
         await closed.wait()
 
 
-@loopback
+@virtual
 async def test_an_answer_that_trickles_ends_with_the_time_of_its_attempt():
     async def trickling(reader, writer):
         writer.write(BARE + b"Content-Length: 60000\r\n\r\n")
@@ -103,7 +104,7 @@
         BARE + b"Content-Length: 5\r\n\r\ndone",
     ],
 )
-@loopback
+@virtual
 async def test_what_only_an_end_would_bound_is_never_served(answer, ends):
     """An end may be a reset's, and a reset is no end; the request may have run, so it is not sent again."""
 
@@ -129,7 +130,7 @@
 
 
 @pytest.mark.parametrize("ends", ["whole", "reset"])
-@loopback
+@virtual
 async def test_an_unsafe_request_whose_answer_was_cut_is_failed_and_not_sent_again(ends):
     async def cut(reader, writer):
         writer.write(BARE + b"Content-Length: 5\r\n\r\ndone")
@@ -143,7 +144,7 @@
         assert sum(len(upstream.seen) for upstream in upstreams) == 1
 
 
-@loopback
+@virtual
 async def test_noise_behind_an_answer_costs_its_connection_and_nothing_else():
     async def noisy(reader, writer):
         writer.write(OK + b"HTTP/1.1 200 OK\r\nX-A: " + b"x" * 200_000)
--- a/tests/http/test_forms.py
+++ b/tests/http/test_forms.py
@@ -10,7 +10,7 @@
 from fordtrestle.engine import driver
 from fordtrestle.http import downstream
 from poppypulley.model import Fail, Outcome
-from tests.loopback import OK, App, Scripted, Upstream, loopback, request, running, until
+from tests.loopback import OK, App, Scripted, Upstream, request, running, until
 from tests.virtual import virtual
 
 IDS = itertools.count()
@@ -74,7 +74,7 @@
 
 
 @pytest.mark.parametrize("what", FORMS)
-@loopback
+@virtual
 async def test_a_request_of_any_form_in_any_pieces_goes_on_unchanged_and_is_answered(what):
     raw = FORMS[what]
     upstream = await Upstream([OK]).start()
@@ -131,7 +131,7 @@
 
 @pytest.mark.parametrize("size", [1, 3, 1000])
 @pytest.mark.parametrize("what", ANSWERS)
-@loopback
+@virtual
 async def test_an_answer_of_any_form_in_any_pieces_is_served_unchanged(what, size):
     upstream = await Upstream([in_pieces(ANSWERS[what], size)]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
@@ -144,7 +144,7 @@
 
 @pytest.mark.parametrize("size", [1, 3, 1000])
 @pytest.mark.parametrize("what", REJECTIONS)
-@loopback
+@virtual
 async def test_a_rejection_in_any_pieces_never_ran(what, size):
     """An unsafe request that was rejected may be sent again, once it is known to be that."""
     upstream = await Upstream([in_pieces(REJECTIONS[what], size)]).start()
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("target", ["/look", "/pay"])
-@loopback
+@virtual
 async def test_a_flood_of_requests_at_once_is_answered_in_order_and_ended_orderly(target):
     """300 at once: so many as are read get their answers, in order, then an end and no reset; of the others
     none is sent on, so their client may send them again."""
--- a/tests/http/test_front.py
+++ b/tests/http/test_front.py
@@ -15,7 +15,8 @@
 from fordtrestle.membership import lists
 from poppypulley.model import Fail, Refuse, Timer
 from tests import loopback as partners
-from tests.loopback import OK, App, Scripted, Upstream, entry, hang, listed, loopback, running, told, until
+from tests.loopback import OK, App, Scripted, Upstream, entry, hang, listed, running, told, until
+from tests.virtual import virtual
 
 
 def status_of(answer):
@@ -25,7 +26,7 @@
 # --- one clock, ids ---------------------------------------------------------------
 
 
-@loopback
+@virtual
 async def test_the_clock_is_unix_time_in_milliseconds_and_a_start_long_ago_stays_0():
     clock = Clock(asyncio.get_running_loop())
     assert abs(clock.now() - time.time() * 1000.0) < 1000.0
@@ -39,7 +40,7 @@
     assert all(requests.stable_number(str(i)) < 2**53 for i in range(200))
 
 
-@loopback
+@virtual
 async def test_the_module_is_told_indices_and_the_clients_deadline():
     upstream = await Upstream([OK]).start()
     module = Scripted()
@@ -48,25 +49,21 @@
         before = sidecar.driver._clock.now()
         headers = {"Cookie": "a=b; user=u1", "X_Again": "1", "X_Call_Cost": "2500", "X_Budget": "800000u"}
         await app.ask("POST", "/pay/now", **headers)
+        after = sidecar.driver._clock.now()
         ((arrival,),) = module.named("request")
         (row,) = module.named("server_list")[0][1]
     assert (arrival.traffic_class, arrival.tenant, arrival.work) == (2, 1, 2.5)
     assert (arrival.again, arrival.mutates) == (True, False)
     assert arrival.key == requests.stable_number("u1")
     assert 0 <= arrival.request < 2**32
-    assert before + 700.0 < arrival.give_up_at < sidecar_now(arrival, before) + 800.0
+    assert before + 700.0 < arrival.give_up_at < after + 800.0
     assert (row.zone, row.kind, row.cell) == (1, 1, 3)
 
 
-def sidecar_now(arrival, before):
-    """The latest time at which the request can have been read."""
-    return max(before, time.time() * 1000.0 + 1.0)
-
-
 # --- one final answer ---------------------------------------------------------------
 
 
-@loopback
+@virtual
 async def test_a_fault_in_the_module_fails_that_request_and_no_other():
     upstream = await Upstream([OK]).start()
     module = Scripted()
@@ -85,7 +82,7 @@
         assert len(module.named("client_gone")) == 1
 
 
-@loopback
+@virtual
 async def test_what_the_module_leaves_unanswered_is_failed_at_the_deadline():
     module = Scripted(request=lambda now, arrival: [])
     async with running(balancer=module) as sidecar:
@@ -94,7 +91,7 @@
         assert sidecar.driver.idle and not sidecar.driver._requests
 
 
-@loopback
+@virtual
 async def test_only_the_first_final_answer_is_given():
     module = Scripted(
         request=lambda now, arrival: [Refuse(arrival.request, 250.0), Fail(arrival.request), Timer(0.0, "t")],
@@ -108,7 +105,7 @@
         assert status_of(await app.ask()) == 503
 
 
-@loopback
+@virtual
 async def test_a_client_that_closes_is_gone_and_its_attempt_is_still_awaited():
     upstream = await Upstream([hang]).start()
     module = Scripted()
@@ -124,7 +121,7 @@
         assert not sidecar.driver._requests
 
 
-@loopback
+@virtual
 async def test_past_max_open_a_request_is_answered_503_and_the_module_is_not_asked():
     upstream = await Upstream([hang]).start()
     module = Scripted()
@@ -137,7 +134,7 @@
         assert len(module.named("request")) == 1
 
 
-@loopback
+@virtual
 async def test_pipelined_requests_are_answered_in_their_order():
     first = asyncio.Event()
 
@@ -184,7 +181,7 @@
         ("GET", "/look", {"Transfer_Encoding": "chunked", "Content_Length": "5"}, 400),
     ],
 )
-@loopback
+@virtual
 async def test_what_can_not_be_passed_on_is_answered_at_once(method, target, changes, status):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -198,7 +195,7 @@
 @pytest.mark.parametrize(
     "raw", [b"\x16\x03\x01\x02\x00", b"GET\r\n\r\n", b"GET /look HTTP/1.1\r\n: x\r\n\r\n"]
 )
-@loopback
+@virtual
 async def test_malformed_http_is_answered_400_and_closed(raw):
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
@@ -208,7 +205,7 @@
         assert await app.answer() is None
 
 
-@loopback
+@virtual
 async def test_a_body_in_chunks_that_grows_too_large_is_answered_413():
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
@@ -218,7 +215,7 @@
         assert status_of(await app.answer()) == 413
 
 
-@loopback
+@virtual
 async def test_a_client_that_is_still_sending_can_read_why_it_is_turned_away():
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
@@ -226,7 +223,7 @@
         assert status_of(await app.answer()) == 413
 
 
-@loopback
+@virtual
 async def test_a_half_sent_request_does_not_stay_for_ever(monkeypatch):
     monkeypatch.setattr(downstream, "HALF_SENT_S", 0.05)
     module = Scripted()
@@ -238,7 +235,7 @@
         assert module.named("request") == []
 
 
-@loopback
+@virtual
 async def test_a_request_that_comes_in_pieces_is_one_request():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -253,7 +250,7 @@
         assert upstream.seen[0].body == b"hello"
 
 
-@loopback
+@virtual
 async def test_a_body_is_never_sent_on_without_its_length():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -272,7 +269,7 @@
     return await app.answer() is None
 
 
-@loopback
+@virtual
 async def test_who_asked_once_and_keeps_its_connection_gives_way_to_who_has_not_asked():
     """Guards against the incident of r0b312c: clients that ask once and keep their connection hold
     all that clients may, and nobody else asks until the sidecar closes one."""
@@ -290,7 +287,7 @@
                 assert await gone(keeping.pop(0))
 
 
-@loopback
+@virtual
 async def test_who_has_come_back_keeps_its_connection_while_others_ask_once():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -304,7 +301,7 @@
             assert status_of(await app.ask()) == 200
 
 
-@loopback
+@virtual
 async def test_who_asked_once_is_closed_after_a_while_even_where_there_is_room():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -316,7 +313,7 @@
         assert status_of(await often.ask()) == 200
 
 
-@loopback
+@virtual
 async def test_room_is_made_by_who_never_asked_then_by_who_rests_and_never_by_who_waits():
     upstream = await Upstream([OK, hang]).start()
     async with running(upstream) as sidecar:
@@ -348,7 +345,7 @@
         assert len(upstream.seen) == 4
 
 
-@loopback
+@virtual
 async def test_a_flood_of_silent_connections_does_not_keep_out_who_asks(monkeypatch):
     """Guards against turning good requests away for connections that never ask, and against
     accepting more in one turn than can be closed in it."""
@@ -363,7 +360,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /pay HTT", partners.request("POST", "/pay", b"hello")[:-2]])
-@loopback
+@virtual
 async def test_who_never_ends_a_first_request_is_told_so_or_closed(sent, monkeypatch):
     module = Scripted()
     async with running(balancer=module) as sidecar:
@@ -376,7 +373,7 @@
         assert module.named("request") == []
 
 
-@loopback
+@virtual
 async def test_an_identity_that_is_open_is_refused_and_the_first_request_untouched():
     """Guards against a second copy, sent by whoever has seen the identity of another's request."""
     upstream = await Upstream([hang, OK]).start()
@@ -400,7 +397,7 @@
 
 
 @pytest.mark.parametrize("raw", [b"\x00\x01\r\n\r\n", partners.request("GET", "/look", X_Caller="nobody")])
-@loopback
+@virtual
 async def test_what_is_turned_away_does_not_wait_for_long_behind_an_open_request(raw, monkeypatch):
     """Each request gets its one answer, in order; the open one fails, since its client sends rubbish."""
     monkeypatch.setattr(downstream, "OWED_S", 0.05)
@@ -414,7 +411,7 @@
         assert await app.answer() is None
 
 
-@loopback
+@virtual
 async def test_a_stray_byte_behind_a_request_does_not_take_its_answer():
     """Guards against failing, at once, an unsafe request that runs: its answer is awaited for a while."""
     ran = asyncio.Event()
@@ -434,7 +431,7 @@
 
 
 @pytest.mark.parametrize("name", ["X-Call-Id", "X-Budget", "X-Caller", "Cookie", "Idempotency-Key"])
-@loopback
+@virtual
 async def test_a_field_that_stands_twice_is_bad_and_unknown_ones_stay_here(name):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -451,7 +448,7 @@
         assert len(upstream.seen) == 1
 
 
-@loopback
+@virtual
 async def test_a_trailer_changes_nothing_of_the_request():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -466,7 +463,7 @@
 # --- readiness and drain -----------------------------------------------------------
 
 
-@loopback
+@virtual
 async def test_it_is_ready_once_it_listens_and_the_known_list_was_told_first():
     module = Scripted()
     async with running(balancer=module) as sidecar:
@@ -475,7 +472,7 @@
         assert module.events[0][:2] == ("server_list", "remembered")
 
 
-@loopback
+@virtual
 async def test_a_drain_finishes_what_was_taken_and_closes_between_requests():
     release = asyncio.Event()
 
--- a/tests/http/test_hard_cases.py
+++ b/tests/http/test_hard_cases.py
@@ -5,7 +5,6 @@
 import asyncio
 import gc
 import socket
-import time
 from collections import Counter
 
 import pytest
@@ -15,7 +14,8 @@
 from fordtrestle.http import front, pool
 from fordtrestle.http.downstream import ClientConnection
 from poppypulley.model import Cancel, Outcome, Send
-from tests.loopback import OK, App, Scripted, Upstream, hang, loopback, request, running, until
+from tests.loopback import OK, App, Scripted, Upstream, hang, request, running, until
+from tests.virtual import virtual
 
 LARGE = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536
 
@@ -29,7 +29,7 @@
     return OK
 
 
-@loopback
+@virtual
 async def test_what_is_turned_away_keeps_its_place_while_what_came_before_it_is_open():
     """Guards against cutting the answer of an unsafe request that runs, for a place."""
     upstream = await Upstream([later]).start()
@@ -43,7 +43,7 @@
             app.close()
 
 
-@loopback
+@virtual
 async def test_an_attempt_cancelled_before_it_began_to_connect_gives_its_descriptor_back():
     """Guards against a task that never enters its own clean-up."""
     upstream = await Upstream([OK]).start()
@@ -61,7 +61,7 @@
         assert sidecar.pool.budget.descriptors.held == len(sidecar.pool._connections) == 0
 
 
-@loopback
+@virtual
 async def test_who_stands_at_the_limit_and_gives_way_leaves_no_place():
     """Guards against refusing a client while others are at rest: the first to go may free none."""
     upstream = await Upstream([OK]).start()
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("queued", [15, 16, 40])
-@loopback
+@virtual
 async def test_a_wait_is_charged_to_who_waited_and_to_nobody_later(queued):
     """Guards against a wait that never ends: good clients would be refused at once, for good."""
     upstream = await Upstream([OK]).start()
@@ -106,7 +106,7 @@
                 sock.connect(tuple(sidecar.address))
         asking = socket.create_connection(tuple(sidecar.address))
         asking.sendall(request(X_Budget="2000m"))
-        time.sleep(0.4)  # the process stands still
+        asyncio.get_running_loop().stall(0.4)  # the process stands still
         await until(lambda: len(sidecar.front.table) == queued + 2)
         await until(lambda: len(module.named("request")) == 2)
         after = socket.create_connection(tuple(sidecar.address))
@@ -123,7 +123,7 @@
             sock.close()
 
 
-@loopback
+@virtual
 async def test_a_full_table_that_stays_full_charges_nobody_with_the_time_since_it_filled():
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 96}}) as sidecar:
@@ -150,7 +150,7 @@
             app.close()
 
 
-@loopback
+@virtual
 async def test_a_byte_behind_an_answer_keeps_no_place():
     """Guards against a connection that is in no queue, and so is never evicted."""
     upstream = await Upstream([OK]).start()
@@ -170,7 +170,7 @@
             app.close()
 
 
-@loopback
+@virtual
 async def test_what_comes_behind_the_last_request_that_is_read_raises_nothing():
     upstream = await Upstream([hang]).start()
     raised = []
@@ -193,7 +193,7 @@
         ] == []
 
 
-@loopback
+@virtual
 async def test_what_the_machine_has_accepted_as_the_drain_begins_is_answered():
     upstream = await Upstream([later]).start()
     async with running(upstream) as sidecar:
@@ -214,7 +214,7 @@
         await drain
 
 
-@loopback
+@virtual
 async def test_a_pause_under_pressure_lasts_though_others_close():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -228,7 +228,7 @@
         assert status_of(await (await App.connect(sidecar.address)).ask()) == 200  # it ends
 
 
-@loopback
+@virtual
 async def test_halves_of_requests_give_way_to_whole_ones_when_bytes_run_short():
     """Guards against bodies that never end and fill the buffers: good requests would be refused for seconds.
     What the watch does about full buffers when it looks is another matter."""
@@ -247,7 +247,7 @@
             app.close()
 
 
-@loopback
+@virtual
 async def test_a_slow_reader_stands_in_no_queue_of_who_is_at_rest(monkeypatch):
     """Guards against looks that are spent on clients that read a little now and then."""
     monkeypatch.setattr(front, "SEND_BUFFER", 4096)
@@ -269,7 +269,7 @@
         sock.close()
 
 
-@loopback
+@virtual
 async def test_a_connection_that_is_closed_is_free_at_once():
     """Without a collection: cycles would let memory grow with every client there ever was."""
     upstream = await Upstream([OK]).start()
@@ -289,7 +289,7 @@
         assert left <= 2
 
 
-@loopback
+@virtual
 async def test_timers_for_answers_that_wait_for_room_do_not_multiply():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
@@ -303,7 +303,7 @@
         assert len(pending) == 1
 
 
-@loopback
+@virtual
 async def test_a_second_answer_that_comes_late_marks_its_server_and_the_mark_goes():
     """Point 4 of the limits: after the first sign each connection carries one request."""
 
@@ -331,7 +331,7 @@
         assert len(upstream.writers) == 7
 
 
-@loopback
+@virtual
 async def test_a_second_answer_that_comes_before_the_connection_is_used_again_marks_nothing(monkeypatch):
     monkeypatch.setattr(pool, "SETTLE_MS", 60_000.0)
 
--- a/tests/http/test_holding.py
+++ b/tests/http/test_holding.py
@@ -11,7 +11,8 @@
 from fordtrestle.config.limits import LimitsOptions
 from fordtrestle.http import front
 from tests import loopback as partners
-from tests.loopback import OK, App, Upstream, loopback, until
+from tests.loopback import OK, App, Upstream, until
+from tests.virtual import virtual
 
 LARGE = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536
 
@@ -49,7 +50,7 @@
     return sidecar.limits.buffered.held
 
 
-@loopback
+@virtual
 async def test_clients_that_pipeline_and_read_nothing_hold_a_bounded_number_of_bytes():
     """Guards against memory without bound: a fifth of this would kill the process on the platform."""
     upstream = await Upstream([LARGE]).start()
@@ -72,7 +73,7 @@
         assert sidecar.limits.calls.held == 0
 
 
-@loopback
+@virtual
 async def test_a_client_that_reads_nothing_is_cut_after_a_while_and_one_that_reads_slowly_is_not(monkeypatch):
     monkeypatch.setattr(front, "STALLED_MS", 200.0)
     upstream = await Upstream([LARGE]).start()
@@ -93,7 +94,7 @@
         slow.close()
 
 
-@loopback
+@virtual
 async def test_in_shortage_who_has_read_nothing_for_longest_is_cut_first():
     upstream = await Upstream([LARGE]).start()
     async with running(upstream, limits=NO_GUARANTEES) as sidecar:
@@ -112,7 +113,7 @@
             sock.close()
 
 
-@loopback
+@virtual
 async def test_no_more_is_taken_from_a_client_that_does_not_read_and_all_once_it_does():
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
@@ -127,7 +128,7 @@
         assert len(upstream.seen) == 16
 
 
-@loopback
+@virtual
 async def test_halves_of_requests_are_turned_away_where_there_is_no_room_for_them():
     """Guards against bodies that never end: what they hold counts, and past a bound they are told so."""
     upstream = await Upstream([OK]).start()
@@ -147,7 +148,7 @@
         await until(lambda: held(sidecar) == 0)
 
 
-@loopback
+@virtual
 async def test_a_request_for_which_there_is_no_room_is_refused_and_not_sent():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -160,7 +161,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 40])
-@loopback
+@virtual
 async def test_past_the_calls_that_may_be_open_a_request_is_refused_at_once(count):
     wait = asyncio.Event()
 
--- a/tests/http/test_hostile.py
+++ b/tests/http/test_hostile.py
@@ -11,7 +11,8 @@
 import pytest
 
 from tests import loopback as partners
-from tests.loopback import App, Upstream, loopback, read_message, request, running, until
+from tests.loopback import App, Upstream, read_message, request, running, until
+from tests.virtual import virtual
 
 CLASSES = ("/look", "/book", "/pay")
 TRICKS = (
@@ -114,7 +115,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@loopback
+@virtual
 async def test_tampered_requests_break_no_rule(seed, monkeypatch):
     monkeypatch.setattr(partners, "PATIENCE_S", 25.0)
     rng = random.Random(f"hostile/{seed}")
@@ -149,7 +150,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-@loopback
+@virtual
 async def test_tampered_answers_break_no_rule(seed):
     """An unsafe request is sent once, whatever comes back; a client gets a whole answer or none."""
     rng = random.Random(f"answers/{seed}")
--- a/tests/http/test_requests.py
+++ b/tests/http/test_requests.py
@@ -8,7 +8,8 @@
 
 from fordtrestle.http.requests import BadRequest, Message
 from tests import loopback as partners
-from tests.loopback import OK, App, Upstream, loopback, running
+from tests.loopback import OK, App, Upstream, running
+from tests.virtual import virtual
 
 
 def judged(target):
@@ -64,7 +65,7 @@
 
 
 @pytest.mark.parametrize("protocol", [b"RTSP/1.0", b"RTSP/1.1", b"ICE/1.0", b"ICE/1.1"])
-@loopback
+@virtual
 async def test_other_protocols_are_turned_away_wherever_their_bytes_are_cut(protocol):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -81,7 +82,7 @@
         assert upstream.seen == []
 
 
-@loopback
+@virtual
 async def test_another_protocol_is_found_when_its_line_came_long_before_the_end_of_the_head():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -94,7 +95,7 @@
         assert upstream.seen == []
 
 
-@loopback
+@virtual
 async def test_a_body_that_names_another_protocol_is_a_body():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -105,7 +106,7 @@
 
 
 @pytest.mark.parametrize(("size", "status"), [(100, "200"), (70_000, "400"), (500_000, "400")])
-@loopback
+@virtual
 async def test_chunk_extensions_are_dropped_and_have_an_end(size, status):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -116,7 +117,7 @@
         assert [seen.body for seen in upstream.seen] == ([b"hi"] if status == "200" else [])
 
 
-@loopback
+@virtual
 async def test_a_body_in_many_small_chunks_is_taken():
     """What frames a body is more than the body where chunks are small: that alone is no reason."""
     upstream = await Upstream([OK]).start()
--- a/tests/http/test_restarts.py
+++ b/tests/http/test_restarts.py
@@ -10,7 +10,8 @@
 from poppypulley.model import Outcome
 from tests.http.test_client_gone import Held
 from tests.http.test_upstream import failing, news, pooled
-from tests.loopback import OK, App, Scripted, Upstream, entry, loopback, running, until
+from tests.loopback import OK, App, Scripted, Upstream, entry, running, until
+from tests.virtual import virtual
 
 START = 1_790_000_000_000
 GRACE = {"Rules": {"StopSendingWithin": 60_000.0}}
@@ -27,7 +28,7 @@
 
 
 @pytest.mark.parametrize("moves", [False, True])
-@loopback
+@virtual
 async def test_what_comes_free_after_a_restart_is_not_used_for_the_server_that_started_since(moves):
     gate = asyncio.Event()
 
@@ -52,7 +53,7 @@
 
 
 @pytest.mark.parametrize("what", ["started", "moved", "left and back elsewhere", "place taken"])
-@loopback
+@virtual
 async def test_a_dial_to_what_stood_before_carries_nothing(what, monkeypatch):
     old, new = await Upstream().start(), await Upstream().start()
     module = Scripted(outcome=failing)
@@ -80,7 +81,7 @@
     new.stop()
 
 
-@loopback
+@virtual
 async def test_a_server_that_leaves_and_is_back_as_it_was_takes_what_was_on_its_way():
     upstream = await Upstream().start()
     async with running(upstream, balancer=Scripted(), **GRACE) as sidecar:
@@ -91,7 +92,7 @@
         assert sidecar.pool._servers["s0"] is leaving and leaving.closed_from == float("inf")
 
 
-@loopback
+@virtual
 async def test_what_was_seen_under_a_name_goes_on_and_its_grace_does_not_grow():
     upstream = await Upstream().start()
     pool = pooled(upstream)
@@ -108,7 +109,7 @@
     upstream.stop()
 
 
-@loopback
+@virtual
 async def test_a_second_answer_of_what_stood_before_closes_nothing_of_what_stands_now():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
--- a/tests/http/test_settle.py
+++ b/tests/http/test_settle.py
@@ -12,7 +12,8 @@
 from poppypulley.model import Send
 from tests.http.test_front import status_of
 from tests.http.test_upstream import failing, news, pooled
-from tests.loopback import OK, App, Scripted, Upstream, entry, loopback, request, running, told, until
+from tests.loopback import OK, App, Scripted, Upstream, entry, request, running, told, until
+from tests.virtual import virtual
 
 LOOK, BOOK, PAY = RequestClass(0, "GET", False), RequestClass(1, "POST", True), RequestClass(2, "POST", False)
 NAMES = RequestNames({"look": LOOK, "book": BOOK, "pay": PAY}, {"acme": 0, "globex": 1})
@@ -55,7 +56,7 @@
     assert raised.value.status == 503
 
 
-@loopback
+@virtual
 async def test_a_connection_stays_as_names_change_and_what_has_gone_is_unknown():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -67,7 +68,7 @@
         assert len(upstream.seen) == 2
 
 
-@loopback
+@virtual
 async def test_a_request_whose_class_goes_while_its_body_comes_is_not_taken():
     upstream = await Upstream([OK]).start()
     module = Scripted()
@@ -82,7 +83,7 @@
         assert status_of(await app.ask()) == 200
 
 
-@loopback
+@virtual
 async def test_who_there_is_no_room_for_is_told_the_wait_that_holds_by_now():
     async with running(balancer=Scripted(request=lambda now, arrival: [])) as sidecar:
         sidecar.front.settle(NAMES, 2500.0)
@@ -99,7 +100,7 @@
 
 
 @pytest.mark.parametrize(("grace_ms", "from_ms"), [(100.0, 1050.0), (9000.0, 1450.0), (0.0, 1000.0)])
-@loopback
+@virtual
 async def test_who_leaves_already_has_the_shorter_grace_from_the_news_of_it(grace_ms, from_ms):
     upstream = await Upstream([OK]).start()
     pool = pooled(upstream)
@@ -113,7 +114,7 @@
 
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
-@loopback
+@virtual
 async def test_a_shorter_grace_holds_for_what_is_being_connected(state):
     upstream = await Upstream([OK]).start()
     module = Scripted(outcome=failing)
@@ -133,7 +134,7 @@
         assert upstream.seen == []
 
 
-@loopback
+@virtual
 async def test_connections_stay_as_options_change_and_none_lies_idle_for_longer_than_it_may_by_now():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
--- a/tests/http/test_upstream.py
+++ b/tests/http/test_upstream.py
@@ -24,11 +24,11 @@
     entry,
     hang,
     listed,
-    loopback,
     running,
     told,
     until,
 )
+from tests.virtual import virtual
 
 ERROR = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 FULL = b"HTTP/1.1 503 Service Unavailable\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -85,7 +85,7 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 70000\r\n\r\n" + b"x" * 70000, Outcome.ERROR, "502"),
     ],
 )
-@loopback
+@virtual
 async def test_what_comes_back_tells_the_outcome(reply, outcome, status):
     async def then_end(reader, writer):
         await reply(reader, writer)
@@ -102,7 +102,7 @@
 
 
 @pytest.mark.parametrize("extra", [OK, SECOND, b"\x00 noise\r\n\r\n"])
-@loopback
+@virtual
 async def test_what_comes_behind_an_answer_is_never_the_next_ones(extra, monkeypatch):
     """Guards against a second copy or noise that is read once the next request is out: until a
     connection has stood quiet for a moment it carries none."""
@@ -119,7 +119,7 @@
         await until(lambda: len(server.idle) == 2)  # what came unasked for closed the first
 
 
-@loopback
+@virtual
 async def test_a_second_answer_some_milliseconds_late_is_never_the_next_ones():
     """The next request is asked for before the copy comes, and answered after it."""
 
@@ -139,7 +139,7 @@
         assert (await app.ask()).body == b"other"
 
 
-@loopback
+@virtual
 async def test_an_unsafe_request_is_not_sent_again_on_a_rejection_that_brings_more_than_itself():
     """Guards against believing what is spoilt: the 200 behind the rejection may be this request's."""
     upstreams = [await Upstream([FULL + OK]).start() for _ in range(3)]
@@ -149,7 +149,7 @@
         assert sum(len(upstream.seen) for upstream in upstreams) == 1
 
 
-@loopback
+@virtual
 async def test_an_answer_that_is_spoilt_while_the_request_is_being_written_may_have_run():
     upstream = await Upstream().start()
     pool = pooled(upstream)
@@ -169,7 +169,7 @@
 
 
 @pytest.mark.parametrize("figures", ["nan,queue=inf", "-1,queue=1e300", "%%%,queue="])
-@loopback
+@virtual
 async def test_load_figures_that_no_server_can_hold_do_not_reach_the_module(figures):
     reply = OK.replace(b"inflight=1,queue=0", b"inflight=" + figures.encode())
     upstream = await Upstream([reply]).start()
@@ -180,7 +180,7 @@
         assert module.named("outcome")[0][-1] is None
 
 
-@loopback
+@virtual
 async def test_a_request_goes_on_unchanged_with_the_time_left_and_its_answer_comes_back_unchanged():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -195,7 +195,7 @@
     assert 0 < int(seen.headers["x-budget"].removesuffix("u")) < 4_000_000
 
 
-@loopback
+@virtual
 async def test_a_refused_connection_could_not_connect():
     upstream = await Upstream().start()
     module = Scripted(outcome=failing)
@@ -218,7 +218,7 @@
 
 
 @pytest.mark.parametrize(("reads_all", "outcome"), [(False, Outcome.CONNECT_FAILED), (True, Outcome.RESET)])
-@loopback
+@virtual
 async def test_bytes_that_are_merely_buffered_are_not_written(reads_all, outcome):
     loop = asyncio.get_running_loop()
     upstream = await Upstream().start()
@@ -242,7 +242,7 @@
     upstream.stop()
 
 
-@loopback
+@virtual
 async def test_an_attempt_cancelled_while_it_connects_writes_nothing():
     upstream = await Upstream().start()
     module = Scripted(
@@ -263,7 +263,7 @@
 
 
 @pytest.mark.parametrize("behave", [hang, spoil])
-@loopback
+@virtual
 async def test_an_attempt_that_is_given_up_has_ended_on_the_wire_before_the_next_is_written(behave):
     """Where no two may be out at a time, a close in the next turn of the loop comes too late."""
     first, second = await Upstream([behave]).start(), await Upstream().start()
@@ -289,7 +289,7 @@
         app.close()
 
 
-@loopback
+@virtual
 async def test_a_time_out_closes_the_connection_and_its_outcome_comes_once():
     upstream = await Upstream([hang]).start()
     module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 500.0)], outcome=failing)
@@ -300,7 +300,7 @@
         assert module.outcomes() == [(0, Outcome.TIMEOUT, False)]
 
 
-@loopback
+@virtual
 async def test_a_cancelled_attempt_has_one_outcome_and_frees_no_connection_for_others():
     upstream = await Upstream([hang, OK]).start()
 
@@ -323,7 +323,7 @@
         assert not sidecar.driver._requests
 
 
-@loopback
+@virtual
 async def test_past_the_most_attempts_and_after_the_answer_a_send_is_abandoned():
     upstream = await Upstream([FULL, FULL, FULL, OK]).start()
 
@@ -341,7 +341,7 @@
         assert not sidecar.driver._requests
 
 
-@loopback
+@virtual
 async def test_two_copies_may_be_out_and_only_the_first_answer_counts():
     slow = asyncio.Event()
 
@@ -366,7 +366,7 @@
 
 
 @pytest.mark.usefixtures("no_settling")
-@loopback
+@virtual
 async def test_connections_are_reused_newest_first_and_closed_ones_are_noticed():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -384,7 +384,7 @@
         assert len(upstream.writers) == 2
 
 
-@loopback
+@virtual
 async def test_an_end_that_the_loop_has_not_read_yet_is_seen_before_a_write():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -396,7 +396,7 @@
         assert not connection.fresh()
 
 
-@loopback
+@virtual
 async def test_idle_connections_are_retired_before_the_server_closes_them():
     upstream = await Upstream([OK]).start()
     limits = {"MaxAttempts": 3, "IdleClose": 400.0}
@@ -412,7 +412,7 @@
 
 
 @pytest.mark.usefixtures("no_settling")
-@loopback
+@virtual
 async def test_a_request_on_a_dropped_connection_is_reset_and_never_sent_again_by_itself():
     upstream = await Upstream([OK, break_off]).start()
     module = Scripted(outcome=failing)
@@ -425,7 +425,7 @@
 
 
 @pytest.mark.usefixtures("no_settling")
-@loopback
+@virtual
 async def test_close_idle_closes_only_what_is_idle():
     upstream = await Upstream([OK, OK, hang]).start()
     module = Scripted(outcome=failing)
@@ -443,7 +443,7 @@
         assert not upstream.writers[busy].is_closing()
 
 
-@loopback
+@virtual
 async def test_without_a_descriptor_idle_connections_go_first_and_then_no_server_is_to_blame():
     first, second = await Upstream([OK]).start(), await Upstream([OK, hang]).start()
     module = Scripted(outcome=failing)
@@ -465,7 +465,7 @@
 
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
-@loopback
+@virtual
 async def test_nothing_is_first_written_past_the_grace_even_if_it_connects_already(state):
     upstream = await Upstream([OK]).start()
     module = Scripted(outcome=failing)
@@ -484,7 +484,7 @@
         assert upstream.seen == []
 
 
-@loopback
+@virtual
 async def test_within_the_grace_an_attempt_may_still_be_written():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted(), Rules={"StopSendingWithin": 60_000.0}) as sidecar:
@@ -494,7 +494,7 @@
         assert (await app.ask()).body == b"done"
 
 
-@loopback
+@virtual
 async def test_repeated_news_does_not_prolong_the_grace():
     upstream = await Upstream([OK]).start()
     pool = pooled(upstream)
@@ -506,7 +506,7 @@
 
 
 @pytest.mark.usefixtures("no_settling")
-@loopback
+@virtual
 async def test_connections_from_before_a_restart_are_not_used_again():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
@@ -521,9 +521,13 @@
 # --- reports and probes --------------------------------------------------------------
 
 
-@loopback
+@virtual
 async def test_reports_come_with_outcomes_and_probes():
-    upstream = await Upstream([OK, b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ninflight=3"]).start()
+    async def late(reader, writer):
+        await asyncio.sleep(0.02)
+        return b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ninflight=3"
+
+    upstream = await Upstream([OK, late]).start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
         await (await App.connect(sidecar.address)).ask()
@@ -532,6 +536,6 @@
         await until(lambda: module.named("probe_result"))
         ((server, status, spent, report),) = module.named("probe_result")
         assert (server, status, report) == ("s0", Outcome.OK, {"inflight": 3.0})
-        assert spent > 0.0
+        assert 19.0 < spent < 40.0
         assert upstream.seen[1].start == "GET /stats HTTP/1.1"
         assert "x-call-id" not in upstream.seen[1].headers
--- a/tests/judged.py
+++ b/tests/judged.py
@@ -8,7 +8,6 @@
 import asyncio
 import contextlib
 import itertools
-import time
 from dataclasses import dataclass, field
 
 from tests.loopback import App, entry, read_message
@@ -28,9 +27,9 @@
 
     async def watch(self):
         while True:
-            due = time.monotonic() + TICK_S
+            due = asyncio.get_running_loop().time() + TICK_S
             await asyncio.sleep(TICK_S)
-            self.worst_s = max(self.worst_s, time.monotonic() - due)
+            self.worst_s = max(self.worst_s, asyncio.get_running_loop().time() - due)
 
 
 @dataclass(eq=False)
@@ -143,7 +142,7 @@
         return {"index": 41, "snapshot": True, "endpoints": [server.row() for server in self.servers]}
 
     def note(self, server, message, reader):
-        got = Got(message.headers["x-call-id"], server, time.monotonic(), reader)
+        got = Got(message.headers["x-call-id"], server, asyncio.get_running_loop().time(), reader)
         self.got.append(got)
         return got
 
@@ -153,7 +152,7 @@
     async def ask(self, address, kind, budget_s, app=None):
         """One request of a class, on a connection of its own or a client's; its fate is noted."""
         number = next(self._numbers)
-        row = Asked(f"call-{number}", kind, time.monotonic(), budget_s)
+        row = Asked(f"call-{number}", kind, asyncio.get_running_loop().time(), budget_s)
         self.asked.append(row)
         own = app is None
         app = app or await App.connect(address)
@@ -168,7 +167,7 @@
         answer = await app.ask(
             "GET" if safe else "POST", f"/{kind['Name']}", b"" if safe else b"x" * 40, **headers
         )
-        row.ended = time.monotonic()
+        row.ended = asyncio.get_running_loop().time()
         if answer is not None:
             row.status, row.body = int(answer.start.split(" ")[1]), answer.body
         row.more = bytes(app.reader._buffer)
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -32,6 +32,10 @@
     def time(self):
         return self._skipping.now
 
+    def stall(self, seconds):
+        """Time passes while the loop stands still."""
+        self._skipping.now += seconds
+
 
 def virtual(test):
     """Run an async test in such a loop; it ends after so many virtual seconds at the latest."""
