--- a/benchmarks/cluster_breaches.py
+++ b/benchmarks/cluster_breaches.py
@@ -138,8 +138,8 @@
         times = [max(event.at_ms for event in shown) for shown in own]
     if checker == "rules":
         excuses = Excuses(played)
-        ends_s = {row.call: row.ended_s for row in played.book.asked}
-        for breaches in played.book.check().values():
+        ends_s = {row.call: row.ended_s for row in played.call_ledger.asked}
+        for breaches in played.call_ledger.check().values():
             times += [
                 ends_s[row.call] * 1000.0 for row in breaches if row.call in ends_s and not excuses.of(row)
             ]
--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -151,8 +151,8 @@
             **self.shares(),
             "ends": dict(Counter(outcome.last for outcome in score.outcomes)),
             "tries": sum(outcome.tries for outcome in score.outcomes),
-            "sends": len(run.book.executions),
-            "server_ends": dict(Counter(row.fate or row.end for row in run.book.executions)),
+            "sends": len(run.call_ledger.executions),
+            "server_ends": dict(Counter(row.fate or row.end for row in run.call_ledger.executions)),
             "latency_ms": {
                 one.name: {
                     f"p{round(share * 100)}": _finite(score.latency_ms(one.name, share))
@@ -163,7 +163,7 @@
             "broken": {rule: len(found) for rule, found in run.breaches.items()},
             "stories": [one.told() for found in run.breaches.values() for one in found[:STORIES]],
             "falls": run.falls,
-            "crashes": len(run.book.crashes),
+            "crashes": len(run.call_ledger.crashes),
             "lag_p99_ms": run.lag_p99_ms,
             "strike_late_ms": run.strike_late_ms,
             "cpu_s": run.cpu_s,
@@ -215,7 +215,7 @@
         figure(score.latency_ms(check, 0.99)),
         str(sum(not outcome.served for outcome in score.outcomes)),
         figure(sum(outcome.tries for outcome in score.outcomes) / max(1, asked), ".3f"),
-        figure(len(run.book.executions) / max(1, asked), ".3f"),
+        figure(len(run.call_ledger.executions) / max(1, asked), ".3f"),
         rules or "-",
         str(len(run.falls)),
         lag + (" unsound" if run.unsound else ""),
--- a/rig/cluster/cluster.py
+++ b/rig/cluster/cluster.py
@@ -1,8 +1,8 @@
 """A cluster that a schedule is played on: nodes, their links, a registry, servers and callers, all bounded.
 
 Nodes are processes of the unchanged program, each by an operator file of its own. They hear the registry, are
-asked by callers and speak to one another through relays in processes of their own. The servers keep books of
-what they are sent, and the nodes tell which rules they acted on.
+asked by callers and speak to one another through relays in processes of their own. The servers keep records
+of what they are sent, and the nodes tell which rules they acted on.
 
 Links: the registry's and the callers' to each node, and both ways between any two nodes that speak to one
 another (all up to 20 nodes, past that four neighbours on either side of a ring). Nodes reach servers
@@ -228,7 +228,7 @@
     # --- playing ---------------------------------------------------------------------
 
     async def play(self) -> Played:
-        """Play the schedule to its length, end the nodes in order, and read all books."""
+        """Play the schedule to its length, end the nodes in order, and read all records."""
         head = self.schedule.head
         steps = [step for step in self.schedule.steps if not self._beyond(step)]
         links = Player(self._relays, [step for step in steps if isinstance(step, Link)])
@@ -299,7 +299,7 @@
         events = history.with_kills(history.merged(told_by_nodes), kills)
         if self.relayed:
             events = alike(events)
-        book = ledger.Ledger(
+        call_ledger = ledger.Ledger(
             asked=self._seen.asked,
             told=told_rows(events, self.changes),
             crashes=[
@@ -313,7 +313,7 @@
         late = {"this process": lag.told()["p99_ms"]}
         for zone, host in zip(site.ZONES, self._hosts, strict=True):
             servers_told = await host.told()
-            book.executions += await host.executions()
+            call_ledger.executions += await host.executions()
             late[f"servers {zone}"] = servers_told["lag"]["p99_ms"]
             spent_s += servers_told["cpu_s"]
         unsound = [self._relays.unsound] if self._relays.unsound else []
@@ -326,7 +326,7 @@
             nodes=self.names,
             began_ms=self.began_ms,
             events=events,
-            book=book,
+            call_ledger=call_ledger,
             changes=self.changes,
             downs=processes.downs,
             faulted=processes.faulted,
--- a/rig/cluster/judging.py
+++ b/rig/cluster/judging.py
@@ -63,7 +63,7 @@
     nodes: list[str]
     began_ms: float  # on the clock of the events
     events: list[Event]
-    book: ledger.Ledger
+    call_ledger: ledger.Ledger
     changes: list[Change] = field(default_factory=list)
     downs: list[Down] = field(default_factory=list)
     faulted: list[Faulted] = field(default_factory=list)
@@ -111,21 +111,21 @@
 def judge(played: Played, bound_ms: float) -> list[Finding]:
     """The findings of all checkers, breaches first. A contradiction may last for `bound_ms`."""
     excuses = Excuses(played)
-    grace_ms = played.book.limits.drain_grace_s * 1000.0 + DRAIN_SLACK_MS
+    grace_ms = played.call_ledger.limits.drain_grace_s * 1000.0 + DRAIN_SLACK_MS
     return worst(
         [
             *check_entries(played.events, bound_ms, played.orders()),
             *check_versions(played.events, over_restarts=False),
             *check_durable(played.events, Disks(played).excuse),
             *_drains(played, grace_ms),
-            *check_rules(played.book, excuses.of),
+            *check_rules(played.call_ledger, excuses.of),
             *(Finding("broken", "process", text) for text in played.fallen),
         ]
     )
 
 
 def _drains(played: Played, grace_ms: float) -> list[Finding]:
-    """What a killed node sent last is not in its history, but in the servers' books, by which the ledger
+    """What a killed node sent last is not in its history, but in the servers' records, by which the ledger
     judges drains: only where a link to them failed do those not say when it was sent."""
     found = check_drains(played.events, grace_ms)
     links = [step for step in played.schedule.steps if isinstance(step, Link)]
@@ -238,11 +238,11 @@
         self._began_s = played.began_ms / 1000.0
         self._downs = played.downs
         self._steps = played.schedule.steps
-        self._asked = {row.call: row for row in played.book.asked}
+        self._asked = {row.call: row for row in played.call_ledger.asked}
         self._acted = {event.call for event in played.events if isinstance(event, Acted)}
-        self._book = played.book
+        self._call_ledger = played.call_ledger
         self._told: dict[tuple[str, str], list[ledger.Told]] = defaultdict(list)
-        for told in played.book.told:
+        for told in played.call_ledger.told:
             self._told[told.sidecar, told.server].append(told)
 
     def of(self, breach: ledger.Breach) -> str:
@@ -263,10 +263,10 @@
     def _active_again(self, row: ledger.Asked, breach: ledger.Breach) -> bool:
         """Whether the server had been active at the node within the grace, by an older list that a restart
         brought back: from the news after that on the grace begins anew."""
-        grace_s = self._book.limits.drain_grace_s + ledger.SOCKETS_S
+        grace_s = self._call_ledger.limits.drain_grace_s + ledger.SOCKETS_S
         return any(
             told.status == "active" and run.first_s - grace_s <= told.counts_s <= run.first_s
-            for run in self._book.executions
+            for run in self._call_ledger.executions
             if run.call == row.call and f" sent to {run.server} " in breach.what
             for told in self._told[row.sidecar, run.server]
         )
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -38,7 +38,7 @@
 
 ZONES = ("north", "middle", "south")
 READY_S = 15.0
-SETTLE_S = 0.4  # from the last answer to when all books are read
+SETTLE_S = 0.4  # from the last answer to when all records are read
 STRIKE_LATE_MS = 50.0  # a step that is later than that makes a run unsound
 LAG_MOST_MS = 5.0  # at the 99th percentile, of each part of the rig
 
@@ -266,7 +266,7 @@
     """What one run showed."""
 
     score: Score
-    book: ledger.Ledger
+    call_ledger: ledger.Ledger
     breaches: dict[str, list[ledger.Breach]]
     falls: list[tuple[str, float]]
     lag_p99_ms: dict[str, float]  # of each part of the rig
@@ -274,7 +274,7 @@
     cpu_s: float  # of all programs under test
     rig_cpu_s: float  # of all else, this process included
     wall_s: float
-    untold: int
+    unrecorded: int
 
     @property
     def unsound(self) -> list[str]:
@@ -282,7 +282,7 @@
         late = [f"{part} late by {ms:.1f} ms" for part, ms in self.lag_p99_ms.items() if ms > LAG_MOST_MS]
         if self.strike_late_ms > STRIKE_LATE_MS:
             late.append(f"a fault late by {self.strike_late_ms:.0f} ms")
-        return [*late, *([f"{self.untold} executions not noted"] if self.untold else [])]
+        return [*late, *([f"{self.unrecorded} executions not noted"] if self.unrecorded else [])]
 
     @property
     def broken(self) -> int:
@@ -346,7 +346,7 @@
         await asyncio.gather(*(host.stop() for host in self.hosts.values()), return_exceptions=True)
 
     async def play(self, demand: Demand, schedule: Schedule) -> Run:
-        """Play a demand and a schedule from now on, and read all books at the end."""
+        """Play a demand and a schedule from now on, and read all records at the end."""
         steps = schedule.steps(self.site.server_names, self.site.sidecar_names)
         callers = Callers(demand, self.callers)
         lag = LagWatch().start()
@@ -452,7 +452,7 @@
         for caller in self.callers.values():
             caller.close()
         await asyncio.sleep(SETTLE_S / 4.0)  # servers note what was cut
-        book = ledger.Ledger(
+        call_ledger = ledger.Ledger(
             asked=seen.asked,
             told=self.board.told,
             crashes=self.crashes,
@@ -461,26 +461,26 @@
         )
         falls: list[tuple[str, float]] = []
         lags = {"clients": max(lag.told()["p99_ms"], quantile(seen.lag_ms, 0.99))}
-        untold, rig_cpu_s = 0, 0.0
+        unrecorded, rig_cpu_s = 0, 0.0
         for zone, host in self.hosts.items():
             told = await host.told()
-            book.executions += await host.executions()
-            book.starts += [ledger.Start(**start) for start in told["starts"]]
+            call_ledger.executions += await host.executions()
+            call_ledger.starts += [ledger.Start(**start) for start in told["starts"]]
             falls += [(name, at_s) for name, at_s in told["falls"]]
             lags[f"servers {zone}"] = told["lag"]["p99_ms"]
-            untold += told["untold"]
+            unrecorded += told["unrecorded"]
             rig_cpu_s += told["cpu_s"]
         return Run(
             score=Score(seen.outcomes),
-            book=book,
-            breaches=book.check(),
+            call_ledger=call_ledger,
+            breaches=call_ledger.check(),
             falls=falls,
             lag_p99_ms=lags,
             strike_late_ms=self.strike_late_ms,
             cpu_s=sum(stand.cpu_s for stand in self.stands.values()),
             rig_cpu_s=rig_cpu_s,
             wall_s=wall_s,
-            untold=untold,
+            unrecorded=unrecorded,
         )
 
 
--- a/rig/portservers.py
+++ b/rig/portservers.py
@@ -47,17 +47,17 @@
 
 
 @dataclass
-class Books:
-    """What the servers of one process keep: rows that are told once, and counts."""
+class ServerRecords:
+    """What the servers of one process keep: rows that are handed over once, and counts."""
 
     executions: list[Execution]
     starts: list[Start]
     falls: list[tuple[str, float]]
-    untold: int = 0  # past the bound
+    unrecorded: int = 0  # past the bound
     connections: int = 0
 
     @classmethod
-    def new(cls) -> Books:
+    def new(cls) -> ServerRecords:
         """Empty ones."""
         return cls([], [], [])
 
@@ -66,7 +66,7 @@
         if len(self.executions) < ROWS_MOST:
             self.executions.append(row)
         else:
-            self.untold += 1
+            self.unrecorded += 1
 
 
 class PortServer:
@@ -77,7 +77,7 @@
         name: str,
         make: Make,
         repeats: Repeats,
-        books: Books,
+        records: ServerRecords,
         *,
         zone: str = "west",
         seed: str = "1",
@@ -86,7 +86,7 @@
         self.name = name
         self.zone = zone
         self.make = make
-        self.books = books
+        self.records = records
         self.machine: Machine | None = None  # None while its process does not run
         self.vanished = False
         self.faults: dict[str, float] = {}  # a share, or milliseconds for `slow_accept`
@@ -117,7 +117,7 @@
             return
         self.machine = Machine(self.make, self._repeats, self.now_ms, cold)
         if cold:
-            self.books.starts.append(Start.of(self.name, self._loop.time(), self.make))
+            self.records.starts.append(Start.of(self.name, self._loop.time(), self.make))
         self._listen()
         self._sweep()
 
@@ -248,7 +248,7 @@
     def opened(self, link: PortLink) -> bool:
         """A new connection; whether it is within the cap."""
         self._links.add(link)
-        self.books.connections += 1
+        self.records.connections += 1
         if self.vanished:
             link.mute()
         within = self.machine is not None and self.machine.connect(self.now_ms)
@@ -282,7 +282,7 @@
         assert self.machine is not None
         refusal = self.machine.offer(self.now_ms, job, capped)
         if self.machine.fallen_ms is not None:
-            self.books.falls.append((self.name, self._loop.time()))
+            self.records.falls.append((self.name, self._loop.time()))
             self._down()  # and it stays down: its machine is there, so it is not started again
             return "down"
         if not refusal:
@@ -441,7 +441,7 @@
             return
         self._job, self._row = job, self._opened_row(call, job, path)
         self._late_ms = 0.0
-        self._server.books.add(self._row)
+        self._server.records.add(self._row)
         if self.dead:
             self._row.fate = "lost"
             self._note("lost")
@@ -639,7 +639,7 @@
 
     def __init__(self, given: argparse.Namespace) -> None:
         self._given = given
-        self._books = Books.new()
+        self._records = ServerRecords.new()
         self._repeats = Repeats(given.window_ms)
         self._lag = LagWatch()
         self._servers: dict[str, PortServer] = {}
@@ -670,7 +670,7 @@
                 name,
                 Make(**{**figures, "report": tuple(figures.get("report", ()))}),
                 self._repeats,
-                self._books,
+                self._records,
                 zone=given.zone,
                 seed=given.seed,
                 idle_close_ms=given.idle_close_ms,
@@ -687,20 +687,20 @@
 
     def _executions(self) -> list[list[Any]]:
         """The oldest rows, which are forgotten."""
-        part, self._books.executions = (
-            self._books.executions[:ROWS_A_TIME],
-            self._books.executions[ROWS_A_TIME:],
+        part, self._records.executions = (
+            self._records.executions[:ROWS_A_TIME],
+            self._records.executions[ROWS_A_TIME:],
         )
         names = [field.name for field in fields(Execution)]
         return [[getattr(row, name) for name in names] for row in part]
 
     def _told(self) -> dict[str, Any]:
-        books = self._books
+        records = self._records
         return {
-            "starts": [asdict(start) for start in books.starts],
-            "falls": books.falls,
-            "untold": books.untold,
-            "connections": books.connections,
+            "starts": [asdict(start) for start in records.starts],
+            "falls": records.falls,
+            "unrecorded": records.unrecorded,
+            "connections": records.connections,
             "lag": self._lag.told(),
             "cpu_s": time.process_time(),
         }
--- a/rig/servers.py
+++ b/rig/servers.py
@@ -43,7 +43,7 @@
     received: int = 0
     overlaps: int = 0
     nameless: int = 0
-    untold: int = 0  # past the ledger's bound
+    unrecorded: int = 0  # past the ledger's bound
     connections: int = 0
 
     def begin(self, call_id: str, unsafe: bool) -> None:
@@ -53,7 +53,7 @@
             self.nameless += 1
             return
         if len(self.attempts) >= LEDGER_MOST and call_id not in self.attempts:
-            self.untold += 1
+            self.unrecorded += 1
             return
         self.attempts[call_id] += 1
         if unsafe:
@@ -80,7 +80,7 @@
             "unsafe_most": max((self.attempts[call] for call in self.unsafe), default=0),
             "overlaps": self.overlaps,
             "nameless": self.nameless,
-            "untold": self.untold,
+            "unrecorded": self.unrecorded,
             "connections": self.connections,
         }
 
--- a/tests/rig/cluster/test_checkers.py
+++ b/tests/rig/cluster/test_checkers.py
@@ -301,18 +301,18 @@
 # --- the four rules, and cost ------------------------------------------------------------------
 
 
-def book(**crashes):
+def call_ledger(**crashes):
     asked = Asked("c1", "c1", "n0", "safe", "look", "t", 1.0, 1.0, "unanswered", 1.5)
     run = Execution("c1", "t", "s0", "west", "safe", 1.1, 1.1)
     return Ledger(executions=[run], asked=[asked], crashes=[Crash(node, at) for node, at in crashes.items()])
 
 
 def test_a_broken_rule_is_told_with_the_beginning_of_its_story():
-    (found,) = check_rules(book())
+    (found,) = check_rules(call_ledger())
     assert found.verdict == "broken"
     assert found.text.startswith("one final answer: call c1 was taken and not answered: 1.000 client of n0")
-    assert check_rules(book(n0=1.2)) == [] and check_rules(book(n1=1.2)) != []
-    assert check_rules(book(), lambda breach: "a link" if breach.call == "c1" else "") == []
+    assert check_rules(call_ledger(n0=1.2)) == [] and check_rules(call_ledger(n1=1.2)) != []
+    assert check_rules(call_ledger(), lambda breach: "a link" if breach.call == "c1" else "") == []
 
 
 def test_what_a_node_costs_is_what_it_sent_and_got_a_second():
--- a/tests/rig/cluster/test_cluster.py
+++ b/tests/rig/cluster/test_cluster.py
@@ -69,12 +69,16 @@
     assert sum(span.ms for span in played.longest()) < 500.0
     for node in played.nodes:
         rows = [
-            (row.status, row.told_s) for row in played.book.told if (row.sidecar, row.server) == (node, "s1")
+            (row.status, row.told_s)
+            for row in played.call_ledger.told
+            if (row.sidecar, row.server) == (node, "s1")
         ]
         assert [status for status, _ in rows] == ["active", "leaving", "left"]
         for (_, told_s), change in zip(rows[1:], played.changes, strict=True):
             assert 0.0 <= told_s * 1000.0 - change.at_ms < 1000.0
-    assert {row.sidecar for row in played.book.asked} == set(played.nodes) and played.book.executions
+    assert {row.sidecar for row in played.call_ledger.asked} == set(
+        played.nodes
+    ) and played.call_ledger.executions
     assert all(use.cpu_s > 0.0 and use.rss_mb > 5.0 and use.syncs > 0 for use in played.used.values())
     assert played.counts[REGISTRY, "n0"].passed > 100
 
@@ -82,7 +86,7 @@
 def test_a_node_whose_ways_to_the_servers_are_cut_is_the_only_one_that_fails():
     played = play(schedule(Link(500, 2000, "cut", ("n0",), ("servers",)), News(800, 1, "s1")))
     assert not played.not_played and broken(played) == []
-    served = Counter(row.sidecar for row in played.book.asked if row.result == "served")
+    served = Counter(row.sidecar for row in played.call_ledger.asked if row.result == "served")
     assert served["n0"] < 0.7 * min(served["n1"], served["n2"])
     assert played.counts["n0", "servers"].passed and played.counts["n1", "servers"].passed
     assert judge(played, 60_000.0) == []  # one version has one content, though each has addresses of its own
@@ -260,7 +264,7 @@
     assert left.digest != changed.digest  # an entry that is another one than before
 
 
-def book(**changes):
+def call_ledger(**changes):
     row = {
         "call": "c1", "origin": "c1", "sidecar": "n0", "semantics": "unsafe", "kind": "pay", "token": "",
         "sent_s": 10.0, "budget_s": 1.0, "result": "unanswered", "ended_s": 11.2,
@@ -268,8 +272,8 @@
     return Ledger(asked=[Asked(**{**row, **changes})])
 
 
-def of(book, *steps, **more):
-    return Played(schedule(*steps, length_ms=60_000), ["n0", "n1"], 8000.0, [], book, **more)
+def of(call_ledger, *steps, **more):
+    return Played(schedule(*steps, length_ms=60_000), ["n0", "n1"], 8000.0, [], call_ledger, **more)
 
 
 ANSWERED, EFFECTS, DRAINS, _ = ledger.RULES
@@ -304,21 +308,21 @@
     ],
 )
 def test_a_breach_is_excused_by_what_its_call_met_only(step, rule, excused):
-    assert bool(Excuses(of(book(), step)).of(Breach(rule, "", "c1", ()))) == excused
+    assert bool(Excuses(of(call_ledger(), step)).of(Breach(rule, "", "c1", ()))) == excused
 
 
 def test_a_late_link_to_the_servers_excuses_the_time_of_a_repeat_and_not_its_place():
-    excuses = Excuses(of(book(), LATE))
+    excuses = Excuses(of(call_ledger(), LATE))
     assert excuses.of(Breach(EFFECTS, "call c1 was sent to s1 after s2: 90 ms past the window", "c1", ()))
     assert not excuses.of(Breach(EFFECTS, "call c1 was sent to s1 after s2: another group", "c1", ()))
 
 
 def test_a_call_that_an_absent_node_never_took_is_excused_and_one_it_took_is_not():
     downs = [Down("n0", 9.5, 10.5, False)]
-    assert Excuses(of(book(), downs=downs)).of(Breach(ANSWERED, "", "c1", ()))
+    assert Excuses(of(call_ledger(), downs=downs)).of(Breach(ANSWERED, "", "c1", ()))
     took = Log().start("n0", 0.0).act("n0", 10_000.0, 1, LIST).events
     took[1] = type(took[1])("n0", 2, 10_000.0, LIST, 1, call="c1")
-    played = of(book(), downs=downs)
+    played = of(call_ledger(), downs=downs)
     played.events = took
     assert not Excuses(played).of(Breach(ANSWERED, "", "c1", ()))
 
@@ -329,7 +333,7 @@
     log.learn("n0", 9100.0, 2, LIST, s1="leaving/a").kill("n0", 10_500.0)
     run = Execution("c1", "", "s1", "east", "unsafe", 10.0, 10.0, began_s=10.0, end="served", ended_s=10.1)
     for at_s, wrong in ((10.0, True), (9.3, False)):
-        asked = book(result="served", sent_s=at_s, ended_s=at_s + 0.1)
+        asked = call_ledger(result="served", sent_s=at_s, ended_s=at_s + 0.1)
         run.first_s = run.last_s = at_s
         played = of(asked, Kill(2500, 500, "n0"))
         played.events = log.events
@@ -345,7 +349,7 @@
     log.start("n0", 9800.0).learn("n0", 9850.0, 1, LIST, s1="active/a")
     log.learn("n0", 9860.0, 2, LIST, s1="leaving/a").kill("n0", 11_000.0)
     for at_s, wrong in ((9.9, False), (10.3, False), (10.6, True)):
-        asked = book(result="served", sent_s=at_s, ended_s=at_s + 0.1)
+        asked = call_ledger(result="served", sent_s=at_s, ended_s=at_s + 0.1)
         run = Execution("c1", "", "s1", "east", "unsafe", at_s, at_s, began_s=at_s, end="served")
         asked.executions, asked.told = [run], told_rows(log.events, [])
         (found,) = asked.check()[DRAINS] or [None]
--- a/tests/rig/test_callers.py
+++ b/tests/rig/test_callers.py
@@ -12,7 +12,7 @@
 from rig.callers import CallClass, Caller, Callers, Demand, Direct, Outcome, Score, may_retry
 from rig.clients import Result
 from rig.model import Make, Repeats
-from rig.portservers import Books, PortServer
+from rig.portservers import PortServer, ServerRecords
 from tests.rig.waiting import bounded, place, until
 
 SAFE = CallClass("look", "safe", 0.2, 1.0, 0.0, 500.0, 2000.0, 1.0)
@@ -28,9 +28,9 @@
 
 @contextlib.contextmanager
 def servers(count=1, **changes):
-    books, made = Books.new(), []
+    records, made = ServerRecords.new(), []
     for number in range(count):
-        made.append(PortServer(f"s{number}", Make(handshake_ms=0.0, **changes), Repeats(1200.0), books))
+        made.append(PortServer(f"s{number}", Make(handshake_ms=0.0, **changes), Repeats(1200.0), records))
         made[-1].start(cold=False)
     try:
         yield made
@@ -95,8 +95,8 @@
             demand(), n0=Caller("n0", place(server.address)), n1=Caller("n1", place(server.address))
         )
         assert all(one.served and one.tries == 1 for one in seen.outcomes)
-        rows = {row.call: row for row in server.books.executions}
-        assert len(rows) == len(server.books.executions) == len(seen.outcomes) == len(seen.asked)
+        rows = {row.call: row for row in server.records.executions}
+        assert len(rows) == len(server.records.executions) == len(seen.outcomes) == len(seen.asked)
         for row in seen.asked:
             ran = rows[row.call]
             assert (ran.semantics, ran.token) == (row.semantics, row.token)
@@ -208,9 +208,9 @@
         caller = Caller("n0", None, direct(mode, made))
         seen = await play(demand(100.0, backoff_ms=(50.0, 60.0)), n0=caller)
         assert sum(one.served for one in seen.outcomes) > 0.8 * len(seen.outcomes)
-        ran = Counter(row.server for row in made[0].books.executions if row.began_s is not None)
+        ran = Counter(row.server for row in made[0].records.executions if row.began_s is not None)
         assert set(ran) == {"s2"}
-        assert any(row.fate == "turned away: draining" for row in made[0].books.executions)
+        assert any(row.fate == "turned away: draining" for row in made[0].records.executions)
 
 
 @bounded
@@ -221,7 +221,7 @@
         caller = Caller("n0", None, direct("robin", made))
         seen = await play(demand(40.0, classes=(UNSAFE,)), n0=caller)
         assert {one.last for one in seen.outcomes} == {"failed"}
-        assert len(made[0].books.executions) == len(seen.outcomes)
+        assert len(made[0].records.executions) == len(seen.outcomes)
 
 
 def test_round_robin_goes_round_and_spares_one():
--- a/tests/rig/test_fleet.py
+++ b/tests/rig/test_fleet.py
@@ -31,7 +31,7 @@
 
 
 def ends(run):
-    return {row.fate or row.end for row in run.book.executions}
+    return {row.fate or row.end for row in run.call_ledger.executions}
 
 
 def test_a_site_is_the_same_for_a_seed():
@@ -57,12 +57,14 @@
     assert stories == []
     assert run.cpu_s > 0.0 and run.rig_cpu_s > 0.0
     assert "failed" in ends(run) and "served" in ends(run)
-    assert [start.server for start in run.book.starts] == ["s1"]
-    assert [crash.sidecar for crash in run.book.crashes] == ["n1"]
-    assert {told.status for told in run.book.told} == {"leaving", "left", "active"}
-    assert any(told.told_s is not None for told in run.book.told)
+    assert [start.server for start in run.call_ledger.starts] == ["s1"]
+    assert [crash.sidecar for crash in run.call_ledger.crashes] == ["n1"]
+    assert {told.status for told in run.call_ledger.told} == {"leaving", "left", "active"}
+    assert any(told.told_s is not None for told in run.call_ledger.told)
     assert sum(one.served for one in run.score.outcomes) > 0.5 * len(run.score.outcomes)
-    assert any(row.sidecar == "n1" and row.sent_s > run.book.crashes[0].at_s for row in run.book.asked)
+    assert any(
+        row.sidecar == "n1" and row.sent_s > run.call_ledger.crashes[0].at_s for row in run.call_ledger.asked
+    )
 
 
 @bounded
@@ -79,7 +81,7 @@
         Fault("half_open", 0.3, targets=("s5",), **share),
     )
     by_server = {}
-    for row in run.book.executions:
+    for row in run.call_ledger.executions:
         by_server.setdefault(row.server, []).append(row)
     assert any(row.end in ("unanswered", "cut") and row.began_s for row in by_server["s0"])
     assert "spoilt" in {row.end for row in by_server["s1"]}
@@ -128,9 +130,9 @@
 
 def test_a_run_that_was_late_itself_is_unsound():
     def run(**changes):
-        told = {"lag_p99_ms": {"clients": 1.0}, "strike_late_ms": 1.0, "untold": 0, **changes}
+        told = {"lag_p99_ms": {"clients": 1.0}, "strike_late_ms": 1.0, "unrecorded": 0, **changes}
         return Run(Score([]), Ledger(), {}, [], cpu_s=0.0, rig_cpu_s=0.0, wall_s=1.0, **told)
 
     assert run().unsound == []
     assert "clients late by 6.0 ms" in run(lag_p99_ms={"clients": 6.0}).unsound
-    assert run(strike_late_ms=80.0).unsound and run(untold=1).unsound
+    assert run(strike_late_ms=80.0).unsound and run(unrecorded=1).unsound
--- a/tests/rig/test_portservers.py
+++ b/tests/rig/test_portservers.py
@@ -12,7 +12,7 @@
 from rig.lag import SAMPLES_MOST, LagWatch
 from rig.messages import body_for
 from rig.model import Make, Repeats
-from rig.portservers import Books, PortHost, PortServer, budget_ms
+from rig.portservers import PortHost, PortServer, ServerRecords, budget_ms
 from rig.process import ProgramError
 from tests.rig.waiting import PATIENCE_S, bounded, place, until
 
@@ -33,7 +33,7 @@
 
 @contextlib.contextmanager
 def server(make=QUICK, cold=False, **changes):
-    made = PortServer("s0", make, Repeats(1200.0), Books.new(), **changes)
+    made = PortServer("s0", make, Repeats(1200.0), ServerRecords.new(), **changes)
     made.start(cold)
     try:
         yield made
@@ -71,13 +71,13 @@
         kept = await Kept.open(made)
         assert await kept.ask("7", kind="pay") == (200, body_for("7", 0))
         assert await kept.ask("8", kind="book") == (200, body_for("8", 0))
-        rows = made.books.executions
+        rows = made.records.executions
         assert [(r.call, r.semantics, r.token, r.end) for r in rows] == [
             ("7", "unsafe", "", "served"),
             ("8", "keyed", "t8", "served"),
         ]
         assert rows[0].first_s <= rows[0].last_s <= rows[0].began_s <= rows[0].ended_s
-        assert made.books.connections == 1
+        assert made.records.connections == 1
 
 
 @bounded
@@ -91,7 +91,7 @@
         assert (await ask_raw(place(made.address), asked, PATIENCE_S)).status == 503
         assert (await ask(made, work="x")).status == 400
         assert (await ask(made, budget="5 s")).status == 400
-        assert made.books.executions == []
+        assert made.records.executions == []
 
 
 def test_budgets():
@@ -108,11 +108,11 @@
         made.drain()
         assert (await ask(made, "2")).status == 503
         assert (await ask(made, "3", budget="0m")).status == 503
-    assert [row.fate for row in made.books.executions] == [
+    assert [row.fate for row in made.records.executions] == [
         "turned away: full",
         *["turned away: draining"] * 2,
     ]
-    assert not any(row.may_have_run or row.had_effect for row in made.books.executions)
+    assert not any(row.may_have_run or row.had_effect for row in made.records.executions)
 
 
 @bounded
@@ -122,7 +122,7 @@
         await until(lambda: made.machine.in_hand == 1)
         assert (await ask(made, "2", budget="20m")).status == 504
         assert (await slow).status == 200
-        assert made.books.executions[1].fate == "turned away: over"
+        assert made.records.executions[1].fate == "turned away: over"
 
 
 @bounded
@@ -132,7 +132,7 @@
         assert (await first.ask("1"))[0] == 200
         assert (await second.ask("2"))[0] == 503
         assert await second.ask("3") == "ended"
-        assert made.books.executions[1].fate == "turned away: connections"
+        assert made.records.executions[1].fate == "turned away: connections"
 
 
 @bounded
@@ -140,7 +140,7 @@
     monkeypatch.setattr("rig.portservers.LINKS_MOST", 2)
     with server() as made:
         kept = [await Kept.open(made) for _ in range(2)]
-        await until(lambda: made.books.connections == 2)
+        await until(lambda: made.records.connections == 2)
         assert (await ask(made)).ended
         assert (await kept[0].ask("2"))[0] == 200
 
@@ -154,7 +154,7 @@
         kept.writer.transport.abort()
         await until(lambda: made.machine.in_hand == 0)
         assert (await ask(made, "2")).status == 200
-        row = made.books.executions[0]
+        row = made.records.executions[0]
         assert (row.end, row.had_effect) == ("cut", True)
 
 
@@ -163,7 +163,7 @@
     with server() as made:
         for _ in range(2):
             assert (await ask(made, "1", kind="book")).status == 200
-        assert [row.had_effect for row in made.books.executions] == [True, False]
+        assert [row.had_effect for row in made.records.executions] == [True, False]
 
 
 @bounded
@@ -186,8 +186,8 @@
         made.start()
         answer = await ask(made, "1", kind="book")
         assert answer.status == 200 and made.machine.cold
-        assert [start.server for start in made.books.starts] == ["s0"]
-        assert made.books.executions[-1].had_effect  # its first was given up with the process
+        assert [start.server for start in made.records.starts] == ["s0"]
+        assert made.records.executions[-1].had_effect  # its first was given up with the process
 
 
 @bounded
@@ -198,7 +198,7 @@
         made.vanish()
         assert await kept.ask("2", within_s=NEVER_S) == "silent"
         assert await ask(made, "3", within_s=NEVER_S) == Raw(0, b"", pytest.approx(150, abs=100), False)
-        assert [(row.call, row.fate) for row in made.books.executions] == [("1", ""), ("2", "lost")]
+        assert [(row.call, row.fate) for row in made.records.executions] == [("1", ""), ("2", "lost")]
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(NEVER_S):
                 await Kept.open(made)  # it does not even come up
@@ -214,7 +214,7 @@
         made.stall(120.0)
         start = asyncio.get_running_loop().time()
         assert (await kept.ask("1"))[0] == 200
-        row = made.books.executions[0]
+        row = made.records.executions[0]
         assert row.ended_s - start > 0.1 and row.last_s - start < 0.1  # it is read at once, and waits
 
 
@@ -237,7 +237,7 @@
     with server() as made:
         made.fault("lose", 1.0)
         assert (await ask(made, within_s=NEVER_S)).status == 0
-        row = made.books.executions[0]
+        row = made.records.executions[0]
         assert row.end == "unanswered" and row.had_effect
 
 
@@ -248,7 +248,7 @@
         for number in range(12):
             answer = await ask(made, str(number))
             assert answer.body == b""  # never a whole one
-        assert {row.end for row in made.books.executions} == {"spoilt"}
+        assert {row.end for row in made.records.executions} == {"spoilt"}
 
 
 @bounded
@@ -260,7 +260,7 @@
         made.fault("half_open", 0.0)
         assert await kept.ask("2", within_s=NEVER_S) == "silent"
         assert (await ask(made, "3")).status == 200
-        assert [row.fate for row in made.books.executions] == ["", "lost", ""]
+        assert [row.fate for row in made.records.executions] == ["", "lost", ""]
 
 
 @bounded
@@ -270,7 +270,7 @@
         kept = await Kept.open(made)
         for number in "12":
             assert (await kept.ask(number))[0] == 200
-        assert [row.read_late_ms for row in made.books.executions] == [100.0, 0.0]
+        assert [row.read_late_ms for row in made.records.executions] == [100.0, 0.0]
 
 
 @bounded
@@ -282,7 +282,7 @@
         made.die()
         made.start()
         assert (await ask(made, "9")).status == 0
-        assert [name for name, _ in made.books.falls] == ["s0"]
+        assert [name for name, _ in made.records.falls] == ["s0"]
 
 
 @bounded
