--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -161,7 +161,7 @@
                 for one in CLASSES
             },
             "broken": {rule: len(found) for rule, found in run.breaches.items()},
-            "stories": [one.told() for found in run.breaches.values() for one in found[:STORIES]],
+            "stories": [one.as_json() for found in run.breaches.values() for one in found[:STORIES]],
             "falls": run.falls,
             "crashes": len(run.call_ledger.crashes),
             "lag_p99_ms": run.lag_p99_ms,
--- a/rig/cluster/cluster.py
+++ b/rig/cluster/cluster.py
@@ -21,7 +21,7 @@
 from rig import ledger
 from rig.callers import Caller, Callers, Seen
 from rig.cluster import history, site
-from rig.cluster.judging import Change, Played, Used, alike, told_rows
+from rig.cluster.judging import Change, Played, Used, alike, notifications
 from rig.cluster.links import Address, Player
 from rig.cluster.nodes import Life, Node, Processes, start_all
 from rig.cluster.outages import Down
@@ -101,7 +101,7 @@
         self._own_rows: dict[
             str, list[Entry]
         ] = {}  # where each node reaches servers through relays of its own
-        self._told: dict[str, Address] = {}  # where each node reaches the registry
+        self._registry_at: dict[str, Address] = {}  # where each node reaches the registry
         self._peers: dict[int, site.Peers] = {}
         self._seen = Seen()
         self._before: dict[str, Used] = {}
@@ -177,7 +177,9 @@
             ]
             self.registries[name] = await self._registry(self._own_rows[name])
         if not self._static:
-            self._told[name] = await self._relays.tcp(name, REGISTRY, _place(self._registry_of(name).address))
+            self._registry_at[name] = await self._relays.tcp(
+                name, REGISTRY, _place(self._registry_of(name).address)
+            )
         address = await self._relays.tcp(CLIENTS, name, self.nodes[name].address)
         self._callers[name] = Caller(name, address)
 
@@ -192,7 +194,7 @@
             seed=self.schedule.head.seed * 1_000_000 + life.number * 1000 + life.life,
             listen=life.listen,
             settings=life.settings,
-            registry=self._told.get(life.name),
+            registry=self._registry_at.get(life.name),
             servers=self._rows,
             state=str(life.state),
             events=str(life.events),
@@ -301,7 +303,7 @@
             events = alike(events)
         call_ledger = ledger.Ledger(
             asked=self._seen.asked,
-            told=told_rows(events, self.changes),
+            notifications=notifications(events, self.changes),
             crashes=[
                 ledger.Crash(down.node, _killed_s(down, processes.killed), down.until_s)
                 for down in processes.downs
--- a/rig/cluster/judging.py
+++ b/rig/cluster/judging.py
@@ -137,7 +137,7 @@
 # --- what nodes were told, as the ledger has it ----------------------------------------------------
 
 
-def told_rows(events: Iterable[Event], changes: Sequence[Change]) -> list[ledger.Told]:
+def notifications(events: Iterable[Event], changes: Sequence[Change]) -> list[ledger.Notification]:
     """A row for each change of a server in the lists that a node learned.
 
     The node's own word counts as the time that it was told: one that hears nothing is judged by how long it
@@ -154,9 +154,9 @@
         at_s = event.at_ms / 1000.0
         for server, status in _changed(held[event.node], event.entries):
             before = [changed_s for changed_s in when[server, status] if changed_s <= at_s]
-            changed_s = max(before[-1] if before else at_s, at_s - ledger.TOLD_MOST_S)
+            changed_s = max(before[-1] if before else at_s, at_s - ledger.NOTIFIED_MOST_S)
             changed_s = max(changed_s, last_s.get((event.node, server), changed_s))
-            made.append(ledger.Told(event.node, server, status, changed_s, at_s))
+            made.append(ledger.Notification(event.node, server, status, changed_s, at_s))
             last_s[event.node, server] = at_s
     return made
 
@@ -241,9 +241,9 @@
         self._asked = {row.call: row for row in played.call_ledger.asked}
         self._acted = {event.call for event in played.events if isinstance(event, Acted)}
         self._call_ledger = played.call_ledger
-        self._told: dict[tuple[str, str], list[ledger.Told]] = defaultdict(list)
-        for told in played.call_ledger.told:
-            self._told[told.sidecar, told.server].append(told)
+        self._notifications: dict[tuple[str, str], list[ledger.Notification]] = defaultdict(list)
+        for notified in played.call_ledger.notifications:
+            self._notifications[notified.sidecar, notified.server].append(notified)
 
     def of(self, breach: ledger.Breach) -> str:
         """Why a breach says nothing; empty where it does."""
@@ -265,10 +265,10 @@
         brought back: from the news after that on the grace begins anew."""
         grace_s = self._call_ledger.limits.drain_grace_s + ledger.SOCKETS_S
         return any(
-            told.status == "active" and run.first_s - grace_s <= told.counts_s <= run.first_s
+            notified.status == "active" and run.first_s - grace_s <= notified.counts_s <= run.first_s
             for run in self._call_ledger.executions
             if run.call == row.call and f" sent to {run.server} " in breach.what
-            for told in self._told[row.sidecar, run.server]
+            for notified in self._notifications[row.sidecar, run.server]
         )
 
     def _unanswered(self, row: ledger.Asked) -> str:
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -454,7 +454,7 @@
         await asyncio.sleep(SETTLE_S / 4.0)  # servers note what was cut
         call_ledger = ledger.Ledger(
             asked=seen.asked,
-            told=self.board.told,
+            notifications=self.board.notifications,
             crashes=self.crashes,
             strays=sum(caller.strays for caller in self.callers.values()),
             limits=ledger.Limits(DRAIN_GRACE_MS / 1000.0, KEY_WINDOW_MS / 1000.0),
--- a/rig/ledger.py
+++ b/rig/ledger.py
@@ -1,8 +1,9 @@
 """The ledger: what servers and clients saw, and whether the four rules were kept. Pure: values in and out.
 
 Nothing in it comes from the sidecar. All times are seconds of one clock. The limits are the platform's: what
-discovery has to tell counts as told when it was written to the sidecar, or `TOLD_MOST_S` after it changed;
-each time limit is `SOCKETS_S` longer on sockets; a client's own resend after a crossed close is no fault.
+discovery has to tell counts as told when it was written to the sidecar, or `NOTIFIED_MOST_S` after it
+changed; each time limit is `SOCKETS_S` longer on sockets; a client's own resend after a crossed close is no
+fault.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 Semantics = Literal["safe", "keyed", "unsafe"]
 
-TOLD_MOST_S = 6.0
+NOTIFIED_MOST_S = 6.0
 SOCKETS_S = 0.05
 ANSWER_SLACK_S = 0.02  # past the client's budget, a final answer still counts
 INFORMED_SHARE = 2.0 / 3.0  # of the work, from sidecars that knew of the start: only then a rule is broken
@@ -62,7 +63,7 @@
         """Whether it truly ran, and was dropped by nobody."""
         return self.began_s is not None and not self.repeat and self.end != "error"
 
-    def told(self) -> str:
+    def line(self) -> str:
         """One line of a story."""
         ran = f", began at {self.began_s:.3f}" if self.began_s is not None else ", never began"
         fate = f", {self.fate}" if self.fate else ""
@@ -90,7 +91,7 @@
     first_sent_s: float | None = None  # where it was sent again, its first time
     resent_s: float | None = None  # when a close without a word had it sent again
 
-    def told(self) -> str:
+    def line(self) -> str:
         """One line of a story."""
         status = f" ({self.status})" if self.status else ""
         again = f", sent again {self.resends} times" if self.resends else ""
@@ -101,27 +102,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class Notification:
     """The registry told a sidecar of a server: it changed then, and was written to the sidecar then.
 
-    `told_s` is None where it never was."""
+    `notified_s` is None where it never was."""
 
     sidecar: str
     server: str
     status: str
     changed_s: float
-    told_s: float | None
+    notified_s: float | None
     since_ms: int = 0
 
     @property
     def counts_s(self) -> float:
-        """When it counts as told: when it was written, or `TOLD_MOST_S` after the change."""
-        bound = self.changed_s + TOLD_MOST_S
-        return bound if self.told_s is None else min(self.told_s, bound)
+        """When it counts as told: when it was written, or `NOTIFIED_MOST_S` after the change."""
+        bound = self.changed_s + NOTIFIED_MOST_S
+        return bound if self.notified_s is None else min(self.notified_s, bound)
 
     def line(self) -> str:
         """One line of a story."""
-        written = "never" if self.told_s is None else f"at {self.told_s:.3f}"
+        written = "never" if self.notified_s is None else f"at {self.notified_s:.3f}"
         return f"registry: {self.server} is {self.status}; written to {self.sidecar} {written}"
 
 
@@ -170,7 +171,7 @@
     call: str
     story: tuple[str, ...]
 
-    def told(self) -> dict[str, Any]:
+    def as_json(self) -> dict[str, Any]:
         """As JSON values."""
         return {"rule": self.rule, "what": self.what, "call": self.call, "story": list(self.story)}
 
@@ -195,7 +196,7 @@
 
     executions: list[Execution] = field(default_factory=list)
     asked: list[Asked] = field(default_factory=list)
-    told: list[Told] = field(default_factory=list)
+    notifications: list[Notification] = field(default_factory=list)
     starts: list[Start] = field(default_factory=list)
     crashes: list[Crash] = field(default_factory=list)
     strays: int = 0  # connections on which a sidecar sent what nobody had asked for
@@ -220,12 +221,12 @@
         self.tries: dict[str, list[Asked]] = defaultdict(list)
         for asked in ledger.asked:
             self.tries[asked.origin].append(asked)
-        self.news: dict[tuple[str, str], list[Told]] = defaultdict(list)
-        for told in sorted(ledger.told, key=lambda told: told.changed_s):
-            news = self.news[told.sidecar, told.server]
-            while news and news[-1].counts_s > told.counts_s:
+        self.news: dict[tuple[str, str], list[Notification]] = defaultdict(list)
+        for notification in sorted(ledger.notifications, key=lambda notification: notification.changed_s):
+            news = self.news[notification.sidecar, notification.server]
+            while news and news[-1].counts_s > notification.counts_s:
                 news.pop()  # it never reached the sidecar before what came after it
-            news.append(told)
+            news.append(notification)
 
     # --- the rules ----------------------------------------------------------------------
 
@@ -276,13 +277,13 @@
             if asked is None:
                 continue
             first_s = run.first_s - run.read_late_ms / 1000.0
-            told = self._standing(asked.sidecar, run.server, first_s - grace_s)
+            notification = self._standing(asked.sidecar, run.server, first_s - grace_s)
             later = self._standing(asked.sidecar, run.server, first_s)
             # News within the grace that it is active again makes the send a good one.
-            if told and later and "active" not in (told.status, later.status):
-                past_ms = (first_s - told.counts_s) * 1000.0
+            if notification and later and "active" not in (notification.status, later.status):
+                past_ms = (first_s - notification.counts_s) * 1000.0
                 what = f"call {run.call} was sent to {run.server} {past_ms:.0f} ms after {asked.sidecar} was"
-                found.append(self._breach(2, f"{what} told that it is {told.status}", run.call))
+                found.append(self._breach(2, f"{what} told that it is {notification.status}", run.call))
         return found
 
     def cold_starts(self) -> list[Breach]:
@@ -342,18 +343,22 @@
                 found.append(self._breach(1, f"call {ran[0]} had its effect, and so had {ran[-1]}", ran[0]))
         return found
 
-    def _standing(self, sidecar: str, server: str, at_s: float) -> Told | None:
+    def _standing(self, sidecar: str, server: str, at_s: float) -> Notification | None:
         """The last that a sidecar had been told of a server at a time."""
         news = self.news.get((sidecar, server), [])
-        place = bisect.bisect_right(news, at_s, key=lambda told: told.counts_s)
-        return news[place - 1] if place else None
+        index = bisect.bisect_right(news, at_s, key=lambda notification: notification.counts_s)
+        return news[index - 1] if index else None
 
     def _knew(self, run: Execution, start: Start) -> bool:
         asked = self.asked.get(run.call)
         if asked is None:
             return False
-        told = self._standing(asked.sidecar, run.server, run.first_s)
-        return told is not None and told.status == "active" and told.changed_s >= start.at_s
+        notification = self._standing(asked.sidecar, run.server, run.first_s)
+        return (
+            notification is not None
+            and notification.status == "active"
+            and notification.changed_s >= start.at_s
+        )
 
     def _overdriven(self, start: Start, runs: Sequence[Execution]) -> Breach | None:
         span_s, end_s = start.overload_ms / 1000.0, start.at_s + start.warm_up_ms / 1000.0
@@ -381,10 +386,10 @@
         """All that is known of a request, its other tries included, in the order of time."""
         own = self.asked.get(call)
         tries = self.tries[own.origin] if own is not None else []
-        lines: list[tuple[float, str]] = [(row.sent_s, row.told()) for row in tries]
+        lines: list[tuple[float, str]] = [(row.sent_s, row.line()) for row in tries]
         servers = set()
         for name in {call, *(row.call for row in tries)}:
-            lines += [(run.first_s, run.told()) for run in self.runs.get(name, ())]
+            lines += [(run.first_s, run.line()) for run in self.runs.get(name, ())]
             servers |= {run.server for run in self.runs.get(name, ())}
         end_s = max((at_s for at_s, _ in lines), default=0.0)
         lines += [(at_s, line) for at_s, line in self._around(own, servers) if at_s <= end_s]
@@ -398,7 +403,10 @@
         if own is None:
             return lines
         for server in servers:
-            lines += [(told.counts_s, told.line()) for told in self.news.get((own.sidecar, server), ())]
+            lines += [
+                (notification.counts_s, notification.line())
+                for notification in self.news.get((own.sidecar, server), ())
+            ]
         lines += [
             (crash.at_s, f"{crash.sidecar} was killed")
             for crash in self.ledger.crashes
--- a/rig/registry.py
+++ b/rig/registry.py
@@ -12,7 +12,7 @@
 from typing import Any
 from urllib.parse import parse_qs, urlsplit
 
-from rig.ledger import Told
+from rig.ledger import Notification
 
 HEARTBEAT_S = 2.0
 HEAD_S = 5.0  # for the head of a question
@@ -78,7 +78,7 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def told(self) -> dict[str, Any]:
+    def snapshot(self) -> dict[str, Any]:
         """The whole list as it stands."""
         return listed(self._index, list(self._rows.values()))
 
@@ -147,8 +147,8 @@
                 return
             else:
                 self.fetches += 1
-                body = json.dumps(self.told()).encode()
-                self._note(self.told())
+                body = json.dumps(self.snapshot()).encode()
+                self._note(self.snapshot())
                 writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
             async with asyncio.timeout(HEAD_S):
                 await writer.drain()
@@ -161,7 +161,7 @@
             newest = {row["name"]: row for index, row in self._history if index > since}
             self._tell(writer, listed(self._index, list(newest.values()), snapshot=False))
         else:
-            self._tell(writer, self.told())
+            self._tell(writer, self.snapshot())
         self._watches.add(writer)
         while not reader.at_eof():
             with contextlib.suppress(TimeoutError):
@@ -182,9 +182,9 @@
 class Board:
     """Discovery for many sidecars: one truth, and an agent at each sidecar that hears of it late.
 
-    `told` holds, for each change and sidecar, when it changed and when it was written to the sidecar, on
-    the loop's clock. `watched`: sidecars watch their agents; else they read `list_at`, and what an agent
-    hears is told."""
+    `notifications` holds, for each change and sidecar, when it changed and when it was written to the
+    sidecar, on the loop's clock. `watched`: sidecars watch their agents; else they read `list_at`, and
+    what an agent hears is told."""
 
     def __init__(
         self, rows: Sequence[Entry], sidecars: Sequence[str], seed: int = 1, watched: bool = True
@@ -195,13 +195,14 @@
         self._loop = asyncio.get_running_loop()
         self._pending: list[tuple[str, Entry]] = []  # while it is silent
         self._timers: set[asyncio.TimerHandle] = set()
-        self._open: dict[tuple[str, str, str, int], int] = {}  # places in `told` of what is not yet written
+        # The index in `notifications` of what is not yet written.
+        self._open: dict[tuple[str, str, str, int], int] = {}
         self._due_s: dict[str, float] = {}
         self.agents = {
             name: Registry([dict(row) for row in rows], wrote=functools.partial(self._written, name))
             for name in sidecars
         }
-        self.told: list[Told] = []
+        self.notifications: list[Notification] = []
         self.delay_ms = 0.0
         self.silent = False
 
@@ -228,8 +229,8 @@
         row["status"] = status
         now_s = self._loop.time()
         for name in self.agents:
-            self._open[name, server, status, row["since_ms"]] = len(self.told)
-            self.told.append(Told(name, server, status, now_s, None, row["since_ms"]))
+            self._open[name, server, status, row["since_ms"]] = len(self.notifications)
+            self.notifications.append(Notification(name, server, status, now_s, None, row["since_ms"]))
             late_s = (self._rng.uniform(*SPREAD_MS) + self.delay_ms) / 1000.0
             # In order: news of a server never overtake older ones on their way to one agent.
             at_s = self._due_s[name] = max(now_s + late_s, self._due_s.get(name, 0.0))
@@ -247,7 +248,7 @@
 
     def list_at(self, sidecar: str) -> list[Entry]:
         """The list as a sidecar's agent has it."""
-        return list(self.agents[sidecar].told()["endpoints"])
+        return list(self.agents[sidecar].snapshot()["endpoints"])
 
     def _later(self, at_s: float, what: Callable[..., None], *args: Any) -> None:
         def run() -> None:
@@ -269,9 +270,9 @@
             self._written(name, row)
 
     def _written(self, name: str, row: Entry) -> None:
-        place = self._open.pop((name, row["name"], row["status"], row["since_ms"]), None)
-        if place is not None:
-            old = self.told[place]
-            self.told[place] = Told(
+        index = self._open.pop((name, row["name"], row["status"], row["since_ms"]), None)
+        if index is not None:
+            old = self.notifications[index]
+            self.notifications[index] = Notification(
                 old.sidecar, old.server, old.status, old.changed_s, self._loop.time(), old.since_ms
             )
--- a/tests/rig/cluster/test_cluster.py
+++ b/tests/rig/cluster/test_cluster.py
@@ -20,7 +20,7 @@
 from rig.cluster import schedules, site
 from rig.cluster.cluster import REGISTRY, Cluster, Restorable, _killed_s
 from rig.cluster.history import Started
-from rig.cluster.judging import Change, Disks, Excuses, Played, alike, judge, told_rows
+from rig.cluster.judging import Change, Disks, Excuses, Played, alike, judge, notifications
 from rig.cluster.live import View, Watch, tail
 from rig.cluster.nodes import PlatformNode, Processes
 from rig.cluster.outages import Down, Faulted
@@ -69,13 +69,13 @@
     assert sum(span.ms for span in played.longest()) < 500.0
     for node in played.nodes:
         rows = [
-            (row.status, row.told_s)
-            for row in played.call_ledger.told
+            (row.status, row.notified_s)
+            for row in played.call_ledger.notifications
             if (row.sidecar, row.server) == (node, "s1")
         ]
         assert [status for status, _ in rows] == ["active", "leaving", "left"]
-        for (_, told_s), change in zip(rows[1:], played.changes, strict=True):
-            assert 0.0 <= told_s * 1000.0 - change.at_ms < 1000.0
+        for (_, notified_s), change in zip(rows[1:], played.changes, strict=True):
+            assert 0.0 <= notified_s * 1000.0 - change.at_ms < 1000.0
     assert {row.sidecar for row in played.call_ledger.asked} == set(
         played.nodes
     ) and played.call_ledger.executions
@@ -175,16 +175,16 @@
 async def test_a_registry_goes_back_and_cuts_off_who_watches():
     registry = await Restorable(entries(["127.0.0.1:1", "127.0.0.1:2"])).start()
     host, port = registry.address.split(":")
-    before = registry.told()
+    before = registry.snapshot()
     registry.change({**before["endpoints"][1], "status": "leaving"})
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"GET /registry/instances?watch=1&from=42 HTTP/1.1\r\n\r\n")
     await reader.readuntil(b"\r\n\r\n")
     await reader.readuntil(b"]}\n\r\n")
     registry.rewind()
-    assert await reader.read() == b"" and registry.told() == before
+    assert await reader.read() == b"" and registry.snapshot() == before
     registry.rewind()  # no further than its first list
-    assert registry.told() == before
+    assert registry.snapshot() == before
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"GET /registry/instances?watch=1&from=42 HTTP/1.1\r\n\r\n")
     await reader.readuntil(b"\r\n\r\n")
@@ -243,7 +243,7 @@
     log.start("n0", 9500.0).learn("n0", 9600.0, 1, LIST, s1="active/a", s2="active/b")
     log.learn("n0", 9700.0, 3, LIST, s2="active/b")
     changes = [Change(2000.0, "s1", "leaving"), Change(9300.0, "s1", "left")]
-    rows = [row for row in told_rows(log.events, changes) if row.server == "s1"]
+    rows = [row for row in notifications(log.events, changes) if row.server == "s1"]
     assert [(row.status, row.counts_s) for row in rows] == [
         ("active", 1.0),
         ("leaving", 9.0),
@@ -338,7 +338,7 @@
         played = of(asked, Kill(2500, 500, "n0"))
         played.events = log.events
         asked.executions, asked.crashes = [run], [Crash("n0", 10.5)]
-        asked.told = told_rows(log.events, [])
+        asked.notifications = notifications(log.events, [])
         found = [finding.checker for finding in judge(played, 60_000.0) if finding.verdict != "unknown"]
         assert found == (["rules"] if wrong else [])
 
@@ -351,7 +351,7 @@
     for at_s, wrong in ((9.9, False), (10.3, False), (10.6, True)):
         asked = call_ledger(result="served", sent_s=at_s, ended_s=at_s + 0.1)
         run = Execution("c1", "", "s1", "east", "unsafe", at_s, at_s, began_s=at_s, end="served")
-        asked.executions, asked.told = [run], told_rows(log.events, [])
+        asked.executions, asked.notifications = [run], notifications(log.events, [])
         (found,) = asked.check()[DRAINS] or [None]
         assert bool(found and not Excuses(of(asked)).of(found)) == wrong
 
--- a/tests/rig/test_fleet.py
+++ b/tests/rig/test_fleet.py
@@ -59,8 +59,8 @@
     assert "failed" in ends(run) and "served" in ends(run)
     assert [start.server for start in run.call_ledger.starts] == ["s1"]
     assert [crash.sidecar for crash in run.call_ledger.crashes] == ["n1"]
-    assert {told.status for told in run.call_ledger.told} == {"leaving", "left", "active"}
-    assert any(told.told_s is not None for told in run.call_ledger.told)
+    assert {one.status for one in run.call_ledger.notifications} == {"leaving", "left", "active"}
+    assert any(one.notified_s is not None for one in run.call_ledger.notifications)
     assert sum(one.served for one in run.score.outcomes) > 0.5 * len(run.score.outcomes)
     assert any(
         row.sidecar == "n1" and row.sent_s > run.call_ledger.crashes[0].at_s for row in run.call_ledger.asked
--- a/tests/rig/test_ledger.py
+++ b/tests/rig/test_ledger.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from rig.ledger import RULES, Asked, Crash, Execution, Ledger, Start, Told
+from rig.ledger import RULES, Asked, Crash, Execution, Ledger, Notification, Start
 
 ANSWERS, EFFECTS, DRAINS, COLD = RULES
 
@@ -20,20 +20,26 @@
 
 
 def tried(call="1", result="served", sent=9.99, ended=10.2, semantics="unsafe", **changes):
-    told = {"origin": call, "sidecar": "n0", "kind": "pay", "token": "", "budget_s": 2.0, **changes}
-    return Asked(call=call, semantics=semantics, sent_s=sent, result=result, ended_s=ended, **told)
+    fields = {"origin": call, "sidecar": "n0", "kind": "pay", "token": "", "budget_s": 2.0, **changes}
+    return Asked(call=call, semantics=semantics, sent_s=sent, result=result, ended_s=ended, **fields)
 
 
-def told(status, changed, written="same", server="s0", **changes):
-    return Told("n0", server, status, changed, changed if written == "same" else written, **changes)
+def notified(status, changed, written="same", server="s0", **changes):
+    return Notification("n0", server, status, changed, changed if written == "same" else written, **changes)
 
 
 def broken(*rows, strays=0):
     """Which rules are broken, and by which calls."""
-    places = {Execution: "executions", Asked: "asked", Told: "told", Start: "starts", Crash: "crashes"}
+    lists = {
+        Execution: "executions",
+        Asked: "asked",
+        Notification: "notifications",
+        Start: "starts",
+        Crash: "crashes",
+    }
     ledger = Ledger(strays=strays)
     for row in rows:
-        getattr(ledger, places[type(row)]).append(row)
+        getattr(ledger, lists[type(row)]).append(row)
     return {rule: [one.call for one in found] for rule, found in ledger.check().items() if found}
 
 
@@ -114,37 +120,37 @@
 @pytest.mark.parametrize("status", ["leaving", "left"])
 def test_nothing_new_after_the_grace_once_it_was_told(status):
     for at, is_broken in [(10.0, False), (10.54, False), (10.56, True)]:
-        found = broken(ran(at=at), tried(), told(status, 9.0, 10.0))
+        found = broken(ran(at=at), tried(), notified(status, 9.0, 10.0))
         assert found == ({DRAINS: ["1"]} if is_broken else {}), at
 
 
 def test_news_count_as_told_six_seconds_later_at_the_latest():
     for written in (None, 12.0):
-        assert broken(ran(at=9.5), tried(), told("leaving", 3.0, written)) == {}
-        assert broken(ran(at=9.6), tried(), told("leaving", 3.0, written)) == {DRAINS: ["1"]}
+        assert broken(ran(at=9.5), tried(), notified("leaving", 3.0, written)) == {}
+        assert broken(ran(at=9.6), tried(), notified("leaving", 3.0, written)) == {DRAINS: ["1"]}
 
 
 def test_further_news_of_a_server_that_left_do_not_hide_a_late_send():
-    rows = [told("leaving", 9.0), told("left", 9.9)]
+    rows = [notified("leaving", 9.0), notified("left", 9.9)]
     assert broken(ran(), tried(), *rows) == {DRAINS: ["1"]}
 
 
 def test_news_that_were_overtaken_by_later_ones_do_not_count():
-    rows = [told("left", 3.0, None), told("active", 4.0, 4.1)]
+    rows = [notified("left", 3.0, None), notified("active", 4.0, 4.1)]
     assert broken(ran(at=12.0), tried(sent=11.9, ended=12.2), *rows) == {}
-    rows = [told("active", 1.0), told("active", 3.0, None), told("leaving", 4.0, 4.1)]
+    rows = [notified("active", 1.0), notified("active", 3.0, None), notified("leaving", 4.0, 4.1)]
     assert broken(ran(at=6.0), tried(sent=5.9, ended=6.2), *rows) == {DRAINS: ["1"]}
 
 
 def test_a_server_that_is_back_may_be_sent_to_and_what_others_were_told_does_not_count():
-    assert broken(ran(), tried(), told("left", 5.0), told("active", 9.9)) == {}
-    assert broken(ran(), tried(sidecar="n1"), told("left", 5.0)) == {}
-    assert broken(ran(), tried(), told("left", 5.0, server="s1")) == {}
+    assert broken(ran(), tried(), notified("left", 5.0), notified("active", 9.9)) == {}
+    assert broken(ran(), tried(sidecar="n1"), notified("left", 5.0)) == {}
+    assert broken(ran(), tried(), notified("left", 5.0, server="s1")) == {}
 
 
 def test_what_a_slow_server_read_late_was_sent_earlier():
-    assert broken(ran(at=10.6, read_late_ms=300.0), tried(), told("leaving", 10.0)) == {}
-    assert broken(ran(at=10.9, read_late_ms=300.0), tried(), told("leaving", 10.0)) == {DRAINS: ["1"]}
+    assert broken(ran(at=10.6, read_late_ms=300.0), tried(), notified("leaving", 10.0)) == {}
+    assert broken(ran(at=10.9, read_late_ms=300.0), tried(), notified("leaving", 10.0)) == {DRAINS: ["1"]}
 
 
 START = Start("s0", 9.0, capacity=1.0, cold_from=0.5, warm_up_ms=8000.0, fall_multiple=2.0, overload_ms=100.0)
@@ -152,7 +158,7 @@
 
 def crowd(known, count=13, every=0.001, at=9.5, **changes):
     """So many requests of 10 ms each; a 100 ms span at 0.53 of the capacity may hold 106 ms."""
-    rows = [told("active", 9.0, 9.2)] if known else []
+    rows = [notified("active", 9.0, 9.2)] if known else []
     for number in range(count):
         call = f"c{number}"
         rows += [ran(call, at=at + number * every, **changes), tried(call)]
@@ -169,12 +175,12 @@
 
 
 def test_old_news_of_a_server_do_not_tell_of_its_start():
-    assert broken(START, told("active", 5.0), *crowd(False)) == {}
+    assert broken(START, notified("active", 5.0), *crowd(False)) == {}
 
 
 def test_a_breach_tells_the_whole_story_of_its_request():
-    rows = [ran(), ran(server="s1", at=10.5), tried(), told("leaving", 10.0), START]
-    ledger = Ledger(executions=rows[:2], asked=[rows[2]], told=[rows[3]], starts=[START])
+    rows = [ran(), ran(server="s1", at=10.5), tried(), notified("leaving", 10.0), START]
+    ledger = Ledger(executions=rows[:2], asked=[rows[2]], notifications=[rows[3]], starts=[START])
     (breach,) = ledger.check()[EFFECTS]
     text = breach.text()
     order = [
@@ -186,4 +192,4 @@
     ]
     places = [text.index(part) for part in order]
     assert places == sorted(places) and "may have run" in breach.what
-    assert breach.told()["call"] == "1"
+    assert breach.as_json()["call"] == "1"
--- a/tests/rig/test_registry.py
+++ b/tests/rig/test_registry.py
@@ -26,8 +26,8 @@
 async def test_the_list_and_what_changes_after_it():
     registry = await Registry(entries(["127.0.0.1:1", "127.0.0.1:2"])).start()
     head = b"GET /registry/instances HTTP/1.1\r\nHost: registry\r\n\r\n"
-    told = json.loads((await ask_raw(place(registry.address), head, PATIENCE_S)).body)
-    assert (told["index"], told["snapshot"], [row["name"] for row in told["endpoints"]]) == (
+    body = json.loads((await ask_raw(place(registry.address), head, PATIENCE_S)).body)
+    assert (body["index"], body["snapshot"], [row["name"] for row in body["endpoints"]]) == (
         41,
         True,
         ["s0", "s1"],
@@ -39,7 +39,7 @@
     registry.change(entry("s1", "127.0.0.1:2", status="left"))
     news = json.loads(await chunk(reader))
     assert (news["index"], news["snapshot"], news["endpoints"][0]["status"]) == (42, False, "left")
-    assert [row["name"] for row in registry.told()["endpoints"]] == ["s0"]
+    assert [row["name"] for row in registry.snapshot()["endpoints"]] == ["s0"]
     assert (await chunk(reader)).strip() == b""  # the empty line while nothing changes
     writer.close()
     await registry.stop()
@@ -72,8 +72,8 @@
     board.change("s1", "left")
     news = json.loads(await chunk(reader))
     assert [(row["name"], row["status"]) for row in news["endpoints"]] == [("s1", "left")]
-    seen, unseen = board.told
-    assert 0.07 <= seen.told_s - seen.changed_s < 5.0 and unseen.told_s is None
+    seen, unseen = board.notifications
+    assert 0.07 <= seen.notified_s - seen.changed_s < 5.0 and unseen.notified_s is None
     await until(lambda: [row["name"] for row in board.list_at("n1")] == ["s0"])
     board.started("s1")
     board.change("s1", "active")
@@ -81,7 +81,7 @@
     assert news["endpoints"][0]["since_ms"] > 0
     await until(lambda: board.list_at("n1")[-1]["name"] == "s1")
     _, late = await watching(board, "n1")  # tells n1, which has not watched until now, of the newest alone
-    assert [told.told_s is not None for told in board.told] == [True, False, True, True]
+    assert [one.notified_s is not None for one in board.notifications] == [True, False, True, True]
     writer.close()
     late.close()
     await board.stop()
@@ -98,11 +98,11 @@
     head = b"GET /registry/instances HTTP/1.1\r\nHost: registry\r\n\r\n"
     asked = await ask_raw(place(board.agents["n0"].address), head, 0.1)
     assert (asked.status, asked.ended) == (0, False)
-    assert all(told.told_s is None for told in board.told)
+    assert all(one.notified_s is None for one in board.notifications)
     board.hush(False)
     said = [json.loads(await chunk(reader))["endpoints"][0]["status"] for _ in range(3)]
     assert said == ["leaving", "left", "active"]
-    assert all(told.told_s is not None for told in board.told)
+    assert all(one.notified_s is not None for one in board.notifications)
     writer.close()
     await board.stop()
 
@@ -111,6 +111,6 @@
 async def test_where_nobody_watches_what_an_agent_hears_is_told():
     board = await Board(entries(["127.0.0.1:1"]), ["n0"], watched=False).start()
     board.change("s0", "leaving")
-    await until(lambda: board.told[0].told_s is not None)
+    await until(lambda: board.notifications[0].notified_s is not None)
     assert board.list_at("n0")[0]["status"] == "leaving"
     await board.stop()
