--- a/fordtrestle/http/front.py
+++ b/fordtrestle/http/front.py
@@ -178,7 +178,9 @@
             return descriptors if descriptors.take_free() else None
         if descriptors.take() or self._make_room(urgent):
             return descriptors
-        return self.reserve if self.reserve.take_free() else None
+        if self.reserve.take_free() or (urgent and self._evict_at_limit() and self.reserve.take_free()):
+            return self.reserve
+        return None
 
     def accepted(self, sock: socket.socket, part: Part, waited_ms: float) -> None:
         """A new connection, which may have waited for so long."""
@@ -224,30 +226,47 @@
             connection.connection_lost(None)
 
     def _make_room(self, urgent: bool = False) -> bool:
-        """Evict another, whose descriptor is taken over; whether there was one. Who only stands at the
-        limit frees no descriptor: then the next one goes, too."""
-        most = EVICTED_MOST
-        while most:
-            entry = self.table.victim(self.clock.now(), _quiet, urgent)
+        """Evict another, whose descriptor is taken over; whether there was one."""
+        return self._evict_until(self.budget.descriptors.take, EVICTED_MOST, urgent)
+
+    def _reclaim(self, count: int) -> None:
+        """Others of the process hold less than is fair: so many here are evicted, as far as they may be."""
+        until = self.budget.descriptors.held - count
+        self._evict_until(lambda: self.budget.descriptors.held <= until, count + EVICTED_MOST)
+
+    def _evict_until(self, enough: Callable[[], bool], most: int, urgent: bool = False) -> bool:
+        """Evict one by one, so many at the most, until there is enough; whether there is. Who lingers
+        at the limit was answered and is ended: it frees no descriptor, is not counted and shields nobody."""
+        looks = 2  # those looked at in vain stand last in the second
+        while most and looks:
+            entry = self.table.victim(self.clock.now(), self._worth_evicting, urgent)
             if entry is None:
-                return False
+                looks -= 1
+                continue
             if entry.standing is not Standing.REJECTED or self._parts.get(entry.holder) is not self.reserve:
-                most -= 1  # one that lingers at the limit is answered and ended: it costs nobody anything
+                most -= 1
             self._evict(entry)
-            if self.budget.descriptors.take():
+            if enough():
                 return True
         return False
 
-    def _reclaim(self, count: int) -> None:
-        """Others of the process hold less than is fair: so many here are evicted, as far as they may be."""
-        until = self.budget.descriptors.held - count
-        for _ in range(count + EVICTED_MOST):
-            if self.budget.descriptors.held <= until:
-                return
-            entry = self.table.victim(self.clock.now(), _quiet)
-            if entry is None:
-                return
+    def _worth_evicting(self, connection: HeldConnection) -> bool:
+        """Guards against cutting a newcomer at the limit, which may be about to ask, for no descriptor."""
+        return connection.quiet and not self._pending_at_limit(connection)
+
+    def _pending_at_limit(self, connection: HeldConnection) -> bool:
+        return isinstance(connection, PendingConnection) and self._parts.get(connection) is self.reserve
+
+    def _evict_at_limit(self) -> bool:
+        """Evict one at the limit that has said nothing, for one that is told so; whether there was one."""
+
+        def silent(connection: HeldConnection) -> bool:
+            return connection.quiet and self._pending_at_limit(connection)
+
+        entry = self.table.victim(self.clock.now(), silent, urgent=True)
+        if entry is not None:
             self._evict(entry)
+        return entry is not None
 
     def out_of_descriptors(self) -> None:
         """The system grants none, whatever the accounting says: the next connection finds one free."""
--- a/tests/http/test_accept.py
+++ b/tests/http/test_accept.py
@@ -226,3 +226,72 @@
         assert status_of(await busy.answer()) == 200
         good = await App.connect(sidecar.address)
         assert status_of(await good.ask()) == 200
+
+
+@virtual
+async def test_who_lingers_at_the_limit_keeps_no_other_front_from_what_is_fair():
+    """Guards against a front that gives nothing back, since many at its limit have yet to end theirs."""
+    release = asyncio.Event()
+    upstream = await Upstream([until_event(release), OK]).start()
+    async with running(upstream) as sidecar:
+        tight(sidecar, places=1, reserve=20)
+        busy = await App.connect(sidecar.address)
+        busy.send()
+        await until(lambda: upstream.seen)
+        late = [await App.connect(sidecar.address) for _ in range(20)]
+        await until(lambda: sidecar.front.reserve.held == 20)
+        for app in late:
+            app.send(X_Caller="nobody")
+        for app in late:
+            assert status_of(await app.answer()) == 400
+        assert sidecar.front.reserve.held == 20
+        release.set()
+        assert status_of(await busy.answer()) == 200
+        assert sidecar.front.budget.descriptors.held == 1
+        await until(lambda: all(entry.holder.quiet for entry in sidecar.front.table))  # acknowledged
+        sidecar.front._reclaim(1)
+        assert sidecar.front.budget.descriptors.held == 0
+        assert await busy.answer() is None
+
+
+@pytest.mark.parametrize("waited_s", [0.0, 0.2])
+@virtual
+async def test_newcomers_at_the_limit_are_not_cut_for_a_request_that_this_gives_no_descriptor(waited_s):
+    """Each may be about to ask, and is answered then."""
+    release = asyncio.Event()
+    upstream = await Upstream([until_event(release), OK]).start()
+    async with running(upstream) as sidecar:
+        tight(sidecar, places=1, reserve=6)
+        busy = await App.connect(sidecar.address)
+        busy.send()
+        await until(lambda: upstream.seen)
+        silent = [await App.connect(sidecar.address) for _ in range(5)]
+        await until(lambda: sidecar.front.reserve.held == 5)
+        asks = await App.connect(sidecar.address)
+        await until(lambda: sidecar.front.reserve.held == 6)
+        await asyncio.sleep(waited_s)  # they have had their time to ask, or not
+        assert status_of(await asks.ask()) == 503
+        assert sidecar.front.reserve.held == 6  # who was told so lingers
+        for app in silent:
+            assert status_of(await app.ask()) == 503
+        release.set()
+        assert status_of(await busy.answer()) == 200
+
+
+@virtual
+async def test_where_all_at_the_limit_are_silent_one_that_has_waited_is_let_in_for_the_oldest():
+    release = asyncio.Event()
+    upstream = await Upstream([until_event(release), OK]).start()
+    async with running(upstream) as sidecar:
+        tight(sidecar, places=1, reserve=2)
+        busy = await App.connect(sidecar.address)
+        busy.send()
+        await until(lambda: upstream.seen)
+        silent = [await App.connect(sidecar.address) for _ in range(2)]
+        await until(lambda: sidecar.front.reserve.held == 2)
+        late = await App.connect(sidecar.address)
+        assert status_of(await late.ask()) == 503
+        assert await silent[0].answer() is None
+        assert status_of(await silent[1].ask()) == 503
+        release.set()
+        assert status_of(await busy.answer()) == 200
