--- a/benchmarks/cluster_faults.py
+++ b/benchmarks/cluster_faults.py
@@ -135,7 +135,7 @@
         """A figure of the mean node."""
         return fmean(getattr(one, name) for one in self.cost)
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """All figures as JSON values."""
         told: dict[str, Any] = {
             field: getattr(self, field) for field in self.__slots__ if field not in ("cost", "recovery_ms")
@@ -276,7 +276,8 @@
     met = not any(row.unsound or row.broken for row in rows)
     if given.bound_ms is not None:
         met = met and all(max(row.lists_ms, row.settings_ms) <= given.bound_ms for row in rows)
-    write_json(given.json, given.tree, {"seed": given.seed, "met": met, "rows": [row.told() for row in rows]})
+    found = [row.summary() for row in rows]
+    write_json(given.json, given.tree, {"seed": given.seed, "met": met, "rows": found})
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/cluster_relay.py
+++ b/benchmarks/cluster_relay.py
@@ -202,10 +202,10 @@
         for helper, part in zip(self._helpers, self._parts, strict=True):
             await helper.ask(do="route", to={name: list(routes[name].values()) for name in part})
         await self._relays.forget_lag()
-        before = await self._relays.told()
+        before = await self._relays.report()
         run = {"from_s": time.monotonic() + AHEAD_S, "length_s": length_s, "a_second": a_second, "seed": seed}
         ends = await asyncio.gather(*(helper.ask(do="run", **run) for helper in self._helpers))
-        after = await self._relays.told()
+        after = await self._relays.report()
         lags, lates = (
             sum((Counter(dict(end[name])) for end in ends), Counter[int]()) for name in ("lags", "lates")
         )
--- a/benchmarks/crowds.py
+++ b/benchmarks/crowds.py
@@ -212,12 +212,12 @@
             bounds[f"p99 > {P99_MOST:g} x"] = self.p99_ratio <= P99_MOST
         self.not_met = [name for name, met in bounds.items() if not met]
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """All figures as JSON values."""
         return {
             "name": self.name,
             "sockets": self.sockets,
-            "healthy": self.tally.told(),
+            "healthy": self.tally.summary(),
             "p99_ratio": self.p99_ratio if self.p99_ratio == self.p99_ratio else None,
             "window_s": self.window_s,
             "cpu_s": self.cpu_s,
@@ -408,7 +408,7 @@
     print("\n".join(costs(rows)))
     met = not any(row.not_met for row in rows)
     figures = {"seed": given.seed, "quick": given.quick, "rate_per_s": given.rate, "met": met}
-    write_json(given.json, given.tree, {**figures, "rows": [row.told() for row in rows]})
+    write_json(given.json, given.tree, {**figures, "rows": [row.summary() for row in rows]})
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -141,7 +141,7 @@
             "worst_tenant": worst([_of_tenant(name) for name in TENANTS]),
         }
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """All figures as JSON values."""
         run, score = self.run, self.run.score
         return {
@@ -303,7 +303,7 @@
     judged = [row for row in rows if row.peer == "sidecar"]
     met = not any(row.not_met for row in judged)
     told = {"seed": given.seed, "quick": given.quick, "met": met, "duration_s": setting.duration_s}
-    write_json(given.json, given.tree, {**told, "rows": [row.told() for row in rows]})
+    write_json(given.json, given.tree, {**told, "rows": [row.summary() for row in rows]})
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -199,8 +199,8 @@
         by_window: dict[int, list[Asked]] = {}
         for asked in rows:
             by_window.setdefault(int(asked.at_ms // WINDOW_MS), []).append(asked)
-        opened, requests = self.world.told.opened, max(1, len(rows))
-        sends = Counter(self.world.told.sends)
+        opened, requests = self.world.counts.opened, max(1, len(rows))
+        sends = Counter(self.world.counts.sends)
         mean = sum(sends.values()) / max(1, len(self.world.hosts))
         return {
             "served": _served(rows),
--- a/benchmarks/points.py
+++ b/benchmarks/points.py
@@ -52,7 +52,7 @@
 def _ended(tally: Tally) -> tuple[str, dict[str, Any]]:
     """How requests ended, in words and as figures."""
     counts = {result.value: tally.count(result) for result in Result if tally.count(result)}
-    return ", ".join(f"{count} {name}" for name, count in counts.items()), tally.told()
+    return ", ".join(f"{count} {name}" for name, count in counts.items()), tally.summary()
 
 
 # --- 2: a full table ------------------------------------------------------------------
--- a/benchmarks/small_shares.py
+++ b/benchmarks/small_shares.py
@@ -21,7 +21,7 @@
 from typing import Any
 
 from benchmarks.common import BAD_INPUT, DONE, NOT_MET, figure, options, table, write_json
-from rig.balancers import told
+from rig.balancers import config_for
 from rig.callers import CallClass, Caller, Callers, Demand
 from rig.cluster.nodes import PlatformNode, start_all
 from rig.messages import KNOWN_TENANT
@@ -81,7 +81,7 @@
         self._registry = await Registry(entries(self._fleet.addresses)).start()
 
         def config(number: int, life: int) -> dict[str, Any]:
-            made = told(self._fleet.addresses, self._registry.address, 0, Me=number, Balancers=count)
+            made = config_for(self._fleet.addresses, self._registry.address, 0, Me=number, Balancers=count)
             return {**made, "seed": f"{number:04x}{life:04x}", "limits": LIMITS}
 
         for number in range(count):
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -137,11 +137,11 @@
         }
         return [name for name, met in bounds.items() if not met]
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """All figures as JSON values."""
         growth = self.rss_growth_mb
         return {
-            "healthy": self.tally.told(),
+            "healthy": self.tally.summary(),
             "rss_growth_mb": growth if math.isfinite(growth) else None,
             "rss_judged": self.settled,
             "descriptors_idle": self.idle,
@@ -383,7 +383,7 @@
     print("\n" + quarters(seen) + "\n\n" + crowds(seen) + "\n")
     print("\n".join(words(seen)))
     figures = {"seed": given.seed, "times": asdict(times), "rate_per_s": RATE_PER_S}
-    write_json(given.json, given.tree, {**figures, "met": not seen.not_met, **seen.told()})
+    write_json(given.json, given.tree, {**figures, "met": not seen.not_met, **seen.summary()})
     return NOT_MET if seen.not_met else DONE
 
 
--- a/rig/balancers.py
+++ b/rig/balancers.py
@@ -81,7 +81,7 @@
     registry: Registry
 
 
-def told(addresses: Sequence[str], registry: str, sockets: int, **changes: Any) -> dict[str, Any]:
+def config_for(addresses: Sequence[str], registry: str, sockets: int, **changes: Any) -> dict[str, Any]:
     """The configuration of a sidecar that knows these servers; `changes` go into its settings."""
     return {
         "name": "n0",
@@ -166,7 +166,7 @@
     registry = Registry(entries(fleet.addresses))
     try:
         await registry.start()
-        made = sidecar(tree, told(fleet.addresses, registry.address, sockets, **changes), core)
+        made = sidecar(tree, config_for(fleet.addresses, registry.address, sockets, **changes), core)
         async with made as target:
             yield Stage(target, fleet, registry)
     finally:
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -132,7 +132,7 @@
         served = (Result.SERVED, Result.LATE)
         return quantile([r.latency_ms for r in self.records if r.result in served], share)
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """All figures as JSON values."""
         return {
             "asked": self.asked,
--- a/rig/cluster/cluster.py
+++ b/rig/cluster/cluster.py
@@ -187,8 +187,8 @@
         return self.registries[name if self.relayed else ""]
 
     def _operator(self, life: Life) -> str:
-        """What one start of a node is told."""
-        told = site.Told(
+        """The options of one start of a node."""
+        options = site.StartOptions(
             name=life.name,
             number=life.number,
             seed=self.schedule.head.seed * 1_000_000 + life.number * 1000 + life.life,
@@ -200,7 +200,7 @@
             events=str(life.events),
             peers=self._peers.get(life.number),
         )
-        return site.operator(told)
+        return site.operator(options)
 
     async def _link_peers(self) -> None:
         """One way for both directions of each pair of nodes that speak to one another."""
@@ -290,15 +290,15 @@
         for caller in self._callers.values():
             caller.close()
         ends = await asyncio.gather(*(node.terminate() for node in self.nodes.values()))
-        told = await self._relays.told()
+        relays = await self._relays.report()
         kills = [(name, at_s * 1000.0) for name, at_s in processes.killed]
         for name, at_s in zip(self.nodes, ends, strict=True):
             if at_s is not None:
                 kills.append((name, at_s * 1000.0))
                 fallen.setdefault(name, "did not end in order when it was told to")
         files = [node.events for node in self.nodes.values() if node.events.exists()]
-        told_by_nodes = [list(history.parse(file.read_bytes(), str(file))) for file in files]
-        events = history.with_kills(history.merged(told_by_nodes), kills)
+        histories = [list(history.parse(file.read_bytes(), str(file))) for file in files]
+        events = history.with_kills(history.merged(histories), kills)
         if self.relayed:
             events = alike(events)
         call_ledger = ledger.Ledger(
@@ -312,12 +312,12 @@
             strays=sum(caller.strays for caller in self._callers.values()),
             limits=ledger.Limits(site.DRAIN_GRACE_MS / 1000.0, site.KEY_WINDOW_MS / 1000.0),
         )
-        late = {"this process": lag.told()["p99_ms"]}
+        late = {"this process": lag.summary()["p99_ms"]}
         for zone, host in zip(site.ZONES, self._hosts, strict=True):
-            servers_told = await host.told()
+            zone_servers = await host.summary()
             call_ledger.executions += await host.executions()
-            late[f"servers {zone}"] = servers_told["lag"]["p99_ms"]
-            spent_s += servers_told["cpu_s"]
+            late[f"servers {zone}"] = zone_servers["lag"]["p99_ms"]
+            spent_s += zone_servers["cpu_s"]
         unsound = [self._relays.unsound] if self._relays.unsound else []
         unsound += [f"{what} late by {ms:.1f} ms" for what, ms in late.items() if ms > LAG_MOST_MS]
         unsound += [
@@ -333,13 +333,13 @@
             downs=processes.downs,
             faulted=processes.faulted,
             answers=dict(Counter(row.result for row in self._seen.asked)),
-            counts=told.counts,
+            counts=relays.counts,
             used=used,
             fallen=[f"{name}: {why}" for name, why in fallen.items()],
             unsound=unsound,
             not_played=[line_of(step) for step in self.not_played],
             wall_s=wall_s,
-            rig_cpu_s=spent_s + told.cpu_s,
+            rig_cpu_s=spent_s + relays.cpu_s,
         )
 
     async def stop(self) -> None:
--- a/rig/cluster/links.py
+++ b/rig/cluster/links.py
@@ -325,7 +325,7 @@
     @property
     def lag_p99_ms(self) -> float:
         """How late the loop was at the 99th percentile."""
-        return self._lag.told()["p99_ms"]
+        return self._lag.summary()["p99_ms"]
 
     @property
     def unsound(self) -> str:
--- a/rig/cluster/nodes.py
+++ b/rig/cluster/nodes.py
@@ -248,14 +248,14 @@
         self._config = config
 
     async def _spawn(self) -> Program:
-        told = {**self._config(self.life), "name": self.name, "listen": f"{self.host}:{self.address[1]}"}
+        config = {**self._config(self.life), "name": self.name, "listen": f"{self.host}:{self.address[1]}"}
         path = self.path / "config.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(config))
         return await Program.start(
             [sys.executable, "-m", "fordtrestle"],
             cwd=self._tree,
             environment=clean_environment(NODE_CONFIG=str(path), TMPDIR=self._folder.name),
-            descriptors=int(told["limits"]["sockets"]),
+            descriptors=int(config["limits"]["sockets"]),
         )
 
     async def _started(self) -> None:
@@ -328,7 +328,7 @@
         self._seed = seed
         self._breach = breach
         self._wrong: list[DiskFault | Clock] = []  # that are on
-        self._told = Wrong()  # what its process was told last
+        self._sent = Wrong()  # what its process was told last
         self._talk: Talk | None = None
         self._stored: dict[int, dict[str, Any]] = {}  # what each life told last
 
@@ -358,11 +358,11 @@
 
     async def _spawn(self) -> Program:
         self._write_file()
-        self._told = self.wrong
+        self._sent = self.wrong
         words = [str(self.file), "--name", self.name, "--seed", str(self._seed + self.life)]
         words += [f"--breach={self._breach}"] if self._breach else []
-        words += [f"--disk={writes}" for writes in sorted(self._told.disk)]
-        words += [f"--jump-ms={self._told.jump_ms}", f"--drift-ppm={self._told.drift_ppm}"]
+        words += [f"--disk={writes}" for writes in sorted(self._sent.disk)]
+        words += [f"--jump-ms={self._sent.jump_ms}", f"--drift-ppm={self._sent.drift_ppm}"]
         return await Program.start(
             [sys.executable, "-m", "rig.cluster.node", *words],
             cwd=self._tree,
@@ -390,8 +390,8 @@
             peak_rss_mb=now.peak_rss_mb,
             descriptors=now.descriptors,
             lives=self.life + 1,
-            syncs=sum(told["syncs"] for told in self._stored.values()),
-            written_bytes=sum(told["written_bytes"] for told in self._stored.values()),
+            syncs=sum(counts["syncs"] for counts in self._stored.values()),
+            written_bytes=sum(counts["written_bytes"] for counts in self._stored.values()),
         )
 
     # --- what it is told -------------------------------------------------------------
@@ -399,10 +399,10 @@
     async def tell(self) -> dict[str, Any] | None:
         """Figures of its store, loop and memory, see `rig.cluster.node`; otherwise as `command`."""
         life = self.life
-        told = await self.command(do="tell")
-        if told is not None:
-            self._stored[life] = told
-        return told
+        counts = await self.command(do="tell")
+        if counts is not None:
+            self._stored[life] = counts
+        return counts
 
     async def command(self, **command: Any) -> dict[str, Any] | None:
         """A command's answer; None where it stands still and answers later, or was killed meanwhile.
@@ -456,17 +456,17 @@
 
     async def _tell_wrong(self) -> asyncio.Future[Any]:
         """Let its process, if any, hear what has changed; what is given back is done once it has."""
-        before, self._told = self._told, self.wrong
-        now = self._told
+        before, self._sent = self._sent, self.wrong
+        now = self._sent
         if self.program is None or self._talk is None:
             return asyncio.gather()
-        told = [
+        answers = [
             await self._send(do="disk", writes=writes, on=writes in now.disk)
             for writes in sorted(before.disk ^ now.disk)
         ]
         if (before.jump_ms, before.drift_ppm) != (now.jump_ms, now.drift_ppm):
-            told.append(await self._send(do="clock", jump_ms=now.jump_ms, drift_ppm=now.drift_ppm))
-        return asyncio.gather(*told)
+            answers.append(await self._send(do="clock", jump_ms=now.jump_ms, drift_ppm=now.drift_ppm))
+        return asyncio.gather(*answers)
 
     # --- its settings ----------------------------------------------------------------
 
--- a/rig/cluster/relayhost.py
+++ b/rig/cluster/relayhost.py
@@ -43,20 +43,20 @@
         finally:
             await self._relay.stop()
 
-    def obey(self, do: str, **told: Any) -> Any:
+    def obey(self, do: str, **command: Any) -> Any:
         """One command; what can't be done is told as `refused`. No such command: `ValueError`."""
         try:
             match do:
                 case "make":
-                    return self._make(LINKS.decode(told["links"]))
+                    return self._make(LINKS.decode(command["links"]))
                 case "change":
-                    return self._change(CHANGES.decode(told["rows"]))
+                    return self._change(CHANGES.decode(command["rows"]))
                 case "know":
-                    return self._know(FAULTS.decode(told["faults"]), told["first"])
+                    return self._know(FAULTS.decode(command["faults"]), command["first"])
                 case "forget":
                     return self._relay.forget_lag()
-                case "told":
-                    return self._told()
+                case "report":
+                    return self._report()
         except (msgspec.DecodeError, ValueError) as error:
             return {"refused": str(error)}
         raise ValueError(f"no command {do!r}")
@@ -82,7 +82,7 @@
         )
         return time.monotonic()
 
-    def _told(self) -> dict[str, Any]:
+    def _report(self) -> dict[str, Any]:
         rows = [
             [src, dst, *(getattr(counts, name) for name in FIELDS)]
             for (src, dst), counts in self._relay.counts().items()
--- a/rig/cluster/relays.py
+++ b/rig/cluster/relays.py
@@ -31,7 +31,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RelaysTold:
+class RelaysReport:
     """What all links carried, and how the processes did. Directions that carried nothing are absent."""
 
     counts: dict[tuple[str, str], Counts]
@@ -103,7 +103,7 @@
         self._shards: list[Shard] = []
         self._numbers: dict[Link, int] = {}  # of faults that all processes know
         self._late_ms: list[float] = []  # of each change in each process
-        self._unsound = "the relays have not told yet"
+        self._unsound = "the relays have not reported yet"
 
     async def start(self) -> Relays:
         """Start the processes; if one can't be, none is left."""
@@ -151,8 +151,8 @@
         async def fill(shard: Shard, places: list[int]) -> None:
             for start in range(0, len(places), LINKS_A_TIME):
                 part = places[start : start + LINKS_A_TIME]
-                told = msgspec.json.encode([links[place] for place in part]).decode()
-                for place, (host, port) in zip(part, await shard.ask(do="make", links=told), strict=True):
+                data = msgspec.json.encode([links[place] for place in part]).decode()
+                for place, (host, port) in zip(part, await shard.ask(do="make", links=data), strict=True):
                     made[place] = (host, port)
 
         await _all(fill(shard, part) for shard, part in zip(self._asked(), parts, strict=True) if part)
@@ -182,8 +182,8 @@
         """Begin (True) and end faults in this order, in all processes at once."""
         asked_s = time.monotonic()
         numbers = self._numbers
-        told = msgspec.json.encode([(begins, numbers.get(fault, fault)) for begins, fault in rows]).decode()
-        done_s = await _all(shard.ask(do="change", rows=told) for shard in self._asked())
+        data = msgspec.json.encode([(begins, numbers.get(fault, fault)) for begins, fault in rows]).decode()
+        done_s = await _all(shard.ask(do="change", rows=data) for shard in self._asked())
         if len(self._late_ms) < CHANGES_MOST:
             self._late_ms += [(at_s - asked_s) * 1000.0 for at_s in done_s]
 
@@ -194,10 +194,10 @@
         await _all(shard.ask(do="forget") for shard in self._asked())
         self._late_ms.clear()
 
-    async def told(self) -> RelaysTold:
+    async def report(self) -> RelaysReport:
         """What all links carried so far."""
         try:
-            answers = await _all(shard.ask(do="told") for shard in self._asked())
+            answers = await _all(shard.ask(do="report") for shard in self._asked())
         except ProgramError as error:
             self._unsound = str(error)
             raise
@@ -210,7 +210,7 @@
         if late_ms and (p99_ms := late_ms[math.ceil(0.99 * len(late_ms)) - 1]) > LATE_MOST_MS:
             wrong.append(f"a fault came into effect {p99_ms:.1f} ms late at the 99th percentile")
         self._unsound = "; ".join(wrong)
-        return RelaysTold(
+        return RelaysReport(
             counts={
                 (src, dst): Counts(*figures) for answer in answers for src, dst, *figures in answer["counts"]
             },
@@ -222,7 +222,7 @@
 
     @property
     def unsound(self) -> str:
-        """Why a run can't be believed, as of the last `told`; empty where it can."""
+        """Why a run can't be believed, as of the last `report`; empty where it can."""
         return self._unsound
 
     def _asked(self) -> list[Shard]:
--- a/rig/cluster/site.py
+++ b/rig/cluster/site.py
@@ -41,8 +41,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What one start of a node is told."""
+class StartOptions:
+    """The options of one start of a node."""
 
     name: str
     number: int
@@ -105,25 +105,25 @@
     return list(servers[min(settings - 1, len(servers) - 1) :])
 
 
-def operator(told: Told) -> str:
+def operator(start: StartOptions) -> str:
     """The operator file, as TOML. Settings change what a class is worth, which only a restart takes up."""
     parts = [
-        f'[process]\nname = "{told.name}"\nseed = {told.seed}',
+        f'[process]\nname = "{start.name}"\nseed = {start.seed}',
         f"[limits]\ndescriptors = {DESCRIPTORS}\nmemory_mb = {MEMORY_MB}",
-        f'[front.web]\nprotocol = "http"\nlisten = "{_text(told.listen)}"\nservice = "{SERVICE}"',
-        _service(told),
-        *(_class(kind, told) for kind in CLASSES),
-        *_source(told),
-        f'[state]\nfolder = "{told.state}"',
-        f'[events]\nfile = "{told.events}"\nmb_most = {EVENTS_MB}',
+        f'[front.web]\nprotocol = "http"\nlisten = "{_text(start.listen)}"\nservice = "{SERVICE}"',
+        _service(start),
+        *(_class(kind, start) for kind in CLASSES),
+        *_source(start),
+        f'[state]\nfolder = "{start.state}"',
+        f'[events]\nfile = "{start.events}"\nmb_most = {EVENTS_MB}',
     ]
-    if told.peers is not None:
-        at = ", ".join(f'"{_text(address)}"' for address in told.peers.at)
-        parts.append(f'[peers]\nlisten = "{_text(told.peers.listen)}"\nme = {told.peers.me}\nat = [{at}]')
+    if start.peers is not None:
+        at = ", ".join(f'"{_text(address)}"' for address in start.peers.at)
+        parts.append(f'[peers]\nlisten = "{_text(start.peers.listen)}"\nme = {start.peers.me}\nat = [{at}]')
     return "\n\n".join(parts) + "\n"
 
 
-def _service(told: Told) -> str:
+def _service(start: StartOptions) -> str:
     return f"""[service.{SERVICE}]
 source = "fleet"
 attempts_most = 3
@@ -132,14 +132,14 @@
 retry_after_most_ms = 500
 drain_grace_ms = {DRAIN_GRACE_MS:g}
 zones = [{", ".join(f'"{name}"' for name in ZONES)}]
-zone = "{zone(told.number)}"
+zone = "{zone(start.number)}"
 kinds = ["small"]
 tenants = [{{ name = "{TENANT}", share = 1.0 }}]"""
 
 
-def _class(kind: CallClass, told: Told) -> str:
+def _class(kind: CallClass, start: StartOptions) -> str:
     # Where the servers stand in the file, settings are these, and change by SIGHUP.
-    worth = kind.worth * (told.settings if told.registry is not None else 1)
+    worth = kind.worth * (start.settings if start.registry is not None else 1)
     keyed = f'\ngroup = "zone"\nkey_window_ms = {KEY_WINDOW_MS:g}' if kind.semantics == "keyed" else ""
     return (
         f'[service.{SERVICE}.class.{kind.name}]\nsemantics = "{kind.semantics}"\naim_ms = {kind.aim_ms:g}\n'
@@ -147,15 +147,15 @@
     )
 
 
-def _source(told: Told) -> list[str]:
-    if told.registry is not None:
-        return [f'[source.fleet]\nkind = "registry"\naddress = "{_text(told.registry)}"']
+def _source(start: StartOptions) -> list[str]:
+    if start.registry is not None:
+        return [f'[source.fleet]\nkind = "registry"\naddress = "{_text(start.registry)}"']
     return [
         '[source.fleet]\nkind = "static"',
         *(
             f'[[source.fleet.server]]\nname = "{row["name"]}"\naddress = "{row["address"]}"\n'
             f'zone = "{row["zone"]}"\nkind = "small"\ncell = {row["group"]}'
-            for row in listed(told.servers, told.settings)
+            for row in listed(start.servers, start.settings)
         ),
     ]
 
--- a/rig/crowds.py
+++ b/rig/crowds.py
@@ -107,7 +107,7 @@
     open: int = 0
     statuses: Counter[str] = field(default_factory=Counter)
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """As JSON values."""
         names = ("tried", "connected", "refused", "answered", "cut", "closed", "left", "no_port", "open")
         return {**{name: getattr(self, name) for name in names}, "statuses": dict(self.statuses)}
@@ -115,7 +115,7 @@
 
 def added(parts: Sequence[dict[str, Any]]) -> dict[str, Any]:
     """The counts of several crowds together."""
-    total: dict[str, Any] = {**Counts().told(), "statuses": Counter()}
+    total: dict[str, Any] = {**Counts().summary(), "statuses": Counter()}
     for part in parts:
         for name, value in part.items():
             if name == "statuses":
@@ -198,7 +198,7 @@
 
     def counts(self) -> dict[str, Any]:
         """What all squads have seen."""
-        return added([squad.counts.told() for squad in self._squads])
+        return added([squad.counts.summary() for squad in self._squads])
 
     def _commanded(self, commands: int) -> bool:
         """Read what the owner has to say; whether to go on."""
--- a/rig/faults.py
+++ b/rig/faults.py
@@ -117,11 +117,11 @@
 
     def line(self) -> str:
         """As the timeline shows it."""
-        told = " ".join(f"{name}={value}" for name, value in self.figures)
-        return f"{self.at_s:8.3f} s  {self.what:<9} {self.target:<6} {told}".rstrip()
+        figures = " ".join(f"{name}={value}" for name, value in self.figures)
+        return f"{self.at_s:8.3f} s  {self.what:<9} {self.target:<6} {figures}".rstrip()
 
     @property
-    def told(self) -> dict[str, Any]:
+    def options(self) -> dict[str, Any]:
         """Its figures by name."""
         return dict(self.figures)
 
@@ -318,13 +318,13 @@
             raise self.wrong(str(error)) from error
 
     def _fault(self, row: Mapping[str, Any], number: int) -> Fault:
-        told: dict[str, Any] = {}
+        figures: dict[str, Any] = {}
         for key in row:
-            told[self._own_name(key, number)] = self._value(row, key, number)
+            figures[self._own_name(key, number)] = self._value(row, key, number)
         for key in ("kind", "at_s"):
-            if key not in told:
+            if key not in figures:
                 raise self.wrong("is missing", key, number)
-        made = Fault(**told)
+        made = Fault(**figures)
         if wrong := made.wrong():
             raise self.wrong(wrong[1], self._as_written(wrong[0], row), number)
         return made
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -241,7 +241,7 @@
     async def _launch(self, known: Sequence[Entry]) -> Program:
         self._starts += 1
         host, port = self.address
-        told = {
+        config = {
             **self._config,
             "name": self.name,
             "listen": f"{host}:{port}",
@@ -249,7 +249,7 @@
             "known": listed(1, list(known)),
         }
         path = self.path / "config.json"
-        path.write_text(json.dumps(told))
+        path.write_text(json.dumps(config))
         return await Program.start(
             [sys.executable, "-m", "fordtrestle"],
             cwd=self._tree,
@@ -380,12 +380,12 @@
         """Carry out one step; `ProgramError` if a helper can't."""
         match step.what:
             case "list":
-                self.board.change(step.target, step.told["status"])
+                self.board.change(step.target, step.options["status"])
             case "registry":
-                if "silent" in step.told:
-                    self.board.hush(step.told["silent"])
+                if "silent" in step.options:
+                    self.board.hush(step.options["silent"])
                 else:
-                    self.board.delay_ms = step.told["delay_ms"]
+                    self.board.delay_ms = step.options["delay_ms"]
             case "kill":
                 await self._kill(step.target)
             case "restart":
@@ -393,7 +393,7 @@
             case _:
                 if step.what == "start":
                     self.board.started(step.target)
-                await self.hosts[self._zones[step.target]].act(step.target, step.what, **step.told)
+                await self.hosts[self._zones[step.target]].act(step.target, step.what, **step.options)
 
     async def _kill(self, name: str) -> None:
         self.crashes.append(ledger.Crash(name, self._loop.time()))
@@ -431,7 +431,7 @@
             "seed": f"{self.site.seed:04x}{number:04x}",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
             "settings": settings(self.site, number, rate_per_s),
-            **self.peers.told(number),
+            **self.peers.config_of(number),
         }
         return SidecarStand(name, tree, config)
 
@@ -460,16 +460,16 @@
             limits=ledger.Limits(DRAIN_GRACE_MS / 1000.0, KEY_WINDOW_MS / 1000.0),
         )
         falls: list[tuple[str, float]] = []
-        lags = {"clients": max(lag.told()["p99_ms"], quantile(seen.lag_ms, 0.99))}
+        lags = {"clients": max(lag.summary()["p99_ms"], quantile(seen.lag_ms, 0.99))}
         unrecorded, rig_cpu_s = 0, 0.0
         for zone, host in self.hosts.items():
-            told = await host.told()
+            summary = await host.summary()
             call_ledger.executions += await host.executions()
-            call_ledger.starts += [ledger.Start(**start) for start in told["starts"]]
-            falls += [(name, at_s) for name, at_s in told["falls"]]
-            lags[f"servers {zone}"] = told["lag"]["p99_ms"]
-            unrecorded += told["unrecorded"]
-            rig_cpu_s += told["cpu_s"]
+            call_ledger.starts += [ledger.Start(**start) for start in summary["starts"]]
+            falls += [(name, at_s) for name, at_s in summary["falls"]]
+            lags[f"servers {zone}"] = summary["lag"]["p99_ms"]
+            unrecorded += summary["unrecorded"]
+            rig_cpu_s += summary["cpu_s"]
         return Run(
             score=Score(seen.outcomes),
             call_ledger=call_ledger,
--- a/rig/lag.py
+++ b/rig/lag.py
@@ -31,7 +31,7 @@
         """Forget what was seen."""
         self._late_ms.clear()
 
-    def told(self) -> dict[str, float]:
+    def summary(self) -> dict[str, float]:
         """The samples, and their 99th percentile and most in milliseconds; 0 where there are none."""
         ordered = sorted(self._late_ms)
         p99_ms = ordered[math.ceil(0.99 * len(ordered)) - 1] if ordered else 0.0
--- a/rig/messages.py
+++ b/rig/messages.py
@@ -51,14 +51,14 @@
             if delay is not None and not 0.0 <= delay <= DELAY_MOST_MS:
                 raise ValueError(f"out of range: {delay} ms")
 
-    def told(self) -> dict[str, Any]:
+    def as_json(self) -> dict[str, Any]:
         """All that differs from a plain answer, as JSON values."""
         plain = asdict(Act())
         return {name: value for name, value in asdict(self).items() if value != plain[name]}
 
     def query(self) -> str:
         """The act as a query, which sidecars pass on: a request that carries its own script."""
-        return urlencode({name: int(v) if isinstance(v, bool) else v for name, v in self.told().items()})
+        return urlencode({name: int(v) if isinstance(v, bool) else v for name, v in self.as_json().items()})
 
 
 def act_of(told: Mapping[str, Any]) -> Act:
--- a/rig/peers.py
+++ b/rig/peers.py
@@ -58,7 +58,7 @@
         for place in self._places:
             place.transport.close()
 
-    def told(self, number: int) -> dict[str, Any]:
+    def config_of(self, number: int) -> dict[str, Any]:
         """What the configuration of one sidecar holds of its peers."""
         names = [place.address for place in self._places]
         host, port = self.listens[number]
--- a/rig/portservers.py
+++ b/rig/portservers.py
@@ -455,15 +455,15 @@
 
     def _read(self, query: str) -> Job:
         """What a request asks for; `ValueError` where its figures are none."""
-        told = dict(parse_qsl(query))
-        work_ms, io_ms = float(told.get("work", "10")), float(told.get("io", "0"))
-        self._size = int(told.get("size", "0"))
+        asked = dict(parse_qsl(query))
+        work_ms, io_ms = float(asked.get("work", "10")), float(asked.get("io", "0"))
+        self._size = int(asked.get("size", "0"))
         if not (0.0 <= work_ms <= WORK_MOST_MS and 0.0 <= io_ms <= WORK_MOST_MS):
             raise ValueError("out of range")
         token = self._fields.get(b"idempotency-key", b"").decode("latin-1")
         budget = self._fields.get(b"x-budget", b"").decode("latin-1")
         over_ms = self._server.now_ms + budget_ms(budget) if budget else float("inf")
-        return Job(work_ms, io_ms, told.get("key", ""), token, over_ms)
+        return Job(work_ms, io_ms, asked.get("key", ""), token, over_ms)
 
     def _opened_row(self, call: str, job: Job, path: str) -> Execution:
         unsafe = self._parser.get_method() == b"POST" and not job.token
@@ -603,8 +603,8 @@
         host = cls(helper)
         try:
             await helper.hear()
-            told = {name: asdict(make) for name, make in makes.items()}
-            host.addresses = dict(await host._ask(do="build", makes=told))
+            built = {name: asdict(make) for name, make in makes.items()}
+            host.addresses = dict(await host._ask(do="build", makes=built))
         except BaseException:
             await helper.stop()
             raise
@@ -621,9 +621,9 @@
             rows += [Execution(*row) for row in part]
         return rows
 
-    async def told(self) -> dict[str, Any]:
+    async def summary(self) -> dict[str, Any]:
         """Starts, falls, counts, and the lag and CPU time of the process itself."""
-        return dict(await self._ask(do="told"))
+        return dict(await self._ask(do="summary"))
 
     async def stop(self) -> None:
         """End the process."""
@@ -650,17 +650,17 @@
         say({"ready": True})
         await obey_until_hung_up(self.obey)
 
-    def obey(self, do: str, **told: Any) -> Any:
+    def obey(self, do: str, **command: Any) -> Any:
         """One command; `ValueError` where there is none of that name."""
         match do:
             case "build":
-                return self._build(told["makes"])
+                return self._build(command["makes"])
             case "act":
-                return self._act(**told)
+                return self._act(**command)
             case "executions":
                 return self._executions()
-            case "told":
-                return self._told()
+            case "summary":
+                return self._summary()
         raise ValueError(f"no command {do!r}")
 
     def _build(self, makes: dict[str, dict[str, Any]]) -> dict[str, str]:
@@ -694,14 +694,14 @@
         names = [field.name for field in fields(Execution)]
         return [[getattr(row, name) for name in names] for row in part]
 
-    def _told(self) -> dict[str, Any]:
+    def _summary(self) -> dict[str, Any]:
         records = self._records
         return {
             "starts": [asdict(start) for start in records.starts],
             "falls": records.falls,
             "unrecorded": records.unrecorded,
             "connections": records.connections,
-            "lag": self._lag.told(),
+            "lag": self._lag.summary(),
             "cpu_s": time.process_time(),
         }
 
--- a/rig/servers.py
+++ b/rig/servers.py
@@ -68,7 +68,7 @@
         if self.out[call_id] <= 0:
             del self.out[call_id]
 
-    def told(self) -> dict[str, Any]:
+    def summary(self) -> dict[str, Any]:
         """The whole of it as JSON values."""
         repeats = {call: count for call, count in self.attempts.items() if count > 1}
         return {
@@ -375,14 +375,15 @@
             raise
 
     async def ledger(self) -> dict[str, Any]:
-        """What the servers were sent; see `Ledger.told`."""
+        """What the servers were sent; see `Ledger.summary`."""
         return dict(await self._helper.ask(do="ledger"))
 
     async def script(
         self, *acts: Act, turns: Turns = "last", work_ms: tuple[float, float] | None = None
     ) -> None:
         """From now on every server answers by these acts, and in this time where one is given."""
-        await self._helper.ask(do="script", acts=[act.told() for act in acts], turns=turns, work_ms=work_ms)
+        script = [act.as_json() for act in acts]
+        await self._helper.ask(do="script", acts=script, turns=turns, work_ms=work_ms)
 
     async def clear(self) -> None:
         """A new ledger."""
@@ -425,7 +426,7 @@
         """One command; `ValueError` where there is none of that name."""
         match do:
             case "ledger":
-                return self._ledger.told()
+                return self._ledger.summary()
             case "clear":
                 self._ledger = Ledger()
                 for server in self._servers:
--- a/rig/sim/policy.py
+++ b/rig/sim/policy.py
@@ -122,7 +122,7 @@
 
 
 @dataclass(slots=True)
-class Told:
+class SendCounts:
     """What servers were sent, by server name and by second."""
 
     sends: Counter[str] = field(default_factory=Counter)
@@ -204,8 +204,8 @@
             return  # a silent one says nothing
         if world.is_cut(attempt.sidecar, self):
             return
-        world.told.sends[self.name] += 1
-        world.told.seconds[int(world.now // 1000.0)] += 1
+        world.counts.sends[self.name] += 1
+        world.counts.seconds[int(world.now // 1000.0)] += 1
         if (self.error_share and world.rng.random() < self.error_share) or self.errs(asked):
             world.ended(attempt, Outcome.ERROR, world.half_ms + self.error_ms)
             return
@@ -223,13 +223,13 @@
         asked.runs += 1
         attempt.job = job
         self._jobs[id(job)] = attempt
-        world.told.most_in_hand = max(world.told.most_in_hand, self.machine.in_hand)
+        world.counts.most_in_hand = max(world.counts.most_in_hand, self.machine.in_hand)
         self._wake()
 
     def open(self, sidecar: Sidecar) -> None:
         """A new connection: work for it."""
         self.machine.connect(self._world.now)
-        self._world.told.opened += 1
+        self._world.counts.opened += 1
         self._wake()
 
     def drop(self, attempt: Attempt) -> None:
@@ -280,7 +280,7 @@
         """Those that it has taken and not answered."""
         return [request for request in self._requests.values() if not request.answered]
 
-    def told(self, form: str, entries: Sequence[model.Listing]) -> None:
+    def server_list(self, form: str, entries: Sequence[model.Listing]) -> None:
         """News of the servers."""
         self._act(self.balancer.server_list(self._world.now, form, entries))
 
@@ -426,7 +426,7 @@
         self.rng = random.Random(f"world/{seed}")
         self.half_ms = half_ms
         self.repeats = Repeats(window_ms)
-        self.told = Told()
+        self.counts = SendCounts()
         self.sends = 0
         self.refused_connects = 0
         self.silent_sends: Counter[str] = Counter()
@@ -508,7 +508,7 @@
     ) -> None:
         """Tell sidecars, all of them where none are named, of servers."""
         for number in range(len(self.sidecars)) if sidecars is None else sidecars:
-            self.sidecars[number].told(form, entries)
+            self.sidecars[number].server_list(form, entries)
 
     def ended(self, attempt: Attempt, status: Outcome, after_ms: float) -> None:
         """An attempt's outcome, on its way."""
--- a/tests/rig/cluster/test_relays.py
+++ b/tests/rig/cluster/test_relays.py
@@ -102,7 +102,7 @@
                 await made.end(cut)
                 ends["n0"].sendto(b"over", at["n0", "n3"])
                 assert await heard(ends["n3"], 1) == [b"over"]
-            told = await made.told()
+            told = await made.report()
     assert [told.of("n0", dst).dropped for dst in EVERY[1:]] == [2] * 5
     assert told.of("n0", "n3").messages == 2 and told.of("n3", "n0").messages == 2
     assert told.of("n3", "n0").passed == 4 and told.of("n0", "nobody").came == 0
@@ -123,25 +123,25 @@
                 player = Player(made, [Link(0, 150, "cut", ("registry",), ("n0",))])
                 playing = asyncio.create_task(player.run())
                 async with asyncio.timeout(PATIENCE_S):
-                    while not (await made.told()).change_late_ms:
+                    while not (await made.report()).change_late_ms:
                         await asyncio.sleep(0.005)
                     await loop.sock_sendall(far, b"news")
-                    while not (await made.told()).of("registry", "n0").held:
+                    while not (await made.report()).of("registry", "n0").held:
                         await asyncio.sleep(0.005)
                     await playing
                     assert await reader.readexactly(4) == b"news"
-                assert (await made.told()).of("registry", "n0").held == 0
+                assert (await made.report()).of("registry", "n0").held == 0
             writer.transport.abort()
 
 
 @loopback
 async def test_what_makes_a_run_unsound_and_what_is_forgotten():
     async with running() as made:
-        assert made.unsound == "the relays have not told yet"
-        await made.told()
+        assert made.unsound == "the relays have not reported yet"
+        await made.report()
         await made.forget_lag()
         made._late_ms += [1.0, relays.LATE_MOST_MS + 2.5]
-        await made.told()
+        await made.report()
         assert "came into effect 12.5 ms late" in made.unsound
         with sockets(["n0", "n1"]) as ends:
             at = (await linked(made, ends))["n0", "n1"]
@@ -150,11 +150,11 @@
             for _ in range(2000):  # more than a socket takes that nobody reads
                 ends["n0"].sendto(b"x" * 200, at)
             os.kill(pid_of(made, number), signal.SIGCONT)
-            told = await made.told()
+            told = await made.report()
             assert f"relay {number + 1} of 2: " in told.unsound
             assert "were lost before the relay read them" in told.unsound == made.unsound
         await made.forget_lag()
-        unsound = (await made.told()).unsound
+        unsound = (await made.report()).unsound
         assert "lost" not in unsound and "came into effect" not in unsound
 
 
@@ -177,14 +177,14 @@
         with monkeypatch.context() as patched:
             patched.setattr(helper, "PATIENCE_S", 0.3)
             with pytest.raises(ProgramError, match=r"^relay 3 of 3: .*says nothing for 0.3 s$"):
-                await made.told()
+                await made.report()
         os.kill(pid_of(made, 2), signal.SIGCONT)
         # Its late answer must not be taken for that of the next command.
         with pytest.raises(ProgramError, match="relay 3 of 3"):
             await made.forget_lag()
     async with running(3) as made:
         os.kill(pid_of(made, 1), signal.SIGKILL)
-        for ask in (made.told, made.told, lambda: made.begin(Link(0, 1, "cut", ("n0",), ("n1",)))):
+        for ask in (made.report, made.report, lambda: made.begin(Link(0, 1, "cut", ("n0",), ("n1",)))):
             began = time.monotonic()
             with pytest.raises(ProgramError, match=r"^relay 2 of 3: [^\n]*code -9[^\n]*$"):
                 await ask()
@@ -197,7 +197,7 @@
     async with running() as made:
         for number in range(2):
             os.kill(pid_of(made, number), signal.SIGSTOP)
-        asked = asyncio.create_task(made.told())
+        asked = asyncio.create_task(made.report())
         await until(lambda: all(shard._turn.locked() for shard in made._shards))
         asked.cancel()
         with pytest.raises(asyncio.CancelledError):
@@ -205,9 +205,9 @@
         for number in range(2):
             os.kill(pid_of(made, number), signal.SIGCONT)
         address = await made.tcp("n0", "n1", ("127.0.0.1", 9))
-        assert address[0] == "127.0.0.1" and (await made.told()).counts == {}
+        assert address[0] == "127.0.0.1" and (await made.report()).counts == {}
     with pytest.raises(ProgramError, match="do not run"):
-        await made.told()
+        await made.report()
 
 
 @loopback
--- a/tests/rig/test_benchmarks.py
+++ b/tests/rig/test_benchmarks.py
@@ -77,7 +77,7 @@
     made.compare(base)
     assert made.cpu_us == pytest.approx(600.0)
     assert "600 us" in crowds.costs([made])[0] and "not met" in crowds.costs([made])[0]
-    assert made.told()["not_met"] == []
+    assert made.summary()["not_met"] == []
 
 
 def test_every_scenario_is_within_its_bounds_of_size():
@@ -119,5 +119,5 @@
 async def test_a_row_is_played_and_told():
     (made,) = await crowds.run(["none"], SETTING, ROOT)
     assert made.tally.count(Result.SERVED) == made.tally.asked > 0
-    assert made.told()["healthy"]["in_time"] == 1.0
+    assert made.summary()["healthy"]["in_time"] == 1.0
     assert len(crowds.cells(made)) == len(crowds.HEADS)
--- a/tests/rig/test_clients.py
+++ b/tests/rig/test_clients.py
@@ -86,7 +86,7 @@
     tally = await run(server)
     assert tally.in_time == 1.0 and tally.asked > 50
     assert server.ledger.connections == tally.connections < tally.asked / 2
-    assert not server.ledger.told()["repeats"]
+    assert not server.ledger.summary()["repeats"]
     server.stop()
 
 
--- a/tests/rig/test_crowds.py
+++ b/tests/rig/test_crowds.py
@@ -117,7 +117,7 @@
     counts = await counted(made, lambda counts: counts["closed"] >= 4 and counts["connected"] >= 8)
     assert counts["open"] <= 4 and counts["statuses"]["200"] == counts["answered"] and counts["cut"] == 0
     await made.stop()
-    assert not server.ledger.told()["repeats"]
+    assert not server.ledger.summary()["repeats"]
     server.stop()
 
 
--- a/tests/rig/test_faults.py
+++ b/tests/rig/test_faults.py
@@ -47,7 +47,7 @@
     assert made.faults[1] == Fault("fail", 4.5, targets=("s1", "s2"), degree=(0.41, 0.98))
     steps = made.steps(SERVERS)
     assert len({step.target for step in steps if step.what == "die"}) == 8  # 23% of 33
-    silent = [(step.at_s, step.told["silent"]) for step in steps if step.what == "registry"]
+    silent = [(step.at_s, step.options["silent"]) for step in steps if step.what == "registry"]
     assert silent == [(3.0, True), (5.5, False)]
 
 
@@ -85,7 +85,7 @@
     steps = [step for step in whole("die").steps(SERVERS) if step.target == "s3"]
     if not steps:
         steps = [s for s in whole("die").steps(SERVERS) if s.target == whole("die").steps(SERVERS)[0].target]
-    at = {(step.what, step.told.get("status", "")): step.at_s for step in steps}
+    at = {(step.what, step.options.get("status", "")): step.at_s for step in steps}
     assert 6.0 <= at["start", ""] - at["die", ""] <= 15.0
     assert 1.0 <= at["list", "left"] - at["die", ""] <= 4.5
     assert 0.28 <= at["list", "active"] - at["start", ""] <= 1.6
@@ -100,7 +100,7 @@
     fault = Fault("stall", 0.0, lasts_s=(30.0, 30.0), targets=("s1",), pause_ms=(150.0, 500.0))
     steps = Schedule(40.0, (fault,)).steps(SERVERS)
     assert 7 <= len(steps) <= 15
-    assert all(150.0 <= step.told["for_ms"] <= 500.0 for step in steps)
+    assert all(150.0 <= step.options["for_ms"] <= 500.0 for step in steps)
 
 
 def test_a_drained_server_is_told_of_leaves_and_may_come_back():
--- a/tests/rig/test_fleet_faults.py
+++ b/tests/rig/test_fleet_faults.py
@@ -65,7 +65,7 @@
 async def test_a_row_is_played_told_and_judged():
     (row,) = await fleet_faults.run(["calm"], SETTING, ROOT, ["random"])
     assert len(fleet_faults.cells(row)) == len(fleet_faults.HEADS)
-    told = row.told()
+    told = row.summary()
     assert told["asked"] == len(row.run.score.outcomes) > 10
     assert told["in_aim"] > 0.5 and set(told["broken"]) == set(RULES)
     row.run.lag_p99_ms = {"clients": 1.0}
--- a/tests/rig/test_fleet_size.py
+++ b/tests/rig/test_fleet_size.py
@@ -56,7 +56,7 @@
 def test_an_idle_connection_is_closed_and_a_new_one_opened():
     made = world(idle_ms=500.0)
     ask(made, 1000.0, rate_per_s=2.0)
-    assert made.told.opened >= 1
+    assert made.counts.opened >= 1
     made.run(5000.0)
     assert not any(host.held for host in made.hosts.values())
     assert all(host.machine.connections == 0 for host in made.hosts.values())
@@ -68,12 +68,12 @@
     host, sidecar = made.hosts["b"], made.sidecars[0]
     assert made.is_cut(sidecar, host) and not made.is_cut(made.sidecars[2], host)
     ask(made, 1000.0, sidecars=(0,))
-    assert made.told.sends["b"] == 0 and made.told.sends["a"] > 0
+    assert made.counts.sends["b"] == 0 and made.counts.sends["a"] > 0
     assert made.outcomes[Outcome.CONNECT_FAILED] > 0
     made.run(3000.0)
     assert not made.is_cut(sidecar, host)
     ask(made, 20_000.0, from_ms=made.now, sidecars=(0,))  # one that failed is tried seldom
-    assert made.told.sends["b"] > 0
+    assert made.counts.sends["b"] > 0
 
 
 def test_a_killed_sidecar_loses_what_it_had_taken_and_returns_with_its_list():
@@ -91,10 +91,10 @@
     made = world()
     made.add("d", Make(), Listing("d", started=0.0))
     ask(made, 500.0)
-    assert made.told.sends["d"] == 0
+    assert made.counts.sends["d"] == 0
     made.tell("changes", [Listing("d", started=0.0)])
     ask(made, 4000.0, from_ms=made.now, rate_per_s=60.0)
-    assert made.told.sends["d"] > 0
+    assert made.counts.sends["d"] > 0
 
 
 def test_keys_by_zipf_and_sidecars_by_weight():
--- a/tests/rig/test_messages.py
+++ b/tests/rig/test_messages.py
@@ -27,7 +27,7 @@
 )
 def test_an_act_travels_in_a_query_and_as_json(act):
     assert act_of_query(act.query()) == act
-    assert act_of(act.told()) == act
+    assert act_of(act.as_json()) == act
     assert f"?{act.query()} HTTP/1.1".encode() in request("1", act=act)
 
 
--- a/tests/rig/test_peers.py
+++ b/tests/rig/test_peers.py
@@ -31,13 +31,13 @@
 async def test_a_datagram_comes_from_its_senders_address_to_one_or_to_all():
     net = await PeerNet(["n0", "n1", "n2"], late_ms=(1.0, 2.0), lost=0.0).start()
     heard = await peers(net, 3)
-    told = [net.told(number) for number in range(3)]
-    assert told[0]["peers"] == told[1]["peers"] and len(told[0]["peers"]) == 3
-    heard[1].transport.sendto(b"one", place(told[1]["peers"][0]))
-    heard[2].transport.sendto(b"all", place(told[2]["peers_all"]))
-    heard[0].transport.sendto(b"x" * 257, place(told[0]["peers_all"]))
+    configs = [net.config_of(number) for number in range(3)]
+    assert configs[0]["peers"] == configs[1]["peers"] and len(configs[0]["peers"]) == 3
+    heard[1].transport.sendto(b"one", place(configs[1]["peers"][0]))
+    heard[2].transport.sendto(b"all", place(configs[2]["peers_all"]))
+    heard[0].transport.sendto(b"x" * 257, place(configs[0]["peers_all"]))
     await until(lambda: net.delivered == 3 and net.dropped == 1 and len(heard[0].heard) == 2)
-    sources = [place(address) for address in told[0]["peers"]]
+    sources = [place(address) for address in configs[0]["peers"]]
     assert sorted(heard[0].heard) == [(b"all", sources[2]), (b"one", sources[1])]
     await until(lambda: heard[1].heard == [(b"all", sources[2])] and not heard[2].heard)
     net.stop()
@@ -48,7 +48,7 @@
     net = await PeerNet(["n0", "n1"], late_ms=(0.0, 0.0), lost=0.5).start()
     heard = await peers(net, 2)
     for _ in range(100):
-        heard[0].transport.sendto(b"x", place(net.told(0)["peers"][1]))
+        heard[0].transport.sendto(b"x", place(net.config_of(0)["peers"][1]))
     await until(lambda: net.delivered + net.dropped == 100)
     assert 20 < net.dropped < 80
     net.stop()
--- a/tests/rig/test_portservers.py
+++ b/tests/rig/test_portservers.py
@@ -312,7 +312,7 @@
         ]
         assert await host.executions() == []
         await asyncio.sleep(0.03)
-        told = await host.told()
+        told = await host.summary()
         assert [start["server"] for start in told["starts"]] == ["s1"] and told["lag"]["samples"] > 0
         with pytest.raises(ProgramError, match="dance"):
             await host.act("s0", "dance")
@@ -327,7 +327,7 @@
     time.sleep(0.08)  # the loop stands still
     await asyncio.sleep(0.02)
     watch.stop()
-    told = watch.told()
+    told = watch.summary()
     assert told["most_ms"] > 50.0 and told["samples"] <= SAMPLES_MOST
     watch.clear()
-    assert watch.told() == {"samples": 0, "p99_ms": 0.0, "most_ms": 0.0}
+    assert watch.summary() == {"samples": 0, "p99_ms": 0.0, "most_ms": 0.0}
--- a/tests/rig/test_servers.py
+++ b/tests/rig/test_servers.py
@@ -32,7 +32,7 @@
         assert (answer.status, answer.body) == (200, body_for(call, 0))
     await ask(server, "3", kind="pay")
     await ask(server, "3", kind="pay")
-    told = server.ledger.told()
+    told = server.ledger.summary()
     assert told["repeats"] == {"1": 2, "3": 2}
     assert (told["received"], told["calls"], told["unsafe_repeated"], told["unsafe_most"]) == (5, 3, 1, 2)
     assert told["overlaps"] == 0
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -53,7 +53,7 @@
     (missed,) = made.not_met
     assert missed.startswith(bound)
     assert missed in soak.words(made)[-1]
-    assert made.told()["not_met"] == [missed]
+    assert made.summary()["not_met"] == [missed]
 
 
 def test_what_was_asked_beside_each_kind_is_told_apart():
