--- a/poppypulley/balancer.py
+++ b/poppypulley/balancer.py
@@ -217,7 +217,7 @@
         self._mix: dict[tuple[int, bool], list[float]] = {}  # work asked and its worth
         self._level = 0.0
         self._at = 0.0
-        self.pressure = 0.0
+        self.pressure = self._share = 0.0
         self._worths: object = None
         self.settle(settings)
 
@@ -270,7 +270,7 @@
         least worth per work; from how many is weighed by the goal, which counts the worst
         class by itself beside the worth lost in all.
         """
-        share = max(drop, self.level(now) - SHED_IDLE, self.pressure)
+        self._share = share = max(drop, self.level(now) - SHED_IDLE, self.pressure)
         if share <= 0.0:
             return 0.0
         need = share * sum(work for work, _ in self._mix.values())
@@ -296,10 +296,11 @@
                 least, chance = cost, part if mine else 0.0
         return chance
 
-    def blamed(self, now: float, drop: float) -> Cause:
-        """Which of the three that `chance` goes by asks for the most."""
-        shed = self.level(now) - SHED_IDLE
-        return max((drop, Cause.THROTTLE), (shed, Cause.SHED), (self.pressure, Cause.PRESSURE))[1]
+    def blamed(self, drop: float) -> Cause:
+        """Which of the three that `chance` last went by asked for the most."""
+        if self._share == self.pressure:
+            return Cause.PRESSURE
+        return Cause.THROTTLE if self._share == drop else Cause.SHED
 
 
 @dataclass(slots=True, eq=False)
@@ -701,7 +702,7 @@
             chance = self._shed.chance(now, drop, request.traffic_class, request.over)
             if chance > 0.0 and self._rng.random() < chance:
                 self._throttle.add(now, 0.0)
-                self._give_up(now, request, self._shed.blamed(now, drop))
+                self._give_up(now, request, self._shed.blamed(drop))
                 return
         elif not self._trial(now):
             self._give_up(now, request, Cause.OUTAGE)
--- a/poppypulley/model.py
+++ b/poppypulley/model.py
@@ -27,9 +27,9 @@
 
     Of several that hold, that its time is over comes first; for one that may have run, then that its attempts
     are used up, or else that no rule lets it be sent again; and then the first check that turned it away: the
-    lots (of THROTTLE, SHED and PRESSURE the one that asks for the most, of equals the last), the trials of an
-    OUTAGE, the draw. Where servers were kept from the draw for several reasons, the last of them as listed
-    here is blamed: its server came nearest to being sent to."""
+    lots (of THROTTLE, SHED and PRESSURE the one that asks for the most), the trials of an OUTAGE, the draw.
+    Where servers were kept from the draw for several reasons, the last of them as listed here is blamed: its
+    server came nearest to being sent to."""
 
     DRAIN = 0  # no server of the list takes requests: none is told, or all of them leave
     ATTEMPTS = 1  # none is left, or each server that it may go to was tried
