--- a/benchmarks/cluster_faults.py
+++ b/benchmarks/cluster_faults.py
@@ -84,7 +84,7 @@
 def _in_turn(count: int) -> tuple[Step, ...]:
     pause_ms = TURNS_LAST_MS / count
     return tuple(
-        Reload(round(TURNS_AT_MS + place * pause_ms), 1, node, 2) for place, node in enumerate(names(count))
+        Reload(round(TURNS_AT_MS + index * pause_ms), 1, node, 2) for index, node in enumerate(names(count))
     )
 
 
--- a/benchmarks/cluster_relay.py
+++ b/benchmarks/cluster_relay.py
@@ -47,10 +47,10 @@
 def p_ms(bins: Counter[int], share: float) -> float:
     """A percentile of what was counted in bins; 0 where there is nothing."""
     left = share * sum(bins.values())
-    for place in sorted(bins):
-        left -= bins[place]
+    for index in sorted(bins):
+        left -= bins[index]
         if left <= 0:
-            return (place + 1) * BINS_MS
+            return (index + 1) * BINS_MS
     return 0.0
 
 
@@ -168,7 +168,7 @@
         self._names = names(ends)
         self._relays = Relays(seed, shards)
         self._helpers: list[Helper] = []
-        self._parts = [self._names[place::PROCESSES] for place in range(PROCESSES)]
+        self._parts = [self._names[index::PROCESSES] for index in range(PROCESSES)]
         self.links_s = 0.0  # that it took to make all links
         self._straight: dict[str, dict[str, Address]] = {}
         self._relayed: dict[str, dict[str, Address]] = {name: {} for name in self._names}
--- a/rig/cluster/breaching.py
+++ b/rig/cluster/breaching.py
@@ -90,8 +90,8 @@
     if not breach.edits:
         raise BreachError(f"breach {breach.name}: edits: none")
     texts: dict[str, str] = {}
-    for place, edit in enumerate(breach.edits):
-        at = f"breach {breach.name}: edits[{place}]"
+    for index, edit in enumerate(breach.edits):
+        at = f"breach {breach.name}: edits[{index}]"
         if FILE.fullmatch(edit.file) is None:
             raise BreachError(f"{at}.file: {edit.file!r} is no module's path under the tree")
         try:
--- a/rig/cluster/checkers.py
+++ b/rig/cluster/checkers.py
@@ -256,7 +256,7 @@
         if op.kind == "read" and op.value in refused:
             text = f"{op.client} read {op.value!r}, which was refused"
             return [Finding("broken", "register", text)]
-    must = frozenset(place for place, op in enumerate(wanted) if op.end_ms < math.inf)
+    must = frozenset(index for index, op in enumerate(wanted) if op.end_ms < math.inf)
     stack: list[tuple[frozenset[int], str]] = [(frozenset(), initial)]
     seen = set(stack)
     while stack:
@@ -266,16 +266,16 @@
         if must <= done:
             return []
         # Only what began before every operation still to come has ended may be next.
-        bound = min((wanted[place].end_ms for place in must - done), default=math.inf)
-        for place, op in enumerate(wanted):
-            if place in done or op.begin_ms > bound:
+        bound = min((wanted[index].end_ms for index in must - done), default=math.inf)
+        for index, op in enumerate(wanted):
+            if index in done or op.begin_ms > bound:
                 continue
             if op.kind == "read":
                 if op.value != value or op.end_ms == math.inf:
                     continue
-                after = (done | {place}, value)
+                after = (done | {index}, value)
             else:
-                after = (done | {place}, op.value)
+                after = (done | {index}, op.value)
             if after not in seen:
                 seen.add(after)
                 stack.append(after)
--- a/rig/cluster/cluster.py
+++ b/rig/cluster/cluster.py
@@ -147,8 +147,8 @@
 
     async def _start_servers(self) -> None:
         made: dict[str, str] = {}
-        for place, zone in enumerate(site.ZONES):
-            own = servers(self._servers)[place :: len(site.ZONES)]
+        for index, zone in enumerate(site.ZONES):
+            own = servers(self._servers)[index :: len(site.ZONES)]
             host = await PortHost.start(
                 zone,
                 dict.fromkeys(own, site.make()),
@@ -170,7 +170,7 @@
     async def _link(self, name: str) -> None:
         """The ways of one node to what is outside of the cluster."""
         if self.relayed and not self._static:
-            ways = [await self._relays.tcp(name, SERVERS_END, _place(row["address"])) for row in self._rows]
+            ways = [await self._relays.tcp(name, SERVERS_END, _address(row["address"])) for row in self._rows]
             self._own_rows[name] = [
                 {**row, "address": f"{host}:{port}"}
                 for row, (host, port) in zip(self._rows, ways, strict=True)
@@ -178,7 +178,7 @@
             self.registries[name] = await self._registry(self._own_rows[name])
         if not self._static:
             self._registry_at[name] = await self._relays.tcp(
-                name, REGISTRY, _place(self._registry_of(name).address)
+                name, REGISTRY, _address(self._registry_of(name).address)
             )
         address = await self._relays.tcp(CLIENTS, name, self.nodes[name].address)
         self._callers[name] = Caller(name, address)
@@ -360,7 +360,7 @@
     return 1 if nodes <= 5 else 2 if nodes <= 20 else 4
 
 
-def _place(address: str) -> Address:
+def _address(address: str) -> Address:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
--- a/rig/cluster/disks.py
+++ b/rig/cluster/disks.py
@@ -75,20 +75,20 @@
 class Inode:
     """One file, whatever its name."""
 
-    place: str = ""  # its name on the platter; empty where it has none
+    platter_name: str = ""  # its name on the platter; empty where it has none
     synced: int = 0  # bytes that are down
-    cache: bytearray = field(default_factory=bytearray)  # what comes after those; all where it has no place
+    cache: bytearray = field(default_factory=bytearray)  # what comes after those; all where it has no name
     failed: bool = False  # a drop that the next sync tells
 
     @property
     def dirty(self) -> bool:
         """Whether a kill would lose bytes of it."""
-        return len(self.cache) > (0 if self.place else self.synced)
+        return len(self.cache) > (0 if self.platter_name else self.synced)
 
     @property
     def size(self) -> int:
         """Bytes, as reads see it."""
-        return len(self.cache) + (self.synced if self.place else 0)
+        return len(self.cache) + (self.synced if self.platter_name else 0)
 
 
 @dataclass(frozen=True, slots=True)
@@ -249,8 +249,8 @@
             if inode.size > most:
                 raise _error(errno.EFBIG, name)
             data = bytes(inode.cache)
-            if inode.place:
-                data = self._platter.read(inode.place, 0, inode.synced) + data
+            if inode.platter_name:
+                data = self._platter.read(inode.platter_name, 0, inode.synced) + data
             return self._changed(name, data, most) if self._on["changed"] else data
 
     def append(self, name: str, data: bytes) -> None:
@@ -288,8 +288,8 @@
                 raise _error(errno.EIO, name)
             if self._on["lie"] and inode.dirty:
                 self._hit("lie")
-            elif inode.place:
-                self._platter.write(inode.place, inode.synced, inode.cache)
+            elif inode.platter_name:
+                self._platter.write(inode.platter_name, inode.synced, inode.cache)
                 inode.synced += len(inode.cache)
                 inode.cache.clear()
             else:
@@ -360,7 +360,7 @@
 
         A file that the platter never knew is forgotten whole, unless it took another's name before."""
         moved = {change.new for change in self._changes if change.inode is gone and change.moves}
-        if gone is None or gone.place or not moved <= {name}:
+        if gone is None or gone.platter_name or not moved <= {name}:
             return self._changes
         return [change for change in self._changes if change.inode is not gone]
 
@@ -387,7 +387,7 @@
         self._down.pop(change.old, None)
         if change.new:
             self._down[change.new] = inode
-        inode.place = change.new
+        inode.platter_name = change.new
 
     # --- bytes ---------------------------------------------------------------------
 
@@ -404,8 +404,8 @@
     def _drop(self, inode: Inode, rng: random.Random) -> None:
         """Forget what was not synced, and at times leave zeros for it."""
         size = len(inode.cache)
-        if inode.place:
-            inode.cache[:] = self._platter.read(inode.place, inode.synced, size)
+        if inode.platter_name:
+            inode.cache[:] = self._platter.read(inode.platter_name, inode.synced, size)
         else:
             del inode.cache[inode.synced :]
         if rng.random() < 0.5:
@@ -414,7 +414,7 @@
     def _tear(self, inode: Inode) -> None:
         """Put part of what was not synced on the platter now, since a kill gives no time to."""
         self._put_names()
-        if not inode.place or not inode.cache:
+        if not inode.platter_name or not inode.cache:
             return
         rng = self._hit("torn")
         torn = inode.cache[:]
@@ -426,7 +426,7 @@
             end = rng.randint(begin, last) + 1
             hole = slice(max(0, begin * SECTOR - inode.synced), end * SECTOR - inode.synced)
             torn[hole] = bytes(len(torn[hole]))
-        self._platter.write(inode.place, inode.synced, torn)
+        self._platter.write(inode.platter_name, inode.synced, torn)
 
     def _changed(self, name: str, data: bytes, most: int) -> bytes:
         rng = self._random["changed"]
--- a/rig/cluster/entries.py
+++ b/rig/cluster/entries.py
@@ -74,7 +74,7 @@
             if not version:
                 loose[rule].add(digest)
         self.unordered: set[str] = set()  # rules whose order nobody gave
-        self._places: dict[tuple[str, str], int] = {}
+        self._positions: dict[tuple[str, str], int] = {}
         for rule, digests in loose.items():
             self._order(rule, digests, orders.get(rule, ()))
         self._views: dict[str, dict[int, View]] = {}
@@ -92,35 +92,37 @@
             return
         # A list that has no version is older than any that has one.
         first = 1 - len(order) if rule.startswith(LIST) else 1
-        self._places |= {(rule, digest): first + place for place, digest in enumerate(order)}
+        self._positions |= {(rule, digest): first + position for position, digest in enumerate(order)}
 
     def _take(self, rule: str, lists: Mapping[tuple[int, str], dict[str, str]]) -> None:
-        placed = {self.place(rule, *which): entries for which, entries in lists.items()}
-        order = [(place, placed[place]) for place in sorted(place for place in placed if place is not None)]
+        placed = {self.position(rule, *which): entries for which, entries in lists.items()}
+        known = sorted(position for position in placed if position is not None)
+        order = [(position, placed[position]) for position in known]
         listed = self._listed[rule] = {server for _, entries in order for server in entries}
         changing = [s for s in sorted(listed) if len({entries.get(s) for _, entries in order}) > 1]
         for server in changing:
             self._about[row_rule(rule, server)] = self._about[row_rule(rule, server, ENTRY)] = (rule, server)
         views = self._views[rule] = {}
         before = View({})
-        for place, entries in order:
+        for position, entries in order:
             made = View({server: entries[server] for server in changing if server in entries})
             for server in changing:
-                since = before.active_since.get(server, place)
-                made.active_since[server] = since if made.active(server) == before.active(server) else place
+                since = before.active_since.get(server, position)
+                same = made.active(server) == before.active(server)
+                made.active_since[server] = since if same else position
                 if server in entries:
-                    since = before.made_since.get(server, place)
-                    made.made_since[server] = since if made.made(server) == before.made(server) else place
+                    since = before.made_since.get(server, position)
+                    made.made_since[server] = since if made.made(server) == before.made(server) else position
             made.inactive = [server for server in changing if not made.active(server)]
-            views[place] = before = made
+            views[position] = before = made
 
-    def place(self, rule: str, version: int, digest: str) -> int | None:
+    def position(self, rule: str, version: int, digest: str) -> int | None:
         """Where a rule stands in its order; None where nobody gave one."""
-        return version or self._places.get((rule, digest))
+        return version or self._positions.get((rule, digest))
 
-    def view(self, rule: str, place: int | None) -> View | None:
-        """What the list of that place says; None where no node told."""
-        return None if place is None else self._views.get(rule, {}).get(place)
+    def view(self, rule: str, position: int | None) -> View | None:
+        """What the list of that position says; None where no node told."""
+        return None if position is None else self._views.get(rule, {}).get(position)
 
     def lists(self, rule: str, server: str) -> bool:
         """Whether a server is in any version of a list."""
@@ -132,10 +134,10 @@
         return views[max(views)] if views else None
 
     def newest_settings(self) -> dict[str, int]:
-        """The place of the newest settings that any node told, by rule."""
+        """The position of the newest settings that any node told, by rule."""
         made: dict[str, int] = {}
-        for (rule, _), place in self._places.items():
-            made[rule] = max(place, made.get(rule, place))
+        for (rule, _), position in self._positions.items():
+            made[rule] = max(position, made.get(rule, position))
         return made
 
     def contradicts(self, rule: str, older: int, newer: int) -> bool:
@@ -202,15 +204,15 @@
         made: dict[tuple[str, int, str], list[Acted]] = {}  # by rule of one server, version and node
         first: dict[tuple[str, int, str], list[Acted]] = {}  # by list, version and node
         for (node, rule, version, digest, server), pair in sends.items():
-            place = self.lists.place(rule, version, digest)
-            if place is None:
+            position = self.lists.position(rule, version, digest)
+            if position is None:
                 continue  # told once, for its rule
-            view = self.lists.view(rule, place)
+            view = self.lists.view(rule, position)
             if view is None or not self.lists.lists(rule, server):
                 self._untold.add(f"{rule}: no node told of {server} in version {version}")
                 continue
             for act in pair:
-                widen(first, (rule, place, node), act)
+                widen(first, (rule, position, node), act)
                 if server in view.active_since:
                     widen(made, (row_rule(rule, server), view.active_since[server], node), act)
                 if server in view.made_since:
@@ -221,8 +223,8 @@
 
     def _news(self, first: Mapping[tuple[str, int, str], list[Acted]]) -> None:
         made: dict[tuple[str, int, str], list[Acted]] = {}
-        for (rule, place, node), pair in first.items():
-            if (view := self.lists.view(rule, place)) is not None:
+        for (rule, position, node), pair in first.items():
+            if (view := self.lists.view(rule, position)) is not None:
                 for server in view.inactive:
                     widen(made, (row_rule(rule, server), view.active_since[server], node), pair[0])
         for (about, since, _), (act, _) in made.items():
@@ -231,9 +233,9 @@
     def _by_settings(
         self, by: Acted | Learned, at_ms: float, rule: str, digest: str, what: str
     ) -> Iterator[Acted]:
-        place = self.lists.place(rule, 0, digest) if digest else None
-        if place is not None:
-            yield _row(by, at_ms, rule, place, what, digest)
+        position = self.lists.position(rule, 0, digest) if digest else None
+        if position is not None:
+            yield _row(by, at_ms, rule, position, what, digest)
 
     def _hide(self, gap: Missing) -> None:
         """What a node may have done first and last in a gap, by all that it went by."""
@@ -241,7 +243,7 @@
             if by.rule.startswith(SETTINGS):
                 self.unseen += self._by_settings(by, at_ms, by.rule, by.digest, UNSEEN)
                 continue
-            view = self.lists.view(by.rule, self.lists.place(by.rule, by.version, by.digest))
+            view = self.lists.view(by.rule, self.lists.position(by.rule, by.version, by.digest))
             if view is not None:
                 self.unseen += _by_view(by, at_ms, view)
             own = settings_rule(by.rule)
@@ -304,9 +306,9 @@
 def _fresh(act: Acted, lists: Lists, settings: Mapping[str, int]) -> bool | None:
     """Whether an act rests on the newest; None where it does not, and nothing shows of it."""
     own = settings_rule(act.rule)
-    if act.settings and lists.place(own, 0, act.settings) != settings.get(own):
+    if act.settings and lists.position(own, 0, act.settings) != settings.get(own):
         return False
-    view = lists.view(act.rule, lists.place(act.rule, act.version, act.digest))
+    view = lists.view(act.rule, lists.position(act.rule, act.version, act.digest))
     newest = lists.newest(act.rule)
     if view is None or newest is None:
         return None
--- a/rig/cluster/history.py
+++ b/rig/cluster/history.py
@@ -137,15 +137,15 @@
 
 def _joined(line: bytes) -> list[Event]:
     """What a line holds in which a life begins right after one that was killed; nothing where it is none."""
-    place = line.rfind(b"{")
+    brace = line.rfind(b"{")
     try:
-        began = DECODER.decode(line[place:])
+        began = DECODER.decode(line[brace:])
     except msgspec.MsgspecError:
         return []
-    if place < 1 or not isinstance(began, Started):
+    if brace < 1 or not isinstance(began, Started):
         return []
     try:
-        return [DECODER.decode(line[:place]), began]  # only its line's end was lost
+        return [DECODER.decode(line[:brace]), began]  # only its line's end was lost
     except msgspec.MsgspecError:
         return [began]
 
--- a/rig/cluster/links.py
+++ b/rig/cluster/links.py
@@ -155,7 +155,7 @@
         self.free_at = 0.0  # of a narrow link: when it can carry the next byte
         self.flows: set[Flow] = set()  # that hold something
         self._rngs: dict[Way, random.Random] = {}
-        self._waiting: list[tuple[float, int, bytes, Place, Address]] = []  # a heap of datagrams
+        self._waiting: list[tuple[float, int, bytes, UdpSocket, Address]] = []  # a heap of datagrams
         self._timer: asyncio.TimerHandle | None = None
         self.changed()
 
@@ -194,7 +194,7 @@
         late_ms = self.amounts.get("late")
         return late_ms * self.rng("late").uniform(0.7, 1.3) if late_ms else 0.0
 
-    def datagram(self, data: bytes, place: Place, to: Address) -> None:
+    def datagram(self, data: bytes, udp: UdpSocket, to: Address) -> None:
         """Let a datagram that came go its way, or not, where there is a fault."""
         if self.cut or self.struck("loss"):
             self._drop(len(data))
@@ -203,10 +203,10 @@
             data = flipped(data, self.rng("flip"))
         if self.struck("double"):
             self.counts.doubled += len(data)
-            self._send_later(data, place, to)
-        self._send_later(data, place, to)
+            self._send_later(data, udp, to)
+        self._send_later(data, udp, to)
 
-    def _send_later(self, data: bytes, place: Place, to: Address) -> None:
+    def _send_later(self, data: bytes, udp: UdpSocket, to: Address) -> None:
         wait_ms = self.late_ms()
         if self.struck("reorder"):
             wait_ms += self.rng("reorder").uniform(*REORDER_MS)
@@ -218,13 +218,13 @@
             self.free_at = max(now, self.free_at) + len(data) / narrow
             wait_ms += (self.free_at - now) * 1000.0
         if not wait_ms and not self.stalled:
-            place.send(self, data, to)
+            udp.send(self, data, to)
             return
         full = self.stalled and len(self._waiting) >= STALLED_MOST
         if full or not self._relay.take_pending(len(data)):
             self._drop(len(data))
             return
-        row = (now + wait_ms / 1000.0, self._relay.next_number(), data, place, to)
+        row = (now + wait_ms / 1000.0, self._relay.next_number(), data, udp, to)
         heapq.heappush(self._waiting, row)
         if self._waiting[0] is row:
             self._due()
@@ -235,12 +235,12 @@
         now = self._relay.loop.time() + TIMER_S
         waiting = self._waiting
         while waiting and not self.stalled and (not self.delays or waiting[0][0] <= now):
-            _, _, data, place, to = heapq.heappop(waiting)
+            _, _, data, udp, to = heapq.heappop(waiting)
             self._relay.give_pending(len(data))
             if self.cut:
                 self._drop(len(data))  # it was on its way as the link was cut
             else:
-                place.send(self, data, to)
+                udp.send(self, data, to)
         if waiting and not self.stalled:
             self._timer = self._relay.loop.call_at(waiting[0][0], self._due)
 
@@ -277,7 +277,7 @@
         self._change = asyncio.Event()
         self._serving: list[asyncio.Task[asyncio.Server]] = []
         self._listeners: list[socket.socket] = []
-        self._places: dict[int, Place] = {}
+        self._udp_sockets: dict[int, UdpSocket] = {}
         self._epoll = select.epoll()
         self._sweeping: asyncio.TimerHandle | None = None
         self._lag = LagWatch()
@@ -302,9 +302,9 @@
         for row in self._states.values():
             for state in row.values():
                 state.stop()
-        for place in self._places.values():
-            place.sock.close()
-        self._places.clear()
+        for udp in self._udp_sockets.values():
+            udp.sock.close()
+        self._udp_sockets.clear()
         for server in await asyncio.gather(*self._serving, return_exceptions=True):
             if isinstance(server, asyncio.Server):
                 server.close()
@@ -415,10 +415,10 @@
         for wrong in filter(None, map(wrong_address, ends)):
             raise ValueError(wrong)
         if isinstance(link, UdpLink):
-            place = Place(self, link)
-            self._places[place.sock.fileno()] = place
-            self._epoll.register(place.sock.fileno(), select.EPOLLIN)
-            return cast(Address, place.sock.getsockname())
+            udp = UdpSocket(self, link)
+            self._udp_sockets[udp.sock.fileno()] = udp
+            self._epoll.register(udp.sock.fileno(), select.EPOLLIN)
+            return cast(Address, udp.sock.getsockname())
         for end, other in ((link.src, link.dst), (link.dst, link.src)):
             self.state(end, other)
         sock = socket.create_server((link.host, link.port), backlog=BACKLOG)
@@ -450,7 +450,7 @@
         for _ in range(TURNS_MOST):
             ready = self._epoll.poll(0, EVENTS_MOST)
             for number, _ in ready:
-                self._places[number].read()
+                self._udp_sockets[number].read()
             if len(ready) < EVENTS_MOST:
                 return
 
@@ -474,10 +474,10 @@
         self._pending_bytes -= size
 
     def _dropped_by_kernel(self) -> int:
-        return sum(place.dropped_by_kernel for place in self._places.values())
+        return sum(udp.dropped_by_kernel for udp in self._udp_sockets.values())
 
 
-class Place:
+class UdpSocket:
     """The address of one pair: the same for both directions."""
 
     __slots__ = ("_relay", "_ways", "sock")
--- a/rig/cluster/relays.py
+++ b/rig/cluster/relays.py
@@ -144,16 +144,16 @@
     async def make(self, links: Sequence[TcpLink | UdpLink]) -> list[Address]:
         """Make many links at once; their addresses in the same order."""
         parts: list[list[int]] = [[] for _ in range(self._count)]
-        for place, link in enumerate(links):
-            parts[shard_of(*link.ends, self._count)].append(place)
+        for index, link in enumerate(links):
+            parts[shard_of(*link.ends, self._count)].append(index)
         made: list[Address] = [("", 0)] * len(links)
 
-        async def fill(shard: Shard, places: list[int]) -> None:
-            for start in range(0, len(places), LINKS_A_TIME):
-                part = places[start : start + LINKS_A_TIME]
-                data = msgspec.json.encode([links[place] for place in part]).decode()
-                for place, (host, port) in zip(part, await shard.ask(do="make", links=data), strict=True):
-                    made[place] = (host, port)
+        async def fill(shard: Shard, indices: list[int]) -> None:
+            for start in range(0, len(indices), LINKS_A_TIME):
+                part = indices[start : start + LINKS_A_TIME]
+                data = msgspec.json.encode([links[index] for index in part]).decode()
+                for index, (host, port) in zip(part, await shard.ask(do="make", links=data), strict=True):
+                    made[index] = (host, port)
 
         await _all(fill(shard, part) for shard, part in zip(self._asked(), parts, strict=True) if part)
         return made
--- a/rig/cluster/schedules.py
+++ b/rig/cluster/schedules.py
@@ -408,8 +408,8 @@
     """Each node reaches only the two next to it."""
     count = len(every)
     made = []
-    for place, node in enumerate(every):
-        near = {node, every[(place + 1) % count], every[(place - 1) % count]}
+    for index, node in enumerate(every):
+        near = {node, every[(index + 1) % count], every[(index - 1) % count]}
         far = tuple(name for name in every if name not in near)
         if far:
             made.append(Link(at_ms, lasts_ms, "cut", (node,), far))
@@ -518,9 +518,9 @@
         for start in range(0, len(steps), size):
             yield Schedule(schedule.head, steps[:start] + steps[start + size :])
         size //= 2
-    for place, step in enumerate(steps):
+    for index, step in enumerate(steps):
         for other in _lesser(step):
-            yield Schedule(schedule.head, (*steps[:place], other, *steps[place + 1 :]))
+            yield Schedule(schedule.head, (*steps[:index], other, *steps[index + 1 :]))
 
 
 def _lesser(step: Step) -> Iterable[Step]:
--- a/rig/cluster/timeline.py
+++ b/rig/cluster/timeline.py
@@ -20,12 +20,12 @@
     library("matplotlib", "plot").use("Agg")
     pyplot = library("matplotlib.pyplot", "plot")
     figure, axes = pyplot.subplots(figsize=(11.0, 1.2 + ROW_INCHES * len(played.nodes)))
-    place = {name: number for number, name in enumerate(played.nodes)}
+    row_of = {name: number for number, name in enumerate(played.nodes)}
     for step in played.schedule.steps:
-        _shade(axes, step, place)
-    _marks(axes, played, place)
-    axes.set_yticks(range(len(place)), list(place))
-    axes.set_ylim(len(place) - 0.4, -0.6)
+        _shade(axes, step, row_of)
+    _marks(axes, played, row_of)
+    axes.set_yticks(range(len(row_of)), list(row_of))
+    axes.set_ylim(len(row_of) - 0.4, -0.6)
     axes.set_xlim(0.0, played.schedule.head.length_ms / 1000.0)
     axes.set_xlabel(
         "s: shades are faults, lines the registry's news, bars lists learned, dots acts on older lists"
@@ -35,19 +35,19 @@
     pyplot.close(figure)
 
 
-def _shade(axes: Any, step: Step, place: dict[str, int]) -> None:
+def _shade(axes: Any, step: Step, row_of: dict[str, int]) -> None:
     at_s, width_s = step.at_ms / 1000.0, max(step.lasts_ms, 20) / 1000.0
     if isinstance(step, News):
         axes.axvline(at_s, color="#999999", linewidth=0.7, linestyle="--")
         return
     ends = {*step.src, *step.dst} if isinstance(step, Link) else {step.node}
     kind = "link" if isinstance(step, Link) else type(step).__name__.lower().removesuffix("fault")
-    for name in sorted(ends & set(place)):
+    for name in sorted(ends & set(row_of)):
         color = SHADES.get(kind, "#3a7ca5")
-        axes.barh(place[name], width_s, left=at_s, height=0.8, color=color, alpha=0.25)
+        axes.barh(row_of[name], width_s, left=at_s, height=0.8, color=color, alpha=0.25)
 
 
-def _marks(axes: Any, played: Played, place: dict[str, int]) -> None:
+def _marks(axes: Any, played: Played, row_of: dict[str, int]) -> None:
     """Lists learned, and acts on a list older than the newest that any node had acted on by then."""
     newest = 0
     learned: list[tuple[float, int]] = []
@@ -55,7 +55,7 @@
     for event in played.events:
         if not isinstance(event, Acted | Learned) or not event.rule.startswith(LIST):
             continue
-        at = ((event.at_ms - played.began_ms) / 1000.0, place[event.node])
+        at = ((event.at_ms - played.began_ms) / 1000.0, row_of[event.node])
         if isinstance(event, Learned):
             learned.append(at)
         elif event.version < newest:
--- a/rig/faults.py
+++ b/rig/faults.py
@@ -283,12 +283,12 @@
 
     def _line(self, key: str, number: int) -> int:
         seen, header = 0, 1
-        for place, line in enumerate(self.text.splitlines(), 1):
+        for line_number, line in enumerate(self.text.splitlines(), 1):
             if re.match(r"\s*\[\[\s*fault\s*\]\]", line):
                 seen += 1
-                header = place if seen == number else header
+                header = line_number if seen == number else header
             elif key and seen == number and re.match(rf"\s*[\"']?{re.escape(key)}[\"']?\s*=", line):
-                return place
+                return line_number
         return header
 
     def parse(self) -> Schedule:
@@ -297,8 +297,8 @@
             raw = tomllib.loads(self.text)
         except tomllib.TOMLDecodeError as error:
             line = re.search(r"at line (\d+)", str(error))
-            place = line.group(1) if line else str(len(self.text.splitlines()))
-            raise ScheduleError(f"{self.name}:{place}: {' '.join(str(error).split())}") from error
+            line_number = line.group(1) if line else str(len(self.text.splitlines()))
+            raise ScheduleError(f"{self.name}:{line_number}: {' '.join(str(error).split())}") from error
         for key in raw:
             if key not in ("seed", "duration_s", "fault"):
                 raise self.wrong("unknown", key)
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -440,7 +440,7 @@
 
         def servers() -> list[tuple[str, Address]]:
             return [
-                (row["name"], _place(row["address"]))
+                (row["name"], _address(row["address"]))
                 for row in self.board.list_at(name)
                 if row["status"] == "active"
             ]
@@ -484,7 +484,7 @@
         )
 
 
-def _place(address: str) -> Address:
+def _address(address: str) -> Address:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
--- a/rig/peers.py
+++ b/rig/peers.py
@@ -34,7 +34,7 @@
         self._late_ms = late_ms
         self._lost = lost
         self._loop = asyncio.get_running_loop()
-        self._places: list[_Place] = []
+        self._endpoints: list[_Endpoint] = []
         self._timers: set[asyncio.TimerHandle] = set()
         self._count = len(sidecars)
         self.listens: list[Address] = [_free_port() for _ in sidecars]  # where sidecars listen
@@ -45,22 +45,22 @@
         """Bind an address for each sidecar, and one for all."""
         for number in range(self._count + 1):
             made = await self._loop.create_datagram_endpoint(
-                lambda number=number: _Place(self, number),  # type: ignore[misc]
+                lambda number=number: _Endpoint(self, number),  # type: ignore[misc]
                 local_addr=("127.0.0.1", 0),
             )
-            self._places.append(made[1])
+            self._endpoints.append(made[1])
         return self
 
     def stop(self) -> None:
         """Close all."""
         for timer in self._timers:
             timer.cancel()
-        for place in self._places:
-            place.transport.close()
+        for endpoint in self._endpoints:
+            endpoint.transport.close()
 
     def config_of(self, number: int) -> dict[str, Any]:
         """What the configuration of one sidecar holds of its peers."""
-        names = [place.address for place in self._places]
+        names = [endpoint.address for endpoint in self._endpoints]
         host, port = self.listens[number]
         return {"peer_listen": f"{host}:{port}", "peers": names[:-1], "peers_all": names[-1]}
 
@@ -82,13 +82,13 @@
         def run() -> None:
             self._timers.discard(timer)
             self.delivered += 1
-            self._places[sender].transport.sendto(data, self.listens[number])
+            self._endpoints[sender].transport.sendto(data, self.listens[number])
 
         timer = self._loop.call_later(late_s, run)
         self._timers.add(timer)
 
 
-class _Place(asyncio.DatagramProtocol):
+class _Endpoint(asyncio.DatagramProtocol):
     """One address."""
 
     def __init__(self, net: PeerNet, number: int) -> None:
--- a/rig/servers.py
+++ b/rig/servers.py
@@ -95,13 +95,13 @@
 
     def next(self) -> Act:
         """The act for the next request."""
-        place = self.taken % len(self.acts) if self.turns == "round" else min(self.taken, len(self.acts) - 1)
+        index = self.taken % len(self.acts) if self.turns == "round" else min(self.taken, len(self.acts) - 1)
         self.taken += 1
-        return self.acts[place]
+        return self.acts[index]
 
 
 class Server:
-    """One listener: service time drawn evenly between two bounds, so many places, an idle time."""
+    """One listener: service time drawn evenly between two bounds, requests at a time, an idle time."""
 
     def __init__(
         self,
@@ -109,13 +109,13 @@
         *,
         seed: str = "",
         work_ms: tuple[float, float] = (40.0, 60.0),
-        places: int = 4096,
+        concurrency: int = 4096,
         idle_close_ms: float = 5000.0,
     ) -> None:
         self.ledger = ledger
         self.work_ms = work_ms
         self.script = Script()
-        self.places = places
+        self.concurrency = concurrency
         self.inflight = 0
         self.address = ""
         self._idle_close_s = idle_close_ms / 1000.0
@@ -159,7 +159,7 @@
     def act(self, query: str) -> Act:
         """What the request at hand gets: its own script, else the server's."""
         own = act_of_query(query) if query else None
-        if own is None and self.inflight >= self.places:
+        if own is None and self.inflight >= self.concurrency:
             return Act(status=503, rejected=True, delay_ms=0.0)
         return own or self.script.next()
 
@@ -359,12 +359,12 @@
         *,
         seed: int = 1,
         work_ms: tuple[float, float] = (40.0, 60.0),
-        places: int = 4096,
+        concurrency: int = 4096,
         idle_close_ms: float = 5000.0,
         ports: Sequence[int] = (),
     ) -> Fleet:
         """Start `count` servers, the first ones on these ports; `ProgramError` if they can't be."""
-        arguments = ["--count", str(count), "--seed", str(seed), "--places", str(places)]
+        arguments = ["--count", str(count), "--seed", str(seed), "--concurrency", str(concurrency)]
         arguments += ["--work-ms", str(work_ms[0]), str(work_ms[1]), "--idle-close-ms", str(idle_close_ms)]
         arguments += [word for port in ports for word in ("--port", str(port))]
         helper = await Helper.start("rig.servers", arguments)
@@ -409,7 +409,7 @@
                 self._ledger,
                 seed=f"{given.seed}/{number}",
                 work_ms=(given.work_ms[0], given.work_ms[1]),
-                places=given.places,
+                concurrency=given.concurrency,
                 idle_close_ms=given.idle_close_ms,
             )
             for number in range(given.count)
@@ -451,7 +451,9 @@
     made.add_argument("--count", type=int, default=1, help="listeners")
     made.add_argument("--port", type=int, action="append", default=[], help="of the first, the second...")
     made.add_argument("--seed", default="1")
-    made.add_argument("--places", type=int, default=4096, help="requests at a time; past it 503, rejected")
+    made.add_argument(
+        "--concurrency", type=int, default=4096, help="requests at a time; past it 503, rejected"
+    )
     made.add_argument("--work-ms", type=float, nargs=2, default=[40.0, 60.0], metavar=("FROM", "TO"))
     made.add_argument("--idle-close-ms", type=float, default=5000.0)
     return made
--- a/tests/rig/cluster/test_links.py
+++ b/tests/rig/cluster/test_links.py
@@ -254,8 +254,8 @@
         await until(lambda: link.relay.strangers == 1)
         assert link.counts("n0", "n1").came == link.counts("n1", "n0").came == 0
         stranger.transport.close()
-        place = next(iter(link.relay._places.values()))
-        place.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 0)
+        udp = next(iter(link.relay._udp_sockets.values()))
+        udp.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 0)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for _ in range(50):  # with no turn of the loop between them
                 sock.sendto(b"x" * 1000, link.at["n0", "n1"])
--- a/tests/rig/cluster/test_schedules.py
+++ b/tests/rig/cluster/test_schedules.py
@@ -150,7 +150,7 @@
 
 def test_shrinking_leaves_what_fails_and_little_else():
     head = Head(1, 1, 5, 10_000)
-    noise = tuple(Stop(100 * place, 1000, "n4") for place in range(10))
+    noise = tuple(Stop(100 * index, 1000, "n4") for index in range(10))
     guilty = (Link(300, 4000, "cut", ("n0", "n1"), ("n2", "n3")), Kill(700, 2000, "n2"))
     whole = Schedule(head, tuple(sorted((*noise, *guilty), key=lambda step: step.at_ms)))
 
--- a/tests/rig/test_callers.py
+++ b/tests/rig/test_callers.py
@@ -13,7 +13,7 @@
 from rig.clients import Result
 from rig.model import Make, Repeats
 from rig.portservers import PortServer, ServerRecords
-from tests.rig.waiting import bounded, place, until
+from tests.rig.waiting import address_of, bounded, until
 
 SAFE = CallClass("look", "safe", 0.2, 1.0, 0.0, 500.0, 2000.0, 1.0)
 KEYED = CallClass("book", "keyed", 0.5, 1.0, 0.0, 500.0, 2000.0, 10.0)
@@ -92,7 +92,7 @@
 async def test_all_is_served_and_each_call_runs_once():
     with servers() as (server,):
         seen = await play(
-            demand(), n0=Caller("n0", place(server.address)), n1=Caller("n1", place(server.address))
+            demand(), n0=Caller("n0", address_of(server.address)), n1=Caller("n1", address_of(server.address))
         )
         assert all(one.served and one.tries == 1 for one in seen.outcomes)
         rows = {row.call: row for row in server.records.executions}
@@ -107,7 +107,7 @@
 async def test_a_refusal_is_tried_again_with_a_new_id_and_a_mark():
     with servers() as (server,):
         server.drain()
-        seen = await play(demand(20.0), n0=Caller("n0", place(server.address)))
+        seen = await play(demand(20.0), n0=Caller("n0", address_of(server.address)))
         assert {one.tries for one in seen.outcomes} == {3}
         assert {one.last for one in seen.outcomes} == {"refused"}
         assert len({row.call for row in seen.asked}) == 3 * len({row.origin for row in seen.asked})
@@ -119,7 +119,7 @@
 async def test_what_may_have_run_is_not_tried_again_by_clients():
     with servers() as (server,):
         server.fault("fail", 1.0)
-        seen = await play(demand(60.0), n0=Caller("n0", place(server.address)))
+        seen = await play(demand(60.0), n0=Caller("n0", address_of(server.address)))
         tries = {one.want.kind.name: one.tries for one in seen.outcomes}
         assert tries == {"look": 3, "book": 1, "pay": 1}
 
@@ -128,7 +128,7 @@
 async def test_a_sidecar_that_is_not_there_is_tried_again_and_takes_nothing():
     with servers() as (server,):
         server.die()
-        seen = await play(demand(20.0), n0=Caller("n0", place(server.address)))
+        seen = await play(demand(20.0), n0=Caller("n0", address_of(server.address)))
         assert {one.last for one in seen.outcomes} == {"unsent"} and seen.asked == []
 
 
@@ -137,7 +137,7 @@
     with servers() as (server,):
         server.fault("lose", 1.0)
         quick = CallClass("pay", "unsafe", 1.0, 1.0, 0.0, 50.0, 100.0, 1.0)
-        seen = await play(demand(20.0, classes=(quick,)), n0=Caller("n0", place(server.address)))
+        seen = await play(demand(20.0, classes=(quick,)), n0=Caller("n0", address_of(server.address)))
         assert {one.last for one in seen.outcomes} == {"unanswered"}
         assert all(row.ended_s - row.sent_s > row.budget_s for row in seen.asked)
 
@@ -195,7 +195,7 @@
 
 
 def direct(mode, made):
-    known = [(server.name, place(server.address)) for server in made]
+    known = [(server.name, address_of(server.address)) for server in made]
     return Direct(mode, lambda: known, random.Random(1))
 
 
--- a/tests/rig/test_clients.py
+++ b/tests/rig/test_clients.py
@@ -9,13 +9,13 @@
 from rig.clients import Burst, Clients, Plan, Result, Tally, quantile
 from rig.messages import Act
 from rig.servers import Ledger, Server
-from tests.rig.waiting import bounded, place
+from tests.rig.waiting import address_of, bounded
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
 
 
 async def run(server, meanwhile=None, **plan):
-    clients = Clients(place(server.address), Plan(**{"rate_per_s": 200.0, "duration_s": 0.5, **plan}))
+    clients = Clients(address_of(server.address), Plan(**{"rate_per_s": 200.0, "duration_s": 0.5, **plan}))
     running = asyncio.create_task(clients.run())
     if meanwhile is not None:
         await meanwhile(clients)
--- a/tests/rig/test_crowds.py
+++ b/tests/rig/test_crowds.py
@@ -9,7 +9,7 @@
 from rig.crowds import KINDS, MANNERS, PIPELINED, Crowd, Size, added, spread
 from rig.process import ProgramError
 from rig.servers import Ledger, Server
-from tests.rig.waiting import PATIENCE_S, bounded, place
+from tests.rig.waiting import PATIENCE_S, address_of, bounded
 
 
 class Listener:
@@ -100,7 +100,7 @@
 @bounded
 async def test_slow_readers_ask_for_much_and_read_nothing():
     server = await Server(Ledger(), work_ms=(0.0, 1.0)).start()
-    made = await crowd(place(server.address), "slow_readers", standing=3)
+    made = await crowd(address_of(server.address), "slow_readers", standing=3)
     # What the crowd counts is told now and then, and may be older than what the server has got by then.
     counts = await counted(
         made, lambda counts: server.ledger.received == 3 * PIPELINED and counts["open"] == 3
@@ -113,7 +113,7 @@
 @bounded
 async def test_who_asks_once_holds_its_connection_and_a_new_one_comes_when_it_is_closed():
     server = await Server(Ledger(), work_ms=(0.0, 1.0), idle_close_ms=400.0).start()
-    made = await crowd(place(server.address), "once", standing=4)
+    made = await crowd(address_of(server.address), "once", standing=4)
     counts = await counted(made, lambda counts: counts["closed"] >= 4 and counts["connected"] >= 8)
     assert counts["open"] <= 4 and counts["statuses"]["200"] == counts["answered"] and counts["cut"] == 0
     await made.stop()
--- a/tests/rig/test_peers.py
+++ b/tests/rig/test_peers.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from rig.peers import PeerNet
-from tests.rig.waiting import bounded, place, until
+from tests.rig.waiting import address_of, bounded, until
 
 
 class Peer(asyncio.DatagramProtocol):
@@ -33,11 +33,11 @@
     heard = await peers(net, 3)
     configs = [net.config_of(number) for number in range(3)]
     assert configs[0]["peers"] == configs[1]["peers"] and len(configs[0]["peers"]) == 3
-    heard[1].transport.sendto(b"one", place(configs[1]["peers"][0]))
-    heard[2].transport.sendto(b"all", place(configs[2]["peers_all"]))
-    heard[0].transport.sendto(b"x" * 257, place(configs[0]["peers_all"]))
+    heard[1].transport.sendto(b"one", address_of(configs[1]["peers"][0]))
+    heard[2].transport.sendto(b"all", address_of(configs[2]["peers_all"]))
+    heard[0].transport.sendto(b"x" * 257, address_of(configs[0]["peers_all"]))
     await until(lambda: net.delivered == 3 and net.dropped == 1 and len(heard[0].heard) == 2)
-    sources = [place(address) for address in configs[0]["peers"]]
+    sources = [address_of(address) for address in configs[0]["peers"]]
     assert sorted(heard[0].heard) == [(b"all", sources[2]), (b"one", sources[1])]
     await until(lambda: heard[1].heard == [(b"all", sources[2])] and not heard[2].heard)
     net.stop()
@@ -48,7 +48,7 @@
     net = await PeerNet(["n0", "n1"], late_ms=(0.0, 0.0), lost=0.5).start()
     heard = await peers(net, 2)
     for _ in range(100):
-        heard[0].transport.sendto(b"x", place(net.config_of(0)["peers"][1]))
+        heard[0].transport.sendto(b"x", address_of(net.config_of(0)["peers"][1]))
     await until(lambda: net.delivered + net.dropped == 100)
     assert 20 < net.dropped < 80
     net.stop()
--- a/tests/rig/test_portservers.py
+++ b/tests/rig/test_portservers.py
@@ -14,7 +14,7 @@
 from rig.model import Make, Repeats
 from rig.portservers import PortHost, PortServer, ServerRecords, budget_ms
 from rig.process import ProgramError
-from tests.rig.waiting import PATIENCE_S, bounded, place, until
+from tests.rig.waiting import PATIENCE_S, address_of, bounded, until
 
 QUICK = Make(handshake_ms=0.0, probe_ms=0.0)
 NEVER_S = 0.15  # that nothing comes is believed after so long
@@ -42,7 +42,7 @@
 
 
 async def ask(made, *args, within_s=PATIENCE_S, **changes):
-    return await ask_raw(place(made.address), call(*args, **changes), within_s)
+    return await ask_raw(address_of(made.address), call(*args, **changes), within_s)
 
 
 class Kept:
@@ -51,7 +51,7 @@
     @classmethod
     async def open(cls, made):
         self = cls()
-        self.reader, self.writer = await asyncio.open_connection(*place(made.address))
+        self.reader, self.writer = await asyncio.open_connection(*address_of(made.address))
         return self
 
     async def ask(self, *args, within_s=PATIENCE_S, **changes):
@@ -85,10 +85,10 @@
     with server() as made:
         for path, status in [("/look", 404), ("/health/live", 200), ("/stats", 404)]:
             asked = f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
-            assert (await ask_raw(place(made.address), asked, PATIENCE_S)).status == status
+            assert (await ask_raw(address_of(made.address), asked, PATIENCE_S)).status == status
         made.drain()
         asked = b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
-        assert (await ask_raw(place(made.address), asked, PATIENCE_S)).status == 503
+        assert (await ask_raw(address_of(made.address), asked, PATIENCE_S)).status == 503
         assert (await ask(made, work="x")).status == 400
         assert (await ask(made, budget="5 s")).status == 400
         assert made.records.executions == []
@@ -288,7 +288,7 @@
 @bounded
 async def test_load_reports_where_they_are_asked_for():
     with server(Make(report=("inflight", "queue"))) as made:
-        reader, writer = await asyncio.open_connection(*place(made.address))
+        reader, writer = await asyncio.open_connection(*address_of(made.address))
         writer.write(call())
         async with asyncio.timeout(PATIENCE_S):
             assert b"X-Load-Report: inflight=0,queue=0\r\n" in await reader.readuntil(b"\r\n\r\n")
@@ -301,7 +301,7 @@
     try:
         for address in host.addresses.values():
             asked = call("1", kind="book")
-            assert (await ask_raw(place(address), asked, PATIENCE_S)).status == 200
+            assert (await ask_raw(address_of(address), asked, PATIENCE_S)).status == 200
         await host.act("s1", "die")
         await host.act("s1", "start")
         await host.act("s0", "fault", kind="fail", degree=1.0)
--- a/tests/rig/test_registry.py
+++ b/tests/rig/test_registry.py
@@ -7,11 +7,11 @@
 
 from rig.clients import ask_raw
 from rig.registry import Board, Registry, entries, entry
-from tests.rig.waiting import PATIENCE_S, bounded, place, until
+from tests.rig.waiting import PATIENCE_S, address_of, bounded, until
 
 
 async def question(registry, target):
-    reader, writer = await asyncio.open_connection(*place(registry.address))
+    reader, writer = await asyncio.open_connection(*address_of(registry.address))
     writer.write(f"GET {target} HTTP/1.1\r\nHost: registry\r\n\r\n".encode())
     return reader, writer
 
@@ -26,7 +26,7 @@
 async def test_the_list_and_what_changes_after_it():
     registry = await Registry(entries(["127.0.0.1:1", "127.0.0.1:2"])).start()
     head = b"GET /registry/instances HTTP/1.1\r\nHost: registry\r\n\r\n"
-    body = json.loads((await ask_raw(place(registry.address), head, PATIENCE_S)).body)
+    body = json.loads((await ask_raw(address_of(registry.address), head, PATIENCE_S)).body)
     assert (body["index"], body["snapshot"], [row["name"] for row in body["endpoints"]]) == (
         41,
         True,
@@ -96,7 +96,7 @@
         board.change("s0", status)
     await until(lambda: len(board._pending) == 3)
     head = b"GET /registry/instances HTTP/1.1\r\nHost: registry\r\n\r\n"
-    asked = await ask_raw(place(board.agents["n0"].address), head, 0.1)
+    asked = await ask_raw(address_of(board.agents["n0"].address), head, 0.1)
     assert (asked.status, asked.ended) == (0, False)
     assert all(one.notified_s is None for one in board.notifications)
     board.hush(False)
--- a/tests/rig/test_servers.py
+++ b/tests/rig/test_servers.py
@@ -10,7 +10,7 @@
 from rig.messages import NOISE, Act, body_for, request
 from rig.process import ProgramError
 from rig.servers import Fleet, Ledger, Server
-from tests.rig.waiting import PATIENCE_S, bounded, place, until
+from tests.rig.waiting import PATIENCE_S, address_of, bounded, until
 
 
 async def serving(*acts, **changes):
@@ -21,7 +21,7 @@
 
 
 async def ask(server, call="1", **changes):
-    return await ask_raw(place(server.address), request(call, **changes), PATIENCE_S)
+    return await ask_raw(address_of(server.address), request(call, **changes), PATIENCE_S)
 
 
 @bounded
@@ -55,7 +55,7 @@
 @bounded
 async def test_requests_on_one_connection_are_answered_in_their_order():
     server = await serving()
-    reader, writer = await asyncio.open_connection(*place(server.address))
+    reader, writer = await asyncio.open_connection(*address_of(server.address))
     writer.write(
         request("1", act=Act(delay_ms=30.0)) + request("2", act=Act(delay_ms=0.0, size_bytes=70_000))
     )
@@ -78,7 +78,7 @@
     whole = b"Content-Length: 2\r\n\r\n1\n"
 
     async def bytes_until(wanted):
-        reader, writer = await asyncio.open_connection(*place(server.address))
+        reader, writer = await asyncio.open_connection(*address_of(server.address))
         writer.write(request("1"))
         got = b""
         try:
@@ -105,7 +105,7 @@
 
 @bounded
 async def test_a_server_without_a_place_left_turns_away():
-    server = await serving(Act(way="silent"), places=1)
+    server = await serving(Act(way="silent"), concurrency=1)
     task = asyncio.create_task(ask(server, "1"))
     await until(lambda: server.inflight == 1)
     assert (await ask(server, "2")).status == 503
@@ -120,11 +120,11 @@
     try:
         assert len(set(fleet.addresses)) == 3
         for address in fleet.addresses:
-            assert (await ask_raw(place(address), request("7"), PATIENCE_S)).body == body_for("7", 0)
+            assert (await ask_raw(address_of(address), request("7"), PATIENCE_S)).body == body_for("7", 0)
         assert (await fleet.ledger())["repeats"] == {"7": 3}
         await fleet.script(Act(status=500), Act(status=504), turns="round")
         statuses = [
-            (await ask_raw(place(fleet.addresses[0]), request("8"), PATIENCE_S)).status for _ in "123"
+            (await ask_raw(address_of(fleet.addresses[0]), request("8"), PATIENCE_S)).status for _ in "123"
         ]
         assert statuses == [500, 504, 500]
         await fleet.clear()
--- a/tests/rig/waiting.py
+++ b/tests/rig/waiting.py
@@ -5,10 +5,10 @@
 from tests.loopback import PATIENCE_S, until
 from tests.loopback import loopback as bounded
 
-__all__ = ["PATIENCE_S", "bounded", "place", "until"]
+__all__ = ["PATIENCE_S", "address_of", "bounded", "until"]
 
 
-def place(address):
+def address_of(address):
     """`host:port` as a pair."""
     host, _, port = address.rpartition(":")
     return host, int(port)
