--- a/rig/callers.py
+++ b/rig/callers.py
@@ -17,7 +17,7 @@
 from typing import Any, Literal
 
 from rig import ledger
-from rig.clients import Address, After, Asked, Pool, Result, quantile
+from rig.clients import Address, After, Asked, Pool, Result, give_up, quantile
 from rig.messages import body_for, call_ids
 
 Mode = Literal["random", "robin"]
@@ -363,19 +363,11 @@
         made = _Try(self._loop.create_future(), asked)
         self._out[asked] = made
         grace_s = 0.0 if self._direct else GRACE_S  # a balancer answers by the end of the budget
-        asked.limit = self._loop.call_at(now_s + budget_s + grace_s, self._give_up, asked)
+        asked.limit = self._loop.call_at(now_s + budget_s + grace_s, give_up, self, asked)
         pool.ask(asked)
         result, status = await made.done
         return result, status, asked, asked.sent_s
 
-    def _give_up(self, asked: Asked) -> None:
-        link = asked.link
-        if link is None:
-            self.unsent(asked)
-        else:
-            self.end(asked, Result.UNANSWERED)
-            link.abort()
-
     # --- what pools report -------------------------------------------------------------
 
     def turns(self) -> float:
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -245,6 +245,16 @@
         """The one end of a request."""
 
 
+def give_up(owner: Owner, asked: Asked) -> None:
+    """A request's time is over: it ends as unsent where it has no connection, else its connection is cut."""
+    link = asked.link
+    if link is None:
+        owner.unsent(asked)
+    else:
+        owner.end(asked, Result.UNANSWERED)
+        link.abort()
+
+
 class Link(asyncio.Protocol):
     """One connection of a client."""
 
@@ -525,18 +535,10 @@
         self.tally.lag_most_ms = max(self.tally.lag_most_ms, (self._loop.time() - due) * 1000.0)
         asked = Asked.planned(self._rng.choice(self._pools), self.plan, next(self._ids), at_s, due)
         limit = due + (self.plan.budget_ms + GRACE_MS) / 1000.0
-        asked.limit = self._loop.call_at(limit, self._give_up, asked)
+        asked.limit = self._loop.call_at(limit, give_up, self, asked)
         self._open.add(asked)
         asked.pool.ask(asked)
 
-    def _give_up(self, asked: Asked) -> None:
-        link = asked.link
-        if link is None:
-            self.unsent(asked)
-        else:
-            self.end(asked, Result.UNANSWERED)
-            link.abort()
-
     def _close(self) -> None:
         for asked in self._open:
             if asked.limit is not None:
