--- a/rig/loading.py
+++ b/rig/loading.py
@@ -17,6 +17,7 @@
 NEW_LINE = "\r\x1b[K"  # what it writes in place of an old one
 PATIENCE_S = 30.0  # from a line to the next, the first included
 END_S = 90.0  # from its last line to its end: the first plot on a machine looks for all fonts
+STOP_S = 30.0  # from being told to end to its report: a plot takes seconds of CPU
 READ = 65536  # bytes
 
 
@@ -77,7 +78,7 @@
     async def stop(self) -> None:
         """End it, if it still runs; it reports what it has measured until then."""
         try:
-            await self._program.stop()
+            await self._program.stop(STOP_S)
         finally:
             self._close()
 
--- a/rig/process.py
+++ b/rig/process.py
@@ -174,10 +174,10 @@
         try:
             while data := await self._process.stderr.read(65536):
                 self.log_bytes += len(data)
-                whole, _, rest = (rest + data).rpartition(b"\n")
+                whole, end, rest = (rest + data).rpartition(b"\n")
                 if len(rest) > LOG_LINE_MOST:
-                    whole, rest = whole + b"\n" + rest, b""
-                self._take_lines(whole)
+                    whole, end, rest = whole + end + rest, b"", b""
+                self._take_lines(whole + end)  # with its end: a blank line is one however it is cut
         finally:
             self._take_lines(rest)
 
--- a/tests/rig/test_process.py
+++ b/tests/rig/test_process.py
@@ -59,6 +59,22 @@
     assert program.tail[-1] == "bad: 4" and len(program.tail) == 200
 
 
+@bounded
+async def test_blank_lines_of_a_log_are_kept_however_it_comes():
+    """Guards against a blank line that is lost where it is read by itself or ends what is read."""
+    code = (
+        "import sys; log = sys.stderr.write; log('\\n'); sys.stderr.flush(); sys.stdin.readline(); "
+        "log('a\\n\\n'); sys.stderr.flush(); sys.stdin.readline(); log('b\\n'); sys.stderr.flush()"
+    )
+    program = await start(code)
+    for count in (1, 4):
+        await until(lambda count=count: program.log_bytes == count)
+        await program.say(b"go on\n", PATIENCE_S)
+    await program.wait(PATIENCE_S)
+    assert await program.stop() == 0
+    assert program.tail == ["", "a", "", "b"]
+
+
 @bounded
 async def test_a_program_that_does_not_end_is_killed():
     code = "import signal; signal.signal(signal.SIGTERM, signal.SIG_IGN); " + HOLD + "time.sleep(60)"
