--- a/benchmarks/small_shares.py
+++ b/benchmarks/small_shares.py
@@ -26,7 +26,7 @@
 from rig.cluster.nodes import PlatformNode, start_all
 from rig.messages import KNOWN_TENANT
 from rig.process import ProgramError
-from rig.registry import Registry, entries
+from rig.registry import Registry, entries, listed
 from rig.servers import Fleet
 
 PROCESSES, QUICK_PROCESSES = 20, 4
@@ -78,10 +78,13 @@
     async def start(self, count: int, tree: Path) -> None:
         """All of it; `ProgramError` if a process can't be started."""
         self._fleet = await Fleet.start(SERVERS, seed=self._seed, work_ms=(0.0, 0.0))
-        self._registry = await Registry(entries(self._fleet.addresses)).start()
+        rows = entries(self._fleet.addresses)
+        self._registry = await Registry(rows).start()
+
+        known = listed(41, rows)
 
         def config(number: int, life: int) -> dict[str, Any]:
-            made = config_for(self._fleet.addresses, self._registry.address, 0, Me=number, Balancers=count)
+            made = config_for(known, self._registry.address, 0, Me=number, Balancers=count)
             return {**made, "seed": f"{number:04x}{life:04x}", "limits": LIMITS}
 
         for number in range(count):
--- a/rig/balancers.py
+++ b/rig/balancers.py
@@ -8,7 +8,7 @@
 import sys
 import tempfile
 import time
-from collections.abc import AsyncIterator, Sequence
+from collections.abc import AsyncIterator
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -81,15 +81,15 @@
     registry: Registry
 
 
-def config_for(addresses: Sequence[str], registry: str, sockets: int, **changes: Any) -> dict[str, Any]:
-    """The configuration of a sidecar that knows these servers; `changes` go into its settings."""
+def config_for(known: dict[str, Any], registry: str, sockets: int, **changes: Any) -> dict[str, Any]:
+    """The configuration of a sidecar that knows this list; `changes` go into its settings."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
         "discovery": registry,
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": MEMORY_MB, "sockets": sockets},
-        "known": listed(41, entries(list(addresses))),
+        "known": known,
         "settings": {**SETTINGS, **changes},
     }
 
@@ -163,10 +163,11 @@
 ) -> AsyncIterator[Stage]:
     """Servers, discovery and a program under test between them, all ready; `ProgramError` if not."""
     fleet = await Fleet.start(servers, seed=seed, work_ms=work_ms)
-    registry = Registry(entries(fleet.addresses))
+    rows = entries(fleet.addresses)
+    registry = Registry(rows)
     try:
         await registry.start()
-        made = sidecar(tree, config_for(fleet.addresses, registry.address, sockets, **changes), core)
+        made = sidecar(tree, config_for(listed(41, rows), registry.address, sockets, **changes), core)
         async with made as target:
             yield Stage(target, fleet, registry)
     finally:
--- a/tests/daemon/test_told.py
+++ b/tests/daemon/test_told.py
@@ -16,7 +16,7 @@
 from fordtrestle.config import platform
 from fordtrestle.daemon.sidecar import Sidecar
 from fordtrestle.engine.pressure import Pressure
-from tests.loopback import BY_BOOKS, OK, SETTINGS, App, Upstream, entry, listed, read_message
+from tests.loopback import BY_LEDGERS, OK, SETTINGS, App, Upstream, entry, listed, read_message
 from tests.membership.standin import HEAD, chunk
 from tests.virtual import virtual
 
@@ -151,7 +151,7 @@
         self.path.write_text(json.dumps(self.raw))
         env = {"NODE_CONFIG": str(self.path)}
         self.sidecar = Sidecar(asyncio.get_running_loop(), platform.load(env), env)
-        self.sidecar.overload.pressure = Pressure(BY_BOOKS)
+        self.sidecar.overload.pressure = Pressure(BY_LEDGERS)
         address = await self.sidecar.start()
         clients = [asyncio.create_task(self._client(address)) for _ in range(CLIENTS)]
         try:
--- a/tests/http/test_settle.py
+++ b/tests/http/test_settle.py
@@ -12,7 +12,7 @@
 from poppypulley.model import Send
 from tests.http.test_front import status_of
 from tests.http.test_upstream import failing, news, pooled
-from tests.loopback import OK, App, Scripted, Upstream, entry, request, running, told, until
+from tests.loopback import OK, App, Scripted, Upstream, entry, platform_config, request, running, until
 from tests.virtual import virtual
 
 LOOK, BOOK, PAY = RequestClass(0, "GET", False), RequestClass(1, "POST", True), RequestClass(2, "POST", False)
@@ -96,7 +96,7 @@
 
 
 def options(**changes):
-    return dataclasses.replace(platform.pool_options(told()), **changes)
+    return dataclasses.replace(platform.pool_options(platform_config()), **changes)
 
 
 @pytest.mark.parametrize(("grace_ms", "from_ms"), [(100.0, 1050.0), (9000.0, 1450.0), (0.0, 1000.0)])
--- a/tests/http/test_upstream.py
+++ b/tests/http/test_upstream.py
@@ -24,8 +24,8 @@
     entry,
     hang,
     listed,
+    platform_config,
     running,
-    told,
     until,
 )
 from tests.virtual import virtual
@@ -206,13 +206,13 @@
 
 
 def news(*entries):
-    return parse_list(listed(42, *entries, snapshot=False), told().indices)
+    return parse_list(listed(42, *entries, snapshot=False), platform_config().indices)
 
 
 def pooled(upstream):
     loop = asyncio.get_running_loop()
     budget = Limits(100, 2**20, 100).budget("servers")
-    pool = pools.Pool(loop, Clock(loop), platform.pool_options(told([upstream])), budget)
+    pool = pools.Pool(loop, Clock(loop), platform.pool_options(platform_config([upstream])), budget)
     pool.update(0.0, True, news(entry("s0", upstream.address)))
     return pool
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,45 +13,23 @@
 from fordtrestle.daemon.sidecar import Sidecar
 from fordtrestle.engine.pressure import RULES, Monitor, Pressure
 from poppypulley.model import Send
+from rig import balancers
 
 PATIENCE_S = 60.0  # of real time, for what comes at once on an idle machine
 BUDGET = "4000m"
 
+# The rig's, but for two tenants with small allowances, probes and messages among peers, and two sidecars.
 SETTINGS = {
-    "Profiles": [
-        {"Name": "look", "Semantics": "pure", "Objective": 2000.0, "Deadline": 5000.0},
-        {
-            "Name": "book",
-            "Semantics": "token",
-            "Group": "zone",
-            "KeyTtl": 1200.0,
-            "Objective": 2000.0,
-            "Deadline": 5000.0,
-        },
-        {"Name": "pay", "Semantics": "side_effect", "Objective": 2000.0, "Deadline": 5000.0},
-    ],
-    "FailureDomains": ["east", "west"],
-    "Kinds": ["big", "small"],
+    **balancers.SETTINGS,
     "Tenants": [{"Name": "acme", "AllowancePerS": 5.0}, {"Name": "globex", "AllowancePerS": 5.0}],
-    "Discovery": "automatic",
-    "PolicyLimits": {
-        "MaxAttempts": 3,
-        "MayCancel": True,
-        "MayProbe": True,
-        "PeerMessages": True,
-        "ConnectTimeout": 250.0,
-        "IdleClose": 5000.0,
-    },
-    "Rules": {"StopSendingWithin": 500.0},
-    "Report": {"How": "inline", "Fields": ["inflight", "queue"]},
-    "Me": 0,
+    "PolicyLimits": {**balancers.SETTINGS["PolicyLimits"], "MayProbe": True, "PeerMessages": True},
     "Balancers": 2,
 }
 
-# What presses a test's sidecar: its books. How late the loop runs, CPU and accept queues hang on what else
+# What presses a test's sidecar: its ledgers. How late the loop runs, CPU and accept queues hang on what else
 # the machine does, resident memory on the tests before; a test of one of them names its rules.
 OF_THE_MACHINE = (Monitor.LAG, Monitor.CPU, Monitor.BACKLOG, Monitor.MEMORY)
-BY_BOOKS = tuple(rule for rule in RULES if rule.monitor not in OF_THE_MACHINE)
+BY_LEDGERS = tuple(rule for rule in RULES if rule.monitor not in OF_THE_MACHINE)
 
 CALLS = itertools.count(1)  # an identity is new with every request
 
@@ -217,31 +195,23 @@
         return [(hop, status, last) for _, hop, status, _, last, _ in self.named("outcome")]
 
 
-def told(upstreams=(), registry="127.0.0.1:9", raw=None, limits=platform.USUAL, **settings):
+def platform_config(upstreams=(), registry="127.0.0.1:9", raw=None, limits=platform.USUAL, **settings):
     """A configuration that knows these servers, as s0, s1 and on."""
     known = listed(41, *(entry(f"s{i}", upstream.address) for i, upstream in enumerate(upstreams)))
-    base = {
-        "name": "n0",
-        "listen": "127.0.0.1:0",
-        "discovery": registry,
-        "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
-        "known": known,
-        "settings": {**SETTINGS, **settings},
-    }
+    base = balancers.config_for(known, registry, 1024, **{**SETTINGS, **settings})
     return platform.parse({**base, **(raw or {})}, {}, limits)
 
 
 @contextlib.asynccontextmanager
 async def running(
-    *upstreams, balancer=None, registry=None, raw=None, limits=platform.USUAL, rules=BY_BOOKS, **settings
+    *upstreams, balancer=None, registry=None, raw=None, limits=platform.USUAL, rules=BY_LEDGERS, **settings
 ):
     """A sidecar in this process, and the upstreams it knows; `rules` are those of its pressure."""
     own = registry is None
     registry = await Registry().start() if own else registry
     made = Sidecar(
         asyncio.get_running_loop(),
-        told(upstreams, registry=registry.address, raw=raw, limits=limits, **settings),
+        platform_config(upstreams, registry=registry.address, raw=raw, limits=limits, **settings),
     )
     if balancer is not None:
         made.driver._balancer = balancer
