--- a/fordtrestle/config/rulebooks.py
+++ b/fordtrestle/config/rulebooks.py
@@ -209,7 +209,7 @@
 def names_of(acting: Acting, service: str) -> RequestNames:
     """A service's classes and tenants, as requests name them, in the order of `settings_of`.
 
-    Requests are written by the effective book, whatever is pending."""
+    Requests are written by the effective rulebook, whatever is pending."""
     rules, forms = acting.services[service].rules, acting.services[service].forms
     rows = tuple(msgspec.structs.replace(row, semantics=forms[row.name]) for row in rules.classes)
     return options.names(service_spec(msgspec.structs.replace(rules, classes=rows), ""))
@@ -241,7 +241,7 @@
     """The rules with classes as the decision module keeps to them.
 
     Guards against repeats of calls that came without a key, and against groups of which a server's zone
-    does not tell while books differ in it: their cells do then."""
+    does not tell while rulebooks differ in it: their cells do then."""
     by_cell = _zones_differ(service)
     rows = []
     for row in service.rules.classes:
@@ -254,7 +254,7 @@
 
 
 def _cells(service: ActingService) -> dict[str, int]:
-    """The cell of each server; where books differ, numbers that split servers wherever one of them does."""
+    """The cell of each server; where rulebooks differ, numbers that split servers wherever one does."""
     servers = service.servers.values()
     if _zones_differ(service):
         parts = {row.rules.name: (row.zone_part, row.group_part) for row in servers}
@@ -266,7 +266,7 @@
 
 
 def _zones_differ(service: ActingService) -> bool:
-    """Whether some books have servers in one zone that are in two by others."""
+    """Whether some rulebooks have servers in one zone that are in two by others."""
     if all(row.semantics != "keyed" or row.group != "zone" for row in service.rules.classes):
         return False
     zone_index = {zone: index for index, zone in enumerate(service.rules.zones)}
--- a/fordtrestle/engine/pressure.py
+++ b/fordtrestle/engine/pressure.py
@@ -110,13 +110,13 @@
 
     def update(self, now: float, readings: Mapping[Monitor, float]) -> list[Change]:
         """Take in readings, of which some may be missing; which actions went on or off."""
-        told = dict(readings)
-        if Monitor.MEMORY in told:
-            told[Monitor.MEMORY] = self._memory(told)
+        known = dict(readings)
+        if Monitor.MEMORY in known:
+            known[Monitor.MEMORY] = self._memory(known)
         changes = []
         for action, state in self._states.items():
             was_on = bool(state.rules)
-            cause, level = self._judge(action, state, told)
+            cause, level = self._judge(action, state, known)
             self._levels[action] = level
             if bool(state.rules) != was_on:
                 lasted = 0.0 if not was_on else now - state.since_ms
--- a/fordtrestle/engine/tally.py
+++ b/fordtrestle/engine/tally.py
@@ -76,5 +76,5 @@
     """What the counts of one service or front say, for on-call staff: a line for each class and end."""
     for name, ends in counts.items():
         for end, causes in ends.items():
-            told = ", ".join(f"{cause} {count}" for cause, count in causes.items())
-            yield f"{what}: class {name}: {sum(causes.values())} {end}: {told}"
+            counted = ", ".join(f"{cause} {count}" for cause, count in causes.items())
+            yield f"{what}: class {name}: {sum(causes.values())} {end}: {counted}"
--- a/tests/config/test_numbering.py
+++ b/tests/config/test_numbering.py
@@ -1,4 +1,4 @@
-"""Names keep their places as settings change, and what has gone keeps its own and counts for nothing."""
+"""Names keep their indices as settings change, and what has gone keeps its own and counts for nothing."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 @given(st.lists(NAMES, max_size=6))
-def test_a_name_has_one_place_for_good(turns):
-    known, places = (), {}
+def test_a_name_has_one_index_for_good(turns):
+    known, index_of = (), {}
     for names in turns:
         known = numbering.extended(known, names)
         assert set(names) <= set(known) and len(set(known)) == len(known)
-        for name, place in places.items():
-            assert known.index(name) == place
-        places = {name: place for place, name in enumerate(known)}
+        for name, index in index_of.items():
+            assert known.index(name) == index
+        index_of = {name: index for index, name in enumerate(known)}
 
 
 def test_names_are_bounded():
--- a/tests/membership/standin.py
+++ b/tests/membership/standin.py
@@ -1,4 +1,4 @@
-"""Stand-ins for discovery that fail in stated ways, and for who is told."""
+"""Stand-ins for discovery that fail in stated ways, and for who hears its news."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-class Told:
-    """Who is told: what came, and when."""
+class NewsRecorder:
+    """Hears the news: what came, and when."""
 
     def __init__(self):
         self.news = []
@@ -50,11 +50,11 @@
         return self.news[1:] if self.news[:1] and self.news[0][0] == "remembered" else self.news
 
 
-def asking(address, told, pushed=True, version=41, seed=1):
+def asking(address, recorder, pushed=True, version=41, seed=1):
     """Discovery as a sidecar has it, not yet started."""
     known = ServerList(version, True, [], {})
     options = RegistryOptions(parse_address(address), NameIndices({"west": 0}, {}), pushed, known, seed)
-    return Discovery(asyncio.get_running_loop(), options, told)
+    return Discovery(asyncio.get_running_loop(), options, recorder)
 
 
 class Outage:
--- a/tests/membership/test_bounds.py
+++ b/tests/membership/test_bounds.py
@@ -11,7 +11,7 @@
 from fordtrestle.engine.ports import parse_address
 from fordtrestle.membership import registry
 from tests.loopback import Registry
-from tests.membership.standin import Outage, Told, asking
+from tests.membership.standin import NewsRecorder, Outage, asking
 from tests.virtual import virtual
 
 COUNTS_AS_TOLD_S = 6.0
@@ -40,7 +40,7 @@
     assert dial > 1.0
 
 
-def module(discovery, told):
+def module(discovery, recorder):
     """Asks again as late as the decision module may."""
     loop = asyncio.get_running_loop()
 
@@ -48,7 +48,7 @@
         if form == "refused":
             loop.call_later(ASK_MOST_S, discovery.watch, True)
 
-    told.then = again
+    recorder.then = again
     discovery.watch(True)
 
 
@@ -68,22 +68,22 @@
     queue_s = 0.0 if pushed or how in ("mute", "half", "spoilt") else QUEUE_S
     outage = await Outage(how, queue_s=queue_s).start()
     before = await Outage("mute").start()
-    told = Told()
-    discovery = asking(before.address if "moved" in way else outage.address, told, pushed)
+    recorder = NewsRecorder()
+    discovery = asking(before.address if "moved" in way else outage.address, recorder, pushed)
     discovery.start()
     if not pushed:
-        module(discovery, told)
+        module(discovery, recorder)
     if "moved" in way:
         await before.first.wait()
         discovery.move(parse_address(outage.address))
     loop = asyncio.get_running_loop()
     await asyncio.sleep(back_s)
-    if any(form == "all" for form, *_ in told.since_start()):
+    if any(form == "all" for form, *_ in recorder.since_start()):
         pytest.fail("told while it could not be reached")
     back_at = loop.time()
     await outage.back()
-    await told.until(lambda news: news == ("all", 50, ["new"]))
-    assert told.at - back_at <= BOUND_S + TURN_S
+    await recorder.until(lambda news: news == ("all", 50, ["new"]))
+    assert recorder.at - back_at <= BOUND_S + TURN_S
     discovery.close()
     outage.stop()
     before.stop()
@@ -94,11 +94,11 @@
 @virtual
 async def test_what_a_silent_watch_misses_is_taken_in_within_the_bound(pushed, rest):
     first = await Registry().start()
-    told = Told()
-    discovery = asking(first.address, told, pushed)
+    recorder = NewsRecorder()
+    discovery = asking(first.address, recorder, pushed)
     discovery.start()
     if not pushed:
-        module(discovery, told)
+        module(discovery, recorder)
     await until_virtual(lambda: first.watches)
     first.tell(42)
     for _ in range(8):  # it lives on heartbeats alone
@@ -113,8 +113,8 @@
     assert len(first.asked) == 1
     await until_virtual(lambda: len(first.watches) == 2)
     first.tell(43)
-    await told.until(lambda news: news[1] == 43)
-    assert told.at - silent_at <= BOUND_S + TURN_S
+    await recorder.until(lambda news: news[1] == 43)
+    assert recorder.at - silent_at <= BOUND_S + TURN_S
     discovery.close()
     first.stop()
 
@@ -124,7 +124,7 @@
     """Guards against a storm: of each process at its own pace, and of all at once at the return."""
     fleet, outage_s = 60, 8.0
     outage = await Outage("resets").start()
-    members = [asking(outage.address, Told(), seed=seed) for seed in range(fleet)]
+    members = [asking(outage.address, NewsRecorder(), seed=seed) for seed in range(fleet)]
     for member in members:
         member.start()
     loop = asyncio.get_running_loop()
--- a/tests/membership/test_crossings.py
+++ b/tests/membership/test_crossings.py
@@ -11,7 +11,7 @@
 from fordtrestle.engine.ports import parse_address
 from fordtrestle.membership import lists, registry
 from tests.loopback import Registry, entry, listed
-from tests.membership.standin import HEAD, Outage, Told, asking, chunk, line
+from tests.membership.standin import HEAD, NewsRecorder, Outage, asking, chunk, line
 from tests.virtual import virtual
 
 
@@ -40,26 +40,26 @@
     return await Registry().start(), await Registry(listed(3, entry("s1"))).start()
 
 
-def names(told):
-    return [(form, version) for form, version, _ in told.news]
+def names(recorder):
+    return [(form, version) for form, version, _ in recorder.news]
 
 
 @virtual
 async def test_the_old_place_s_news_that_are_in_hand_at_a_move_are_not_told(channels):
     """Guards against the old place's version, for which the new one's whole list is older for good."""
     old, new = await places()
-    told = Told()
-    discovery = asking(old.address, told)
+    recorder = NewsRecorder()
+    discovery = asking(old.address, recorder)
     discovery.start()
     await until(lambda: old.watches)
     await asyncio.sleep(0.05)
     discovery.move(parse_address(new.address))
     channels[0].data_received(chunk(line(50, "late")))
-    assert names(told) == [("remembered", 41)]
+    assert names(recorder) == [("remembered", 41)]
     await until(lambda: new.watches)
     new.tell(4, entry("s2"))
-    await told.until(lambda news: news[1] == 4)
-    assert names(told) == [("remembered", 41), ("all", 3), ("changes", 4)]
+    await recorder.until(lambda news: news[1] == 4)
+    assert names(recorder) == [("remembered", 41), ("all", 3), ("changes", 4)]
     discovery.close()
     old.stop()
     new.stop()
@@ -68,14 +68,14 @@
 @virtual
 async def test_news_that_make_their_hearer_move_are_the_last_of_that_place():
     old, new = await places()
-    told = Told()
-    discovery = asking(old.address, told)
-    told.then = lambda form: form == "changes" and discovery.move(parse_address(new.address))
+    recorder = NewsRecorder()
+    discovery = asking(old.address, recorder)
+    recorder.then = lambda form: form == "changes" and discovery.move(parse_address(new.address))
     discovery.start()
     await until(lambda: old.watches)
     old.write(line(42, "a") + line(43, "b"))
-    await told.until(lambda news: news[1] == 3)
-    assert names(told) == [("remembered", 41), ("changes", 42), ("all", 3)]
+    await recorder.until(lambda news: news[1] == 3)
+    assert names(recorder) == [("remembered", 41), ("changes", 42), ("all", 3)]
     discovery.close()
     old.stop()
     new.stop()
@@ -87,8 +87,8 @@
 async def test_a_watch_that_is_ended_with_its_answer_in_hand_tells_nothing_more(when, how, channels):
     """Neither news nor that it was refused."""
     only = await Registry().start()
-    told = Told()
-    discovery = asking(only.address, told, pushed=False)
+    recorder = NewsRecorder()
+    discovery = asking(only.address, recorder, pushed=False)
     discovery.start()
     discovery.watch(True)
     await until(lambda: only.watches)
@@ -104,10 +104,10 @@
     if when == "before":
         end("")
     else:
-        told.then = end
+        recorder.then = end
     channels[0].data_received(both)
     await asyncio.sleep(30.0)
-    assert names(told) == [("remembered", 41)] + ([("changes", 42)] if when != "before" else [])
+    assert names(recorder) == [("remembered", 41)] + ([("changes", 42)] if when != "before" else [])
     assert only.watches[0].is_closing() and len(only.asked) == 1
     discovery.close()
     only.stop()
@@ -116,15 +116,15 @@
 @virtual
 async def test_a_watch_that_breaks_in_the_turn_in_which_it_is_ended_was_not_refused(channels):
     only = await Registry().start()
-    told = Told()
-    discovery = asking(only.address, told, pushed=False)
+    recorder = NewsRecorder()
+    discovery = asking(only.address, recorder, pushed=False)
     discovery.watch(True)
     await until(lambda: only.watches)
     await asyncio.sleep(0.05)
     channels[0].connection_lost(None)
     discovery.watch(False)
     await asyncio.sleep(10.0)
-    assert told.news == []
+    assert recorder.news == []
     discovery.close()
     only.stop()
 
@@ -132,17 +132,17 @@
 @virtual
 async def test_a_list_that_is_complete_in_the_turn_of_a_move_is_not_told(channels):
     old, new = await Outage("mute").start(), await Registry(listed(3, entry("s1"))).start()
-    told = Told()
-    discovery = asking(old.address, told, pushed=False)
+    recorder = NewsRecorder()
+    discovery = asking(old.address, recorder, pushed=False)
     discovery.fetch()
     await old.first.wait()
     body = line(60, "late", snapshot=True)
     channels[0].data_received(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
     assert channels[0].complete
     discovery.move(parse_address(new.address))
-    await told.until(lambda news: news[1] == 3)
+    await recorder.until(lambda news: news[1] == 3)
     await asyncio.sleep(10.0)
-    assert names(told) == [("all", 3)]
+    assert names(recorder) == [("all", 3)]
     discovery.close()
     old.stop()
     new.stop()
@@ -152,7 +152,7 @@
 @virtual
 async def test_a_dial_that_comes_up_in_the_turn_in_which_it_is_given_up_asks_nothing(what, monkeypatch):
     old, new = await places()
-    discovery = asking(old.address, Told(), pushed=False)
+    discovery = asking(old.address, NewsRecorder(), pushed=False)
     whole = registry.Channel.connection_made
     given_up = []
 
@@ -182,16 +182,16 @@
 async def test_a_list_older_than_a_spoilt_watch_has_told_is_refused(channels, capfd):
     """Guards against servers that leave being listed as active again."""
     only = await Registry(listed(45, entry("old"))).start()
-    told = Told()
-    discovery = asking(only.address, told, pushed=False)
+    recorder = NewsRecorder()
+    discovery = asking(only.address, recorder, pushed=False)
     discovery.watch(True)
     await until(lambda: only.watches)
     only.tell(50, entry("new"))
-    await told.until(lambda news: news[1] == 50)
+    await recorder.until(lambda news: news[1] == 50)
     channels[0].data_received(chunk(b"{}}\n"))
     discovery.fetch()
     await asyncio.sleep(1.0)
-    assert names(told) == [("changes", 50), ("refused", None), ("refused", None)]
+    assert names(recorder) == [("changes", 50), ("refused", None), ("refused", None)]
     discovery.watch(True)
     await until(lambda: len(only.watches) == 2)
     assert only.asked[-1] == "/registry/instances?watch=1&from=0"  # what the spoilt line said is not known
@@ -203,7 +203,7 @@
 @virtual
 async def test_nothing_is_asked_once_it_is_closed():
     only = await Registry().start()
-    discovery = asking(only.address, Told(), pushed=False)
+    discovery = asking(only.address, NewsRecorder(), pushed=False)
     discovery.close()
     discovery.watch(True)
     discovery.fetch()
@@ -218,8 +218,8 @@
     """There and back while a dial hangs; then to a place that counts from its own start."""
     old, new = await places()
     hangs = await Outage("hangs").start()
-    told = Told()
-    discovery = asking(old.address, told)
+    recorder = NewsRecorder()
+    discovery = asking(old.address, recorder)
     discovery.start()
     await until(lambda: old.watches)
     discovery.move(parse_address(hangs.address))
@@ -230,9 +230,9 @@
     await asyncio.sleep(7.0)
     discovery.move(parse_address(new.address))
     moved_at = asyncio.get_running_loop().time()
-    await told.until(lambda news: news[1] == 3)
-    assert told.at - moved_at < 0.1  # at once, not after the wait
-    assert names(told) == [("remembered", 41), ("all", 3)]
+    await recorder.until(lambda news: news[1] == 3)
+    assert recorder.at - moved_at < 0.1  # at once, not after the wait
+    assert names(recorder) == [("remembered", 41), ("all", 3)]
     discovery.close()
     for place in (old, new, hangs):
         place.stop()
@@ -294,17 +294,17 @@
 async def test_a_watch_whose_answer_is_spoilt_each_time_is_one_line_and_few_calls(what, capfd):
     """What was good stays in force, and the first good answer is taken in."""
     hostile = await Hostile(SPOILT[what]).start()
-    told = Told()
-    discovery = asking(hostile.address, told)
+    recorder = NewsRecorder()
+    discovery = asking(hostile.address, recorder)
     discovery.start()
     await asyncio.sleep(20.0)
-    assert [form for form, *_ in told.news if form != "changes"] == ["remembered"]
-    assert all(news[1:] == (41, []) for news in told.news)
+    assert [form for form, *_ in recorder.news if form != "changes"] == ["remembered"]
+    assert all(news[1:] == (41, []) for news in recorder.news)
     assert 10 < len(hostile.asked) <= 6 + 20.0 / (0.5 * registry.BACKOFF_MOST_S)
     logged = capfd.readouterr().err.splitlines()
     assert len(logged) == 1 and len(logged[0]) < 300
     hostile.data = answer(line(44, "new", snapshot=True))
-    await told.until(lambda news: news == ("all", 44, ["new"]))
+    await recorder.until(lambda news: news == ("all", 44, ["new"]))
     discovery.close()
     hostile.stop()
 
@@ -319,8 +319,8 @@
     body, repeat, channels, monkeypatch, capfd
 ):
     hostile = await Hostile(HEAD + (chunk(body) if body else b""), repeat).start()
-    told = Told()
-    discovery = asking(hostile.address, told, pushed=False)
+    recorder = NewsRecorder()
+    discovery = asking(hostile.address, recorder, pushed=False)
     taken = []
     whole = registry.Channel.data_received
 
@@ -331,8 +331,8 @@
     monkeypatch.setattr(registry.Channel, "data_received", data_received)
     began = asyncio.get_running_loop().time()
     discovery.fetch()
-    await told.until(lambda news: news[0] == "refused")
-    assert told.at - began <= registry.DIAL_S + registry.ANSWER_S
+    await recorder.until(lambda news: news[0] == "refused")
+    assert recorder.at - began <= registry.DIAL_S + registry.ANSWER_S
     assert sum(taken) <= registry.LIST_MOST + 2 * 256 * 1024  # a read is of 256 KiB
     await until(lambda: channels[0].broken.done())
     assert len(capfd.readouterr().err.splitlines()) == 1
@@ -343,7 +343,7 @@
 @virtual
 async def test_a_long_line_in_small_pieces_costs_no_more_than_its_length(channels):
     only = await Registry().start()
-    discovery = asking(only.address, Told())
+    discovery = asking(only.address, NewsRecorder())
     discovery.start()
     await until(lambda: only.watches)
     await asyncio.sleep(0.05)
@@ -369,16 +369,16 @@
 @virtual
 async def test_lists_of_a_watch_may_come_indented_in_any_pieces():
     only = await Registry().start()
-    told = Told()
-    discovery = asking(only.address, told)
+    recorder = NewsRecorder()
+    discovery = asking(only.address, recorder)
     discovery.start()
     await until(lambda: only.watches)
     text = indented(42, entry("s1"), entry("s2")) + indented(43, entry("s3", status="leaving")) + b"\n"
     for at in range(0, len(text), 11):
         only.write(text[at : at + 11])
     only.tell(44, entry("s4"))
-    await until(lambda: len(told.news) == 4)
-    assert names(told)[1:] == [("changes", 42), ("changes", 43), ("changes", 44)]
+    await until(lambda: len(recorder.news) == 4)
+    assert names(recorder)[1:] == [("changes", 42), ("changes", 43), ("changes", 44)]
     assert len(only.watches) == 1
     discovery.close()
     only.stop()
@@ -388,16 +388,16 @@
 async def test_half_a_list_that_no_more_comes_of_ends_its_watch_and_is_asked_for_again():
     """A heartbeat can't stand within a list: what came before it is all that comes."""
     only = await Registry().start()
-    told = Told()
-    discovery = asking(only.address, told)
+    recorder = NewsRecorder()
+    discovery = asking(only.address, recorder)
     discovery.start()
     await until(lambda: only.watches)
     only.write(indented(42, entry("s1"))[:-4] + b"\n")
     only.write(b"\n")
     await until(lambda: len(only.watches) == 2)
     only.tell(42, entry("s1"))
-    await until(lambda: len(told.news) == 2)
-    assert only.asked[-1].endswith("from=41") and names(told)[1:] == [("changes", 42)]
+    await until(lambda: len(recorder.news) == 2)
+    assert only.asked[-1].endswith("from=41") and names(recorder)[1:] == [("changes", 42)]
     discovery.close()
     only.stop()
 
@@ -405,7 +405,7 @@
 @virtual
 async def test_a_list_that_comes_line_by_line_without_an_end_does_not_show_life():
     only = await Registry().start()
-    discovery = asking(only.address, Told())
+    discovery = asking(only.address, NewsRecorder())
     discovery.start()
     await until(lambda: only.watches)
     loop = asyncio.get_running_loop()
