--- a/tests/rig/cluster/test_command.py
+++ b/tests/rig/cluster/test_command.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import asyncio
 import json
 import math
 
@@ -14,6 +15,7 @@
 from rig.cluster.schedules import FORMAT, Head, Kill, Link, News, Schedule, read
 from rig.ledger import Ledger
 from tests.rig.cluster.logs import Log
+from tests.rig.waiting import UNSOUND, believed
 
 SCHEDULES = sorted(file.stem for file in command.REGRESSIONS.glob("*.jsonl"))
 HEAD = Head(FORMAT, 3, 3, 4500)
@@ -80,14 +82,23 @@
 
 
 @pytest.mark.parametrize("name", SCHEDULES)
-def test_each_kind_of_fault_comes_to_what_its_file_states(name, capsys):
+@believed
+def test_each_kind_of_fault_comes_to_what_its_file_states(name):
     """A schedule on 3 to 5 processes; a test each, which workers share out between them."""
-    code = command.main(["ci", "--only", name])
+    given = command.parser().parse_args(["ci"])
+    report = asyncio.run(command._one(command.REGRESSIONS / f"{name}.jsonl", given))
+    UNSOUND.extend(report.unsound)
+    assert report.verdict == report.stated, report.findings
+
+
+def test_schedules_of_a_folder_are_played_side_by_side(capsys, monkeypatch):
+    monkeypatch.setattr(command, "PLAYS_MOST", 2)
+    code = command.main(["ci", "--only", "link-cut,split"])
     said = capsys.readouterr().out
     assert "where its file states" not in said, said
     if code and "UNSOUND" in said:
         pytest.skip("this machine is too busy: an unsound play says nothing")
-    assert code == 0 and "1 passed, 0 failed" in said
+    assert code == 0 and "2 passed, 0 failed" in said
 
 
 def test_there_is_a_schedule_of_each_kind_of_fault():
