--- a/fordtrestle/cluster/leader.py
+++ b/fordtrestle/cluster/leader.py
@@ -115,8 +115,9 @@
     def _sound(self, voter: Voter, peer: Peer) -> bool:
         """Whether what is known of a peer is of the disk that votes, in an incarnation that is remembered."""
         state = self._state
-        known = state.incarnations.known(peer.disk, peer.incarnation, state.out.durable)
-        return voter.disk == peer.disk and known
+        if not voter.disk or voter.disk != peer.disk:
+            return False
+        return state.incarnations.known(peer.disk, peer.incarnation, state.out.durable)
 
     def _match_index_of(self, voter: Voter) -> float:
         if voter == self._state.me:
--- a/fordtrestle/cluster/members.py
+++ b/fordtrestle/cluster/members.py
@@ -136,7 +136,7 @@
         self._seen[disk], self._tokens[disk] = incarnation, token
         named = {slot.disk for slot in slots}
         unnamed = [disk for disk in self._seen if disk not in named]
-        for other in unnamed[: len(self._seen) - INCARNATIONS_MOST]:
+        for other in unnamed[: max(0, len(self._seen) - INCARNATIONS_MOST)]:
             del self._seen[other]
             self._tokens.pop(other, None)
         return tuple(self._seen.items())
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -20,7 +20,7 @@
     with_disk,
 )
 from fordtrestle.cluster.messages import AppendEntries, AppendEntriesResponse, RecoveryResponse, Voter, Voters
-from tests.cluster.test_order import cut, elect, grown, led
+from tests.cluster.test_order import Bench, cut, elect, grown, led
 from tests.cluster.world import CONFIG, Disk, World
 
 SLOTS = tuple(Voter(name, f"disk-{name}") for name in "abcde")
@@ -87,6 +87,13 @@
     assert len(kept) <= INCARNATIONS_MOST and incarnations.of("x") == 4
 
 
+def test_no_incarnation_is_forgotten_while_there_is_room_for_it():
+    incarnations = Incarnations(())
+    for number in range(INCARNATIONS_MOST):
+        incarnations.note(f"d{number}", 7, token=1, slots=(Voter("x", "x"),))
+    assert [incarnations.of(f"d{number}") for number in range(INCARNATIONS_MOST)] == [7] * INCARNATIONS_MOST
+
+
 def test_an_incarnation_is_durable_before_anything_of_it_is_counted():
     world = led()
     world.restart("c")
@@ -108,6 +115,15 @@
     return [[v.disk for v in e.body.voters] for e in entries if isinstance(e.body, Voters)]
 
 
+def test_a_vacant_slot_counts_for_nothing():
+    bench = Bench().leads()
+    sequence, last = max(bench.order.state.peers["b"].unanswered), bench.order.log.last_index
+    bench.hear("b", AppendEntriesResponse(2, sequence, True, last, "disk-b", 1))
+    bench.call(lambda now: bench.order.add_voter(now, "d"))
+    status = {slot.name: slot.counts for slot in bench.order.slots(bench.now)}
+    assert status == {"a": True, "b": True, "c": False, "d": False}
+
+
 @pytest.mark.parametrize("names", ["abc", "abcde"])
 def test_a_lost_disk_is_replaced_by_a_vacant_slot_first(names):
     world = led(names=names)
