--- a/tests/cluster/world.py
+++ b/tests/cluster/world.py
@@ -32,6 +32,7 @@
     RequestVoteResponse,
     Send,
     Store,
+    Voters,
 )
 from fordtrestle.cluster.order import Order
 from fordtrestle.cluster.raft_state import OrderConfig
@@ -349,6 +350,12 @@
             new = order.term not in self._leaders
             led = self._leaders.setdefault(order.term, (node.name, node.run))
             assert led == (node.name, node.run), f"{where}: second leader of term {order.term} after {led}"
+            open_changes = [
+                entry
+                for entry in order.log.entries
+                if entry.index not in self._chain and isinstance(entry.body, Voters)
+            ]
+            assert len(open_changes) <= 1, f"{where}: two changes of voters at once: {open_changes}"
             if new:
                 self._check_vote(order.meta.disk, order.term, order.name)
                 self._check_complete(order, where)
