--- a/rig/cluster/judging.py
+++ b/rig/cluster/judging.py
@@ -33,7 +33,8 @@
 HELD_S = 0.1  # after a link's fault until what it held has arrived
 AWAKE_S = 0.2  # after a process wakes until it has answered what was due
 DRAIN_SLACK_MS = 50.0  # past the grace: a send that was due is on its way
-DISHONEST = ("lie", "lost_rename", "changed", "emptied", "older")  # a disk that keeps no promise
+PUT_BACK = ("emptied", "older")  # a disk that is another under a node that is down
+DISHONEST = ("lie", "lost_rename", "changed", *PUT_BACK)  # a disk that keeps no promise
 
 
 class Change(NamedTuple):
@@ -204,14 +205,22 @@
         self._spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
         self._spared: set[tuple[str, float]] = set()  # starts before which what was there may be gone
         starts: dict[str, list[float]] = defaultdict(list)
+        stores: dict[str, list[float]] = defaultdict(list)
         for event in played.events:
             if isinstance(event, Started):
                 starts[event.node].append(event.at_ms)
+            elif isinstance(event, Stored):
+                stores[event.node].append(event.at_ms)
         for fault in played.faulted:
             own = starts[fault.node]
             if fault.writes in DISHONEST:
-                self._spans[fault.node].append((fault.begin_ms, fault.end_ms))
-            if fault.writes in ("emptied", "older"):
+                end_ms = fault.end_ms
+                if fault.writes not in PUT_BACK:
+                    # A node has one write under way: what it confirms next may have begun within the fault.
+                    later = stores[fault.node]
+                    end_ms = max(later[bisect_left(later, end_ms) :][:1], default=end_ms)
+                self._spans[fault.node].append((fault.begin_ms, end_ms))
+            if fault.writes in PUT_BACK:
                 self._spared |= {(fault.node, at_ms) for at_ms in own[bisect_left(own, fault.end_ms) :][:1]}
             # A life that could not be counted as it began is not seen by the one after it.
             for began_ms, next_ms in itertools.pairwise(own):
--- a/tests/rig/cluster/test_cluster.py
+++ b/tests/rig/cluster/test_cluster.py
@@ -383,6 +383,20 @@
     assert disks.excuse("n0", 5000.0) and not disks.excuse("n0", 9000.0)
 
 
+def test_a_disk_that_lied_excuses_the_one_write_that_it_may_have_been_amid_and_no_later_one():
+    """Guards against a verdict that hangs on how late a busy machine confirms."""
+    log = Log().start("n0", 0.0)
+    for version, at_ms in enumerate((900.0, 2100.0, 2200.0), 1):
+        log.store("n0", at_ms, version)
+    log.store("n1", 2050.0, 1)
+    for kind, late in (("lie", True), ("lost_rename", True), ("emptied", False), ("older", False)):
+        played = of(Ledger(), faulted=[Faulted("n0", kind, 1000.0, 2000.0)])
+        played.events = log.events
+        disks = Disks(played)
+        found = [disks.excuse("n0", at_ms) for at_ms in (900.0, 1500.0, 2100.0, 2200.0)]
+        assert found == [False, True, late, False], kind
+
+
 def test_digests_with_no_version_are_ordered_by_the_numbers_of_settings():
     log = Log().start("n0", 8000.0).learn("n0", 8001.0, 0, "settings:shop", "one")
     log.learn("n0", 9500.0, 0, "settings:shop", "three").learn("n0", 9900.0, 0, "settings:shop", "two")
