--- a/fordtrestle/cluster/election.py
+++ b/fordtrestle/cluster/election.py
@@ -67,7 +67,8 @@
         return last < max(floor, (state.log.last_term, state.log.last_index))
 
     def _over(self, sender: str, request: PreVote | RequestVote) -> bool:
-        """Whether who asks has no disk that votes, or is of an incarnation that is over, which it is told."""
+        """Whether who asks has no disk that votes, or is of an incarnation that is over: then it gets a
+        recovery response."""
         over = bool(request.disk) and request.incarnation < self._state.incarnations.of(request.disk)
         if over:
             respond(self._state, sender, request.disk, 0)
--- a/fordtrestle/cluster/frames.py
+++ b/fordtrestle/cluster/frames.py
@@ -127,8 +127,8 @@
         if length > most:
             raise FrameError("long", f"{length} bytes, and there may be {most}")
         if len(buffer) - at >= HEAD.size:
-            (told,) = LENGTH.unpack_from(buffer, at + BARE.size)
-            if crc32c(buffer[at : at + BARE.size]) != told:
+            (checksum,) = LENGTH.unpack_from(buffer, at + BARE.size)
+            if crc32c(buffer[at : at + BARE.size]) != checksum:
                 raise FrameError("checksum", "a head with a wrong checksum")
             _, version, _ = BARE.unpack_from(buffer, at)
             if version != FORMAT:
@@ -136,9 +136,9 @@
         return int(length)
 
     def _frame(self, payload: bytearray, buffer: bytearray, at: int) -> Frame:
-        _, _, told = BARE.unpack_from(buffer, at)
+        _, _, checksum = BARE.unpack_from(buffer, at)
         self._sum = crc32c(payload, self._sum)
-        if self._sum != told:
+        if self._sum != checksum:
             raise FrameError("checksum", "a frame with a wrong checksum, or out of its place")
         if self._greeted and not payload:
             return None
--- a/fordtrestle/cluster/log.py
+++ b/fordtrestle/cluster/log.py
@@ -44,14 +44,14 @@
 
     def _rest(self) -> None:
         """Go by the snapshot alone."""
-        told = self.compact
-        self.base = 0 if told is None else told.index
-        self.base_term = 0 if told is None else told.term
-        self.voters: tuple[Voter, ...] = () if told is None else told.voters
+        snapshot = self.compact
+        self.base = 0 if snapshot is None else snapshot.index
+        self.base_term = 0 if snapshot is None else snapshot.term
+        self.voters: tuple[Voter, ...] = () if snapshot is None else snapshot.voters
         self.voters_before: tuple[Voter, ...] = ()  # until the last entry that names them, if it is here
         self.voters_index = self.base
-        self.book = EMPTY if told is None or not told.books else told.books[-1]
-        self.effective = 0 if told is None else told.effective
+        self.book = EMPTY if snapshot is None or not snapshot.books else snapshot.books[-1]
+        self.effective = 0 if snapshot is None else snapshot.effective
         self.books = 0  # among the entries
 
     @property
@@ -149,12 +149,17 @@
     proposals: dict[str, int] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, told: Compact | None) -> StateMachine:
+    def of(cls, snapshot: Compact | None) -> StateMachine:
         """What a snapshot holds."""
-        if told is None:
+        if snapshot is None:
             return cls()
         return cls(
-            told.index, told.term, told.voters, told.effective, tuple(told.books), dict(told.proposals)
+            snapshot.index,
+            snapshot.term,
+            snapshot.voters,
+            snapshot.effective,
+            tuple(snapshot.books),
+            dict(snapshot.proposals),
         )
 
     @property
--- a/fordtrestle/cluster/members.py
+++ b/fordtrestle/cluster/members.py
@@ -154,7 +154,7 @@
         self.responses: dict[str, RecoveryResponse] = {}  # only of names that have a slot
 
     def _of_voters(self, slots: VoterSlots) -> list[RecoveryResponse]:
-        return [told for name, told in self.responses.items() if Voter(name, told.by) in slots]
+        return [response for name, response in self.responses.items() if Voter(name, response.by) in slots]
 
     def enough(self, slots: VoterSlots, me: Voter, alone: bool) -> bool:
         """Whether enough have answered; `alone`: after `alone_ms`, when those count too that vote by a
@@ -166,13 +166,13 @@
         return len(self._of_voters(slots)) >= others + 2 - most or (alone and len(self.responses) >= most - 1)
 
     def term(self) -> int:
-        """The highest term told."""
-        return max((told.term for told in self.responses.values()), default=0)
+        """The highest term of a response."""
+        return max((response.term for response in self.responses.values()), default=0)
 
     def floor(self, slots: VoterSlots) -> tuple[int, int]:
         """Term and index of the last entry of the furthest log of a voter. One who does not vote can't lead
         either, and to wait for it would be for ever."""
-        ends = [(told.last_log_term, told.last_log_index) for told in self._of_voters(slots)]
+        ends = [(response.last_log_term, response.last_log_index) for response in self._of_voters(slots)]
         return max(ends, default=(0, 0))
 
 
@@ -203,6 +203,6 @@
         machine.apply(entry)
     term = max(state.meta.term, log.last_term) + RECOVERED_TERMS
     slots = (Voter(name, disk), *(Voter(other, "") for other in sorted(set(names) - {name})))
-    told = machine.compact()
-    compact = Compact(log.last_index + 1, term, slots, told.effective, told.books, told.proposals)
+    last = machine.compact()
+    compact = Compact(log.last_index + 1, term, slots, last.effective, last.books, last.proposals)
     return State(Meta(disk=disk, term=term), (), compact)
--- a/fordtrestle/cluster/messages.py
+++ b/fordtrestle/cluster/messages.py
@@ -281,7 +281,7 @@
     """The answer to an operator."""
 
     id: int
-    told: Any
+    result: Any
 
 
 AnyMessage = (
--- a/fordtrestle/cluster/raft_state.py
+++ b/fordtrestle/cluster/raft_state.py
@@ -77,7 +77,7 @@
         self.peers: dict[str, Peer] = {}  # of a leader
         # Of the own start.
         self.recovery: Recovery | None = None  # until it is known what this disk may have promised
-        self.floor = (0, 0)  # the furthest log that the others told of then
+        self.floor = (0, 0)  # the furthest log of the responses then
         self.floor_until = math.inf
         # Of elections.
         self.quiet_until = math.inf  # no vote is given before
--- a/fordtrestle/cluster/spread.py
+++ b/fordtrestle/cluster/spread.py
@@ -206,11 +206,11 @@
         if known.pending - known.effective >= RANGE_MOST:
             self.counts["wide"] += 1
             return False
-        for number, told in (
+        for number, digest in (
             (known.effective, known.effective_digest),
             (known.pending, known.pending_digest),
         ):
-            self._expected[number] = told
+            self._expected[number] = digest
         if not known.older(self._target):
             self._target = known
         aim = self._target
@@ -303,10 +303,10 @@
         for number in range(self._target.pending, 0, -1):
             if number < self._target.effective:
                 break
-            told = self._expected.get(number)
-            if number in self._loose and told is not None:
+            digest = self._expected.get(number)
+            if number in self._loose and digest is not None:
                 book, who = self._loose.pop(number)
-                if digest_of(book) != told:
+                if digest_of(book) != digest:
                     wrong.append(who)
                     continue
                 self._put(book)
--- a/fordtrestle/cluster/startup.py
+++ b/fordtrestle/cluster/startup.py
@@ -104,7 +104,7 @@
             self._conclude(now_ms)
 
     def _conclude(self, now_ms: float) -> None:
-        """Go by what the others told, if they are enough."""
+        """Go by the responses, if they are enough."""
         state, recovery, slots = self._state, self._state.recovery, self._state.log.voters
         if recovery is None or not recovery.enough(slots, state.me, now_ms >= self._alone_at):
             return
--- a/tests/cluster/test_order.py
+++ b/tests/cluster/test_order.py
@@ -415,7 +415,7 @@
     world.crash("c")
     world.nodes["c"].disk = copy
     world.start("c")
-    assert world.until(lambda: any("put back" in text for _, text in world.told), 200)
+    assert world.until(lambda: any("put back" in text for _, text in world.log_lines), 200)
     assert world.until(lambda: world.order("c").votes, 2000)
     disk = world.order("c").meta.disk
     assert disk != "disk-c" and Voter("c", disk) in world.order("a").voters
@@ -451,7 +451,7 @@
     world.drop = lambda src, send: src == "c" and (said.append(send.message) or False)
     world.run(1500)
     assert not [m for m in said if isinstance(m, RequestVoteResponse) and m.vote_granted]
-    assert any("the disk of c failed" in text for _, text in world.told) and world.leader() == ""
+    assert any("the disk of c failed" in text for _, text in world.log_lines) and world.leader() == ""
     world.start("a")
     grown(world, world.lead(), 3)
     assert world.order("c").machine.pending == 3 and not world.order("c").votes
@@ -818,7 +818,7 @@
     world = led()
     world.do("a", lambda order, now: order.replace_voter(now, "a", "a2"))
     assert world.until(lambda: world.order("a").role == "follower", 300)
-    assert any("has no vote any more" in text for _, text in world.told)
+    assert any("has no vote any more" in text for _, text in world.log_lines)
     assert world.lead() in "bc" and world.order("b").voters[-1] == Voter("a2", "")
 
 
--- a/tests/cluster/world.py
+++ b/tests/cluster/world.py
@@ -124,7 +124,7 @@
         self.loss = self.double = self.crash_share = 0.0
         self.delay_ms = (1.0, 10.0)
         self.drop: Callable[[str, Send], bool] = lambda src, send: False
-        self.told: list[tuple[str, str]] = []
+        self.log_lines: list[tuple[str, str]] = []
         self.answers: dict[int, list[Proposed]] = defaultdict(list)
         self.sent: list[tuple[str, Send]] = []  # the last ones
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
@@ -259,7 +259,7 @@
                 assert isinstance(action.message, Proposed)
                 self.answers[action.client].append(action.message)
             elif isinstance(action, LogLine):
-                self.told.append((node.name, action.text))
+                self.log_lines.append((node.name, action.text))
         self._check(node, order)
         self._wake(node, order)
 
