--- a/benchmarks/cluster_breaches.py
+++ b/benchmarks/cluster_breaches.py
@@ -168,13 +168,13 @@
         return msgspec.json.decode(out.read_bytes(), type=Seen)
 
 
-async def again(told: Seen, attempt: Callable[[], Awaitable[Seen]]) -> Seen:
+async def again(seen: Seen, attempt: Callable[[], Awaitable[Seen]]) -> Seen:
     """What a play comes to: made again while the machine was too busy, `ALONE_MOST` times at most."""
     for _ in range(ALONE_MOST):
-        if not told.unsound:
+        if not seen.unsound:
             break
-        told = await attempt()
-    return told
+        seen = await attempt()
+    return seen
 
 
 async def run(names: Sequence[str], runs: int, at_once: int, tree: Path) -> list[Row]:
@@ -183,7 +183,7 @@
     Each play is told on standard error."""
     plays = [(name, planted, number) for name in names for planted in (True, False) for number in range(runs)]
     gate = asyncio.Semaphore(at_once)
-    told: dict[tuple[str, bool, int], Seen] = {}
+    seen_by_play: dict[tuple[str, bool, int], Seen] = {}
 
     async def one_play(name: str, planted: bool) -> Seen:
         async with gate:
@@ -194,7 +194,7 @@
         return seen
 
     async def side_by_side(play: tuple[str, bool, int]) -> None:
-        told[play] = await one_play(play[0], play[1])
+        seen_by_play[play] = await one_play(play[0], play[1])
 
     try:
         async with asyncio.TaskGroup() as group:
@@ -203,13 +203,15 @@
     except* ProgramError as errors:
         raise ProgramError(str(errors.exceptions[0])) from None
     for play in plays:
-        told[play] = await again(told[play], functools.partial(one_play, play[0], play[1]))
-    return [_row(name, told, runs) for name in names]
+        seen_by_play[play] = await again(seen_by_play[play], functools.partial(one_play, play[0], play[1]))
+    return [_row(name, seen_by_play, runs) for name in names]
 
 
-def _row(name: str, told: Mapping[tuple[str, bool, int], Seen], runs: int) -> Row:
+def _row(name: str, seen_by_play: Mapping[tuple[str, bool, int], Seen], runs: int) -> Row:
     schedule = schedule_of(name)
-    planted, plain = (tuple(told[name, how, number] for number in range(runs)) for how in (True, False))
+    planted, plain = (
+        tuple(seen_by_play[name, how, number] for number in range(runs)) for how in (True, False)
+    )
     checker = breaching.read(name).checker
     return Row(name, checker, len(schedule.steps), schedule.head.length_ms, planted, plain)
 
@@ -279,11 +281,11 @@
     raise_descriptors()
     try:
         if given.play:
-            told = msgspec.json.encode(asyncio.run(one(names[0], not given.plain, given.tree)))
+            encoded = msgspec.json.encode(asyncio.run(one(names[0], not given.plain, given.tree)))
             if given.json is not None:
-                given.json.write_bytes(told)
+                given.json.write_bytes(encoded)
             else:
-                print(told.decode())
+                print(encoded.decode())
             return DONE
         for name in names:
             breaching.breached(breaching.read(name), given.tree)
--- a/benchmarks/cluster_relay.py
+++ b/benchmarks/cluster_relay.py
@@ -64,18 +64,18 @@
         self._socks: dict[str, socket.socket] = {}
         self._routes: dict[str, list[Address]] = {}
 
-    def obey(self, do: str, **told: Any) -> Any:
+    def obey(self, do: str, **command: Any) -> Any:
         """One command; `ValueError` where there is none of that name."""
         match do:
             case "bind":
-                return self._bind(told["ends"])
+                return self._bind(command["ends"])
             case "route":
                 self._routes.update(
-                    {end: [(host, port) for host, port in at] for end, at in told["to"].items()}
+                    {end: [(host, port) for host, port in at] for end, at in command["to"].items()}
                 )
                 return None
             case "run":
-                return self._run(**told)
+                return self._run(**command)
         raise ValueError(f"no command {do!r}")
 
     def _bind(self, ends: Sequence[str]) -> list[Address]:
@@ -128,8 +128,10 @@
 
     def _dropped(self) -> int:
         """Messages that found an end's own buffer full."""
-        told = [sock.getsockopt(socket.SOL_SOCKET, SO_MEMINFO, MEMINFO.size) for sock in self._socks.values()]
-        return sum(MEMINFO.unpack(one)[DROPS] for one in told)
+        meminfo = [
+            sock.getsockopt(socket.SOL_SOCKET, SO_MEMINFO, MEMINFO.size) for sock in self._socks.values()
+        ]
+        return sum(MEMINFO.unpack(one)[DROPS] for one in meminfo)
 
 
 def host_ends() -> int:
@@ -181,8 +183,8 @@
             helper = await Helper.start("benchmarks.cluster_relay", ["--host-ends"])
             self._helpers.append(helper)
             await helper.hear()
-            told = await helper.ask(do="bind", ends=part)
-            at.update({name: (host, port) for name, (host, port) in zip(part, told, strict=True)})
+            bound = await helper.ask(do="bind", ends=part)
+            at.update({name: (host, port) for name, (host, port) in zip(part, bound, strict=True)})
         self._straight = {name: {other: at[other] for other in at if other != name} for name in at}
         pairs = list(itertools.combinations(self._names, 2))
         began = time.monotonic()
--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -100,10 +100,10 @@
         self._order = itertools.count()
         self._numbers = itertools.count(1)
         self._make, self._seeds = make, itertools.count(seed * 1000)
-        self._told = [replace(settings(me, sidecars), warm_keys=keys) for me in range(sidecars)]
+        self._settings = [replace(settings(me, sidecars), warm_keys=keys) for me in range(sidecars)]
         if sidecars < PRICED_FROM:
-            self._told = [replace(told, prices={}) for told in self._told]
-        self.rules = self._told[0]
+            self._settings = [replace(own, prices={}) for own in self._settings]
+        self.rules = self._settings[0]
         self.servers = {f"s{n}": Server(f"s{n}", full_rate) for n in range(SERVERS)}
         self.listed = {name: model.Listing(name, int(name[1:]) % 3) for name in self.servers}
         self._open: dict[int, Asked] = {}
@@ -191,7 +191,7 @@
     # --- sidecars --------------------------------------------------------------------
 
     def _born(self, me: int) -> Any:
-        made = self._make(self.now, self._told[me], next(self._seeds))
+        made = self._make(self.now, self._settings[me], next(self._seeds))
         made.server_list(self.now, "remembered", list(self.listed.values()))
         return made
 
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -43,14 +43,14 @@
 
 async def rounds(trees: list[Path], rate_per_s: float, seed: int) -> tuple[dict[str, list[float]], int]:
     """Microseconds a request by checkout, in turn, and the requests that were not served."""
-    told: dict[str, list[float]] = {str(tree): [] for tree in trees}
+    costs_of: dict[str, list[float]] = {str(tree): [] for tree in trees}
     all_lost = 0
     for turn in range(ROUNDS):
         for tree in trees:
             cost, lost = await one(tree, rate_per_s, seed + turn)
             all_lost += lost
-            told[str(tree)].append(cost)
-    return told, all_lost
+            costs_of[str(tree)].append(cost)
+    return costs_of, all_lost
 
 
 def main() -> int:
@@ -62,17 +62,17 @@
     trees = [given.tree, *([given.vs.resolve()] if given.vs else [])]
     make_ready()
     try:
-        told, lost = asyncio.run(rounds(trees, given.rate, given.seed))
+        costs_of, lost = asyncio.run(rounds(trees, given.rate, given.seed))
     except ProgramError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
     heads = ("checkout", "us a request, min", "median", "max")
     rows = []
-    for tree, costs in zip(trees, told.values(), strict=True):
+    for tree, costs in zip(trees, costs_of.values(), strict=True):
         figures = (min(costs), statistics.median(costs), max(costs))
         rows.append((revision(tree), *(figure(value) for value in figures)))
     print(table(heads, rows))
-    write_json(given.json, given.tree, told)
+    write_json(given.json, given.tree, costs_of)
     if lost:
         print(f"{lost} requests were not served", file=sys.stderr)
     return NOT_MET if lost else DONE
--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -302,8 +302,8 @@
     print(table(HEADS, [cells(row) for row in rows]))
     judged = [row for row in rows if row.peer == "sidecar"]
     met = not any(row.not_met for row in judged)
-    told = {"seed": given.seed, "quick": given.quick, "met": met, "duration_s": setting.duration_s}
-    write_json(given.json, given.tree, {**told, "rows": [row.summary() for row in rows]})
+    summary = {"seed": given.seed, "quick": given.quick, "met": met, "duration_s": setting.duration_s}
+    write_json(given.json, given.tree, {**summary, "rows": [row.summary() for row in rows]})
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -333,8 +333,14 @@
         print(f"{name}: played", file=sys.stderr, flush=True)
     print(table(HEADS, [cells(name, row) for name, row in rows.items()]))
     met = rows["calm"]["fresh"] <= FRESH_MOST if "calm" in rows else True
-    told = {"seed": given.seed, "servers": size.servers, "sidecars": size.sidecars, "met": met, "days": rows}
-    write_json(given.json, given.tree, told)
+    summary = {
+        "seed": given.seed,
+        "servers": size.servers,
+        "sidecars": size.sidecars,
+        "met": met,
+        "days": rows,
+    }
+    write_json(given.json, given.tree, summary)
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/giveway.py
+++ b/benchmarks/giveway.py
@@ -112,32 +112,32 @@
     silent = [asyncio.run(crowd(lambda number: b"")) for _ in range(ROUNDS)]
     away = [asyncio.run(crowd(lambda number: BAD)) for _ in range(ROUNDS)]
     refused = [asyncio.run(crowd(lambda number: ASKED % number, places=False)) for _ in range(ROUNDS)]
-    told = {
+    measured = {
         "accept a silent one": min(lived for lived, _ in silent),
         "close a silent one": min(closed for _, closed in silent),
         "turned away, whole life": min(lived for lived, _ in away),
         "503 at the limit, whole life": min(lived for lived, _ in refused),
     }
     for size in (100, 1000, 10_000):
-        told[f"choose among {size}"] = min(choice(size) for _ in range(ROUNDS))
-    return told
+        measured[f"choose among {size}"] = min(choice(size) for _ in range(ROUNDS))
+    return measured
 
 
 def main() -> int:
     """Measure and judge; the exit code."""
     given = options("giveway", __doc__).parse_args()
     make_ready()
-    told = figures()
+    measured = figures()
     bounds = {
         "close a silent one": CLOSE_SILENT_MOST_US,
         "turned away, whole life": REFUSED_MOST_US,
         "503 at the limit, whole life": REFUSED_MOST_US,
-        "choose among 10000": FLAT_MOST * told["choose among 100"],
+        "choose among 10000": FLAT_MOST * measured["choose among 100"],
     }
-    rows = [(name, figure(value, ".1f"), figure(bounds.get(name), ".1f")) for name, value in told.items()]
+    rows = [(name, figure(value, ".1f"), figure(bounds.get(name), ".1f")) for name, value in measured.items()]
     print(table(("cost", "us", "at most"), rows))
-    write_json(given.json, given.tree, told)
-    return NOT_MET if any(told[name] > most for name, most in bounds.items()) else DONE
+    write_json(given.json, given.tree, measured)
+    return NOT_MET if any(measured[name] > most for name, most in bounds.items()) else DONE
 
 
 if __name__ == "__main__":
--- a/benchmarks/load_truth.py
+++ b/benchmarks/load_truth.py
@@ -91,11 +91,11 @@
 
     def _obey(self) -> bool:
         try:
-            told = self._control.recv()
+            command = self._control.recv()
         except EOFError:
             return False
-        if isinstance(told, Plan):
-            self._plan, self._rng = told, random.Random(told.seed)
+        if isinstance(command, Plan):
+            self._plan, self._rng = command, random.Random(command.seed)
             self._free = 0
         else:
             self._control.send(self._records)
--- a/benchmarks/points.py
+++ b/benchmarks/points.py
@@ -129,13 +129,13 @@
         for reader in readers:
             reader.transport.abort()
         await asyncio.sleep(UNREAD_S)
-        after, told = program.usage().rss_mb, await made.fleet.ledger()
+        after, ledger = program.usage().rss_mb, await made.fleet.ledger()
     figures = {
         "start_mb": start,
         "peak_mb": peaks.rss_mb,
         "held_mb": held,
         "after_mb": after,
-        "servers": told,
+        "servers": ledger,
     }
     words = f"{start:.0f} MB, peak {peaks.rss_mb:.0f}, held {held:.0f}, {UNREAD_S:g} s after {after:.0f}"
     what = f"memory: {READERS} clients pipeline {PIPELINED} answers of 64 KiB and read nothing"
@@ -162,9 +162,11 @@
     async with stage(tree, seed=seed, core=reserve_core()) as made:
         await made.fleet.script(Act(status=503, rejected=True, behind="answer", delay_ms=5.0))
         answers = [await ask_raw(made.target.address, _unsafe(next(ids)), ANSWER_S) for _ in range(UNSAFE)]
-        told = await made.fleet.ledger()
-    words = f"sent up to {told['unsafe_most']} times; {told['unsafe_repeated']} of {UNSAFE} more than once"
-    figures = {"statuses": [answer.status for answer in answers], "servers": told}
+        ledger = await made.fleet.ledger()
+    words = (
+        f"sent up to {ledger['unsafe_most']} times; {ledger['unsafe_repeated']} of {UNSAFE} more than once"
+    )
+    figures = {"statuses": [answer.status for answer in answers], "servers": ledger}
     return Row("5", "unsafe requests; 503 + X-Rejected, and a 200 in the same bytes", words, "once", figures)
 
 
@@ -185,15 +187,16 @@
         await asyncio.sleep(SETTLE_S)
         await made.fleet.clear()
         answer = await ask_raw(made.target.address, data, ANSWER_S)
-        told = await made.fleet.ledger()
-    words = f"{_told(answer)} after {answer.took_ms:.0f} ms, received by servers {told['received']} times"
-    figures = {"status": answer.status, "took_ms": answer.took_ms, "servers": told}
+        ledger = await made.fleet.ledger()
+    times = ledger["received"]
+    words = f"{_result_text(answer)} after {answer.took_ms:.0f} ms, received by servers {times} times"
+    figures = {"status": answer.status, "took_ms": answer.took_ms, "servers": ledger}
     return Row(
         "6", "an unsafe request and a stray byte behind it, answer after 100 ms", words, "200", figures
     )
 
 
-def _told(answer: Raw) -> str:
+def _result_text(answer: Raw) -> str:
     return str(answer.status) if answer.status else "closed with no answer" if answer.ended else "no answer"
 
 
@@ -261,7 +264,7 @@
             await made.fleet.clear()
             answer = await ask_raw(made.target.address, data, ANSWER_S)
             passed = (await made.fleet.ledger())["received"]
-            words = f"{_told(answer)}, {'passed on' if passed else 'not passed on'}"
+            words = f"{_result_text(answer)}, {'passed on' if passed else 'not passed on'}"
             figures = {"status": answer.status, "passed_on": passed}
             rows.append(Row("7", name, words, "4xx or 505, not passed on", figures))
     return rows
@@ -310,7 +313,7 @@
         return BAD_INPUT
     cells = [[row.point, row.measured, row.figure, row.wanted] for row in rows]
     print(table(("point", "measured", "figure", "wanted"), cells, right=False))
-    told = [
+    summaries = [
         {
             "point": r.point,
             "measured": r.measured,
@@ -320,7 +323,7 @@
         }
         for r in rows
     ]
-    write_json(given.json, given.tree, {"seed": given.seed, "rows": told})
+    write_json(given.json, given.tree, {"seed": given.seed, "rows": summaries})
     return DONE
 
 
--- a/fordtrestle/daemon/overload.py
+++ b/fordtrestle/daemon/overload.py
@@ -94,7 +94,7 @@
         now, used = self._scheduler.time(), time.process_time()
         since, used_then = self._looked_at
         self._looked_at = (now, used)
-        told = {
+        readings = {
             Monitor.DESCRIPTORS: self._limits.descriptors.pressed,
             Monitor.BUFFERED: _share(self._limits.buffered.held, self._limits.buffered.capacity),
             Monitor.CALLS: _share(self._limits.calls.held, self._limits.calls.capacity),
@@ -102,10 +102,10 @@
             Monitor.BACKLOG: max((front.backlog for front in self._fronts), default=0.0),
         }
         if now > since:
-            told[Monitor.CPU] = (used - used_then) / (now - since) / self._cores
+            readings[Monitor.CPU] = (used - used_then) / (now - since) / self._cores
         if self._memory is not None:
-            told[Monitor.MEMORY] = _share(self._resident(), self._memory)
-        return told
+            readings[Monitor.MEMORY] = _share(self._resident(), self._memory)
+        return readings
 
     def _look(self) -> None:
         self._next = None
--- a/fordtrestle/daemon/process.py
+++ b/fordtrestle/daemon/process.py
@@ -162,10 +162,10 @@
         front what that did without one; each by class, end and cause."""
         services = {}
         for name, service in self.services.items():
-            fronts = (place.front for place in self.fronts.values() if place.front.taker is service.driver)
+            fronts = (at.front for at in self.fronts.values() if at.front.taker is service.driver)
             classes = {number: kind for front in fronts for number, kind in front.class_names.items()}
             services[name] = service.driver.tally.counts(classes)
-        by_front = {n: place.front.tally.counts(place.front.class_names) for n, place in self.fronts.items()}
+        by_front = {n: at.front.tally.counts(at.front.class_names) for n, at in self.fronts.items()}
         return {"service": services, "front": by_front}
 
     def _status(self) -> bytes:
--- a/rig/cluster/__main__.py
+++ b/rig/cluster/__main__.py
@@ -87,13 +87,13 @@
     return seen, findings, reports.report(seen, findings, bound_ms)
 
 
-def line(told: Report) -> str:
+def line(report: Report) -> str:
     """A play in one line."""
-    recovery = "none" if told.recovery_ms is None else f"{told.recovery_ms:.0f} ms"
-    longest = told.longest
+    recovery = "none" if report.recovery_ms is None else f"{report.recovery_ms:.0f} ms"
+    longest = report.longest
     return (
-        f"{told.verdict}: longest contradiction {longest.lists_ms:.0f} ms of lists, {longest.settings_ms:.0f}"
-        f" ms of settings, bound {told.bound_ms:.0f} ms; recovery {recovery}"
+        f"{report.verdict}: longest contradiction {longest.lists_ms:.0f} ms of lists,"
+        f" {longest.settings_ms:.0f} ms of settings, bound {report.bound_ms:.0f} ms; recovery {recovery}"
     )
 
 
@@ -187,17 +187,17 @@
 def _run(schedule: Schedule, given: argparse.Namespace) -> int:
     how, verdicts = _how(given), set()
     for number in range(1, given.times + 1):
-        seen, findings, told = asyncio.run(played(schedule, how))
+        seen, findings, report = asyncio.run(played(schedule, how))
         for finding in findings[:FINDINGS_SHOWN]:
             print(f"{finding.verdict}: {finding.checker}: {finding.text}")
-        print(line(told) if given.times == 1 else f"{number} of {given.times}: {line(told)}")
-        for text in told.not_played:
+        print(line(report) if given.times == 1 else f"{number} of {given.times}: {line(report)}")
+        for text in report.not_played:
             print(f"not played: {text.strip()}")
-        if told.unsound:
-            print(f"UNSOUND: {'; '.join(told.unsound)}")
-        verdicts.add("unsound" if told.unsound else told.verdict)
+        if report.unsound:
+            print(f"UNSOUND: {'; '.join(report.unsound)}")
+        verdicts.add("unsound" if report.unsound else report.verdict)
         if given.json is not None:
-            given.json.write_bytes(reports.encode(told))
+            given.json.write_bytes(reports.encode(report))
         if given.svg is not None:
             timeline.draw(seen, given.svg)
     if len(verdicts) > 1:
@@ -249,21 +249,21 @@
 
     async def one(file: Path) -> None:
         async with gate:
-            told = await _one(file, given)
-        if told.unsound:
+            report = await _one(file, given)
+        if report.unsound:
             again.append(file)
         else:
-            end(file, told)
+            end(file, report)
 
-    def end(file: Path, told: Report) -> None:
+    def end(file: Path, report: Report) -> None:
         nonlocal failed
-        passed = told.verdict == told.stated and not told.unsound
+        passed = report.verdict == report.stated and not report.unsound
         failed += not passed
-        stated = "" if told.verdict == told.stated else f", where its file states {told.stated}"
-        print(f"{'ok  ' if passed else 'FAIL'} {file.stem}: {line(told)}{stated}")
-        for found in () if passed else told.findings[:FINDINGS_SHOWN]:
+        stated = "" if report.verdict == report.stated else f", where its file states {report.stated}"
+        print(f"{'ok  ' if passed else 'FAIL'} {file.stem}: {line(report)}{stated}")
+        for found in () if passed else report.findings[:FINDINGS_SHOWN]:
             print(f"     {found.verdict}: {found.checker}: {found.text}")
-        for text in told.unsound:
+        for text in report.unsound:
             print(f"     UNSOUND: {text}")
         sys.stdout.flush()
 
@@ -272,10 +272,10 @@
             group.create_task(one(file))
     for file in again:
         for left in reversed(range(PLAYS_MOST - 1)):
-            told = await _one(file, given)
-            if not (told.unsound and left):
+            report = await _one(file, given)
+            if not (report.unsound and left):
                 break
-        end(file, told)
+        end(file, report)
     return failed
 
 
--- a/rig/cluster/entries.py
+++ b/rig/cluster/entries.py
@@ -59,13 +59,13 @@
     """All lists and settings of a run, each kind in its order."""
 
     def __init__(self, events: Iterable[Event], acts: _Ends, orders: Orders) -> None:
-        told: dict[str, dict[tuple[int, str], dict[str, str]]] = defaultdict(dict)
+        learned: dict[str, dict[tuple[int, str], dict[str, str]]] = defaultdict(dict)
         loose: dict[str, set[str]] = defaultdict(set)  # digests of what has no version
         for event in events:
             if not isinstance(event, Learned):
                 continue
             which = (event.version, "" if event.version else event.digest)
-            told[event.rule].setdefault(which, event.entries)
+            learned[event.rule].setdefault(which, event.entries)
             if not event.version:
                 loose[event.rule].add(event.digest)
         for _, rule, digest in acts.by_settings:
@@ -80,7 +80,7 @@
         self._views: dict[str, dict[int, View]] = {}
         self._listed: dict[str, set[str]] = {}
         self._about: dict[str, tuple[str, str]] = {}  # by rule of a row: which list and server
-        for rule, lists in told.items():
+        for rule, lists in learned.items():
             if rule.startswith(LIST):
                 self._take(rule, lists)
 
@@ -181,14 +181,14 @@
 class Rows:
     """Acts by entry, of each node the first and the last on each version, and what gaps may hide.
 
-    `acts` are for `contradictions` with `lists.contradicts`; `untold`: what can't be judged at all."""
+    `acts` are for `contradictions` with `lists.contradicts`; `unknown`: what can't be judged at all."""
 
     def __init__(self, events: Sequence[Event], orders: Orders) -> None:
         ends = _Ends(events)
         self.lists = Lists(events, ends, orders)
         self.acts: list[Acted] = []
         self.unseen: list[Acted] = []
-        self._untold = {f"{rule}: nobody gave the order of its digests" for rule in self.lists.unordered}
+        self._unknown = {f"{rule}: nobody gave the order of its digests" for rule in self.lists.unordered}
         for (_, rule, digest), pair in ends.by_settings.items():
             for act in pair:
                 self.acts += self._by_settings(act, act.at_ms, settings_rule(rule), digest, act.what)
@@ -196,8 +196,8 @@
         gaps = [gap for life in lives(events) for gap in life.missing]
         for gap in gaps:
             self._hide(gap)
-        texts = sorted(self._untold)[:FINDINGS_MOST]
-        self.untold = [Finding("unknown", "contradiction", text) for text in texts] + headless(gaps)
+        texts = sorted(self._unknown)[:FINDINGS_MOST]
+        self.unknown = [Finding("unknown", "contradiction", text) for text in texts] + headless(gaps)
 
     def _take(self, sends: Mapping[tuple[str, str, int, str, str], list[Acted]]) -> None:
         """Sends: each is an act on its server's entry, and on the news of all that are not active."""
@@ -209,7 +209,7 @@
                 continue  # told once, for its rule
             view = self.lists.view(rule, position)
             if view is None or not self.lists.lists(rule, server):
-                self._untold.add(f"{rule}: no node told of {server} in version {version}")
+                self._unknown.add(f"{rule}: no node told of {server} in version {version}")
                 continue
             for act in pair:
                 widen(first, (rule, position, node), act)
@@ -279,7 +279,7 @@
 
     Unknown where a gap may hide that, or an act rests on what no node told, or on what has no order."""
     made = Rows(events, orders or {})
-    return judged(made.acts, made.unseen, bound_ms, made.lists.contradicts) + made.untold
+    return judged(made.acts, made.unseen, bound_ms, made.lists.contradicts) + made.unknown
 
 
 def recovery_by_entry_ms(
--- a/rig/cluster/links.py
+++ b/rig/cluster/links.py
@@ -531,8 +531,8 @@
     @property
     def dropped_by_kernel(self) -> int:
         """Datagrams that found this socket's buffer full."""
-        told = self.sock.getsockopt(socket.SOL_SOCKET, SO_MEMINFO, MEMINFO.size)
-        return int(MEMINFO.unpack(told)[DROPS])
+        meminfo = self.sock.getsockopt(socket.SOL_SOCKET, SO_MEMINFO, MEMINFO.size)
+        return int(MEMINFO.unpack(meminfo)[DROPS])
 
 
 class End(asyncio.BufferedProtocol):
--- a/rig/cluster/live.py
+++ b/rig/cluster/live.py
@@ -85,8 +85,8 @@
 
     def _show(self, terminal: bool) -> None:
         if not terminal:
-            told = " ".join(f"{name}:{view.version}/{view.acts}" for name, view in self.views.items())
-            self.out.write(f"list/acts {told}; {self.on()}\n")
+            views = " ".join(f"{name}:{view.version}/{view.acts}" for name, view in self.views.items())
+            self.out.write(f"list/acts {views}; {self.on()}\n")
         else:
             lines = [view.line(name, self._state(name, view)) for name, view in self.views.items()]
             lines = [*lines[:NODES_MOST], self.on()]
--- a/rig/cluster/promises.py
+++ b/rig/cluster/promises.py
@@ -57,13 +57,13 @@
 
 def _lost(life: Life, floor: dict[str, Stored], excused: Excused, spared: bool) -> Iterator[Finding]:
     """What was confirmed before this life, and is not what it goes by."""
-    told: set[str] = set()
+    reported: set[str] = set()
     for event in life.events:
         confirmed = floor.get(event.rule) if isinstance(event, Acted | Learned) else None
-        if not isinstance(event, Acted | Learned) or confirmed is None or event.rule in told:
+        if not isinstance(event, Acted | Learned) or confirmed is None or event.rule in reported:
             continue
         if event.version < confirmed.version:
-            told.add(event.rule)
+            reported.add(event.rule)
             text = (
                 f"{event.rule}: {life.node} went by version {event.version} after it had confirmed"
                 f" {confirmed.version}: confirmed version lost"
@@ -73,7 +73,7 @@
             yield Finding(said, "durable", text, (confirmed, event))
     for rule, confirmed in floor.items():
         # The first that it learned of a rule may be what is missing.
-        if rule not in told and any(rule not in gap.standing for gap in life.missing):
+        if rule not in reported and any(rule not in gap.standing for gap in life.missing):
             text = f"{rule}: by what {life.node} began at {life.started_ms:.0f} is missing"
             yield Finding("unknown", "durable", text, (confirmed,))
 
@@ -153,14 +153,14 @@
     found = []
     for life in lives(events):
         drains = _Drains()
-        told: set[tuple[str, str]] = set()
+        reported: set[tuple[str, str]] = set()
         for event in life.events:
             if isinstance(event, Learned) and event.rule.startswith(LIST):
                 drains.learn(event)
-            elif isinstance(event, Acted) and event.server and (event.rule, event.server) not in told:
+            elif isinstance(event, Acted) and event.server and (event.rule, event.server) not in reported:
                 since_ms = drains.since_ms(event)
                 if since_ms is not None and event.at_ms - since_ms > grace_ms:
-                    told.add((event.rule, event.server))
+                    reported.add((event.rule, event.server))
                     text = (
                         f"{event.rule}: {life.node} sent to {event.server} {event.at_ms - since_ms:.0f} ms"
                         " after it learned that it is not active"
--- a/rig/cluster/schedules.py
+++ b/rig/cluster/schedules.py
@@ -284,8 +284,8 @@
         what = f"news {step.server} {step.status}" if step.server else f"news {step.status}"
     else:
         fields = {name: getattr(step, name) for name in step.__struct_fields__[2:]}
-        told = " ".join(f"{name}={value}" for name, value in fields.items() if name != "node")
-        what = f"{type(step).__name__.lower()} {step.node} {told}".rstrip()
+        fields_text = " ".join(f"{name}={value}" for name, value in fields.items() if name != "node")
+        what = f"{type(step).__name__.lower()} {step.node} {fields_text}".rstrip()
     return f"{step.at_ms:>8} .. {step.at_ms + step.lasts_ms:<8} {what}"
 
 
--- a/rig/demo.py
+++ b/rig/demo.py
@@ -153,7 +153,7 @@
         self._seed = seed
         self._held = hold_port()
         self._fleet: Fleet | None = None
-        self._told = 0  # requests that its ledger held when it was last asked
+        self._last_received = 0  # requests that its ledger held when it was last asked
         self._left = 0  # requests of the one that was killed, not yet told
         self._asking = asyncio.Lock()  # it takes one command at a time
 
@@ -171,7 +171,7 @@
         """End it amid whatever it does."""
         async with self._asking:
             self._left += await self._new()
-            fleet, self._fleet, self._told = self._fleet, None, 0
+            fleet, self._fleet, self._last_received = self._fleet, None, 0
             if fleet is not None:
                 await fleet.kill()
 
@@ -191,8 +191,8 @@
     async def _new(self) -> int:
         if self._fleet is None:
             return 0
-        before, self._told = self._told, int((await self._fleet.ledger())["received"])
-        return self._told - before
+        before, self._last_received = self._last_received, int((await self._fleet.ledger())["received"])
+        return self._last_received - before
 
 
 @dataclass(frozen=True, slots=True)
--- a/rig/loading.py
+++ b/rig/loading.py
@@ -27,7 +27,7 @@
     def __init__(self, program: Program, terminal: int) -> None:
         self._program = program
         self._terminal: int | None = terminal
-        self._told: asyncio.Queue[tuple[int, str] | None] = asyncio.Queue()
+        self._lines: asyncio.Queue[tuple[int, str] | None] = asyncio.Queue()
         self._last = "no word"  # that is no live line: what was wrong
         asyncio.get_running_loop().add_reader(terminal, self._read)
 
@@ -60,12 +60,12 @@
         """Each line with its second, as it comes, to the last; `ProgramError` if none comes in time."""
         while True:
             try:
-                told = await asyncio.wait_for(self._told.get(), PATIENCE_S)
+                line = await asyncio.wait_for(self._lines.get(), PATIENCE_S)
             except TimeoutError:
                 raise ProgramError(f"the load generator says nothing for {PATIENCE_S:g} s") from None
-            if told is None:
+            if line is None:
                 return
-            yield told
+            yield line
 
     async def end(self) -> str:
         """Its table, once it has ended; `ProgramError` where it has none."""
@@ -95,7 +95,7 @@
             return
         for text in data.decode(errors="replace").split(NEW_LINE):
             if found := LIVE.match(text):
-                self._told.put_nowait((int(found[1]), text.rstrip()))
+                self._lines.put_nowait((int(found[1]), text.rstrip()))
             elif text.strip():
                 self._last = text.strip().splitlines()[-1]
 
@@ -105,4 +105,4 @@
             with contextlib.suppress(OSError):
                 os.close(self._terminal)
             self._terminal = None
-            self._told.put_nowait(None)
+            self._lines.put_nowait(None)
--- a/rig/messages.py
+++ b/rig/messages.py
@@ -61,26 +61,26 @@
         return urlencode({name: int(v) if isinstance(v, bool) else v for name, v in self.as_json().items()})
 
 
-def act_of(told: Mapping[str, Any]) -> Act:
+def act_of(values: Mapping[str, Any]) -> Act:
     """An act from JSON values; `ValueError` or `TypeError` where it is none."""
-    return Act(**told)
+    return Act(**values)
 
 
 @lru_cache(maxsize=256)
 def act_of_query(query: str) -> Act | None:
     """The act that a request brings along; None without one. `ValueError` where it is none."""
     names = {field.name for field in fields(Act)}
-    told: dict[str, Any] = {}
+    values: dict[str, Any] = {}
     for name, text in parse_qsl(query):
         if name not in names:
             continue
         if name in ("way", "behind"):
-            told[name] = text
+            values[name] = text
         elif name in ("rejected", "close"):
-            told[name] = text == "1"
+            values[name] = text == "1"
         else:
-            told[name] = float(text) if name.endswith("_ms") else int(text)
-    return Act(**told) if told else None
+            values[name] = float(text) if name.endswith("_ms") else int(text)
+    return Act(**values) if values else None
 
 
 def body_for(call_id: str, size_bytes: int) -> bytes:
--- a/rig/servers.py
+++ b/rig/servers.py
@@ -26,7 +26,7 @@
 PENDING_MOST = 64  # requests that wait on one connection
 CONNECTIONS_MOST = 4096  # of one server
 LEDGER_MOST = 1_000_000  # identities; past it requests are counted, not told apart
-TOLD_MOST = 10_000  # repeats that are told one by one
+REPEATS_MOST = 10_000  # repeats that are told one by one
 HALF_S = 0.01  # from half an answer to the reset
 NO_LINGER = struct.pack("ii", 1, 0)
 
@@ -74,7 +74,7 @@
         return {
             "received": self.received,
             "calls": len(self.attempts),
-            "repeats": dict(list(repeats.items())[:TOLD_MOST]),
+            "repeats": dict(list(repeats.items())[:REPEATS_MOST]),
             "repeated": len(repeats),
             "unsafe_repeated": len(self.unsafe & repeats.keys()),
             "unsafe_most": max((self.attempts[call] for call in self.unsafe), default=0),
@@ -422,7 +422,7 @@
         say({"addresses": [server.address for server in self._servers]})
         await obey_until_hung_up(self.obey)
 
-    def obey(self, do: str, **told: Any) -> Any:
+    def obey(self, do: str, **command: Any) -> Any:
         """One command; `ValueError` where there is none of that name."""
         match do:
             case "ledger":
@@ -432,13 +432,13 @@
                 for server in self._servers:
                     server.ledger = self._ledger
             case "script":
-                self._script(**told)
+                self._script(**command)
             case _:
                 raise ValueError(f"no command {do!r}")
         return "done"
 
     def _script(self, acts: list[dict[str, Any]], turns: Turns, work_ms: list[float] | None) -> None:
-        made = [act_of(told) for told in acts] or [Act()]
+        made = [act_of(fields) for fields in acts] or [Act()]
         for server in self._servers:
             server.script = Script(made, turns)
             if work_ms is not None:
