--- a/fordtrestle/cluster/follower.py
+++ b/fordtrestle/cluster/follower.py
@@ -110,18 +110,18 @@
 
     def on_install_snapshot(self, now_ms: float, sender: str, message: InstallSnapshot) -> None:
         """A leader's snapshot, in place of entries that it no longer has."""
-        state, compact = self._state, message.snapshot
+        state, snapshot = self._state, message.snapshot
         if state.out.busy or not self._follow(now_ms, sender, message):
             return
-        if compact.index <= state.commit_index:
-            self._respond(sender, message.sequence, True, compact.index)
+        if snapshot.index <= state.commit_index:
+            self._respond(sender, message.sequence, True, snapshot.index)
             return
-        other = state.log.term_at(compact.index) != compact.term
+        other = state.log.term_at(snapshot.index) != snapshot.term
         if other:
             state.out.lower(state.commit_index)
-        state.log.shorten(compact, whole=other)
-        state.out.snapshot(compact, cut=other)
-        state.machine = StateMachine.of(compact)
-        state.commit_index = compact.index
+        state.log.shorten(snapshot, whole=other)
+        state.out.snapshot(snapshot, cut=other)
+        state.machine = StateMachine.of(snapshot)
+        state.commit_index = snapshot.index
         state.out.emit(Take())
-        self._promise(sender, message.sequence, compact.index)
+        self._promise(sender, message.sequence, snapshot.index)
--- a/fordtrestle/cluster/leader.py
+++ b/fordtrestle/cluster/leader.py
@@ -170,14 +170,14 @@
             peer.next_index += len(entries)
 
     def _send_snapshot(self, now_ms: float, peer: Peer) -> None:
-        state, compact = self._state, self._state.log.compact
+        state, snapshot = self._state, self._state.log.snapshot
         if now_ms < peer.installed_ms + state.config.election_ms:
             return  # the last one may be on its way
-        assert compact is not None  # the base is a snapshot's
+        assert snapshot is not None  # the base is a snapshot's
         peer.installed_ms = now_ms
         self._sequence += 1
         peer.ask(now_ms, self._sequence)
-        state.out.send(peer.name, InstallSnapshot(state.term, self._sequence, compact))
+        state.out.send(peer.name, InstallSnapshot(state.term, self._sequence, snapshot))
 
     # --- answers ------------------------------------------------------------------------------
 
--- a/fordtrestle/cluster/log.py
+++ b/fordtrestle/cluster/log.py
@@ -1,6 +1,6 @@
 """The log of one member, and what its committed entries have come to. Pure.
 
-Entries up to the snapshot's index are gone; what they came to is in the snapshot (`Compact`). Indexes begin
+Entries up to the snapshot's index are gone; what they came to is in the `Snapshot`. Indexes begin
 at 1, terms never fall along the log (Ongaro and Ousterhout 2014, 5.3).
 """
 
@@ -12,10 +12,10 @@
 from fordtrestle.cluster.messages import (
     ENTRIES_MOST,
     Book,
-    Compact,
     Effective,
     Entry,
     Meta,
+    Snapshot,
     Voter,
     Voters,
 )
@@ -29,8 +29,8 @@
     """Entries that follow a snapshot, and the last of each kind that is in force by them, committed or
     not."""
 
-    def __init__(self, compact: Compact | None = None, entries: Iterable[Entry] = ()) -> None:
-        self.compact = compact
+    def __init__(self, snapshot: Snapshot | None = None, entries: Iterable[Entry] = ()) -> None:
+        self.snapshot = snapshot
         self.entries: list[Entry] = []
         self._rest()
         self.whole = True  # whether all the entries handed in followed one another
@@ -44,7 +44,7 @@
 
     def _rest(self) -> None:
         """Go by the snapshot alone."""
-        snapshot = self.compact
+        snapshot = self.snapshot
         self.base = 0 if snapshot is None else snapshot.index
         self.base_term = 0 if snapshot is None else snapshot.term
         self.voters: tuple[Voter, ...] = () if snapshot is None else snapshot.voters
@@ -107,10 +107,10 @@
         for entry in kept:
             self.append(entry)
 
-    def shorten(self, compact: Compact, whole: bool = False) -> None:
+    def shorten(self, snapshot: Snapshot, whole: bool = False) -> None:
         """Drop what a snapshot holds; with `whole` also what stands after it."""
-        kept = [] if whole else self.entries[compact.index - self.base :]
-        self.compact, self.entries = compact, []
+        kept = [] if whole else self.entries[snapshot.index - self.base :]
+        self.snapshot, self.entries = snapshot, []
         self._rest()
         for entry in kept:
             self.append(entry)
@@ -129,7 +129,7 @@
 
     meta: Meta = field(default_factory=Meta)
     entries: tuple[Entry, ...] = ()
-    compact: Compact | None = None
+    snapshot: Snapshot | None = None
     damaged: bool = False
 
 
@@ -149,7 +149,7 @@
     proposals: dict[str, int] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, snapshot: Compact | None) -> StateMachine:
+    def of(cls, snapshot: Snapshot | None) -> StateMachine:
         """What a snapshot holds."""
         if snapshot is None:
             return cls()
@@ -167,10 +167,10 @@
         """The highest number that is committed; 0 for none."""
         return self.books[-1].number if self.books else 0
 
-    def compact(self) -> Compact:
+    def snapshot(self) -> Snapshot:
         """As a snapshot."""
         proposals = tuple(self.proposals.items())
-        return Compact(self.last_applied, self.last_term, self.voters, self.effective, self.books, proposals)
+        return Snapshot(self.last_applied, self.last_term, self.voters, self.effective, self.books, proposals)
 
     def apply(self, entry: Entry) -> bool:
         """Go by the next committed entry; whether anything that is acted on has changed."""
--- a/fordtrestle/cluster/members.py
+++ b/fordtrestle/cluster/members.py
@@ -32,7 +32,7 @@
 from dataclasses import dataclass, field
 
 from fordtrestle.cluster.log import Log, State, StateMachine
-from fordtrestle.cluster.messages import NAME_MOST, Compact, Entry, Meta, RecoveryResponse, Voter, Voters
+from fordtrestle.cluster.messages import NAME_MOST, Entry, Meta, RecoveryResponse, Snapshot, Voter, Voters
 
 SLOTS_MOST = 9  # seven voters, and what a change needs
 UNANSWERED_MOST = 64  # heartbeats to one member that may be unanswered
@@ -186,7 +186,7 @@
 
 def position(state: State) -> tuple[int, int]:
     """Term and index of the last entry: of several survivors, the one with the highest is recovered from."""
-    log = Log(state.compact, state.entries)
+    log = Log(state.snapshot, state.entries)
     return log.last_term, log.last_index
 
 
@@ -197,12 +197,12 @@
     All that this disk has counts as committed from here on, confirmed or not; what only the lost ones had is
     lost, though it may have been confirmed. None of them may start again but with an empty folder: two of
     them with their old disks could still elect a leader of their own."""
-    log = Log(state.compact, state.entries)
-    machine = StateMachine.of(state.compact)
+    log = Log(state.snapshot, state.entries)
+    machine = StateMachine.of(state.snapshot)
     for entry in log.entries:
         machine.apply(entry)
     term = max(state.meta.term, log.last_term) + RECOVERED_TERMS
     slots = (Voter(name, disk), *(Voter(other, "") for other in sorted(set(names) - {name})))
-    last = machine.compact()
-    compact = Compact(log.last_index + 1, term, slots, last.effective, last.books, last.proposals)
-    return State(Meta(disk=disk, term=term), (), compact)
+    last = machine.snapshot()
+    snapshot = Snapshot(log.last_index + 1, term, slots, last.effective, last.books, last.proposals)
+    return State(Meta(disk=disk, term=term), (), snapshot)
--- a/fordtrestle/cluster/messages.py
+++ b/fordtrestle/cluster/messages.py
@@ -69,7 +69,7 @@
     body: Body
 
 
-class Compact(Struct, frozen=True):
+class Snapshot(Struct, frozen=True):
     """All that the entries up to `index` have come to: what a snapshot holds.
 
     `books`: from the effective to the pending one, oldest first. `proposals`: the last ids of proposals with
@@ -190,7 +190,7 @@
 
     term: int
     sequence: int
-    snapshot: Compact
+    snapshot: Snapshot
 
 
 # --- leases and spread ------------------------------------------------------------------------
@@ -316,14 +316,14 @@
     before.
 
     `entries`: written from the first one's index on, in place of it and of all that stood after it.
-    `compact`: a snapshot, with which all entries up to its index may go; with `cut` also all those after it
+    `snapshot`: a snapshot, with which all entries up to its index may go; with `cut` also all those after it
     go, none earlier than the snapshot is durable. Where a store has several of them: `meta` first, then
-    `compact`, then `entries`."""
+    `snapshot`, then `entries`."""
 
     token: int
     meta: Meta | None = None
     entries: tuple[Entry, ...] = ()
-    compact: Compact | None = None
+    snapshot: Snapshot | None = None
     cut: bool = False
 
 
--- a/fordtrestle/cluster/order.py
+++ b/fordtrestle/cluster/order.py
@@ -24,7 +24,6 @@
     Action,
     AppendEntries,
     AppendEntriesResponse,
-    Compact,
     InstallSnapshot,
     Meta,
     PreVote,
@@ -33,6 +32,7 @@
     RecoveryResponse,
     RequestVote,
     RequestVoteResponse,
+    Snapshot,
 )
 from fordtrestle.cluster.proposals import Proposals
 from fordtrestle.cluster.raft_state import Draws, OrderConfig, RaftState, Role
@@ -261,5 +261,5 @@
     return True
 
 
-def _sane_snapshot(compact: Compact, term: int) -> bool:
-    return 0 < compact.index <= NUMBER_MOST and 0 <= compact.term <= term
+def _sane_snapshot(snapshot: Snapshot, term: int) -> bool:
+    return 0 < snapshot.index <= NUMBER_MOST and 0 <= snapshot.term <= term
--- a/fordtrestle/cluster/outbox.py
+++ b/fordtrestle/cluster/outbox.py
@@ -5,7 +5,7 @@
 from collections import deque
 
 from fordtrestle.cluster.log import Log
-from fordtrestle.cluster.messages import Action, AnyMessage, Compact, Meta, Send, Store
+from fordtrestle.cluster.messages import Action, AnyMessage, Meta, Send, Snapshot, Store
 
 
 class Outbox:
@@ -22,14 +22,14 @@
         self._held_most = held_most
         self._issued = 0
         self._meta_token = 0
-        self._compact_token = 0
+        self._snapshot_token = 0
         self._stores: deque[list[int]] = deque()  # token, and up to where it has the log
         self._held: list[tuple[int, Send]] = []
         self._actions: list[Action] = []
         self._sends: list[tuple[bool, Send]] = []
         self._meta: Meta | None = None
         self._first = 0  # the first index to write; 0 for none
-        self._compact: Compact | None = None
+        self._snapshot: Snapshot | None = None
         self._cut = False
 
     @property
@@ -47,7 +47,7 @@
         """Whether this call writes entries, or a snapshot is under way."""
         if self.failed:
             return False
-        return bool(self._first) or self._compact is not None or self._compact_token > self.durable
+        return bool(self._first) or self._snapshot is not None or self._snapshot_token > self.durable
 
     def emit(self, action: Action) -> None:
         """An action that rests on nothing."""
@@ -70,9 +70,9 @@
         """Store the log from `index` on."""
         self._first = min(self._first, index) if self._first else index
 
-    def snapshot(self, compact: Compact, cut: bool) -> None:
+    def snapshot(self, snapshot: Snapshot, cut: bool) -> None:
         """Store a snapshot; with `cut` the log goes with it."""
-        self._compact, self._cut = compact, cut
+        self._snapshot, self._cut = snapshot, cut
 
     def lower(self, index: int) -> None:
         """The log after `index` is another now: what was stored of it, or is being stored, is of no use."""
@@ -92,22 +92,22 @@
             elif len(self._held) < self._held_most:  # else it is as if the network had lost it
                 self._held.append((token, message))
         self._actions, self._sends = [], []
-        self._meta, self._first, self._compact, self._cut = None, 0, None, False
+        self._meta, self._first, self._snapshot, self._cut = None, 0, None, False
         return actions
 
     def _store(self, log: Log) -> None:
         entries = tuple(log.entries[max(0, self._first - log.base - 1) :]) if self._first else ()
-        if self._meta is None and not entries and self._compact is None:
+        if self._meta is None and not entries and self._snapshot is None:
             return
         self._issued += 1
         if self._meta is not None:
             self._meta_token = self._issued
         upto = log.last_index if entries else 0
-        if self._compact is not None:
-            self._compact_token = self._issued
-            upto = max(upto, self._compact.index)
+        if self._snapshot is not None:
+            self._snapshot_token = self._issued
+            upto = max(upto, self._snapshot.index)
         self._stores.append([self._issued, upto])
-        self._actions.insert(0, Store(self._issued, self._meta, entries, self._compact, self._cut))
+        self._actions.insert(0, Store(self._issued, self._meta, entries, self._snapshot, self._cut))
 
     def stored(self, token: int) -> None:
         """A store and all before it are durable: what rested on them is said."""
--- a/fordtrestle/cluster/raft_state.py
+++ b/fordtrestle/cluster/raft_state.py
@@ -63,8 +63,8 @@
         self.name = name
         self.config = config
         self.rng = rng
-        self.log = Log(state.compact, state.entries)
-        self.machine = StateMachine.of(state.compact)
+        self.log = Log(state.snapshot, state.entries)
+        self.machine = StateMachine.of(state.snapshot)
         self.commit_index = self.machine.last_applied
         self.meta: Meta = state.meta
         self.out = Outbox(config.stores_most, config.held_most, self.log.last_index)
@@ -177,9 +177,9 @@
         many = self.machine.last_applied - self.log.base >= self.config.entries_most
         many |= self.log.books >= 2 * self.config.books_most and self.machine.last_applied > self.log.base
         if many and not self.out.writes and not self.out.busy:
-            compact = self.machine.compact()
-            self.log.shorten(compact)
-            self.out.snapshot(compact, cut=False)
+            snapshot = self.machine.snapshot()
+            self.log.shorten(snapshot)
+            self.out.snapshot(snapshot, cut=False)
 
     # --- clients ------------------------------------------------------------------------------
 
--- a/fordtrestle/state/journal.py
+++ b/fordtrestle/state/journal.py
@@ -26,12 +26,12 @@
 from crc32c import crc32c
 
 from fordtrestle.cluster import messages
-from fordtrestle.cluster.messages import Compact, Entry, Meta
+from fordtrestle.cluster.messages import Entry, Meta, Snapshot
 from fordtrestle.state import records, snapshots
 from fordtrestle.state.frames import CUT, ENTRY, META, FormatError
 from fordtrestle.state.ports import Store
 from fordtrestle.state.records import SnapshotError
-from fordtrestle.state.recovery import Recovered, Snapshot, Start, decode, recover
+from fordtrestle.state.recovery import Recovered, SnapshotFile, Start, decode, recover
 from fordtrestle.state.segments import BYTES_MOST, SEGMENT_BYTES, Item, Segments
 from fordtrestle.state.writer import Writer
 
@@ -54,7 +54,7 @@
     is written. `log_lines`: what to log of it."""
 
     meta: Meta | None
-    compact: Compact | None
+    snapshot: Snapshot | None
     entries: tuple[Entry, ...]
     damaged: tuple[tuple[int, int], ...] = ()
     doubtful_from: int | None = None
@@ -118,7 +118,7 @@
             raise OSError(errno.EBADF, "the journal is not open")
         self._check(actions)
         encoded = [[msgspec.msgpack.encode(entry) for entry in action.entries] for action in actions]
-        compacts = any(action.compact is not None for action in actions)
+        compacts = any(action.snapshot is not None for action in actions)
         self._log.room(sum(len(data) for datas in encoded for data in datas), compacts or not any(encoded))
         try:
             self._write(actions, encoded)
@@ -134,38 +134,38 @@
     # --- opening -------------------------------------------------------------------------
 
     def _read(self) -> tuple[Opened, Recovered, int]:
-        snapshot, fallback, log_lines = self._newest()
+        file, fallback, log_lines = self._newest()
         found = self._log.read()
-        recovered = recover(found.records, found.unknown, snapshot, fallback)
+        recovered = recover(found.records, found.unknown, file, fallback)
         log_lines += found.log_lines + _lines(recovered)
         opened = Opened(
             recovered.meta,
-            None if snapshot is None else snapshot.compact,
+            None if file is None else file.snapshot,
             recovered.entries,
             recovered.damaged,
             recovered.doubtful_from,
             recovered.whole,
             log_lines,
         )
-        return opened, recovered, max(found.highest, 0 if snapshot is None else snapshot.number)
+        return opened, recovered, max(found.highest, 0 if file is None else file.number)
 
-    def _newest(self) -> tuple[Snapshot | None, bool, list[str]]:
+    def _newest(self) -> tuple[SnapshotFile | None, bool, list[str]]:
         """The newest snapshot that can be read, whether there is a newer one, and lines about those."""
         self._snapshots, log_lines, newest = [], [], None
         names = [name for name in self._store.names() if NAME.fullmatch(name)]
         for name in reversed(names):
             try:
-                snapshot = self._snapshot(name)
+                file = self._read_file(name)
             except SnapshotError as error:
                 log_lines.append(f"{name}: {error}; an older one and the log are used")
                 continue
-            newest = newest or snapshot
-            self._snapshots.append((name, snapshot.compact.index))
+            newest = newest or file
+            self._snapshots.append((name, file.snapshot.index))
         return newest, bool(log_lines) and (newest is None or names[-1] != self._snapshots[0][0]), log_lines
 
-    def _snapshot(self, name: str) -> Snapshot:
+    def _read_file(self, name: str) -> SnapshotFile:
         try:
-            return decode(snapshots.read(self._store, name, SNAPSHOT_BYTES_MOST), Snapshot)
+            return decode(snapshots.read(self._store, name, SNAPSHOT_BYTES_MOST), SnapshotFile)
         except FormatError as error:
             raise FormatError(f"{name}: {error}") from error
         except SnapshotError:
@@ -186,10 +186,10 @@
         base = self._snapshots[0][1] if self._snapshots else 0
         last = self._log.last
         for action in actions:
-            if action.compact is not None:
-                if action.compact.index < base:
-                    raise ValueError(f"a snapshot of {action.compact.index} after one of {base}")
-                base = action.compact.index
+            if action.snapshot is not None:
+                if action.snapshot.index < base:
+                    raise ValueError(f"a snapshot of {action.snapshot.index} after one of {base}")
+                base = action.snapshot.index
                 last = base if action.cut else max(last, base)
             for number, entry in enumerate(action.entries):
                 first = action.entries[0].index
@@ -206,9 +206,9 @@
             if action.meta is not None:
                 items.append((META, 0, msgspec.msgpack.encode(action.meta)))
                 metas.append(action.meta)
-            if action.compact is not None:
+            if action.snapshot is not None:
                 self._append(items, metas)
-                items, metas = self._compact(action.compact, action.cut), []
+                items, metas = self._put_snapshot(action.snapshot, action.cut), []
                 compacted = True
             entries = zip(action.entries, datas, strict=True)
             items += [(ENTRY, entry.index, data) for entry, data in entries]
@@ -223,17 +223,17 @@
                 self._spoiled = False
             self._meta = meta
 
-    def _compact(self, compact: Compact, cut: bool) -> list[Item]:
+    def _put_snapshot(self, snapshot: Snapshot, cut: bool) -> list[Item]:
         """Put a snapshot on disk; what the log has to say about it."""
-        cut = cut or compact.index > self._log.last
+        cut = cut or snapshot.index > self._log.last
         name = f"snapshot-{self._log.synced:016}"
-        data = msgspec.msgpack.encode(Snapshot(self._log.synced, cut, compact))
+        data = msgspec.msgpack.encode(SnapshotFile(self._log.synced, cut, snapshot))
         if len(data) > SNAPSHOT_BYTES_MOST:
             raise OSError(errno.EFBIG, f"a snapshot of more than {SNAPSHOT_BYTES_MOST} bytes")
         snapshots.write(self._store, name, data)
         held = [kept for kept in self._snapshots if kept[0] != name]
-        self._snapshots = [(name, compact.index), *held]
-        return [(CUT, compact.index, b"")] if cut else []
+        self._snapshots = [(name, snapshot.index), *held]
+        return [(CUT, snapshot.index, b"")] if cut else []
 
     def _tidy(self) -> None:
         """Let go of what neither generation of snapshots needs."""
--- a/fordtrestle/state/recovery.py
+++ b/fordtrestle/state/recovery.py
@@ -34,7 +34,7 @@
 import msgspec
 from msgspec import Struct
 
-from fordtrestle.cluster.messages import Compact, Entry, Meta
+from fordtrestle.cluster.messages import Entry, Meta, Snapshot
 from fordtrestle.state.frames import CUT, ENTRY, META, START, FormatError, Record
 
 T = TypeVar("T")
@@ -49,13 +49,13 @@
     again: tuple[tuple[int, int, bytes], ...] = ()  # kind, index and data of records
 
 
-class Snapshot(Struct, frozen=True, array_like=True):
+class SnapshotFile(Struct, frozen=True, array_like=True):
     """What a snapshot's file holds; `number`: of the last record before it. With `cut` no entry before it
     counts."""
 
     number: int
     cut: bool
-    compact: Compact
+    snapshot: Snapshot
 
 
 @dataclass(slots=True)
@@ -82,11 +82,12 @@
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except (msgspec.MsgspecError, ValueError) as error:
-        raise FormatError(f"no {kind.__name__.lower()} of this format: {error}") from error
+        name = kind.__name__.removesuffix("File").lower()  # as an operator calls it
+        raise FormatError(f"no {name} of this format: {error}") from error
 
 
 def recover(
-    records: Sequence[Record], unknown: bool, snapshot: Snapshot | None = None, fallback: bool = False
+    records: Sequence[Record], unknown: bool, file: SnapshotFile | None = None, fallback: bool = False
 ) -> Recovered:
     """Go by all records of a journal, in the order of its files.
 
@@ -94,13 +95,13 @@
     later snapshot than this one can't be read. `FormatError` where anything is of another format."""
     kept, strays = _standing(records)
     proved = max((record.synced for record in kept), default=0)
-    if snapshot is not None:
-        proved = max(proved, snapshot.number)
+    if file is not None:
+        proved = max(proved, file.number)
     torn = False
     while kept and kept[-1].data is None and kept[-1].short and kept[-1].number > proved:
         kept.pop()
         torn = True
-    replay = _Replay(snapshot, fallback, proved)
+    replay = _Replay(file, fallback, proved)
     for record in kept:
         replay.take(record)
     replay.end(unknown)
@@ -127,7 +128,7 @@
 class _Replay:
     """Records gone by, one after the other."""
 
-    snapshot: Snapshot | None
+    file: SnapshotFile | None
     fallback: bool
     proved: int
     entries: dict[int, bytes] = field(default_factory=dict)  # by index, rising
@@ -146,7 +147,7 @@
     @property
     def base(self) -> int:
         """The index that the snapshot holds."""
-        return 0 if self.snapshot is None else self.snapshot.compact.index
+        return 0 if self.file is None else self.file.snapshot.index
 
     def take(self, record: Record) -> None:
         """Go by one record."""
@@ -154,8 +155,8 @@
             self.unread = True  # it shows as a gap
             return
         before = record.index if record.kind == START else record.number - 1
-        if self.snapshot is not None and before >= self.snapshot.number:
-            self._apply(self.snapshot)
+        if self.file is not None and before >= self.file.number:
+            self._apply(self.file)
         if not self.number and record.kind == START:
             self.number = before  # what stood before is compacted
         self._gap(record, before)
@@ -167,8 +168,8 @@
             self._use(record, record.data)
         self.number, self.unread = record.number, False
 
-    def _apply(self, snapshot: Snapshot) -> None:
-        if snapshot.cut and not self.applied:
+    def _apply(self, file: SnapshotFile) -> None:
+        if file.cut and not self.applied:
             self.entries.clear()
             self.uncut, self.last = self.last, self.base
         self.applied = True
@@ -239,8 +240,8 @@
 
     def end(self, unknown: bool) -> None:
         """All records are gone by."""
-        if self.snapshot is not None:
-            self._apply(self.snapshot)
+        if self.file is not None:
+            self._apply(self.file)
         if self.proved > self.number:  # the log has lost its end
             self._truncate(self.base + 1)
             self.last = min(self.last, self.base)
--- a/tests/cluster/test_hard_cases.py
+++ b/tests/cluster/test_hard_cases.py
@@ -13,7 +13,6 @@
 from fordtrestle.cluster.messages import (
     AppendEntries,
     AppendEntriesResponse,
-    Compact,
     Entry,
     InstallSnapshot,
     Noop,
@@ -21,6 +20,7 @@
     PreVoteResponse,
     RequestVote,
     RequestVoteResponse,
+    Snapshot,
     Voters,
 )
 from tests.cluster.test_order import GUARD, Bench, breaks, cut, grown, led
@@ -62,7 +62,7 @@
     assert [answer.state for answer in world.answers[9]] == ["elsewhere"]
     world.heal()
     grown(world, world.lead(), 1, first=10)
-    assert world.order("c").machine.compact() == world.order(world.leader()).machine.compact()
+    assert world.order("c").machine.snapshot() == world.order(world.leader()).machine.snapshot()
 
 
 def test_one_that_does_not_hear_the_leader_but_is_heard_by_all_gets_no_vote():
@@ -227,11 +227,11 @@
 
     def __init__(self, world, name, parts):
         disk = world.nodes[name].disk
-        super().__init__(State(disk.meta, tuple(disk.entries), disk.compact))
+        super().__init__(State(disk.meta, tuple(disk.entries), disk.snapshot))
         self.world, self.name, self.parts, self.torn = world, name, parts, False
 
     def apply(self, store, parts=3):
-        if store.compact is None or self.torn:
+        if store.snapshot is None or self.torn:
             super().apply(store, parts)
             return
         self.torn = True
@@ -254,10 +254,10 @@
     disk = world.nodes["c"].disk = Torn(world, "c", parts)
     world.start("c")
     assert world.until(lambda: disk.torn, 1000)
-    assert (disk.compact is not None) == (parts > 1)
+    assert (disk.snapshot is not None) == (parts > 1)
     world.start("c")
     assert world.until(lambda: world.order("c").commit_index == world.order("a").commit_index, 2000)
-    assert world.order("c").machine.compact() == world.order("a").machine.compact()
+    assert world.order("c").machine.snapshot() == world.order("a").machine.snapshot()
     world.crash("b")
     grown(world, "a", 1, first=50)
 
@@ -291,7 +291,7 @@
 
 def test_a_snapshot_that_comes_late_takes_nothing_back():
     bench = Bench().known()
-    first, later = (Compact(index, 2, bench.order.voters, 0, ()) for index in (6, 10))
+    first, later = (Snapshot(index, 2, bench.order.voters, 0, ()) for index in (6, 10))
     bench.hear("b", InstallSnapshot(2, 2, later))
     bench.hear("b", AppendEntries(2, 3, 10, 2, (Entry(11, 2, Noop()),), 11))
     assert bench.said == [], "nothing of it is durable"
@@ -299,7 +299,7 @@
     assert [(answer.sequence, answer.match_index) for answer in answers] == [(2, 10), (3, 11)]
     said = bench.hear("b", InstallSnapshot(2, 1, first))
     assert [(message.success, message.match_index) for message in said] == [(True, 6)]
-    said = bench.hear("c", InstallSnapshot(1, 9, Compact(20, 1, bench.order.voters, 0, ())))
+    said = bench.hear("c", InstallSnapshot(1, 9, Snapshot(20, 1, bench.order.voters, 0, ())))
     assert [(message.success, message.term) for message in said] == [(False, 2)]
     assert (bench.order.log.base, bench.order.log.last_index, bench.order.commit_index) == (10, 11, 11)
     assert bench.stores == []
--- a/tests/cluster/test_members.py
+++ b/tests/cluster/test_members.py
@@ -241,8 +241,8 @@
     grown(world, "a", 3)
     state = world.nodes["b"].disk.state()
     recovered = recover_state(state, "b", "new", "abc")
-    compact = recovered.compact
-    assert compact is not None and compact.voters == (Voter("b", "new"), Voter("a", ""), Voter("c", ""))
-    assert compact.index == world.order("b").log.last_index + 1
-    assert compact.books[-1].number == 3 and dict(compact.proposals)["p3"] == 3
-    assert recovered.meta.term == compact.term > 1000 and not recovered.entries
+    snapshot = recovered.snapshot
+    assert snapshot is not None and snapshot.voters == (Voter("b", "new"), Voter("a", ""), Voter("c", ""))
+    assert snapshot.index == world.order("b").log.last_index + 1
+    assert snapshot.books[-1].number == 3 and dict(snapshot.proposals)["p3"] == 3
+    assert recovered.meta.term == snapshot.term > 1000 and not recovered.entries
--- a/tests/cluster/test_order.py
+++ b/tests/cluster/test_order.py
@@ -17,7 +17,6 @@
     AppendEntries,
     AppendEntriesResponse,
     Book,
-    Compact,
     Entry,
     InstallSnapshot,
     Noop,
@@ -29,6 +28,7 @@
     RequestVote,
     RequestVoteResponse,
     Send,
+    Snapshot,
     Store,
     Voter,
 )
@@ -657,7 +657,7 @@
         machine.apply(Entry(number, 1, Book(EMPTY, f"p{number}")))
         machine.books = ()
     assert len(machine.proposals) == PROPOSALS_MOST and "p2" not in machine.proposals
-    assert StateMachine.of(machine.compact()).proposals == machine.proposals
+    assert StateMachine.of(machine.snapshot()).proposals == machine.proposals
 
 
 # --- followers that lack entries --------------------------------------------------------------
@@ -675,7 +675,7 @@
         send.to == "a" and isinstance(send.message, InstallSnapshot) and installs.append(1)
     )
     world.cut.clear()
-    assert world.until(lambda: world.nodes["a"].disk.compact is not None, 1000)
+    assert world.until(lambda: world.nodes["a"].disk.snapshot is not None, 1000)
     world.restart("a")
     assert len(installs) <= 2
     assert all(entry.term > 2 for entry in world.nodes["a"].disk.entries)
@@ -687,8 +687,8 @@
     bench = Bench().known()
     bench.hear("b", AppendEntries(2, 1, 1, 1, tuple(Entry(index, 2, Noop()) for index in range(2, 7)), 1))
     bench.sync()
-    compact = Compact(4, 2 if same else 3, bench.order.voters, 0, ())
-    bench.hear("b", InstallSnapshot(4, 2, compact))
+    snapshot = Snapshot(4, 2 if same else 3, bench.order.voters, 0, ())
+    bench.hear("b", InstallSnapshot(4, 2, snapshot))
     assert bench.stores[-1].cut is not same
     assert bench.order.log.last_index == (6 if same else 4)
     assert bench.order.state.out.durable_index == (6 if same else 1)
@@ -759,8 +759,8 @@
         AppendEntries(2, 1, 1, 1, tuple(Entry(index, 2, Noop()) for index in range(2, ENTRIES_MOST + 3)), 0),
         AppendEntries(NUMBER_MOST + 1, 1, 1, 1, (), 0),
         RequestVote(2, -1, 1, "x", 1),
-        InstallSnapshot(2, 1, Compact(0, 1, (), 0, ())),
-        InstallSnapshot(2, 1, Compact(4, 3, (), 0, ())),
+        InstallSnapshot(2, 1, Snapshot(0, 1, (), 0, ())),
+        InstallSnapshot(2, 1, Snapshot(4, 3, (), 0, ())),
     ],
 )
 def test_messages_that_make_no_sense_are_dropped(message):
--- a/tests/cluster/world.py
+++ b/tests/cluster/world.py
@@ -21,7 +21,6 @@
     Answer,
     AppendEntries,
     AppendEntriesResponse,
-    Compact,
     Entry,
     InstallSnapshot,
     LogLine,
@@ -31,6 +30,7 @@
     RequestVote,
     RequestVoteResponse,
     Send,
+    Snapshot,
     Store,
     Voters,
 )
@@ -56,37 +56,37 @@
     """What is durable on one member's disk. `full`: every store fails."""
 
     def __init__(self, state: State) -> None:
-        self.meta, self.compact = state.meta, state.compact
+        self.meta, self.snapshot = state.meta, state.snapshot
         self.entries = list(state.entries)
         self.damaged = False
         self.full = False
 
     def copy(self) -> Disk:
         """The same, to be put back later."""
-        other = Disk(State(self.meta, tuple(self.entries), self.compact))
+        other = Disk(State(self.meta, tuple(self.entries), self.snapshot))
         other.damaged = self.damaged
         return other
 
     def state(self) -> State:
         """What a member starts with."""
-        return State(self.meta, tuple(self.entries), self.compact, self.damaged)
+        return State(self.meta, tuple(self.entries), self.snapshot, self.damaged)
 
     def apply(self, store: Store, parts: int = 3) -> None:
         """Write a store, or its first parts only, as a crash may leave it."""
         if parts > 0 and store.meta is not None:
             self.meta = store.meta
-        if parts > 1 and store.compact is not None:
-            self.compact = store.compact
+        if parts > 1 and store.snapshot is not None:
+            self.snapshot = store.snapshot
             if store.cut:
                 self.entries = []
-            self.entries = [entry for entry in self.entries if entry.index > store.compact.index]
+            self.entries = [entry for entry in self.entries if entry.index > store.snapshot.index]
         if parts > 2 and store.entries:
             first = store.entries[0].index
             self.entries = [entry for entry in self.entries if entry.index < first] + list(store.entries)
 
     def has(self, index: int) -> bool:
         """Whether the log up to an index is here."""
-        base = 0 if self.compact is None else self.compact.index
+        base = 0 if self.snapshot is None else self.snapshot.index
         return index <= base + len(self.entries)
 
 
@@ -377,7 +377,7 @@
             assert self._chain.setdefault(index, entry) == entry, f"{where}: another entry {index}"
         if node.last_applied != order.machine.last_applied:
             node.last_applied = order.machine.last_applied
-            told: Compact = order.machine.compact()
+            told: Snapshot = order.machine.snapshot()
             assert self._results.setdefault(told.index, told) == told, (
                 f"{where}: other result of {told.index}"
             )
--- a/tests/rig/cluster/test_journal_faults.py
+++ b/tests/rig/cluster/test_journal_faults.py
@@ -8,7 +8,7 @@
 import pytest
 
 from fordtrestle.cluster import messages
-from fordtrestle.cluster.messages import Compact, Effective, Entry, Meta
+from fordtrestle.cluster.messages import Effective, Entry, Meta, Snapshot
 from fordtrestle.state.journal import Journal
 from rig.cluster.disks import FaultyStore
 
@@ -20,9 +20,9 @@
     """A vote, an entry, and now and then one written again or a snapshot."""
     first = number - (number // 7) % 2
     entries = tuple(Entry(index, number, Effective(index)) for index in range(first, number + 1))
-    compact = Compact(number - 3, 1, (), 0, ()) if number % 10 == 0 else None
+    snapshot = Snapshot(number - 3, 1, (), 0, ()) if number % 10 == 0 else None
     meta = Meta("d", number, number, "v" * (number % 50))
-    return [messages.Store(0, meta), messages.Store(0, compact=compact), messages.Store(0, entries=entries)]
+    return [messages.Store(0, meta), messages.Store(0, snapshot=snapshot), messages.Store(0, entries=entries)]
 
 
 def opened_at(folder, seed=0):
@@ -49,7 +49,7 @@
 
 def standing(opened):
     """Term of the meta, and of the last entry."""
-    return opened.meta.term, opened.entries[-1].term if opened.entries else opened.compact.index
+    return opened.meta.term, opened.entries[-1].term if opened.entries else opened.snapshot.index
 
 
 @pytest.mark.parametrize("word", ["lose", "torn", "eio_once", "eio", "full", "slow"])
@@ -62,7 +62,7 @@
         _, _, opened = opened_at(folder)
         assert opened.whole and not opened.damaged
         assert all(confirmed <= term <= confirmed + 1 for term in standing(opened))
-        assert opened.compact is None or opened.compact.index + 3 <= confirmed + 1
+        assert opened.snapshot is None or opened.snapshot.index + 3 <= confirmed + 1
         assert standing(opened_at(folder)[2]) == standing(opened)
     assert bool(failed) == (word not in ("torn", "slow"))
 
--- a/tests/state/test_journal.py
+++ b/tests/state/test_journal.py
@@ -15,7 +15,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from fordtrestle.cluster import messages
-from fordtrestle.cluster.messages import Compact, Entry, Meta, Voter, Voters
+from fordtrestle.cluster.messages import Entry, Meta, Snapshot, Voter, Voters
 from fordtrestle.state import journal as journals
 from fordtrestle.state import records
 from fordtrestle.state.frames import FormatError
@@ -30,8 +30,8 @@
     return msgspec.msgpack.encode(value)
 
 
-def store(meta=None, entries=(), compact=None, cut=False, token=0):
-    return messages.Store(token, meta, tuple(entries), compact, cut)
+def store(meta=None, entries=(), snapshot=None, cut=False, token=0):
+    return messages.Store(token, meta, tuple(entries), snapshot, cut)
 
 
 def meta(term=1, disk="d", incarnation=1, voted_for=""):
@@ -46,12 +46,12 @@
     return [entry(index, term, size) for index in range(first, last + 1)]
 
 
-def compact(index, term=1, size=0):
-    return Compact(index, term, (Voter("c", "x" * size),), 0, ())
+def snapshot(index, term=1, size=0):
+    return Snapshot(index, term, (Voter("c", "x" * size),), 0, ())
 
 
 def kept(opened):
-    return opened.meta, opened.compact, opened.entries
+    return opened.meta, opened.snapshot, opened.entries
 
 
 NOTHING = (None, None, ())
@@ -65,16 +65,16 @@
     """What stands before any of these, and after each part of them."""
     made = [state]
     for action in actions:
-        told, snapshot, log = made[-1]
+        told, held, log = made[-1]
         if action.meta is not None:
-            made.append((action.meta, snapshot, log))
-        if action.compact is not None:
-            index = action.compact.index
+            made.append((action.meta, held, log))
+        if action.snapshot is not None:
+            index = action.snapshot.index
             left = () if action.cut else tuple(one for one in log if one.index > index)
-            made.append((made[-1][0], action.compact, left))
+            made.append((made[-1][0], action.snapshot, left))
         for one in action.entries:
-            told, snapshot, log = made[-1]
-            made.append((told, snapshot, (*(old for old in log if old.index < one.index), one)))
+            told, held, log = made[-1]
+            made.append((told, held, (*(old for old in log if old.index < one.index), one)))
     return made
 
 
@@ -87,7 +87,7 @@
     """That an answer is right where `state` was confirmed. `known`: entries of before its snapshot."""
     _, _, log = state
     want = {one.index: one for one in (*known, *log)}
-    base = opened.compact.index if opened.compact else 0
+    base = opened.snapshot.index if opened.snapshot else 0
     have = {one.index for one in opened.entries}
     assert all(want[one.index] == one for one in opened.entries if one.index > base_of(state))
     missing = set(range(base + 1, (log[-1].index if log else base_of(state)) + 1)) - have
@@ -116,7 +116,7 @@
         taken, cut = None, draw(st.booleans())
         if draw(st.integers(0, 3)) == 0 and (cut or last > base):
             index = draw(st.integers(base + 1, last + 4 if cut else last))
-            taken = compact(index, term, draw(st.sampled_from(SIZES)))
+            taken = snapshot(index, term, draw(st.sampled_from(SIZES)))
             base, last = index, index if cut else last
         first = draw(st.integers(max(base + 1, last - 3), last + 1))
         count = draw(st.integers(0, 4))
@@ -148,7 +148,7 @@
         else:
             assert self.torn == "sectors"
             log = opened.entries
-            assert any(log == one[2][: len(log)] for one in self.allowed if one[1] == opened.compact)
+            assert any(log == one[2][: len(log)] for one in self.allowed if one[1] == opened.snapshot)
             self.incarnation += 1
             self.journal.write([store(Meta(f"d{self.incarnation}"))])
             opened = self.journal.read()
@@ -200,10 +200,10 @@
 HISTORY = [
     [store(meta(), entries(1, 3))],
     [store(meta(2, voted_for="n"), entries(2, 4, 2, 200))],
-    [store(None, entries(5, 6, 2), compact(3, 2))],
-    [store(meta(3)), store(None, entries(6, 6, 3)), store(None, [], compact(5, 3))],
-    [store(None, entries(10, 11, 4, 300), compact(9, 4), True)],
-    [store(None, [], compact(10, 4)), store(meta(5), entries(12, 12, 5))],
+    [store(None, entries(5, 6, 2), snapshot(3, 2))],
+    [store(meta(3)), store(None, entries(6, 6, 3)), store(None, [], snapshot(5, 3))],
+    [store(None, entries(10, 11, 4, 300), snapshot(9, 4), True)],
+    [store(None, [], snapshot(10, 4)), store(meta(5), entries(12, 12, 5))],
 ]
 
 
@@ -366,11 +366,11 @@
 
 
 def test_a_log_that_lost_its_end_is_missed_where_a_snapshot_proves_it():
-    disk, _ = played([[store(meta(2), entries(1, 3))], [store(None, [], compact(1))]], 2**20)
+    disk, _ = played([[store(meta(2), entries(1, 3))], [store(None, [], snapshot(1))]], 2**20)
     (name, data), *_ = disk.files().items()
     for size, left, missing in ((60, [], 2), (len(data) - 100, [], 2), (len(data) - 10, entries(2, 2), 3)):
         _, opened = opened_at(Platter(disk.files() | {name: data[:size]}))
-        assert opened.compact == compact(1) and opened.entries == tuple(left)
+        assert opened.snapshot == snapshot(1) and opened.entries == tuple(left)
         assert opened.damaged == ((missing, missing),) and not opened.whole
 
 
@@ -406,27 +406,27 @@
 
 
 def test_of_two_snapshots_the_older_one_with_the_log_gives_the_same():
-    disk, state = played([*HISTORY, [store(None, entries(13, 13, 5), compact(11, 5))]])
+    disk, state = played([*HISTORY, [store(None, entries(13, 13, 5), snapshot(11, 5))]])
     names = [name for name in disk.names() if name.startswith("snapshot")]
     assert len(names) == 2
     _, opened = opened_at(rotted(disk, names[-1], 700))
-    assert opened.compact == compact(10, 4) and opened.whole and names[-1] in opened.log_lines[0]
+    assert opened.snapshot == snapshot(10, 4) and opened.whole and names[-1] in opened.log_lines[0]
     assert opened.entries == (entry(11, 4, 300), *entries(12, 13, 5))
     _, opened = opened_at(rotted(rotted(disk, names[-1], 700), names[0], 700))
-    assert opened.compact is None and not opened.whole and opened.damaged[0][0] == 1
+    assert opened.snapshot is None and not opened.whole and opened.damaged[0][0] == 1
     assert kept(opened_at(disk)[1]) == state
 
 
 def test_of_one_snapshot_the_whole_log_is_kept():
     disk, _ = played(
-        [*([store(meta(n), entries(n, n, 1, 300))] for n in range(1, 5)), [store(None, [], compact(4))]]
+        [*([store(meta(n), entries(n, n, 1, 300))] for n in range(1, 5)), [store(None, [], snapshot(4))]]
     )
     _, opened = opened_at(rotted(disk, disk.names()[-1], 200))
-    assert opened.whole and opened.compact is None and opened.entries == tuple(entries(1, 4, 1, 300))
+    assert opened.whole and opened.snapshot is None and opened.entries == tuple(entries(1, 4, 1, 300))
 
 
-BEFORE = [[store(meta(), entries(1, 6))], [store(None, [], compact(2))], [store(meta(2))]]
-CUTTING = [store(None, entries(6, 6, 9), compact(5, 9), True)]
+BEFORE = [[store(meta(), entries(1, 6))], [store(None, [], snapshot(2))], [store(meta(2))]]
+CUTTING = [store(None, entries(6, 6, 9), snapshot(5, 9), True)]
 
 
 def test_what_a_snapshot_cut_does_not_come_back_though_the_snapshot_rots():
@@ -441,9 +441,9 @@
         disk.arm()
         opened = opened_at(disk)[1]
         assert kept(opened) in steps(state, CUTTING)
-        if opened.compact == compact(5, 9):
+        if opened.snapshot == snapshot(5, 9):
             _, opened = opened_at(rotted(disk, disk.names()[-1], 200))
-            assert not opened.whole and opened.compact == compact(2)
+            assert not opened.whole and opened.snapshot == snapshot(2)
             assert all(one.term == 9 for one in opened.entries)
 
 
@@ -459,7 +459,7 @@
     name, _ = bit_of(disk, b"FTJ\x01\x04")
     for size in range(len(disk.files()[name])):
         _, opened = opened_at(Platter(disk.files() | {name: disk.files()[name][:size]}))
-        assert opened.whole and kept(opened) in ((meta(2), compact(5, 9), ()), state)
+        assert opened.whole and kept(opened) in ((meta(2), snapshot(5, 9), ()), state)
 
 
 def test_what_an_opening_wrote_again_is_kept_by_snapshots():
@@ -469,9 +469,9 @@
     opened_at(disk, 1)[0].write([store(meta(2))])
     journal, _ = opened_at(disk, 1)
     for index in (1, 2):
-        journal.write([store(None, [], compact(index))])
+        journal.write([store(None, [], snapshot(index))])
         journal.write([store(meta(index + 2))])
-    assert kept(opened_at(disk)[1]) == (meta(4), compact(2), (entry(3),))
+    assert kept(opened_at(disk)[1]) == (meta(4), snapshot(2), (entry(3),))
 
 
 def test_what_a_crash_left_of_a_snapshot_goes():
@@ -487,10 +487,10 @@
     for index in range(1, 200):
         journal.write([store(meta(index), [entry(index, 1, 100)])])
         if index % 10 == 0:
-            journal.write([store(None, [], compact(index))])
+            journal.write([store(None, [], snapshot(index))])
     assert len(disk.names()) < 40 and sum(map(len, disk.files().values())) < 20_000
     _, opened = opened_at(disk.after_power_cut(Random(1)))
-    assert kept(opened) == (meta(199), compact(190), tuple(entries(191, 199, 1, 100)))
+    assert kept(opened) == (meta(199), snapshot(190), tuple(entries(191, 199, 1, 100)))
 
 
 def test_a_full_log_takes_a_snapshot_and_then_entries_again():
@@ -502,7 +502,7 @@
             journal.write([store(None, [entry(last + 1, 1, 100)])])
             last += 1
     assert raised.value.errno == errno.ENOSPC
-    journal.write([store(meta(), [], compact(last - 1)), store(meta(2), [], compact(last))])
+    journal.write([store(meta(), [], snapshot(last - 1)), store(meta(2), [], snapshot(last))])
     journal.write([store(None, entries(last + 1, last + 3, 1, 100))])
 
 
@@ -531,7 +531,7 @@
         raw = records.seal(b"x")
     with pytest.raises(FormatError, match="format version 2"):
         opened_at(Platter(disk.files() | {name: raw}))
-    assert opened_at(rotted(disk, name, 8 * 11))[1].compact != compact(10, 4)
+    assert opened_at(rotted(disk, name, 8 * 11))[1].snapshot != snapshot(10, 4)
 
 
 # --- calls -------------------------------------------------------------------------------------------------
@@ -570,7 +570,7 @@
         with pytest.raises(ValueError):
             journal.write([store(meta(9), bad)])
     with pytest.raises(ValueError):
-        journal.write([store(meta(9), [], compact(9))])
+        journal.write([store(meta(9), [], snapshot(9))])
     assert len(disk.calls) == calls
     journal.write([store(None, entries(11, 13, 6))])
 
