--- a/tests/cluster/test_hard_cases.py
+++ b/tests/cluster/test_hard_cases.py
@@ -18,6 +18,8 @@
     Noop,
     PreVote,
     PreVoteResponse,
+    RecoveryQuery,
+    RecoveryResponse,
     RequestVote,
     RequestVoteResponse,
     Snapshot,
@@ -137,6 +139,20 @@
     assert not guarded or world.order(world.leader()).term > 2
 
 
+def test_a_started_disk_votes_for_no_other_in_the_term_that_it_learns_of():
+    bench = Bench()
+    query = next(message for message in bench.sync() if isinstance(message, RecoveryQuery))
+    for name in "bc":
+        bench.hear(name, RecoveryResponse("disk-a", 0, 0, query.nonce, f"disk-{name}", 2, 1, 1))
+    bench.sync()
+    bench.now += 2 * CONFIG.election_ms
+    granted = []
+    for term in (2, 3):
+        said = bench.hear("c", RequestVote(term, 9, 1, "disk-c", 1)) + bench.sync()
+        granted += [vote.vote_granted for vote in said if isinstance(vote, RequestVoteResponse)]
+    assert granted == [False, True] and bench.order.meta.voted_for == "c"
+
+
 def test_votes_that_come_when_another_leads_already_change_nothing():
     bench = Bench().known()
     bench.call(bench.order.tick)
