--- a/rig/process.py
+++ b/rig/process.py
@@ -104,6 +104,8 @@
         LIBC.prctl(DIE_WITH_PARENT, signal.SIGKILL)
         if os.getppid() != parent:
             os._exit(1)
+        # Guards against a rig that was started in the background, where a shell has SIGINT ignored.
+        signal.signal(signal.SIGINT, signal.SIG_DFL)
         if descriptors is not None:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
         if core is not None:
