--- a/tests/cluster/test_hard_cases.py
+++ b/tests/cluster/test_hard_cases.py
@@ -26,7 +26,7 @@
     Voters,
 )
 from tests.cluster.test_order import GUARD, Bench, breaks, cut, grown, led
-from tests.cluster.world import CONFIG, DRIFT, STRICT, VOTING, Disk, World
+from tests.cluster.world import CONFIG, DRIFT, STRICT, VOTING, Disk, World, change
 
 
 def steady(world, leader, ms=3000):
@@ -182,6 +182,73 @@
     assert bench.order.commit_index == last
 
 
+def given(said):
+    """The votes among what is said."""
+    return [message.vote_granted for message in said if isinstance(message, RequestVoteResponse)]
+
+
+def test_a_vote_goes_to_no_log_that_lacks_something_and_to_no_other_than_the_leader_of_the_term():
+    bench = Bench().known()
+    assert given(bench.hear("c", RequestVote(2, 0, 0, "disk-c", 1)) + bench.sync()) == [False]
+    assert (bench.order.term, bench.order.meta.voted_for) == (2, "")
+    bench.hear("b", AppendEntries(2, 1, 1, 1, (), 1))
+    bench.sync()
+    bench.now += 2 * CONFIG.election_ms
+    assert given(bench.hear("c", RequestVote(2, 9, 1, "disk-c", 1)) + bench.sync()) == [False]
+    assert given(bench.hear("c", RequestVote(3, 9, 1, "disk-c", 1)) + bench.sync()) == [True]
+
+
+def test_votes_of_an_incarnation_count_only_once_that_is_durable():
+    bench = Bench().known()
+    bench.call(bench.order.tick)
+    for _ in range(3):
+        bench.hear("b", PreVoteResponse(2, True, "disk-b", 1))
+    assert bench.order.role == "pre_candidate" and bench.order.meta.seen == (("disk-b", 1),)
+    bench.sync()
+    bench.hear("b", PreVoteResponse(2, True, "disk-b", 1))
+    assert bench.order.role == "candidate"
+
+
+def test_a_disk_whose_own_incarnation_is_remembered_at_its_start_was_put_back():
+    bench = Bench()
+    query = next(message for message in bench.sync() if isinstance(message, RecoveryQuery))
+    told = RecoveryResponse("disk-a", query.incarnation, 0, query.nonce + 1, "disk-b", 1, 1, 1)
+    bench.hear("b", told)  # the answer to an earlier question says nothing
+    assert bench.order.meta.disk == "disk-a"
+    bench.hear("b", RecoveryResponse("disk-a", query.incarnation, 0, query.nonce, "disk-b", 1, 1, 1))
+    assert bench.order.meta.disk != "disk-a" and not bench.order.votes
+
+
+# --- what an answer is good for -----------------------------------------------------------------
+
+
+def test_a_heartbeat_commits_no_further_than_what_is_known_to_agree():
+    bench = Bench().known()
+    entries = tuple(Entry(index, 2, Noop()) for index in range(2, 6))
+    bench.hear("b", AppendEntries(2, 1, 1, 1, entries, 1))
+    bench.sync()
+    bench.hear("c", AppendEntries(3, 1, 2, 2, (), 5))  # its entries 3 to 5 are others
+    assert bench.order.commit_index == 2
+
+
+def test_an_answer_to_what_was_not_asked_brings_no_other_disk():
+    bench = Bench().leads()
+    peer = bench.order.state.peers["c"]
+    bench.hear("c", AppendEntriesResponse(2, max(peer.unanswered) + 100, True, 1, "disk-c", 1))
+    assert peer.disk == ""
+    bench.hear("c", AppendEntriesResponse(2, max(peer.unanswered), True, 1, "disk-c", 1))
+    assert peer.disk == "disk-c"
+
+
+def test_of_what_a_disk_acknowledged_only_what_is_committed_is_remembered():
+    bench = Bench().leads()
+    peer, last = bench.order.state.peers["b"], bench.order.log.last_index
+    bench.call(lambda now: bench.order.propose(now, change(3), "p"))  # not on the own disk yet
+    bench.hear("b", AppendEntriesResponse(2, max(peer.unanswered), True, last + 1, "disk-b", 1))
+    assert peer.match_index == last + 1 and bench.order.commit_index == last
+    assert bench.order.state.acknowledged["disk-b"] == last
+
+
 # --- changes of voters that cross ---------------------------------------------------------------
 
 
@@ -223,6 +290,46 @@
     ]
 
 
+def returned(backed):
+    """`a` leads, and `c` answers by a new disk that has everything; `b` has answered lately or not."""
+    bench = Bench().leads()
+    order, last = bench.order, bench.order.log.last_index
+    peers = order.state.peers
+    bench.hear("b", AppendEntriesResponse(2, max(peers["b"].unanswered), True, last, "disk-b", 1))
+    bench.now += CONFIG.election_ms - 10
+    bench.call(order.tick)
+    if backed:
+        bench.hear("b", AppendEntriesResponse(2, max(peers["b"].unanswered), True, last, "disk-b", 1))
+    bench.now += 11
+    bench.hear("c", AppendEntriesResponse(2, max(peers["c"].unanswered), True, last, "new", 1))
+    return bench, last
+
+
+def disks(bench):
+    """By which disks the slots are held."""
+    return [slot.disk for slot in bench.order.voters]
+
+
+def test_no_slot_is_made_vacant_while_no_majority_of_the_rest_answers():
+    bench, last = returned(backed=False)
+    assert disks(bench) == ["disk-a", "disk-b", "disk-c"] and bench.order.log.last_index == last
+
+
+def test_a_vacant_slot_is_filled_only_by_a_disk_that_knows_that_it_is_vacant():
+    bench, last = returned(backed=True)
+    assert disks(bench) == ["disk-a", "disk-b", ""]
+    bench.sync()
+    peers = bench.order.state.peers
+    bench.hear("b", AppendEntriesResponse(2, max(peers["b"].unanswered), True, last + 1, "disk-b", 1))
+    assert bench.order.commit_index == last + 1
+    bench.hear("c", AppendEntriesResponse(2, max(peers["c"].unanswered), True, last, "new", 1))
+    assert disks(bench) == ["disk-a", "disk-b", ""]
+    bench.now += CONFIG.heartbeat_ms
+    bench.call(bench.order.tick)
+    bench.hear("c", AppendEntriesResponse(2, max(peers["c"].unanswered), True, last + 1, "new", 1))
+    assert disks(bench) == ["disk-a", "disk-b", "new"]
+
+
 def test_one_that_was_removed_and_was_not_told_disturbs_nobody():
     world = led(names="abcd")
     cut(world, "c", "a", "b", "d")
--- a/tests/cluster/test_order.py
+++ b/tests/cluster/test_order.py
@@ -532,10 +532,10 @@
     """Figure 8 of Ongaro and Ousterhout: they may still be replaced."""
     first = init_state({name: f"disk-{name}" for name in "abc"}, "a")
     bench = Bench(state=State(first.meta, (*first.entries, Entry(2, 1, Noop())))).leads()
-    sequence = max(bench.order.state.peers["b"].unanswered)
-    bench.hear("b", AppendEntriesResponse(2, sequence - 1, True, 2, "disk-b", 1))
-    assert bench.order.commit_index == 0
-    bench.hear("b", AppendEntriesResponse(2, sequence, True, 3, "disk-b", 1))
+    peer = bench.order.state.peers["b"]
+    bench.hear("b", AppendEntriesResponse(2, min(peer.unanswered), True, 2, "disk-b", 1))
+    assert peer.match_index == 2 and bench.order.commit_index == 0
+    bench.hear("b", AppendEntriesResponse(2, max(peer.unanswered), True, 3, "disk-b", 1))
     assert bench.order.commit_index == 3
 
 
