--- a/tests/cluster/test_hard_cases.py
+++ b/tests/cluster/test_hard_cases.py
@@ -162,6 +162,8 @@
     bench.hear("b", PreVoteResponse(2, True, "disk-b", 1))
     assert (bench.order.role, bench.order.term, bench.order.leader) == ("follower", 1, "c")
     bench.now += 4 * CONFIG.election_ms
+    bench.hear("b", PreVoteResponse(2, True, "disk-b", 1))  # late, and it asks for nothing any more
+    assert (bench.order.role, bench.order.term) == ("follower", 1)
     bench.call(bench.order.tick)
     bench.hear("b", PreVoteResponse(2, True, "disk-b", 1))
     assert (bench.order.role, bench.order.term) == ("candidate", 2)
@@ -171,6 +173,9 @@
     bench.hear("c", AppendEntries(2, 1, 1, 1, (), 1))
     bench.hear("b", RequestVoteResponse(2, True, "disk-b", 1))
     assert (bench.order.role, bench.order.leader) == ("follower", "c")
+    bench.now += 4 * CONFIG.election_ms
+    bench.hear("b", RequestVoteResponse(2, True, "disk-b", 1))
+    assert (bench.order.role, bench.order.term) == ("follower", 2)
 
 
 def test_answers_of_an_earlier_term_commit_nothing():
