--- a/benchmarks/lock_in.py
+++ b/benchmarks/lock_in.py
@@ -1,8 +1,8 @@
 """How long a fleet goes on refusing once a short trigger is over, in virtual time.
 
 `python -m benchmarks.lock_in [--quick] [--seed N] [--seeds COUNT] [--json FILE] [--tree DIR]
-[--only NAME[,NAME]] [--use SHARE] [--jobs N] [--plain]`. The decision module (of another checkout with
-`--tree`) plays a day with steady load round one trigger, for each of so many seeds from `--seed` on:
+[--only NAME[,NAME]] [--use SHARE] [--jobs N] [--plain] [--free]`. The decision module (of another checkout
+with `--tree`) plays a day with steady load round one trigger, for each of so many seeds from `--seed` on:
 
 - calm: nothing happens; a module that locks here needs no trigger.
 - release: a quarter to half of the servers are replaced by cold ones within 4 s; no fault at all.
@@ -27,6 +27,9 @@
 falls over since it was sent too much while cold starts anew 1 s later; that moves no end. `--plain` plays a
 policy that refuses nothing (`rig.sim.plain`) in the module's place and shows what each world allows.
 
+A module that keeps each sidecar to few servers since connections cost can crowd some servers and leave others
+idle for good; `--free` sets no such prices, and so tells that from refusals.
+
 An overload never ends. There the worth served from 3 s after its begin on (late answers at half) is held
 against the most that the servers' capacity is worth, which must be at least `KEPT_LEAST` in each run.
 
@@ -115,6 +118,7 @@
     keyed: bool
     chokes: bool
     spoilt: float  # the share of answers that are errors, and as many again that are lost
+    priced: bool  # whether connections and crossings cost, as at the site
 
     @property
     def after_ms(self) -> float:
@@ -136,7 +140,7 @@
     kept: float | None  # of the best worth, in an overload
 
 
-def drawn(trigger: str, seed: int, long: bool, use: float | None = None) -> Conditions:
+def drawn(trigger: str, seed: int, long: bool, use: float | None = None, priced: bool = True) -> Conditions:
     """The conditions of a run; the same for the same arguments."""
     rng = random.Random(f"lock_in/{trigger}/{seed}")
     sidecars = MANY if long and seed % MANY_EACH == 0 else (1, 6, 32)[seed % 3]
@@ -165,6 +169,7 @@
         keyed=rng.random() < 0.5 and trigger != "overload",
         chokes=chokes and use <= CHOKE_USE and trigger != "overload",
         spoilt=rng.choice(SPOILT),
+        priced=priced,
     )
 
 
@@ -220,6 +225,7 @@
             over_share_worth=0.1,
             warm_keys=self.drawn.keyed,
             max_retry_after=2000.0,
+            prices=told.prices if self.drawn.priced else {},
         )
 
     # --- clients -------------------------------------------------------------------
@@ -553,6 +559,7 @@
     made.add_argument("--use", type=float, help="of what the servers can carry after the trigger")
     made.add_argument("--jobs", type=int, default=max(1, (os.cpu_count() or 2) // 2), help="processes")
     made.add_argument("--plain", action="store_true", help="play a policy that refuses nothing")
+    made.add_argument("--free", action="store_true", help="connections and crossings cost nothing")
     given = made.parse_args()
     names = chosen(given.only, list(TRIGGERS), made)
     count = given.seeds if given.seeds is not None else QUICK_SEEDS if given.quick else SEEDS
@@ -566,7 +573,7 @@
         print(error, file=sys.stderr)
         return BAD_INPUT
     seeds = range(given.seed, given.seed + count)
-    runs = [drawn(name, seed, not given.quick, given.use) for name in names for seed in seeds]
+    runs = [drawn(name, seed, not given.quick, given.use, not given.free) for name in names for seed in seeds]
     played = play_all(runs, given.tree, given.jobs, given.plain)
     rows = {name: summed([figures for _, figures in pairs]) for name, pairs in played.items()}
     print(table(HEADS, [cells(name, row) for name, row in rows.items()]))
@@ -574,6 +581,7 @@
     told = {
         "seed": given.seed,
         "plain": given.plain,
+        "free": given.free,
         "met": met,
         "triggers": rows,
         "runs": [
--- a/tests/rig/test_lock_in.py
+++ b/tests/rig/test_lock_in.py
@@ -4,6 +4,7 @@
 
 import math
 import sys
+from dataclasses import replace
 
 import pytest
 
@@ -113,6 +114,15 @@
     assert play(conditions, Balancer) == play(conditions, Balancer)
 
 
+@pytest.mark.parametrize("priced", [True, False])
+def test_what_connections_cost_is_told_or_left_out(priced):
+    conditions = drawn("calm", 1, False, priced=priced)
+    told = []
+    Day(conditions, lambda now, settings, seed: told.append(settings) or Plain(settings.max_attempts, seed))
+    assert {bool(settings.prices) for settings in told} == {priced}
+    assert replace(conditions, priced=True) == drawn("calm", 1, False)
+
+
 def figures(back_s=0.0, kept=None):
     return lock_in.Figures(1.0, back_s, 1.0, 0.0, 0.0, 1.0, 1.0, kept)
 
