--- a/tests/poppypulley/test_crowd.py
+++ b/tests/poppypulley/test_crowd.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from poppypulley.balancer import UNANSWERED, Shed
-from poppypulley.model import Outcome, Refuse, Send, Settings
+from poppypulley.model import Outcome, Refuse, Send, Settings, Timer
 from tests.poppypulley.helpers import arrival, balancer, of_type, raw_settings
 
 
@@ -25,6 +25,8 @@
         for _ in of_type(actions, Send):
             takes = 1000.0 if rng.random() < lost else spent()
             status = Outcome.OK if takes < 1000.0 else Outcome.TIMEOUT
+            for due in of_type(actions, Timer) if status == Outcome.TIMEOUT else ():
+                made.timer(now + due.delay, due.token)
             made.outcome(now + takes, number, 0, status, takes, last=True)
     return refused, now
 
@@ -60,9 +62,25 @@
 
 
 def test_a_few_that_hang_shed_nothing_where_the_others_have_room():
+    late_pays = {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0, "LateWorth": 0.5}
+    made = balancer(Profiles=[late_pays])
+    refused, now = play(made, lambda: 40.0, 2000, lost=0.02)
+    assert refused < 20 and made._shed._at > 0.0
+    dues = [due for number in range(10) for due in of_type(made.request(now, arrival(number, now)), Timer)]
+    for due in dues:  # they do count: ten in a row are a crowd
+        made.timer(now + 200.0, due.token)
+    assert made._shed.level(now + 200.0) > 0.1
+
+
+def test_time_outs_show_a_crowd_also_where_late_answers_earn_nothing():
+    # Such an attempt ends at its aim, and what ends past its aim is taken to have counted when it was due.
     made = balancer("safe")
-    refused, _ = play(made, lambda: 40.0, 2000, lost=0.05)
-    assert refused < 20
+    _, now = play(made, lambda: 40.0, 200)
+    for number in range(40):
+        now += 20.0
+        for _ in of_type(made.request(now, arrival(number, now)), Send):
+            made.outcome(now + 200.2, number, 0, Outcome.TIMEOUT, 200.2, last=True)
+    assert made._shed.level(now) > 0.3
 
 
 def test_a_service_that_is_twice_as_slow_for_good_is_no_crowd():
