--- /dev/null
+++ b/fordtrestle/dissemination/broadcast.py
@@ -0,0 +1,203 @@
+"""How news spreads: whole items along a tree of links, their versions alone over all other links. Pure.
+
+The tree is that of Plumtree (Leitão, Pereira, Rodrigues: Epidemic Broadcast Trees, 2007). Each link begins as
+a part of it. A whole item that comes once more shows a link that the tree does without: both sides then only
+offer over it. Who is offered what no link of the tree has brought in time asks for it, and takes that link
+into the tree. So a process gets each item about once, and a parent that is cut off, frozen or dead holds up
+its children by one wait.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Collection, Iterable
+from dataclasses import dataclass, field
+
+from fordtrestle.dissemination.catalog import ITEMS_MOST, Catalog
+from fordtrestle.dissemination.delta import ControlDelta, DeltaError, apply, difference
+from fordtrestle.dissemination.items import CONTROL_KEY, ControlView, Item, Version, control_item
+from fordtrestle.dissemination.messages import GossipMessage, Offer, Prune, Update, Want
+
+OFFER_S = 0.1  # for which offers are gathered
+ASK_S = 0.15  # that the tree has to bring what was offered, before it is asked for
+ASK_AGAIN_S = 0.5  # that an answer may take before the next one is asked
+SOURCES_MOST = 8  # that are remembered of an item
+
+
+@dataclass(frozen=True, slots=True)
+class Sending:
+    """A message to a peer."""
+
+    peer: str
+    message: GossipMessage
+
+
+@dataclass(slots=True)
+class Steps:
+    """What follows from an event: items that are new here, and what is sent."""
+
+    fresh: list[Item] = field(default_factory=list)
+    sendings: list[Sending] = field(default_factory=list)
+
+
+@dataclass(slots=True)
+class _Missing:
+    """An item that was offered and has not come."""
+
+    version: Version
+    ask_at: float
+    sources: deque[str]
+
+
+class Broadcast:
+    """One process's part. Peers are named by their nodes; times are s of a steady clock."""
+
+    def __init__(self, catalog: Catalog) -> None:
+        self._catalog = catalog
+        self._pruned: set[str] = set()  # peers over whose links the tree does not go
+        self._offers: dict[str, dict[str, Version]] = {}  # by peer, not yet sent
+        self._offers_at: float | None = None  # when they are
+        self._missing: dict[str, _Missing] = {}  # by key
+
+    def linked(self, peer: str) -> None:
+        """A link has come up: the tree goes over it until that proves to be of no use."""
+        self._pruned.discard(peer)
+
+    def keep(self, peers: Collection[str]) -> None:
+        """Forget all peers but these."""
+        self._pruned.intersection_update(peers)
+        for peer in set(self._offers).difference(peers):
+            del self._offers[peer]
+
+    def publish(self, items: Iterable[Item], peers: Collection[str], now: float, source: str = "") -> Steps:
+        """Take items in, and pass on what is new to all `peers` but its source."""
+        return self._take(items, peers, now, source)
+
+    def update(self, update: Update, peers: Collection[str], now: float, source: str) -> Steps:
+        """Items have come from a peer."""
+        return self._learn(self._take(update.items, peers, now, source), source)
+
+    def changed(self, delta: ControlDelta, peers: Collection[str], now: float, source: str) -> Steps:
+        """A change of the control state has come from a peer; without what it rests on, ask for the whole."""
+        old = self._catalog.control
+        if old is not None and old.sequence >= delta.sequence:
+            return self._learn(Steps(), source)
+        try:
+            new = apply(old, delta) if old else None
+        except DeltaError:
+            new = None
+        if new is None:
+            return Steps([], [Sending(source, Want((CONTROL_KEY,)))])
+        return self._learn(self._take([control_item(new)], peers, now, source, delta), source)
+
+    def _take(
+        self,
+        items: Iterable[Item],
+        peers: Collection[str],
+        now: float,
+        source: str,
+        delta: ControlDelta | None = None,
+    ) -> Steps:
+        old = self._catalog.control
+        fresh = self._catalog.merge(items, now)
+        steps = Steps(fresh)
+        if not fresh:
+            return steps
+        for item in fresh:
+            missing = self._missing.get(item.key)
+            if missing and missing.version <= item.version:
+                del self._missing[item.key]
+        messages = _messages(fresh, old, delta)
+        for peer in peers:
+            if peer == source:
+                continue
+            if peer in self._pruned:
+                self._offer(peer, fresh, now)
+            else:
+                steps.sendings += [Sending(peer, message) for message in messages]
+        return steps
+
+    def _learn(self, steps: Steps, source: str) -> Steps:
+        """What a peer has sent was new here, or it shows that the tree does without that link."""
+        if steps.fresh:
+            self._pruned.discard(source)
+        elif source not in self._pruned:
+            self._pruned.add(source)
+            steps.sendings.append(Sending(source, Prune()))
+        return steps
+
+    def pruned(self, peer: str) -> None:
+        """A peer has had items of ours from others before."""
+        self._pruned.add(peer)
+
+    def wanted(self, peer: str) -> None:
+        """A peer asks for items: it did not get them over any other link."""
+        self._pruned.discard(peer)
+
+    def offered(self, offer: Offer, now: float, source: str) -> None:
+        """A peer holds these versions."""
+        for key, version in offer.versions:
+            known = self._catalog.get(key)
+            if known and known.version >= version:
+                continue
+            missing = self._missing.get(key)
+            if missing is None:
+                if len(self._missing) < ITEMS_MOST:
+                    sources = deque([source], maxlen=SOURCES_MOST)
+                    self._missing[key] = _Missing(version, now + ASK_S, sources)
+                continue
+            missing.version = max(missing.version, version)
+            if source not in missing.sources:
+                missing.sources.append(source)
+
+    def due_at(self) -> float | None:
+        """When `tick` has something to do; nothing where never, as far as is known now."""
+        times = [missing.ask_at for missing in self._missing.values()]
+        if self._offers_at is not None:
+            times.append(self._offers_at)
+        return min(times, default=None)
+
+    def tick(self, now: float) -> list[Sending]:
+        """What is to be sent by now: offers that were gathered, and questions for what has not come."""
+        sendings = self._ask(now)
+        if self._offers_at is not None and now >= self._offers_at:
+            for peer, versions in self._offers.items():
+                sendings.append(Sending(peer, Offer(tuple(versions.items()))))
+            self._offers.clear()
+            self._offers_at = None
+        return sendings
+
+    def _offer(self, peer: str, fresh: Iterable[Item], now: float) -> None:
+        self._offers.setdefault(peer, {}).update((item.key, item.version) for item in fresh)
+        if self._offers_at is None:
+            self._offers_at = now + OFFER_S
+
+    def _ask(self, now: float) -> list[Sending]:
+        keys: dict[str, list[str]] = {}
+        for key, missing in list(self._missing.items()):
+            if now < missing.ask_at:
+                continue
+            if not missing.sources:
+                del self._missing[key]  # all were asked; digests go on looking
+                continue
+            keys.setdefault(missing.sources.popleft(), []).append(key)
+            missing.ask_at = now + ASK_AGAIN_S
+        self._pruned.difference_update(keys)
+        return [Sending(peer, Want(tuple(wanted))) for peer, wanted in keys.items()]
+
+
+def _messages(
+    fresh: Iterable[Item], old: ControlView | None, delta: ControlDelta | None
+) -> list[Update | ControlDelta]:
+    """News as it is sent whole: the control state as its change, where what it rests on is known."""
+    items: list[Item] = []
+    changes: list[Update | ControlDelta] = []
+    for item in fresh:
+        change = delta
+        if change is None and old is not None and isinstance(item.value, ControlView):
+            change = difference(old, item.value)
+        if change is not None and item.key == CONTROL_KEY:
+            changes.append(change)
+        else:
+            items.append(item)
+    return [*([Update(tuple(items))] if items else []), *changes]
--- a/fordtrestle/dissemination/messages.py
+++ b/fordtrestle/dissemination/messages.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass
 
+from fordtrestle.dissemination.delta import ControlDelta
 from fordtrestle.dissemination.items import Item, Version
 
 
@@ -36,6 +37,18 @@
     keys: tuple[str, ...]
 
 
+@dataclass(frozen=True, slots=True)
+class Offer:
+    """Keys with the versions that the sender holds, for who has not got them otherwise."""
+
+    versions: tuple[tuple[str, Version], ...]
+
+
+@dataclass(frozen=True, slots=True)
+class Prune:
+    """The sender has had what came over this link from others before: offers are enough."""
+
+
 @dataclass(frozen=True, slots=True)
 class HasLink:
     """Asks whether the receiver has a link to a node."""
@@ -65,4 +78,4 @@
     token: int
 
 
-GossipMessage = Update | RangeDigests | RangeVersions | Want
+GossipMessage = Update | ControlDelta | RangeDigests | RangeVersions | Want | Offer | Prune
--- a/fordtrestle/peer/codec.py
+++ b/fordtrestle/peer/codec.py
@@ -12,7 +12,7 @@
 
 import cbor2
 
-from fordtrestle.dissemination import items, messages
+from fordtrestle.dissemination import delta, items, messages
 from fordtrestle.replication import epochs, state
 from fordtrestle.replication import messages as replication
 
@@ -86,6 +86,10 @@
     state.ControlState,
     messages.Confirm,
     messages.Confirmed,
+    messages.Offer,
+    messages.Prune,
+    delta.Copy,
+    delta.ControlDelta,
 )
 _TAGS = {kind: _FIRST_TAG + index for index, kind in enumerate(_TYPES) if kind is not Retired}
 _BY_TAG = {tag: kind for kind, tag in _TAGS.items()}
--- a/fordtrestle/peer/connection.py
+++ b/fordtrestle/peer/connection.py
@@ -58,7 +58,7 @@
 
     def send(self, message: Any) -> bool:
         """Send a message; whether the connection still takes any."""
-        return self._write(encode(message))
+        return self.write(frame(encode(message)))
 
     async def receive(self) -> Any:
         """The next message. Raises what `_GONE` lists, or `TimeoutError` after the peer's silence.
@@ -101,14 +101,15 @@
         with contextlib.suppress(OSError, RuntimeError):
             self._writer.transport.abort()
 
-    def _write(self, payload: bytes) -> bool:
+    def write(self, framed: bytes) -> bool:
+        """Send a message that was framed before; whether the connection still takes any."""
         transport = self._writer.transport
-        if transport.is_closing() or len(payload) > FRAME_MOST:
+        if transport.is_closing() or len(framed) > FRAME_MOST:
             return False
         if transport.get_write_buffer_size() > BUFFER_MOST:
             self.close()
             return False
-        transport.write(frame(payload))
+        transport.write(framed)
         self._sent_at = asyncio.get_running_loop().time()
         return True
 
--- a/fordtrestle/peer/gossip.py
+++ b/fordtrestle/peer/gossip.py
@@ -1,4 +1,4 @@
-"""Spreads catalog items over the mesh: news at once to all links, what was missed by digests in rounds."""
+"""Spreads catalog items over the mesh: news at once along a tree, what was missed by digests in rounds."""
 
 from __future__ import annotations
 
@@ -6,9 +6,13 @@
 import random
 from collections.abc import Callable, Iterable
 
+from fordtrestle.dissemination.broadcast import Broadcast, Sending, Steps
 from fordtrestle.dissemination.catalog import Catalog
+from fordtrestle.dissemination.delta import ControlDelta
 from fordtrestle.dissemination.items import MEMBER_PREFIX, Item, MemberRecord, member_item
-from fordtrestle.dissemination.messages import GossipMessage, Update
+from fordtrestle.dissemination.messages import GossipMessage, Offer, Prune, Update, Want
+from fordtrestle.peer.codec import encode
+from fordtrestle.peer.connection import frame
 from fordtrestle.peer.mesh import Link, Mesh
 
 ROUND_S = 1.0
@@ -31,15 +35,13 @@
         self._incarnation = incarnation
         self._counter = 0
         self._changed = changed
+        self._broadcast = Broadcast(catalog)
+        self._timer: asyncio.TimerHandle | None = None
 
     def publish(self, items: Iterable[Item], source: Link | None = None) -> None:
         """Take items in, and pass on what is new."""
-        fresh = self.catalog.merge(items, asyncio.get_running_loop().time())
-        if not fresh:
-            return
-        self._mesh.broadcast(Update(tuple(fresh)), but=source)
-        self._changed(fresh)
-        self._refute(fresh)
+        now = asyncio.get_running_loop().time()
+        self._carry_out(self._broadcast.publish(items, self._peers(), now, source.node if source else ""))
 
     def announce(self, me: MemberRecord) -> None:
         """Tell all what this process is now."""
@@ -49,13 +51,28 @@
 
     def linked(self, link: Link) -> None:
         """A link is up: find out what either side has missed."""
+        self._broadcast.linked(link.node)
         link.send(self.catalog.digests())
 
     def received(self, link: Link, message: GossipMessage) -> None:
         """Take in a message of a peer."""
-        if isinstance(message, Update):
-            self.publish(message.items, source=link)
-            return
+        now = asyncio.get_running_loop().time()
+        match message:
+            case Update():
+                self._carry_out(self._broadcast.update(message, self._peers(), now, link.node))
+                return
+            case ControlDelta():
+                self._carry_out(self._broadcast.changed(message, self._peers(), now, link.node))
+                return
+            case Offer():
+                self._broadcast.offered(message, now, link.node)
+                self._set_timer()
+                return
+            case Prune():
+                self._broadcast.pruned(link.node)
+                return
+            case Want():
+                self._broadcast.wanted(link.node)
         for answer in self.catalog.answer(message):
             link.send(answer)
 
@@ -65,9 +82,45 @@
             await asyncio.sleep(ROUND_S * (0.75 + 0.5 * rng.random()))
             self.catalog.expire(asyncio.get_running_loop().time())
             links = self._mesh.links()
+            self._broadcast.keep({link.node for link in links})
             if links:
                 rng.choice(links).send(self.catalog.digests())
 
+    def _peers(self) -> list[str]:
+        return [link.node for link in self._mesh.links()]
+
+    def _carry_out(self, steps: Steps) -> None:
+        self._send(steps.sendings)
+        self._set_timer()
+        if steps.fresh:
+            self._changed(steps.fresh)
+            self._refute(steps.fresh)
+
+    def _send(self, sendings: Iterable[Sending]) -> None:
+        """What goes to many is framed once."""
+        framed: dict[int, bytes] = {}
+        for sending in sendings:
+            link = self._mesh.link(sending.peer)
+            if link:
+                message = sending.message
+                if id(message) not in framed:
+                    framed[id(message)] = frame(encode(message))
+                link.write(framed[id(message)])
+
+    def _set_timer(self) -> None:
+        """Be back when the broadcast has something to do."""
+        due_at = self._broadcast.due_at()
+        if due_at is None or (self._timer and self._timer.when() <= due_at):
+            return
+        if self._timer:
+            self._timer.cancel()
+        self._timer = asyncio.get_running_loop().call_at(due_at, self._tick)
+
+    def _tick(self) -> None:
+        self._timer = None
+        self._send(self._broadcast.tick(asyncio.get_running_loop().time()))
+        self._set_timer()
+
     def _refute(self, fresh: Iterable[Item]) -> None:
         """An earlier life of this process, or one that held it to be down, is outdone by a newer word."""
         mine = MEMBER_PREFIX + self.me.node
--- a/fordtrestle/peer/mesh.py
+++ b/fordtrestle/peer/mesh.py
@@ -32,6 +32,10 @@
         """Send a message; whether the connection still takes any."""
         return self._connection.send(message)
 
+    def write(self, framed: bytes) -> bool:
+        """Send a message that was framed before, for many links; whether the connection still takes any."""
+        return self._connection.write(framed)
+
     def close(self) -> None:
         """End the connection."""
         self._connection.close()
@@ -79,12 +83,6 @@
         """A link to whoever listens at that address."""
         return next((link for link in self.links() if link.peer == peer), None)
 
-    def broadcast(self, message: Any, but: Link | None = None) -> None:
-        """Send to every node with a link, except to one's."""
-        for link in self.links():
-            if but is None or link.node != but.node:
-                link.send(message)
-
     async def close(self) -> None:
         """End all."""
         for dial in self._dials.values():
--- /dev/null
+++ b/rig/system/gossip_network.py
@@ -0,0 +1,188 @@
+"""Many processes' dissemination in one place, in virtual time, over links that delay, lose and stand still.
+
+The catalogs, the broadcast and the codec are the program's own; links are what is made here. Each process is
+linked to all control processes and to the members that it watches, as a real one is.
+"""
+
+from __future__ import annotations
+
+import heapq
+import itertools
+import random
+from collections import Counter
+from collections.abc import Callable, Iterable
+from dataclasses import dataclass
+from functools import partial
+
+from fordtrestle.dissemination.broadcast import Broadcast, Sending, Steps
+from fordtrestle.dissemination.catalog import Catalog
+from fordtrestle.dissemination.delta import ControlDelta
+from fordtrestle.dissemination.items import (
+    CONTROL_KEY,
+    Availability,
+    Item,
+    MemberRecord,
+    Version,
+    member_item,
+)
+from fordtrestle.dissemination.messages import GossipMessage, Offer, Prune, Update, Want
+from fordtrestle.dissemination.suspicion import watched_by
+from fordtrestle.peer.codec import encode
+from fordtrestle.peer.connection import frame
+
+ROUND_S = 1.0  # between two comparisons that one process asks for
+IN_ZONE_S, IN_REGION_S, BETWEEN_REGIONS_S = 0.0001, 0.001, 0.035
+
+
+@dataclass(frozen=True, slots=True)
+class Place:
+    """Where a process is."""
+
+    zone: str
+    region: str
+
+
+class Peer:
+    """One process: its catalog, its broadcast, and what it has taken in."""
+
+    def __init__(self, node: str, place: Place) -> None:
+        self.node = node
+        self.place = place
+        self.catalog = Catalog()
+        self.broadcast = Broadcast(self.catalog)
+        self.peers: set[str] = set()
+        self.versions: dict[str, list[Version]] = {}  # by key, in the order they came in
+
+    def note(self, items: Iterable[Item]) -> None:
+        """Remember what was new."""
+        for item in items:
+            self.versions.setdefault(item.key, []).append(item.version)
+
+
+class Network:
+    """Processes and the links between them."""
+
+    def __init__(self, controls: int, sidecars: int, places: list[Place], seed: int) -> None:
+        self.now = 0.0
+        self.rng = random.Random(seed)
+        self.copies: Counter[tuple[str, Version]] = Counter()  # whole items that were sent
+        self.bytes: Counter[str] = Counter()  # by kind of message
+        self.lossy: Callable[[str, str], bool] = lambda sender, receiver: False  # whether a message is lost
+        self._events: list[tuple[float, int, Callable[[], None]]] = []
+        self._order = itertools.count()
+        self._arrivals: dict[tuple[str, str], float] = {}
+        names = [f"core-{n}" for n in range(controls)] + [f"front-{n}" for n in range(sidecars)]
+        self.peers = {name: Peer(name, places[number % len(places)]) for number, name in enumerate(names)}
+        for name in names:
+            wanted = watched_by(name, names) | set(names[:controls]) - {name}
+            for other in wanted:
+                self._link(name, other)
+        for name in names:
+            self.after(self.rng.random() * ROUND_S, partial(self._round, name))
+
+    def after(self, delay_s: float, act: Callable[[], None]) -> None:
+        """Do something later."""
+        heapq.heappush(self._events, (self.now + delay_s, next(self._order), act))
+
+    def run(self, for_s: float) -> None:
+        """Let time pass."""
+        until = self.now + for_s
+        while self._events and self._events[0][0] <= until:
+            self.now, _, act = heapq.heappop(self._events)
+            act()
+        self.now = until
+
+    def publish(self, node: str, item: Item) -> None:
+        """A process has news."""
+        peer = self.peers[node]
+        self._carry_out(peer, peer.broadcast.publish([item], sorted(peer.peers), self.now))
+
+    def announce_all(self, within_s: float) -> None:
+        """All processes say that they are ready, as after a start."""
+        for peer in self.peers.values():
+            record = MemberRecord(
+                peer.node,
+                "sidecar",
+                peer.place.zone,
+                peer.place.region,
+                "10.0.0.1:7661",
+                "10.0.0.1:80",
+                Availability.READY,
+            )
+            item = member_item(record, 1, 1)
+            self.after(self.rng.random() * within_s, partial(self.publish, peer.node, item))
+
+    def reached(self, item: Item) -> int:
+        """How many processes hold that version or a newer one."""
+        held = (peer.catalog.get(item.key) for peer in self.peers.values())
+        return sum(1 for known in held if known and known.version >= item.version)
+
+    def _link(self, one: str, other: str) -> None:
+        for near, far in ((one, other), (other, one)):
+            self.peers[near].peers.add(far)
+            self.peers[near].broadcast.linked(far)
+
+    def _carry_out(self, peer: Peer, steps: Steps) -> None:
+        peer.note(steps.fresh)
+        for sending in steps.sendings:
+            self._send(peer, sending)
+        self._wake(peer)
+
+    def _wake(self, peer: Peer) -> None:
+        due_at = peer.broadcast.due_at()
+        if due_at is not None:
+            self.after(max(0.0, due_at - self.now), lambda: self._tick(peer))
+
+    def _tick(self, peer: Peer) -> None:
+        sendings = peer.broadcast.tick(self.now)
+        for sending in sendings:
+            self._send(peer, sending)
+        if sendings:
+            self._wake(peer)
+
+    def _round(self, node: str) -> None:
+        peer = self.peers[node]
+        self._send(peer, Sending(self.rng.choice(sorted(peer.peers)), peer.catalog.digests()))
+        self.after(ROUND_S, lambda: self._round(node))
+
+    def _send(self, peer: Peer, sending: Sending) -> None:
+        message = sending.message
+        self.bytes[type(message).__name__] += len(frame(encode(message)))
+        if isinstance(message, Update):
+            self.copies.update((item.key, item.version) for item in message.items)
+        elif isinstance(message, ControlDelta):
+            self.copies[CONTROL_KEY, (message.sequence,)] += 1
+        if self.lossy(peer.node, sending.peer):
+            return
+        arrival = self.now + self._delay_s(peer.place, self.peers[sending.peer].place)
+        arrival = max(arrival, self._arrivals.get((peer.node, sending.peer), 0.0))  # one link keeps its order
+        self._arrivals[peer.node, sending.peer] = arrival
+        receiver = self.peers[sending.peer]
+        self.after(arrival - self.now, lambda: self._receive(receiver, peer.node, message))
+
+    def _delay_s(self, one: Place, other: Place) -> float:
+        if one.region != other.region:
+            return BETWEEN_REGIONS_S
+        return IN_ZONE_S if one.zone == other.zone else IN_REGION_S
+
+    def _receive(self, peer: Peer, source: str, message: GossipMessage) -> None:
+        match message:
+            case Update():
+                steps = peer.broadcast.update(message, sorted(peer.peers), self.now, source)
+                self._carry_out(peer, steps)
+                return
+            case ControlDelta():
+                steps = peer.broadcast.changed(message, sorted(peer.peers), self.now, source)
+                self._carry_out(peer, steps)
+                return
+            case Offer():
+                peer.broadcast.offered(message, self.now, source)
+                self._wake(peer)
+                return
+            case Prune():
+                peer.broadcast.pruned(source)
+                return
+            case Want():
+                peer.broadcast.wanted(source)
+        for answer in peer.catalog.answer(message):
+            self._send(peer, Sending(source, answer))
--- a/tests/peer/test_connection.py
+++ b/tests/peer/test_connection.py
@@ -144,8 +144,8 @@
     await other.listen(Address("127.0.0.1", 0))
     one.dial([f"127.0.0.1:{other._server.sockets[0].getsockname()[1]}"])
     await until(lambda: one.links())
-    one.broadcast(Want(("a",)))
-    one.broadcast(Want(("b",)))
+    one.link("other").send(Want(("a",)))
+    one.link("other").send(Want(("b",)))
     await until(lambda: len(received) == 2)
     await one.close()
     await other.close()
@@ -166,7 +166,7 @@
     one.dial([f"127.0.0.1:{port}"])
     await until(lambda: one.links() and other.links())
     assert one.round_trips[f"127.0.0.1:{port}"] < 1.0
-    one.broadcast(Want(("a",)))
+    one.link("other").send(Want(("a",)))
     other.link("one").send(Want(("b",)))
     await until(lambda: len(received) == 2)
     assert sorted(received, key=str) == [("one", Want(("a",))), ("other", Want(("b",)))]
