--- /dev/null
+++ b/benchmarks/ablation.py
@@ -0,0 +1,163 @@
+"""What each mechanism is worth: the same days played with it and, in a copy of the project, without it.
+
+    python -m benchmarks.ablation --play 'COMMAND {seed}' --figure 'REGEX' [--seeds 1,2,3] [NAME ...]
+
+COMMAND plays a deployment in the folder that it is started in, and what it prints holds a figure, which the
+first group of REGEX finds. A mechanism is switched off by other lines in its place (`MECHANISMS`), so the
+program itself needs no switch. Printed is each mechanism's mean difference to the whole, over pairs of the
+same seed, and their spread.
+"""
+
+from __future__ import annotations
+
+import argparse
+import re
+import shlex
+import shutil
+import statistics
+import subprocess
+import sys
+import tempfile
+from concurrent.futures import ThreadPoolExecutor
+from dataclasses import dataclass
+from pathlib import Path
+
+ROOT = Path(__file__).resolve().parent.parent
+NEEDED = ("deploy", "fordtrestle", "poppypulley", "requirements*.txt", "pyproject.toml", "target")
+PLAY_MOST_S = 1800.0
+WHOLE = "whole"
+
+
+@dataclass(frozen=True, slots=True)
+class Mechanism:
+    """Lines of a file, and what stands in their place once the mechanism is off."""
+
+    file: str
+    lines: str
+    without: str
+
+
+MECHANISMS = {
+    "local refusal by the window": Mechanism(
+        "fordtrestle/admission/window.py",
+        "        if self._draw() >= window.drop_chance(now * MS_PER_S):\n",
+        "        if True:\n",
+    ),
+    "fewest own in flight": Mechanism(
+        "fordtrestle/routing/pick.py",
+        "    return server.in_flight + READING_HELD * server.reading / mean_tokens + late\n",
+        "    return READING_HELD * server.reading / mean_tokens + late\n",
+    ),
+    "prompts still to be read count as load": Mechanism(
+        "fordtrestle/routing/pick.py", "READING_HELD = 2.0", "READING_HELD = 0.0"
+    ),
+    "late answers count as load": Mechanism(
+        "fordtrestle/routing/pick.py",
+        "    late = LATE_HELD * max(0.0, server.lateness(now) - LATE)\n",
+        "    late = 0.0\n",
+    ),
+    "holders of shared parts": Mechanism(
+        "fordtrestle/routing/pick.py", "    if prompt.shared:\n", "    if False:\n"
+    ),
+    "crossing to the holder of long parts": Mechanism(
+        "fordtrestle/routing/selection.py",
+        "        return [server for server in far if server.region in near_enough]\n",
+        "        return []\n",
+    ),
+    "spilling over by lateness": Mechanism(
+        "fordtrestle/admission/spill.py",
+        "        slower = self._near > SLOW and self._near > self._far + MARGIN\n",
+        "        slower = False\n",
+    ),
+    "urgency of short prompts": Mechanism(
+        "fordtrestle/admission/urgency.py", "        if len(self._sizes) < LEAST:\n", "        if True:\n"
+    ),
+    "waiting for a server or a configuration": Mechanism(
+        "fordtrestle/routing/decision.py", "WAIT_MOST_S = 1.5", "WAIT_MOST_S = 0.0"
+    ),
+    "resuming streams": Mechanism(
+        "fordtrestle/routing/decision.py",
+        "        if route is None or not route.resumable or attempts.runs >= route.max_attempts:\n",
+        "        if True:\n",
+    ),
+    "another server after a rejection": Mechanism(
+        "fordtrestle/routing/decision.py", "SENDS_MOST = 4", "SENDS_MOST = 1"
+    ),
+    "news along a tree": Mechanism(
+        "fordtrestle/dissemination/broadcast.py",
+        "        elif source not in self._pruned:\n",
+        "        elif False:\n",
+    ),
+    "configurations as their change": Mechanism(
+        "fordtrestle/dissemination/delta.py", "WORTH = 0.5", "WORTH = -1.0"
+    ),
+}
+
+
+def copy_without(mechanism: Mechanism | None, folder: Path) -> None:
+    """A copy of what a play needs. `ValueError` unless the lines stand there once."""
+    for pattern in NEEDED:
+        for source in ROOT.glob(pattern):
+            target = folder / source.name
+            shutil.copytree(source, target, symlinks=True) if source.is_dir() else shutil.copy2(
+                source, target
+            )
+    if mechanism is None:
+        return
+    path = folder / mechanism.file
+    text = path.read_text()
+    if text.count(mechanism.lines) != 1:
+        raise ValueError(f"{mechanism.file} holds the lines {text.count(mechanism.lines)} times")
+    path.write_text(text.replace(mechanism.lines, mechanism.without))
+
+
+def play(folder: Path, command: str, figure: re.Pattern[str], seed: str) -> float | None:
+    """The figure of one play; nothing where it printed none."""
+    words = shlex.split(command.replace("{seed}", seed))
+    ran = subprocess.run(words, cwd=folder, capture_output=True, text=True, timeout=PLAY_MOST_S, check=False)
+    found = figure.search(ran.stdout)
+    return float(found.group(1)) if found else None
+
+
+def compare(whole: dict[str, float | None], without: dict[str, float | None]) -> str:
+    """The row of one mechanism: what its absence changes, over seeds that both have a figure of."""
+    pairs = [(whole[seed], without[seed]) for seed in whole]
+    changes = [other - one for one, other in pairs if one is not None and other is not None]
+    if not changes:
+        return "no pair"
+    spread = statistics.stdev(changes) if len(changes) > 1 else 0.0
+    return f"{statistics.mean(changes):+.3f} (spread {spread:.3f}, {len(changes)} pairs)"
+
+
+def main(words: list[str]) -> int:
+    """Print the table; the exit code."""
+    parser = argparse.ArgumentParser(prog="benchmarks.ablation")
+    parser.add_argument("--play", required=True, help="a command; {seed} stands for the seed")
+    parser.add_argument("--figure", required=True, help="a regular expression with one group")
+    parser.add_argument("--seeds", default="1,2,3")
+    parser.add_argument("--lanes", type=int, default=2, help="plays at the same time")
+    parser.add_argument("--folder", type=Path, help="where the copies are made")
+    parser.add_argument("names", nargs="*", choices=[*MECHANISMS, []], help="mechanisms; all without any")
+    given = parser.parse_args(words)
+    figure, seeds = re.compile(given.figure, re.MULTILINE), given.seeds.split(",")
+    names = given.names or list(MECHANISMS)
+    with tempfile.TemporaryDirectory(dir=given.folder) as folder, ThreadPoolExecutor(given.lanes) as pool:
+        cases = {WHOLE: None, **{name: MECHANISMS[name] for name in names}}
+        plays = {}
+        for number, (name, mechanism) in enumerate(cases.items()):
+            copy = Path(folder) / str(number)
+            copy.mkdir()
+            copy_without(mechanism, copy)
+            plays[name] = {seed: pool.submit(play, copy, given.play, figure, seed) for seed in seeds}
+        figures = {
+            name: {seed: future.result() for seed, future in of_seeds.items()}
+            for name, of_seeds in plays.items()
+        }
+    print(f"{WHOLE}: {', '.join(str(value) for value in figures[WHOLE].values())}")
+    for name in names:
+        print(f"without {name}: {compare(figures[WHOLE], figures[name])}")
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main(sys.argv[1:]))
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -37,6 +37,8 @@
 DIRECTORY = "tests/ingress/test_directory.py"
 SIGNALS = "tests/roles/test_signals.py"
 LEAVING = "tests/roles/test_leaving.py"
+BROADCAST, BROADCAST_TESTS = "dissemination/broadcast.py", "tests/dissemination/test_broadcast.py"
+DELTA, DELTA_TESTS = "dissemination/delta.py", "tests/dissemination/test_delta.py"
 FRONTS, FRONTS_TESTS = "routing/fronts.py", "tests/routing/test_fronts.py"
 NODE, HARD_CASES = "replication/node.py", "tests/replication/test_hard_cases.py"
 
@@ -398,6 +400,27 @@
     "a process that ends heeds no further signal": _removal(
         "roles/process.py", SIGNALS, "            signal.signal(name, signal.SIG_IGN)\n"
     ),
+    "what was offered and does not come is asked for": _removal(
+        BROADCAST,
+        BROADCAST_TESTS,
+        "        sendings = self._ask(now)\n",
+        "        sendings: list[Sending] = []\n",
+    ),
+    "a link that brings what was had before leaves the tree": _removal(
+        BROADCAST, BROADCAST_TESTS, "        elif source not in self._pruned:\n", "        elif False:\n"
+    ),
+    "a peer that asks is sent news whole from then on": _removal(
+        BROADCAST,
+        BROADCAST_TESTS,
+        "        self._pruned.discard(peer)\n\n    def offered(",
+        "        return\n\n    def offered(",
+    ),
+    "a change of the configuration rests on one version": _removal(
+        DELTA, DELTA_TESTS, "    if old.sequence != delta.base:\n", "    if False:\n"
+    ),
+    "what a change leads to is what was acknowledged": _removal(
+        DELTA, DELTA_TESTS, "    if zlib.crc32(document) != delta.checksum:\n", "    if False:\n"
+    ),
     "who leaves is named while its region has nobody else": _removal(
         FRONTS, FRONTS_TESTS, "            or _nearest(self._heard(Availability.LEAVING), asker)\n"
     ),
