--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -136,17 +136,18 @@
     parser.add_argument("--figure", required=True, help="a regular expression with one group")
     parser.add_argument("--seeds", default="1,2,3")
     parser.add_argument("--lanes", type=int, default=2, help="plays at the same time")
-    parser.add_argument("--folder", type=Path, help="where the copies are made")
+    parser.add_argument("--folder", type=Path, help="where the copies are made, and kept")
     parser.add_argument("names", nargs="*", choices=[*MECHANISMS, []], help="mechanisms; all without any")
     given = parser.parse_args(words)
     figure, seeds = re.compile(given.figure, re.MULTILINE), given.seeds.split(",")
     names = given.names or list(MECHANISMS)
-    with tempfile.TemporaryDirectory(dir=given.folder) as folder, ThreadPoolExecutor(given.lanes) as pool:
+    with tempfile.TemporaryDirectory() as passing, ThreadPoolExecutor(given.lanes) as pool:
+        folder = given.folder or Path(passing)
         cases = {WHOLE: None, **{name: MECHANISMS[name] for name in names}}
         plays = {}
         for number, (name, mechanism) in enumerate(cases.items()):
-            copy = Path(folder) / str(number)
-            copy.mkdir()
+            copy = folder / str(number)
+            copy.mkdir(parents=True)
             copy_without(mechanism, copy)
             plays[name] = {seed: pool.submit(play, copy, given.play, figure, seed) for seed in seeds}
         figures = {
