--- a/fordtrestle/cli/sidecar.py
+++ b/fordtrestle/cli/sidecar.py
@@ -5,6 +5,7 @@
 import argparse
 
 from fordtrestle.cli.start import do_without_tls, take_signals
+from fordtrestle.ingress.early_listener import listen_early
 
 
 def add(parser: argparse.ArgumentParser) -> None:
@@ -15,6 +16,7 @@
     """Serve until SIGTERM; the exit code."""
     take_signals()
     do_without_tls()
+    early = listen_early("front")
     from fordtrestle.roles import sidecar
 
-    return sidecar.main()
+    return sidecar.main(early)
--- a/fordtrestle/dissemination/broadcast.py
+++ b/fordtrestle/dissemination/broadcast.py
@@ -107,14 +107,14 @@
             missing = self._missing.get(item.key)
             if missing and missing.version <= item.version:
                 del self._missing[item.key]
-        messages = _messages(fresh, old, delta)
-        for peer in peers:
-            if peer == source:
-                continue
+        others = [peer for peer in peers if peer != source]
+        for peer in others:
             if peer in self._pruned:
                 self._offer(peer, fresh, now)
-            else:
-                steps.sendings += [Sending(peer, message) for message in messages]
+        children = [peer for peer in others if peer not in self._pruned]
+        if children:  # a long document takes time to compare
+            messages = _messages(fresh, old, delta)
+            steps.sendings += [Sending(peer, message) for peer in children for message in messages]
         return steps
 
     def _learn(self, steps: Steps, source: str) -> Steps:
--- a/fordtrestle/ingress/server.py
+++ b/fordtrestle/ingress/server.py
@@ -6,7 +6,8 @@
 
 import asyncio
 import contextlib
-from collections.abc import Callable
+import socket
+from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 from enum import IntEnum
 from typing import Any
@@ -15,6 +16,7 @@
 
 from fordtrestle.forward.headers import REQUEST_ID, end_to_end
 from fordtrestle.ingress import answers
+from fordtrestle.ingress.early_listener import EarlyListener
 from fordtrestle.ingress.exchange import Exchange, Inbound, Shared
 from fordtrestle.routing.intake import Intake
 from fordtrestle.routing.pick import read_prompt
@@ -25,6 +27,7 @@
 IDLE_S = 60.0  # that an unused connection is kept at least: longer than any client rests
 BACKLOG = 1024
 BYTES_PER_MB = 1_000_000
+WAITED_S = 0.5  # after which the first request on a connection that had waited has come just now
 LOOK_S = 0.05  # between looks at what is still open
 LAST_ANSWER_S = 0.1  # for the last answers to leave, once what is open is cut
 _CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
@@ -84,14 +87,32 @@
         )
         self._listener: asyncio.Server | None = None
         self._phase = Phase.SERVING
+        self._waited: set[web.RequestHandler] = set()  # connections that have, and sent nothing yet
+        self._waited_since = 0.0  # s, loop clock: since when, at the longest
         self._open: dict[asyncio.Timeout, web.RequestHandler] = {}  # the connection of each open request
         self._cut_at: float | None = None  # s, loop clock: when open requests are given up
 
-    async def listen(self, address: Address) -> None:
-        """Take connections. Raises `OSError`."""
+    async def listen(self, address: Address, early: EarlyListener | None = None) -> None:
+        """Take connections, those first that wait at an early listener of this address. Raises `OSError`."""
         loop = asyncio.get_running_loop()
+        if early is not None and early.address == (address.host, address.port):
+            waiting = early.accept_all()
+            self._listener = await loop.create_server(self._server, sock=early.socket, backlog=BACKLOG)
+            await self._adopt(waiting, early.since)
+            return
+        if early is not None:
+            early.socket.close()
         self._listener = await loop.create_server(self._server, address.host, address.port, backlog=BACKLOG)
 
+    async def _adopt(self, connections: Sequence[socket.socket], since: float) -> None:
+        """Serve connections that have waited, since that time (s, loop clock) at the longest."""
+        loop = asyncio.get_running_loop()
+        self._waited_since = since
+        for connection in connections:
+            _, protocol = await loop.connect_accepted_socket(self._server, connection)
+            self._waited.add(protocol)
+        loop.call_later(WAITED_S, self._waited.clear)
+
     @property
     def port(self) -> int:
         """The port that is listened at."""
@@ -185,7 +206,7 @@
             await response.write_eof()
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        arrived = asyncio.get_running_loop().time()
+        arrived = self._arrival(request)
         request_id = request.headers.get(REQUEST_ID, "")
         table = self._shared.decider.view.table
         limits = table.limits if table else Limits()
@@ -211,6 +232,13 @@
         finally:
             self._body_bytes -= held
 
+    def _arrival(self, request: web.BaseRequest) -> float:
+        """When a request arrived at the earliest: the first of a connection may have waited till now."""
+        if request.protocol in self._waited:
+            self._waited.discard(request.protocol)
+            return self._waited_since
+        return asyncio.get_running_loop().time()
+
     async def _body(self, request: web.BaseRequest, limits: Limits, room: int) -> bytes | web.Response:
         """The whole body, or the answer to one that is too late, too large or without room."""
         request_id = request.headers.get(REQUEST_ID, "")
--- a/fordtrestle/roles/process.py
+++ b/fordtrestle/roles/process.py
@@ -25,7 +25,8 @@
 from fordtrestle.peer.mesh import Link, Mesh
 from fordtrestle.roles import metrics
 from fordtrestle.roles.ending import Ending
-from fordtrestle.settings.boot import Address, Boot, file_bytes, read
+from fordtrestle.settings.boot import Address, Boot, read
+from fordtrestle.settings.place import file_bytes
 
 CONTROL_ROLE = "control"
 SIDECAR_ROLE = "sidecar"
--- a/fordtrestle/roles/sidecar.py
+++ b/fordtrestle/roles/sidecar.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+from functools import partial
 
 import eliot
 
@@ -11,6 +12,7 @@
 from fordtrestle.admission.window import Admission
 from fordtrestle.dissemination.items import Availability, Item
 from fordtrestle.forward.client import Forwarder
+from fordtrestle.ingress.early_listener import EarlyListener
 from fordtrestle.ingress.exchange import Shared
 from fordtrestle.ingress.server import Bounds, Front, Readiness
 from fordtrestle.ingress.waiting import Waiting
@@ -34,8 +36,8 @@
 FORGET_S = 10.0
 
 
-async def run(boot: Boot) -> int:
-    """Serve until SIGTERM; the exit code."""
+async def run(boot: Boot, early: EarlyListener | None = None) -> int:
+    """Serve until SIGTERM; the exit code. Clients may have come to an earlier listener."""
     process = Process(boot, SIDECAR_ROLE)
     loop = asyncio.get_running_loop()
     view = View(boot.zones, boot.heartbeat_s, loop.time())
@@ -60,7 +62,7 @@
 
     process.on_items = changed
     await process.start()
-    await front.listen(boot.listen["front"])
+    await front.listen(boot.listen["front"], early)
     readiness = Readiness(lambda: process.gossip.me.availability is Availability.READY)
     runners = [await serve_http(readiness.application(), boot.listen["readiness"])]
 
@@ -99,6 +101,6 @@
         cold.forget(view.servers.instances())
 
 
-def main() -> int:
+def main(early: EarlyListener | None = None) -> int:
     """Run as a process of its own; the exit code."""
-    return run_role(run)
+    return run_role(partial(run, early=early))
--- a/fordtrestle/settings/boot.py
+++ b/fordtrestle/settings/boot.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 import json
-import os
 from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
@@ -14,8 +13,8 @@
 from marshmallow import EXCLUDE, Schema, ValidationError, fields, post_load, validate
 from returns.result import Failure, Result, Success
 
-VARIABLE = "FORDTRESTLE_CONFIG"
-DEFAULT_PATH = "/etc/fordtrestle/boot.json"
+from fordtrestle.settings.place import settings_path
+
 PORT_MOST = 65_535
 MS_PER_S = 1000.0
 
@@ -239,17 +238,9 @@
     return Success(boot)
 
 
-def file_bytes(path: Path | None = None) -> bytes:
-    """The settings file as it stands, to see whether it has changed; empty where it cannot be read."""
-    try:
-        return (path or Path(os.environ.get(VARIABLE, DEFAULT_PATH))).read_bytes()
-    except OSError:
-        return b""
-
-
 def read(path: Path | None = None) -> Result[Boot, SettingsError]:
     """Read the settings file at a path, or where the environment says."""
-    path = path or Path(os.environ.get(VARIABLE, DEFAULT_PATH))
+    path = path or Path(settings_path())
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
--- a/tests/dissemination/test_delta.py
+++ b/tests/dissemination/test_delta.py
@@ -93,6 +93,16 @@
     assert steps.fresh == [control_item(new)] and steps.sendings == [Sending("b", delta)]
 
 
+def test_who_passes_nothing_on_compares_no_documents(monkeypatch):
+    def fail(old, new):
+        raise AssertionError("documents were compared")
+
+    monkeypatch.setattr("fordtrestle.dissemination.broadcast.difference", fail)
+    peer = peer_with(view(1, routes(50)))
+    peer.pruned("b")
+    assert peer.update(Update((control_item(view(2, routes(51))),)), ["a", "b"], 1.0, "a").sendings == []
+
+
 def test_who_lacks_what_a_change_rests_on_asks_for_the_whole():
     first, old, new = (view(number, routes(50 + number)) for number in (1, 2, 3))
     delta = difference(old, new)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -421,6 +421,23 @@
     "what a change leads to is what was acknowledged": _removal(
         DELTA, DELTA_TESTS, "    if zlib.crc32(document) != delta.checksum:\n", "    if False:\n"
     ),
+    "who has waited too long for the process is refused": _removal(
+        FRONT,
+        "tests/ingress/test_early_listener.py",
+        "            return self._waited_since\n",
+        "            pass\n",
+    ),
+    "a connection has waited for its first request alone": _removal(
+        FRONT,
+        "tests/ingress/test_early_listener.py",
+        "            self._waited.discard(request.protocol)\n",
+    ),
+    "a sidecar listens before its libraries are loaded": _removal(
+        "cli/sidecar.py",
+        "tests/ingress/test_early_listener.py",
+        '    early = listen_early("front")\n',
+        "    early = None\n",
+    ),
     "who leaves is named while its region has nobody else": _removal(
         FRONTS, FRONTS_TESTS, "            or _nearest(self._heard(Availability.LEAVING), asker)\n"
     ),
--- /dev/null
+++ b/tests/ingress/test_early_listener.py
@@ -0,0 +1,166 @@
+"""Clients that come while a sidecar loads its libraries wait; they are served, or refused when too late."""
+
+from __future__ import annotations
+
+import asyncio
+import json
+import os
+import socket
+import subprocess
+import sys
+
+import pytest
+
+from fordtrestle.ingress import server as server_module
+from fordtrestle.ingress.early_listener import EarlyListener, listen_early
+from fordtrestle.settings.boot import Address
+from fordtrestle.settings.place import VARIABLE
+from tests.exchanges import loopback, request
+from tests.guards import ROOT
+from tests.ingress.stage import Stage, StandIn, ok, route
+
+PATIENCE_S = 20.0
+LONG_S = 60.0  # longer than any request has
+CALL = request("POST", "/a/x", "hello", X_Request_Id="q1")
+STARTS = """
+import sys, types
+from tests.guards import take_out; take_out()
+role = types.ModuleType("role")
+role.main = lambda early: int(early is None or "aiohttp" in sys.modules)
+sys.modules["fordtrestle.roles.sidecar"] = sys.modules["fordtrestle.roles"] = role
+role.sidecar = role
+from fordtrestle.cli import sidecar
+sys.exit(sidecar.run(None))
+"""
+
+
+def free_port() -> int:
+    with socket.socket() as sock:
+        sock.bind(("127.0.0.1", 0))
+        return int(sock.getsockname()[1])
+
+
+@pytest.fixture
+def settings(tmp_path, monkeypatch):
+    """Writes the settings file that the environment names."""
+    path = tmp_path / "boot.json"
+    monkeypatch.setenv(VARIABLE, str(path))
+    return path.write_text
+
+
+@pytest.fixture
+def early(settings):
+    """A listener as it is before the libraries are loaded."""
+    settings(json.dumps({"listen": {"front": f"127.0.0.1:{free_port()}"}}))
+    listener = listen_early("front")
+    assert listener is not None
+    yield listener
+    listener.socket.close()
+
+
+class EarlyStage(Stage):
+    """A front that takes over from an early listener."""
+
+    def __init__(self, early: EarlyListener, address: Address | None = None) -> None:
+        super().__init__(route())
+        self.early, self.address = early, address or Address(*early.address)
+
+    async def __aenter__(self) -> EarlyStage:
+        await self.front.listen(self.address, self.early)
+        self.port = self.front.port
+        return self
+
+
+def client(early: EarlyListener, data: bytes = b"") -> socket.socket:
+    sock = socket.create_connection(early.address)
+    sock.sendall(data)
+    sock.setblocking(False)
+    return sock
+
+
+async def answer(sock: socket.socket) -> str:
+    """The status line, and what else the first bytes hold."""
+    return (await asyncio.get_running_loop().sock_recv(sock, 4096)).decode()
+
+
+@loopback
+async def test_who_has_waited_is_served_and_so_is_who_comes_later(early):
+    waited = client(early, CALL)
+    async with StandIn(ok("q1")) as server, EarlyStage(early) as stage:
+        stage.add(server)
+        assert (await answer(waited)).startswith("HTTP/1.1 200")
+        later = client(early, CALL)
+        assert (await answer(later)).startswith("HTTP/1.1 200")
+
+
+@loopback
+async def test_who_has_waited_for_longer_than_the_request_has_is_refused_at_once(early):
+    waited = client(early, CALL)
+    early.since -= LONG_S
+    async with StandIn(ok("q1")) as server, EarlyStage(early) as stage:
+        stage.add(server)
+        refusal = await answer(waited)
+        assert refusal.startswith("HTTP/1.1 503") and "Retry-After" in refusal
+        assert server.requests == []
+        await asyncio.get_running_loop().sock_sendall(waited, CALL)
+        assert (await answer(waited)).startswith("HTTP/1.1 200"), "the second request has not waited"
+
+
+@loopback
+async def test_a_connection_that_waited_may_send_its_request_later(early, monkeypatch):
+    monkeypatch.setattr(server_module, "WAITED_S", 0.0)
+    waited = client(early)
+    early.since -= LONG_S
+    async with StandIn(ok("q1")) as server, EarlyStage(early) as stage:
+        stage.add(server)
+        while stage.front._waited:
+            await asyncio.sleep(0)
+        await asyncio.get_running_loop().sock_sendall(waited, CALL)
+        assert (await answer(waited)).startswith("HTTP/1.1 200")
+
+
+@loopback
+async def test_a_client_that_has_gone_meanwhile_costs_no_server_anything(early):
+    client(early, CALL).close()
+    async with StandIn(ok("q1")) as server, EarlyStage(early) as stage:
+        stage.add(server)
+        other = client(early, CALL)
+        assert (await answer(other)).startswith("HTTP/1.1 200")
+        assert len(server.requests) <= 2 and stage.front.open_requests == 0
+
+
+@loopback
+async def test_an_address_that_is_not_that_of_the_checked_settings_is_given_up(early):
+    other = Address("127.0.0.1", free_port())
+    async with EarlyStage(early, other) as stage:
+        assert stage.port == other.port and early.socket.fileno() == -1
+
+
+@pytest.mark.parametrize(
+    "text",
+    [
+        pytest.param("", id="empty"),
+        pytest.param("[]", id="no object"),
+        pytest.param("{}", id="no endpoints"),
+        pytest.param('{"listen": {"control": "127.0.0.1:1"}}', id="not that endpoint"),
+        pytest.param('{"listen": {"front": 7}}', id="no address"),
+        pytest.param('{"listen": {"front": "127.0.0.1"}}', id="no port"),
+        pytest.param('{"listen": {"front": "127.0.0.1:70000"}}', id="a port too high"),
+        pytest.param('{"listen": {"front": "192.0.2.1:80"}}', id="an address of another machine"),
+    ],
+)
+def test_settings_that_do_not_tell_are_left_to_the_role(settings, text):
+    settings(text)
+    assert listen_early("front") is None
+
+
+def test_an_address_that_is_taken_is_left_to_the_role(early):
+    assert listen_early("front") is None
+
+
+def test_a_sidecar_listens_before_it_loads_its_libraries(settings):
+    settings(json.dumps({"listen": {"front": f"127.0.0.1:{free_port()}"}}))
+    ran = subprocess.run(
+        [sys.executable, "-c", STARTS], cwd=ROOT, env=dict(os.environ), timeout=PATIENCE_S, check=False
+    )
+    assert ran.returncode == 0
--- a/tests/roles/test_signals.py
+++ b/tests/roles/test_signals.py
@@ -24,7 +24,7 @@
 from importlib import import_module
 role = types.ModuleType("role")
 ready = lambda: signal.getsignal(signal.SIGHUP) is signal.SIG_IGN and sys.modules["ssl"] is None
-role.main = lambda: int(not ready())
+role.main = lambda *early: int(not ready())
 sys.modules["fordtrestle.roles.WORD"] = sys.modules["fordtrestle.roles"] = role
 role.WORD = role
 sys.exit(import_module("fordtrestle.cli.WORD").run(None))
