--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -18,8 +18,10 @@
 import subprocess
 import sys
 import tempfile
+from collections.abc import Callable, Sequence
 from concurrent.futures import ThreadPoolExecutor
 from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
@@ -27,6 +29,9 @@
 PLAY_MOST_S = 1800.0
 WHOLE = "whole"
 
+Figures = dict[str, float | None]  # by seed
+Play = Callable[[Path, str], float | None]  # in a folder, with a seed
+
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
@@ -111,7 +116,7 @@
     path.write_text(text.replace(mechanism.lines, mechanism.without))
 
 
-def play(folder: Path, command: str, figure: re.Pattern[str], seed: str) -> float | None:
+def play(folder: Path, seed: str, command: str, figure: re.Pattern[str]) -> float | None:
     """The figure of one play; nothing where it printed none."""
     words = shlex.split(command.replace("{seed}", seed))
     ran = subprocess.run(words, cwd=folder, capture_output=True, text=True, timeout=PLAY_MOST_S, check=False)
@@ -119,7 +124,7 @@
     return float(found.group(1)) if found else None
 
 
-def compare(whole: dict[str, float | None], without: dict[str, float | None]) -> str:
+def compare(whole: Figures, without: Figures) -> str:
     """The row of one mechanism: what its absence changes, over seeds that both have a figure of."""
     pairs = [(whole[seed], without[seed]) for seed in whole]
     changes = [other - one for one, other in pairs if one is not None and other is not None]
@@ -129,8 +134,26 @@
     return f"{statistics.mean(changes):+.3f} (spread {spread:.3f}, {len(changes)} pairs)"
 
 
-def main(words: list[str]) -> int:
-    """Print the table; the exit code."""
+def play_all(
+    names: Sequence[str], seeds: Sequence[str], folder: Path, lanes: int, play_one: Play
+) -> dict[str, Figures]:
+    """The figures of the whole and of each mechanism's absence, by seed; the copies stay in the folder."""
+    cases = {WHOLE: None, **{name: MECHANISMS[name] for name in names}}
+    with ThreadPoolExecutor(lanes) as pool:
+        plays = {}
+        for number, (name, mechanism) in enumerate(cases.items()):
+            copy = folder / str(number)
+            copy.mkdir(parents=True)
+            copy_without(mechanism, copy)
+            plays[name] = {seed: pool.submit(play_one, copy, seed) for seed in seeds}
+        return {
+            name: {seed: future.result() for seed, future in of_seeds.items()}
+            for name, of_seeds in plays.items()
+        }
+
+
+def arguments(words: list[str]) -> argparse.Namespace:
+    """What the command line asks for."""
     parser = argparse.ArgumentParser(prog="benchmarks.ablation")
     parser.add_argument("--play", required=True, help="a command; {seed} stands for the seed")
     parser.add_argument("--figure", required=True, help="a regular expression with one group")
@@ -138,22 +161,17 @@
     parser.add_argument("--lanes", type=int, default=2, help="plays at the same time")
     parser.add_argument("--folder", type=Path, help="where the copies are made, and kept")
     parser.add_argument("names", nargs="*", choices=[*MECHANISMS, []], help="mechanisms; all without any")
-    given = parser.parse_args(words)
-    figure, seeds = re.compile(given.figure, re.MULTILINE), given.seeds.split(",")
+    return parser.parse_args(words)
+
+
+def main(words: list[str]) -> int:
+    """Print the table; the exit code."""
+    given = arguments(words)
     names = given.names or list(MECHANISMS)
-    with tempfile.TemporaryDirectory() as passing, ThreadPoolExecutor(given.lanes) as pool:
+    play_one = partial(play, command=given.play, figure=re.compile(given.figure, re.MULTILINE))
+    with tempfile.TemporaryDirectory() as passing:
         folder = given.folder or Path(passing)
-        cases = {WHOLE: None, **{name: MECHANISMS[name] for name in names}}
-        plays = {}
-        for number, (name, mechanism) in enumerate(cases.items()):
-            copy = folder / str(number)
-            copy.mkdir(parents=True)
-            copy_without(mechanism, copy)
-            plays[name] = {seed: pool.submit(play, copy, given.play, figure, seed) for seed in seeds}
-        figures = {
-            name: {seed: future.result() for seed, future in of_seeds.items()}
-            for name, of_seeds in plays.items()
-        }
+        figures = play_all(names, given.seeds.split(","), folder, given.lanes, play_one)
     print(f"{WHOLE}: {', '.join(str(value) for value in figures[WHOLE].values())}")
     for name in names:
         print(f"without {name}: {compare(figures[WHOLE], figures[name])}")
--- a/tests/rig/test_ablation.py
+++ b/tests/rig/test_ablation.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from benchmarks.ablation import MECHANISMS, ROOT, compare, copy_without, play
+from benchmarks.ablation import MECHANISMS, ROOT, WHOLE, compare, copy_without, play, play_all
 
 
 @pytest.mark.parametrize("name", MECHANISMS)
@@ -29,8 +29,21 @@
 def test_a_play_gives_the_figure_that_it_prints_or_none(tmp_path):
     figure = re.compile(r"^score (\S+)", re.MULTILINE)
     says = f"{sys.executable} -c \"print('score 0.{{seed}}')\""
-    assert play(tmp_path, says, figure, "25") == 0.25
-    assert play(tmp_path, f"{sys.executable} -c pass", figure, "25") is None
+    assert play(tmp_path, "25", says, figure) == 0.25
+    assert play(tmp_path, "25", f"{sys.executable} -c pass", figure) is None
+
+
+def test_all_cases_are_played_with_each_seed(tmp_path):
+    played = []
+
+    def play_one(folder, seed):
+        played.append((folder.name, seed))
+        return float(seed)
+
+    name = "urgency of short prompts"
+    figures = play_all([name], ["1", "2"], tmp_path, 1, play_one)
+    assert figures == {WHOLE: {"1": 1.0, "2": 2.0}, name: {"1": 1.0, "2": 2.0}}
+    assert sorted(played) == [("0", "1"), ("0", "2"), ("1", "1"), ("1", "2")]
 
 
 def test_mechanisms_are_compared_by_pairs_of_one_seed():
