--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -94,7 +94,7 @@
         "        elif False:\n",
     ),
     "configurations as their change": Mechanism(
-        "fordtrestle/dissemination/delta.py", "WORTH = 0.5", "WORTH = -1.0"
+        "fordtrestle/dissemination/delta.py", "SHARE_MOST = 0.5", "SHARE_MOST = -1.0"
     ),
 }
 
--- a/fordtrestle/control_api/http.py
+++ b/fordtrestle/control_api/http.py
@@ -12,9 +12,9 @@
 
 from fordtrestle.control_api import listings
 from fordtrestle.control_api.heartbeats import BODY_MOST, Heartbeats, read_heartbeat
-from fordtrestle.control_api.orders import DOCUMENT_MOST, IsWaiting, Orders, Outcome, Verdict
+from fordtrestle.control_api.orders import IsWaiting, Orders, Outcome, Verdict
 from fordtrestle.control_api.withdrawals import Withdrawals
-from fordtrestle.dissemination.items import Phase
+from fordtrestle.dissemination.items import DOCUMENT_MOST, Phase
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.replication.node import Node
 
--- a/fordtrestle/control_api/orders.py
+++ b/fordtrestle/control_api/orders.py
@@ -17,6 +17,7 @@
 from returns.result import Failure, Success
 
 from fordtrestle.control_api.configuration import check_generation, read_patch, read_put
+from fordtrestle.dissemination.items import DOCUMENT_MOST
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.state import Change, ConfigChange, ControlState, Evacuation
 
@@ -26,7 +27,6 @@
 # on no version, so one that has waited for longer might undo what came after it.
 EVACUATION_WAITS_S = 0.9
 WAITING_MOST = 64  # orders at a time; a caller beyond them is told to come back
-DOCUMENT_MOST = 8 * 1024 * 1024  # bytes of a configuration: it has to fit into one message to each replica
 INLINE_MOST = 64 * 1024  # bytes of documents that are checked without a thread
 DIGEST_BYTES = 16
 
--- a/fordtrestle/dissemination/broadcast.py
+++ b/fordtrestle/dissemination/broadcast.py
@@ -46,7 +46,8 @@
 
     version: Version
     ask_at: float
-    sources: deque[str]
+    sources: deque[str]  # who holds it and was not asked yet
+    asked: set[str] = field(default_factory=set)
 
 
 class Broadcast:
@@ -70,25 +71,39 @@
             del self._offers[peer]
 
     def publish(self, items: Iterable[Item], peers: Collection[str], now: float, source: str = "") -> Steps:
-        """Take items in, and pass on what is new to all `peers` but its source."""
+        """Take in items that a process tells of itself or has confirmed, and pass on what is new."""
         return self._take(items, peers, now, source)
 
-    def update(self, update: Update, peers: Collection[str], now: float, source: str) -> Steps:
-        """Items have come from a peer."""
-        return self._learn(self._take(update.items, peers, now, source), source)
-
-    def changed(self, delta: ControlDelta, peers: Collection[str], now: float, source: str) -> Steps:
-        """A change of the control state has come from a peer; without what it rests on, ask for the whole."""
+    def received(self, message: GossipMessage, peers: Collection[str], now: float, source: str) -> Steps:
+        """A message has come from a peer; what is new in it goes on to all other `peers`."""
+        match message:
+            case Update(items):
+                return self._judge_link(self._take(items, peers, now, source), source)
+            case ControlDelta():
+                return self._change(message, peers, now, source)
+            case Offer(versions):
+                self._note_offer(versions, now, source)
+                return Steps()
+            case Prune():
+                self._pruned.add(source)
+                return Steps()
+            case Want():
+                self._pruned.discard(source)  # the tree did not reach it otherwise
+        return Steps([], [Sending(source, answer) for answer in self._catalog.answer(message)])
+
+    def _change(self, delta: ControlDelta, peers: Collection[str], now: float, source: str) -> Steps:
+        """Take in a change of the control state; without what it rests on, ask for the whole."""
         old = self._catalog.control
         if old is not None and old.sequence >= delta.sequence:
-            return self._learn(Steps(), source)
+            return self._judge_link(Steps(), source)
         try:
             new = apply(old, delta) if old else None
         except DeltaError:
             new = None
         if new is None:
-            return Steps([], [Sending(source, Want((CONTROL_KEY,)))])
-        return self._learn(self._take([control_item(new)], peers, now, source, delta), source)
+            self._need(CONTROL_KEY, (delta.sequence,), now, source)
+            return Steps([], self._ask(now))
+        return self._judge_link(self._take([control_item(new)], peers, now, source, delta), source)
 
     def _take(
         self,
@@ -98,6 +113,7 @@
         source: str,
         delta: ControlDelta | None = None,
     ) -> Steps:
+        """Take items in, and pass on what is new to all `peers` but its source."""
         old = self._catalog.control
         fresh = self._catalog.merge(items, now)
         steps = Steps(fresh)
@@ -117,7 +133,7 @@
             steps.sendings += [Sending(peer, message) for peer in children for message in messages]
         return steps
 
-    def _learn(self, steps: Steps, source: str) -> Steps:
+    def _judge_link(self, steps: Steps, source: str) -> Steps:
         """What a peer has sent was new here, or it shows that the tree does without that link."""
         if steps.fresh:
             self._pruned.discard(source)
@@ -126,29 +142,23 @@
             steps.sendings.append(Sending(source, Prune()))
         return steps
 
-    def pruned(self, peer: str) -> None:
-        """A peer has had items of ours from others before."""
-        self._pruned.add(peer)
-
-    def wanted(self, peer: str) -> None:
-        """A peer asks for items: it did not get them over any other link."""
-        self._pruned.discard(peer)
-
-    def offered(self, offer: Offer, now: float, source: str) -> None:
-        """A peer holds these versions."""
-        for key, version in offer.versions:
-            known = self._catalog.get(key)
-            if known and known.version >= version:
-                continue
-            missing = self._missing.get(key)
-            if missing is None:
-                if len(self._missing) < ITEMS_MOST:
-                    sources = deque([source], maxlen=SOURCES_MOST)
-                    self._missing[key] = _Missing(version, now + ASK_S, sources)
-                continue
-            missing.version = max(missing.version, version)
-            if source not in missing.sources:
-                missing.sources.append(source)
+    def _note_offer(self, versions: Iterable[tuple[str, Version]], now: float, source: str) -> None:
+        for key, version in versions:
+            if self._catalog.lacks(key, version):
+                self._need(key, version, now + ASK_S, source)
+
+    def _need(self, key: str, version: Version, ask_at: float, source: str) -> None:
+        """A peer holds a version that is to be asked for, unless it comes before; one is asked at a time."""
+        missing = self._missing.get(key)
+        if missing is None:
+            if len(self._missing) < ITEMS_MOST:
+                self._missing[key] = _Missing(version, ask_at, deque([source], maxlen=SOURCES_MOST))
+            return
+        missing.version = max(missing.version, version)
+        if source not in missing.asked and source not in missing.sources:
+            missing.sources.append(source)
+        if not missing.asked:
+            missing.ask_at = min(missing.ask_at, ask_at)
 
     def due_at(self) -> float | None:
         """When `tick` has something to do; nothing where never, as far as is known now."""
@@ -180,8 +190,10 @@
             if not missing.sources:
                 del self._missing[key]  # all were asked; digests go on looking
                 continue
-            keys.setdefault(missing.sources.popleft(), []).append(key)
+            source = missing.sources.popleft()
+            missing.asked.add(source)
             missing.ask_at = now + ASK_AGAIN_S
+            keys.setdefault(source, []).append(key)
         self._pruned.difference_update(keys)
         return [Sending(peer, Want(tuple(wanted))) for peer, wanted in keys.items()]
 
@@ -193,10 +205,10 @@
     items: list[Item] = []
     changes: list[Update | ControlDelta] = []
     for item in fresh:
-        change = delta
-        if change is None and old is not None and isinstance(item.value, ControlView):
-            change = difference(old, item.value)
-        if change is not None and item.key == CONTROL_KEY:
+        change = None
+        if isinstance(item.value, ControlView):
+            change = delta or (difference(old, item.value) if old else None)
+        if change:
             changes.append(change)
         else:
             items.append(item)
--- a/fordtrestle/dissemination/catalog.py
+++ b/fordtrestle/dissemination/catalog.py
@@ -90,15 +90,20 @@
             if key.startswith(MEMBER_PREFIX) and isinstance(item.value, MemberRecord):
                 yield item.value, item.version
 
+    def lacks(self, key: str, version: Version) -> bool:
+        """Whether that version would be news: neither is as new a one held, nor was it forgotten."""
+        known = self._items.get(key)
+        if known:
+            return known.version < version
+        return key not in self._forgotten or version > self._forgotten[key][0]
+
     def merge(self, items: Iterable[Item], now: float) -> list[Item]:
         """Take in what is newer; those items."""
         fresh = []
         for item in items:
-            known = self._items.get(item.key)
-            if known and known.version >= item.version:
-                continue
-            if item.key in self._forgotten and item.version <= self._forgotten[item.key][0]:
+            if not self.lacks(item.key, item.version):
                 continue
+            known = self._items.get(item.key)
             if known is None and len(self._items) >= ITEMS_MOST:
                 continue
             self._put(known, item, now)
@@ -151,11 +156,7 @@
             for key, item in self._items.items()
             if range_of(key) in ranges and item.version > theirs.get(key, ())
         )
-        wanted = tuple(
-            key
-            for key, version in theirs.items()
-            if (known := self._items.get(key)) is None or known.version < version
-        )
+        wanted = tuple(key for key, version in theirs.items() if self.lacks(key, version))
         answers: list[GossipMessage] = []
         if newer:
             answers.append(Update(newer))
--- a/fordtrestle/dissemination/delta.py
+++ b/fordtrestle/dissemination/delta.py
@@ -9,11 +9,11 @@
 import zlib
 from dataclasses import dataclass
 
-from fordtrestle.dissemination.items import ControlView
+from fordtrestle.dissemination.items import DOCUMENT_MOST, ControlView
 
 _CUT = b"{"
-WORTH = 0.5  # of the new document's length, that a delta may have at the most
-PARTS_MOST = 10_000
+SHARE_MOST = 0.5  # of the new document's length, that a delta may tell in bytes of its own
+PARTS_MOST = 10_000  # of one delta
 
 
 class DeltaError(Exception):
@@ -65,11 +65,15 @@
     return parts
 
 
+def _length(part: Copy | bytes) -> int:
+    return part.end - part.start if isinstance(part, Copy) else len(part)
+
+
 def difference(old: ControlView, new: ControlView) -> ControlDelta | None:
     """What leads from one to the other; nothing where the whole is hardly longer."""
     parts = _parts(old.document, new.document)
-    told = sum(len(part) for part in parts if isinstance(part, bytes))
-    if len(parts) > PARTS_MOST or told > WORTH * len(new.document):
+    told = sum(_length(part) for part in parts if isinstance(part, bytes))
+    if len(parts) > PARTS_MOST or told > SHARE_MOST * len(new.document):
         return None
     checksum = zlib.crc32(new.document)
     return ControlDelta(old.sequence, new.sequence, new.generation, tuple(parts), checksum, new.evacuated)
@@ -79,6 +83,10 @@
     """The newer view. Raises `DeltaError` where that is not what the delta was made of."""
     if old.sequence != delta.base:
         raise DeltaError(f"based on {delta.base}, not on {old.sequence}")
+    if len(delta.parts) > PARTS_MOST:
+        raise DeltaError(f"more than {PARTS_MOST} parts")
+    if sum(map(_length, delta.parts)) > DOCUMENT_MOST:
+        raise DeltaError(f"more than {DOCUMENT_MOST} bytes")
     parts = (old.document[part.start : part.end] if isinstance(part, Copy) else part for part in delta.parts)
     document = b"".join(parts)
     if zlib.crc32(document) != delta.checksum:
--- a/fordtrestle/dissemination/items.py
+++ b/fordtrestle/dissemination/items.py
@@ -7,6 +7,8 @@
 
 Version = tuple[int, ...]
 
+DOCUMENT_MOST = 8 * 1024 * 1024  # bytes of a configuration: it has to fit into one message to each replica
+
 CONTROL_KEY = "control"
 SERVER_PREFIX = "server/"
 MEMBER_PREFIX = "member/"
--- a/fordtrestle/ingress/early_listener.py
+++ b/fordtrestle/ingress/early_listener.py
@@ -29,13 +29,16 @@
     def accept_all(self) -> list[socket.socket]:
         """The connections that wait. They are taken before the socket is handed on, so that none is lost."""
         waiting: list[socket.socket] = []
-        while True:
+        for _ in range(BACKLOG):
             try:
                 connection, _ = self.socket.accept()
+            except ConnectionAbortedError:
+                continue
             except OSError:  # none is left, or no descriptor is
-                return waiting
+                break
             connection.setblocking(False)
             waiting.append(connection)
+        return waiting
 
 
 def listen_early(endpoint: str) -> EarlyListener | None:
--- a/fordtrestle/ingress/server.py
+++ b/fordtrestle/ingress/server.py
@@ -109,10 +109,18 @@
         loop = asyncio.get_running_loop()
         self._waited_since = since
         for connection in connections:
-            _, protocol = await loop.connect_accepted_socket(self._server, connection)
-            self._waited.add(protocol)
+            try:
+                await loop.connect_accepted_socket(self._make_waited, connection)
+            except OSError:
+                connection.close()  # its client has ended it: the others are not to suffer
         loop.call_later(WAITED_S, self._waited.clear)
 
+    def _make_waited(self) -> web.RequestHandler:
+        """The handler of a connection that has waited, known as such before it reads anything."""
+        handler = self._server()
+        self._waited.add(handler)
+        return handler
+
     @property
     def port(self) -> int:
         """The port that is listened at."""
--- a/fordtrestle/peer/connection.py
+++ b/fordtrestle/peer/connection.py
@@ -33,6 +33,12 @@
     return _LENGTH.pack(len(packed) | _COMPRESSED) + packed
 
 
+def pack(message: Any) -> bytes | None:
+    """The frame of a message; nothing where it is longer than its receiver takes."""
+    payload = encode(message)
+    return frame(payload) if len(payload) <= FRAME_MOST else None
+
+
 def inflate(packed: bytes) -> bytes:
     """The payload of a compressed frame. `CodecError` where it is none, or too large."""
     inflater = zlib.decompressobj()
@@ -57,8 +63,9 @@
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def send(self, message: Any) -> bool:
-        """Send a message; whether the connection still takes any."""
-        return self.write(frame(encode(message)))
+        """Send a message; whether the connection takes it."""
+        framed = pack(message)
+        return framed is not None and self.write(framed)
 
     async def receive(self) -> Any:
         """The next message. Raises what `_GONE` lists, or `TimeoutError` after the peer's silence.
@@ -104,7 +111,7 @@
     def write(self, framed: bytes) -> bool:
         """Send a message that was framed before; whether the connection still takes any."""
         transport = self._writer.transport
-        if transport.is_closing() or len(framed) > FRAME_MOST:
+        if transport.is_closing():
             return False
         if transport.get_write_buffer_size() > BUFFER_MOST:
             self.close()
--- a/fordtrestle/peer/gossip.py
+++ b/fordtrestle/peer/gossip.py
@@ -8,11 +8,9 @@
 
 from fordtrestle.dissemination.broadcast import Broadcast, Sending, Steps
 from fordtrestle.dissemination.catalog import Catalog
-from fordtrestle.dissemination.delta import ControlDelta
 from fordtrestle.dissemination.items import MEMBER_PREFIX, Item, MemberRecord, member_item
-from fordtrestle.dissemination.messages import GossipMessage, Offer, Prune, Update, Want
-from fordtrestle.peer.codec import encode
-from fordtrestle.peer.connection import frame
+from fordtrestle.dissemination.messages import GossipMessage
+from fordtrestle.peer.connection import pack
 from fordtrestle.peer.mesh import Link, Mesh
 
 ROUND_S = 1.0
@@ -57,24 +55,7 @@
     def received(self, link: Link, message: GossipMessage) -> None:
         """Take in a message of a peer."""
         now = asyncio.get_running_loop().time()
-        match message:
-            case Update():
-                self._carry_out(self._broadcast.update(message, self._peers(), now, link.node))
-                return
-            case ControlDelta():
-                self._carry_out(self._broadcast.changed(message, self._peers(), now, link.node))
-                return
-            case Offer():
-                self._broadcast.offered(message, now, link.node)
-                self._set_timer()
-                return
-            case Prune():
-                self._broadcast.pruned(link.node)
-                return
-            case Want():
-                self._broadcast.wanted(link.node)
-        for answer in self.catalog.answer(message):
-            link.send(answer)
+        self._carry_out(self._broadcast.received(message, self._peers(), now, link.node))
 
     async def run(self, rng: random.Random) -> None:
         """Compare with one peer a round, until cancelled."""
@@ -98,14 +79,17 @@
 
     def _send(self, sendings: Iterable[Sending]) -> None:
         """What goes to many is framed once."""
-        framed: dict[int, bytes] = {}
+        frames: dict[int, bytes | None] = {}  # by identity: a message is sent to many as one object
         for sending in sendings:
             link = self._mesh.link(sending.peer)
-            if link:
-                message = sending.message
-                if id(message) not in framed:
-                    framed[id(message)] = frame(encode(message))
-                link.write(framed[id(message)])
+            if link is None:
+                continue
+            message = sending.message
+            if id(message) not in frames:
+                frames[id(message)] = pack(message)
+            framed = frames[id(message)]
+            if framed is not None:
+                link.write(framed)
 
     def _set_timer(self) -> None:
         """Be back when the broadcast has something to do."""
--- a/rig/system/gossip_network.py
+++ b/rig/system/gossip_network.py
@@ -25,10 +25,9 @@
     Version,
     member_item,
 )
-from fordtrestle.dissemination.messages import GossipMessage, Offer, Prune, Update, Want
+from fordtrestle.dissemination.messages import GossipMessage, Update
 from fordtrestle.dissemination.suspicion import watchers
-from fordtrestle.peer.codec import encode
-from fordtrestle.peer.connection import frame
+from fordtrestle.peer.connection import pack
 
 NEVER = float("inf")
 TURN_S = 0.001  # at the least, until a timer runs
@@ -158,7 +157,7 @@
     def _send(self, peer: Peer, sending: Sending) -> None:
         message = sending.message
         if self._weigh:
-            self.bytes[type(message).__name__] += len(frame(encode(message)))
+            self.bytes[type(message).__name__] += len(pack(message) or b"")
         if isinstance(message, Update):
             self.copies.update((item.key, item.version) for item in message.items)
         elif isinstance(message, ControlDelta):
@@ -177,23 +176,4 @@
         return IN_ZONE_S if one.zone == other.zone else IN_REGION_S
 
     def _receive(self, peer: Peer, source: str, message: GossipMessage) -> None:
-        match message:
-            case Update():
-                steps = peer.broadcast.update(message, peer.peers, self.now, source)
-                self._carry_out(peer, steps)
-                return
-            case ControlDelta():
-                steps = peer.broadcast.changed(message, peer.peers, self.now, source)
-                self._carry_out(peer, steps)
-                return
-            case Offer():
-                peer.broadcast.offered(message, self.now, source)
-                self._wake(peer)
-                return
-            case Prune():
-                peer.broadcast.pruned(source)
-                return
-            case Want():
-                peer.broadcast.wanted(source)
-        for answer in peer.catalog.answer(message):
-            self._send(peer, Sending(source, answer))
+        self._carry_out(peer, peer.broadcast.received(message, peer.peers, self.now, source))
--- a/tests/dissemination/test_broadcast.py
+++ b/tests/dissemination/test_broadcast.py
@@ -7,12 +7,20 @@
 import pytest
 
 from fordtrestle.dissemination.broadcast import ASK_AGAIN_S, ASK_S, OFFER_S, Broadcast, Sending
-from fordtrestle.dissemination.catalog import Catalog
-from fordtrestle.dissemination.items import CONTROL_KEY, ControlView, control_item
+from fordtrestle.dissemination.catalog import TOMBSTONE_S, Catalog
+from fordtrestle.dissemination.items import (
+    CONTROL_KEY,
+    ControlView,
+    Phase,
+    ServerRecord,
+    control_item,
+    server_item,
+)
 from fordtrestle.dissemination.messages import Offer, Prune, Update, Want
 from rig.system.gossip_network import Network, Place
 
 PLACES = [Place(f"z-{number}", f"r-{number % 3}") for number in range(6)]
+GONE = ServerRecord("i-1", "pool", "10.0.0.1:80", "z-1", 4, Phase.GONE, False, 0.0, None, (), "core-1")
 IN_FORCE_S = 2.5  # a margin below the 3 s of all deployments
 
 
@@ -98,17 +106,13 @@
 
 
 def test_a_copy_that_comes_twice_shows_a_link_that_the_tree_does_without():
-    me = Broadcast(Catalog())
+    me, peers = Broadcast(Catalog()), ["a", "b", "c"]
     update = Update((news(1),))
-    assert me.update(update, ["a", "b", "c"], 0.0, "a").sendings == [
-        Sending("b", update),
-        Sending("c", update),
-    ]
-    assert me.update(update, ["a", "b", "c"], 0.0, "b").sendings == [Sending("b", Prune())]
-    assert me.update(update, ["a", "b", "c"], 0.0, "b").sendings == [], "it is said once"
-    me.pruned("c")
-    after = me.publish([news(2)], ["a", "b", "c"], 0.0)
-    assert after.sendings == [Sending("a", Update((news(2),)))]
+    assert me.received(update, peers, 0.0, "a").sendings == [Sending("b", update), Sending("c", update)]
+    assert me.received(update, peers, 0.0, "b").sendings == [Sending("b", Prune())]
+    assert me.received(update, peers, 0.0, "b").sendings == [], "it is said once"
+    me.received(Prune(), peers, 0.0, "c")
+    assert me.publish([news(2)], peers, 0.0).sendings == [Sending("a", Update((news(2),)))]
     offer = Offer(((CONTROL_KEY, (2,)),))
     assert me.tick(OFFER_S) == [Sending("b", offer), Sending("c", offer)]
     me.linked("b")
@@ -120,8 +124,8 @@
     me = Broadcast(Catalog())
     offer = Offer(((CONTROL_KEY, (2,)),))
     want = Want((CONTROL_KEY,))
-    me.offered(offer, 0.0, "a")
-    me.offered(offer, 0.0, "b")
+    me.received(offer, ["a", "b"], 0.0, "a")
+    me.received(offer, ["a", "b"], 0.0, "b")
     assert me.due_at() == ASK_S and me.tick(ASK_S - 0.01) == []
     assert me.tick(ASK_S) == [Sending("a", want)]
     assert me.tick(ASK_S + ASK_AGAIN_S) == [Sending("b", want)]
@@ -131,28 +135,40 @@
 
 def test_what_came_in_time_or_is_known_is_not_asked_for():
     me = Broadcast(Catalog())
-    me.offered(Offer(((CONTROL_KEY, (2,)),)), 0.0, "a")
-    me.update(Update((news(2),)), ["a", "b"], 0.1, "b")
-    me.offered(Offer(((CONTROL_KEY, (1,)),)), 0.1, "a")
+    me.received(Offer(((CONTROL_KEY, (2,)),)), ["a", "b"], 0.0, "a")
+    me.received(Update((news(2),)), ["a", "b"], 0.1, "b")
+    me.received(Offer(((CONTROL_KEY, (1,)),)), ["a", "b"], 0.1, "a")
     assert me.due_at() == 0.1 + OFFER_S or me.due_at() is None
     assert all(isinstance(sending.message, Update | Offer) for sending in me.tick(5.0))
 
 
 def test_who_is_asked_is_asked_as_a_parent_from_then_on():
     me, parent = Broadcast(Catalog()), Broadcast(Catalog())
-    parent.pruned("me")
-    me.offered(Offer(((CONTROL_KEY, (1,)),)), 0.0, "parent")
+    parent.received(Prune(), ["me"], 0.0, "me")
+    me.received(Offer(((CONTROL_KEY, (1,)),)), ["parent"], 0.0, "parent")
     assert me.tick(ASK_S) == [Sending("parent", Want((CONTROL_KEY,)))]
-    parent.wanted("me")
+    parent.received(Want((CONTROL_KEY,)), ["me"], 0.9, "me")
     assert parent.publish([news(2)], ["me"], 1.0).sendings == [Sending("me", Update((news(2),)))]
 
 
 def test_only_the_newest_of_what_waits_to_be_offered_is_offered():
     me = Broadcast(Catalog())
-    me.pruned("a")
+    me.received(Prune(), ["a"], 0.0, "a")
     for number in (1, 2, 3):
         me.publish([news(number)], ["a"], 0.0)
     assert me.tick(OFFER_S) == [Sending("a", Offer(((CONTROL_KEY, (3,)),)))]
     me.publish([news(4)], ["a"], 1.0)
     me.keep(())
     assert me.tick(2.0) == [], "who is gone is offered nothing"
+
+
+def test_what_was_forgotten_is_not_asked_for():
+    """Its tombstone has ended here and not there: it would be taken back from nobody, and asked of all."""
+    catalog = Catalog()
+    me = Broadcast(catalog)
+    gone = server_item(GONE, 1)
+    me.publish([gone], [], 0.0)
+    catalog.expire(TOMBSTONE_S + 1.0)
+    assert catalog.get(gone.key) is None
+    me.received(Offer(((gone.key, gone.version),)), ["a"], TOMBSTONE_S + 1.0, "a")
+    assert me.due_at() is None
--- a/tests/dissemination/test_delta.py
+++ b/tests/dissemination/test_delta.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import itertools
 import json
 import random
 from dataclasses import replace
@@ -10,11 +11,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fordtrestle.dissemination.broadcast import Broadcast, Sending
+from fordtrestle.dissemination import delta as delta_module
+from fordtrestle.dissemination.broadcast import ASK_AGAIN_S, Broadcast, Sending
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.delta import ControlDelta, Copy, DeltaError, apply, difference
 from fordtrestle.dissemination.items import CONTROL_KEY, ControlView, control_item
-from fordtrestle.dissemination.messages import Update, Want
+from fordtrestle.dissemination.messages import Prune, Update, Want
 from fordtrestle.peer.codec import decode, encode
 
 SHORT = 1_000  # bytes that the change of one route may take
@@ -89,7 +91,7 @@
     (sending,) = peer_with(old).publish([control_item(new)], ["a"], 1.0).sendings
     delta = sending.message
     assert isinstance(delta, ControlDelta)
-    steps = peer_with(old).changed(delta, ["a", "b"], 1.0, "a")
+    steps = peer_with(old).received(delta, ["a", "b"], 1.0, "a")
     assert steps.fresh == [control_item(new)] and steps.sendings == [Sending("b", delta)]
 
 
@@ -99,22 +101,47 @@
 
     monkeypatch.setattr("fordtrestle.dissemination.broadcast.difference", fail)
     peer = peer_with(view(1, routes(50)))
-    peer.pruned("b")
-    assert peer.update(Update((control_item(view(2, routes(51))),)), ["a", "b"], 1.0, "a").sendings == []
+    peer.received(Prune(), ["a", "b"], 1.0, "b")
+    assert peer.received(Update((control_item(view(2, routes(51))),)), ["a", "b"], 1.0, "a").sendings == []
 
 
 def test_who_lacks_what_a_change_rests_on_asks_for_the_whole():
     first, old, new = (view(number, routes(50 + number)) for number in (1, 2, 3))
     delta = difference(old, new)
     for peer in (peer_with(first), Broadcast(Catalog())):
-        steps = peer.changed(delta, ["a", "b"], 1.0, "a")
+        steps = peer.received(delta, ["a", "b"], 1.0, "a")
         assert steps.fresh == [] and steps.sendings == [Sending("a", Want((CONTROL_KEY,)))]
-        whole = peer.update(Update((control_item(new),)), ["a", "b"], 1.1, "a")
+        whole = peer.received(Update((control_item(new),)), ["a", "b"], 1.1, "a")
         assert whole.fresh == [control_item(new)]
 
 
 def test_a_change_that_was_had_before_shows_a_link_that_the_tree_does_without():
     old, new = view(1, routes(50)), view(2, routes(51))
     peer = peer_with(new)
-    (sending,) = peer.changed(difference(old, new), ["a"], 1.0, "a").sendings
+    (sending,) = peer.received(difference(old, new), ["a"], 1.0, "a").sendings
     assert sending.peer == "a" and peer.publish([control_item(view(3, []))], ["a"], 1.0).sendings == []
+
+
+def test_the_whole_is_asked_for_once_at_a_time_however_many_changes_come():
+    views = [view(number, routes(50 + number)) for number in range(1, 6)]
+    peer = peer_with(views[0])
+    changes = [difference(old, new) for old, new in itertools.pairwise(views[1:])]
+    whole = Want((CONTROL_KEY,))
+    sent = [
+        peer.received(change, ["a", "b"], 1.0, source).sendings
+        for change, source in zip(changes, "aab", strict=True)
+    ]
+    assert sent == [[Sending("a", whole)], [], []]
+    assert peer.tick(1.0 + ASK_AGAIN_S) == [Sending("b", whole)], "who was not asked yet is next"
+
+
+def test_a_change_that_would_grow_too_large_is_refused(monkeypatch):
+    old, new = view(1, routes(50)), view(2, routes(51))
+    delta = difference(old, new)
+    large = replace(delta, parts=(Copy(0, len(old.document)),) * 3)
+    monkeypatch.setattr(delta_module, "DOCUMENT_MOST", 2 * len(old.document))
+    with pytest.raises(DeltaError, match="bytes"):
+        apply(old, large)
+    monkeypatch.setattr(delta_module, "PARTS_MOST", 1)
+    with pytest.raises(DeltaError, match="parts"):
+        apply(old, delta)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -290,8 +290,8 @@
     "a version of the catalog never goes back": _removal(
         "dissemination/catalog.py",
         "tests/dissemination/test_catalog.py",
-        "            if known and known.version >= item.version:\n",
-        "            if known and known.version == item.version:\n",
+        "            return known.version < version\n",
+        "            return True\n",
     ),
     "what is gone stays gone as long as an old word may travel": _removal(
         "dissemination/catalog.py",
@@ -302,8 +302,8 @@
     "what was forgotten is not taken back": _removal(
         "dissemination/catalog.py",
         "tests/dissemination/test_catalog.py",
-        "            if item.key in self._forgotten and item.version <= self._forgotten[item.key][0]:\n",
-        "            if False:\n",
+        "        return key not in self._forgotten or version > self._forgotten[key][0]\n",
+        "        return True\n",
     ),
     "a store that is cut off waits for the others": _removal(
         NODE,
@@ -412,12 +412,30 @@
     "a peer that asks is sent news whole from then on": _removal(
         BROADCAST,
         BROADCAST_TESTS,
-        "        self._pruned.discard(peer)\n\n    def offered(",
-        "        return\n\n    def offered(",
+        "                self._pruned.discard(source)  # the tree did not reach it otherwise\n",
+        "                pass\n",
     ),
     "a change of the configuration rests on one version": _removal(
         DELTA, DELTA_TESTS, "    if old.sequence != delta.base:\n", "    if False:\n"
     ),
+    "a change that leads to too large a document is refused": _removal(
+        DELTA, DELTA_TESTS, "    if sum(map(_length, delta.parts)) > DOCUMENT_MOST:\n", "    if False:\n"
+    ),
+    "what was forgotten is asked for from nobody": _removal(
+        BROADCAST,
+        BROADCAST_TESTS,
+        "            if self._catalog.lacks(key, version):\n",
+        "            if True:\n",
+    ),
+    "the whole is asked for from one at a time": _removal(
+        BROADCAST, DELTA_TESTS, "        if not missing.asked:\n", "        if True:\n"
+    ),
+    "a connection that cannot be taken over is done without": _removal(
+        FRONT,
+        "tests/ingress/test_early_listener.py",
+        "            except OSError:\n                connection.close()",
+        "            except ValueError:\n                connection.close()",
+    ),
     "what a change leads to is what was acknowledged": _removal(
         DELTA, DELTA_TESTS, "    if zlib.crc32(document) != delta.checksum:\n", "    if False:\n"
     ),
--- a/tests/ingress/test_early_listener.py
+++ b/tests/ingress/test_early_listener.py
@@ -12,7 +12,7 @@
 import pytest
 
 from fordtrestle.ingress import server as server_module
-from fordtrestle.ingress.early_listener import EarlyListener, listen_early
+from fordtrestle.ingress.early_listener import BACKLOG, EarlyListener, listen_early
 from fordtrestle.settings.boot import Address
 from fordtrestle.settings.place import VARIABLE
 from tests.exchanges import loopback, request
@@ -129,6 +129,52 @@
         assert len(server.requests) <= 2 and stage.front.open_requests == 0
 
 
+@loopback
+async def test_a_connection_that_cannot_be_taken_over_is_done_without(early, monkeypatch):
+    loop = asyncio.get_running_loop()
+    take_over = loop.connect_accepted_socket
+    refused = []
+
+    async def refuse_the_first(factory, sock):
+        if not refused:
+            refused.append(sock)
+            raise OSError("the connection was reset")
+        return await take_over(factory, sock)
+
+    monkeypatch.setattr(loop, "connect_accepted_socket", refuse_the_first)
+    client(early, CALL)
+    waited = client(early, CALL)
+    async with StandIn(ok("q1")) as server, EarlyStage(early) as stage:
+        stage.add(server)
+        assert (await answer(waited)).startswith("HTTP/1.1 200")
+        assert refused[0].fileno() == -1
+
+
+class Socket:
+    """A listener of which the connections end or come as they are told."""
+
+    def __init__(self, *accepts):
+        self.accepts = list(accepts)
+
+    def accept(self):
+        found = self.accepts.pop(0) if self.accepts else BlockingIOError()
+        if isinstance(found, Exception):
+            raise found
+        return found, ("192.0.2.1", 1)
+
+
+def test_a_connection_that_was_reset_in_the_queue_hides_no_others():
+    with socket.socket() as one, socket.socket() as other:
+        early = EarlyListener(Socket(one, ConnectionAbortedError(), other), ("127.0.0.1", 1))
+        assert early.accept_all() == [one, other]
+
+
+def test_no_more_connections_are_taken_over_than_may_wait():
+    with socket.socket() as one:
+        early = EarlyListener(Socket(*[one] * (2 * BACKLOG)), ("127.0.0.1", 1))
+        assert len(early.accept_all()) == BACKLOG
+
+
 @loopback
 async def test_an_address_that_is_not_that_of_the_checked_settings_is_given_up(early):
     other = Address("127.0.0.1", free_port())
--- a/tests/peer/test_connection.py
+++ b/tests/peer/test_connection.py
@@ -15,7 +15,7 @@
 from fordtrestle.dissemination.messages import Want
 from fordtrestle.peer import connection as connection_module
 from fordtrestle.peer.codec import CodecError, Hello, decode, encode
-from fordtrestle.peer.connection import Connection, frame, inflate
+from fordtrestle.peer.connection import Connection, frame, inflate, pack
 from fordtrestle.peer.mesh import Mesh
 from fordtrestle.settings.boot import Address
 from tests.exchanges import loopback, until
@@ -108,6 +108,14 @@
     server.close()
 
 
+def test_a_message_that_its_receiver_would_refuse_is_not_sent(monkeypatch):
+    """However small it becomes once it is compressed: the receiver would end the link over it."""
+    monkeypatch.setattr(connection_module, "FRAME_MOST", 1000)
+    long = Want(("a" * 2000,))
+    assert len(frame(encode(long))) < 1000
+    assert pack(long) is None and pack(Want(("a" * 500,))) is not None
+
+
 def test_a_frame_that_would_grow_too_large_is_refused(monkeypatch):
     monkeypatch.setattr(connection_module, "FRAME_MOST", 1000)
     with pytest.raises(CodecError):
--- a/tests/peer/test_gossip.py
+++ b/tests/peer/test_gossip.py
@@ -8,6 +8,7 @@
 from fordtrestle.dissemination.broadcast import OFFER_S
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import Availability, ControlView, MemberRecord, control_item
+from fordtrestle.dissemination.messages import Prune
 from fordtrestle.peer import gossip as gossip_module
 from fordtrestle.peer.codec import Hello
 from fordtrestle.peer.gossip import Gossip
@@ -74,9 +75,9 @@
 def sent_whole(monkeypatch):
     """The kinds of messages that are framed to be sent."""
     kinds = []
-    encode = gossip_module.encode
+    pack = gossip_module.pack
     monkeypatch.setattr(
-        gossip_module, "encode", lambda message: kinds.append(type(message).__name__) or encode(message)
+        gossip_module, "pack", lambda message: kinds.append(type(message).__name__) or pack(message)
     )
     return kinds
 
@@ -100,7 +101,7 @@
 @virtual
 async def test_what_is_only_offered_over_a_link_is_asked_for():
     async with Linked("one", "two") as (one, two):
-        one.gossip._broadcast.pruned("two")
+        one.gossip._broadcast.received(Prune(), ["two"], 0.0, "two")
         one.gossip.publish([news(1)])
         await asyncio.sleep(OFFER_S / 2)
         assert two.sequence == 0
