--- /dev/null
+++ b/tests/stored/test_files.py
@@ -0,0 +1,158 @@
+"""Files that the program wrote once are read, and what is written today has the same bytes."""
+
+from __future__ import annotations
+
+import asyncio
+import gzip
+import json
+import shutil
+from pathlib import Path
+
+import pytest
+
+from fordtrestle.daemon.events import Events
+from fordtrestle.engine.ports import Address, ServerList
+from fordtrestle.load import trace
+from fordtrestle.load.mix import Request
+from fordtrestle.peer import codec
+from fordtrestle.replication.durable import Durable
+from fordtrestle.replication.epochs import Ballot, Epoch, Store
+from fordtrestle.replication.state import ConfigChange, Evacuation
+from fordtrestle.state.files import Files
+from fordtrestle.state.lists import ListKeeper
+from fordtrestle.storage.log import NAME, RecordLog
+from poppypulley.model import Listing
+from rig.cluster.history import gaps, parse
+from tests.loopback import loopback, until
+from tests.stored.samples import DOCUMENT, plain
+
+DATA = Path(__file__).parent / "data"
+STORE = Store("s1", "10.0.0.1:7000", "10.0.0.1:7001", "z-1")
+BALLOT = Ballot(1, "s1")
+LATER = b'{"generation": 8, "routes": [], "services": [{"name": "pool"}]}'
+
+
+def write_control_file(folder: Path) -> RecordLog:
+    """A control store that is founded, takes a configuration, an evacuation and its end, is rewritten, and
+    takes one more configuration.
+    """
+    log = RecordLog(folder)
+    log.open()
+    durable = Durable("s1", told_to_found=True)
+    log.append(map(codec.encode, durable.snapshot()))
+    log.append(map(codec.encode, durable.promise(BALLOT) or ()))
+    log.append(map(codec.encode, durable.install(BALLOT, durable.state) or ()))
+    epoch = Epoch(BALLOT, "s1", ("s1",), (STORE,), core="s1")
+    log.append(map(codec.encode, durable.accept(epoch) or ()))
+    log.append(map(codec.encode, durable.append(BALLOT, 1, ConfigChange(b"d" * 32, 7, DOCUMENT)) or ()))
+    log.append(map(codec.encode, durable.append(BALLOT, 2, Evacuation("z-1", True)) or ()))
+    shutil.copy(folder / NAME, folder / "before-rewrite.log")
+    log.rewrite(map(codec.encode, durable.snapshot()))
+    log.append(map(codec.encode, durable.append(BALLOT, 3, Evacuation("z-1", False)) or ()))
+    log.append(map(codec.encode, durable.append(BALLOT, 4, ConfigChange(b"e" * 32, 8, LATER)) or ()))
+    return log
+
+
+@pytest.mark.parametrize(
+    ("name", "values"),
+    [("control-before-rewrite.log", "control-before-rewrite.json"), ("control.log", "control.json")],
+)
+def test_a_control_file_of_then_restores_the_same_store(name, values, tmp_path):
+    shutil.copy(DATA / name, tmp_path / NAME)
+    log = RecordLog(tmp_path)
+    records = [codec.decode(payload) for payload in log.open()]
+    log.close()
+    assert (tmp_path / NAME).read_bytes() == (DATA / name).read_bytes()
+    recorded = json.loads((DATA / values).read_text())
+    assert [plain(record) for record in records] == recorded["records"]
+    durable = Durable.restore(records)
+    assert durable is not None
+    assert [plain(record) for record in durable.snapshot()] == recorded["restored"]
+
+
+def test_a_control_file_is_written_as_it_was_then(tmp_path):
+    write_control_file(tmp_path).close()
+    assert (tmp_path / NAME).read_bytes() == (DATA / "control.log").read_bytes()
+    before = (tmp_path / "before-rewrite.log").read_bytes()
+    assert before == (DATA / "control-before-rewrite.log").read_bytes()
+
+
+LISTED = ServerList(
+    41,
+    True,
+    [Listing("s1"), Listing("s2", 1, 2, 3, "draining", 0.5, 12.5)],
+    {"s1": Address("10.0.1.1", 80), "s2": Address("10.0.1.2", 8080)},
+)
+
+
+def keeper(folder: Path) -> tuple[ListKeeper, list[tuple[object, ...]]]:
+    """A keeper of lists in a folder, and what it has told."""
+    told: list[tuple[object, ...]] = []
+    loop = asyncio.get_running_loop()
+    return ListKeeper(
+        loop, Files(str(folder)), lambda *row: told.append(row), lambda *row: None, {"a": "b"}
+    ), told
+
+
+@loopback
+async def test_lists_and_the_number_of_starts_of_then_are_read(tmp_path):
+    shutil.copytree(DATA / "lists", tmp_path / "lists")
+    kept, _ = keeper(tmp_path / "lists")
+    found = kept.load(["a"])
+    kept.close()
+    assert found.life == 2 and found.lists == {"a": LISTED} and found.log_lines == []
+
+
+@loopback
+async def test_lists_and_the_number_of_starts_are_written_as_they_were_then(tmp_path):
+    kept, told = keeper(tmp_path / "lists")
+    kept.load(["a"])
+    kept.keep("a", LISTED, "digest")
+    await until(lambda: told)
+    kept.close()
+    written = {path.name: path.read_bytes() for path in (tmp_path / "lists").iterdir()}
+    assert written == {path.name: path.read_bytes() for path in (DATA / "lists").iterdir()}
+
+
+REQUESTS = [
+    Request(0, "look", "acme", "00ff", 500_000, 0),
+    Request(10, "pay", "", "", 900_000, 65_536),
+    Request(2_500_000, "look", "other", "k-1", 1, 0),
+]
+
+
+def test_a_trace_of_then_is_read_and_written_the_same(tmp_path):
+    assert list(trace.Reader(DATA / "requests.trace")) == REQUESTS
+    trace.write(tmp_path / "requests.trace", REQUESTS, 3_000_000)
+    assert (tmp_path / "requests.trace").read_bytes() == (DATA / "requests.trace").read_bytes()
+
+
+def test_a_compressed_trace_of_then_is_read_and_written_with_the_same_content(tmp_path):
+    """The compressed bytes themselves are the zlib library's, which differ from one release to another."""
+    assert list(trace.Reader(DATA / "requests.trace.gz")) == REQUESTS
+    trace.write(tmp_path / "requests.trace.gz", REQUESTS, 3_000_000)
+    written = gzip.decompress((tmp_path / "requests.trace.gz").read_bytes())
+    assert written == gzip.decompress((DATA / "requests.trace.gz").read_bytes())
+
+
+def write_events(path: Path) -> None:
+    """An event of each kind, each with all that it may say. Has to run in an event loop."""
+    events = Events(asyncio.get_running_loop(), str(path), 100_000, "n0", lambda: 12.5)
+    events.started(3)
+    events.learned("settings:a", 0, "d1", "file")
+    events.learned("list:a", 1, "d2", "all", {"s0": "active/0"})
+    events.acted("list:a", 1, "d2", "pick", "call-1", "s0", 0, "d1")
+    events.acted("list:a", 1, "d2", "refusal", "call-2", "", 0, "d1", "cold")
+    events.stored("list:a", 1, "d2")
+    events.unstored("list:a", "the disk is full")
+    events.draining()
+    events.ended()
+
+
+@loopback
+async def test_an_event_file_of_then_is_read_and_written_the_same(tmp_path):
+    recorded = (DATA / "events.jsonl").read_bytes()
+    read = list(parse(recorded, "events.jsonl"))
+    assert len(read) == 9 and not gaps(read)
+    write_events(tmp_path / "events.jsonl")
+    assert (tmp_path / "events.jsonl").read_bytes() == recorded
