--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -25,7 +25,7 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-NEEDED = ("deploy", "fordtrestle", "poppypulley", "requirements*.txt", "pyproject.toml", "target")
+NEEDED = ("deploy", "fordtrestle", "requirements*.txt", "pyproject.toml", "target")
 PLAY_MOST_S = 1800.0
 WHOLE = "whole"
 
--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -31,8 +31,8 @@
 
 from benchmarks.common import BAD_INPUT, DONE, NOT_MET, chosen, figure, options, table, write_json
 from benchmarks.fleet_size import balancer_of, settings
-from poppypulley import model
-from poppypulley.model import Outcome
+from fordtrestle.balancer import model
+from fordtrestle.balancer.model import Outcome
 
 FLEETS = (1, 5, 20, 30, 200)
 SERVERS, COLD, WARM_LEFT = 24, 3, 2
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -21,8 +21,8 @@
 from typing import Any
 
 from benchmarks.common import BAD_INPUT, DONE, NOT_MET, chosen, figure, options, table, write_json
-from poppypulley import model
-from poppypulley.model import Settings
+from fordtrestle.balancer import model
+from fordtrestle.balancer.model import Settings
 from rig.model import Make
 from rig.sim.policy import Asked, Flow, World
 
@@ -276,7 +276,7 @@
 
 def balancer_of(tree: Path) -> Callable[[float, Settings, int], Any]:
     """The decision module of a checkout; `ValueError` where it can't be loaded."""
-    path = tree / "poppypulley" / "balancer.py"
+    path = tree / "fordtrestle" / "balancer" / "balancer.py"
     spec = importlib.util.spec_from_file_location("balancer_of_tree", path)
     if spec is None or spec.loader is None:
         raise ValueError(f"{path}: can't be loaded")
--- a/benchmarks/lock_in.py
+++ b/benchmarks/lock_in.py
@@ -56,8 +56,8 @@
 from benchmarks import fleet_size
 from benchmarks.common import BAD_INPUT, DONE, NOT_MET, chosen, figure, options, table, write_json
 from benchmarks.fleet_size import ZONES, balancer_of
-from poppypulley import Balancer, model
-from poppypulley.model import Settings
+from fordtrestle.balancer import Balancer, model
+from fordtrestle.balancer.model import Settings
 from rig.model import Make
 from rig.sim.plain import Plain
 from rig.sim.policy import Asked, Decides, End, Flow, Host, World
@@ -475,7 +475,7 @@
 
     Guards against one build's module called by the field names of another build's interface."""
     with tempfile.TemporaryDirectory(prefix="lock-in-") as folder:
-        (Path(folder) / "poppypulley").symlink_to(tree / "poppypulley")
+        (Path(folder) / "fordtrestle").symlink_to(tree / "fordtrestle")
         sys.path.insert(0, folder)
         try:
             yield
--- a/poppypulley/__init__.py
+++ b/fordtrestle/balancer/__init__.py
@@ -1,6 +1,6 @@
 """Decisions of a sidecar balancer for service-to-service calls."""
 
-from poppypulley.balancer import Balancer
-from poppypulley.model import Settings
+from fordtrestle.balancer.balancer import Balancer
+from fordtrestle.balancer.model import Settings
 
 __all__ = ["Balancer", "Settings"]
--- a/poppypulley/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -15,8 +15,8 @@
 from dataclasses import dataclass, field, replace
 from hashlib import blake2b
 
-from poppypulley import model
-from poppypulley.model import Cause
+from fordtrestle.balancer import model
+from fordtrestle.balancer.model import Cause
 
 Report = Mapping[str, float] | None
 
--- a/poppypulley/wirehost.py
+++ b/fordtrestle/balancer/wirehost.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Iterable
 from typing import Any, TextIO
 
-from poppypulley import model
-from poppypulley.balancer import Balancer
+from fordtrestle.balancer import model
+from fordtrestle.balancer.balancer import Balancer
 
 FORMS = ("changes", "all", "remembered", "refused")
 STATES = ("active", "leaving", "left")
--- a/fordtrestle/config/numbering.py
+++ b/fordtrestle/config/numbering.py
@@ -6,9 +6,9 @@
 import dataclasses
 from collections.abc import Container, Iterable
 
+from fordtrestle.balancer import model
 from fordtrestle.config.services import ClassSpec, ServiceSpec, TenantSpec
 from fordtrestle.http.requests import RequestNames
-from poppypulley import model
 
 NAMES_MOST = 256  # of each kind in the life of a process, those that have gone among them
 
--- a/fordtrestle/config/options.py
+++ b/fordtrestle/config/options.py
@@ -12,6 +12,7 @@
 from hashlib import blake2b
 from typing import Any
 
+from fordtrestle.balancer import model
 from fordtrestle.config.limits import RETRY_AFTER_MS
 from fordtrestle.config.operator import Operator
 from fordtrestle.config.services import ClassSpec, ServiceSpec, TenantSpec
@@ -23,7 +24,6 @@
 from fordtrestle.http.requests import RequestClass, RequestNames, stable_number
 from fordtrestle.membership.lists import NameIndices
 from fordtrestle.membership.registry import RegistryOptions
-from poppypulley import model
 
 SEMANTICS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}  # as the settings name them
 OPEN_CALLS_MOST = 2**31
--- a/fordtrestle/config/platform.py
+++ b/fordtrestle/config/platform.py
@@ -8,6 +8,7 @@
 from dataclasses import dataclass
 from typing import Any
 
+from fordtrestle.balancer import model
 from fordtrestle.config.limits import RETRY_AFTER_MS, LimitsOptions
 from fordtrestle.engine.driver import EngineOptions
 from fordtrestle.engine.ports import Address, ServerList, parse_address
@@ -16,7 +17,6 @@
 from fordtrestle.http.requests import RequestClass, RequestNames, stable_number
 from fordtrestle.membership.lists import NameIndices, amount, parse_list
 from fordtrestle.membership.registry import RegistryOptions
-from poppypulley import model
 
 USUAL = LimitsOptions()
 
--- a/fordtrestle/engine/driver.py
+++ b/fordtrestle/engine/driver.py
@@ -12,6 +12,8 @@
 from dataclasses import dataclass, field
 from typing import Any
 
+from fordtrestle.balancer import Balancer, model
+from fordtrestle.balancer.model import Cause, Outcome
 from fordtrestle.engine.clock import Clock
 from fordtrestle.engine.log import log
 from fordtrestle.engine.ports import (
@@ -26,8 +28,6 @@
     Upstreams,
 )
 from fordtrestle.engine.tally import OwnCause, Tally
-from poppypulley import Balancer, model
-from poppypulley.model import Cause, Outcome
 
 # The client counts from its send and we from the read: transit, and what the loop lags.
 DEADLINE_MARGIN_MS = 8.0
--- a/fordtrestle/engine/ports.py
+++ b/fordtrestle/engine/ports.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass
 from typing import Any, NamedTuple, Protocol
 
-from poppypulley import model
-from poppypulley.model import Outcome
+from fordtrestle.balancer import model
+from fordtrestle.balancer.model import Outcome
 
 
 class Address(NamedTuple):
--- a/fordtrestle/engine/tally.py
+++ b/fordtrestle/engine/tally.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Literal
 
-from poppypulley.model import Cause
+from fordtrestle.balancer.model import Cause
 
 End = Literal["refused", "failed", "rejected"]  # told 503; 502 or 504; or what is wrong with it (4xx, 505)
 
--- a/fordtrestle/membership/lists.py
+++ b/fordtrestle/membership/lists.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from typing import Any
 
+from fordtrestle.balancer import model
 from fordtrestle.engine.ports import ServerList, parse_address
-from poppypulley import model
 
 STATES = frozenset(("active", "leaving", "left"))
 VERSION_MOST = 2**63 - 1
--- a/fordtrestle/membership/whole.py
+++ b/fordtrestle/membership/whole.py
@@ -8,8 +8,8 @@
 from dataclasses import dataclass
 from hashlib import blake2b
 
+from fordtrestle.balancer.model import Listing
 from fordtrestle.engine.ports import Address, ServerList
-from poppypulley.model import Listing
 
 SHOWN = 8  # hex digits of an entry's digest, where entries are told
 
--- a/rig/sim/plain.py
+++ b/rig/sim/plain.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
 
-from poppypulley import model
-from poppypulley.model import Outcome
+from fordtrestle.balancer import model
+from fordtrestle.balancer.model import Outcome
 
 NEVER_RAN = (Outcome.FULL, Outcome.CONNECT_FAILED)
 
--- a/rig/sim/policy.py
+++ b/rig/sim/policy.py
@@ -16,8 +16,8 @@
 from dataclasses import dataclass, field
 from typing import Any, Literal, Protocol
 
-from poppypulley import model
-from poppypulley.model import Outcome
+from fordtrestle.balancer import model
+from fordtrestle.balancer.model import Outcome
 from rig.model import Job, Machine, Make, Repeats
 
 How = Literal["up", "refusing", "silent"]
--- a/tests/poppypulley/helpers.py
+++ b/tests/balancer/helpers.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Listing
+from fordtrestle.balancer import Balancer, Settings
+from fordtrestle.balancer.model import Arrival, Listing
 
 CLASSES = {
     "safe": {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0},
--- a/tests/poppypulley/test_causes.py
+++ b/tests/balancer/test_causes.py
@@ -9,12 +9,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
+from fordtrestle.balancer.balancer import UNANSWERED
+from fordtrestle.balancer.model import Cause, Fail, Listing, Outcome, Refuse
 from fordtrestle.engine.tally import OwnCause
-from poppypulley.balancer import UNANSWERED
-from poppypulley.model import Cause, Fail, Listing, Outcome, Refuse
 from rig.helper import ROOT
-from tests.poppypulley.helpers import arrival, balancer, listing
-from tests.poppypulley.test_rules_property import NEVER_RAN, STEPS, World, play, site
+from tests.balancer.helpers import arrival, balancer, listing
+from tests.balancer.test_rules_property import NEVER_RAN, STEPS, World, play, site
 
 WARMING = {"Rules": {"ColdFrom": 0.1, "WarmUp": 10_000.0, "FallMultiple": 0.01}}
 
--- a/tests/poppypulley/test_cold_sum.py
+++ b/tests/balancer/test_cold_sum.py
@@ -5,9 +5,9 @@
 import pytest
 
 from benchmarks.cold_sum import play
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Listing, Send
-from tests.poppypulley.helpers import listing, of_type, raw_settings
+from fordtrestle.balancer import Balancer, Settings
+from fordtrestle.balancer.model import Arrival, Listing, Send
+from tests.balancer.helpers import listing, of_type, raw_settings
 
 
 # Seeds on which each sidecar's own budget of at least one call added up to more than is borne, and for
--- a/tests/poppypulley/test_crowd.py
+++ b/tests/balancer/test_crowd.py
@@ -7,9 +7,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from poppypulley.balancer import UNANSWERED, Shed
-from poppypulley.model import Outcome, Refuse, Send, Settings, Timer
-from tests.poppypulley.helpers import arrival, balancer, of_type, raw_settings
+from fordtrestle.balancer.balancer import UNANSWERED, Shed
+from fordtrestle.balancer.model import Outcome, Refuse, Send, Settings, Timer
+from tests.balancer.helpers import arrival, balancer, of_type, raw_settings
 
 
 def play(made, spent, count, now=0.0, step=20.0, lost=0.0, rng=None, ends=1000.0):
--- a/tests/poppypulley/test_departures.py
+++ b/tests/balancer/test_departures.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from poppypulley import Balancer, Settings
-from poppypulley.balancer import UNANSWERED, Shed
-from poppypulley.model import Arrival, Listing, Outcome, Probe, Refuse, Send, Timer, Watch
-from tests.poppypulley.helpers import arrival, balancer, listing, of_type, raw_settings
+from fordtrestle.balancer import Balancer, Settings
+from fordtrestle.balancer.balancer import UNANSWERED, Shed
+from fordtrestle.balancer.model import Arrival, Listing, Outcome, Probe, Refuse, Send, Timer, Watch
+from tests.balancer.helpers import arrival, balancer, listing, of_type, raw_settings
 
 LOOKING = {
     "PolicyLimits": {"MaxAttempts": 4, "MayProbe": True},
--- a/tests/poppypulley/test_endurance.py
+++ b/tests/balancer/test_endurance.py
@@ -10,9 +10,9 @@
 
 import pytest
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Listing, Outcome, Send
-from tests.poppypulley.helpers import listing, of_type, raw_settings
+from fordtrestle.balancer import Balancer, Settings
+from fordtrestle.balancer.model import Arrival, Listing, Outcome, Send
+from tests.balancer.helpers import listing, of_type, raw_settings
 
 COLD_FROM, WARM_UP, SPAN, MULTIPLE = 0.3, 8000.0, 1000.0, 2.5
 
@@ -123,8 +123,8 @@
 
 
 SCRIPT = """
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Listing, Outcome, Send
+from fordtrestle.balancer import Balancer, Settings
+from fordtrestle.balancer.model import Arrival, Listing, Outcome, Send
 raw = {"Profiles": [{"Semantics": "pure", "Objective": 200, "Deadline": 900}],
        "Domain": {"WarmKeys": True}, "PolicyLimits": {"MaxAttempts": 3},
        "Report": {"How": "inline", "Fields": ["inflight"]}}
--- a/tests/poppypulley/test_failures.py
+++ b/tests/balancer/test_failures.py
@@ -6,9 +6,9 @@
 import math
 from collections import Counter
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, CloseIdle, Listing, Outcome, Refuse, Send, Timer
-from tests.poppypulley.helpers import arrival, balancer, listing, of_type, raw_settings
+from fordtrestle.balancer import Balancer, Settings
+from fordtrestle.balancer.model import Arrival, CloseIdle, Listing, Outcome, Refuse, Send, Timer
+from tests.balancer.helpers import arrival, balancer, listing, of_type, raw_settings
 
 TURNS = {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0, "LateWorth": 0.5, "InTurn": True}
 
--- a/tests/poppypulley/test_library.py
+++ b/tests/balancer/test_library.py
@@ -5,9 +5,9 @@
 
 import pytest
 
-from poppypulley import Settings
-from poppypulley.model import Listing, Outcome, Send
-from tests.poppypulley.helpers import arrival, balancer, listing, of_type, raw_settings
+from fordtrestle.balancer import Settings
+from fordtrestle.balancer.model import Listing, Outcome, Send
+from tests.balancer.helpers import arrival, balancer, listing, of_type, raw_settings
 
 README = Path(__file__).resolve().parent.parent.parent / "README.md"
 
--- a/tests/poppypulley/test_rules_property.py
+++ b/tests/balancer/test_rules_property.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import (
+from fordtrestle.balancer import Balancer, Settings
+from fordtrestle.balancer.model import (
     Arrival,
     Cancel,
     CloseIdle,
--- a/tests/poppypulley/test_settle.py
+++ b/tests/balancer/test_settle.py
@@ -9,11 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from poppypulley import Balancer, Settings
-from poppypulley.balancer import Zone
-from poppypulley.model import Arrival, Cause, CloseIdle, Fail, Listing, Outcome, Refuse, Send, Timer
-from tests.poppypulley.helpers import arrival, balancer, of_type, raw_settings
-from tests.poppypulley.test_rules_property import NEVER_RAN, STEPS, World, play, site
+from fordtrestle.balancer import Balancer, Settings
+from fordtrestle.balancer.balancer import Zone
+from fordtrestle.balancer.model import Arrival, Cause, CloseIdle, Fail, Listing, Outcome, Refuse, Send, Timer
+from tests.balancer.helpers import arrival, balancer, of_type, raw_settings
+from tests.balancer.test_rules_property import NEVER_RAN, STEPS, World, play, site
 
 LIMITS = {"MaxAttempts": 4, "RetryAfter": True, "MaxRetryAfter": 50.0}
 
--- a/tests/poppypulley/test_throttle.py
+++ b/tests/balancer/test_throttle.py
@@ -2,9 +2,9 @@
 
 import pytest
 
-from poppypulley.balancer import WINDOW_LEAST_MS, Throttle
-from poppypulley.model import Fail, Outcome, Refuse, Send
-from tests.poppypulley.helpers import arrival, balancer, of_type
+from fordtrestle.balancer.balancer import WINDOW_LEAST_MS, Throttle
+from fordtrestle.balancer.model import Fail, Outcome, Refuse, Send
+from tests.balancer.helpers import arrival, balancer, of_type
 
 
 def filled(accepts, refusals, now=0.0):
--- a/tests/poppypulley/test_turned_away.py
+++ b/tests/balancer/test_turned_away.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from poppypulley import Balancer, Settings
-from poppypulley.model import Arrival, Outcome, Refuse, Send, Timer
-from tests.poppypulley.helpers import listing, raw_settings
+from fordtrestle.balancer import Balancer, Settings
+from fordtrestle.balancer.model import Arrival, Outcome, Refuse, Send, Timer
+from tests.balancer.helpers import listing, raw_settings
 
 MOST_MS = 4000.0  # with no attempt, while
 LEAST = 15  # requests or more are turned away
--- a/tests/daemon/test_long.py
+++ b/tests/daemon/test_long.py
@@ -4,12 +4,12 @@
 
 import gc
 
+from fordtrestle.balancer import balancer
 from fordtrestle.engine.driver import OpenAttempt, OpenRequest
 from fordtrestle.http.call import ClientCall
 from fordtrestle.http.downstream import ClientConnection
 from fordtrestle.http.upstream import UpstreamExchange
 from fordtrestle.membership.lists import parse_list
-from poppypulley import balancer
 from tests.loopback import OK, App, Upstream, entry, listed, loopback, platform_config, running, until
 
 TURNS, CLIENTS = 60, 20
--- a/tests/daemon/test_overload.py
+++ b/tests/daemon/test_overload.py
@@ -10,12 +10,12 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Fail, Outcome, Probe, Send
 from fordtrestle.config import operator
 from fordtrestle.daemon import overload as watch
 from fordtrestle.daemon.standalone import Standalone
 from fordtrestle.engine.connections import ConnectionTable, TableOptions
 from fordtrestle.engine.pressure import RULES, Action, Monitor, Pressure, Rule
-from poppypulley.model import Fail, Outcome, Probe, Send
 from tests import loopback as partners
 from tests.http.test_holding import NO_GUARANTEES, narrow
 from tests.loopback import OK, SETTINGS, App, Scripted, Upstream, hang, loopback, request, running, until
--- a/tests/daemon/test_rules.py
+++ b/tests/daemon/test_rules.py
@@ -11,12 +11,12 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Send
 from fordtrestle.config import operator
 from fordtrestle.daemon import rules
 from fordtrestle.daemon.seams import Seams
 from fordtrestle.daemon.standalone import Standalone
 from fordtrestle.state.files import Files
-from poppypulley.model import Send
 from rig.registry import Registry, entry
 from tests.daemon.test_standalone import SERVICE, Serving, answering, asked, listening, servers, standing
 from tests.loopback import App, Scripted, loopback, until
--- a/tests/daemon/test_standalone.py
+++ b/tests/daemon/test_standalone.py
@@ -11,11 +11,11 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Tell
 from fordtrestle.config import operator
 from fordtrestle.daemon import process
 from fordtrestle.daemon.standalone import Standalone
 from fordtrestle.engine.ports import parse_address
-from poppypulley.model import Tell
 from tests.daemon.test_process import ROOT, Process
 from tests.loopback import App, Registry, Scripted, Upstream, entry, hang, loopback, until
 
--- a/tests/engine/test_driver.py
+++ b/tests/engine/test_driver.py
@@ -4,11 +4,11 @@
 
 import dataclasses
 
+from fordtrestle.balancer import model
+from fordtrestle.balancer.model import CloseIdle, Fail, Outcome, Refuse, Send
 from fordtrestle.engine.clock import Clock
 from fordtrestle.engine.driver import Driver, EngineOptions
 from fordtrestle.engine.ports import Answer, Result
-from poppypulley import model
-from poppypulley.model import CloseIdle, Fail, Outcome, Refuse, Send
 from tests.engine.test_watched import Call, Loop, Servers, arrive, driver, retried
 from tests.loopback import SETTINGS
 
--- a/tests/engine/test_tally.py
+++ b/tests/engine/test_tally.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Cause, Fail, Outcome, Refuse, Send
 from fordtrestle.engine.ports import Result
 from fordtrestle.engine.tally import NO_CLASS, OwnCause, Tally, lines
-from poppypulley.model import Cause, Fail, Outcome, Refuse, Send
 from tests.engine.test_watched import Call, driver
 
 
--- a/tests/engine/test_watched.py
+++ b/tests/engine/test_watched.py
@@ -4,12 +4,12 @@
 
 import pytest
 
+from fordtrestle.balancer import model
+from fordtrestle.balancer.model import Cause, Fail, Outcome, Refuse, Send
 from fordtrestle.engine.clock import Clock
 from fordtrestle.engine.driver import EngineOptions
 from fordtrestle.engine.ports import Result
 from fordtrestle.engine.watched import WatchedDriver
-from poppypulley import model
-from poppypulley.model import Cause, Fail, Outcome, Refuse, Send
 from tests.loopback import SETTINGS, Scripted
 
 
--- a/tests/http/test_accept.py
+++ b/tests/http/test_accept.py
@@ -8,10 +8,10 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Send
 from fordtrestle.engine.connections import ConnectionTable, TableOptions
 from fordtrestle.engine.limits import Limits
 from fordtrestle.http import accept
-from poppypulley.model import Send
 from tests import loopback as partners
 from tests.loopback import OK, App, Scripted, Upstream, hang, running, until
 from tests.virtual import virtual
--- a/tests/http/test_client_gone.py
+++ b/tests/http/test_client_gone.py
@@ -9,9 +9,9 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Fail, Outcome, Refuse, Send, Timer
 from fordtrestle.http import downstream, front, stream
 from fordtrestle.http import pool as pools
-from poppypulley.model import Fail, Outcome, Refuse, Send, Timer
 from tests import loopback as partners
 from tests.http.test_holding import LARGE, bare
 from tests.http.test_upstream import FULL
--- a/tests/http/test_counts.py
+++ b/tests/http/test_counts.py
@@ -5,7 +5,7 @@
 import asyncio
 import json
 
-from poppypulley.model import Cause, Fail, Refuse, Send
+from fordtrestle.balancer.model import Cause, Fail, Refuse, Send
 from tests.loopback import OK, SETTINGS, App, Scripted, Upstream, hang, running, until
 from tests.virtual import virtual
 
--- a/tests/http/test_dials.py
+++ b/tests/http/test_dials.py
@@ -11,9 +11,9 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Cancel, Outcome, Send
 from fordtrestle.http import pool as pools
 from fordtrestle.http.upstream import UpstreamConnection
-from poppypulley.model import Cancel, Outcome, Send
 from tests.http.test_client_gone import Held
 from tests.http.test_upstream import failing
 from tests.loopback import (
--- a/tests/http/test_endless.py
+++ b/tests/http/test_endless.py
@@ -9,8 +9,8 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Outcome, Send
 from fordtrestle.http import wire
-from poppypulley.model import Outcome, Send
 from tests.http.test_upstream import CHUNKED, failing
 from tests.loopback import OK, App, Scripted, Upstream, running, until
 from tests.virtual import virtual
--- a/tests/http/test_forms.py
+++ b/tests/http/test_forms.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Fail, Outcome
 from fordtrestle.engine import driver
 from fordtrestle.http import downstream
-from poppypulley.model import Fail, Outcome
 from tests.loopback import OK, App, Scripted, Upstream, request, running, until
 from tests.virtual import virtual
 
--- a/tests/http/test_hard_cases.py
+++ b/tests/http/test_hard_cases.py
@@ -9,11 +9,11 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Cancel, Outcome, Send
 from fordtrestle.engine.connections import ConnectionTable, Standing, TableOptions
 from fordtrestle.engine.limits import Limits
 from fordtrestle.http import front, pool
 from fordtrestle.http.downstream import ClientConnection
-from poppypulley.model import Cancel, Outcome, Send
 from tests.loopback import OK, App, Scripted, Upstream, hang, request, running, until
 from tests.virtual import virtual
 
--- a/tests/http/test_restarts.py
+++ b/tests/http/test_restarts.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Outcome
 from fordtrestle.http import pool as pools
-from poppypulley.model import Outcome
 from tests.http.test_client_gone import Held
 from tests.http.test_upstream import failing, news, pooled
 from tests.loopback import OK, App, Scripted, Upstream, entry, running, until
--- a/tests/http/test_settle.py
+++ b/tests/http/test_settle.py
@@ -7,9 +7,9 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Send
 from fordtrestle.config import platform
 from fordtrestle.http.requests import BadRequest, RequestClass, RequestNames, judge_again
-from poppypulley.model import Send
 from tests.http.test_front import status_of
 from tests.http.test_upstream import failing, news, pooled
 from tests.loopback import OK, App, Scripted, Upstream, entry, platform_config, request, running, until
--- a/tests/http/test_time_told.py
+++ b/tests/http/test_time_told.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from poppypulley.model import Cancel, Send, Timer
+from fordtrestle.balancer.model import Cancel, Send, Timer
 from tests import loopback as partners
 from tests.loopback import OK, App, Scripted, Upstream, read_message, running
 from tests.virtual import virtual
--- a/tests/http/test_upstream.py
+++ b/tests/http/test_upstream.py
@@ -8,13 +8,13 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Cancel, CloseIdle, Fail, Outcome, Probe, Refuse, Send
 from fordtrestle.config import platform
 from fordtrestle.engine.clock import Clock
 from fordtrestle.engine.limits import Limits
 from fordtrestle.http import pool as pools
 from fordtrestle.http.upstream import UpstreamConnection, UpstreamExchange
 from fordtrestle.membership.lists import parse_list
-from poppypulley.model import Cancel, CloseIdle, Fail, Outcome, Probe, Refuse, Send
 from tests.loopback import (
     OK,
     App,
--- a/tests/membership/test_registry.py
+++ b/tests/membership/test_registry.py
@@ -8,9 +8,9 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Fetch, Tell, Watch
 from fordtrestle.engine.ports import parse_address
 from fordtrestle.membership import registry as discovery
-from poppypulley.model import Fetch, Tell, Watch
 from tests.loopback import Registry, Scripted, entry, listed, loopback, running, until
 
 
--- a/tests/membership/test_whole.py
+++ b/tests/membership/test_whole.py
@@ -5,9 +5,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from fordtrestle.balancer.model import Listing
 from fordtrestle.engine.ports import Address, ServerList
 from fordtrestle.membership.whole import Whole
-from poppypulley.model import Listing
 
 NAMES = [f"s{i}" for i in range(6)]
 FIELDS = {"zone": 1, "kind": 2, "cell": 3, "weight": 2.5, "started": 7.0, "state": "leaving"}
--- a/tests/state/test_lists.py
+++ b/tests/state/test_lists.py
@@ -7,11 +7,11 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Listing
 from fordtrestle.engine.ports import Address, ServerList
 from fordtrestle.state import lists
 from fordtrestle.state.files import Files
 from fordtrestle.state.lists import ListKeeper
-from poppypulley.model import Listing
 from tests.loopback import loopback, until
 from tests.state.standin import Memory
 
--- a/tests/state/test_snapshots.py
+++ b/tests/state/test_snapshots.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from fordtrestle.balancer.model import Listing
 from fordtrestle.engine.ports import Address, ServerList
 from fordtrestle.state import records, snapshots
 from fordtrestle.state.snapshots import SnapshotError
-from poppypulley.model import Listing
 from tests.state.standin import Memory
 
 WHOLE = st.integers(-(2**63), 2**63 - 1)
--- a/tests/stored/test_files.py
+++ b/tests/stored/test_files.py
@@ -10,6 +10,7 @@
 
 import pytest
 
+from fordtrestle.balancer.model import Listing
 from fordtrestle.daemon.events import Events
 from fordtrestle.engine.ports import Address, ServerList
 from fordtrestle.load import trace
@@ -21,7 +22,6 @@
 from fordtrestle.state.files import Files
 from fordtrestle.state.lists import ListKeeper
 from fordtrestle.storage.log import NAME, RecordLog
-from poppypulley.model import Listing
 from rig.cluster.history import gaps, parse
 from tests.loopback import loopback, until
 from tests.stored.samples import DOCUMENT, plain
--- a/tests/stored/test_transcripts.py
+++ b/tests/stored/test_transcripts.py
@@ -6,13 +6,13 @@
 import random
 from typing import get_args
 
+from fordtrestle.balancer.model import Cause, Fail, Refuse
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import Availability, ControlView, MemberRecord, control_item, member_item
 from fordtrestle.ingress.directory import Directory
 from fordtrestle.ingress.server import Readiness
 from fordtrestle.replication.events import Event, Events
 from fordtrestle.roles import metrics
-from poppypulley.model import Cause, Fail, Refuse
 from tests.control_api.test_exchanges import BEAT, CONFIG, Stage, put
 from tests.exchanges import Client, approved, loopback, request, serve
 from tests.loopback import App, Scripted, running
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -15,7 +15,7 @@
 SITES = sorted((ROOT / "deploy" / "sites").glob("*/*.toml"))
 EFFECTS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}
 PROGRAM = [
-    *(path for package in ("fordtrestle", "poppypulley") for path in (ROOT / package).rglob("*.py")),
+    *(ROOT / "fordtrestle").rglob("*.py"),
     ROOT / "deploy" / "balancer.toml",
 ]
 
