--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -125,7 +125,7 @@
         for machine in self.machines:
             node = machine.node
             if node and node.epoch and node.is_ready:
-                ready.append((node.epoch.ballot, machine))
+                ready.append((node.epoch.term, machine))
         return max(ready, key=lambda pair: pair[0])[1] if ready else None
 
     def pump(self, machine: Machine) -> None:
@@ -374,13 +374,13 @@
     assert primary is not None
     assert primary.node is not None
     assert primary.node.epoch is not None
-    before, began = primary.node.epoch.ballot, deployment.now
+    before, began = primary.node.epoch.term, deployment.now
     (LOSSES | REPAIRS)[loss](deployment, primary)
 
     def served() -> bool:
         machine = deployment.primary()
         epoch = machine.node.epoch if machine and machine.node else None
-        return epoch is not None and epoch.ballot > before
+        return epoch is not None and epoch.term > before
 
     deployment.run_until(began + LASTS_S, served)
     return deployment.now - began if served() else float("inf")
--- a/benchmarks/control_double_losses.py
+++ b/benchmarks/control_double_losses.py
@@ -176,7 +176,7 @@
     knowing = {
         machine.node.me.id
         for machine in deployment.machines
-        if machine.node and machine.node.epoch and machine.node.epoch.ballot == epoch.ballot
+        if machine.node and machine.node.epoch and machine.node.epoch.term == epoch.term
     }
     return len(epoch.witness_ids) == STORES and knowing.issuperset(epoch.witness_ids)
 
--- a/benchmarks/control_false_failovers.py
+++ b/benchmarks/control_false_failovers.py
@@ -46,7 +46,7 @@
 
 
 def _number(deployment: Deployment) -> int:
-    return max(m.node.epoch.ballot.number for m in deployment.machines if m.node and m.node.epoch)
+    return max(m.node.epoch.term.number for m in deployment.machines if m.node and m.node.epoch)
 
 
 def main(words: Sequence[str] | None = None) -> int:
--- a/fordtrestle/control_api/heartbeats.py
+++ b/fordtrestle/control_api/heartbeats.py
@@ -63,8 +63,8 @@
         zone=data["zone"],
         slots=data["slots"],
         phase=Phase.DRAINING if data["state"] == "draining" else Phase.SERVING,
-        silent=False,
-        cold_ms=max(0.0, data["cold_remaining_ms"] or 0.0),
+        is_unresponsive=False,
+        warm_up_ms=max(0.0, data["cold_remaining_ms"] or 0.0),
         remaining_ms=data["remaining_ms"],
         models=tuple(str(model.get("name", "")) for model in data["models"] or ()),
         heard_by=heard_by,
@@ -74,7 +74,7 @@
 
 def _nameless(instance: str, heard_by: str) -> ServerRecord:
     """What is known of an incarnation that is gone and was never heard of."""
-    return ServerRecord(instance, "", "", "", 0, Phase.GONE, False, 0.0, None, (), heard_by)
+    return ServerRecord(instance, "", "", "", 0, Phase.DEPARTED, False, 0.0, None, (), heard_by)
 
 
 @dataclass(slots=True)
@@ -98,14 +98,16 @@
         heard = self._heard.get(instance)
         if heard and beat.sequence < heard.sequence:
             return None  # it has come late
-        cold_until = now + beat.record.cold_ms / MS_PER_S
-        colder = beat.record.cold_ms > 0 and (heard is None or cold_until > heard.cold_until + COLD_MORE_S)
+        cold_until = now + beat.record.warm_up_ms / MS_PER_S
+        colder = beat.record.warm_up_ms > 0 and (heard is None or cold_until > heard.cold_until + COLD_MORE_S)
         if heard is None and len(self._heard) >= TRACKED_MOST:
             return None
         self._heard[instance] = _Heard(beat.sequence, now, cold_until)
         known = catalog.get(SERVER_PREFIX + instance)
         if known and isinstance(known.value, ServerRecord) and not colder:
-            same = replace(known.value, cold_ms=beat.record.cold_ms, remaining_ms=beat.record.remaining_ms)
+            same = replace(
+                known.value, warm_up_ms=beat.record.warm_up_ms, remaining_ms=beat.record.remaining_ms
+            )
             if same == beat.record:
                 return None
         return server_item(beat.record, beat.sequence)
@@ -118,7 +120,7 @@
         known = catalog.get(SERVER_PREFIX + instance)
         if known is None or not isinstance(known.value, ServerRecord):
             return server_item(_nameless(instance, self._node), 0)
-        return server_item(replace(known.value, phase=Phase.GONE), known.version[1])
+        return server_item(replace(known.value, phase=Phase.DEPARTED), known.version[1])
 
     def fallen_silent(
         self, catalog: Catalog, now: float, inherits: Callable[[str], bool] = lambda node: False
@@ -138,7 +140,7 @@
             is_ours = known.value.heard_by == self._node or inherits(known.value.heard_by)
             if is_ours and known.value.phase is Phase.SERVING:
                 sequence = max(known.version[1], heard.sequence)
-                items.append(server_item(replace(known.value, silent=True), sequence))
+                items.append(server_item(replace(known.value, is_unresponsive=True), sequence))
         return items
 
     def _adopt(self, catalog: Catalog, now: float, inherits: Callable[[str], bool]) -> None:
@@ -146,7 +148,7 @@
         gone and of which this is the heir: else nobody would tell that they are silent.
         """
         for record, version in catalog.servers():
-            if record.phase is not Phase.SERVING or record.silent or record.instance in self._heard:
+            if record.phase is not Phase.SERVING or record.is_unresponsive or record.instance in self._heard:
                 continue
             if record.heard_by == self._node or inherits(record.heard_by):
                 self._heard[record.instance] = _Heard(version[1], now, now)
--- a/fordtrestle/control_api/listings.py
+++ b/fordtrestle/control_api/listings.py
@@ -8,6 +8,10 @@
 
 Row = dict[str, str | int | float]
 
+# What operators read of servers that get no requests.
+PHASE_LABELS = {Phase.DRAINING: "draining", Phase.DEPARTED: "gone"}
+UNRESPONSIVE_LABEL = "silent"
+
 
 def members(catalog: Catalog) -> list[Row]:
     """The processes of the system, by region and name."""
@@ -46,9 +50,9 @@
 
 def _why_not(record: ServerRecord, evacuated: tuple[str, ...]) -> str:
     if record.phase is not Phase.SERVING:
-        return record.phase.name.lower()
-    if record.silent:
-        return "silent"
+        return PHASE_LABELS[record.phase]
+    if record.is_unresponsive:
+        return UNRESPONSIVE_LABEL
     return "evacuated" if record.zone in evacuated else ""
 
 
@@ -58,7 +62,7 @@
         return []
     return [
         {
-            "epoch": newest.ballot.number,
+            "epoch": newest.term.number,
             "store": store.id,
             "zone": store.zone,
             "control": store.control,
--- a/fordtrestle/dissemination/catalog.py
+++ b/fordtrestle/dissemination/catalog.py
@@ -47,7 +47,7 @@
     """Whether the item says that something is gone for good."""
     value = item.value
     if isinstance(value, ServerRecord):
-        return value.phase is Phase.GONE
+        return value.phase is Phase.DEPARTED
     return isinstance(value, MemberRecord) and value.availability is Availability.DOWN
 
 
@@ -58,7 +58,7 @@
     value = item.value
     if isinstance(value, EjectionRecord):
         return EJECTION_KEPT_S
-    if isinstance(value, ServerRecord) and (value.silent or value.phase is Phase.DRAINING):
+    if isinstance(value, ServerRecord) and (value.is_unresponsive or value.phase is Phase.DRAINING):
         return UNHEARD_S
     return None
 
--- a/fordtrestle/dissemination/items.py
+++ b/fordtrestle/dissemination/items.py
@@ -30,7 +30,7 @@
 
     SERVING = 0
     DRAINING = 1
-    GONE = 2
+    DEPARTED = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,8 +43,8 @@
     zone: str
     slots: int
     phase: Phase
-    silent: bool  # its heartbeats have stopped
-    cold_ms: float  # how much longer it is cold, as of that heartbeat
+    is_unresponsive: bool  # its heartbeats have stopped
+    warm_up_ms: float  # how much longer it is cold, as of that heartbeat
     remaining_ms: float | None  # until it is taken away, where it said so
     models: tuple[str, ...]
     heard_by: str  # the control process that took the heartbeat
@@ -102,7 +102,7 @@
     """The item of a server. A final phase outdoes all heartbeats of an earlier one, and silence only the one
     that it followed.
     """
-    version = (int(record.phase), sequence, int(record.silent))
+    version = (int(record.phase), sequence, int(record.is_unresponsive))
     return Item(SERVER_PREFIX + record.instance, version, record)
 
 
--- a/fordtrestle/dissemination/messages.py
+++ b/fordtrestle/dissemination/messages.py
@@ -50,14 +50,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HasLink:
+class IndirectProbe:
     """Asks whether the receiver has a link to a node."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
-class Vouch:
+class IndirectProbeAck:
     """The sender has a link to that node."""
 
     node: str
--- a/fordtrestle/dissemination/suspicion.py
+++ b/fordtrestle/dissemination/suspicion.py
@@ -28,7 +28,7 @@
     return heapq.nlargest(WATCHERS, others, key=lambda other: weight(node, other))
 
 
-def heir_of(node: str, members: Iterable[MemberRecord], role: str) -> str | None:
+def successor_of(node: str, members: Iterable[MemberRecord], role: str) -> str | None:
     """Who takes over what was a member's, where that is down or forgotten; the same everywhere."""
     live = live_nodes(members, role)
     return None if node in live else owner_of(node, live)
--- a/fordtrestle/peer/codec.py
+++ b/fordtrestle/peer/codec.py
@@ -50,7 +50,7 @@
     """Bytes that are no message of this protocol."""
 
 
-class UnknownMessage(CodecError):
+class UnknownMessageError(CodecError):
     """A message of another version of the protocol: it holds a type or a value that is not known here."""
 
 
@@ -58,7 +58,7 @@
 _TYPES: tuple[type, ...] = (
     Hello,
     Envelope,
-    epochs.Ballot,
+    epochs.Term,
     epochs.Store,
     epochs.Epoch,
     state.ConfigChange,
@@ -89,12 +89,12 @@
     messages.RangeDigests,
     messages.RangeVersions,
     messages.Want,
-    messages.HasLink,
-    messages.Vouch,
+    messages.IndirectProbe,
+    messages.IndirectProbeAck,
     replication.Resign,
     replication.Announce,
     replication.HeartbeatAck,
-    state.TakenCall,
+    state.AppliedCall,
     state.ControlState,
     messages.Confirm,
     messages.Confirmed,
@@ -135,7 +135,7 @@
 def _decode(tag: Any, *_: Any) -> Any:
     kind = _BY_TAG.get(tag.tag)
     if kind is None:
-        raise UnknownMessage(f"unknown tag {tag.tag}")
+        raise UnknownMessageError(f"unknown tag {tag.tag}")
     names, values = _FIELDS[kind], tag.value
     if not isinstance(values, list | tuple) or len(values) < _NEEDED[kind]:
         raise CodecError(f"{kind.__name__}: {_NEEDED[kind]} fields expected")
@@ -151,7 +151,7 @@
     try:
         return enum(value)
     except ValueError as error:
-        raise UnknownMessage(str(error)) from error
+        raise UnknownMessageError(str(error)) from error
 
 
 def agreed_version(mine: Hello, other: Hello) -> int | None:
--- a/fordtrestle/peer/connection.py
+++ b/fordtrestle/peer/connection.py
@@ -12,7 +12,7 @@
 
 import eliot
 
-from fordtrestle.peer.codec import CodecError, UnknownMessage, decode, encode
+from fordtrestle.peer.codec import CodecError, UnknownMessageError, decode, encode
 
 _LENGTH = struct.Struct(">I")
 _COMPRESSED = 1 << 31  # in the length: the payload is compressed (zlib)
@@ -101,7 +101,7 @@
             while True:
                 try:
                     message = await self.receive()
-                except UnknownMessage as error:
+                except UnknownMessageError as error:
                     self._skip(error)
                 else:
                     received(message)
@@ -111,7 +111,7 @@
             probing.cancel()
             self.close()
 
-    def _skip(self, unknown: UnknownMessage) -> None:
+    def _skip(self, unknown: UnknownMessageError) -> None:
         self.skipped += 1
         if self.skipped == 1:
             eliot.log_message("peer:message-skipped", reason=str(unknown))
--- a/fordtrestle/replication/candidacy.py
+++ b/fordtrestle/replication/candidacy.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass
 
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import NO_BALLOT, Ballot, Epoch, Store, supported
+from fordtrestle.replication.epochs import NO_TERM, Epoch, Store, Term, supported
 from fordtrestle.replication.events import Why
 from fordtrestle.replication.messages import Message, PreVote, PreVoteGrant
 from fordtrestle.replication.opening import Opening, Outgoing
@@ -26,7 +26,7 @@
     replica_count: int
     opening: Opening | None = None
     why: Why = Why.FOUNDING  # the opening under way, or the last one, was begun
-    newest_ballot: Ballot = NO_BALLOT  # that was heard of: the next one exceeds it
+    newest_term: Term = NO_TERM  # that was heard of: the next one exceeds it
     _granted: set[str] | None = None
     _round: int = 0  # of pre-votes
     _repeat_at: float = 0.0
@@ -42,7 +42,7 @@
         since answers may take longer than its repetition.
         """
         if not (again and self._granted is not None):
-            self._granted, self.newest_ballot = set(), durable.promised
+            self._granted, self.newest_term = set(), durable.promised
             self._round += 1
         quorums = durable.accepted.quorums if durable.accepted else ()
         voters = {store_id for quorum in quorums for store_id in quorum} or set(known)
@@ -57,7 +57,7 @@
         if self._granted is None:
             return False
         self._granted.add(sender)
-        self.newest_ballot = max(self.newest_ballot, grant.promised)
+        self.newest_term = max(self.newest_term, grant.promised)
         return self.me.id in accepted.replicas and supported(self._granted, accepted.quorums)
 
     # openings
@@ -68,17 +68,17 @@
         witnesses: tuple[Store, ...],
         why: Why,
         *,
-        promised: Ballot,
+        promised: Term,
         leaving: frozenset[str],
         unanimous: frozenset[str],
         now: float,
     ) -> list[Outgoing]:
         """Begin to open an epoch on top of another one."""
-        newest = max(promised, self.newest_ballot, base.ballot)
-        ballot = Ballot(newest.number + 1, self.me.id)
+        newest = max(promised, self.newest_term, base.term)
+        term = Term(newest.number + 1, self.me.id)
         self.why = why
         count = self.replica_count
-        self.opening = Opening(self.me, ballot, base, witnesses, count, leaving, now, unanimous)
+        self.opening = Opening(self.me, term, base, witnesses, count, leaving, now, unanimous)
         self._granted = None
         self._repeat_at = now + REPEAT_S
         return self.opening.start()
--- a/fordtrestle/replication/durable.py
+++ b/fordtrestle/replication/durable.py
@@ -8,22 +8,22 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from fordtrestle.replication.epochs import NO_BALLOT, Ballot, Epoch, is_same_core
+from fordtrestle.replication.epochs import NO_TERM, Epoch, Term, is_same_core
 from fordtrestle.replication.messages import Entry, Founder, Record, Snapshot, Vote
 from fordtrestle.replication.state import Change, ControlState
 
 
 @dataclass(slots=True)
 class Durable:
-    """One store. `installed` is the ballot under which its state was last made whole; `told_to_found`: as the
+    """One store. `installed` is the term under which its state was last made whole; `must_bootstrap`: as the
     disk was found empty.
     """
 
     store: str
-    told_to_found: bool = False
-    promised: Ballot = NO_BALLOT
+    must_bootstrap: bool = False
+    promised: Term = NO_TERM
     accepted: Epoch | None = None
-    installed: Ballot = NO_BALLOT
+    installed: Term = NO_TERM
     state: ControlState = field(default_factory=ControlState)
 
     @classmethod
@@ -33,12 +33,12 @@
         for record in records:
             if isinstance(record, Founder):
                 found = found or cls(record.store)
-                found.told_to_found = True
+                found.must_bootstrap = True
             elif isinstance(record, Vote):
                 found = found or cls(record.store)
                 found.promised, found.accepted = record.promised, record.accepted
             elif found and isinstance(record, Snapshot):
-                found.installed, found.state = record.ballot, record.state
+                found.installed, found.state = record.term, record.state
             elif found and isinstance(record, Entry) and found._goes_on_with(record):
                 found.state = found.state.apply(record.change)
         return found
@@ -46,7 +46,7 @@
     @property
     def is_founder(self) -> bool:
         """Whether this store is to found the core, and has not yet voted for any epoch."""
-        return self.told_to_found and self.accepted is None
+        return self.must_bootstrap and self.accepted is None
 
     @property
     def core(self) -> str:
@@ -61,69 +61,69 @@
         wish = [Founder(self.store)] if self.is_founder else []
         return [*wish, self._vote(), Snapshot(self.installed, self.state)]
 
-    def promise(self, ballot: Ballot) -> Sequence[Record] | None:
-        """Promise a ballot; nothing where a newer one was promised."""
-        if ballot < self.promised:
+    def promise(self, term: Term) -> Sequence[Record] | None:
+        """Promise a term; nothing where a newer one was promised."""
+        if term < self.promised:
             return None
-        if ballot == self.promised:
+        if term == self.promised:
             return []
-        self.promised = ballot
+        self.promised = term
         return [self._vote()]
 
     def accept(self, epoch: Epoch) -> Sequence[Record] | None:
-        """Hold an epoch as the newest; nothing where a newer ballot was promised.
+        """Hold an epoch as the newest; nothing where a newer term was promised.
 
         A store that holds the candidate's state already (`Epoch.kept`) goes on from there.
         """
-        if epoch.ballot < self.promised:
+        if epoch.term < self.promised:
             return None
-        if self.accepted and epoch.ballot == self.accepted.ballot:
+        if self.accepted and epoch.term == self.accepted.term:
             return []
-        self.promised, self.accepted = epoch.ballot, epoch
+        self.promised, self.accepted = epoch.term, epoch
         return self._adopt(epoch)
 
     def settle(self, epoch: Epoch) -> Sequence[Record]:
         """Take in an epoch that another store tells of."""
         known = self.accepted
-        if known and (epoch.ballot < known.ballot or epoch == known):
+        if known and (epoch.term < known.term or epoch == known):
             return []
         if self.core and not is_same_core(epoch.core, self.core):
             return []
-        if known and epoch.ballot == known.ballot and epoch.earlier:
+        if known and epoch.term == known.term and epoch.earlier:
             return []  # it is known by now that this epoch is open
-        self.promised, self.accepted = max(self.promised, epoch.ballot), epoch
+        self.promised, self.accepted = max(self.promised, epoch.term), epoch
         return self._adopt(epoch)
 
-    def install(self, ballot: Ballot, state: ControlState) -> Sequence[Record] | None:
-        """Take over a candidate's state; nothing where a newer ballot was promised."""
-        records = self.promise(ballot)
-        if records is None or (ballot == self.installed and state.sequence < self.state.sequence):
+    def install(self, term: Term, state: ControlState) -> Sequence[Record] | None:
+        """Take over a candidate's state; nothing where a newer term was promised."""
+        records = self.promise(term)
+        if records is None or (term == self.installed and state.sequence < self.state.sequence):
             return None
-        self.installed, self.state = ballot, state
-        return [*records, Snapshot(ballot, state)]
+        self.installed, self.state = term, state
+        return [*records, Snapshot(term, state)]
 
-    def append(self, ballot: Ballot, sequence: int, change: Change) -> Sequence[Record] | None:
+    def append(self, term: Term, sequence: int, change: Change) -> Sequence[Record] | None:
         """Take one write of the epoch that this state was installed for; nothing where it does not fit."""
-        if ballot != self.installed or ballot < self.promised or sequence > self.state.sequence + 1:
+        if term != self.installed or term < self.promised or sequence > self.state.sequence + 1:
             return None
         if sequence <= self.state.sequence:
             return []
         self.state = self.state.apply(change)
-        return [Entry(ballot, sequence, change)]
+        return [Entry(term, sequence, change)]
 
     def _goes_on_with(self, entry: Entry) -> bool:
         """Whether an entry on disk is the next write of the state before it.
 
         A snapshot that was written in the place of refused records may hold later entries already, or be the
-        state of a later ballot than theirs: those are void.
+        state of a later term than theirs: those are void.
         """
-        return entry.ballot == self.installed and entry.sequence == self.state.sequence + 1
+        return entry.term == self.installed and entry.sequence == self.state.sequence + 1
 
     def _adopt(self, epoch: Epoch) -> Sequence[Record]:
         """The vote for an epoch, and the state once more as this epoch's where it was kept as it is."""
         records: list[Record] = [self._vote()]
         if epoch.kept == (self.installed, self.state.sequence):
-            self.installed = epoch.ballot
+            self.installed = epoch.term
             records.append(Snapshot(self.installed, self.state))
         return records
 
--- a/fordtrestle/replication/epochs.py
+++ b/fordtrestle/replication/epochs.py
@@ -1,4 +1,4 @@
-"""Epochs, the ballots that open them, and the quorums of witnesses that an opening needs."""
+"""Epochs, the terms that open them, and the quorums of witnesses that an opening needs."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 
 @dataclass(frozen=True, slots=True, order=True)
-class Ballot:
+class Term:
     """Number of an epoch. Two candidates never share one: the store's id is part of it."""
 
     number: int
     store: str
 
 
-NO_BALLOT = Ballot(0, "")
+NO_TERM = Term(0, "")
 UNKNOWN_CORE = "?"  # of an epoch or store whose version does not tell: it may belong to any core
 
 
@@ -42,12 +42,12 @@
     alone.
     """
 
-    ballot: Ballot
+    term: Term
     primary: str
     replicas: tuple[str, ...]
     witnesses: tuple[Store, ...]
     earlier: tuple[tuple[str, ...], ...] = ()
-    kept: tuple[Ballot, int] | None = None  # the state that all replicas held as they promised
+    kept: tuple[Term, int] | None = None  # the state that all replicas held as they promised
     core: str = UNKNOWN_CORE  # the core's identity: the store that opened its first epoch
 
     @property
@@ -79,7 +79,7 @@
 
 def no_epoch(store: Store) -> Epoch:
     """What the first epoch is opened on top of: there is nobody who might have to be asked."""
-    return Epoch(NO_BALLOT, store.id, (), (), core="")
+    return Epoch(NO_TERM, store.id, (), (), core="")
 
 
 def is_same_core(one: str, other: str) -> bool:
--- a/fordtrestle/replication/events.py
+++ b/fordtrestle/replication/events.py
@@ -25,7 +25,7 @@
     TOO_FEW = "too few replicas hold the state"
     OUT_OF_TOUCH = "no majority answers"
     LEAVING = "this process is about to end"
-    NEWER = "a newer ballot is about"
+    NEWER = "a newer term exists"
     TIMED_OUT = "too few answered in time"
 
 
--- a/fordtrestle/replication/messages.py
+++ b/fordtrestle/replication/messages.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from fordtrestle.replication.epochs import UNKNOWN_CORE, Ballot, Epoch, Store
+from fordtrestle.replication.epochs import UNKNOWN_CORE, Epoch, Store, Term
 from fordtrestle.replication.state import Change, ControlState
 
 
@@ -32,21 +32,21 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatAck:
-    """The witness has promised nothing newer than this ballot; `installed` and `sequence` tell its state as
+    """The witness has promised nothing newer than this term; `installed` and `sequence` tell its state as
     in `Promised`.
     """
 
-    ballot: Ballot
+    term: Term
     round: int
-    installed: Ballot
+    installed: Term
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Resign:
-    """The primary of this ballot is one no more: nobody need wait until it is missed."""
+    """The primary of this term is one no more: nobody need wait until it is missed."""
 
-    ballot: Ballot
+    term: Term
 
 
 @dataclass(frozen=True, slots=True)
@@ -58,30 +58,30 @@
 
 @dataclass(frozen=True, slots=True)
 class PreVoteGrant:
-    """The witness misses the primary as well; `promised` is the ballot to exceed."""
+    """The witness misses the primary as well; `promised` is the term to exceed."""
 
     round: int
-    promised: Ballot
+    promised: Term
     accepted: Epoch | None
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks a witness to promise that it takes no part in any older ballot."""
+    """Asks a witness to promise that it takes no part in any older term."""
 
-    ballot: Ballot
+    term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class Promised:
     """The promise, the newest epoch that the witness has accepted, and which state it holds.
 
-    A state is told by the ballot that it was installed under and its sequence: what both have alike is alike.
+    A state is told by the term that it was installed under and its sequence: what both have alike is alike.
     """
 
-    ballot: Ballot
+    term: Term
     accepted: Epoch | None
-    installed: Ballot
+    installed: Term
     sequence: int
 
 
@@ -89,7 +89,7 @@
 class Install:
     """The whole state, for a replica of the epoch that a candidate opens, or for a store that is behind."""
 
-    ballot: Ballot
+    term: Term
     state: ControlState
 
 
@@ -97,7 +97,7 @@
 class Installed:
     """That state is on disk."""
 
-    ballot: Ballot
+    term: Term
 
 
 @dataclass(frozen=True, slots=True)
@@ -111,14 +111,14 @@
 class Accepted:
     """It is on disk."""
 
-    ballot: Ballot
+    term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """One write of the epoch of that ballot, for its replicas and for all that follow."""
+    """One write of the epoch of that term, for its replicas and for all that follow."""
 
-    ballot: Ballot
+    term: Term
     sequence: int
     change: Change
 
@@ -127,16 +127,16 @@
 class Appended:
     """All writes up to `sequence` are on disk."""
 
-    ballot: Ballot
+    term: Term
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The witness has promised a newer ballot than the one it was asked about."""
+    """The witness has promised a newer term than the one it was asked about."""
 
-    ballot: Ballot
-    promised: Ballot
+    term: Term
+    promised: Term
 
 
 Message = (
@@ -163,15 +163,15 @@
     """On disk: what this store has promised and accepted as a witness."""
 
     store: str
-    promised: Ballot
+    promised: Term
     accepted: Epoch | None
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """On disk: the whole state, as of the ballot under which it was installed."""
+    """On disk: the whole state, as of the term under which it was installed."""
 
-    ballot: Ballot
+    term: Term
     state: ControlState
 
 
@@ -179,7 +179,7 @@
 class Entry:
     """On disk: one write behind the snapshot or entry before it."""
 
-    ballot: Ballot
+    term: Term
     sequence: int
     change: Change
 
--- a/fordtrestle/replication/node.py
+++ b/fordtrestle/replication/node.py
@@ -14,7 +14,7 @@
 from fordtrestle.replication.candidacy import Candidacy
 from fordtrestle.replication.contacts import Contacts
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import Ballot, Epoch, Store, is_same_core, no_epoch
+from fordtrestle.replication.epochs import Epoch, Store, Term, is_same_core, no_epoch
 from fordtrestle.replication.events import (
     EpochOpened,
     Events,
@@ -130,7 +130,7 @@
         if not staying:
             return True
         is_active = bool(self._leadership or self._candidacy.opening)
-        if is_active or epoch is None or self.durable.promised > epoch.ballot:
+        if is_active or epoch is None or self.durable.promised > epoch.term:
             return False
         waiting = self._contacts.newcomers(epoch.witness_ids, now)
         needed = epoch.witness_ids if waiting else epoch.replicas
@@ -153,16 +153,16 @@
         leadership = self._leadership
         if leadership is None or not self.is_ready:
             return None
-        ballot, sequence = self.durable.installed, self.durable.state.sequence + 1
+        term, sequence = self.durable.installed, self.durable.state.sequence + 1
         leadership.began_append(now)
-        records = self.durable.append(ballot, sequence, change)
-        if records is None:  # a newer ballot was promised: this store is being superseded
+        records = self.durable.append(term, sequence, change)
+        if records is None:  # a newer term was promised: this store is being superseded
             return None
         self._write(records)
-        self._send(self.me.id, wire.Appended(ballot, sequence))
+        self._send(self.me.id, wire.Appended(term, sequence))
         for store_id in leadership.epoch.witness_ids:  # those that are no replicas follow, to step in at once
             if store_id != self.me.id:
-                self._send(store_id, wire.Append(ballot, sequence, change))
+                self._send(store_id, wire.Append(term, sequence, change))
         return Ticket(sequence)
 
     def leave(self, now: float) -> None:
@@ -215,8 +215,8 @@
                 self._meet(message, now)
             case wire.Heartbeat():
                 self._take_heartbeat(sender, message, now)
-            case wire.Resign(ballot):
-                self._take_resignation(ballot, now)
+            case wire.Resign(term):
+                self._take_resignation(term, now)
             case wire.HeartbeatAck():
                 self._take_heartbeat_ack(sender, message, now)
             case wire.PreVote():
@@ -241,29 +241,29 @@
                 self._send(sender, voted)
             return
         if sender != self.me.id:
-            self._yield_to(voted.ballot, now)
+            self._yield_to(voted.term, now)
         self._write(voted.records)
         self._send(sender, voted.answer)
 
-    def _yield_to(self, ballot: Ballot, now: float) -> None:
-        """Another store acts under this ballot: an older primary or candidate is none any more."""
+    def _yield_to(self, term: Term, now: float) -> None:
+        """Another store acts under this term: an older primary or candidate is none any more."""
         self._watch.is_returning = False
         opening = self._candidacy.opening
-        if opening and ballot > opening.ballot:
+        if opening and term > opening.term:
             self._give_up_opening(Why.NEWER, now)
-        if self._leadership and ballot > self._leadership.epoch.ballot:
+        if self._leadership and term > self._leadership.epoch.term:
             self._step_down(Why.NEWER, now)
         self._miss(now)
 
     def _resign(self, leadership: Leadership, why: Why, now: float) -> None:
         for witness in leadership.epoch.witness_ids:
             if witness != self.me.id:
-                self._send(witness, wire.Resign(leadership.epoch.ballot))
+                self._send(witness, wire.Resign(leadership.epoch.term))
         self._step_down(why, now)
 
     def _step_down(self, why: Why, now: float) -> None:
         if self._leadership:
-            self.events.tell(SteppedDown(self._leadership.epoch.ballot.number, why))
+            self.events.tell(SteppedDown(self._leadership.epoch.term.number, why))
         self._leadership = None
         self._miss(now)
 
@@ -272,18 +272,18 @@
         core = self.durable.core
         if core and not is_same_core(core, epoch.core):
             return
-        if epoch.ballot < self.durable.promised:
-            self._send(sender, wire.Rejected(epoch.ballot, self.durable.promised))
+        if epoch.term < self.durable.promised:
+            self._send(sender, wire.Rejected(epoch.term, self.durable.promised))
             return
         durable = self.durable
         self._write(durable.settle(epoch))
         position = (durable.installed, durable.state.sequence)
-        self._send(sender, wire.HeartbeatAck(epoch.ballot, message.round, *position))
+        self._send(sender, wire.HeartbeatAck(epoch.term, message.round, *position))
         self.epoch = epoch
         if sender == self.me.id:
             return
         self._watch.heard(epoch.store(epoch.primary), now)
-        self._yield_to(epoch.ballot, now)
+        self._yield_to(epoch.term, now)
 
     # primary
 
@@ -299,20 +299,20 @@
 
     def _take_heartbeat_ack(self, sender: str, message: wire.HeartbeatAck, now: float) -> None:
         leadership = self._leadership
-        if leadership is None or message.ballot != leadership.epoch.ballot:
+        if leadership is None or message.term != leadership.epoch.term:
             return
         leadership.answered(sender, message.round, now)
-        state, ballot = self.durable.state, leadership.epoch.ballot
-        held = message.sequence if message.installed == ballot else -1
-        if held >= 0 and self.durable.installed == ballot:
+        state, term = self.durable.state, leadership.epoch.term
+        held = message.sequence if message.installed == term else -1
+        if held >= 0 and self.durable.installed == term:
             leadership.appended(sender, held)
         follows = sender in leadership.epoch.witness_ids
         if follows and leadership.catch_up.is_due(sender, held, state.sequence, now):
-            self._send(sender, wire.Install(ballot, state))
+            self._send(sender, wire.Install(term, state))
 
     def _take_appended(self, sender: str, message: wire.Appended) -> None:
         leadership = self._leadership
-        if leadership and message.ballot == leadership.epoch.ballot == self.durable.installed:
+        if leadership and message.term == leadership.epoch.term == self.durable.installed:
             leadership.appended(sender, message.sequence)
 
     def _tend_epoch(self, leadership: Leadership, now: float) -> None:
@@ -377,9 +377,9 @@
         if accepted and accepted.primary == store_id:
             self._watch.lose(store_id, now)
 
-    def _take_resignation(self, ballot: Ballot, now: float) -> None:
+    def _take_resignation(self, term: Term, now: float) -> None:
         accepted = self.durable.accepted
-        if accepted and accepted.ballot == ballot:
+        if accepted and accepted.term == term:
             self._watch.lose(accepted.primary, now)
 
     def _start_prevote(self, now: float) -> None:
@@ -404,7 +404,7 @@
         if message.accepted:
             self._write(self.durable.settle(message.accepted))
         accepted = self.durable.accepted
-        if accepted is None or (known is None or accepted.ballot > known.ballot):
+        if accepted is None or (known is None or accepted.term > known.term):
             self._miss(now)
         elif self._candidacy.granted(sender, message, accepted):
             self._open(accepted, accepted.witnesses, Why.PRIMARY_LOST, now)
@@ -429,7 +429,7 @@
             now=now,
         )
         assert self._candidacy.opening is not None
-        number = self._candidacy.opening.ballot.number
+        number = self._candidacy.opening.term.number
         self.events.tell(OpeningBegan(number, why, tuple(store.id for store in witnesses)))
         self._send_all(started)
 
@@ -444,7 +444,7 @@
         opening = self._candidacy.close()
         if opening:
             answered = tuple(sorted(opening.promised))
-            self.events.tell(OpeningFailed(opening.ballot.number, why, answered, now - opening.began))
+            self.events.tell(OpeningFailed(opening.term.number, why, answered, now - opening.began))
             if opening.is_founding:
                 self._founding.failed(now)
         self._step_down(why, now)
@@ -474,15 +474,15 @@
         self._write(self.durable.settle(epoch))
         self._beat(now)
         why, witnesses = self._candidacy.why, epoch.witness_ids
-        self.events.tell(EpochOpened(epoch.ballot.number, epoch.core, why, epoch.replicas, witnesses, took_s))
+        self.events.tell(EpochOpened(epoch.term.number, epoch.core, why, epoch.replicas, witnesses, took_s))
 
     def _take_rejection(self, message: wire.Rejected, now: float) -> None:
-        """A newer ballot is about: stand back, or exceed it at the next try."""
+        """A newer term is about: stand back, or exceed it at the next try."""
         candidacy = self._candidacy
-        candidacy.newest_ballot = max(candidacy.newest_ballot, message.promised)
-        if candidacy.opening and message.ballot == candidacy.opening.ballot:
+        candidacy.newest_term = max(candidacy.newest_term, message.promised)
+        if candidacy.opening and message.term == candidacy.opening.term:
             self._give_up_opening(Why.NEWER, now)
-        elif self.epoch and message.ballot == self.epoch.ballot and message.promised.store != self.me.id:
+        elif self.epoch and message.term == self.epoch.term and message.promised.store != self.me.id:
             self._step_down(Why.NEWER, now)
 
     # what goes out
--- a/fordtrestle/replication/opening.py
+++ b/fordtrestle/replication/opening.py
@@ -15,20 +15,20 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from fordtrestle.replication.epochs import NO_BALLOT, Ballot, Epoch, Store, choose_replicas, supported
+from fordtrestle.replication.epochs import NO_TERM, Epoch, Store, Term, choose_replicas, supported
 from fordtrestle.replication.messages import Accept, Accepted, Install, Installed, Message, Prepare, Promised
 from fordtrestle.replication.state import ControlState
 
 Outgoing = tuple[str, Message]  # store id of the receiver, and what it is sent
-Position = tuple[Ballot, int]  # the ballot that a state was installed under, and its sequence
+Position = tuple[Term, int]  # the term that a state was installed under, and its sequence
 
 
 @dataclass(slots=True)
 class Opening:
-    """The candidate's side of one ballot."""
+    """The candidate's side of one term."""
 
     me: Store
-    ballot: Ballot
+    term: Term
     base: Epoch  # the newest epoch known
     witnesses: tuple[Store, ...]  # of the epoch to be opened
     replica_count: int
@@ -47,7 +47,7 @@
     @property
     def is_founding(self) -> bool:
         """Whether this would be the first epoch."""
-        return self.base.ballot == NO_BALLOT
+        return self.base.term == NO_TERM
 
     @property
     def quorums(self) -> tuple[tuple[str, ...], ...]:
@@ -57,19 +57,19 @@
 
     def start(self) -> list[Outgoing]:
         """Ask everyone concerned to promise."""
-        return [(store_id, Prepare(self.ballot)) for store_id in sorted(self._everyone())]
+        return [(store_id, Prepare(self.term)) for store_id in sorted(self._everyone())]
 
     def receive(self, sender: str, message: Message, state: ControlState) -> list[Outgoing]:
         """Go on with an answer from a store; `state` is this store's own."""
         if self.newer or self.opened:
             return []
         match message:
-            case Promised() if message.ballot == self.ballot:
+            case Promised() if message.term == self.term:
                 return self._take_promise(sender, message, state)
-            case Installed() if message.ballot == self.ballot and self.installing:
+            case Installed() if message.term == self.term and self.installing:
                 self.installed.add(sender)
                 return self._propose()
-            case Accepted() if self.proposed and message.ballot == self.ballot:
+            case Accepted() if self.proposed and message.term == self.term:
                 return self._take_acceptance(sender, self.proposed)
         return []
 
@@ -82,10 +82,10 @@
             if self._repeats & (self._repeats - 1):
                 return []
             missing = set(self.installing) - self.installed
-            return [(store_id, Install(self.ballot, state)) for store_id in sorted(missing)]
+            return [(store_id, Install(self.term, state)) for store_id in sorted(missing)]
         missing = self._everyone() - set(self.promised)
         return [
-            *((store_id, Prepare(self.ballot)) for store_id in sorted(missing)),
+            *((store_id, Prepare(self.term)) for store_id in sorted(missing)),
             *self._begin_installing(state, patient=False),
         ]
 
@@ -94,10 +94,10 @@
 
     def _take_promise(self, sender: str, message: Promised, state: ControlState) -> list[Outgoing]:
         known = message.accepted
-        if known and known.ballot > self.base.ballot:
+        if known and known.term > self.base.term:
             self.newer = known
             return []
-        if known and known.ballot == self.base.ballot and not known.earlier:
+        if known and known.term == self.base.term and not known.earlier:
             self.base = known  # it is known there that this epoch is open
         self.promised[sender] = (message.installed, message.sequence)
         return self._begin_installing(state, patient=True)
@@ -121,7 +121,7 @@
         self.installing = chosen
         if holding.issuperset(chosen):
             return self._propose(held)
-        return [(store_id, Install(self.ballot, state)) for store_id in chosen]
+        return [(store_id, Install(self.term, state)) for store_id in chosen]
 
     def _is_promised(self) -> bool:
         return supported(self.promised, self.quorums) and self.unanimous.issubset(self.promised)
@@ -144,7 +144,7 @@
         if self.proposed or not (kept or self.installed.issuperset(self.installing)):
             return []
         self.proposed = Epoch(
-            ballot=self.ballot,
+            term=self.term,
             primary=self.me.id,
             replicas=self.installing,
             witnesses=self.witnesses,
--- a/fordtrestle/replication/state.py
+++ b/fordtrestle/replication/state.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakenCall:
+class AppliedCall:
     """A call that changed the configuration, and the generation that it built on."""
 
     digest: bytes
@@ -53,7 +53,7 @@
     generation: int = 0
     document: bytes = b""
     evacuated: tuple[str, ...] = ()
-    taken: tuple[TakenCall, ...] = ()  # the newest calls, in their order
+    taken: tuple[AppliedCall, ...] = ()  # the newest calls, in their order
     forgotten_base: int = -1  # the newest generation that a call built on of which nothing is known any more
     prints: bytes = b""  # of the calls from before `taken`, in their order
 
@@ -72,7 +72,7 @@
         """The state after one more change."""
         after = replace(self, sequence=self.sequence + 1)
         if isinstance(change, ConfigChange):
-            taken = (*self.taken, TakenCall(change.digest, self.generation))
+            taken = (*self.taken, AppliedCall(change.digest, self.generation))
             prints = self.prints + b"".join(call.digest[:PRINT_BYTES] for call in taken[:-TAKEN_MOST])
             is_full = len(prints) > PRINTS_MOST * PRINT_BYTES
             kept = taken[-TAKEN_MOST:]
--- a/fordtrestle/replication/voting.py
+++ b/fordtrestle/replication/voting.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import Ballot
+from fordtrestle.replication.epochs import Term
 from fordtrestle.replication.messages import (
     Accept,
     Accepted,
@@ -28,7 +28,7 @@
 class Given:
     """The question was taken: `records` have to be synced before the answer is told."""
 
-    ballot: Ballot
+    term: Term
     records: Sequence[Record]
     answer: Answer
 
@@ -37,19 +37,19 @@
     """The answer to a question; nothing where it does not fit what this store holds, which is no fault."""
     answer: Answer
     match question:
-        case Prepare(ballot):
-            records = durable.promise(ballot)
-            answer = Promised(ballot, durable.accepted, durable.installed, durable.state.sequence)
-        case Install(ballot, state):
-            records = durable.install(ballot, state)
-            answer = Installed(ballot)
+        case Prepare(term):
+            records = durable.promise(term)
+            answer = Promised(term, durable.accepted, durable.installed, durable.state.sequence)
+        case Install(term, state):
+            records = durable.install(term, state)
+            answer = Installed(term)
         case Accept(epoch):
-            ballot = epoch.ballot
+            term = epoch.term
             records = durable.accept(epoch)
-            answer = Accepted(ballot)
-        case Append(ballot, sequence, change):
-            records = durable.append(ballot, sequence, change)
-            answer = Appended(ballot, durable.state.sequence)
+            answer = Accepted(term)
+        case Append(term, sequence, change):
+            records = durable.append(term, sequence, change)
+            answer = Appended(term, durable.state.sequence)
     if records is not None:
-        return Given(ballot, records, answer)
-    return Rejected(ballot, durable.promised) if durable.promised > ballot else None
+        return Given(term, records, answer)
+    return Rejected(term, durable.promised) if durable.promised > term else None
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -15,7 +15,7 @@
 from fordtrestle.control_api.withdrawals import Withdrawals
 from fordtrestle.dissemination.items import Availability, ControlView, control_item
 from fordtrestle.dissemination.messages import Confirm, Confirmed, OutcomeReport
-from fordtrestle.dissemination.suspicion import heir_of
+from fordtrestle.dissemination.suspicion import successor_of
 from fordtrestle.ingress.directory import Directory
 from fordtrestle.peer.codec import CodecError, Envelope, decode, encode
 from fordtrestle.peer.mesh import Link
@@ -37,7 +37,7 @@
 )
 from fordtrestle.roles.process import main as run_role
 from fordtrestle.settings.boot import Boot
-from fordtrestle.storage.log import RecordLog, StorageError, UnknownFormat
+from fordtrestle.storage.log import RecordLog, StorageError, UnknownFormatError
 
 STORE_ID_BYTES = 8
 SILENCE_CHECK_S = 0.3
@@ -47,7 +47,7 @@
 CLOSE_S = 1.5  # before its time is over, that a control process goes whoever needs it
 
 
-async def _open_store(log: RecordLog, told_to_found: bool) -> Durable:
+async def _open_store(log: RecordLog, must_bootstrap: bool) -> Durable:
     """What the disk holds, or a new store, which may be told to found the core. Waits for a disk that
     refuses.
     """
@@ -57,10 +57,10 @@
             durable = Durable.restore(map(decode, records))
             if durable:
                 return durable
-            durable = Durable(secrets.token_hex(STORE_ID_BYTES), told_to_found)
+            durable = Durable(secrets.token_hex(STORE_ID_BYTES), must_bootstrap)
             await asyncio.to_thread(log.append, [encode(record) for record in durable.snapshot()])
             return durable
-        except UnknownFormat:
+        except UnknownFormatError:
             raise
         except StorageError as error:
             eliot.log_message("control:disk-refuses", reason=repr(error.__cause__))
@@ -115,11 +115,11 @@
             view = ControlView(state.sequence, state.generation, state.document, state.evacuated)
             self.process.gossip.publish([control_item(view)])
         epoch = self.node.epoch
-        if epoch and epoch.ballot.number != self._epoch:
-            self._epoch = epoch.ballot.number
+        if epoch and epoch.term.number != self._epoch:
+            self._epoch = epoch.term.number
             eliot.log_message(
                 "control:epoch",
-                number=epoch.ballot.number,
+                number=epoch.term.number,
                 primary=epoch.primary,
                 replicas=list(epoch.replicas),
                 witnesses=list(epoch.witness_ids),
@@ -130,7 +130,7 @@
         epoch, state = self.node.epoch, self.node.durable.state
         return {
             **metrics.of_catalog(self.process.gossip.catalog),
-            "epoch": epoch.ballot.number if epoch else 0,
+            "epoch": epoch.term.number if epoch else 0,
             "is_primary": self.node.is_primary,
             "is_ready": self.node.is_ready,
             **metrics.of_events(self.node.events),
@@ -153,7 +153,7 @@
     def _inherits(self, node: str) -> bool:
         """Whether this process watches the servers of a control process that is gone."""
         members = [member for member, _ in self.process.gossip.catalog.members()]
-        return heir_of(node, members, CONTROL_ROLE) == self.process.boot.node_name
+        return successor_of(node, members, CONTROL_ROLE) == self.process.boot.node_name
 
     async def watch_servers(self) -> None:
         """Tell of servers whose heartbeats have stopped, until cancelled."""
@@ -175,8 +175,8 @@
     log = RecordLog(boot.data_dir)
     is_first = bool(boot.seeds) and boot.listen["control"] == boot.seeds[0]
     try:
-        durable = await _open_store(log, told_to_found=boot.bootstrap and is_first)
-    except (CodecError, UnknownFormat) as error:
+        durable = await _open_store(log, must_bootstrap=boot.bootstrap and is_first)
+    except (CodecError, UnknownFormatError) as error:
         eliot.log_message("control:disk-unreadable", reason=str(error))
         return EXIT_FAILED
     control = Control(boot, log, durable)
--- a/fordtrestle/roles/metrics.py
+++ b/fordtrestle/roles/metrics.py
@@ -30,9 +30,9 @@
         "zones_evacuated": len(control.evacuated) if control else 0,
         "members_ready": members.count(Availability.READY),
         "members_down": members.count(Availability.DOWN),
-        "servers_serving": sum(r.phase is Phase.SERVING and not r.silent for r in servers),
+        "servers_serving": sum(r.phase is Phase.SERVING and not r.is_unresponsive for r in servers),
         "servers_draining": sum(r.phase is Phase.DRAINING for r in servers),
-        "servers_silent": sum(r.phase is Phase.SERVING and r.silent for r in servers),
+        "servers_silent": sum(r.phase is Phase.SERVING and r.is_unresponsive for r in servers),
     }
 
 
--- a/fordtrestle/roles/process.py
+++ b/fordtrestle/roles/process.py
@@ -18,7 +18,7 @@
 
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import MEMBER_PREFIX, Availability, Item, MemberRecord, member_item
-from fordtrestle.dissemination.messages import GossipMessage, HasLink, Vouch
+from fordtrestle.dissemination.messages import GossipMessage, IndirectProbe, IndirectProbeAck
 from fordtrestle.dissemination.suspicion import ASKED_MOST, Suspicion, live_nodes, owner_of, watched_by
 from fordtrestle.peer.codec import PROTOCOL, PROTOCOL_OLDEST, Hello
 from fordtrestle.peer.gossip import Gossip
@@ -155,7 +155,7 @@
         steps = self._suspicion.tick(self._watched, self.in_touch(), asyncio.get_running_loop().time())
         for node in steps.ask:
             for link in self.rng.sample(self.mesh.links(), min(ASKED_MOST, len(self.mesh.links()))):
-                link.send(HasLink(node))
+                link.send(IndirectProbe(node))
         for node in steps.down:
             item = catalog.get(MEMBER_PREFIX + node)
             if item and isinstance(item.value, MemberRecord):
@@ -176,10 +176,10 @@
     def _received(self, link: Link, message: Any) -> None:
         if isinstance(message, GossipMessage):
             self.gossip.received(link, message)
-        elif isinstance(message, HasLink):
+        elif isinstance(message, IndirectProbe):
             if self.mesh.link(message.node):
-                link.send(Vouch(message.node))
-        elif isinstance(message, Vouch):
+                link.send(IndirectProbeAck(message.node))
+        elif isinstance(message, IndirectProbeAck):
             self._suspicion.vouched(message.node, asyncio.get_running_loop().time())
         else:
             self.on_message(link, message)
--- a/fordtrestle/routing/servers.py
+++ b/fordtrestle/routing/servers.py
@@ -43,11 +43,11 @@
 
     def take(self, record: ServerRecord, version: Version, now: float) -> None:
         """Follow a newer record."""
-        if self.record.silent and not record.silent:
+        if self.record.is_unresponsive and not record.is_unresponsive:
             self.rest_until, self.failures = now, 0
         self.misdirected = False
         self.record, self.version, self.told_at = record, version, now
-        self.cold_until = max(self.cold_until, now + record.cold_ms / MS_PER_S)
+        self.cold_until = max(self.cold_until, now + record.warm_up_ms / MS_PER_S)
 
     def failed(self, now: float) -> None:
         """No connection came up, or one broke: absence, which says nothing of load."""
@@ -74,7 +74,7 @@
     def is_usable(self, now: float) -> bool:
         """Whether it may take a request now, as far as it is itself concerned."""
         record = self.record
-        if record.phase is not Phase.SERVING or record.silent or self.misdirected:
+        if record.phase is not Phase.SERVING or record.is_unresponsive or self.misdirected:
             return False
         return now >= self.rest_until
 
@@ -129,8 +129,8 @@
         """Drop servers that are gone for good, and those that the catalog forgets."""
         for instance, server in list(self._servers.items()):
             record = server.record
-            gone = record.phase is Phase.GONE and now - server.told_at > FORGET_S
-            unheard = record.silent or record.phase is Phase.DRAINING
+            gone = record.phase is Phase.DEPARTED and now - server.told_at > FORGET_S
+            unheard = record.is_unresponsive or record.phase is Phase.DRAINING
             gone = gone or (unheard and now - server.told_at > UNHEARD_S)
             if gone and server.in_flight == 0:
                 del self._servers[instance]
--- a/fordtrestle/storage/log.py
+++ b/fordtrestle/storage/log.py
@@ -25,7 +25,7 @@
     """The disk did not take or give what was asked; the cause is chained."""
 
 
-class UnknownFormat(StorageError):
+class UnknownFormatError(StorageError):
     """The file was written by a version of the program whose format this one does not read."""
 
 
@@ -41,7 +41,7 @@
 
     def open(self) -> list[bytes]:
         """Read all whole records, cut off a torn tail and sync what is left. `StorageError` if the disk
-        refuses; `UnknownFormat`, with the file untouched, if it is of another version.
+        refuses; `UnknownFormatError`, with the file untouched, if it is of another version.
         """
         try:
             os.makedirs(self._folder, exist_ok=True)
@@ -116,7 +116,7 @@
         if told != FORMAT:
             name = self._folder / NAME
             text = told[:FORMAT_TOLD_MOST].decode(errors="replace")
-            raise UnknownFormat(f"{name} has format {text}; this version reads {FORMAT.decode()}")
+            raise UnknownFormatError(f"{name} has format {text}; this version reads {FORMAT.decode()}")
         return records[1:]
 
     def _read_all(self) -> bytes:
--- a/tests/control_api/test_exchanges.py
+++ b/tests/control_api/test_exchanges.py
@@ -20,7 +20,7 @@
 from fordtrestle.peer.mesh import Mesh
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import Ballot, Epoch, Store
+from fordtrestle.replication.epochs import Epoch, Store, Term
 from fordtrestle.replication.messages import Heartbeat, Resign
 from fordtrestle.replication.node import Node
 from fordtrestle.replication.primary_watch import ELECTION_S
@@ -57,7 +57,7 @@
         store = Store("s1", "127.0.0.1:1", "127.0.0.1:2", "z-1")
         self.node = Node(
             store,
-            Durable("s1", told_to_found=founded),
+            Durable("s1", must_bootstrap=founded),
             machines=0,
             counts=True,
             draw=random.Random(1).random,
@@ -171,12 +171,12 @@
         await client.exchange(request("POST", "/v1/instances/i-1/deregister"))
         await client.exchange(request("POST", "/v1/instances/never-heard-of/deregister"))
         record, _ = next(stage.gossip.catalog.servers())
-        assert record.phase is Phase.GONE
+        assert record.phase is Phase.DEPARTED
         assert approved(client) == snapshot
 
 
 OTHER = Store("s2", "127.0.0.2:1", "127.0.0.2:8146", "z-2")
-THEIRS = Epoch(Ballot(4, "s2"), "s2", ("s2",), (OTHER,))
+THEIRS = Epoch(Term(4, "s2"), "s2", ("s2",), (OTHER,))
 
 
 @loopback
@@ -198,7 +198,7 @@
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 503")
         stage.node.receive("s2", Heartbeat(THEIRS, 2), now + 60.0)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 307")
-        stage.node.receive("s2", Resign(THEIRS.ballot), now + 60.0)
+        stage.node.receive("s2", Resign(THEIRS.term), now + 60.0)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 503")
 
 
--- a/tests/control_api/test_heartbeats.py
+++ b/tests/control_api/test_heartbeats.py
@@ -55,7 +55,7 @@
     assert core.silent(9.0) == []
     assert core.hear(10.0, sequence=2)
     record, _ = next(core.catalog.servers())
-    assert not record.silent
+    assert not record.is_unresponsive
 
 
 def test_a_server_that_has_gone_over_to_another_process_is_left_to_that_one():
--- a/tests/control_api/test_withdrawals.py
+++ b/tests/control_api/test_withdrawals.py
@@ -25,7 +25,7 @@
 from fordtrestle.peer.codec import Hello
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Mesh
-from fordtrestle.replication.epochs import Ballot, Epoch, Store
+from fordtrestle.replication.epochs import Epoch, Store, Term
 from fordtrestle.settings.boot import Address
 from tests.exchanges import loopback, until
 
@@ -72,7 +72,7 @@
     """Three control processes with links to each other, and a sidecar that has a link to the third alone."""
     processes = [Process(name, number) for number, name in enumerate(("one", "two", "three"), start=1)]
     sidecar = Process("sidecar", 9)
-    epoch = Epoch(Ballot(3, "one"), "one", ("one", "two"), tuple(process.store for process in processes))
+    epoch = Epoch(Term(3, "one"), "one", ("one", "two"), tuple(process.store for process in processes))
     for process in (*processes, sidecar):
         process.epoch = epoch
         await process.mesh.listen(Address(process.host, PORT))
@@ -123,7 +123,7 @@
             link.close()
         await until(lambda: not one.mesh.links())
         assert not await one.withdrawals.confirm("i-1")
-        two.hear(Phase.GONE)
+        two.hear(Phase.DEPARTED)
         two.epoch = None
         assert not await two.withdrawals.confirm("i-1")
 
@@ -135,7 +135,7 @@
         assert await one.withdrawals.confirm("i-1")
         two.mute = three.mute = True
         assert await one.withdrawals.confirm("i-1")
-        one.hear(Phase.GONE)
+        one.hear(Phase.DEPARTED)
         assert not await one.withdrawals.confirm("i-1")
 
 
--- a/tests/dissemination/test_broadcast.py
+++ b/tests/dissemination/test_broadcast.py
@@ -20,7 +20,7 @@
 from rig.system.gossip_network import Network, Place
 
 PLACES = [Place(f"z-{number}", f"r-{number % 3}") for number in range(6)]
-GONE = ServerRecord("i-1", "pool", "10.0.0.1:80", "z-1", 4, Phase.GONE, False, 0.0, None, (), "core-1")
+GONE = ServerRecord("i-1", "pool", "10.0.0.1:80", "z-1", 4, Phase.DEPARTED, False, 0.0, None, (), "core-1")
 IN_FORCE_S = 2.5  # a margin below the 3 s of all deployments
 
 
--- a/tests/dissemination/test_catalog.py
+++ b/tests/dissemination/test_catalog.py
@@ -88,7 +88,7 @@
     assert not catalog.merge([server(sequence=5, silent=True)], 0.0)
     assert catalog.merge([server(sequence=6, phase=Phase.DRAINING)], 0.0)
     assert not catalog.merge([server(sequence=9)], 0.0)
-    assert catalog.merge([server(sequence=1, phase=Phase.GONE)], 0.0)
+    assert catalog.merge([server(sequence=1, phase=Phase.DEPARTED)], 0.0)
     assert not catalog.merge([server(sequence=9, phase=Phase.DRAINING)], 0.0)
 
 
@@ -103,7 +103,7 @@
 
 def test_tombstones_stay_as_long_as_an_old_message_may_travel():
     catalog = Catalog()
-    catalog.merge([server(phase=Phase.GONE), server("i-2")], 0.0)
+    catalog.merge([server(phase=Phase.DEPARTED), server("i-2")], 0.0)
     catalog.expire(TOMBSTONE_S)
     assert not catalog.merge([server(sequence=9)], TOMBSTONE_S)
     catalog.expire(TOMBSTONE_S + 1.0)
@@ -116,8 +116,8 @@
 def test_what_one_process_has_forgotten_is_not_taken_back_from_another_that_has_not():
     """Each would go on giving it to the other, and none would ever forget it."""
     one, other = Catalog(), Catalog()
-    one.merge([server(phase=Phase.GONE)], 0.0)
-    other.merge([server(phase=Phase.GONE)], 1.0)
+    one.merge([server(phase=Phase.DEPARTED)], 0.0)
+    other.merge([server(phase=Phase.DEPARTED)], 1.0)
     for tenth in range(10 * int(TOMBSTONE_S), 10 * int(TOMBSTONE_S) + 30):
         now = tenth / 10
         for catalog, peer in ((one, other), (other, one)):
@@ -130,7 +130,9 @@
                 messages += [(sender, receiver, answer) for answer in receiver.answer(message)]
     assert not held(one)
     assert not held(other)
-    assert one.merge([server(sequence=1, phase=Phase.GONE)], 3 * TOMBSTONE_S) == [], "an old word travels yet"
+    assert one.merge([server(sequence=1, phase=Phase.DEPARTED)], 3 * TOMBSTONE_S) == [], (
+        "an old word travels yet"
+    )
     one.expire(3 * TOMBSTONE_S)
     assert one.merge([server(sequence=1)], 3 * TOMBSTONE_S)
 
--- a/tests/dissemination/test_suspicion.py
+++ b/tests/dissemination/test_suspicion.py
@@ -8,7 +8,7 @@
     SUSPECT_S,
     WATCHERS,
     Suspicion,
-    heir_of,
+    successor_of,
     watched_by,
     watchers,
 )
@@ -63,10 +63,10 @@
         return MemberRecord(node, role, "z", "r", f"{node}:1", "", availability)
 
     members = [member(f"c-{n}") for n in range(4)] + [member("s-1", "sidecar")]
-    assert heir_of("c-2", members, "control") is None, "it is there"
+    assert successor_of("c-2", members, "control") is None, "it is there"
     down = [*members[:2], member("c-2", availability=Availability.DOWN), *members[3:]]
-    heir = heir_of("c-2", down, "control")
+    heir = successor_of("c-2", down, "control")
     assert heir in {"c-0", "c-1", "c-3"}
-    assert heir == heir_of("c-2", reversed(down), "control")
-    assert heir_of("forgotten", members, "control") in {f"c-{n}" for n in range(4)}
-    assert heir_of("c-2", [member("s-1", "sidecar")], "control") is None
+    assert heir == successor_of("c-2", reversed(down), "control")
+    assert successor_of("forgotten", members, "control") in {f"c-{n}" for n in range(4)}
+    assert successor_of("c-2", [member("s-1", "sidecar")], "control") is None
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -71,10 +71,10 @@
         '        if zlib.crc32(payload, zlib.crc32(struct.pack(">I", length))) != checksum:\n',
         "        if False:\n",
     ),
-    "entries of another ballot are void": _removal(
+    "entries of another term are void": _removal(
         "replication/durable.py",
         "tests/replication/test_durable.py",
-        "entry.ballot == self.installed and entry",
+        "entry.term == self.installed and entry",
         "entry",
     ),
     "what a disk refused is not told": _removal(
@@ -346,13 +346,13 @@
     "a message of another version is skipped": _removal(
         "peer/connection.py",
         "tests/peer",
-        "                except UnknownMessage as error:\n",
+        "                except UnknownMessageError as error:\n",
         "                except MemoryError as error:\n",
     ),
     "a value that is not known is of another version": _removal(
         "peer/codec.py",
         "tests/peer",
-        "        raise UnknownMessage(str(error)) from error\n",
+        "        raise UnknownMessageError(str(error)) from error\n",
         "        raise\n",
     ),
     "fields of a later version are left out": _removal(
@@ -434,8 +434,8 @@
     "a final phase outdoes all heartbeats": _removal(
         "dissemination/items.py",
         "tests/dissemination/test_forgetting.py",
-        "    version = (int(record.phase), sequence, int(record.silent))\n",
-        "    version = (sequence, int(record.phase), int(record.silent))\n",
+        "    version = (int(record.phase), sequence, int(record.is_unresponsive))\n",
+        "    version = (sequence, int(record.phase), int(record.is_unresponsive))\n",
     ),
     "what befalls all servers ejects none": _removal(
         OUTLIERS, OUTLIERS_TESTS, "max(SHARE_LEAST, TIMES_OTHERS * median(shares))", "SHARE_LEAST"
--- a/tests/ingress/stage.py
+++ b/tests/ingress/stage.py
@@ -164,8 +164,8 @@
         told = {
             "slots": 4,
             "phase": Phase.SERVING,
-            "silent": False,
-            "cold_ms": 0.0,
+            "is_unresponsive": False,
+            "warm_up_ms": 0.0,
             "remaining_ms": None,
             "models": (),
             "heard_by": "core-1",
--- a/tests/peer/test_replicator.py
+++ b/tests/peer/test_replicator.py
@@ -14,7 +14,7 @@
 from fordtrestle.peer.mesh import Mesh
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import Ballot, Store
+from fordtrestle.replication.epochs import Store, Term
 from fordtrestle.replication.messages import Prepare
 from fordtrestle.replication.node import Node
 from fordtrestle.replication.state import Evacuation
@@ -46,7 +46,7 @@
     disk.open()
     node = Node(
         Store("s1", "127.0.0.1:1", "127.0.0.1:2", "z-1"),
-        Durable("s1", told_to_found=True),
+        Durable("s1", must_bootstrap=True),
         machines=0,
         counts=True,
         draw=random.Random(1).random,
@@ -124,8 +124,8 @@
 @loopback
 async def test_a_message_to_an_earlier_store_of_this_machine_is_not_taken(tmp_path):
     async with stage(tmp_path) as (replicator, _):
-        ballot = Ballot(99, "s9")
-        replicator.received(Envelope("s9", "s0", Prepare(ballot)))
-        assert replicator.node.durable.promised < ballot
-        replicator.received(Envelope("s9", "s1", Prepare(ballot)))
-        assert replicator.node.durable.promised == ballot
+        term = Term(99, "s9")
+        replicator.received(Envelope("s9", "s0", Prepare(term)))
+        assert replicator.node.durable.promised < term
+        replicator.received(Envelope("s9", "s1", Prepare(term)))
+        assert replicator.node.durable.promised == term
--- a/tests/peer/test_versions.py
+++ b/tests/peer/test_versions.py
@@ -15,19 +15,58 @@
 from fordtrestle.dissemination.items import Availability, MemberRecord
 from fordtrestle.dissemination.messages import Want
 from fordtrestle.peer import codec
-from fordtrestle.peer.codec import CodecError, Hello, UnknownMessage, agreed_version, decode, encode, table
+from fordtrestle.peer.codec import (
+    CodecError,
+    Hello,
+    UnknownMessageError,
+    agreed_version,
+    decode,
+    encode,
+    table,
+)
 from fordtrestle.peer.connection import Connection, frame
 from fordtrestle.peer.mesh import Mesh
-from fordtrestle.replication.epochs import UNKNOWN_CORE, Ballot, Epoch
+from fordtrestle.replication.epochs import UNKNOWN_CORE, Epoch, Term
 from fordtrestle.replication.messages import Announce
 from fordtrestle.settings.boot import Address
 from tests.exchanges import loopback, until
 from tests.peer.test_connection import talk
 
-TABLES = sorted((Path(__file__).parent / "wire").glob("protocol-*.json"))
+WIRE = Path(__file__).parent / "wire"
+TABLES = sorted(WIRE.glob("protocol-*.json"))
+RENAMED = json.loads((WIRE / "renamed.json").read_text())
 NEWS = cbor2.dumps(cbor2.CBORTag(codec._FIRST_TAG + 400, ["of a later version"]))
 
 
+def in_names_of_today(landed: dict) -> dict:
+    """A table that landed, with the names that the code has for the same types, fields and values now.
+
+    Names do not travel: tags, positions and numbers do. `renamed.json` maps each name that has changed; one
+    that is not in the map has to be the same as then.
+    """
+    fields, values = RENAMED["fields"], RENAMED["values"]
+
+    def renamed_row(name: str, *names: str) -> list[str]:
+        now = RENAMED["types"].get(name, name)
+        known = {**fields["*"], **fields.get(now, {})}
+        return [now, *(known.get(field, field) for field in names)]
+
+    def renamed_key(key: str) -> str:
+        name, _, field = key.partition(".")
+        return ".".join(renamed_row(name, field))
+
+    return {
+        **landed,
+        "types": {tag: renamed_row(*row) for tag, row in landed["types"].items()},
+        "values": {
+            renamed_key(key): {
+                values.get(renamed_key(key), {}).get(name, name): number for name, number in numbers.items()
+            }
+            for key, numbers in landed["values"].items()
+        },
+    }
+
+
 def faults(old: dict, new: dict) -> list[str]:
     """What of an older table a newer one breaks."""
     found = []
@@ -45,17 +84,32 @@
 
 @pytest.mark.parametrize("path", TABLES, ids=lambda path: path.stem)
 def test_what_landed_once_can_still_be_read(path):
-    assert not faults(json.loads(path.read_text()), table())
+    assert not faults(in_names_of_today(json.loads(path.read_text())), table())
 
 
 def test_the_newest_table_is_kept():
     """Where this fails, the change is one that the rule allows, or the test above fails too: write the table
     down under its number, a new one where others have to know of it.
     """
-    newest = json.loads(TABLES[-1].read_text())
+    newest = in_names_of_today(json.loads(TABLES[-1].read_text()))
     assert newest == json.loads(json.dumps(table()))
 
 
+def test_names_that_have_changed_are_names_of_the_landed_table_and_of_today():
+    """Guards against a map that hides a type, field or value that is gone."""
+    landed, now = json.loads(TABLES[-1].read_text()), table()
+    landed_types = {name: fields for name, *fields in landed["types"].values()}
+    types_now = {name: fields for name, *fields in now["types"].values()}
+    for old, new in RENAMED["types"].items():
+        assert old in landed_types
+        assert new in types_now
+    for kind, names in RENAMED["fields"].items():
+        of_kind = [fields for name, fields in types_now.items() if kind in ("*", name)]
+        assert set(names.values()) <= {field for fields in of_kind for field in fields}
+        assert not set(names) & {field for fields in of_kind for field in fields}
+        assert set(names) <= {field for fields in landed_types.values() for field in fields}
+
+
 def _without_a_field(new):
     new["types"]["48103"].pop()
 
@@ -107,7 +161,7 @@
 
 
 def test_fields_that_lack_have_their_defaults_and_others_are_left_out():
-    told = Epoch(Ballot(3, "a"), "a", ("a",), (), core="c")
+    told = Epoch(Term(3, "a"), "a", ("a",), (), core="c")
     tag, values = fields_of(told)
     longer = decode(cbor2.dumps(cbor2.CBORTag(tag, [*values, "later"])))
     assert longer == told
@@ -121,7 +175,7 @@
     member = MemberRecord("n", "sidecar", "z", "r", "p", "f", Availability.READY)
     tag, values = fields_of(member)
     values[-1] = 99
-    with pytest.raises(UnknownMessage):
+    with pytest.raises(UnknownMessageError):
         decode(cbor2.dumps(cbor2.CBORTag(tag, values)))
 
 
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -13,7 +13,7 @@
 from fordtrestle.replication import messages as wire
 from fordtrestle.replication import opening as opening_module
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import NO_BALLOT, Epoch, majority
+from fordtrestle.replication.epochs import NO_TERM, Epoch, majority
 from fordtrestle.replication.node import Node
 from fordtrestle.replication.opening import Opening
 from tests.replication.world import Machine, World
@@ -23,12 +23,12 @@
 
 def _promises_are_forgotten(patch: pytest.MonkeyPatch) -> None:
     whole = Durable.promise
-    patch.setattr(Durable, "promise", lambda self, ballot: None if whole(self, ballot) is None else [])
+    patch.setattr(Durable, "promise", lambda self, term: None if whole(self, term) is None else [])
 
 
-def _older_ballots_are_promised(patch: pytest.MonkeyPatch) -> None:
-    def promise(self, ballot):
-        self.promised = ballot
+def _older_terms_are_promised(patch: pytest.MonkeyPatch) -> None:
+    def promise(self, term):
+        self.promised = term
         return [self._vote()]
 
     patch.setattr(Durable, "promise", promise)
@@ -36,20 +36,20 @@
 
 def _older_epochs_are_accepted(patch: pytest.MonkeyPatch) -> None:
     def accept(self, epoch):
-        self.promised, self.accepted = epoch.ballot, epoch
+        self.promised, self.accepted = epoch.term, epoch
         return self._adopt(epoch)
 
     patch.setattr(Durable, "accept", accept)
 
 
 def _appends_pass_the_fence(patch: pytest.MonkeyPatch) -> None:
-    def append(self, ballot, sequence, change):
+    def append(self, term, sequence, change):
         if sequence > self.state.sequence + 1:
             return None
         if sequence <= self.state.sequence:
             return []
         self.state = self.state.apply(change)
-        return [wire.Entry(ballot, sequence, change)]
+        return [wire.Entry(term, sequence, change)]
 
     patch.setattr(Durable, "append", append)
 
@@ -57,11 +57,11 @@
 def _appends_may_leave_gaps(patch: pytest.MonkeyPatch) -> None:
     whole = Durable.append
 
-    def append(self, ballot, sequence, change):
-        if ballot == self.installed and ballot >= self.promised and sequence > self.state.sequence + 1:
+    def append(self, term, sequence, change):
+        if term == self.installed and term >= self.promised and sequence > self.state.sequence + 1:
             self.state = replace(self.state.apply(change), sequence=sequence)
-            return [wire.Entry(ballot, sequence, change)]
-        return whole(self, ballot, sequence, change)
+            return [wire.Entry(term, sequence, change)]
+        return whole(self, term, sequence, change)
 
     patch.setattr(Durable, "append", append)
 
@@ -93,7 +93,7 @@
     whole = Node._take_appended
 
     def take(self, sender, message):
-        if self._leadership and message.ballot == self._leadership.epoch.ballot:
+        if self._leadership and message.term == self._leadership.epoch.term:
             for replica in self._leadership.epoch.replicas:
                 whole(self, replica, message)
 
@@ -134,9 +134,9 @@
     def restore(cls, records):
         found = whole(cls, records)
         if found and found.accepted:
-            found.promised = found.accepted.ballot
+            found.promised = found.accepted.term
         elif found:
-            found.promised = NO_BALLOT
+            found.promised = NO_TERM
         return found
 
     patch.setattr(Durable, "restore", classmethod(restore))
@@ -170,7 +170,7 @@
     "the state is on all replicas before the epoch": _state_is_not_installed_first,
     "a promise is on disk before it is told": _promises_are_forgotten,
     "promises outlive a restart": _votes_are_lost_at_a_restart,
-    "no older ballot is promised": _older_ballots_are_promised,
+    "no older term is promised": _older_terms_are_promised,
     "no older epoch is accepted": _older_epochs_are_accepted,
     "a replica refuses writes of older epochs": _appends_pass_the_fence,
     "only a replica of the newest epoch opens the next": _any_candidate_may_open,
--- a/tests/replication/test_double_losses.py
+++ b/tests/replication/test_double_losses.py
@@ -181,7 +181,7 @@
         epoch = world.newest()
         kill(1, 2)(world)
         world.go(moment)
-        is_behind = world.newest().ballot > epoch.ballot
+        is_behind = world.newest().term > epoch.term
         before, behind = before + (not is_behind), behind + is_behind
         lost += sum(world.may_wipe(machine) for machine in world.machines)
     assert before
--- a/tests/replication/test_durable.py
+++ b/tests/replication/test_durable.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import Ballot
+from fordtrestle.replication.epochs import Term
 from fordtrestle.replication.messages import Entry, Snapshot, Vote
 from fordtrestle.replication.state import ControlState, Evacuation
 
-OLD, NEW = Ballot(1, "a"), Ballot(2, "b")
+OLD, NEW = Term(1, "a"), Term(2, "b")
 
 
 def state(*zones):
@@ -18,7 +18,7 @@
     return found
 
 
-def test_entries_of_another_ballot_are_no_part_of_a_later_snapshot():
+def test_entries_of_another_term_are_no_part_of_a_later_snapshot():
     """A disk refused, and a snapshot took the place of what it refused: writes of the primary before were
     still to come behind it when power was lost.
     """
--- a/tests/replication/test_events.py
+++ b/tests/replication/test_events.py
@@ -99,7 +99,7 @@
     quiet(script)
     script.a.node.leave(script.a.now)
     (told,) = script.a.node.events.take()
-    assert told == SteppedDown(script.a.node.epoch.ballot.number, Why.LEAVING)
+    assert told == SteppedDown(script.a.node.epoch.term.number, Why.LEAVING)
 
 
 def test_an_opening_that_too_few_answer_fails_and_says_who_did():
--- a/tests/replication/test_founding.py
+++ b/tests/replication/test_founding.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import Ballot, Epoch, Store, no_epoch
+from fordtrestle.replication.epochs import Epoch, Store, Term, no_epoch
 from fordtrestle.replication.events import StrangerMet, Wait, Waiting
 from fordtrestle.replication.founding import UNTOLD_S, Founding
 from fordtrestle.replication.messages import Accepted, Announce, Heartbeat, Promised, Record
@@ -87,15 +87,15 @@
 
 def unanimous() -> Opening:
     ids = frozenset("abc")
-    return Opening(ME, Ballot(5, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0, unanimous=ids)
+    return Opening(ME, Term(5, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0, unanimous=ids)
 
 
 def promise(accepted: Epoch | None) -> Promised:
-    return Promised(Ballot(5, "a"), accepted, Ballot(0, ""), 0)
+    return Promised(Term(5, "a"), accepted, Term(0, ""), 0)
 
 
 def epoch(*witnesses: Store) -> Epoch:
-    return Epoch(Ballot(2, "b"), "b", ("b",), witnesses, core="b")
+    return Epoch(Term(2, "b"), "b", ("b",), witnesses, core="b")
 
 
 def test_a_core_that_nobody_was_told_to_found_needs_the_promise_of_all():
@@ -118,25 +118,25 @@
 
 
 def test_who_founds_votes_first():
-    opening = Opening(ME, Ballot(1, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0)
+    opening = Opening(ME, Term(1, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0)
     asked = []
     for store_id in ("a", "b", "c"):
-        promised = Promised(Ballot(1, "a"), None, Ballot(0, ""), 0)
+        promised = Promised(Term(1, "a"), None, Term(0, ""), 0)
         asked += opening.receive(store_id, promised, ControlState())
     assert [receiver for receiver, _ in asked] == ["a"]
     assert [receiver for receiver, _ in opening.repeat(ControlState())] == ["a"]
-    asked = opening.receive("a", Accepted(opening.ballot), ControlState())
+    asked = opening.receive("a", Accepted(opening.term), ControlState())
     assert [receiver for receiver, _ in asked] == ["b", "c"]
 
 
 def test_the_wish_to_found_outlives_power_and_ends_with_the_first_vote():
-    durable = Durable("a", told_to_found=True)
+    durable = Durable("a", must_bootstrap=True)
     records: list[Record] = list(durable.snapshot())
     for length in range(1, len(records) + 1):
         assert Durable.restore(records[:length]).is_founder, "whichever first records reached the disk"
     records += durable.accept(epoch(ME, B, C))
     assert not Durable.restore(records).is_founder
-    assert not Durable.restore(durable.snapshot()).told_to_found
+    assert not Durable.restore(durable.snapshot()).must_bootstrap
 
 
 # whole cores
@@ -280,4 +280,4 @@
 
 def _newer(machine: Machine) -> Epoch:
     """An epoch of that machine's core, newer than any."""
-    return Epoch(Ballot(99, "z"), "z", ("z",), (machine.node.me,), core=machine.node.me.id)
+    return Epoch(Term(99, "z"), "z", ("z",), (machine.node.me,), core=machine.node.me.id)
--- a/tests/replication/test_hard_cases.py
+++ b/tests/replication/test_hard_cases.py
@@ -10,7 +10,7 @@
 from fordtrestle.replication import messages as wire
 from fordtrestle.replication.candidacy import REPEAT_S
 from fordtrestle.replication.contacts import HEARD_S
-from fordtrestle.replication.epochs import Ballot
+from fordtrestle.replication.epochs import Term
 from fordtrestle.replication.events import Why
 from fordtrestle.replication.opening import Opening
 from tests.replication.guards import FOUND_BY_SCHEDULE
@@ -88,13 +88,13 @@
 
 
 def _two_candidates(restart: bool) -> None:
-    """C has promised itself to B. A, whose ballot is older, must not get C's vote any more."""
+    """C has promised itself to B. A, whose term is older, must not get C's vote any more."""
     script = Script()
     a, b, c = script.a, script.b, script.c
     base = b.node.durable.accepted
-    b.node._candidacy.newest_ballot = Ballot(base.ballot.number, "")
+    b.node._candidacy.newest_term = Term(base.term.number, "")
     b.node._open(base, base.witnesses, Why.PRIMARY_LOST, b.now)
-    b.node._candidacy.opening.ballot = newer = Ballot(base.ballot.number + 1, "z" + b.node.me.id)
+    b.node._candidacy.opening.term = newer = Term(base.term.number + 1, "z" + b.node.me.id)
     b.node._effects.messages = [(store, wire.Prepare(newer)) for store, _ in b.node._effects.messages]
     script.pump(b)
     while b.queue:
@@ -120,7 +120,7 @@
     _two_candidates(restart=True)
 
 
-def no_older_ballot_is_promised() -> None:
+def no_older_term_is_promised() -> None:
     _two_candidates(restart=False)
 
 
@@ -144,7 +144,7 @@
                 script.deliver(envelope)
     while b.queue:
         script.sync(b)
-    a.node._candidacy.newest_ballot = b.node.durable.promised
+    a.node._candidacy.newest_term = b.node.durable.promised
     script.candidate(a, c)
     script.acknowledge(a, c)
     script.pending = late
@@ -160,7 +160,7 @@
     """
     script = Script()
     a, b, c = script.a, script.b, script.c
-    b.node._candidacy.newest_ballot = a.node.durable.promised
+    b.node._candidacy.newest_term = a.node.durable.promised
     script.candidate(b, c)
     script.flow(b, c)
     script.acknowledge(a, b)
@@ -175,11 +175,11 @@
     old = a.node.durable.accepted
     script.candidate(b, c)
     script.acknowledge(b, c)
-    opening = Opening(a.node.me, Ballot(99, a.node.me.id), old, old.witnesses, 2, frozenset(), began=0.0)
+    opening = Opening(a.node.me, Term(99, a.node.me.id), old, old.witnesses, 2, frozenset(), began=0.0)
     answers = []
     for machine, accepted in ((a, old), (c, c.node.durable.accepted)):
         durable = machine.node.durable
-        promise = wire.Promised(opening.ballot, accepted, durable.installed, durable.state.sequence)
+        promise = wire.Promised(opening.term, accepted, durable.installed, durable.state.sequence)
         answers += opening.receive(machine.node.me.id, promise, a.node.durable.state)
     answers += opening.repeat(a.node.durable.state)
     if any(isinstance(message, wire.Install | wire.Accept) for _, message in answers):
@@ -287,7 +287,7 @@
     "the state is on all replicas before the epoch": the_state_is_on_all_replicas_before_the_epoch,
     "a promise is on disk before it is told": a_promise_is_on_disk,
     "promises outlive a restart": a_promise_is_on_disk,
-    "no older ballot is promised": no_older_ballot_is_promised,
+    "no older term is promised": no_older_term_is_promised,
     "no older epoch is accepted": no_older_epoch_is_accepted,
     "a replica refuses writes of older epochs": a_replica_refuses_writes_of_older_epochs,
     "only a replica of the newest epoch opens the next": only_a_replica_of_the_newest_epoch_opens_the_next,
--- a/tests/replication/test_opening.py
+++ b/tests/replication/test_opening.py
@@ -3,14 +3,14 @@
 from __future__ import annotations
 
 from fordtrestle.replication.contacts import REPLACE_S, Contacts
-from fordtrestle.replication.epochs import Ballot, Epoch, Store, choose_replicas
+from fordtrestle.replication.epochs import Epoch, Store, Term, choose_replicas
 from fordtrestle.replication.messages import Accept, Announce, Install, Promised
 from fordtrestle.replication.opening import Opening, plan_witnesses
 from fordtrestle.replication.state import ControlState
 
 A, B, C, D, E = (Store(name, f"10.0.0.{n}:1", "", f"z-{n % 3}") for n, name in enumerate("abcde"))
-EPOCH = Epoch(Ballot(3, "a"), "a", ("a", "b"), (A, B, C))
-HELD = (Ballot(3, "a"), 7)
+EPOCH = Epoch(Term(3, "a"), "a", ("a", "b"), (A, B, C))
+HELD = (Term(3, "a"), 7)
 
 
 def test_a_lost_disk_gives_its_place_to_the_store_on_the_same_machine():
@@ -35,12 +35,12 @@
 
 def test_stores_of_zones_without_a_witness_go_first_and_take_a_place_of_a_zone_with_several():
     near = Store("b", B.address, "", A.zone)
-    epoch = Epoch(Ballot(3, "a"), "a", ("a",), (A,))
+    epoch = Epoch(Term(3, "a"), "a", ("a",), (A,))
     assert plan_witnesses(epoch, [near, C, Store("x", "10.0.0.9:1", "", "z-1")], [], 3)[1].zone != A.zone
-    crowded = Epoch(Ballot(3, "a"), "a", ("a", "c"), (A, near, C))
+    crowded = Epoch(Term(3, "a"), "a", ("a", "c"), (A, near, C))
     other = Store("x", "10.0.0.9:1", "", "z-1")
     assert plan_witnesses(crowded, [other], [], 3) == (A, other, C)
-    replicas = Epoch(Ballot(3, "a"), "a", ("a", "b"), (A, near, C))
+    replicas = Epoch(Term(3, "a"), "a", ("a", "b"), (A, near, C))
     assert plan_witnesses(replicas, [other], [], 3) == (A, near, C), "a replica keeps its place"
 
 
@@ -53,11 +53,11 @@
 
 
 def opening(leaving=frozenset()):
-    return Opening(A, Ballot(4, "a"), EPOCH, EPOCH.witnesses, 2, leaving, began=0.0)
+    return Opening(A, Term(4, "a"), EPOCH, EPOCH.witnesses, 2, leaving, began=0.0)
 
 
 def promise(from_, position=HELD):
-    return Promised(Ballot(4, "a"), EPOCH, *position)
+    return Promised(Term(4, "a"), EPOCH, *position)
 
 
 def kinds(messages):
@@ -66,7 +66,7 @@
 
 def test_a_candidate_waits_for_stores_that_hold_its_state_and_then_does_without():
     state = ControlState(sequence=7)
-    behind = (Ballot(2, "b"), 5)
+    behind = (Term(2, "b"), 5)
     patient = opening()
     patient.receive("a", promise("a"), state)
     assert patient.receive("b", promise("b", behind), state) == [], "C may hold it"
@@ -99,6 +99,6 @@
     state = ControlState(sequence=7)
     trial = opening()
     for store in "abc":
-        trial.receive(store, promise(store, (Ballot(1, store), 1)), state)
+        trial.receive(store, promise(store, (Term(1, store), 1)), state)
     sent = [bool(trial.repeat(state)) for _ in range(16)]
     assert [number for number, was in enumerate(sent, start=1) if was] == [1, 2, 4, 8, 16]
--- a/tests/replication/world.py
+++ b/tests/replication/world.py
@@ -60,7 +60,7 @@
     """A change that was asked for, and whether it was acknowledged."""
 
     zone: str
-    ballot: object
+    term: object
     sequence: int
     machine: str
     node: Node
@@ -97,7 +97,7 @@
         durable = Durable.restore(machine.disk)
         if durable is None:
             durable = self.new_store(machine)
-            durable.told_to_found = machine.lives == 0 and machine.address == FOUNDER
+            durable.must_bootstrap = machine.lives == 0 and machine.address == FOUNDER
             machine.disk = list(durable.snapshot())
         machine.lives += 1
         store = Store(durable.store, machine.address, machine.address, machine.address)
@@ -148,7 +148,7 @@
         own = self.held(but)
         newest = self.newest()
         known = [held.accepted for held in (*others, *([own] if own else ())) if held.accepted]
-        epochs = [epoch for epoch in known if newest is None or epoch.ballot >= newest.ballot]
+        epochs = [epoch for epoch in known if newest is None or epoch.term >= newest.term]
         lost = [set(epoch.witness_ids) - left for epoch in (*epochs, *([newest] if newest else ()))]
         return max(lost, key=len, default=set())
 
@@ -159,14 +159,14 @@
     def newest(self) -> Epoch | None:
         """The newest epoch that is open."""
         opened = [m.node.epoch for m in self.machines if m.node and m.node.epoch]
-        return max(opened, key=lambda epoch: epoch.ballot, default=None)
+        return max(opened, key=lambda epoch: epoch.term, default=None)
 
     def readmit(self) -> None:
         epoch = self.newest()
         for machine in self.machines:
             if machine.wiped and machine.node and epoch and machine.node.me.id in epoch.witness_ids:
                 accepted = machine.node.durable.accepted
-                machine.wiped = not (accepted and accepted.ballot >= epoch.ballot)
+                machine.wiped = not (accepted and accepted.term >= epoch.term)
 
     def is_whole(self) -> bool:
         """Whether the core has caught up: all witnesses are there, and most know on disk that the epoch is
@@ -178,7 +178,7 @@
         knowing = set()
         for machine in self.machines:
             held = self.held(machine)
-            if held and held.accepted and held.accepted.ballot == epoch.ballot and not held.accepted.earlier:
+            if held and held.accepted and held.accepted.term == epoch.term and not held.accepted.earlier:
                 knowing.add(held.store)
         return majority(knowing, epoch.witness_ids)
 
@@ -224,8 +224,8 @@
         zone = f"z{len(self.writes)}"
         ticket = machine.node.propose(Evacuation(zone, True), machine.now)
         if ticket:
-            ballot = machine.node.durable.installed
-            self.writes.append(Write(zone, ballot, ticket.sequence, machine.address, machine.node))
+            term = machine.node.durable.installed
+            self.writes.append(Write(zone, term, ticket.sequence, machine.address, machine.node))
         self.pump(machine)
 
     def ask(self, machine: Machine) -> None:
@@ -418,7 +418,7 @@
 
     def _is_newest(self, node: Node) -> bool:
         newest = self.newest()
-        return bool(newest and node.epoch and node.epoch.ballot == newest.ballot)
+        return bool(newest and node.epoch and node.epoch.term == newest.term)
 
     def expect(self, node: Node, writes: list[Write], what: str) -> None:
         held = node.durable.state.evacuated
@@ -456,7 +456,7 @@
             self.round()
             ready = [m.node for m in self.machines if m.node.is_ready and self._is_newest(m.node)]
             if ready and all(
-                m.node.durable.accepted and m.node.durable.accepted.ballot == ready[0].epoch.ballot
+                m.node.durable.accepted and m.node.durable.accepted.term == ready[0].epoch.term
                 for m in self.machines
             ):
                 return ready[0]
--- a/tests/roles/test_metrics.py
+++ b/tests/roles/test_metrics.py
@@ -23,7 +23,7 @@
 def test_what_a_catalog_holds_is_counted():
     catalog = Catalog()
     for number, (phase, silent) in enumerate(
-        ((Phase.SERVING, False), (Phase.SERVING, True), (Phase.GONE, False))
+        ((Phase.SERVING, False), (Phase.SERVING, True), (Phase.DEPARTED, False))
     ):
         record = ServerRecord(f"i-{number}", "pool", "10.0.0.1:80", "z", 4, phase, silent, 0.0, None, (), "c")
         catalog.merge([server_item(record, 1)], 0.0)
--- a/tests/routing/test_routing.py
+++ b/tests/routing/test_routing.py
@@ -33,8 +33,8 @@
     told = {
         "slots": 4,
         "phase": Phase.SERVING,
-        "silent": False,
-        "cold_ms": 0.0,
+        "is_unresponsive": False,
+        "warm_up_ms": 0.0,
         "remaining_ms": None,
         "models": (),
         "heard_by": "core-1",
@@ -93,8 +93,8 @@
         [
             record("serving"),
             record("draining", phase=Phase.DRAINING),
-            record("gone", phase=Phase.GONE),
-            record("silent", silent=True),
+            record("gone", phase=Phase.DEPARTED),
+            record("silent", is_unresponsive=True),
             record("evacuated", zone="z-2"),
             record("abroad", zone="z-3"),
             record("other", service="other"),
@@ -132,7 +132,7 @@
     servers.take(record("i-1", phase=Phase.DRAINING), (1, 5, 0), 0.0)
     servers.take(record("i-1"), (0, 9, 0), 0.0)
     assert not servers.usable("pool", (), (), 0.0)
-    servers.take(record("i-1", phase=Phase.GONE), (2, 5, 0), 0.0)
+    servers.take(record("i-1", phase=Phase.DEPARTED), (2, 5, 0), 0.0)
     servers.forget(FORGET_S + 1.0)
     assert not servers.of("pool")
 
@@ -251,7 +251,7 @@
     route = {"name": "r", "authority": "a", "path_prefix": "/", "timeout_ms": 1, "backend": "pool"}
     text = json.dumps({"generation": 1, "routes": [route], "services": [service]}).encode()
     view.apply(
-        [control_item(ControlView(1, 1, text, ())), server_item(record("i-1", cold_ms=9000.0), 1)], 5.0
+        [control_item(ControlView(1, 1, text, ())), server_item(record("i-1", warm_up_ms=9000.0), 1)], 5.0
     )
     selection = Selection(view, ColdBudget(1.5, 5.0, "front-1"), "z-1", "r-1", lambda: 0.5, lambda _: None)
     taken = view.table.match("a", "/")
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -20,7 +20,7 @@
     NEW_NAME,
     RecordLog,
     StorageError,
-    UnknownFormat,
+    UnknownFormatError,
 )
 from fordtrestle.storage.records import frame, scan
 from tests.storage.disk import Disk, Stopped
@@ -247,7 +247,7 @@
 def test_a_file_of_an_unknown_format_is_refused_and_left_as_it_is(tmp_path):
     later = frame(MAGIC + b"2") + b"whatever a later version writes"
     (tmp_path / NAME).write_bytes(later)
-    with pytest.raises(UnknownFormat, match=r"format 2; this version reads 1"):
+    with pytest.raises(UnknownFormatError, match=r"format 2; this version reads 1"):
         RecordLog(tmp_path).open()
     assert (tmp_path / NAME).read_bytes() == later
 
--- a/tests/stored/samples.py
+++ b/tests/stored/samples.py
@@ -13,17 +13,17 @@
 from fordtrestle.replication import messages as replication
 
 DOCUMENT = b'{"generation": 7, "routes": [{"name": "r-1"}], "services": [{"name": "pool"}]}'
-OLDER = epochs.Ballot(3, "s1")
-BALLOT = epochs.Ballot(4, "s2")
+OLDER = epochs.Term(3, "s1")
+TERM = epochs.Term(4, "s2")
 STORES = (
     epochs.Store("s1", "10.0.0.1:7000", "10.0.0.1:7001", "z-1"),
     epochs.Store("s2", "10.0.0.2:7000", "10.0.0.2:7001", "z-2"),
     epochs.Store("s3", "10.0.0.3:7000", "10.0.0.3:7001", "z-3"),
 )
-EPOCH = epochs.Epoch(BALLOT, "s2", ("s2", "s1"), STORES, (("s1", "s2", "s9"),), (OLDER, 11), "s1")
+EPOCH = epochs.Epoch(TERM, "s2", ("s2", "s1"), STORES, (("s1", "s2", "s9"),), (OLDER, 11), "s1")
 CONFIG_CHANGE = state.ConfigChange(b"d" * 32, 7, DOCUMENT)
 EVACUATION = state.Evacuation("z-1", True)
-TAKEN = state.TakenCall(b"d" * 32, 6)
+TAKEN = state.AppliedCall(b"d" * 32, 6)
 STATE = state.ControlState(12, 7, DOCUMENT, ("z-1",), (TAKEN,), 2, b"old1old2")
 VIEW = items.ControlView(12, 7, DOCUMENT, ("z-1",))
 SERVER = items.ServerRecord(
@@ -50,27 +50,27 @@
 
 SAMPLES = (
     HELLO,
-    codec.Envelope("s1", "s2", replication.HeartbeatAck(BALLOT, 5, OLDER, 11)),
-    BALLOT,
+    codec.Envelope("s1", "s2", replication.HeartbeatAck(TERM, 5, OLDER, 11)),
+    TERM,
     STORES[0],
     EPOCH,
     CONFIG_CHANGE,
     EVACUATION,
     replication.Heartbeat(EPOCH, 5),
     replication.PreVote(6),
-    replication.PreVoteGrant(6, BALLOT, EPOCH),
-    replication.Prepare(BALLOT),
-    replication.Promised(BALLOT, EPOCH, OLDER, 11),
-    replication.Install(BALLOT, STATE),
-    replication.Installed(BALLOT),
+    replication.PreVoteGrant(6, TERM, EPOCH),
+    replication.Prepare(TERM),
+    replication.Promised(TERM, EPOCH, OLDER, 11),
+    replication.Install(TERM, STATE),
+    replication.Installed(TERM),
     replication.Accept(EPOCH),
-    replication.Accepted(BALLOT),
-    replication.Append(BALLOT, 13, CONFIG_CHANGE),
-    replication.Appended(BALLOT, 13),
-    replication.Rejected(OLDER, BALLOT),
-    replication.Vote("s1", BALLOT, EPOCH),
-    replication.Snapshot(BALLOT, STATE),
-    replication.Entry(BALLOT, 13, EVACUATION),
+    replication.Accepted(TERM),
+    replication.Append(TERM, 13, CONFIG_CHANGE),
+    replication.Appended(TERM, 13),
+    replication.Rejected(OLDER, TERM),
+    replication.Vote("s1", TERM, EPOCH),
+    replication.Snapshot(TERM, STATE),
+    replication.Entry(TERM, 13, EVACUATION),
     VIEW,
     SERVER,
     MEMBER,
@@ -79,11 +79,11 @@
     gossip.RangeDigests((b"\x01" * 8, b"\x02" * 8)),
     gossip.RangeVersions((0, 3), VERSIONS),
     gossip.Want(("control", "server/i-1")),
-    gossip.HasLink("front-1"),
-    gossip.Vouch("front-1"),
-    replication.Resign(BALLOT),
+    gossip.IndirectProbe("front-1"),
+    gossip.IndirectProbeAck("front-1"),
+    replication.Resign(TERM),
     ANNOUNCE,
-    replication.HeartbeatAck(BALLOT, 5, OLDER, 11),
+    replication.HeartbeatAck(TERM, 5, OLDER, 11),
     TAKEN,
     STATE,
     gossip.Confirm(21, ITEM),
--- a/tests/stored/test_files.py
+++ b/tests/stored/test_files.py
@@ -19,7 +19,7 @@
 from fordtrestle.proxy.state.files import Files
 from fordtrestle.proxy.state.lists import ListKeeper
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import Ballot, Epoch, Store
+from fordtrestle.replication.epochs import Epoch, Store, Term
 from fordtrestle.replication.state import ConfigChange, Evacuation
 from fordtrestle.storage.log import NAME, RecordLog
 from rig.cluster.history import gaps, parse
@@ -28,7 +28,7 @@
 
 DATA = Path(__file__).parent / "data"
 STORE = Store("s1", "10.0.0.1:7000", "10.0.0.1:7001", "z-1")
-BALLOT = Ballot(1, "s1")
+TERM = Term(1, "s1")
 LATER = b'{"generation": 8, "routes": [], "services": [{"name": "pool"}]}'
 
 
@@ -38,18 +38,18 @@
     """
     log = RecordLog(folder)
     log.open()
-    durable = Durable("s1", told_to_found=True)
+    durable = Durable("s1", must_bootstrap=True)
     log.append(map(codec.encode, durable.snapshot()))
-    log.append(map(codec.encode, durable.promise(BALLOT) or ()))
-    log.append(map(codec.encode, durable.install(BALLOT, durable.state) or ()))
-    epoch = Epoch(BALLOT, "s1", ("s1",), (STORE,), core="s1")
+    log.append(map(codec.encode, durable.promise(TERM) or ()))
+    log.append(map(codec.encode, durable.install(TERM, durable.state) or ()))
+    epoch = Epoch(TERM, "s1", ("s1",), (STORE,), core="s1")
     log.append(map(codec.encode, durable.accept(epoch) or ()))
-    log.append(map(codec.encode, durable.append(BALLOT, 1, ConfigChange(b"d" * 32, 7, DOCUMENT)) or ()))
-    log.append(map(codec.encode, durable.append(BALLOT, 2, Evacuation("z-1", True)) or ()))
+    log.append(map(codec.encode, durable.append(TERM, 1, ConfigChange(b"d" * 32, 7, DOCUMENT)) or ()))
+    log.append(map(codec.encode, durable.append(TERM, 2, Evacuation("z-1", True)) or ()))
     shutil.copy(folder / NAME, folder / "before-rewrite.log")
     log.rewrite(map(codec.encode, durable.snapshot()))
-    log.append(map(codec.encode, durable.append(BALLOT, 3, Evacuation("z-1", False)) or ()))
-    log.append(map(codec.encode, durable.append(BALLOT, 4, ConfigChange(b"e" * 32, 8, LATER)) or ()))
+    log.append(map(codec.encode, durable.append(TERM, 3, Evacuation("z-1", False)) or ()))
+    log.append(map(codec.encode, durable.append(TERM, 4, ConfigChange(b"e" * 32, 8, LATER)) or ()))
     return log
 
 
