--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -97,7 +97,12 @@
         store = Store(durable.store, machine.address, machine.address, machine.address)
         machine.life += 1
         machine.node = Node(
-            store, durable, machines=self._tolerated, counts=True, draw=self.rng.random, now=self.now
+            store,
+            durable,
+            tolerated_failures=self._tolerated,
+            counts_for_quorum=True,
+            draw=self.rng.random,
+            now=self.now,
         )
         self._tick(machine, machine.life, 0)
 
@@ -116,7 +121,7 @@
             return
         for other in self.machines:
             if other.node:
-                other.node.unlinked(ended, self.now)
+                other.node.on_connection_lost(ended, self.now)
                 self.pump(other)
 
     def primary(self) -> Machine | None:
@@ -318,7 +323,7 @@
 def end_once_it_may(deployment: Deployment, machine: Machine) -> None:
     """End a process that was told to as soon as it may."""
     node = machine.node
-    if node is None or node.may_leave(deployment.now):
+    if node is None or node.can_leave(deployment.now):
         deployment.kill(machine)
     else:
         deployment.at(deployment.now + TICK_S, lambda: end_once_it_may(deployment, machine))
--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -69,7 +69,14 @@
     store = Store("s1", "127.0.0.1:1", "127.0.0.1:2", "z-1")
     now = asyncio.get_running_loop().time()
     draw = random.Random(1).random
-    node = Node(store, Durable("s1", must_bootstrap=True), machines=0, counts=True, draw=draw, now=now)
+    node = Node(
+        store,
+        Durable("s1", must_bootstrap=True),
+        tolerated_failures=0,
+        counts_for_quorum=True,
+        draw=draw,
+        now=now,
+    )
     mesh = Mesh(Hello("core-1", "127.0.0.1:1"), lambda link, message: None, lambda link: None)
     replicator = Replicator(node, log, mesh, lambda peer: True, lambda: None)
     running = asyncio.create_task(replicator.run())
--- a/fordtrestle/control_api/orders.py
+++ b/fordtrestle/control_api/orders.py
@@ -61,11 +61,11 @@
 def judge(kind: str, base: int, body: bytes, state: ControlState) -> Outcome | ConfigChange:
     """What a call comes to on a state that is known to be newest: its answer, or the change that it is."""
     digest = digest_of(kind, base, body)
-    if state.has_taken(digest):
+    if state.has_applied(digest):
         return Outcome(Verdict.DONE)
     if base != state.generation:
         # A call that was taken is never refused, also once it is too long ago to be told from another.
-        return Outcome(Verdict.UNCLEAR if state.may_have_taken(digest, base) else Verdict.STALE)
+        return Outcome(Verdict.UNCLEAR if state.may_have_applied(digest, base) else Verdict.STALE)
     read = read_put(body, state.document) if kind == "put" else read_patch(body, state.document)
     match read.bind(lambda raw: check_generation(raw, state.generation).map(lambda _: raw)):
         case Success(raw):
@@ -162,10 +162,10 @@
     async def _newest(self) -> bool:
         """Whether a majority of witnesses, asked now, knows of no newer epoch."""
         node = self._node
-        asked = node.ask_round(self._replicator.now())
+        asked = node.begin_confirmation(self._replicator.now())
         self._replicator.pump()
-        await self._replicator.until(lambda: node.confirmed(asked) or not node.is_primary, CONFIRM_S)
-        return node.confirmed(asked)
+        await self._replicator.until(lambda: node.is_confirmed(asked) or not node.is_primary, CONFIRM_S)
+        return node.is_confirmed(asked)
 
     async def _write(self, change: Change, judged_on: ControlState) -> Outcome:
         """Write a change that was judged on a state, if that is the state still."""
@@ -193,5 +193,5 @@
 
 def _holds(state: ControlState, change: Change) -> bool:
     if isinstance(change, ConfigChange):
-        return state.has_taken(change.digest)
+        return state.has_applied(change.digest)
     return (change.zone in state.evacuated) == change.active
--- a/fordtrestle/peer/codec.py
+++ b/fordtrestle/peer/codec.py
@@ -70,7 +70,7 @@
     replication.PreVote,
     replication.PreVoteGrant,
     replication.Prepare,
-    replication.Promised,
+    replication.Prepared,
     replication.Install,
     replication.Installed,
     replication.Accept,
--- a/fordtrestle/peer/replicator.py
+++ b/fordtrestle/peer/replicator.py
@@ -7,9 +7,9 @@
 
 from fordtrestle.peer.codec import Envelope, encode
 from fordtrestle.peer.mesh import Mesh
-from fordtrestle.replication.contacts import FORGET_S
 from fordtrestle.replication.messages import Announce, Message
 from fordtrestle.replication.node import Effects, Node
+from fordtrestle.replication.peer_table import PEER_RETENTION_S
 from fordtrestle.storage.log import RecordLog, StorageError
 
 TICK_S = 0.05
@@ -118,8 +118,8 @@
                 continue
             since = self._unlinked_since.setdefault(store_id, now)
             if now - since >= UNLINKED_S:
-                self.node.unlinked(store_id, now)
-            if now - since >= FORGET_S:
+                self.node.on_connection_lost(store_id, now)
+            if now - since >= PEER_RETENTION_S:
                 del self._peers[store_id], self._unlinked_since[store_id]
 
     async def _sync(self) -> None:
@@ -169,6 +169,6 @@
         known = self._peers.get(store_id)
         if known:
             return known
-        accepted = self.node.durable.accepted
+        accepted = self.node.durable.accepted_epoch
         store = accepted.store(store_id) if accepted else None
         return store.address if store else ""
--- a/fordtrestle/replication/catch_up.py
+++ b/fordtrestle/replication/catch_up.py
@@ -6,15 +6,15 @@
 
 from dataclasses import dataclass, field
 
-BEHIND_S = 0.4  # without getting further before the state is sent: a write may be on its way
-PAUSE_MOST_S = 8.0  # between two sends of the state to one store; they double from `BEHIND_S`
+CATCH_UP_DELAY_S = 0.4  # without getting further before the state is sent: a write may be on its way
+MAX_CATCH_UP_BACKOFF_S = 8.0  # between two sends of the state to one store; they double from `BEHIND_S`
 
 
 @dataclass(slots=True)
 class _Lag:
     since: float
     sequence: int
-    pause_s: float = BEHIND_S
+    pause_s: float = CATCH_UP_DELAY_S
 
 
 @dataclass(slots=True)
@@ -37,5 +37,5 @@
             return False
         if now - lag.since < lag.pause_s:
             return False
-        lag.since, lag.pause_s = now, min(PAUSE_MOST_S, 2.0 * lag.pause_s)
+        lag.since, lag.pause_s = now, min(MAX_CATCH_UP_BACKOFF_S, 2.0 * lag.pause_s)
         return True
--- a/fordtrestle/replication/durable.py
+++ b/fordtrestle/replication/durable.py
@@ -21,9 +21,9 @@
 
     store: str
     must_bootstrap: bool = False
-    promised: Term = NO_TERM
-    accepted: Epoch | None = None
-    installed: Term = NO_TERM
+    prepared_term: Term = NO_TERM
+    accepted_epoch: Epoch | None = None
+    installed_term: Term = NO_TERM
     state: ControlState = field(default_factory=ControlState)
 
     @classmethod
@@ -36,9 +36,9 @@
                 found.must_bootstrap = True
             elif isinstance(record, Vote):
                 found = found or cls(record.store)
-                found.promised, found.accepted = record.promised, record.accepted
+                found.prepared_term, found.accepted_epoch = record.prepared_term, record.accepted_epoch
             elif found and isinstance(record, Snapshot):
-                found.installed, found.state = record.term, record.state
+                found.installed_term, found.state = record.term, record.state
             elif found and isinstance(record, Entry) and found._goes_on_with(record):
                 found.state = found.state.apply(record.change)
         return found
@@ -46,12 +46,12 @@
     @property
     def is_founder(self) -> bool:
         """Whether this store is to found the core, and has not yet voted for any epoch."""
-        return self.must_bootstrap and self.accepted is None
+        return self.must_bootstrap and self.accepted_epoch is None
 
     @property
     def core(self) -> str:
         """The identity of the core that this store belongs to; empty while it knows of no epoch."""
-        return self.accepted.core if self.accepted else ""
+        return self.accepted_epoch.core if self.accepted_epoch else ""
 
     def snapshot(self) -> Sequence[Record]:
         """The fewest records that restore this store.
@@ -59,15 +59,15 @@
         That it is to found goes first: of records that lose power some first ones may stay.
         """
         wish = [Founder(self.store)] if self.is_founder else []
-        return [*wish, self._vote(), Snapshot(self.installed, self.state)]
+        return [*wish, self._vote(), Snapshot(self.installed_term, self.state)]
 
-    def promise(self, term: Term) -> Sequence[Record] | None:
+    def prepare(self, term: Term) -> Sequence[Record] | None:
         """Promise a term; nothing where a newer one was promised."""
-        if term < self.promised:
+        if term < self.prepared_term:
             return None
-        if term == self.promised:
+        if term == self.prepared_term:
             return []
-        self.promised = term
+        self.prepared_term = term
         return [self._vote()]
 
     def accept(self, epoch: Epoch) -> Sequence[Record] | None:
@@ -75,36 +75,36 @@
 
         A store that holds the candidate's state already (`Epoch.kept`) goes on from there.
         """
-        if epoch.term < self.promised:
+        if epoch.term < self.prepared_term:
             return None
-        if self.accepted and epoch.term == self.accepted.term:
+        if self.accepted_epoch and epoch.term == self.accepted_epoch.term:
             return []
-        self.promised, self.accepted = epoch.term, epoch
+        self.prepared_term, self.accepted_epoch = epoch.term, epoch
         return self._adopt(epoch)
 
-    def settle(self, epoch: Epoch) -> Sequence[Record]:
+    def learn_epoch(self, epoch: Epoch) -> Sequence[Record]:
         """Take in an epoch that another store tells of."""
-        known = self.accepted
+        known = self.accepted_epoch
         if known and (epoch.term < known.term or epoch == known):
             return []
         if self.core and not is_same_core(epoch.core, self.core):
             return []
-        if known and epoch.term == known.term and epoch.earlier:
+        if known and epoch.term == known.term and epoch.earlier_quorums:
             return []  # it is known by now that this epoch is open
-        self.promised, self.accepted = max(self.promised, epoch.term), epoch
+        self.prepared_term, self.accepted_epoch = max(self.prepared_term, epoch.term), epoch
         return self._adopt(epoch)
 
     def install(self, term: Term, state: ControlState) -> Sequence[Record] | None:
         """Take over a candidate's state; nothing where a newer term was promised."""
-        records = self.promise(term)
-        if records is None or (term == self.installed and state.sequence < self.state.sequence):
+        records = self.prepare(term)
+        if records is None or (term == self.installed_term and state.sequence < self.state.sequence):
             return None
-        self.installed, self.state = term, state
+        self.installed_term, self.state = term, state
         return [*records, Snapshot(term, state)]
 
     def append(self, term: Term, sequence: int, change: Change) -> Sequence[Record] | None:
         """Take one write of the epoch that this state was installed for; nothing where it does not fit."""
-        if term != self.installed or term < self.promised or sequence > self.state.sequence + 1:
+        if term != self.installed_term or term < self.prepared_term or sequence > self.state.sequence + 1:
             return None
         if sequence <= self.state.sequence:
             return []
@@ -117,15 +117,15 @@
         A snapshot that was written in the place of refused records may hold later entries already, or be the
         state of a later term than theirs: those are void.
         """
-        return entry.term == self.installed and entry.sequence == self.state.sequence + 1
+        return entry.term == self.installed_term and entry.sequence == self.state.sequence + 1
 
     def _adopt(self, epoch: Epoch) -> Sequence[Record]:
         """The vote for an epoch, and the state once more as this epoch's where it was kept as it is."""
         records: list[Record] = [self._vote()]
-        if epoch.kept == (self.installed, self.state.sequence):
-            self.installed = epoch.term
-            records.append(Snapshot(self.installed, self.state))
+        if epoch.base_state == (self.installed_term, self.state.sequence):
+            self.installed_term = epoch.term
+            records.append(Snapshot(self.installed_term, self.state))
         return records
 
     def _vote(self) -> Vote:
-        return Vote(self.store, self.promised, self.accepted)
+        return Vote(self.store, self.prepared_term, self.accepted_epoch)
--- a/fordtrestle/replication/epochs.py
+++ b/fordtrestle/replication/epochs.py
@@ -46,8 +46,8 @@
     primary: str
     replicas: tuple[str, ...]
     witnesses: tuple[Store, ...]
-    earlier: tuple[tuple[str, ...], ...] = ()
-    kept: tuple[Term, int] | None = None  # the state that all replicas held as they promised
+    earlier_quorums: tuple[tuple[str, ...], ...] = ()
+    base_state: tuple[Term, int] | None = None  # the state that all replicas held as they promised
     core: str = UNKNOWN_CORE  # the core's identity: the store that opened its first epoch
 
     @property
@@ -57,20 +57,20 @@
     @property
     def quorums(self) -> tuple[tuple[str, ...], ...]:
         """The witness sets of each of which a majority has to vote."""
-        return tuple(quorum for quorum in dict.fromkeys((*self.earlier, self.witness_ids)) if quorum)
+        return tuple(quorum for quorum in dict.fromkeys((*self.earlier_quorums, self.witness_ids)) if quorum)
 
     def with_witnesses(self, witnesses: tuple[Store, ...]) -> Epoch:
         """This epoch with other witnesses."""
         return replace(self, witnesses=witnesses)
 
-    def settled(self) -> Epoch:
+    def committed(self) -> Epoch:
         """This epoch once it is open: earlier witness sets are not asked any more."""
-        return replace(self, earlier=())
+        return replace(self, earlier_quorums=())
 
     @property
-    def is_known(self) -> bool:
+    def is_committed(self) -> bool:
         """Whether no other witnesses need be asked than those that accepted it."""
-        return all(quorum == self.witness_ids for quorum in self.earlier)
+        return all(quorum == self.witness_ids for quorum in self.earlier_quorums)
 
     def store(self, store_id: str) -> Store | None:
         """The witness of that id."""
--- a/fordtrestle/replication/events.py
+++ b/fordtrestle/replication/events.py
@@ -8,51 +8,51 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-EVENTS_MOST = 256  # that wait to be taken: the oldest go first
-PAUSE_LEAST_S = 1.0  # until a wait is told first, and again: doubled up to
-PAUSE_MOST_S = 64.0
+MAX_PENDING_EVENTS = 256  # that wait to be taken: the oldest go first
+MIN_WAIT_REPORT_BACKOFF_S = 1.0  # until a wait is told first, and again: doubled up to
+MAX_WAIT_REPORT_BACKOFF_S = 64.0
 
 
-class Why(StrEnum):
+class Reason(StrEnum):
     """What an epoch is opened for, or ended by."""
 
-    FOUNDING = "the core has none yet"
-    PRIMARY_LOST = "the primary is missed by a majority"
-    REPLICA_LOST = "a replica is silent, or its link is down"
-    WRITE_LATE = "a write is not on all replicas in time"
-    REPLICA_LEAVES = "a replica is about to end"
-    WITNESSES = "the witnesses change"
-    TOO_FEW = "too few replicas hold the state"
-    OUT_OF_TOUCH = "no majority answers"
-    LEAVING = "this process is about to end"
-    NEWER = "a newer term exists"
-    TIMED_OUT = "too few answered in time"
+    BOOTSTRAP = "the core is being bootstrapped"
+    PRIMARY_LOST = "a majority suspects the primary"
+    REPLICA_LOST = "a replica is unresponsive or disconnected"
+    WRITE_LATE = "a write was not replicated in time"
+    REPLICA_LEAVES = "a replica is shutting down"
+    WITNESSES_CHANGE = "the set of witnesses changes"
+    TOO_FEW_REPLICAS = "too few replicas hold the state"
+    OUT_OF_TOUCH = "no majority of witnesses answers"
+    LEAVING = "this process is shutting down"
+    NEWER_TERM = "a newer term exists"
+    TIMED_OUT = "timed out: too few witnesses answered"
 
 
-class Wait(StrEnum):
+class WaitReason(StrEnum):
     """What a store waits for."""
 
-    FOUNDER = "the store that is to found the core"
-    STORES = "enough stores to found the core"
-    CORE = "the core to take this store in"
+    FOUNDER = "the store that bootstraps the core"
+    STORES = "enough stores to bootstrap the core"
+    ADMISSION = "admission to the core as a witness"
     PRIMARY = "a primary"
 
 
 @dataclass(frozen=True, slots=True)
-class OpeningBegan:
+class EpochChangeStarted:
     """This store asks for an epoch."""
 
     number: int
-    why: Why
+    why: Reason
     witnesses: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class OpeningFailed:
+class EpochChangeFailed:
     """It was not opened; `answered` had promised by then."""
 
     number: int
-    why: Why
+    why: Reason
     answered: tuple[str, ...]
     took_s: float
 
@@ -63,7 +63,7 @@
 
     number: int
     core: str
-    why: Why
+    why: Reason
     replicas: tuple[str, ...]
     witnesses: tuple[str, ...]
     took_s: float
@@ -74,7 +74,7 @@
     """This store is primary no more."""
 
     number: int
-    why: Why
+    why: Reason
 
 
 @dataclass(frozen=True, slots=True)
@@ -98,14 +98,14 @@
 class Waiting:
     """This store can't serve as it is meant to; `missing` are control addresses that are not heard."""
 
-    wait: Wait
+    wait: WaitReason
     since_s: float
     heard: int
     missing: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
-class StrangerMet:
+class ForeignStoreSeen:
     """A store of another core announced itself: two cores were founded, and none of them takes it in."""
 
     store: str
@@ -114,7 +114,14 @@
 
 
 Event = (
-    OpeningBegan | OpeningFailed | EpochOpened | SteppedDown | StateSent | WriteLate | Waiting | StrangerMet
+    EpochChangeStarted
+    | EpochChangeFailed
+    | EpochOpened
+    | SteppedDown
+    | StateSent
+    | WriteLate
+    | Waiting
+    | ForeignStoreSeen
 )
 
 
@@ -123,36 +130,36 @@
     """Those not taken yet, and how many there were of each kind."""
 
     counts: dict[str, int] = field(default_factory=dict)
-    _waiting: list[Event] = field(default_factory=list)
-    _wait: Wait | None = None
+    _pending: list[Event] = field(default_factory=list)
+    _wait: WaitReason | None = None
     _wait_began: float = 0.0
-    _tell_at: float = 0.0
-    _pause_s: float = PAUSE_LEAST_S
+    _report_at: float = 0.0
+    _backoff_s: float = MIN_WAIT_REPORT_BACKOFF_S
 
-    def tell(self, event: Event) -> None:
+    def record(self, event: Event) -> None:
         """Keep an event until it is taken."""
         name = type(event).__name__
         self.counts[name] = self.counts.get(name, 0) + 1
-        self._waiting.append(event)
-        del self._waiting[:-EVENTS_MOST]
+        self._pending.append(event)
+        del self._pending[:-MAX_PENDING_EVENTS]
 
-    def take(self) -> list[Event]:
+    def drain(self) -> list[Event]:
         """Those since the last call."""
-        taken, self._waiting = self._waiting, []
-        return taken
+        drained, self._pending = self._pending, []
+        return drained
 
-    def is_due(self, wait: Wait | None, now: float) -> bool:
+    def is_wait_due(self, wait: WaitReason | None, now: float) -> bool:
         """Note what the store waits for, if anything, at a time in s of a steady clock; whether that is to be
         told now.
         """
         if wait is not self._wait:
             self._wait, self._wait_began = wait, now
-            self._pause_s, self._tell_at = PAUSE_LEAST_S, now + PAUSE_LEAST_S
-        return wait is not None and now >= self._tell_at
+            self._backoff_s, self._report_at = MIN_WAIT_REPORT_BACKOFF_S, now + MIN_WAIT_REPORT_BACKOFF_S
+        return wait is not None and now >= self._report_at
 
-    def tell_wait(self, heard: int, missing: tuple[str, ...], now: float) -> None:
+    def record_wait(self, heard: int, missing: tuple[str, ...], now: float) -> None:
         """Tell of the wait that was noted, and again after twice the pause."""
         assert self._wait is not None
-        self._pause_s = min(PAUSE_MOST_S, 2 * self._pause_s)
-        self._tell_at = now + self._pause_s
-        self.tell(Waiting(self._wait, now - self._wait_began, heard, missing))
+        self._backoff_s = min(MAX_WAIT_REPORT_BACKOFF_S, 2 * self._backoff_s)
+        self._report_at = now + self._backoff_s
+        self.record(Waiting(self._wait, now - self._wait_began, heard, missing))
--- a/fordtrestle/replication/messages.py
+++ b/fordtrestle/replication/messages.py
@@ -16,10 +16,10 @@
     """
 
     store: Store
-    counts: bool
-    leaving: bool
+    counts_for_quorum: bool
+    is_leaving: bool
     core: str = UNKNOWN_CORE
-    founder: bool = False
+    is_founder: bool = False
 
 
 @dataclass(frozen=True, slots=True)
@@ -27,7 +27,7 @@
     """From the primary: its epoch is open."""
 
     epoch: Epoch
-    round: int
+    number: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,8 +37,8 @@
     """
 
     term: Term
-    round: int
-    installed: Term
+    number: int
+    installed_term: Term
     sequence: int
 
 
@@ -53,16 +53,16 @@
 class PreVote:
     """A replica misses its primary: would a prepare be heeded?"""
 
-    round: int
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class PreVoteGrant:
     """The witness misses the primary as well; `promised` is the term to exceed."""
 
-    round: int
-    promised: Term
-    accepted: Epoch | None
+    attempt: int
+    prepared_term: Term
+    accepted_epoch: Epoch | None
 
 
 @dataclass(frozen=True, slots=True)
@@ -73,15 +73,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Promised:
+class Prepared:
     """The promise, the newest epoch that the witness has accepted, and which state it holds.
 
     A state is told by the term that it was installed under and its sequence: what both have alike is alike.
     """
 
     term: Term
-    accepted: Epoch | None
-    installed: Term
+    accepted_epoch: Epoch | None
+    installed_term: Term
     sequence: int
 
 
@@ -136,7 +136,7 @@
     """The witness has promised a newer term than the one it was asked about."""
 
     term: Term
-    promised: Term
+    prepared_term: Term
 
 
 Message = (
@@ -147,7 +147,7 @@
     | PreVote
     | PreVoteGrant
     | Prepare
-    | Promised
+    | Prepared
     | Install
     | Installed
     | Accept
@@ -163,8 +163,8 @@
     """On disk: what this store has promised and accepted as a witness."""
 
     store: str
-    promised: Term
-    accepted: Epoch | None
+    prepared_term: Term
+    accepted_epoch: Epoch | None
 
 
 @dataclass(frozen=True, slots=True)
--- a/fordtrestle/replication/state.py
+++ b/fordtrestle/replication/state.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass, replace
 
-TAKEN_MOST = 2048  # calls remembered, so that one sent again is acknowledged again
-PRINT_BYTES = 4  # of the digest of a call from before those: who has another print was never taken
-PRINTS_MOST = 1_000_000  # three years at 900 changes a day; then they begin anew
+MAX_APPLIED_CALLS = 2048  # calls remembered, so that one sent again is acknowledged again
+DIGEST_PREFIX_BYTES = 4  # of the digest of a call from before those: who has another print was never taken
+MAX_DIGEST_PREFIXES = 1_000_000  # three years at 900 changes a day; then they begin anew
 
 
 @dataclass(frozen=True, slots=True)
@@ -37,11 +37,11 @@
 Change = ConfigChange | Evacuation
 
 
-def _stands_in(prints: bytes, wanted: bytes) -> bool:
+def _holds_prefix(digest_prefixes: bytes, wanted: bytes) -> bool:
     """Whether a print is among others, which stand one behind the other."""
-    at = prints.find(wanted)
-    while at >= 0 and at % PRINT_BYTES:
-        at = prints.find(wanted, at + 1)
+    at = digest_prefixes.find(wanted)
+    while at >= 0 and at % DIGEST_PREFIX_BYTES:
+        at = digest_prefixes.find(wanted, at + 1)
     return at >= 0
 
 
@@ -53,36 +53,39 @@
     generation: int = 0
     document: bytes = b""
     evacuated: tuple[str, ...] = ()
-    taken: tuple[AppliedCall, ...] = ()  # the newest calls, in their order
+    applied_calls: tuple[AppliedCall, ...] = ()  # the newest calls, in their order
     forgotten_base: int = -1  # the newest generation that a call built on of which nothing is known any more
-    prints: bytes = b""  # of the calls from before `taken`, in their order
+    digest_prefixes: bytes = b""  # of the calls from before `taken`, in their order
 
-    def has_taken(self, digest: bytes) -> bool:
+    def has_applied(self, digest: bytes) -> bool:
         """Whether this very call is known to have been taken."""
-        return any(call.digest == digest for call in self.taken)
+        return any(call.digest == digest for call in self.applied_calls)
 
-    def may_have_taken(self, digest: bytes, base: int) -> bool:
+    def may_have_applied(self, digest: bytes, base: int) -> bool:
         """Whether a call on that generation may have been taken before those that are known by their digests.
 
         One of `PRINTS_MOST` / 2 ** 32, 0.02%, of those that were not is held to be.
         """
-        return base <= self.forgotten_base or _stands_in(self.prints, digest[:PRINT_BYTES])
+        prefix = digest[:DIGEST_PREFIX_BYTES]
+        return base <= self.forgotten_base or _holds_prefix(self.digest_prefixes, prefix)
 
     def apply(self, change: Change) -> ControlState:
         """The state after one more change."""
         after = replace(self, sequence=self.sequence + 1)
         if isinstance(change, ConfigChange):
-            taken = (*self.taken, AppliedCall(change.digest, self.generation))
-            prints = self.prints + b"".join(call.digest[:PRINT_BYTES] for call in taken[:-TAKEN_MOST])
-            is_full = len(prints) > PRINTS_MOST * PRINT_BYTES
-            kept = taken[-TAKEN_MOST:]
+            applied_calls = (*self.applied_calls, AppliedCall(change.digest, self.generation))
+            digest_prefixes = self.digest_prefixes + b"".join(
+                call.digest[:DIGEST_PREFIX_BYTES] for call in applied_calls[:-MAX_APPLIED_CALLS]
+            )
+            is_full = len(digest_prefixes) > MAX_DIGEST_PREFIXES * DIGEST_PREFIX_BYTES
+            kept = applied_calls[-MAX_APPLIED_CALLS:]
             return replace(
                 after,
                 generation=change.generation,
                 document=change.document,
-                taken=kept,
+                applied_calls=kept,
                 forgotten_base=kept[0].base - 1 if is_full else self.forgotten_base,
-                prints=b"" if is_full else prints,
+                digest_prefixes=b"" if is_full else digest_prefixes,
             )
         others = tuple(zone for zone in self.evacuated if zone != change.zone)
         return replace(after, evacuated=(*others, change.zone) if change.active else others)
--- a/fordtrestle/replication/voting.py
+++ b/fordtrestle/replication/voting.py
@@ -15,17 +15,17 @@
     Install,
     Installed,
     Prepare,
-    Promised,
+    Prepared,
     Record,
     Rejected,
 )
 
 Question = Prepare | Install | Accept | Append
-Answer = Promised | Installed | Accepted | Appended
+Answer = Prepared | Installed | Accepted | Appended
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
+class GrantedVote:
     """The question was taken: `records` have to be synced before the answer is told."""
 
     term: Term
@@ -33,13 +33,13 @@
     answer: Answer
 
 
-def vote(durable: Durable, question: Question) -> Given | Rejected | None:
+def vote(durable: Durable, question: Question) -> GrantedVote | Rejected | None:
     """The answer to a question; nothing where it does not fit what this store holds, which is no fault."""
     answer: Answer
     match question:
         case Prepare(term):
-            records = durable.promise(term)
-            answer = Promised(term, durable.accepted, durable.installed, durable.state.sequence)
+            records = durable.prepare(term)
+            answer = Prepared(term, durable.accepted_epoch, durable.installed_term, durable.state.sequence)
         case Install(term, state):
             records = durable.install(term, state)
             answer = Installed(term)
@@ -51,5 +51,5 @@
             records = durable.append(term, sequence, change)
             answer = Appended(term, durable.state.sequence)
     if records is not None:
-        return Given(term, records, answer)
-    return Rejected(term, durable.promised) if durable.promised > term else None
+        return GrantedVote(term, records, answer)
+    return Rejected(term, durable.prepared_term) if durable.prepared_term > term else None
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -76,8 +76,8 @@
         self.node = Node(
             me,
             durable,
-            machines=boot.tolerance.machines,
-            counts=boot.counts_for_quorum,
+            tolerated_failures=boot.tolerance.machines,
+            counts_for_quorum=boot.counts_for_quorum,
             draw=self.process.rng.random,
             now=asyncio.get_running_loop().time(),
             seeds=lambda: [str(seed) for seed in self.process.boot.seeds],
@@ -147,7 +147,7 @@
         self.replicator.announce()
         self.replicator.pump()
         await asyncio.sleep(LEAVE_LEAST_S)
-        while not self.node.may_leave(loop.time()):
+        while not self.node.can_leave(loop.time()):
             await asyncio.sleep(LEAVE_CHECK_S)
 
     def _inherits(self, node: str) -> bool:
--- a/fordtrestle/roles/event_log.py
+++ b/fordtrestle/roles/event_log.py
@@ -24,7 +24,7 @@
         self._events = events
 
     def __call__(self) -> None:
-        for event in self._events.take():
+        for event in self._events.drain():
             told = {field.name: _plain(getattr(event, field.name)) for field in fields(event)}
             eliot.log_message(message_type(event), **told)
 
--- a/fordtrestle/roles/metrics.py
+++ b/fordtrestle/roles/metrics.py
@@ -36,9 +36,22 @@
     }
 
 
+# The names of metrics are part of the operators' interface: they stay when an event's class is renamed.
+EVENT_METRICS = {
+    "EpochChangeStarted": "replication_opening_began",
+    "EpochChangeFailed": "replication_opening_failed",
+    "EpochOpened": "replication_epoch_opened",
+    "SteppedDown": "replication_stepped_down",
+    "StateSent": "replication_state_sent",
+    "WriteLate": "replication_write_late",
+    "Waiting": "replication_waiting",
+    "ForeignStoreSeen": "replication_stranger_met",
+}
+
+
 def of_events(events: Events) -> dict[str, float]:
     """How many events of the replication there were of each kind since the start."""
-    return {f"replication_{snake(name)}": count for name, count in events.counts.items()}
+    return {EVENT_METRICS[name]: count for name, count in events.counts.items()}
 
 
 def snake(name: str) -> str:
--- a/tests/control_api/test_exchanges.py
+++ b/tests/control_api/test_exchanges.py
@@ -21,9 +21,9 @@
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Epoch, Store, Term
+from fordtrestle.replication.failure_detector import ELECTION_TIMEOUT_S
 from fordtrestle.replication.messages import Heartbeat, Resign
 from fordtrestle.replication.node import Node
-from fordtrestle.replication.primary_watch import ELECTION_S
 from fordtrestle.storage.log import RecordLog
 from tests.exchanges import Client, approved, loopback, request, serve
 
@@ -58,8 +58,8 @@
         self.node = Node(
             store,
             Durable("s1", must_bootstrap=founded),
-            machines=0,
-            counts=True,
+            tolerated_failures=0,
+            counts_for_quorum=True,
             draw=random.Random(1).random,
             now=asyncio.get_running_loop().time(),
         )
@@ -194,7 +194,7 @@
 async def test_nobody_is_sent_on_to_a_primary_that_was_not_heard_lately_or_that_ends(tmp_path):
     async with Stage(tmp_path, founded=False) as stage, Client(stage.port) as client:
         now = stage.replicator.now()
-        stage.node.receive("s2", Heartbeat(THEIRS, 1), now - ELECTION_S - 0.1)
+        stage.node.receive("s2", Heartbeat(THEIRS, 1), now - ELECTION_TIMEOUT_S - 0.1)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 503")
         stage.node.receive("s2", Heartbeat(THEIRS, 2), now + 60.0)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 307")
--- a/tests/control_api/test_orders.py
+++ b/tests/control_api/test_orders.py
@@ -244,8 +244,8 @@
 
 def taken_calls(count: int, most: int, monkeypatch, prints_most: int = 100) -> ControlState:
     """A state after so many changes, of which the newest `most` are known by their digests."""
-    monkeypatch.setattr(state_module, "TAKEN_MOST", most)
-    monkeypatch.setattr(state_module, "PRINTS_MOST", prints_most)
+    monkeypatch.setattr(state_module, "MAX_APPLIED_CALLS", most)
+    monkeypatch.setattr(state_module, "MAX_DIGEST_PREFIXES", prints_most)
     state = ControlState()
     for number in range(1, count + 1):
         digest = digest_of("put", number - 1, b"%d" % number)
@@ -267,13 +267,13 @@
 
 def test_what_is_known_of_old_calls_is_bounded_and_none_of_them_is_refused_for_it(monkeypatch):
     state = taken_calls(40, 3, monkeypatch, prints_most=10)
-    assert len(state.prints) <= 10 * state_module.PRINT_BYTES
+    assert len(state.digest_prefixes) <= 10 * state_module.DIGEST_PREFIX_BYTES
     verdicts = {judge("put", number - 1, b"%d" % number, state).verdict for number in range(1, 38)}
     assert verdicts == {Verdict.UNCLEAR}
     assert judge("put", 36, b"another", state).verdict is Verdict.STALE
 
 
 def test_a_print_is_found_only_where_one_begins():
-    state = ControlState(generation=9, prints=b"\x01\x02\x03\x04\x05\x06\x07\x08")
-    assert state.may_have_taken(b"\x05\x06\x07\x08 and more", 1)
-    assert not state.may_have_taken(b"\x03\x04\x05\x06 and more", 1)
+    state = ControlState(generation=9, digest_prefixes=b"\x01\x02\x03\x04\x05\x06\x07\x08")
+    assert state.may_have_applied(b"\x05\x06\x07\x08 and more", 1)
+    assert not state.may_have_applied(b"\x03\x04\x05\x06 and more", 1)
--- a/tests/control_api/test_short_memory.py
+++ b/tests/control_api/test_short_memory.py
@@ -14,8 +14,8 @@
 
 @pytest.mark.parametrize(("taken", "prints"), [(2, 1000), (2, 4)])
 def test_a_short_memory_of_calls_refuses_none_that_was_taken(taken, prints, monkeypatch):
-    monkeypatch.setattr(state_module, "TAKEN_MOST", taken)
-    monkeypatch.setattr(state_module, "PRINTS_MOST", prints)
+    monkeypatch.setattr(state_module, "MAX_APPLIED_CALLS", taken)
+    monkeypatch.setattr(state_module, "MAX_DIGEST_PREFIXES", prints)
     worlds = [play(seed, 1 + (seed % 4 == 3), STEPS) for seed in range(SEEDS)]
     changes = [change for world in worlds for change in world.told.changes]
     assert sum(change.acknowledged for change in changes) > SEEDS / 2
--- a/tests/control_api/world.py
+++ b/tests/control_api/world.py
@@ -251,7 +251,7 @@
         if state.generation < self.told.newest:
             raise Breach(f"{state.generation} is left of {self.told.newest}")
         for change in self.told.changes:
-            if change.refused and state.has_taken(change.digest):
+            if change.refused and state.has_applied(change.digest):
                 raise Breach("a change is in force that was refused")
         busy, active = self.told.zone_busy, self.told.zone_active
         if active is not None and not busy and (ZONE in state.evacuated) != active:
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -41,8 +41,8 @@
 DELTA, DELTA_TESTS = "dissemination/delta.py", "tests/dissemination/test_delta.py"
 FRONTS, FRONTS_TESTS = "routing/fronts.py", "tests/routing/test_fronts.py"
 NODE, HARD_CASES = "replication/node.py", "tests/replication/test_hard_cases.py"
-FOUNDING, FOUNDING_TESTS = "replication/founding.py", "tests/replication/test_founding.py"
-OPENING = "replication/opening.py"
+BOOTSTRAP, BOOTSTRAP_TESTS = "replication/bootstrap.py", "tests/replication/test_bootstrap.py"
+EPOCH_CHANGE = "replication/epoch_change.py"
 OUTLIERS, OUTLIERS_TESTS = "routing/outliers.py", "tests/routing/test_outliers.py"
 EVIDENCE, EVIDENCE_TESTS = "routing/evidence.py", "tests/routing/test_evidence.py"
 
@@ -74,7 +74,7 @@
     "entries of another term are void": _removal(
         "replication/durable.py",
         "tests/replication/test_durable.py",
-        "entry.term == self.installed and entry",
+        "entry.term == self.installed_term and entry",
         "entry",
     ),
     "what a disk refused is not told": _removal(
@@ -126,25 +126,30 @@
         "                pass\n            if (zone",
     ),
     "a call that was taken is acknowledged again": _removal(
-        ORDERS, ORDER_TESTS, "    if state.has_taken(digest):\n", "    if False:\n"
+        ORDERS, ORDER_TESTS, "    if state.has_applied(digest):\n", "    if False:\n"
     ),
     "a call that may have been taken is not refused": _removal(
         ORDERS,
         ORDER_TESTS,
-        "Verdict.UNCLEAR if state.may_have_taken(digest, base) else Verdict.STALE",
+        "Verdict.UNCLEAR if state.may_have_applied(digest, base) else Verdict.STALE",
         "Verdict.STALE",
     ),
     "a call whose print is known may have been taken": _removal(
-        "replication/state.py", ORDER_TESTS, " or _stands_in(self.prints, digest[:PRINT_BYTES])"
+        "replication/state.py",
+        ORDER_TESTS,
+        " or _holds_prefix(self.digest_prefixes, prefix)",
     ),
     "a call whose print is not known is refused": _removal(
         "replication/state.py",
         ORDER_TESTS,
-        "base <= self.forgotten_base or _stands_in(self.prints, digest[:PRINT_BYTES])",
-        "base < self.taken[0].base",
+        "base <= self.forgotten_base or _holds_prefix(self.digest_prefixes, prefix)",
+        "base < self.applied_calls[0].base",
     ),
     "prints are bounded": _removal(
-        "replication/state.py", ORDER_TESTS, 'prints=b"" if is_full else prints', "prints=prints"
+        "replication/state.py",
+        ORDER_TESTS,
+        'digest_prefixes=b"" if is_full else digest_prefixes',
+        "digest_prefixes=digest_prefixes",
     ),
     "a row that has changed is checked": _removal(
         "control_api/configuration.py",
@@ -172,21 +177,21 @@
     "a wait is told at growing pauses": _removal(
         "replication/events.py",
         "tests/replication/test_events.py",
-        "        self._pause_s = min(PAUSE_MOST_S, 2 * self._pause_s)\n",
+        "        self._backoff_s = min(MAX_WAIT_REPORT_BACKOFF_S, 2 * self._backoff_s)\n",
     ),
     "events that nobody takes are bounded": _removal(
         "replication/events.py",
         "tests/replication/test_events.py",
-        "        del self._waiting[:-EVENTS_MOST]\n",
+        "        del self._pending[:-MAX_PENDING_EVENTS]\n",
     ),
     "a late write is told of once": _removal(
         "replication/leadership.py",
         "tests/replication/test_events.py",
-        "        return told != self.append_since\n",
+        "        return reported != self.append_since\n",
         "        return True\n",
     ),
     "calls are remembered": _removal(
-        "replication/state.py", ORDER_TESTS, "TAKEN_MOST = 2048", "TAKEN_MOST = 4"
+        "replication/state.py", ORDER_TESTS, "MAX_APPLIED_CALLS = 2048", "MAX_APPLIED_CALLS = 4"
     ),
     "the base of a change is the current version": _removal(
         ORDERS, ORDER_TESTS, "    if base != state.generation:\n", "    if False:\n"
@@ -225,13 +230,13 @@
         ORDERS, ORDER_TESTS, "        if self._waiting >= WAITING_MOST:\n", "        if False:\n"
     ),
     "callers are sent on to a primary that was heard lately alone": _removal(
-        "replication/primary_watch.py",
+        "replication/failure_detector.py",
         ORDER_TESTS,
-        " or now - self.heard_at > ELECTION_S:\n            return None",
+        " or now - self.heard_at > ELECTION_TIMEOUT_S:\n            return None",
         ":\n            return None",
     ),
     "nobody is sent on to a primary that has said that it ends": _removal(
-        "replication/primary_watch.py", ORDER_TESTS, " or primary.id == self._lost or now", " or now"
+        "replication/failure_detector.py", ORDER_TESTS, " or primary.id == self._lost or now", " or now"
     ),
     "a withdrawal is acknowledged once a majority holds it": _removal(
         "control_api/withdrawals.py",
@@ -263,16 +268,16 @@
         "            if record.heard_by == self._node:\n",
     ),
     "an ended link's store is not live": _removal(
-        "replication/contacts.py",
+        "replication/peer_table.py",
         "tests/replication/test_control_times.py",
-        "        return heard - self._unlinked\n",
+        "        return heard - self._disconnected\n",
         "        return heard\n",
     ),
     "a primary out of touch says that it resigns": _removal(
         NODE,
         "tests/replication/test_control_times.py",
-        "            self._resign(leadership, Why.OUT_OF_TOUCH, now)",
-        "            self._step_down(Why.OUT_OF_TOUCH, now)",
+        "            self._resign(leadership, Reason.OUT_OF_TOUCH, now)",
+        "            self._step_down(Reason.OUT_OF_TOUCH, now)",
     ),
     "a store that leaves stays until it is needed no more": _removal(
         NODE, HARD_CASES, "        return self.me.id not in needed\n", "        return True\n"
@@ -280,11 +285,11 @@
     "replicas that leave are replaced": _removal(
         "replication/reconfiguration.py",
         HARD_CASES,
-        "        return Why.REPLICA_LEAVES\n",
+        "        return Reason.REPLICA_LEAVES\n",
         "        return None\n",
     ),
     "a store that leaves gives up its place": _removal(
-        "replication/contacts.py",
+        "replication/peer_table.py",
         HARD_CASES,
         " if store_id in leaving and store_id not in first)\n",
         " if False)\n",
@@ -305,41 +310,44 @@
         "        for store_id in leadership.epoch.replicas:  # those",
     ),
     "who founds votes first": _removal(
-        OPENING,
-        FOUNDING_TESTS,
-        "        if self.is_founding and self.me.id in asked:\n",
+        EPOCH_CHANGE,
+        BOOTSTRAP_TESTS,
+        "        if self.is_bootstrap and self.me.id in asked:\n",
         "        if False:\n",
     ),
     "all of a core promise before it begins anew": _removal(
-        OPENING, FOUNDING_TESTS, " and self.unanimous.issubset(self.promised)"
+        EPOCH_CHANGE, BOOTSTRAP_TESTS, " and self.unanimous.issubset(self.prepared)"
     ),
     "a core does not begin anew while a seed is missing": _removal(
-        FOUNDING, FOUNDING_TESTS, " or self.missing(heard, seeds):", ":"
+        BOOTSTRAP, BOOTSTRAP_TESTS, " or self.missing_seeds(heard, seeds):", ":"
     ),
     "a core does not begin anew while its founder is there": _removal(
-        FOUNDING, FOUNDING_TESTS, "if is_told or not self._counts", "if not self._counts"
+        BOOTSTRAP,
+        BOOTSTRAP_TESTS,
+        "if has_founder or not self._counts_for_quorum",
+        "if not self._counts_for_quorum",
     ),
     "no core is founded beside one that is heard": _removal(
-        FOUNDING, FOUNDING_TESTS, " or any(other.core for other in heard):", ":"
+        BOOTSTRAP, BOOTSTRAP_TESTS, " or any(other.core for other in heard):", ":"
     ),
     "no core is founded with fewer stores than a whole one has": _removal(
-        FOUNDING, FOUNDING_TESTS, "if not is_whole or any(", "if any("
+        BOOTSTRAP, BOOTSTRAP_TESTS, "if not is_complete or any(", "if any("
     ),
     "that a store is to found is on disk before anything else": _removal(
         "replication/durable.py",
-        FOUNDING_TESTS,
-        "[*wish, self._vote(), Snapshot(self.installed, self.state)]",
-        "[self._vote(), Snapshot(self.installed, self.state), *wish]",
+        BOOTSTRAP_TESTS,
+        "[*wish, self._vote(), Snapshot(self.installed_term, self.state)]",
+        "[self._vote(), Snapshot(self.installed_term, self.state), *wish]",
     ),
     "stores of another core are not taken in": _removal(
         NODE,
-        FOUNDING_TESTS,
-        "        if self._contacts.is_stranger(message, core):\n",
+        BOOTSTRAP_TESTS,
+        "        if self._peers.is_foreign(message, core):\n",
         "        if False:\n",
     ),
     "a primary of another core is not followed": _removal(
         NODE,
-        FOUNDING_TESTS,
+        BOOTSTRAP_TESTS,
         "        if core and not is_same_core(core, epoch.core):\n",
         "        if False:\n",
     ),
@@ -491,8 +499,8 @@
     "a store that is cut off waits for the others": _removal(
         NODE,
         HARD_CASES,
-        "        staying = self._contacts.ids() - self",
-        "        staying = self._contacts.live(now) - self",
+        "        staying = self._peers.ids() - self",
+        "        staying = self._peers.live(now) - self",
     ),
     "a member is down only once others were asked": _removal(
         "dissemination/suspicion.py",
@@ -554,7 +562,7 @@
     "a control process that ends waits until it is not needed": _removal(
         "roles/control.py",
         "tests/roles/test_control_leaving.py",
-        "        while not self.node.may_leave(loop.time()):\n",
+        "        while not self.node.can_leave(loop.time()):\n",
         "        while False:\n",
     ),
     "a sidecar that leaves waits for clients to go": _removal(
--- a/tests/peer/test_replicator.py
+++ b/tests/peer/test_replicator.py
@@ -47,8 +47,8 @@
     node = Node(
         Store("s1", "127.0.0.1:1", "127.0.0.1:2", "z-1"),
         Durable("s1", must_bootstrap=True),
-        machines=0,
-        counts=True,
+        tolerated_failures=0,
+        counts_for_quorum=True,
         draw=random.Random(1).random,
         now=asyncio.get_running_loop().time(),
     )
@@ -126,6 +126,6 @@
     async with stage(tmp_path) as (replicator, _):
         term = Term(99, "s9")
         replicator.received(Envelope("s9", "s0", Prepare(term)))
-        assert replicator.node.durable.promised < term
+        assert replicator.node.durable.prepared_term < term
         replicator.received(Envelope("s9", "s1", Prepare(term)))
-        assert replicator.node.durable.promised == term
+        assert replicator.node.durable.prepared_term == term
--- a/tests/peer/test_versions.py
+++ b/tests/peer/test_versions.py
@@ -182,7 +182,7 @@
 def test_a_store_of_the_version_before_belongs_to_no_core_that_could_be_told():
     tag, values = fields_of(Announce("s", True, False, "c", True))
     told = decode(cbor2.dumps(cbor2.CBORTag(tag, values[:3])))
-    assert (told.core, told.founder) == (UNKNOWN_CORE, False)
+    assert (told.core, told.is_founder) == (UNKNOWN_CORE, False)
 
 
 @loopback
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -9,34 +9,34 @@
 
 import pytest
 
-from fordtrestle.replication import candidacy as candidacy_module
+from fordtrestle.replication import candidate as candidate_module
+from fordtrestle.replication import epoch_change as epoch_change_module
 from fordtrestle.replication import messages as wire
-from fordtrestle.replication import opening as opening_module
 from fordtrestle.replication.durable import Durable
+from fordtrestle.replication.epoch_change import EpochChange
 from fordtrestle.replication.epochs import NO_TERM, Epoch, majority
 from fordtrestle.replication.node import Node
-from fordtrestle.replication.opening import Opening
 from tests.replication.world import Machine, World
 
 Removal = Callable[[pytest.MonkeyPatch], None]
 
 
 def _promises_are_forgotten(patch: pytest.MonkeyPatch) -> None:
-    whole = Durable.promise
-    patch.setattr(Durable, "promise", lambda self, term: None if whole(self, term) is None else [])
+    whole = Durable.prepare
+    patch.setattr(Durable, "prepare", lambda self, term: None if whole(self, term) is None else [])
 
 
 def _older_terms_are_promised(patch: pytest.MonkeyPatch) -> None:
-    def promise(self, term):
-        self.promised = term
+    def prepare(self, term):
+        self.prepared_term = term
         return [self._vote()]
 
-    patch.setattr(Durable, "promise", promise)
+    patch.setattr(Durable, "prepare", prepare)
 
 
 def _older_epochs_are_accepted(patch: pytest.MonkeyPatch) -> None:
     def accept(self, epoch):
-        self.promised, self.accepted = epoch.term, epoch
+        self.prepared_term, self.accepted_epoch = epoch.term, epoch
         return self._adopt(epoch)
 
     patch.setattr(Durable, "accept", accept)
@@ -58,7 +58,7 @@
     whole = Durable.append
 
     def append(self, term, sequence, change):
-        if term == self.installed and term >= self.promised and sequence > self.state.sequence + 1:
+        if term == self.installed_term and term >= self.prepared_term and sequence > self.state.sequence + 1:
             self.state = replace(self.state.apply(change), sequence=sequence)
             return [wire.Entry(term, sequence, change)]
         return whole(self, term, sequence, change)
@@ -68,36 +68,38 @@
 
 def _earlier_witnesses_are_not_asked(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Epoch, "quorums", property(lambda self: (self.witness_ids,)))
-    patch.setattr(Opening, "quorums", property(lambda self: (tuple(store.id for store in self.witnesses),)))
+    patch.setattr(
+        EpochChange, "quorums", property(lambda self: (tuple(store.id for store in self.witnesses),))
+    )
 
 
 def _any_candidate_may_open(patch: pytest.MonkeyPatch) -> None:
     def take(self, sender, message, state):
-        self.promised[sender] = (message.installed, message.sequence)
+        self.prepared[sender] = (message.installed_term, message.sequence)
         return self._begin_installing(state, patient=True)
 
-    patch.setattr(Opening, "_take_promise", take)
+    patch.setattr(EpochChange, "_on_prepared", take)
 
 
 def _state_is_not_installed_first(patch: pytest.MonkeyPatch) -> None:
-    whole = Opening._propose
+    whole = EpochChange._propose
 
-    def propose(self, kept=None):
+    def propose(self, base_state=None):
         self.installed.update(self.installing)
-        return whole(self, kept)
+        return whole(self, base_state)
 
-    patch.setattr(Opening, "_propose", propose)
+    patch.setattr(EpochChange, "_propose", propose)
 
 
 def _one_replica_is_enough(patch: pytest.MonkeyPatch) -> None:
-    whole = Node._take_appended
+    whole = Node._on_appended
 
     def take(self, sender, message):
         if self._leadership and message.term == self._leadership.epoch.term:
             for replica in self._leadership.epoch.replicas:
                 whole(self, replica, message)
 
-    patch.setattr(Node, "_take_appended", take)
+    patch.setattr(Node, "_on_appended", take)
 
 
 def _messages_overtake_the_disk(patch: pytest.MonkeyPatch) -> None:
@@ -117,11 +119,11 @@
 
 
 def _one_vote_opens(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(opening_module, "supported", lambda voted, quorums: bool(voted))
+    patch.setattr(epoch_change_module, "supported", lambda voted, quorums: bool(voted))
 
 
 def _reads_are_not_confirmed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Node, "confirmed", lambda self, round_number: self.is_primary)
+    patch.setattr(Node, "is_confirmed", lambda self, number: self.is_primary)
 
 
 def _a_wiped_disk_keeps_its_name(patch: pytest.MonkeyPatch) -> None:
@@ -133,10 +135,10 @@
 
     def restore(cls, records):
         found = whole(cls, records)
-        if found and found.accepted:
-            found.promised = found.accepted.term
+        if found and found.accepted_epoch:
+            found.prepared_term = found.accepted_epoch.term
         elif found:
-            found.promised = NO_TERM
+            found.prepared_term = NO_TERM
         return found
 
     patch.setattr(Durable, "restore", classmethod(restore))
@@ -144,7 +146,7 @@
 
 def _new_epochs_are_acknowledged_in_before_they_are_known(patch: pytest.MonkeyPatch) -> None:
     def is_ready(self) -> bool:
-        return self.is_primary and not self._candidacy.opening
+        return self.is_primary and not self._candidate.epoch_change
 
     patch.setattr(Node, "is_ready", property(is_ready))
 
@@ -153,8 +155,10 @@
     def half(voted, witnesses):
         return 2 * sum(witness in voted for witness in witnesses) >= len(witnesses) - 1
 
-    patch.setattr(opening_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums))
-    patch.setattr(candidacy_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums))
+    patch.setattr(
+        epoch_change_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums)
+    )
+    patch.setattr(candidate_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums))
     assert majority(("a",), ("a",))
 
 
--- a/tests/replication/test_founding.py
+++ b/tests/replication/test_bootstrap.py
@@ -4,16 +4,16 @@
 
 import pytest
 
+from fordtrestle.replication.bootstrap import UNANIMOUS_DELAY_S, Bootstrap
 from fordtrestle.replication.durable import Durable
+from fordtrestle.replication.epoch_change import EpochChange
 from fordtrestle.replication.epochs import Epoch, Store, Term, no_epoch
-from fordtrestle.replication.events import StrangerMet, Wait, Waiting
-from fordtrestle.replication.founding import UNTOLD_S, Founding
-from fordtrestle.replication.messages import Accepted, Announce, Heartbeat, Promised, Record
-from fordtrestle.replication.opening import Opening
+from fordtrestle.replication.events import ForeignStoreSeen, Waiting, WaitReason
+from fordtrestle.replication.messages import Accepted, Announce, Heartbeat, Prepared, Record
 from fordtrestle.replication.state import ControlState
 from tests.replication.world import TICK_S, Machine, World
 
-STEPS = range(0, 240, 6)  # of the founding, at which something is lost; it takes some 150
+STEPS = range(0, 240, 6)  # of the bootstrap, at which something is lost; it takes some 150
 
 
 class Birth(World):
@@ -43,7 +43,7 @@
 
     def waits(self) -> list[Waiting]:
         """The waits that all have told."""
-        told = [event for machine in self.machines if machine.node for event in machine.node.events.take()]
+        told = [event for machine in self.machines if machine.node for event in machine.node.events.drain()]
         return [event for event in told if isinstance(event, Waiting)]
 
 
@@ -69,29 +69,29 @@
 
 def test_a_whole_core_that_nobody_was_told_to_found_waits_for_each_seed_and_for_founders():
     def begins(heard, seeds=SEEDS):
-        founding = Founding(ME, 1, True, 0.0)
-        tries = [founding.plan(False, heard, seeds, at) for at in (0.0, UNTOLD_S)]
+        bootstrap = Bootstrap(ME, 1, True, 0.0)
+        tries = [bootstrap.plan(False, heard, seeds, at) for at in (0.0, UNANIMOUS_DELAY_S)]
         assert tries[0] is None
         return tries[1]
 
     assert not begins(said(B, D)), "a seed is missing: it may know more"
-    assert not begins([*said(B), *said(C, founder=True)])
+    assert not begins([*said(B), *said(C, is_founder=True)])
     assert not begins([*said(B), *said(C, core="a")])
     assert not begins([*said(B, C), *said(D, core="a")])
     assert not begins(said(B), [ME.control]), "two of three"
     told = begins(said(B, C))
     assert told.unanimous == {"a", "b", "c"}
     assert set(told.witnesses) == {ME, B, C}
-    assert Founding(B, 1, True, 0.0).plan(False, said(ME, C), SEEDS, 99.0) is None, "another goes first"
+    assert Bootstrap(B, 1, True, 0.0).plan(False, said(ME, C), SEEDS, 99.0) is None, "another goes first"
 
 
-def unanimous() -> Opening:
+def unanimous() -> EpochChange:
     ids = frozenset("abc")
-    return Opening(ME, Term(5, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0, unanimous=ids)
+    return EpochChange(ME, Term(5, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0, unanimous=ids)
 
 
-def promise(accepted: Epoch | None) -> Promised:
-    return Promised(Term(5, "a"), accepted, Term(0, ""), 0)
+def promise(accepted: Epoch | None) -> Prepared:
+    return Prepared(Term(5, "a"), accepted, Term(0, ""), 0)
 
 
 def epoch(*witnesses: Store) -> Epoch:
@@ -99,33 +99,33 @@
 
 
 def test_a_core_that_nobody_was_told_to_found_needs_the_promise_of_all():
-    opening = unanimous()
+    change = unanimous()
     for store_id in ("a", "b"):
-        assert not opening.receive(store_id, promise(None), ControlState())
-    assert not opening.repeat(ControlState())[1:], "C is asked again, and nobody to accept"
-    assert opening.receive("c", promise(None), ControlState())
-    assert opening.proposed
-    assert not opening.newer
+        assert not change.receive(store_id, promise(None), ControlState())
+    assert not change.repeat(ControlState())[1:], "C is asked again, and nobody to accept"
+    assert change.receive("c", promise(None), ControlState())
+    assert change.proposed
+    assert not change.newer
 
 
 def test_a_core_is_not_founded_over_an_epoch_that_one_of_all_knows():
-    opening = unanimous()
+    change = unanimous()
     for store_id in ("a", "b"):
-        opening.receive(store_id, promise(None), ControlState())
-    assert not opening.receive("c", promise(epoch(B, C)), ControlState())
-    assert opening.newer == epoch(B, C)
-    assert not opening.proposed
+        change.receive(store_id, promise(None), ControlState())
+    assert not change.receive("c", promise(epoch(B, C)), ControlState())
+    assert change.newer == epoch(B, C)
+    assert not change.proposed
 
 
 def test_who_founds_votes_first():
-    opening = Opening(ME, Term(1, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0)
+    change = EpochChange(ME, Term(1, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0)
     asked = []
     for store_id in ("a", "b", "c"):
-        promised = Promised(Term(1, "a"), None, Term(0, ""), 0)
-        asked += opening.receive(store_id, promised, ControlState())
+        prepared = Prepared(Term(1, "a"), None, Term(0, ""), 0)
+        asked += change.receive(store_id, prepared, ControlState())
     assert [receiver for receiver, _ in asked] == ["a"]
-    assert [receiver for receiver, _ in opening.repeat(ControlState())] == ["a"]
-    asked = opening.receive("a", Accepted(opening.term), ControlState())
+    assert [receiver for receiver, _ in change.repeat(ControlState())] == ["a"]
+    asked = change.receive("a", Accepted(change.term), ControlState())
     assert [receiver for receiver, _ in asked] == ["b", "c"]
 
 
@@ -205,7 +205,7 @@
         world.empty(*late)
         world.run(20.0)
         assert not world.ready()
-        waits = [wait for wait in world.waits() if wait.wait is Wait.STORES]
+        waits = [wait for wait in world.waits() if wait.wait is WaitReason.STORES]
         assert waits[-1].missing == tuple(machine.address for machine in late[:2])
         assert len(waits) == 4, "after 1, 3, 7 and 15 s"
         for machine in late:
@@ -270,9 +270,9 @@
     (a,), (b,) = one.machines, other.machines
     for _ in range(3):
         a.node.receive(b.node.me.id, b.node.announcement(), a.now)
-    told = [event for event in a.node.events.take() if isinstance(event, StrangerMet)]
+    told = [event for event in a.node.events.drain() if isinstance(event, ForeignStoreSeen)]
     assert [event.store for event in told] == [b.node.me.id]
-    assert b.node.me.id not in a.node._contacts.ids()
+    assert b.node.me.id not in a.node._peers.ids()
     a.node.receive(b.node.me.id, Heartbeat(_newer(b), 1), a.now)
     assert a.node.is_primary
     assert a.node.epoch.core == a.node.me.id
--- a/tests/replication/test_double_losses.py
+++ b/tests/replication/test_double_losses.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from tests.replication.test_founding import cut_off
+from tests.replication.test_bootstrap import cut_off
 from tests.replication.world import Machine, World
 
 MOMENTS = range(0, 700, 50)  # steps after the first losses; a repair takes 200 to 600
--- a/tests/replication/test_opening.py
+++ b/tests/replication/test_epoch_change.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from fordtrestle.replication.contacts import REPLACE_S, Contacts
+from fordtrestle.replication.epoch_change import EpochChange, plan_witnesses
 from fordtrestle.replication.epochs import Epoch, Store, Term, choose_replicas
-from fordtrestle.replication.messages import Accept, Announce, Install, Promised
-from fordtrestle.replication.opening import Opening, plan_witnesses
+from fordtrestle.replication.messages import Accept, Announce, Install, Prepared
+from fordtrestle.replication.peer_table import REPLACEMENT_TIMEOUT_S, PeerTable
 from fordtrestle.replication.state import ControlState
 
 A, B, C, D, E = (Store(name, f"10.0.0.{n}:1", "", f"z-{n % 3}") for n, name in enumerate("abcde"))
@@ -19,14 +19,14 @@
 
 
 def test_a_place_that_is_lost_is_filled_before_one_whose_store_is_about_to_end():
-    contacts = Contacts()
+    peers = PeerTable()
     for store, at in ((A, 10.0), (B, 5.0), (C, 10.0)):
-        contacts.meet(Announce(store, True, store is C), at)
-    giving_up = contacts.giving_up(EPOCH.witness_ids, 0.0, 10.0)
+        peers.on_announce(Announce(store, True, store is C), at)
+    giving_up = peers.giving_up(EPOCH.witness_ids, 0.0, 10.0)
     assert giving_up == ["b", "c"]
     assert plan_witnesses(EPOCH, [D], giving_up, 3) == (A, D, C)
     assert set(plan_witnesses(EPOCH, [D, E], giving_up, 3)) == {A, D, E}
-    assert contacts.giving_up(EPOCH.witness_ids, 0.0, 5.0 + REPLACE_S) == ["c"]
+    assert peers.giving_up(EPOCH.witness_ids, 0.0, 5.0 + REPLACEMENT_TIMEOUT_S) == ["c"]
 
 
 def test_nobody_takes_a_place_that_is_not_given_up():
@@ -52,12 +52,12 @@
     assert choose_replicas(A, [A, B], {"b"}, {"b"}, 2) == ("a", "b"), "nobody else is there"
 
 
-def opening(leaving=frozenset()):
-    return Opening(A, Term(4, "a"), EPOCH, EPOCH.witnesses, 2, leaving, began=0.0)
+def epoch_change(leaving=frozenset()):
+    return EpochChange(A, Term(4, "a"), EPOCH, EPOCH.witnesses, 2, leaving, began_at=0.0)
 
 
-def promise(from_, position=HELD):
-    return Promised(Term(4, "a"), EPOCH, *position)
+def prepared(from_, position=HELD):
+    return Prepared(Term(4, "a"), EPOCH, *position)
 
 
 def kinds(messages):
@@ -67,38 +67,38 @@
 def test_a_candidate_waits_for_stores_that_hold_its_state_and_then_does_without():
     state = ControlState(sequence=7)
     behind = (Term(2, "b"), 5)
-    patient = opening()
-    patient.receive("a", promise("a"), state)
-    assert patient.receive("b", promise("b", behind), state) == [], "C may hold it"
-    assert kinds(patient.receive("c", promise("c"), state)) == {Accept}
+    patient = epoch_change()
+    patient.receive("a", prepared("a"), state)
+    assert patient.receive("b", prepared("b", behind), state) == [], "C may hold it"
+    assert kinds(patient.receive("c", prepared("c"), state)) == {Accept}
     assert patient.proposed.replicas == ("a", "c")
-    assert patient.proposed.kept == HELD
-    tired = opening()
-    tired.receive("a", promise("a"), state)
-    tired.receive("b", promise("b", behind), state)
+    assert patient.proposed.base_state == HELD
+    tired = epoch_change()
+    tired.receive("a", prepared("a"), state)
+    tired.receive("b", prepared("b", behind), state)
     assert Install in kinds(tired.repeat(state))
 
 
 def test_a_candidate_goes_on_at_once_where_nobody_is_left_to_wait_for():
     state = ControlState(sequence=7)
-    trial = opening(leaving=frozenset(("b", "c")))
-    trial.receive("a", promise("a"), state)
-    trial.receive("b", promise("b"), state)
-    assert kinds(trial.receive("c", promise("c"), state)) == {Accept}
+    trial = epoch_change(leaving=frozenset(("b", "c")))
+    trial.receive("a", prepared("a"), state)
+    trial.receive("b", prepared("b"), state)
+    assert kinds(trial.receive("c", prepared("c"), state)) == {Accept}
 
 
 def test_a_candidate_that_has_not_synced_its_own_promise_installs_nothing():
     state = ControlState(sequence=7)
-    trial = opening()
-    trial.receive("b", promise("b"), state)
-    assert trial.receive("c", promise("c"), state) == []
-    assert kinds(trial.receive("a", promise("a"), state)) == {Accept}
+    trial = epoch_change()
+    trial.receive("b", prepared("b"), state)
+    assert trial.receive("c", prepared("c"), state) == []
+    assert kinds(trial.receive("a", prepared("a"), state)) == {Accept}
 
 
 def test_whole_states_are_repeated_at_doubled_pauses():
     state = ControlState(sequence=7)
-    trial = opening()
+    trial = epoch_change()
     for store in "abc":
-        trial.receive(store, promise(store, (Term(1, store), 1)), state)
+        trial.receive(store, prepared(store, (Term(1, store), 1)), state)
     sent = [bool(trial.repeat(state)) for _ in range(16)]
     assert [number for number, was in enumerate(sent, start=1) if was] == [1, 2, 4, 8, 16]
--- a/tests/replication/test_exhaustive.py
+++ b/tests/replication/test_exhaustive.py
@@ -40,7 +40,7 @@
     script.start(script.c)
     script.announce(script.c)
     script.tick(script.a, 0.05)
-    assert script.a.node._candidacy.opening
+    assert script.a.node._candidate.epoch_change
     return script
 
 
@@ -93,7 +93,7 @@
     parts = [str(world.pending), str([write.acknowledged for write in world.writes])]
     for machine in world.machines:
         node = machine.node
-        inner = node and (node.durable, node.is_primary, node.is_ready, node._candidacy)
+        inner = node and (node.durable, node.is_primary, node.is_ready, node._candidate)
         parts.append(f"{machine.disk}{machine.queue}{inner}{machine.wiped}")
     return "|".join(parts)
 
--- a/tests/replication/test_hard_cases.py
+++ b/tests/replication/test_hard_cases.py
@@ -8,11 +8,11 @@
 import pytest
 
 from fordtrestle.replication import messages as wire
-from fordtrestle.replication.candidacy import REPEAT_S
-from fordtrestle.replication.contacts import HEARD_S
+from fordtrestle.replication.candidate import RESEND_INTERVAL_S
+from fordtrestle.replication.epoch_change import EpochChange
 from fordtrestle.replication.epochs import Term
-from fordtrestle.replication.events import Why
-from fordtrestle.replication.opening import Opening
+from fordtrestle.replication.events import Reason
+from fordtrestle.replication.peer_table import LIVENESS_TIMEOUT_S
 from tests.replication.guards import FOUND_BY_SCHEDULE
 from tests.replication.world import Breach, Envelope, Machine, World
 
@@ -39,7 +39,7 @@
     def follows(self, machine: Machine) -> bool:
         """Whether a store holds the primary's state."""
         held, newest = machine.node.durable, self.a.node.durable
-        return (held.installed, held.state) == (newest.installed, newest.state)
+        return (held.installed_term, held.state) == (newest.installed_term, newest.state)
 
     def flow(self, *among: Machine, lost: Callable[[Envelope], bool] = lambda envelope: False) -> None:
         """Sync and deliver until nothing is left, between these machines; other messages are lost."""
@@ -58,13 +58,13 @@
 
     def candidate(self, machine: Machine, *among: Machine) -> None:
         """Let a machine open the next epoch as far as these others let it."""
-        accepted = machine.node.durable.accepted
-        machine.node._open(accepted, accepted.witnesses, Why.PRIMARY_LOST, machine.now)
+        accepted = machine.node.durable.accepted_epoch
+        machine.node._start_epoch_change(accepted, accepted.witnesses, Reason.PRIMARY_LOST, machine.now)
         self.pump(machine)
         self.flow(machine, *among)
-        opening = machine.node._candidacy.opening
-        if opening and not opening.installing:  # it waits for stores that hold its state
-            self.tick(machine, REPEAT_S)
+        change = machine.node._candidate.epoch_change
+        if change and not change.installing:  # it waits for stores that hold its state
+            self.tick(machine, RESEND_INTERVAL_S)
             self.flow(machine, *among)
 
     def acknowledge(self, machine: Machine, *among: Machine) -> bool:
@@ -91,10 +91,10 @@
     """C has promised itself to B. A, whose term is older, must not get C's vote any more."""
     script = Script()
     a, b, c = script.a, script.b, script.c
-    base = b.node.durable.accepted
-    b.node._candidacy.newest_term = Term(base.term.number, "")
-    b.node._open(base, base.witnesses, Why.PRIMARY_LOST, b.now)
-    b.node._candidacy.opening.term = newer = Term(base.term.number + 1, "z" + b.node.me.id)
+    base = b.node.durable.accepted_epoch
+    b.node._candidate.newest_term = Term(base.term.number, "")
+    b.node._start_epoch_change(base, base.witnesses, Reason.PRIMARY_LOST, b.now)
+    b.node._candidate.epoch_change.term = newer = Term(base.term.number + 1, "z" + b.node.me.id)
     b.node._effects.messages = [(store, wire.Prepare(newer)) for store, _ in b.node._effects.messages]
     script.pump(b)
     while b.queue:
@@ -104,7 +104,7 @@
             script.deliver(envelope)
     while c.queue:
         script.sync(c)
-    promise = script.take(wire.Promised)
+    promise = script.take(wire.Prepared)
     assert promise
     if restart:
         c.node, c.queue = None, []
@@ -128,8 +128,8 @@
     """B's epoch is older than the one that C has accepted from A: it comes late, and A is lost."""
     script = Script()
     a, b, c = script.a, script.b, script.c
-    base = b.node.durable.accepted
-    b.node._open(base, base.witnesses, Why.PRIMARY_LOST, b.now)
+    base = b.node.durable.accepted_epoch
+    b.node._start_epoch_change(base, base.witnesses, Reason.PRIMARY_LOST, b.now)
     script.pump(b)
     for _ in range(20):
         for machine in (b, c):
@@ -144,7 +144,7 @@
                 script.deliver(envelope)
     while b.queue:
         script.sync(b)
-    a.node._candidacy.newest_term = b.node.durable.promised
+    a.node._candidate.newest_term = b.node.durable.prepared_term
     script.candidate(a, c)
     script.acknowledge(a, c)
     script.pending = late
@@ -160,7 +160,7 @@
     """
     script = Script()
     a, b, c = script.a, script.b, script.c
-    b.node._candidacy.newest_term = a.node.durable.promised
+    b.node._candidate.newest_term = a.node.durable.prepared_term
     script.candidate(b, c)
     script.flow(b, c)
     script.acknowledge(a, b)
@@ -172,16 +172,16 @@
     """A asks to open on top of an epoch that is no more the newest one: C knows better."""
     script = Script()
     a, b, c = script.a, script.b, script.c
-    old = a.node.durable.accepted
+    old = a.node.durable.accepted_epoch
     script.candidate(b, c)
     script.acknowledge(b, c)
-    opening = Opening(a.node.me, Term(99, a.node.me.id), old, old.witnesses, 2, frozenset(), began=0.0)
+    change = EpochChange(a.node.me, Term(99, a.node.me.id), old, old.witnesses, 2, frozenset(), began_at=0.0)
     answers = []
-    for machine, accepted in ((a, old), (c, c.node.durable.accepted)):
+    for machine, accepted in ((a, old), (c, c.node.durable.accepted_epoch)):
         durable = machine.node.durable
-        promise = wire.Promised(opening.term, accepted, durable.installed, durable.state.sequence)
-        answers += opening.receive(machine.node.me.id, promise, a.node.durable.state)
-    answers += opening.repeat(a.node.durable.state)
+        promise = wire.Prepared(change.term, accepted, durable.installed_term, durable.state.sequence)
+        answers += change.receive(machine.node.me.id, promise, a.node.durable.state)
+    answers += change.repeat(a.node.durable.state)
     if any(isinstance(message, wire.Install | wire.Accept) for _, message in answers):
         raise Breach("a store that lacks an acknowledged write installs its state elsewhere")
 
@@ -226,12 +226,12 @@
     a, b, c = script.a, script.b, script.c
     assert script.acknowledge(a, b)
     script.stop(b)
-    accepted = a.node.durable.accepted
-    a.node._open(accepted, accepted.witnesses, Why.PRIMARY_LOST, a.now)
+    accepted = a.node.durable.accepted_epoch
+    a.node._start_epoch_change(accepted, accepted.witnesses, Reason.PRIMARY_LOST, a.now)
     for _ in range(3):
         script.pump(a)
         script.flow(a, c, lost=lambda envelope: isinstance(envelope.message, wire.Install))
-        script.tick(a, REPEAT_S)
+        script.tick(a, RESEND_INTERVAL_S)
     script.check()
     script.wipe(a)
     script.start(b)
@@ -250,18 +250,18 @@
     new = Machine("10.0.0.9:1", now=a.now, wiped=True)
     script.machines.append(new)
     script.start(new)
-    base = a.node.durable.accepted
-    a.node._open(
+    base = a.node.durable.accepted_epoch
+    a.node._start_epoch_change(
         base,
         tuple(new.node.me if s.address == c.address else s for s in base.witnesses),
-        Why.PRIMARY_LOST,
+        Reason.PRIMARY_LOST,
         a.now,
     )
     for _ in range(3):
         script.pump(a)
         script.flow(a, new)
         script.announce(new)
-        script.tick(a, REPEAT_S)
+        script.tick(a, RESEND_INTERVAL_S)
     script.acknowledge(a, new)
     script.start(c)
     for machine in (c, b):
@@ -275,9 +275,9 @@
     """A's replica and the third witness are lost one after the other: what A takes then, it holds alone."""
     script = Script()
     a = script.a
-    epoch = a.node.durable.accepted
+    epoch = a.node.durable.accepted_epoch
     alone = replace(epoch, replicas=(a.node.me.id,))
-    a.node._begin_epoch(alone, known_open=True, took_s=0.0, now=a.now)
+    a.node._begin_epoch(alone, is_committed=True, took_s=0.0, now=a.now)
     if script.acknowledge(a):
         raise Breach("a write is acknowledged that one disk alone holds")
 
@@ -342,7 +342,9 @@
     assert b.node.is_primary
     assert b.now - began < 0.5
     assert b.node.durable.state.evacuated == ("z0",)
-    assert b.node._watch._lost == "" == c.node._watch._lost, "a later epoch of it is missed as any other"
+    assert b.node._detector._lost == "" == c.node._detector._lost, (
+        "a later epoch of it is missed as any other"
+    )
 
 
 def leave(script: Script, machine: Machine) -> None:
@@ -350,7 +352,7 @@
     machine.node.leave(machine.now)
     script.pump(machine)
     began = machine.now
-    while not machine.node.may_leave(machine.now) and machine.now - began < 4.0:
+    while not machine.node.can_leave(machine.now) and machine.now - began < 4.0:
         for other in script.machines:
             if other.node:
                 script.announce(other)
@@ -375,7 +377,7 @@
     script.wipe(b)  # the next loss comes at once
     script.check()
     assert c.node.durable.state.evacuated == ("z0",)
-    assert c.node.me.id in c.node.durable.accepted.replicas
+    assert c.node.me.id in c.node.durable.accepted_epoch.replicas
 
 
 def test_a_backup_stays_until_the_state_is_on_others_under_an_epoch_without_it():
@@ -386,7 +388,7 @@
     replace_disks(script, b)
     script.wipe(a)
     assert c.node.durable.state.evacuated == ("z0",)
-    assert c.node.me.id in c.node.durable.accepted.replicas
+    assert c.node.me.id in c.node.durable.accepted_epoch.replicas
 
 
 def test_a_store_that_leaves_gives_its_place_to_one_that_waits_before_it_ends():
@@ -400,13 +402,15 @@
         leave(script, machine)
         replace_disks(script, machine)
         if machine is c:
-            newest = a.node.durable.accepted
+            newest = a.node.durable.accepted_epoch
             assert {store.id for store in newest.witnesses} == {m.node.me.id for m in (a, b, new)}
             another = Machine("10.0.0.10:1", now=a.now, wiped=True)
             script.machines.append(another)
             script.start(another)
             new = another
-    assert all(store.address not in (c.address, a.address) for store in b.node.durable.accepted.witnesses)
+    assert all(
+        store.address not in (c.address, a.address) for store in b.node.durable.accepted_epoch.witnesses
+    )
 
 
 def test_where_all_leave_nobody_waits_for_another():
@@ -416,21 +420,21 @@
         script.pump(machine)
     for machine in script.machines:
         script.announce(machine)
-    assert all(machine.node.may_leave(machine.now) for machine in script.machines)
+    assert all(machine.node.can_leave(machine.now) for machine in script.machines)
 
 
 def test_a_store_that_is_cut_off_as_it_is_told_to_end_stays_for_its_grace():
     """It hears nobody, which does not mean that nobody stays: it may be needed as soon as the cut ends."""
     script = Script()
     a, b, c = script.a, script.b, script.c
-    a.now += HEARD_S + 0.1
+    a.now += LIVENESS_TIMEOUT_S + 0.1
     a.node.leave(a.now)
-    assert not a.node.may_leave(a.now)
+    assert not a.node.can_leave(a.now)
     for other in (b, c):
         other.node.leave(other.now)
         script.pump(other)
         script.announce(other)
-    assert a.node.may_leave(a.now), "the others have said that they leave, too"
+    assert a.node.can_leave(a.now), "the others have said that they leave, too"
 
 
 def test_a_store_that_has_missed_writes_is_sent_the_state_before_it_is_needed():
@@ -444,5 +448,5 @@
             script.tick(machine, 0.05)
         script.flow()
     assert script.follows(c)
-    assert a.node.durable.accepted.replicas == (a.node.me.id, b.node.me.id)
+    assert a.node.durable.accepted_epoch.replicas == (a.node.me.id, b.node.me.id)
     assert script.acknowledge(a, b, c) and script.follows(c), "it takes writes as they come from here on"
--- a/tests/replication/world.py
+++ b/tests/replication/world.py
@@ -105,8 +105,8 @@
         machine.node = Node(
             store,
             durable,
-            machines=self.tolerated,
-            counts=True,
+            tolerated_failures=self.tolerated,
+            counts_for_quorum=True,
             draw=self.draw,
             now=machine.now,
             seeds=self.seeds,
@@ -136,7 +136,7 @@
         self.readmit()
         lost = sum(other.wiped for other in self.machines if other is not machine)
         bound = max(lost + 1, len(self.gone(but=machine)))
-        is_formed = any(held.accepted for other in self.machines if (held := self.held(other)))
+        is_formed = any(held.accepted_epoch for other in self.machines if (held := self.held(other)))
         return bound <= self.tolerated and not machine.wiped and (self.is_whole() or not is_formed)
 
     def gone(self, but: Machine) -> set[str]:
@@ -147,7 +147,7 @@
         left = {held.store for held in others}
         own = self.held(but)
         newest = self.newest()
-        known = [held.accepted for held in (*others, *([own] if own else ())) if held.accepted]
+        known = [held.accepted_epoch for held in (*others, *([own] if own else ())) if held.accepted_epoch]
         epochs = [epoch for epoch in known if newest is None or epoch.term >= newest.term]
         lost = [set(epoch.witness_ids) - left for epoch in (*epochs, *([newest] if newest else ()))]
         return max(lost, key=len, default=set())
@@ -165,7 +165,7 @@
         epoch = self.newest()
         for machine in self.machines:
             if machine.wiped and machine.node and epoch and machine.node.me.id in epoch.witness_ids:
-                accepted = machine.node.durable.accepted
+                accepted = machine.node.durable.accepted_epoch
                 machine.wiped = not (accepted and accepted.term >= epoch.term)
 
     def is_whole(self) -> bool:
@@ -178,7 +178,12 @@
         knowing = set()
         for machine in self.machines:
             held = self.held(machine)
-            if held and held.accepted and held.accepted.term == epoch.term and not held.accepted.earlier:
+            if (
+                held
+                and held.accepted_epoch
+                and held.accepted_epoch.term == epoch.term
+                and not held.accepted_epoch.earlier_quorums
+            ):
                 knowing.add(held.store)
         return majority(knowing, epoch.witness_ids)
 
@@ -224,12 +229,12 @@
         zone = f"z{len(self.writes)}"
         ticket = machine.node.propose(Evacuation(zone, True), machine.now)
         if ticket:
-            term = machine.node.durable.installed
+            term = machine.node.durable.installed_term
             self.writes.append(Write(zone, term, ticket.sequence, machine.address, machine.node))
         self.pump(machine)
 
     def ask(self, machine: Machine) -> None:
-        asked = machine.node.ask_round(machine.now)
+        asked = machine.node.begin_confirmation(machine.now)
         self.reads.append((machine.node, asked, [write for write in self.writes if write.acknowledged]))
         del self.reads[:-20]
         self.pump(machine)
@@ -239,7 +244,7 @@
         for machine in list(self.machines):
             if machine.leaving_since is None or machine.node is None:
                 continue
-            if machine.node.may_leave(machine.now):
+            if machine.node.can_leave(machine.now):
                 self.end(machine, is_lost=False)
             elif machine.now - machine.leaving_since > GRACE_S:
                 self.end(machine, is_lost=True)
@@ -390,7 +395,7 @@
         up = [machine for machine in self.machines if machine.node]
         if len(up) > 1:
             one, other = self.rng.sample(up, 2)
-            one.node.unlinked(other.node.me.id, one.now)
+            one.node.on_connection_lost(other.node.me.id, one.now)
             self.pump(one)
 
     def _hold(self) -> None:
@@ -409,7 +414,7 @@
                 write.acknowledged = True
         acknowledged = [write for write in self.writes if write.acknowledged]
         for node, asked, before in self.reads:
-            if any(machine.node is node for machine in self.machines) and node.confirmed(asked):
+            if any(machine.node is node for machine in self.machines) and node.is_confirmed(asked):
                 self.expect(node, before, "a confirmed read lacks")
         for machine in self.machines:
             node = machine.node
@@ -456,7 +461,7 @@
             self.round()
             ready = [m.node for m in self.machines if m.node.is_ready and self._is_newest(m.node)]
             if ready and all(
-                m.node.durable.accepted and m.node.durable.accepted.term == ready[0].epoch.term
+                m.node.durable.accepted_epoch and m.node.durable.accepted_epoch.term == ready[0].epoch.term
                 for m in self.machines
             ):
                 return ready[0]
--- a/tests/roles/test_control_leaving.py
+++ b/tests/roles/test_control_leaving.py
@@ -35,7 +35,7 @@
     def pump(self):
         self.said.append("pump")
 
-    def may_leave(self, now):
+    def can_leave(self, now):
         return now >= self.needed_until
 
 
--- a/tests/stored/samples.py
+++ b/tests/stored/samples.py
@@ -60,7 +60,7 @@
     replication.PreVote(6),
     replication.PreVoteGrant(6, TERM, EPOCH),
     replication.Prepare(TERM),
-    replication.Promised(TERM, EPOCH, OLDER, 11),
+    replication.Prepared(TERM, EPOCH, OLDER, 11),
     replication.Install(TERM, STATE),
     replication.Installed(TERM),
     replication.Accept(EPOCH),
--- a/tests/stored/test_files.py
+++ b/tests/stored/test_files.py
@@ -40,7 +40,7 @@
     log.open()
     durable = Durable("s1", must_bootstrap=True)
     log.append(map(codec.encode, durable.snapshot()))
-    log.append(map(codec.encode, durable.promise(TERM) or ()))
+    log.append(map(codec.encode, durable.prepare(TERM) or ()))
     log.append(map(codec.encode, durable.install(TERM, durable.state) or ()))
     epoch = Epoch(TERM, "s1", ("s1",), (STORE,), core="s1")
     log.append(map(codec.encode, durable.accept(epoch) or ()))
--- a/tests/stored/test_transcripts.py
+++ b/tests/stored/test_transcripts.py
@@ -91,7 +91,7 @@
     """An event's class may be renamed, the metric that counts it may not."""
     events = Events()
     for kind in get_args(Event):
-        events.tell(object.__new__(kind))
+        events.record(object.__new__(kind))
     assert set(metrics.of_events(events)) == REPLICATION_METRICS
 
 
