--- a/fordtrestle/proxy/daemon/rules.py
+++ b/fordtrestle/proxy/daemon/rules.py
@@ -25,7 +25,7 @@
 
 if TYPE_CHECKING:  # each is loaded only where it is on
     from fordtrestle.proxy.daemon.events import Events
-    from fordtrestle.proxy.state.lists import Kept, ListKeeper
+    from fordtrestle.proxy.state.endpoint_list_store import EndpointListStore, RestoredState
 
 OPEN_S = 5.0  # for the folder of the state to open
 
@@ -42,7 +42,7 @@
     def __init__(self, loop: asyncio.AbstractEventLoop, config: Operator, seams: Seams) -> None:
         self._loop = loop
         self._config = config
-        self._keeper: ListKeeper | None = None
+        self._list_store: EndpointListStore | None = None
         self._events: Events | None = None
         self.known: dict[str, ServerList] = {}
         sources = config.sources
@@ -54,7 +54,7 @@
             stamp, bytes_most = seams.stamp or time.time, config.events.mb_most * 2**20
             self._events = Events(loop, config.events.file, bytes_most, options.node_name(config), stamp)
             self._events.started(life)
-        keep = None if self._keeper is None else self._keeper.keep
+        keep = None if self._list_store is None else self._list_store.save
         self._rules = {
             name: Rules(name, name in self._fed, self._events, keep if name in self._fed else None)
             for name in config.services
@@ -93,8 +93,8 @@
 
     def close(self) -> None:
         """Write what waits to be written, within a bound."""
-        if self._keeper is not None:
-            self._keeper.close()
+        if self._list_store is not None:
+            self._list_store.close()
         if self._events is not None:
             self._events.ended()
 
@@ -104,29 +104,33 @@
         """Take in what an earlier life left; the number of this one, 0 where nothing is kept."""
         if self._config.state is None:
             return 0
-        kept = self._kept(self._config.state.folder, seams)
-        for line in kept.log_lines:
+        restored = self._restore(self._config.state.folder, seams)
+        for line in restored.log_lines:
             log(line)
-        self.known = kept.lists
-        return kept.life
-
-    def _kept(self, folder: str, seams: Seams) -> Kept:
-        from fordtrestle.proxy.state.files import Files
-        from fordtrestle.proxy.state.lists import OFF, Kept, ListKeeper
-        from fordtrestle.proxy.state.writer import Writer
-
-        opening = Writer(self._loop)  # a mount that hangs must not hold the start
+        self.known = restored.lists
+        return restored.incarnation
+
+    def _restore(self, folder: str, seams: Seams) -> RestoredState:
+        from fordtrestle.proxy.state.background_writer import BackgroundWriter
+        from fordtrestle.proxy.state.endpoint_list_store import (
+            STORING_STOPPED,
+            EndpointListStore,
+            RestoredState,
+        )
+        from fordtrestle.proxy.state.posix_file_store import PosixFileStore
+
+        opening = BackgroundWriter(self._loop)  # a mount that hangs must not hold the start
         try:
-            store = opening.run(lambda: (seams.store or Files)(folder), OPEN_S)
+            store = opening.run(lambda: (seams.store or PosixFileStore)(folder), OPEN_S)
         except OSError as error:
             if error.errno == errno.EBUSY:  # two processes would overwrite each other's there
                 raise
-            return Kept(log_lines=[f"state: {folder}: {error.strerror or error}; {OFF}"])
+            return RestoredState(log_lines=[f"state: {folder}: {error.strerror or error}; {STORING_STOPPED}"])
         finally:
             opening.close(0.0)
         bases = {name: options.basis(self._config.services[name]) for name in self._fed}
-        self._keeper = ListKeeper(self._loop, store, self._stored, self._failed, bases)
-        return self._keeper.load(self._fed)
+        self._list_store = EndpointListStore(self._loop, store, self._stored, self._failed, bases)
+        return self._list_store.load(self._fed)
 
     def _stored(self, service: str, version: int, digest: str) -> None:
         if self._events is not None:
--- a/fordtrestle/proxy/daemon/seams.py
+++ b/fordtrestle/proxy/daemon/seams.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:  # loaded only where there is a `[state]`
-    from fordtrestle.proxy.state.ports import Store
+    from fordtrestle.proxy.state.file_store import FileStore
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,4 +22,4 @@
 
     wall: Callable[[], float] = time.time
     stamp: Callable[[], float] | None = None
-    store: Callable[[str], Store] | None = None
+    store: Callable[[str], FileStore] | None = None
--- a/fordtrestle/proxy/engine/ports.py
+++ b/fordtrestle/proxy/engine/ports.py
@@ -30,7 +30,7 @@
     """One message of discovery."""
 
     version: int
-    whole: bool
+    is_complete: bool
     entries: list[model.Listing]
     addresses: dict[str, Address]
 
--- a/fordtrestle/proxy/membership/registry.py
+++ b/fordtrestle/proxy/membership/registry.py
@@ -375,7 +375,7 @@
         except NO_LIST as error:
             self._spoilt = True
             raise ValueError(f"not a list: {error}") from error
-        if news.whole:
+        if news.is_complete:
             self._tell("all", news)
         elif news.version >= self._version:
             # The version held may come again, with no entries: it answers who asked for a watch.
--- a/fordtrestle/proxy/state/__init__.py
+++ b/fordtrestle/proxy/state/__init__.py
@@ -1,1 +1,1 @@
-"""What must outlive a process: the only code of the program that touches disks for it."""
+"""State that outlives a process: the only package of the proxy that writes to disk for it."""
--- /dev/null
+++ b/fordtrestle/proxy/state/errors.py
@@ -0,0 +1,15 @@
+"""Errors of the state package. Pure.
+
+A disk that fails is reported as `OSError` with the system's errno; the tree here is for content that can't be
+used.
+"""
+
+from __future__ import annotations
+
+
+class StateError(Exception):
+    """Base class of the errors of this package."""
+
+
+class SnapshotError(StateError):
+    """A stored file that can't be used; the message is one line."""
--- a/fordtrestle/proxy/state/records.py
+++ b/fordtrestle/proxy/state/records.py
@@ -1,7 +1,8 @@
-"""What a kept file holds: a header that shows damage, and a server list or a number. Pure.
+"""The format of stored files: a header that reveals corruption, then a server list or a number. Pure.
 
-A file is `MAGIC`, the format's version, the length of what follows the header, a CRC-32C over all but itself,
-and the record. That says whose list it is, so that a file under another's name is not taken for its own.
+A file consists of `MAGIC`, the version of the format, the length of the payload, a CRC-32C over everything
+but itself, and the payload (msgpack). The payload names its service, so that a file under another file's name
+is not accepted.
 """
 
 from __future__ import annotations
@@ -13,44 +14,56 @@
 from crc32c import crc32c
 from msgspec import Meta, Struct
 
-from fordtrestle.proxy.engine.ports import ServerList
+from fordtrestle.balancer.model import Listing
+from fordtrestle.proxy.engine.ports import Address, ServerList
+from fordtrestle.proxy.state.errors import SnapshotError
 
 MAGIC = b"FTSTATE\n"
-FORMAT = 1  # to be raised with any change that an older reader would take for something else
-HEADER = struct.Struct(">8sIII")  # magic, format, bytes that follow, checksum
-LIFE_MOST = 2**53
+FORMAT_VERSION = 1  # raised with every change that an older reader would misread
+HEADER = struct.Struct(">8sIII")  # magic, format version, bytes of the payload, checksum
+MAX_INCARNATION = 2**53  # the largest range of integers that JSON readers hold exactly: events show it
 
-Life = Annotated[int, Meta(ge=1, le=LIFE_MOST)]
+Incarnation = Annotated[int, Meta(ge=1, le=MAX_INCARNATION)]
 
 
-class SnapshotError(Exception):
-    """A kept file that can't be used, in one line."""
+class StoredList(Struct, frozen=True, rename={"is_complete": "whole"}):
+    """A `ServerList` as it is stored; the keys on disk are those of the first version of the format."""
 
+    version: int
+    is_complete: bool
+    entries: list[Listing]
+    addresses: dict[str, Address]
 
-class ListRecord(Struct, frozen=True):
-    """The list of one service, and what its zones and kinds are numbered by."""
+
+class ListRecord(Struct, frozen=True, rename={"server_list": "listed"}):
+    """The list of one service; `basis` is a digest of the names that its zones and kinds are numbered by."""
 
     service: str
     basis: str
-    listed: ServerList
+    server_list: StoredList
 
 
-def seal(data: bytes) -> bytes:
-    """The bytes of a file that holds `data`."""
-    bare = HEADER.pack(MAGIC, FORMAT, len(data), 0)
-    return HEADER.pack(MAGIC, FORMAT, len(data), crc32c(data, crc32c(bare))) + data
+def seal(payload: bytes) -> bytes:
+    """Return the bytes of a file that holds `payload`."""
+    unsigned = HEADER.pack(MAGIC, FORMAT_VERSION, len(payload), 0)
+    checksum = crc32c(payload, crc32c(unsigned))
+    return HEADER.pack(MAGIC, FORMAT_VERSION, len(payload), checksum) + payload
 
 
 def unseal(raw: bytes) -> bytes:
-    """What a file holds; `SnapshotError` where it is not as it was written."""
+    """Return the payload of a file.
+
+    Raises:
+        SnapshotError: The file is not as it was written, or has another format.
+    """
     if len(raw) < HEADER.size:
         raise SnapshotError(f"truncated: {len(raw)} bytes, no whole header")
     magic, version, length, checksum = HEADER.unpack_from(raw)
     data = raw[HEADER.size :]
     if magic != MAGIC:
         raise SnapshotError("wrong magic: not a file of this program")
-    if version != FORMAT:
-        raise SnapshotError(f"format version {version}, not {FORMAT}")
+    if version != FORMAT_VERSION:
+        raise SnapshotError(f"format version {version}, not {FORMAT_VERSION}")
     if len(data) < length:
         raise SnapshotError(f"truncated: {len(data)} bytes of {length}")
     if len(data) > length:
@@ -60,32 +73,49 @@
     return data
 
 
-def encode_list(service: str, basis: str, listed: ServerList) -> bytes:
-    """A list as it is kept; `OverflowError` or `ValueError` for figures or texts that have no such form."""
-    return msgspec.msgpack.encode(ListRecord(service, basis, listed))
+def encode_list(service: str, basis: str, server_list: ServerList) -> bytes:
+    """Return the payload that stores a list.
+
+    Raises:
+        OverflowError: A number of the list is out of range for msgpack.
+        ValueError: A text of the list can't be encoded.
+    """
+    stored = StoredList(
+        server_list.version, server_list.is_complete, server_list.entries, server_list.addresses
+    )
+    return msgspec.msgpack.encode(ListRecord(service, basis, stored))
 
 
-def decode_list(service: str, basis: str, data: bytes) -> ServerList:
-    """The list kept for a service; `SnapshotError` where it is none, another's, or of other zones."""
+def decode_list(service: str, basis: str, payload: bytes) -> ServerList:
+    """Return the list that was stored for a service.
+
+    Raises:
+        SnapshotError: The payload is no list, that of another service, or numbered by other zones or kinds.
+    """
     try:
-        record = msgspec.msgpack.decode(data, type=ListRecord)
+        record = msgspec.msgpack.decode(payload, type=ListRecord)
     except (msgspec.MsgspecError, ValueError) as error:
         raise SnapshotError(f"not a list: {error}") from error
     if record.service != service:
         raise SnapshotError("the list of another service")
     if record.basis != basis:
         raise SnapshotError("kept under other zones or kinds")
-    return record.listed
+    stored = record.server_list
+    return ServerList(stored.version, stored.is_complete, stored.entries, stored.addresses)
+
 
+def encode_incarnation(incarnation: int) -> bytes:
+    """Return the payload that stores how often the process has started."""
+    return msgspec.msgpack.encode(incarnation)
 
-def encode_life(life: int) -> bytes:
-    """The number of a process's life as it is kept."""
-    return msgspec.msgpack.encode(life)
 
+def decode_incarnation(payload: bytes) -> int:
+    """Return how often the process has started.
 
-def decode_life(data: bytes) -> int:
-    """The number kept; `SnapshotError` where it is none."""
+    Raises:
+        SnapshotError: The payload is no such number.
+    """
     try:
-        return msgspec.msgpack.decode(data, type=Life)
+        return msgspec.msgpack.decode(payload, type=Incarnation)
     except (msgspec.MsgspecError, ValueError) as error:
         raise SnapshotError(f"not a number of a life: {error}") from error
--- a/fordtrestle/proxy/state/snapshots.py
+++ b/fordtrestle/proxy/state/snapshots.py
@@ -1,46 +1,48 @@
-"""A small file replaced whole: after a crash at any point it is the old one or the new one, and damage shows.
+"""Small files that are replaced whole: after a crash at any point a file is the old or the new one.
 
-The new file is written beside the old one and synced before it takes the old one's name (Pillai and others,
-OSDI 2014, on what goes wrong where it is not).
+The new content is written to a temporary file and synced before that file takes the name of the old one
+(Pillai and others, OSDI 2014, on what goes wrong otherwise).
 """
 
 from __future__ import annotations
 
 import errno
 
-from fordtrestle.proxy.state.ports import Store
-from fordtrestle.proxy.state.records import HEADER, SnapshotError, seal, unseal
+from fordtrestle.proxy.state.errors import SnapshotError
+from fordtrestle.proxy.state.file_store import FileStore
+from fordtrestle.proxy.state.records import HEADER, seal, unseal
 
-__all__ = ["SnapshotError", "read", "set_aside", "write"]
 
+def write(store: FileStore, name: str, payload: bytes) -> None:
+    """Replace a file, or create it; the new content is on disk when this returns.
 
-def write(store: Store, name: str, data: bytes) -> None:
-    """Put `data` in the place of a file, on disk by the time this returns.
-
-    `OSError`: the old one or the new one stands there, whole; which of them is not known.
+    Raises:
+        OSError: The file is the old or the new one, whole; which of them is not known.
     """
-    beside = f"{name}.tmp"
-    store.remove(beside)  # what a crash left there would be appended to
-    store.append(beside, seal(data))
-    store.sync(beside)
-    store.replace(beside, name)
+    temporary = f"{name}.tmp"
+    store.remove(temporary)  # what a crash left there would be appended to
+    store.append(temporary, seal(payload))
+    store.sync(temporary)
+    store.replace(temporary, name)
     store.sync_folder()
 
 
-def read(store: Store, name: str, most: int) -> bytes:
-    """What a file holds, `most` bytes at most.
+def read(store: FileStore, name: str, max_bytes: int) -> bytes:
+    """Return the payload of a file.
 
-    `FileNotFoundError` if there is none; `SnapshotError` if it is damaged, too long or of another format;
-    `OSError` if it can't be read.
+    Raises:
+        FileNotFoundError: There is no such file.
+        SnapshotError: The file is corrupt, of another format, or its payload is larger than `max_bytes`.
+        OSError: The file can't be read.
     """
     try:
-        return unseal(store.read(name, HEADER.size + most))
+        return unseal(store.read(name, HEADER.size + max_bytes))
     except OSError as error:
         if error.errno == errno.EFBIG:
-            raise SnapshotError(f"too long: more than {most} bytes") from error
+            raise SnapshotError(f"too long: more than {max_bytes} bytes") from error
         raise
 
 
-def set_aside(store: Store, name: str) -> None:
-    """Keep a file that can't be used as NAME.damaged, in place of an earlier one, or `OSError`."""
+def set_aside(store: FileStore, name: str) -> None:
+    """Rename a file that can't be used to NAME.damaged, in place of an earlier one, or raise `OSError`."""
     store.replace(name, f"{name}.damaged")
--- a/rig/cluster/disks.py
+++ b/rig/cluster/disks.py
@@ -44,7 +44,7 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from fordtrestle.proxy.state.ports import NAME_MOST
+from fordtrestle.proxy.state.file_store import MAX_NAME_CHARS
 from rig.cluster.links import flipped
 from rig.cluster.schedules import WRITES, Writes
 
@@ -237,13 +237,13 @@
     # --- the port ------------------------------------------------------------------
 
     def names(self) -> list[str]:
-        """See `Store`."""
+        """See `FileStore`."""
         with self._lock:
             self._refuse("")
             return sorted(self._names)
 
     def read(self, name: str, most: int) -> bytes:
-        """See `Store`."""
+        """See `FileStore`."""
         with self._lock:
             self._reads += 1
             inode = self._inode(name)
@@ -256,7 +256,7 @@
             return self._changed(name, data, most) if self._on["changed"] else data
 
     def append(self, name: str, data: bytes) -> None:
-        """See `Store`; ENOSPC as well past `HELD_MOST` bytes in memory or `NAMES_MOST` names."""
+        """See `FileStore`; ENOSPC as well past `HELD_MOST` bytes in memory or `NAMES_MOST` names."""
         with self._lock:
             self._appends += 1
             _check(name)
@@ -277,7 +277,7 @@
                 raise _error(number, name)
 
     def sync(self, name: str) -> None:
-        """See `Store`."""
+        """See `FileStore`."""
         self._stall()
         with self._lock:
             self._syncs += 1
@@ -298,7 +298,7 @@
                 inode.synced = len(inode.cache)
 
     def sync_folder(self) -> None:
-        """See `Store`."""
+        """See `FileStore`."""
         self._stall()
         with self._lock:
             self._syncs += 1
@@ -309,7 +309,7 @@
             self._put_names()
 
     def replace(self, name: str, other: str) -> None:
-        """See `Store`; ENOSPC past `NAMES_MOST` changes that were not synced."""
+        """See `FileStore`; ENOSPC past `NAMES_MOST` changes that were not synced."""
         with self._lock:
             _check(other)
             inode = self._inode(name)
@@ -318,7 +318,7 @@
                 self._change(inode, name, other)
 
     def remove(self, name: str) -> None:
-        """See `Store`; ENOSPC past `NAMES_MOST` changes that were not synced."""
+        """See `FileStore`; ENOSPC past `NAMES_MOST` changes that were not synced."""
         with self._lock:
             _check(name)
             self._refuse(name)
@@ -471,8 +471,8 @@
 
 
 def _check(name: str) -> None:
-    if len(name) > NAME_MOST or not PLAIN.fullmatch(name):
-        raise ValueError(f"{name!r} is no plain name of {NAME_MOST} characters at most")
+    if len(name) > MAX_NAME_CHARS or not PLAIN.fullmatch(name):
+        raise ValueError(f"{name!r} is no plain name of {MAX_NAME_CHARS} characters at most")
 
 
 def _error(number: int, name: str) -> OSError:
--- a/tests/proxy/config/test_operator.py
+++ b/tests/proxy/config/test_operator.py
@@ -381,7 +381,7 @@
     told = operator.read(written(tmp_path, GOOD))
     news = options.server_list(told.sources["fleet"], told.services["shop"], 4)
     first, second = news.entries
-    assert (news.version, news.whole) == (4, True)
+    assert (news.version, news.is_complete) == (4, True)
     assert (first.server, first.zone, first.kind, first.cell, first.weight) == ("s0", 1, 0, 3, 2.5)
     assert (second.zone, second.weight, second.state, second.started) == (0, 1.0, "active", 0.0)
     assert news.addresses == {"s0": Address("127.0.0.1", 9000), "s1": Address("::1", 9001)}
--- a/tests/proxy/daemon/test_rules.py
+++ b/tests/proxy/daemon/test_rules.py
@@ -16,7 +16,7 @@
 from fordtrestle.proxy.daemon import rules
 from fordtrestle.proxy.daemon.seams import Seams
 from fordtrestle.proxy.daemon.standalone import Standalone
-from fordtrestle.proxy.state.files import Files
+from fordtrestle.proxy.state.posix_file_store import PosixFileStore
 from rig.registry import Registry, entry
 from tests.loopback import App, Scripted, loopback, until
 from tests.proxy.daemon.test_standalone import (
@@ -121,7 +121,10 @@
 async def test_a_folder_that_another_process_holds_is_one_line_and_no_start(tmp_path):
     path = tmp_path / "operator.toml"
     path.write_text(text(tmp_path, "127.0.0.1:9"))
-    with contextlib.closing(Files(str(tmp_path / "state"))), pytest.raises(AssertionError):  # it ended
+    with (
+        contextlib.closing(PosixFileStore(str(tmp_path / "state"))),
+        pytest.raises(AssertionError),
+    ):  # it ended
         await Serving.start(path)
     said = path.with_suffix(".log").read_text()
     assert "can't start" in said
@@ -171,7 +174,7 @@
     await registry.stop()
 
 
-class Failing(Files):
+class Failing(PosixFileStore):
     """A disk that takes no list, and is asked once."""
 
     asked = 0
@@ -278,7 +281,7 @@
 
     def store(folder):
         opens.wait(20.0)
-        return Files(folder)
+        return PosixFileStore(folder)
 
     path = tmp_path / "operator.toml"
     path.write_text(SERVICE.format(name="a") + servers("a", one) + TABLES.format(at=tmp_path))
--- a/tests/proxy/membership/test_crossings.py
+++ b/tests/proxy/membership/test_crossings.py
@@ -362,7 +362,7 @@
     news = lists.parse_list(
         json.loads('{"index": 7,\n "snapshot": null, "endpoints": []}'), lists.NameIndices({}, {})
     )
-    assert (news.version, news.whole) == (7, False)
+    assert (news.version, news.is_complete) == (7, False)
 
 
 def indented(index, *entries):
--- a/tests/proxy/state/test_files.py
+++ b/tests/proxy/state/test_posix_file_store.py
@@ -1,4 +1,4 @@
-"""The store on a real folder: what was appended is synced through what wrote it, and one process holds it."""
+"""The file store on a real folder: files are synced through what wrote them, and one process locks it."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 
 import pytest
 
-from fordtrestle.proxy.state import files
-from fordtrestle.proxy.state.files import Files
+from fordtrestle.proxy.state import posix_file_store
+from fordtrestle.proxy.state.posix_file_store import PosixFileStore
 
 
 @pytest.fixture
@@ -21,15 +21,15 @@
 
 @pytest.fixture
 def store(folder):
-    with contextlib.closing(Files(str(folder))) as made:
-        yield made
+    with contextlib.closing(PosixFileStore(str(folder))) as opened:
+        yield opened
 
 
-def held():
+def open_descriptors():
     return len(os.listdir("/proc/self/fd"))
 
 
-def test_what_is_appended_is_read_replaced_and_removed(store):
+def test_an_appended_file_can_be_read_replaced_and_removed(store):
     store.append("a", b"one")
     store.append("a", b"two")
     store.append("b", b"old")
@@ -50,7 +50,7 @@
         store.sync("a")
 
 
-def test_folder_and_files_are_the_owners_alone(store, folder):
+def test_folder_and_files_are_accessible_to_their_owner_only(store, folder):
     store.append("a", b"")
     assert [path.stat().st_mode & 0o777 for path in (folder, folder.parent, folder / "a")] == [
         *(0o700, 0o700, 0o600)
@@ -58,31 +58,31 @@
 
 
 @pytest.mark.parametrize("name", ["", ".", "..", ".a", "a/b", "/a", "a\n", "a\0", "ä", "a" * 129])
-def test_a_name_that_leads_elsewhere_is_refused(store, name):
+def test_a_name_that_leads_out_of_the_folder_is_rejected(store, name):
     calls = (lambda: store.append(name, b""), lambda: store.read(name, 1), lambda: store.remove(name))
     for call in (*calls, lambda: store.replace(name, "a"), lambda: store.replace("a", name)):
         with pytest.raises(ValueError, match="no name"):
             call()
 
 
-def test_links_and_pipes_are_not_followed_or_waited_for(store, folder, tmp_path):
+def test_links_are_not_followed_and_pipes_are_not_waited_for(store, folder, tmp_path):
     (tmp_path / "secret").write_bytes(b"s")
     (folder / "link").symlink_to(tmp_path / "secret")
     os.mkfifo(folder / "pipe")
     for call in (lambda: store.read("link", 9), lambda: store.append("link", b"x")):
         with pytest.raises(OSError, match="symbolic"):
             call()
-    with pytest.raises(OSError):
+    with pytest.raises(OSError, match="No such device"):
         store.append("pipe", b"x")
     assert store.read("pipe", 9) == b""
     assert store.names() == []
 
 
-def test_a_file_past_its_bound_is_not_read(store):
+def test_a_file_larger_than_the_limit_is_not_read(store):
     store.append("a", b"12345")
-    with pytest.raises(OSError) as met:
+    with pytest.raises(OSError, match="more than 4 bytes") as raised:
         store.read("a", 4)
-    assert met.value.errno == errno.EFBIG
+    assert raised.value.errno == errno.EFBIG
 
 
 def test_short_writes_are_continued(store, monkeypatch):
@@ -93,45 +93,45 @@
 
 
 def test_a_file_is_synced_through_the_descriptor_that_wrote_it(store, monkeypatch):
-    wrote, synced, write = [], [], os.write
-    monkeypatch.setattr(os, "write", lambda fd, data: wrote.append(fd) or write(fd, data))
+    written, synced, write = [], [], os.write
+    monkeypatch.setattr(os, "write", lambda fd, data: written.append(fd) or write(fd, data))
     monkeypatch.setattr(os, "fsync", synced.append)
     store.append("a", b"x")
     store.replace("a", "b")
     monkeypatch.delattr(os, "open")
     store.sync("b")
-    assert synced == wrote
+    assert synced == written
 
 
-def test_a_folder_that_is_made_has_its_name_synced(folder, monkeypatch):
+def test_the_name_of_a_folder_that_is_created_is_synced(folder, monkeypatch):
     synced = []
     monkeypatch.setattr(os, "fsync", lambda fd: synced.append(os.readlink(f"/proc/self/fd/{fd}")))
-    Files(str(folder)).close()
+    PosixFileStore(str(folder)).close()
     assert synced == [str(folder.parent.parent), str(folder.parent)]
 
 
-def test_few_descriptors_are_held_and_the_oldest_is_synced_before_it_is_closed(store, monkeypatch):
+def test_few_descriptors_stay_open_and_the_oldest_is_synced_before_it_is_closed(store, monkeypatch):
     synced, fsync = [], os.fsync
     monkeypatch.setattr(
         os, "fsync", lambda fd: synced.append(os.readlink(f"/proc/self/fd/{fd}")[-1]) or fsync(fd)
     )
-    before = held()
+    before = open_descriptors()
     for name in "abcdaefgh":
         store.append(name, b"x")
-    assert held() - before == files.HELD_MOST
+    assert open_descriptors() - before == posix_file_store.MAX_OPEN_FILES
     assert synced == ["b", "c", "d", "a"]
     store.replace("h", "g")
     store.remove("g")
-    assert held() - before == files.HELD_MOST - 2
+    assert open_descriptors() - before == posix_file_store.MAX_OPEN_FILES - 2
     store.close()
     store.close()
-    assert held() - before == -1
-    with pytest.raises(OSError):
+    assert open_descriptors() - before == -1
+    with pytest.raises(OSError, match="Bad file descriptor"):
         store.read("a", 1)
 
 
 @pytest.mark.parametrize("what", ["file", "folder", "oldest"])
-def test_after_a_failed_sync_nothing_is_written(store, monkeypatch, what):
+def test_nothing_is_written_after_a_failed_sync(store, monkeypatch, what):
     def fails(descriptor):
         raise OSError(errno.EIO, "Input/output error")
 
@@ -140,7 +140,7 @@
     with monkeypatch.context() as broken:
         broken.setattr(os, "fsync", fails)
         failing = {"file": lambda: store.sync("a"), "folder": store.sync_folder}
-        with pytest.raises(OSError):
+        with pytest.raises(OSError, match="Input/output error"):
             failing.get(what, lambda: store.append("e", b"x"))()
     # The kernel would say that all is well now.
     calls = (lambda: store.sync("a"), store.sync_folder, lambda: store.append("b", b"x"))
@@ -150,17 +150,19 @@
     assert store.read("a", 9) == b"x"
 
 
-def test_a_second_process_on_the_folder_is_refused(store, folder):
-    code = "import sys; from fordtrestle.proxy.state.files import Files; Files(sys.argv[1])"
-    opened = [sys.executable, "-c", code, str(folder)]
-    told = subprocess.run(opened, capture_output=True, text=True, timeout=30.0)
-    assert told.stderr.splitlines()[-1].endswith(f"another process holds this folder: '{folder}'")
+def test_a_second_process_can_not_open_a_locked_folder(store, folder):
+    code = (
+        "import sys; from fordtrestle.proxy.state.posix_file_store import PosixFileStore as S; S(sys.argv[1])"
+    )
+    command = [sys.executable, "-c", code, str(folder)]
+    refused = subprocess.run(command, capture_output=True, text=True, timeout=30.0)
+    assert refused.stderr.splitlines()[-1].endswith(f"another process holds this folder: '{folder}'")
     store.close()
-    assert subprocess.run(opened, timeout=30.0).returncode == 0
+    assert subprocess.run(command, timeout=30.0).returncode == 0
 
 
-def test_a_folder_that_can_not_be_is_one_clear_error(tmp_path):
+def test_a_folder_that_can_not_be_created_is_one_clear_error(tmp_path):
     (tmp_path / "file").write_bytes(b"")
     for path in ("file", "file/below"):
         with pytest.raises(OSError, match="file"):
-            Files(str(tmp_path / path))
+            PosixFileStore(str(tmp_path / path))
--- a/tests/proxy/state/test_snapshots.py
+++ b/tests/proxy/state/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Files replaced whole: what is damaged in any bit or byte is refused, and a list comes back as it was."""
+"""Files replaced whole: a file corrupt in any bit or byte is rejected, and a list comes back as it was."""
 
 from __future__ import annotations
 
@@ -9,46 +9,47 @@
 from fordtrestle.balancer.model import Listing
 from fordtrestle.proxy.engine.ports import Address, ServerList
 from fordtrestle.proxy.state import records, snapshots
-from fordtrestle.proxy.state.snapshots import SnapshotError
-from tests.proxy.state.standin import Memory
+from fordtrestle.proxy.state.errors import SnapshotError
+from tests.proxy.state.memory_file_store import MemoryFileStore
 
-WHOLE = st.integers(-(2**63), 2**63 - 1)
-FIGURE = st.floats(allow_nan=False)
-TEXT = st.text(st.characters(exclude_categories=["Cs"]))
-ENTRY = st.builds(Listing, TEXT, WHOLE, WHOLE, WHOLE, TEXT, FIGURE, FIGURE)
-ADDRESS = st.builds(Address, TEXT, st.integers(0, 65535))
-LISTS = st.builds(ServerList, WHOLE, st.booleans(), st.lists(ENTRY), st.dictionaries(TEXT, ADDRESS))
+INTEGERS = st.integers(-(2**63), 2**63 - 1)
+FLOATS = st.floats(allow_nan=False)
+TEXTS = st.text(st.characters(exclude_categories=["Cs"]))
+ENTRIES = st.builds(Listing, TEXTS, INTEGERS, INTEGERS, INTEGERS, TEXTS, FLOATS, FLOATS)
+ADDRESSES = st.builds(Address, TEXTS, st.integers(0, 65535))
+LISTS = st.builds(ServerList, INTEGERS, st.booleans(), st.lists(ENTRIES), st.dictionaries(TEXTS, ADDRESSES))
 
 
 @given(LISTS)
-def test_any_list_comes_back_as_it_was(listed):
-    found = records.decode_list("a", "z", records.unseal(records.seal(records.encode_list("a", "z", listed))))
-    assert found == listed
+def test_any_list_comes_back_as_it_was(server_list):
+    raw = records.seal(records.encode_list("a", "z", server_list))
+    found = records.decode_list("a", "z", records.unseal(raw))
+    assert found == server_list
     assert all(type(entry) is Listing for entry in found.entries)
     assert all(type(address) is Address for address in found.addresses.values())
 
 
-def test_a_file_of_this_format_is_read_for_ever():
+def test_a_file_of_this_format_stays_readable():
     raw = bytes.fromhex(
         "465453544154450a000000010000006405305d83"
         "83a773657276696365a161a56261736973a17aa66c697374656484a776657273696f6e03a577686f6c65c3a765"
         "6e74726965739197a163010203a6616374697665cb4000000000000000cb4008000000000000a9616464726573"
         "73657381a16392a16807"
     )
-    listed = ServerList(3, True, [Listing("c", 1, 2, 3, "active", 2.0, 3.0)], {"c": Address("h", 7)})
-    assert records.decode_list("a", "z", records.unseal(raw)) == listed
-    assert records.seal(records.encode_list("a", "z", listed)) == raw
+    server_list = ServerList(3, True, [Listing("c", 1, 2, 3, "active", 2.0, 3.0)], {"c": Address("h", 7)})
+    assert records.decode_list("a", "z", records.unseal(raw)) == server_list
+    assert records.seal(records.encode_list("a", "z", server_list)) == raw
 
 
-def test_every_truncation_and_every_flipped_bit_is_refused():
+def test_every_truncation_and_every_flipped_bit_is_rejected():
     raw = records.seal(b"some bytes")
-    damaged = [raw[:size] for size in range(len(raw))] + [raw + b"\0"]
+    corrupt = [raw[:size] for size in range(len(raw))] + [raw + b"\0"]
     for bit in range(8 * len(raw)):
         flipped = bytearray(raw)
         flipped[bit // 8] ^= 1 << bit % 8
-        damaged.append(bytes(flipped))
-    for bad in damaged:
-        store = Memory()
+        corrupt.append(bytes(flipped))
+    for bad in corrupt:
+        store = MemoryFileStore()
         store.files["a"] = bytearray(bad)
         with pytest.raises(SnapshotError, match=r"^[^\n]+$"):
             snapshots.read(store, "a", 100)
@@ -66,17 +67,17 @@
         (bytes(200), "more than 100 bytes"),
     ],
 )
-def test_what_is_wrong_is_said(raw, reason):
-    store = Memory()
+def test_the_reason_why_a_file_is_rejected_is_given(raw, reason):
+    store = MemoryFileStore()
     store.files["a"] = bytearray(raw)
     with pytest.raises(SnapshotError, match=reason):
         snapshots.read(store, "a", 100)
 
 
 @pytest.mark.parametrize("fail_at", range(6))
-def test_a_crash_leaves_the_old_or_the_new_whole(fail_at):
-    for names_kept in (True, False):
-        store = Memory()
+def test_a_failed_write_and_a_crash_leave_the_old_or_the_new_file(fail_at):
+    for has_current_names in (True, False):
+        store = MemoryFileStore()
         snapshots.write(store, "a", b"old")
         store.calls.clear()
         store.fail_at = fail_at
@@ -85,12 +86,12 @@
             snapshots.write(store, "a", b"new")
         except OSError:
             done = False
-        found = snapshots.read(store.crash(names_kept), "a", 100)
+        found = snapshots.read(store.crash(has_current_names), "a", 100)
         assert found == b"new" if done else found in (b"old", b"new")
 
 
-def test_what_a_crash_left_beside_is_not_taken_into_the_new_file():
-    store = Memory()
+def test_a_temporary_file_left_by_a_crash_is_not_appended_to():
+    store = MemoryFileStore()
     store.append("a.tmp", b"half of")
     snapshots.write(store, "a", b"new")
     assert snapshots.read(store, "a", 100) == b"new"
@@ -107,12 +108,12 @@
     [
         (records.encode_list("b", "z", ServerList(1, True, [], {})), "another service"),
         (records.encode_list("a", "y", ServerList(1, True, [], {})), "other zones"),
-        (records.encode_life(3), "not a list"),
+        (records.encode_incarnation(3), "not a list"),
         (b"\xa1\xff", "not a list"),
     ],
 )
-def test_a_record_of_something_else_is_refused(data, reason):
+def test_a_record_of_something_else_is_rejected(data, reason):
     with pytest.raises(SnapshotError, match=reason):
         records.decode_list("a", "z", data)
     with pytest.raises(SnapshotError, match="not a number"):
-        records.decode_life(records.encode_life(0))
+        records.decode_incarnation(records.encode_incarnation(0))
--- a/tests/stored/test_files.py
+++ b/tests/stored/test_files.py
@@ -16,8 +16,8 @@
 from fordtrestle.peer import codec
 from fordtrestle.proxy.daemon.events import Events
 from fordtrestle.proxy.engine.ports import Address, ServerList
-from fordtrestle.proxy.state.files import Files
-from fordtrestle.proxy.state.lists import ListKeeper
+from fordtrestle.proxy.state.endpoint_list_store import EndpointListStore
+from fordtrestle.proxy.state.posix_file_store import PosixFileStore
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Ballot, Epoch, Store
 from fordtrestle.replication.state import ConfigChange, Evacuation
@@ -85,12 +85,12 @@
 )
 
 
-def keeper(folder: Path) -> tuple[ListKeeper, list[tuple[object, ...]]]:
+def keeper(folder: Path) -> tuple[EndpointListStore, list[tuple[object, ...]]]:
     """A keeper of lists in a folder, and what it has told."""
     told: list[tuple[object, ...]] = []
     loop = asyncio.get_running_loop()
-    return ListKeeper(
-        loop, Files(str(folder)), lambda *row: told.append(row), lambda *row: None, {"a": "b"}
+    return EndpointListStore(
+        loop, PosixFileStore(str(folder)), lambda *row: told.append(row), lambda *row: None, {"a": "b"}
     ), told
 
 
@@ -100,7 +100,7 @@
     kept, _ = keeper(tmp_path / "lists")
     found = kept.load(["a"])
     kept.close()
-    assert found.life == 2
+    assert found.incarnation == 2
     assert found.lists == {"a": LISTED}
     assert found.log_lines == []
 
@@ -109,7 +109,7 @@
 async def test_lists_and_the_number_of_starts_are_written_as_they_were_then(tmp_path):
     kept, told = keeper(tmp_path / "lists")
     kept.load(["a"])
-    kept.keep("a", LISTED, "digest")
+    kept.save("a", LISTED, "digest")
     await until(lambda: told)
     kept.close()
     written = {path.name: path.read_bytes() for path in (tmp_path / "lists").iterdir()}
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -124,7 +124,8 @@
     "proxy/membership/lists.py",
     "proxy/membership/static.py",
     "proxy/membership/whole.py",
-    "proxy/state/ports.py",
+    "proxy/state/errors.py",
+    "proxy/state/file_store.py",
     "proxy/state/records.py",
 }
 IMPURE = {
@@ -203,10 +204,10 @@
     "load/trace.py",
     "load/worker.py",
     "proxy/membership/registry.py",
-    "proxy/state/files.py",
-    "proxy/state/lists.py",
+    "proxy/state/background_writer.py",
+    "proxy/state/endpoint_list_store.py",
+    "proxy/state/posix_file_store.py",
     "proxy/state/snapshots.py",
-    "proxy/state/writer.py",
 }
 SEEDED = {"balancer/balancer.py"}  # pure, with a generator that is seeded by the caller
 FORBIDDEN = {
