--- a/fordtrestle/peer/replicator.py
+++ b/fordtrestle/peer/replicator.py
@@ -7,8 +7,9 @@
 
 from fordtrestle.peer.codec import Envelope, encode
 from fordtrestle.peer.mesh import Mesh
+from fordtrestle.replication.effects import Effects
 from fordtrestle.replication.messages import Announce, Message
-from fordtrestle.replication.node import Effects, Node
+from fordtrestle.replication.node import Node
 from fordtrestle.replication.peer_table import PEER_RETENTION_S
 from fordtrestle.storage.log import RecordLog, StorageError
 
--- a/fordtrestle/replication/candidate.py
+++ b/fordtrestle/replication/candidate.py
@@ -1,109 +1,151 @@
-"""One store's way to become primary: it asks the witnesses whether they miss the primary, too (pre-votes),
-and then opens an epoch. Pure.
-"""
+"""The candidate's side of one store: it asks for pre-votes, and drives an epoch change to its end. Pure."""
 
 from __future__ import annotations
 
-from collections.abc import Collection
-from dataclasses import dataclass
-
-from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epoch_change import EpochChange, Outgoing
-from fordtrestle.replication.epochs import NO_TERM, Epoch, Store, Term, supported
-from fordtrestle.replication.events import Reason
-from fordtrestle.replication.messages import Message, PreVote, PreVoteGrant
-
-RESEND_INTERVAL_S = 0.4
-EPOCH_CHANGE_TIMEOUT_S = 2.5  # an opening that takes longer is begun anew,
+from fordtrestle.replication.bootstrap import Bootstrap
+from fordtrestle.replication.context import StoreContext
+from fordtrestle.replication.epoch_change import EpochChange
+from fordtrestle.replication.epoch_plan import EpochPlan
+from fordtrestle.replication.epochs import Epoch, Term
+from fordtrestle.replication.events import EpochChangeFailed, EpochChangeStarted, Reason
+from fordtrestle.replication.messages import PreVoteGrant, Rejected, ToCandidate
+from fordtrestle.replication.primary import Primary
+
+RESEND_INTERVAL_S = 0.4  # between two sends of what is unanswered: a round trip and a sync fit in
+EPOCH_CHANGE_TIMEOUT_S = 2.5  # an epoch change that takes longer is begun anew,
 INSTALL_TIMEOUT_S = 20.0  # unless the whole state is on its way to replicas that are live
 
 
-@dataclass(slots=True)
 class Candidate:
-    """Times are s of a steady clock."""
-
-    me: Store
-    replica_count: int
-    epoch_change: EpochChange | None = None
-    reason: Reason = Reason.BOOTSTRAP  # the opening under way, or the last one, was begun
-    newest_term: Term = NO_TERM  # that was heard of: the next one exceeds it
-    _granted: set[str] | None = None
-    _attempt: int = 0  # of pre-votes
-    _repeat_at: float = 0.0
-
-    # pre-votes
-
-    def stop_asking(self) -> None:
-        """What was asked is void: a primary is there, or another round begins."""
-        self._granted = None
-
-    def ask(self, durable: Durable, known: Collection[str], again: bool) -> list[Outgoing]:
-        """Ask the witnesses, or whoever is known where no epoch is; `again`: the same question once more,
-        since answers may take longer than its repetition.
+    """What a store does to become primary. Times are s of a steady clock."""
+
+    def __init__(self, context: StoreContext, primary: Primary, bootstrap: Bootstrap) -> None:
+        self.epoch_change: EpochChange | None = None  # the one under way
+        self.reason = Reason.BOOTSTRAP  # that the one under way, or the last one, was started for
+        self._context = context
+        self._primary = primary
+        self._bootstrap = bootstrap
+        self._resend_at = 0.0
+
+    def receive(self, sender: str, message: ToCandidate, now: float) -> None:
+        """Take in an answer to what this store has asked for."""
+        match message:
+            case PreVoteGrant():
+                self._on_pre_vote_grant(sender, message, now)
+            case Rejected():
+                self._on_rejected(message, now)
+            case _:
+                self._advance(sender, message, now)
+
+    def start_pre_vote(self, now: float) -> None:
+        """Ask the witnesses whether they suspect the primary, too.
+
+        Guards against a store that is cut off: it does not raise terms, and so unseats no primary, before a
+        majority has said that it misses the primary as well. Stores that are no replicas ask, too: each may
+        be one of an epoch that it has yet to hear of.
         """
-        if not (again and self._granted is not None):
-            self._granted, self.newest_term = set(), durable.prepared_term
-            self._attempt += 1
-        quorums = durable.accepted_epoch.quorums if durable.accepted_epoch else ()
-        voters = {store_id for quorum in quorums for store_id in quorum} or set(known)
-        return [(voter, PreVote(self._attempt)) for voter in sorted(voters)]
-
-    def is_asking(self, grant: PreVoteGrant) -> bool:
-        """Whether a grant answers what is asked now."""
-        return self._granted is not None and grant.attempt == self._attempt
-
-    def granted(self, sender: str, grant: PreVoteGrant, accepted: Epoch) -> bool:
-        """Take in a grant; whether this store may open an epoch on top of the one it has accepted."""
-        if self._granted is None:
-            return False
-        self._granted.add(sender)
-        self.newest_term = max(self.newest_term, grant.prepared_term)
-        return self.me.id in accepted.replicas and supported(self._granted, accepted.quorums)
-
-    # openings
-
-    def open(
-        self,
-        base: Epoch,
-        witnesses: tuple[Store, ...],
-        reason: Reason,
-        *,
-        prepared_term: Term,
-        leaving: frozenset[str],
-        unanimous: frozenset[str],
-        now: float,
-    ) -> list[Outgoing]:
-        """Begin to open an epoch on top of another one."""
-        newest = max(prepared_term, self.newest_term, base.term)
-        term = Term(newest.number + 1, self.me.id)
-        self.reason = reason
-        count = self.replica_count
-        self.epoch_change = EpochChange(self.me, term, base, witnesses, count, leaving, now, unanimous)
-        self._granted = None
-        self._repeat_at = now + RESEND_INTERVAL_S
-        return self.epoch_change.start()
-
-    def is_overdue(self, live: Collection[str], now: float) -> bool:
-        """Whether the opening under way has taken too long."""
-        change = self.epoch_change
+        context = self._context
+        context.detector.reset_timer(context.durable.accepted_epoch, now)
+        is_repeat = context.detector.is_returning
+        context.send_all(context.pre_votes.ask(context.durable, context.peers.ids(), is_repeat))
+
+    def start(self, plan: EpochPlan, now: float) -> None:
+        """Start an epoch change under a term that exceeds all that this store has heard of."""
+        context = self._context
+        newest = max(context.durable.prepared_term, context.pre_votes.newest_term, plan.base.term)
+        change = EpochChange(
+            me=context.me,
+            term=Term(newest.number + 1, context.me.id),
+            base=plan.base,
+            witnesses=plan.witnesses,
+            replica_count=context.replica_count,
+            leaving=context.peers.leaving(),
+            started_at=now,
+            unanimous=plan.unanimous,
+        )
+        self.epoch_change, self.reason = change, plan.reason
+        context.pre_votes.cancel()
+        self._resend_at = now + RESEND_INTERVAL_S
+        witnesses = tuple(store.id for store in plan.witnesses)
+        context.events.record(EpochChangeStarted(change.term.number, plan.reason, witnesses))
+        context.send_all(change.start())
+
+    def maintain_epoch_change(self, now: float) -> None:
+        """Send what is unanswered once more, or give up where it takes too long."""
+        context, change = self._context, self.epoch_change
+        if change is None:
+            return
+        if self._is_overdue(change, now):
+            self.abandon(Reason.TIMED_OUT, now)
+        elif now >= self._resend_at:
+            self._resend_at = now + RESEND_INTERVAL_S
+            context.send_all(change.repeat(context.durable.state))
+
+    def abandon(self, reason: Reason, now: float) -> None:
+        """Give up the epoch change under way, and the lead that it was to follow."""
+        change, self.epoch_change = self.epoch_change, None
+        if change:
+            answered = tuple(sorted(change.prepared))
+            took_s = now - change.started_at
+            self._context.events.record(EpochChangeFailed(change.term.number, reason, answered, took_s))
+            if change.is_bootstrap:
+                self._bootstrap.on_failed(now)
+        self._primary.step_down(reason, now)
+
+    def _is_overdue(self, change: EpochChange, now: float) -> bool:
+        context = self._context
+        live = {context.me.id} | context.peers.live(now)
+        is_installing = bool(change.installing) and not change.proposed
+        is_slow = is_installing and live.issuperset(change.installing)
+        return now - change.started_at > (INSTALL_TIMEOUT_S if is_slow else EPOCH_CHANGE_TIMEOUT_S)
+
+    def _on_pre_vote_grant(self, sender: str, grant: PreVoteGrant, now: float) -> None:
+        """Count a grant, or learn of a newer epoch from it, which this store gives a chance first."""
+        context = self._context
+        if not context.pre_votes.is_current(grant):
+            return
+        known = context.durable.accepted_epoch
+        if grant.accepted_epoch:
+            context.sync(context.durable.learn_epoch(grant.accepted_epoch))
+        accepted = context.durable.accepted_epoch
+        if accepted is None or known is None or accepted.term > known.term:
+            context.await_primary(now)
+        elif context.pre_votes.is_granted(sender, grant, context.me.id, accepted):
+            self.start(EpochPlan(accepted, accepted.witnesses, Reason.PRIMARY_LOST), now)
+
+    def _on_rejected(self, message: Rejected, now: float) -> None:
+        """A newer term exists: stand back, and exceed it at the next attempt."""
+        context, change = self._context, self.epoch_change
+        context.pre_votes.newest_term = max(context.pre_votes.newest_term, message.prepared_term)
+        if change and message.term == change.term:
+            self.abandon(Reason.NEWER_TERM, now)
+            return
+        is_of_epoch = context.epoch is not None and message.term == context.epoch.term
+        if is_of_epoch and message.prepared_term.store != context.me.id:
+            self._primary.step_down(Reason.NEWER_TERM, now)
+
+    def _advance(self, sender: str, message: ToCandidate, now: float) -> None:
+        """Take the epoch change further, as far as this answer lets it."""
+        context, change = self._context, self.epoch_change
         if change is None:
-            return False
-        installing = bool(change.installing) and not change.proposed
-        bears_long = installing and set(live).issuperset(change.installing)
-        return now - change.began_at > (INSTALL_TIMEOUT_S if bears_long else EPOCH_CHANGE_TIMEOUT_S)
-
-    def repeat(self, durable: Durable, now: float) -> list[Outgoing]:
-        """What is still unanswered, once more where it is time."""
-        if self.epoch_change is None or now < self._repeat_at:
-            return []
-        self._repeat_at = now + RESEND_INTERVAL_S
-        return self.epoch_change.repeat(durable.state)
-
-    def advance(self, sender: str, message: Message, durable: Durable) -> list[Outgoing]:
-        """Go on with an answer to the opening under way."""
-        return self.epoch_change.receive(sender, message, durable.state) if self.epoch_change else []
-
-    def close(self) -> EpochChange | None:
-        """The opening under way is one no more; what it came to."""
-        closed, self.epoch_change = self.epoch_change, None
-        return closed
+            return
+        context.send_all(change.receive(sender, message, context.durable.state))
+        if change.newer:
+            self._yield_to_newer(change.newer, now)
+        elif change.opened:
+            self._lead(change, change.opened, now)
+
+    def _yield_to_newer(self, newer: Epoch, now: float) -> None:
+        """Give way to an epoch newer than the base: one of its replicas has to go on from there."""
+        context = self._context
+        self.abandon(Reason.NEWER_TERM, now)
+        context.sync(context.durable.learn_epoch(newer))
+        context.await_primary(now)
+
+    def _lead(self, change: EpochChange, opened: Epoch, now: float) -> None:
+        self.epoch_change = None
+        is_committed = change.proposed is not None and change.proposed.is_committed
+        took_s = now - change.started_at
+        self._primary.begin_epoch(
+            opened, is_committed=is_committed, reason=self.reason, took_s=took_s, now=now
+        )
--- a/fordtrestle/replication/events.py
+++ b/fordtrestle/replication/events.py
@@ -1,6 +1,7 @@
-"""What a store tells its operators of its part in the replication: typed, a bounded number at a time. Pure.
+"""What operators are to know of a store's part in the replication: typed, a bounded number at a time. Pure.
 
-None is told once a heartbeat: each stands for a change, or for a wait that is told again at doubled pauses.
+None is recorded once a heartbeat: each stands for a change, or for a wait that is reported again at doubled
+intervals. The names of an event's fields are keys of its line on the log, and stay.
 """
 
 from __future__ import annotations
@@ -8,8 +9,8 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-MAX_PENDING_EVENTS = 256  # that wait to be taken: the oldest go first
-MIN_WAIT_REPORT_BACKOFF_S = 1.0  # until a wait is told first, and again: doubled up to
+MAX_PENDING_EVENTS = 256  # that wait to be drained: the oldest go first
+MIN_WAIT_REPORT_BACKOFF_S = 1.0  # until a wait is reported first, and again: doubled up to
 MAX_WAIT_REPORT_BACKOFF_S = 64.0
 
 
@@ -40,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochChangeStarted:
-    """This store asks for an epoch."""
+    """This store has started an epoch change with this number."""
 
     number: int
     why: Reason
@@ -49,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochChangeFailed:
-    """It was not opened; `answered` had promised by then."""
+    """An epoch change was given up; `answered` had prepared by then."""
 
     number: int
     why: Reason
@@ -79,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSent:
-    """The whole state went to a store that is behind, or to a replica to be."""
+    """The whole state went to a store that lags, or to a replica to be."""
 
     store: str
     sequence: int
@@ -106,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForeignStoreSeen:
-    """A store of another core announced itself: two cores were founded, and none of them takes it in."""
+    """A store of another core announced itself: two cores were bootstrapped, and neither takes it in."""
 
     store: str
     address: str
@@ -127,7 +128,7 @@
 
 @dataclass(slots=True)
 class Events:
-    """Those not taken yet, and how many there were of each kind."""
+    """The events that are not drained yet, and how many there were of each kind, by the class's name."""
 
     counts: dict[str, int] = field(default_factory=dict)
     _pending: list[Event] = field(default_factory=list)
@@ -137,29 +138,38 @@
     _backoff_s: float = MIN_WAIT_REPORT_BACKOFF_S
 
     def record(self, event: Event) -> None:
-        """Keep an event until it is taken."""
+        """Keep an event until it is drained, or until too many newer ones are there."""
         name = type(event).__name__
         self.counts[name] = self.counts.get(name, 0) + 1
         self._pending.append(event)
         del self._pending[:-MAX_PENDING_EVENTS]
 
     def drain(self) -> list[Event]:
-        """Those since the last call."""
+        """The events since the last call."""
         drained, self._pending = self._pending, []
         return drained
 
     def is_wait_due(self, wait: WaitReason | None, now: float) -> bool:
-        """Note what the store waits for, if anything, at a time in s of a steady clock; whether that is to be
-        told now.
+        """Take note of what the store waits for, and say whether that is to be reported now.
+
+        Args:
+            wait: What it waits for, if anything; another reason than before starts the intervals anew.
+            now: The time in s of a steady clock.
         """
         if wait is not self._wait:
             self._wait, self._wait_began = wait, now
             self._backoff_s, self._report_at = MIN_WAIT_REPORT_BACKOFF_S, now + MIN_WAIT_REPORT_BACKOFF_S
         return wait is not None and now >= self._report_at
 
-    def record_wait(self, heard: int, missing: tuple[str, ...], now: float) -> None:
-        """Tell of the wait that was noted, and again after twice the pause."""
-        assert self._wait is not None
+    def record_wait(self, wait: WaitReason, heard: int, missing: tuple[str, ...], now: float) -> None:
+        """Report a wait that is due, and have it due again after twice the interval.
+
+        Args:
+            wait: What the store waits for, as it was handed to `is_wait_due`.
+            heard: How many other stores are live.
+            missing: Control addresses that are not heard.
+            now: The time in s of a steady clock.
+        """
         self._backoff_s = min(MAX_WAIT_REPORT_BACKOFF_S, 2 * self._backoff_s)
         self._report_at = now + self._backoff_s
-        self.record(Waiting(self._wait, now - self._wait_began, heard, missing))
+        self.record(Waiting(wait, now - self._wait_began, heard, missing))
--- a/fordtrestle/replication/leadership.py
+++ b/fordtrestle/replication/leadership.py
@@ -1,6 +1,4 @@
-"""What a primary keeps of its epoch: who has answered which heartbeat, what is on all replicas, and who is
-behind.
-"""
+"""What a primary knows of its epoch: who has answered, what is on all replicas, and who lags. Pure."""
 
 from __future__ import annotations
 
@@ -15,21 +13,31 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """Times are s of a steady clock."""
+    """The state of one epoch at its primary. Times are s of a steady clock.
+
+    Attributes:
+        epoch: The epoch that is led.
+        committed_sequence: The sequence up to which all replicas hold the writes.
+        confirmed_at: When a majority last answered.
+        is_committed: Whether a majority of witnesses holds on disk that the epoch is open.
+        confirmed_number: The newest heartbeat that a majority has answered.
+        append_since: When the oldest write under way was begun; None where none is.
+        catch_up: The stores that lag.
+    """
 
     epoch: Epoch
-    committed: int  # sequence up to which all replicas hold the state
-    confirmed_at: float  # when a majority last answered
-    is_committed: bool = False  # by a majority of witnesses, on disk
-    confirmed_number: int = 0  # of heartbeats: a majority has answered it
-    append_since: float | None = None  # when the oldest write under way was begun
+    committed_sequence: int
+    confirmed_at: float
+    is_committed: bool = False
+    confirmed_number: int = 0
+    append_since: float | None = None
     catch_up: CatchUp = field(default_factory=CatchUp)
     _reported_late: float | None = None
-    _answered: dict[str, int] = field(default_factory=dict)  # by witness: the newest number
+    _answered: dict[str, int] = field(default_factory=dict)  # by witness: the newest heartbeat
     _appended: dict[str, int] = field(default_factory=dict)  # by replica: the newest sequence
 
     def on_heartbeat_ack(self, witness: str, number: int, now: float) -> None:
-        """A witness has answered a heartbeat of this epoch, having it on disk."""
+        """Count a witness that has answered a heartbeat of this epoch, and so has the epoch on disk."""
         self._answered[witness] = max(self._answered.get(witness, 0), number)
         for asked in sorted(set(self._answered.values()), reverse=True):
             reached = {store for store, newest in self._answered.items() if newest >= asked}
@@ -40,25 +48,29 @@
                 return
 
     def begin_append(self, now: float) -> None:
-        """A write is under way."""
+        """Note when the oldest write under way was begun."""
         if self.append_since is None:
             self.append_since = now
 
     def on_appended(self, replica: str, sequence: int) -> None:
-        """A replica holds all writes up to this one."""
+        """Count a replica that holds all writes up to this one.
+
+        Guards against the loss of a disk after an acknowledgement: a write is committed once every replica
+        has it on disk, and not only most of them. Answers that come out of order take nothing back.
+        """
         self._appended[replica] = max(self._appended.get(replica, 0), sequence)
-        everywhere = min(self._appended.get(store, 0) for store in self.epoch.replicas)
-        if everywhere > self.committed:
-            self.committed = everywhere
+        on_all = min(self._appended.get(store, 0) for store in self.epoch.replicas)
+        if on_all > self.committed_sequence:
+            self.committed_sequence = on_all
             self.append_since = None
 
     def lagging(self) -> set[str]:
         """The replicas that have not said that they hold all that the furthest one holds."""
-        most = max(self._appended.values(), default=0)
-        return {store for store in self.epoch.replicas if self._appended.get(store, 0) < most}
+        furthest = max(self._appended.values(), default=0)
+        return {store for store in self.epoch.replicas if self._appended.get(store, 0) < furthest}
 
     def record_late(self) -> bool:
-        """Note that the oldest write under way takes too long; whether that is new."""
+        """Take note that the oldest write under way takes too long; whether that is new."""
         reported, self._reported_late = self._reported_late, self.append_since
         return reported != self.append_since
 
--- a/fordtrestle/replication/messages.py
+++ b/fordtrestle/replication/messages.py
@@ -1,8 +1,13 @@
-"""What control processes tell each other about epochs and writes, and what they put on disk."""
+"""Messages that stores exchange about epochs and writes, and the records that they put on disk. Pure.
+
+The protocol is primary-backup replication whose reconfigurations a majority of witnesses agrees on (Vertical
+Paxos, Lamport, Malkhi and Zhou 2009). How a message or record may change: `docs/design/versions.md`.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
 from fordtrestle.replication.epochs import UNKNOWN_CORE, Epoch, Store, Term
 from fordtrestle.replication.state import Change, ControlState
@@ -10,9 +15,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """A store is up. `counts`: whether its machine counts for the quorum; `leaving`: whether it is about to
-    end and waits for others to take its place; `core`: the identity of the core that it belongs to, empty
-    while it knows of no epoch; `founder`: whether it was told to found the core, and has not voted yet.
+    """A store is up: sent to all stores at a fixed interval.
+
+    Attributes:
+        store: The sender.
+        counts_for_quorum: Whether its machine may become a witness.
+        is_leaving: Whether it shuts down and waits for others to take its slot.
+        core: Identity of the core that it belongs to; empty while it knows of no epoch.
+        is_founder: Whether it was told to bootstrap the core, and has not voted yet.
     """
 
     store: Store
@@ -24,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """From the primary: its epoch is open."""
+    """From the primary to all stores: its epoch is open. `number` rises with each heartbeat."""
 
     epoch: Epoch
     number: int
@@ -32,8 +42,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatAck:
-    """The witness has promised nothing newer than this term; `installed` and `sequence` tell its state as
-    in `Promised`.
+    """The witness has prepared nothing newer than this term.
+
+    `installed_term` and `sequence` tell which state it holds, as in `Prepared`.
     """
 
     term: Term
@@ -44,21 +55,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Resign:
-    """The primary of this term is one no more: nobody need wait until it is missed."""
+    """The primary of this term has stepped down: nobody has to wait for its election time-out."""
 
     term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class PreVote:
-    """A replica misses its primary: would a prepare be heeded?"""
+    """A store suspects its primary: would a `Prepare` be granted (Raft dissertation, 9.6)?"""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class PreVoteGrant:
-    """The witness misses the primary as well; `promised` is the term to exceed."""
+    """The witness suspects the primary as well; `prepared_term` is the term to exceed."""
 
     attempt: int
     prepared_term: Term
@@ -67,7 +78,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks a witness to promise that it takes no part in any older term."""
+    """Asks a witness to promise that it takes no part in any older term (Paxos' phase 1)."""
 
     term: Term
 
@@ -76,7 +87,8 @@
 class Prepared:
     """The promise, the newest epoch that the witness has accepted, and which state it holds.
 
-    A state is told by the term that it was installed under and its sequence: what both have alike is alike.
+    A state is identified by the term that it was installed under and its sequence: two stores that have both
+    alike hold the same state.
     """
 
     term: Term
@@ -87,7 +99,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """The whole state, for a replica of the epoch that a candidate opens, or for a store that is behind."""
+    """The whole state, for a replica of the epoch that a candidate opens, or for a store that lags."""
 
     term: Term
     state: ControlState
@@ -95,28 +107,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Installed:
-    """That state is on disk."""
+    """The state of that `Install` is on disk."""
 
     term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Asks a witness to hold this epoch as the newest."""
+    """Asks a witness to hold this epoch as the newest (Paxos' phase 2)."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """It is on disk."""
+    """The epoch of that `Accept` is on disk."""
 
     term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """One write of the epoch of that term, for its replicas and for all that follow."""
+    """One write of the epoch of that term, for its replicas and for the witnesses that follow."""
 
     term: Term
     sequence: int
@@ -133,34 +145,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The witness has promised a newer term than the one it was asked about."""
+    """The witness has prepared a newer term than the one that it was asked about."""
 
     term: Term
     prepared_term: Term
 
 
-Message = (
-    Announce
-    | Heartbeat
-    | HeartbeatAck
-    | Resign
-    | PreVote
-    | PreVoteGrant
-    | Prepare
-    | Prepared
-    | Install
-    | Installed
-    | Accept
-    | Accepted
-    | Append
-    | Appended
-    | Rejected
-)
+VoteRequest = Prepare | Install | Accept | Append
+VoteResponse = Prepared | Installed | Accepted | Appended
+
+# By the part of a store that handles them.
+ToWitness = Heartbeat | Resign | PreVote | VoteRequest
+ToPrimary = HeartbeatAck | Appended
+ToCandidate = PreVoteGrant | Rejected | Prepared | Installed | Accepted
+Message = Announce | ToWitness | ToPrimary | ToCandidate
+
+
+class Outgoing(NamedTuple):
+    """A message, and the id of the store that it goes to."""
+
+    receiver: str
+    message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """On disk: what this store has promised and accepted as a witness."""
+    """On disk: the term that this store has prepared and the epoch that it has accepted as a witness."""
 
     store: str
     prepared_term: Term
@@ -177,7 +187,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """On disk: one write behind the snapshot or entry before it."""
+    """On disk: one write, which follows the snapshot or entry before it."""
 
     term: Term
     sequence: int
@@ -186,7 +196,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Founder:
-    """On disk: this store was told to found the core (`bootstrap`). Void once it has voted for an epoch."""
+    """On disk: this store was told to bootstrap the core. Void once it has accepted an epoch."""
 
     store: str
 
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -40,7 +40,8 @@
 BROADCAST, BROADCAST_TESTS = "dissemination/broadcast.py", "tests/dissemination/test_broadcast.py"
 DELTA, DELTA_TESTS = "dissemination/delta.py", "tests/dissemination/test_delta.py"
 FRONTS, FRONTS_TESTS = "routing/fronts.py", "tests/routing/test_fronts.py"
-NODE, HARD_CASES = "replication/node.py", "tests/replication/test_hard_cases.py"
+HARD_CASES = "tests/replication/test_hard_cases.py"
+MEMBERSHIP, PRIMARY, WITNESS = (f"replication/{name}.py" for name in ("membership", "primary", "witness"))
 BOOTSTRAP, BOOTSTRAP_TESTS = "replication/bootstrap.py", "tests/replication/test_bootstrap.py"
 EPOCH_CHANGE = "replication/epoch_change.py"
 OUTLIERS, OUTLIERS_TESTS = "routing/outliers.py", "tests/routing/test_outliers.py"
@@ -274,13 +275,13 @@
         "        return heard\n",
     ),
     "a primary out of touch says that it resigns": _removal(
-        NODE,
+        PRIMARY,
         "tests/replication/test_control_times.py",
-        "            self._resign(leadership, Reason.OUT_OF_TOUCH, now)",
-        "            self._step_down(Reason.OUT_OF_TOUCH, now)",
+        "            self.resign(Reason.OUT_OF_TOUCH, now)",
+        "            self.step_down(Reason.OUT_OF_TOUCH, now)",
     ),
     "a store that leaves stays until it is needed no more": _removal(
-        NODE, HARD_CASES, "        return self.me.id not in needed\n", "        return True\n"
+        MEMBERSHIP, HARD_CASES, "        return context.me.id not in needed\n", "        return True\n"
     ),
     "replicas that leave are replaced": _removal(
         "replication/reconfiguration.py",
@@ -291,20 +292,20 @@
     "a store that leaves gives up its place": _removal(
         "replication/peer_table.py",
         HARD_CASES,
-        " if store_id in leaving and store_id not in first)\n",
-        " if False)\n",
+        " if store_id in leaving and store_id not in first\n",
+        " if False\n",
     ),
     "stores that leave are replicas last": _removal(
         "replication/epochs.py", HARD_CASES, "store.id in leaving, store.id not in", "store.id not in"
     ),
     "a store that is behind is sent the state": _removal(
-        NODE,
+        PRIMARY,
         HARD_CASES,
         "        if follows and leadership",
         "        if False and leadership",
     ),
     "stores that are no replicas follow": _removal(
-        NODE,
+        PRIMARY,
         HARD_CASES,
         "        for store_id in leadership.epoch.witness_ids:  # those",
         "        for store_id in leadership.epoch.replicas:  # those",
@@ -336,17 +337,17 @@
     "that a store is to found is on disk before anything else": _removal(
         "replication/durable.py",
         BOOTSTRAP_TESTS,
-        "[*wish, self._vote(), Snapshot(self.installed_term, self.state)]",
-        "[self._vote(), Snapshot(self.installed_term, self.state), *wish]",
+        "[*founder, self._vote(), Snapshot(self.installed_term, self.state)]",
+        "[self._vote(), Snapshot(self.installed_term, self.state), *founder]",
     ),
     "stores of another core are not taken in": _removal(
-        NODE,
+        MEMBERSHIP,
         BOOTSTRAP_TESTS,
-        "        if self._peers.is_foreign(message, core):\n",
+        "        if context.peers.is_foreign(message, core):\n",
         "        if False:\n",
     ),
     "a primary of another core is not followed": _removal(
-        NODE,
+        WITNESS,
         BOOTSTRAP_TESTS,
         "        if core and not is_same_core(core, epoch.core):\n",
         "        if False:\n",
@@ -497,10 +498,10 @@
         "        return True\n",
     ),
     "a store that is cut off waits for the others": _removal(
-        NODE,
+        MEMBERSHIP,
         HARD_CASES,
-        "        staying = self._peers.ids() - self",
-        "        staying = self._peers.live(now) - self",
+        "        staying = context.peers.ids() - context",
+        "        staying = context.peers.live(now) - context",
     ),
     "a member is down only once others were asked": _removal(
         "dissemination/suspicion.py",
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -9,13 +9,14 @@
 
 import pytest
 
-from fordtrestle.replication import candidate as candidate_module
 from fordtrestle.replication import epoch_change as epoch_change_module
 from fordtrestle.replication import messages as wire
+from fordtrestle.replication import pre_vote as pre_vote_module
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epoch_change import EpochChange
 from fordtrestle.replication.epochs import NO_TERM, Epoch, majority
 from fordtrestle.replication.node import Node
+from fordtrestle.replication.primary import Primary
 from tests.replication.world import Machine, World
 
 Removal = Callable[[pytest.MonkeyPatch], None]
@@ -76,7 +77,7 @@
 def _any_candidate_may_open(patch: pytest.MonkeyPatch) -> None:
     def take(self, sender, message, state):
         self.prepared[sender] = (message.installed_term, message.sequence)
-        return self._begin_installing(state, patient=True)
+        return self._begin_installing(state, is_patient=True)
 
     patch.setattr(EpochChange, "_on_prepared", take)
 
@@ -92,14 +93,14 @@
 
 
 def _one_replica_is_enough(patch: pytest.MonkeyPatch) -> None:
-    whole = Node._on_appended
+    whole = Primary.on_appended
 
     def take(self, sender, message):
-        if self._leadership and message.term == self._leadership.epoch.term:
-            for replica in self._leadership.epoch.replicas:
+        if self.leadership and message.term == self.leadership.epoch.term:
+            for replica in self.leadership.epoch.replicas:
                 whole(self, replica, message)
 
-    patch.setattr(Node, "_on_appended", take)
+    patch.setattr(Primary, "on_appended", take)
 
 
 def _messages_overtake_the_disk(patch: pytest.MonkeyPatch) -> None:
@@ -146,7 +147,7 @@
 
 def _new_epochs_are_acknowledged_in_before_they_are_known(patch: pytest.MonkeyPatch) -> None:
     def is_ready(self) -> bool:
-        return self.is_primary and not self._candidate.epoch_change
+        return self.is_primary and not self.candidate.epoch_change
 
     patch.setattr(Node, "is_ready", property(is_ready))
 
@@ -158,7 +159,7 @@
     patch.setattr(
         epoch_change_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums)
     )
-    patch.setattr(candidate_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums))
+    patch.setattr(pre_vote_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums))
     assert majority(("a",), ("a",))
 
 
--- a/tests/replication/test_bootstrap.py
+++ b/tests/replication/test_bootstrap.py
@@ -272,7 +272,7 @@
         a.node.receive(b.node.me.id, b.node.announcement(), a.now)
     told = [event for event in a.node.events.drain() if isinstance(event, ForeignStoreSeen)]
     assert [event.store for event in told] == [b.node.me.id]
-    assert b.node.me.id not in a.node._peers.ids()
+    assert b.node.me.id not in a.node.context.peers.ids()
     a.node.receive(b.node.me.id, Heartbeat(_newer(b), 1), a.now)
     assert a.node.is_primary
     assert a.node.epoch.core == a.node.me.id
--- a/tests/replication/test_epoch_change.py
+++ b/tests/replication/test_epoch_change.py
@@ -2,11 +2,12 @@
 
 from __future__ import annotations
 
-from fordtrestle.replication.epoch_change import EpochChange, plan_witnesses
+from fordtrestle.replication.epoch_change import EpochChange
 from fordtrestle.replication.epochs import Epoch, Store, Term, choose_replicas
 from fordtrestle.replication.messages import Accept, Announce, Install, Prepared
 from fordtrestle.replication.peer_table import REPLACEMENT_TIMEOUT_S, PeerTable
 from fordtrestle.replication.state import ControlState
+from fordtrestle.replication.witness_plan import plan_witnesses
 
 A, B, C, D, E = (Store(name, f"10.0.0.{n}:1", "", f"z-{n % 3}") for n, name in enumerate("abcde"))
 EPOCH = Epoch(Term(3, "a"), "a", ("a", "b"), (A, B, C))
@@ -53,7 +54,7 @@
 
 
 def epoch_change(leaving=frozenset()):
-    return EpochChange(A, Term(4, "a"), EPOCH, EPOCH.witnesses, 2, leaving, began_at=0.0)
+    return EpochChange(A, Term(4, "a"), EPOCH, EPOCH.witnesses, 2, leaving, started_at=0.0)
 
 
 def prepared(from_, position=HELD):
--- a/tests/replication/test_events.py
+++ b/tests/replication/test_events.py
@@ -120,7 +120,7 @@
     for tenth in range(3000):
         at = tenth / 10
         if events.is_wait_due(WaitReason.FOUNDER, at):
-            events.record_wait(2, ("10.0.0.1:1",), at)
+            events.record_wait(WaitReason.FOUNDER, 2, ("10.0.0.1:1",), at)
             told.append(at)
     gaps = [round(after - before, 1) for before, after in itertools.pairwise(told)]
     assert told[0] == 1.0
--- a/tests/replication/test_exhaustive.py
+++ b/tests/replication/test_exhaustive.py
@@ -13,6 +13,7 @@
 
 import pytest
 
+from fordtrestle.replication.node import Node
 from tests.replication.guards import FOUND_BY_SCHEDULE, FOUND_BY_SEARCH
 from tests.replication.test_hard_cases import Script
 from tests.replication.world import Breach, World
@@ -40,7 +41,7 @@
     script.start(script.c)
     script.announce(script.c)
     script.tick(script.a, 0.05)
-    assert script.a.node._candidate.epoch_change
+    assert script.a.node.candidate.epoch_change
     return script
 
 
@@ -88,12 +89,18 @@
     world.check()
 
 
+def mark_of_candidate(node: Node) -> tuple[object, ...]:
+    """What tells a candidate from another one, with the times at which it sends once more."""
+    candidate = node.candidate
+    return candidate.epoch_change, candidate.reason, node.context.pre_votes, candidate._resend_at
+
+
 def mark(world: World) -> str:
     """What tells a state from another one, but for clocks."""
     parts = [str(world.pending), str([write.acknowledged for write in world.writes])]
     for machine in world.machines:
         node = machine.node
-        inner = node and (node.durable, node.is_primary, node.is_ready, node._candidate)
+        inner = node and (node.durable, node.is_primary, node.is_ready, mark_of_candidate(node))
         parts.append(f"{machine.disk}{machine.queue}{inner}{machine.wiped}")
     return "|".join(parts)
 
--- a/tests/replication/test_hard_cases.py
+++ b/tests/replication/test_hard_cases.py
@@ -10,6 +10,7 @@
 from fordtrestle.replication import messages as wire
 from fordtrestle.replication.candidate import RESEND_INTERVAL_S
 from fordtrestle.replication.epoch_change import EpochChange
+from fordtrestle.replication.epoch_plan import EpochPlan
 from fordtrestle.replication.epochs import Term
 from fordtrestle.replication.events import Reason
 from fordtrestle.replication.peer_table import LIVENESS_TIMEOUT_S
@@ -59,10 +60,12 @@
     def candidate(self, machine: Machine, *among: Machine) -> None:
         """Let a machine open the next epoch as far as these others let it."""
         accepted = machine.node.durable.accepted_epoch
-        machine.node._start_epoch_change(accepted, accepted.witnesses, Reason.PRIMARY_LOST, machine.now)
+        machine.node.candidate.start(
+            EpochPlan(accepted, accepted.witnesses, Reason.PRIMARY_LOST), machine.now
+        )
         self.pump(machine)
         self.flow(machine, *among)
-        change = machine.node._candidate.epoch_change
+        change = machine.node.candidate.epoch_change
         if change and not change.installing:  # it waits for stores that hold its state
             self.tick(machine, RESEND_INTERVAL_S)
             self.flow(machine, *among)
@@ -92,10 +95,12 @@
     script = Script()
     a, b, c = script.a, script.b, script.c
     base = b.node.durable.accepted_epoch
-    b.node._candidate.newest_term = Term(base.term.number, "")
-    b.node._start_epoch_change(base, base.witnesses, Reason.PRIMARY_LOST, b.now)
-    b.node._candidate.epoch_change.term = newer = Term(base.term.number + 1, "z" + b.node.me.id)
-    b.node._effects.messages = [(store, wire.Prepare(newer)) for store, _ in b.node._effects.messages]
+    b.node.context.pre_votes.newest_term = Term(base.term.number, "")
+    b.node.candidate.start(EpochPlan(base, base.witnesses, Reason.PRIMARY_LOST), b.now)
+    b.node.candidate.epoch_change.term = newer = Term(base.term.number + 1, "z" + b.node.me.id)
+    b.node.context.effects.messages = [
+        (store, wire.Prepare(newer)) for store, _ in b.node.context.effects.messages
+    ]
     script.pump(b)
     while b.queue:
         script.sync(b)
@@ -129,7 +134,7 @@
     script = Script()
     a, b, c = script.a, script.b, script.c
     base = b.node.durable.accepted_epoch
-    b.node._start_epoch_change(base, base.witnesses, Reason.PRIMARY_LOST, b.now)
+    b.node.candidate.start(EpochPlan(base, base.witnesses, Reason.PRIMARY_LOST), b.now)
     script.pump(b)
     for _ in range(20):
         for machine in (b, c):
@@ -144,7 +149,7 @@
                 script.deliver(envelope)
     while b.queue:
         script.sync(b)
-    a.node._candidate.newest_term = b.node.durable.prepared_term
+    a.node.context.pre_votes.newest_term = b.node.durable.prepared_term
     script.candidate(a, c)
     script.acknowledge(a, c)
     script.pending = late
@@ -160,7 +165,7 @@
     """
     script = Script()
     a, b, c = script.a, script.b, script.c
-    b.node._candidate.newest_term = a.node.durable.prepared_term
+    b.node.context.pre_votes.newest_term = a.node.durable.prepared_term
     script.candidate(b, c)
     script.flow(b, c)
     script.acknowledge(a, b)
@@ -175,7 +180,9 @@
     old = a.node.durable.accepted_epoch
     script.candidate(b, c)
     script.acknowledge(b, c)
-    change = EpochChange(a.node.me, Term(99, a.node.me.id), old, old.witnesses, 2, frozenset(), began_at=0.0)
+    change = EpochChange(
+        a.node.me, Term(99, a.node.me.id), old, old.witnesses, 2, frozenset(), started_at=0.0
+    )
     answers = []
     for machine, accepted in ((a, old), (c, c.node.durable.accepted_epoch)):
         durable = machine.node.durable
@@ -227,7 +234,7 @@
     assert script.acknowledge(a, b)
     script.stop(b)
     accepted = a.node.durable.accepted_epoch
-    a.node._start_epoch_change(accepted, accepted.witnesses, Reason.PRIMARY_LOST, a.now)
+    a.node.candidate.start(EpochPlan(accepted, accepted.witnesses, Reason.PRIMARY_LOST), a.now)
     for _ in range(3):
         script.pump(a)
         script.flow(a, c, lost=lambda envelope: isinstance(envelope.message, wire.Install))
@@ -251,12 +258,8 @@
     script.machines.append(new)
     script.start(new)
     base = a.node.durable.accepted_epoch
-    a.node._start_epoch_change(
-        base,
-        tuple(new.node.me if s.address == c.address else s for s in base.witnesses),
-        Reason.PRIMARY_LOST,
-        a.now,
-    )
+    witnesses = tuple(new.node.me if store.address == c.address else store for store in base.witnesses)
+    a.node.candidate.start(EpochPlan(base, witnesses, Reason.PRIMARY_LOST), a.now)
     for _ in range(3):
         script.pump(a)
         script.flow(a, new)
@@ -277,7 +280,7 @@
     a = script.a
     epoch = a.node.durable.accepted_epoch
     alone = replace(epoch, replicas=(a.node.me.id,))
-    a.node._begin_epoch(alone, is_committed=True, took_s=0.0, now=a.now)
+    a.node.primary.begin_epoch(alone, is_committed=True, reason=Reason.REPLICA_LOST, took_s=0.0, now=a.now)
     if script.acknowledge(a):
         raise Breach("a write is acknowledged that one disk alone holds")
 
@@ -342,7 +345,7 @@
     assert b.node.is_primary
     assert b.now - began < 0.5
     assert b.node.durable.state.evacuated == ("z0",)
-    assert b.node._detector._lost == "" == c.node._detector._lost, (
+    assert b.node.context.detector._lost == "" == c.node.context.detector._lost, (
         "a later epoch of it is missed as any other"
     )
 
--- a/tests/replication/world.py
+++ b/tests/replication/world.py
@@ -11,9 +11,10 @@
 from dataclasses import dataclass, field
 
 from fordtrestle.replication.durable import Durable
+from fordtrestle.replication.effects import Effects
 from fordtrestle.replication.epochs import Epoch, Store, majority
 from fordtrestle.replication.messages import Message, Record
-from fordtrestle.replication.node import Effects, Node
+from fordtrestle.replication.node import Node
 from fordtrestle.replication.state import Evacuation
 
 PENDING_MOST = 400
