--- a/rig/system/deployment.py
+++ b/rig/system/deployment.py
@@ -9,7 +9,6 @@
 import os
 import signal
 import sys
-from collections.abc import Sequence
 from dataclasses import dataclass, field
 from pathlib import Path
 
@@ -17,11 +16,22 @@
 PORTS = {"control": 8140, "directory": 8141, "front": 8142, "readiness": 8143}
 INTERNAL = (8150, 8159)
 STOP_S = 10.0
-PROGRAM = ("-m", "fordtrestle")
-NEXT_PROGRAM = ("-m", "rig.system.next_version")
+INTERPRETER = os.path.abspath(sys.executable)  # holds in another checkout, too, where PATH names it relatively
 GRACE_S = 3.0  # short, so that a demonstration ends soon
 
 
+@dataclass(frozen=True, slots=True)
+class Program:
+    """A version of the program: the interpreter's arguments, and the checkout that it is run from."""
+
+    arguments: tuple[str, ...] = ("-m", "fordtrestle")
+    checkout: Path | None = None  # this one
+
+
+PROGRAM = Program()
+NEXT_PROGRAM = Program(("-m", "rig.system.next_version"))
+
+
 def host_of(region: str, machine: int) -> str:
     """A machine's address: regions differ in the third number, other deployments in the second."""
     network, block = 64 + os.getpid() % 128, os.getpid() // 128 % 64
@@ -71,14 +81,15 @@
             "bounds": {"grace_s": self.grace_s},
         }
 
-    async def start(self, bootstrap: bool = False, program: Sequence[str] = PROGRAM) -> None:
+    async def start(self, bootstrap: bool = False, program: Program = PROGRAM) -> None:
         """Start the process."""
         file = self.folder / "boot.json"
         file.write_text(json.dumps(self.settings(bootstrap), indent=2))
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable,
-            *program,
+            INTERPRETER,
+            *program.arguments,
             self.role,
+            cwd=program.checkout,
             env={**os.environ, "FORDTRESTLE_CONFIG": str(file)},
             stderr=(self.folder / "log").open("ab"),
         )
--- a/rig/system/soak/play.py
+++ b/rig/system/soak/play.py
@@ -6,12 +6,11 @@
 import random
 import signal
 import time
-from collections.abc import Sequence
 from pathlib import Path
 
 import aiohttp
 
-from rig.system.deployment import NEXT_PROGRAM, PROGRAM, REGIONS, Deployment, Machine
+from rig.system.deployment import NEXT_PROGRAM, PROGRAM, REGIONS, Deployment, Machine, Program
 from rig.system.fleet import servers_of, until_ready
 from rig.system.soak.clients import Client, Operator
 from rig.system.soak.record import Life, Record
@@ -39,7 +38,7 @@
 class Supervisor:
     """Starts a machine's process, ends it as the platform does, and starts it again."""
 
-    def __init__(self, machine: Machine, record: Record, program: Sequence[str]) -> None:
+    def __init__(self, machine: Machine, record: Record, program: Program) -> None:
         self.machine = machine
         self._record = record
         self._program = program
@@ -88,7 +87,7 @@
             life.overdue = state
             self.send(signal.SIGKILL)
 
-    def replace(self, program: Sequence[str]) -> None:
+    def replace(self, program: Program) -> None:
         """Start another program from the next start on, and let the process end for it."""
         self._program = program
         self.tell_to_end()
@@ -114,11 +113,27 @@
     """One play."""
 
     def __init__(
-        self, schedule: Schedule, folder: Path, sidecars: int, clients: int, program: Sequence[str] = PROGRAM
+        self,
+        schedule: Schedule,
+        folder: Path,
+        sidecars: int,
+        clients: int,
+        program: Program = PROGRAM,
+        updated: Program = NEXT_PROGRAM,
     ) -> None:
-        """`sidecars` and `clients` are of each region."""
+        """Set the machines up.
+
+        Args:
+            schedule: What is done to them, and when.
+            folder: Where their settings, data and logs go.
+            sidecars: How many there are of each region.
+            clients: How many there are of each region.
+            program: The version that all start as, and are reverted to.
+            updated: The version that they are updated to.
+        """
         self.record = Record(GRACE_S)
         self._schedule = schedule
+        self._program, self._updated = program, updated
         self._deployment = Deployment(folder, sidecars, GRACE_S)
         self._supervisors = {m.name: Supervisor(m, self.record, program) for m in self._deployment.machines}
         self._rng = random.Random(schedule.seed)
@@ -180,9 +195,9 @@
             case Action.ROLL:
                 self._supervisors[step.target].tell_to_end()
             case Action.UPDATE:
-                self._supervisors[step.target].replace(NEXT_PROGRAM)
+                self._supervisors[step.target].replace(self._updated)
             case Action.REVERT:
-                self._supervisors[step.target].replace(PROGRAM)
+                self._supervisors[step.target].replace(self._program)
             case Action.HUP:
                 self._supervisors[step.target].send(signal.SIGHUP)
             case Action.KILL:
