--- a/fordtrestle/proxy/config/options.py
+++ b/fordtrestle/proxy/config/options.py
@@ -22,8 +22,8 @@
 from fordtrestle.proxy.http.front import FrontOptions
 from fordtrestle.proxy.http.pool import PoolOptions
 from fordtrestle.proxy.http.requests import RequestClass, RequestNames, stable_number
-from fordtrestle.proxy.membership.lists import NameIndices
-from fordtrestle.proxy.membership.registry import RegistryOptions
+from fordtrestle.proxy.membership.discovery_client import DiscoveryOptions
+from fordtrestle.proxy.membership.list_format import NameIndices
 
 SEMANTICS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}  # as the settings name them
 OPEN_CALLS_MOST = 2**31
@@ -210,13 +210,13 @@
     return share
 
 
-def registry_options(
+def discovery_options(
     source: RegistrySpec, service: ServiceSpec, seed: int, known: ServerList | None = None
-) -> RegistryOptions:
+) -> DiscoveryOptions:
     """What a registry's watch is told; where no list is known from before, it begins with an empty one."""
     assert source.address is not None
     known = known or ServerList(0, True, [], {})
-    return RegistryOptions(source.address, indices_of(service), source.pushed, known, seed)
+    return DiscoveryOptions(source.address, indices_of(service), source.pushed, known, seed)
 
 
 def server_list(source: StaticSpec, service: ServiceSpec, version: int) -> ServerList:
--- a/fordtrestle/proxy/config/platform.py
+++ b/fordtrestle/proxy/config/platform.py
@@ -15,8 +15,8 @@
 from fordtrestle.proxy.http.front import FrontOptions
 from fordtrestle.proxy.http.pool import PoolOptions
 from fordtrestle.proxy.http.requests import RequestClass, RequestNames, stable_number
-from fordtrestle.proxy.membership.lists import NameIndices, amount, parse_list
-from fordtrestle.proxy.membership.registry import RegistryOptions
+from fordtrestle.proxy.membership.discovery_client import DiscoveryOptions
+from fordtrestle.proxy.membership.list_format import NameIndices, parse_amount, parse_list
 
 USUAL = LimitsOptions()
 
@@ -96,7 +96,7 @@
         names=_names(settings),
         indices=indices,
         max_open=int(policy.get("MaxOpen", 2**31)),
-        drain_grace_ms=amount(rules.get("StopSendingWithin", 0.0)),
+        drain_grace_ms=parse_amount(rules.get("StopSendingWithin", 0.0)),
     )
 
 
@@ -157,7 +157,7 @@
     return FrontOptions(config.names, max(4, config.sockets // 3), back)
 
 
-def registry_options(config: Config) -> RegistryOptions:
+def discovery_options(config: Config) -> DiscoveryOptions:
     """What its discovery is told."""
     pushed = config.settings.discovery == "automatic"
-    return RegistryOptions(config.discovery, config.indices, pushed, config.known, config.seed)
+    return DiscoveryOptions(config.discovery, config.indices, pushed, config.known, config.seed)
--- a/fordtrestle/proxy/daemon/process.py
+++ b/fordtrestle/proxy/daemon/process.py
@@ -18,10 +18,11 @@
 from fordtrestle.proxy.engine.lag import LagMeter
 from fordtrestle.proxy.engine.limits import Budget, Limits
 from fordtrestle.proxy.engine.log import log
-from fordtrestle.proxy.engine.ports import Address, Registry, ServerList
+from fordtrestle.proxy.engine.ports import Address, Registry
 from fordtrestle.proxy.engine.tally import Counts, lines
 from fordtrestle.proxy.http.front import Front
 from fordtrestle.proxy.http.pool import Pool, PoolOptions
+from fordtrestle.proxy.membership.updates import UpdateListener
 
 # New connections go on coming for up to 0.4 s after SIGTERM; SIGKILL comes no sooner than the
 # longest deadline and 0.7 s after it: what is read past 0.7 s is refused.
@@ -31,8 +32,6 @@
 LAST_BYTES_S = 0.3
 CLOSING_TURNS = 4  # of the loop, until all that was closed has told so
 
-News = Callable[[str, ServerList | None], None]
-
 
 class Source(Registry, Protocol):
     """What tells a service of its servers."""
@@ -57,7 +56,7 @@
         engine: EngineOptions,
         pool: PoolOptions,
         budget: Budget,
-        source: Callable[[News], Source],
+        source: Callable[[UpdateListener], Source],
         peers: PeerOptions | None = None,
         driver: Driver | None = None,
     ) -> None:
--- a/fordtrestle/proxy/daemon/rules.py
+++ b/fordtrestle/proxy/daemon/rules.py
@@ -14,14 +14,14 @@
 from fordtrestle.proxy.config import options
 from fordtrestle.proxy.config.operator import Operator
 from fordtrestle.proxy.config.sources import RegistrySpec
-from fordtrestle.proxy.daemon.process import News
 from fordtrestle.proxy.daemon.seams import Seams
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.driver import Driver, EngineOptions
 from fordtrestle.proxy.engine.log import log
 from fordtrestle.proxy.engine.ports import ServerList
 from fordtrestle.proxy.engine.watched import WatchedDriver
-from fordtrestle.proxy.membership.whole import Whole
+from fordtrestle.proxy.membership.endpoint_list import EndpointList
+from fordtrestle.proxy.membership.updates import UpdateForm, UpdateListener
 
 if TYPE_CHECKING:  # each is loaded only where it is on
     from fordtrestle.proxy.daemon.events import Events
@@ -70,16 +70,16 @@
             return None
         return WatchedDriver(self._loop, clock, engine, self._rules[name].acted)
 
-    def first(self, name: str, hear: News) -> News:
-        """News of a service's list that are told and kept before `hear` is called with them."""
+    def first(self, name: str, listener: UpdateListener) -> UpdateListener:
+        """Updates of a service's list that are told and kept before `listener` is called with them."""
         rules = self._rules[name]
 
-        def news(form: str, listed: ServerList | None) -> None:
-            if listed is not None:
-                rules.take(form, listed)
-            hear(form, listed)
+        def on_update(form: UpdateForm, update: ServerList | None) -> None:
+            if update is not None:
+                rules.take(form, update)
+            listener(form, update)
 
-        return news
+        return on_update
 
     def settle(self, config: Operator) -> None:
         """What a file says is in force from now on."""
@@ -156,7 +156,7 @@
         self._numbered = numbered
         self._events = events
         self._keep = keep
-        self._whole = Whole()
+        self._endpoints = EndpointList()
         self._settings = ""
         self._list_rule = f"list:{service}"
         self._begun = False  # a list was told
@@ -170,24 +170,25 @@
             self._events.learned(f"settings:{self._service}", 0, digest, form)
         self._settings = digest
 
-    def take(self, form: str, news: ServerList) -> None:
+    def take(self, form: UpdateForm, update: ServerList) -> None:
         """What discovery says."""
-        new = self._whole.take(form, news)
+        new = self._endpoints.apply(form, update)
         if self._events is not None and (new or not self._begun):
-            if not self._numbered:
-                form = "reload" if self._begun else "file"
-            whole = self._whole
-            self._events.learned(self._list_rule, self._version, whole.digest, form, whole.entries())
-        if self._keep is not None and new and form != "remembered":
-            self._keep(self._service, self._whole.listed(), self._whole.digest)
+            how = form.value if self._numbered else "reload" if self._begun else "file"
+            endpoints = self._endpoints
+            self._events.learned(
+                self._list_rule, self._version, endpoints.digest, how, endpoints.entry_digests()
+            )
+        if self._keep is not None and new and form is not UpdateForm.REMEMBERED:
+            self._keep(self._service, self._endpoints.to_server_list(), self._endpoints.digest)
         self._begun = True
 
     def acted(self, what: str, call: str, server: str, hop: int, cause: str) -> None:
         """The engine did something by what is in force."""
         if self._events is not None:
-            rule, digest = self._list_rule, self._whole.digest
+            rule, digest = self._list_rule, self._endpoints.digest
             self._events.acted(rule, self._version, digest, what, call, server, hop, self._settings, cause)
 
     @property
     def _version(self) -> int:
-        return self._whole.version if self._numbered else 0
+        return self._endpoints.version if self._numbered else 0
--- a/fordtrestle/proxy/daemon/sidecar.py
+++ b/fordtrestle/proxy/daemon/sidecar.py
@@ -10,13 +10,14 @@
 from fordtrestle.proxy.config.limits import LimitsOptions, budget, reserve
 from fordtrestle.proxy.config.platform import Config, ConfigError
 from fordtrestle.proxy.daemon.peers import PeerOptions
-from fordtrestle.proxy.daemon.process import FrontAt, Machine, News, Process, Service, run
+from fordtrestle.proxy.daemon.process import FrontAt, Machine, Process, Service, run
 from fordtrestle.proxy.daemon.signals import Signals
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.log import log
 from fordtrestle.proxy.engine.ports import Address
 from fordtrestle.proxy.http.front import Front
-from fordtrestle.proxy.membership.registry import Discovery
+from fordtrestle.proxy.membership.discovery_client import DiscoveryClient
+from fordtrestle.proxy.membership.updates import UpdateListener
 
 ONLY = "sidecar"  # the name of its one service, and of its one front
 
@@ -29,8 +30,8 @@
     ) -> None:
         self._environment = environment or {}
 
-        def discovery(news: News) -> Discovery:
-            self.discovery = Discovery(loop, platform.registry_options(config), news)
+        def discovery(on_update: UpdateListener) -> DiscoveryClient:
+            self.discovery = DiscoveryClient(loop, platform.discovery_options(config), on_update)
             return self.discovery
 
         clock = Clock(loop)
--- a/fordtrestle/proxy/daemon/standalone.py
+++ b/fordtrestle/proxy/daemon/standalone.py
@@ -12,7 +12,7 @@
 from fordtrestle.proxy.config.operator import Operator, OperatorError
 from fordtrestle.proxy.config.sources import StaticSpec
 from fordtrestle.proxy.daemon.peers import PeerOptions
-from fordtrestle.proxy.daemon.process import FrontAt, Machine, News, Process, Service, Source, run
+from fordtrestle.proxy.daemon.process import FrontAt, Machine, Process, Service, Source, run
 from fordtrestle.proxy.daemon.seams import Seams
 from fordtrestle.proxy.daemon.signals import Signals
 from fordtrestle.proxy.engine.clock import Clock
@@ -20,8 +20,9 @@
 from fordtrestle.proxy.engine.log import log
 from fordtrestle.proxy.engine.schema import address_text
 from fordtrestle.proxy.http.front import Front
-from fordtrestle.proxy.membership.registry import Discovery
-from fordtrestle.proxy.membership.static import StaticList
+from fordtrestle.proxy.membership.discovery_client import DiscoveryClient
+from fordtrestle.proxy.membership.static_endpoint_list import StaticEndpointList
+from fordtrestle.proxy.membership.updates import UpdateListener
 
 if TYPE_CHECKING:  # each is loaded only where it is on
     from fordtrestle.proxy.daemon.recording import Recording
@@ -88,17 +89,17 @@
             front.note = recording.note
         return FrontAt(front, spec.listen)
 
-    def _source(self, name: str) -> Callable[[News], Source]:
+    def _source(self, name: str) -> Callable[[UpdateListener], Source]:
         service = self._config.services[name]
         spec = self._config.sources[service.source]
 
-        def make(hear: News) -> Source:
-            news = hear if self._rules is None else self._rules.first(name, hear)
+        def make(listener: UpdateListener) -> Source:
+            on_update = listener if self._rules is None else self._rules.first(name, listener)
             if isinstance(spec, StaticSpec):
-                return StaticList(self._loop, options.server_list(spec, service, 0), news)
+                return StaticEndpointList(self._loop, options.server_list(spec, service, 0), on_update)
             known = None if self._rules is None else self._rules.known.get(name)
-            registry_options = options.registry_options(spec, service, self._start.seed, known)
-            return Discovery(self._loop, registry_options, news)
+            discovery_options = options.discovery_options(spec, service, self._start.seed, known)
+            return DiscoveryClient(self._loop, discovery_options, on_update)
 
         return make
 
@@ -136,9 +137,9 @@
         """Tell one service of what is new in its source."""
         spec, holder = self._config.sources[source], self.services[name].source
         if isinstance(spec, StaticSpec):
-            if f"source.{source}.server" in keys and isinstance(holder, StaticList):
-                holder.change(options.server_list(spec, self._config.services[name], self._version))
-        elif spec.address is not None and isinstance(holder, Discovery):
+            if f"source.{source}.server" in keys and isinstance(holder, StaticEndpointList):
+                holder.replace(options.server_list(spec, self._config.services[name], self._version))
+        elif spec.address is not None and isinstance(holder, DiscoveryClient):
             holder.move(spec.address)
 
     def ending(self) -> None:
--- a/fordtrestle/proxy/membership/__init__.py
+++ b/fordtrestle/proxy/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where the list of servers comes from."""
+"""Where the endpoint list of a service comes from: a registry over HTTP, or the operator's file."""
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -175,7 +175,7 @@
         assert not loaded & {
             *extra,
             "fordtrestle.proxy.daemon.events",
-            "fordtrestle.proxy.membership.whole",
+            "fordtrestle.proxy.membership.endpoint_list",
         }
     tables = {"state": {"msgspec", "crc32c"}, "events": {"structlog", "msgspec"}}
     for table, wanted in tables.items():
--- a/tests/proxy/config/test_operator.py
+++ b/tests/proxy/config/test_operator.py
@@ -394,8 +394,8 @@
     told = operator.read(written(tmp_path, GOOD.replace('"fleet"', '"r"') + source))
     settings = options.settings(told, "shop", START)
     assert (settings.discovery, settings.ask_within) == ("subscribe", 700.0)
-    registry = options.registry_options(told.sources["r"], told.services["shop"], 1)
-    assert (registry.address, registry.pushed) == (("registry.local", 80), False)
+    registry = options.discovery_options(told.sources["r"], told.services["shop"], 1)
+    assert (registry.address, registry.is_pushed) == (("registry.local", 80), False)
 
 
 def test_descriptors_are_shared_out_and_never_more_than_there_are(tmp_path):
--- a/tests/proxy/daemon/test_descriptors.py
+++ b/tests/proxy/daemon/test_descriptors.py
@@ -11,7 +11,7 @@
 
 from tests.loopback import App, Upstream, entry, listed, loopback, until
 from tests.proxy.daemon.test_process import Process
-from tests.proxy.membership.standin import Outage
+from tests.proxy.membership.stand_ins import Outage
 
 
 def held(process):
@@ -38,7 +38,7 @@
 ):
     """Guards against a list that can't be taken in just when servers drain."""
     upstream, outage = await Upstream().start(), await Outage(how).start()
-    outage.whole = json.dumps(listed(50, entry("s9", upstream.address))).encode() + b"\n"
+    outage.complete_list = json.dumps(listed(50, entry("s9", upstream.address))).encode() + b"\n"
     made = await Process.start(tmp_path, limit=f"ulimit -n {granted};", discovery=outage.address)
     apps = [made.app]
     crowding = asyncio.create_task(crowd(made.address, 2 * granted, apps))
@@ -50,7 +50,7 @@
     for _ in range(50):
         assert held(made.process) < granted  # one is left also while each place is taken
         await asyncio.sleep(0.01)
-    await outage.back()
+    await outage.end()
 
     async def served():
         """Its server is known from that list alone."""
@@ -65,7 +65,7 @@
     second = await Outage("mute").start()
     path.write_text(json.dumps({**json.loads(told), "discovery": second.address}))
     made.process.send_signal(signal.SIGHUP)
-    await until(lambda: second.asked)
+    await until(lambda: second.requests)
     crowding.cancel()
     made.process.terminate()
     assert await made.process.wait() == 0
--- a/tests/proxy/daemon/test_long.py
+++ b/tests/proxy/daemon/test_long.py
@@ -9,7 +9,7 @@
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.downstream import ClientConnection
 from fordtrestle.proxy.http.upstream import UpstreamExchange
-from fordtrestle.proxy.membership.lists import parse_list
+from fordtrestle.proxy.membership.list_format import parse_list
 from tests.loopback import OK, App, Upstream, entry, listed, loopback, platform_config, running, until
 
 TURNS, CLIENTS = 60, 20
--- a/tests/proxy/daemon/test_told.py
+++ b/tests/proxy/daemon/test_told.py
@@ -18,7 +18,7 @@
 from fordtrestle.proxy.daemon.sidecar import Sidecar
 from fordtrestle.proxy.engine.pressure import Pressure
 from tests.loopback import BY_LEDGERS, OK, SETTINGS, App, Upstream, entry, listed, read_message
-from tests.proxy.membership.standin import HEAD, chunk
+from tests.proxy.membership.stand_ins import HEAD, chunk
 from tests.virtual import virtual
 
 GRACE_S = 0.5  # StopSendingWithin
--- a/tests/proxy/http/test_upstream.py
+++ b/tests/proxy/http/test_upstream.py
@@ -14,7 +14,7 @@
 from fordtrestle.proxy.engine.limits import Limits
 from fordtrestle.proxy.http import pool as pools
 from fordtrestle.proxy.http.upstream import UpstreamConnection, UpstreamExchange
-from fordtrestle.proxy.membership.lists import parse_list
+from fordtrestle.proxy.membership.list_format import parse_list
 from tests.loopback import (
     OK,
     App,
--- /dev/null
+++ b/tests/proxy/membership/conftest.py
@@ -0,0 +1,21 @@
+"""Fixtures of the discovery client's tests."""
+
+from __future__ import annotations
+
+import pytest
+
+from fordtrestle.proxy.membership.registry_call import RegistryConnection
+
+
+@pytest.fixture
+def connections(monkeypatch):
+    """Every connection to a registry that was made."""
+    made = []
+    connection_made = RegistryConnection.connection_made
+
+    def record(self, transport):
+        made.append(self)
+        connection_made(self, transport)
+
+    monkeypatch.setattr(RegistryConnection, "connection_made", record)
+    return made
--- a/tests/proxy/membership/test_registry.py
+++ b/tests/proxy/membership/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""Discovery and peers on real sockets."""
+"""The discovery client and peers on real sockets."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 from fordtrestle.balancer.model import Fetch, Tell, Watch
 from fordtrestle.proxy.engine.ports import parse_address
-from fordtrestle.proxy.membership import registry as discovery
+from fordtrestle.proxy.membership import timing
 from tests.loopback import Registry, Scripted, entry, listed, loopback, running, until
 
 
-def told_of(module):
-    """Form and server names of each list event."""
+def updates_of(module):
+    """Return the form and server names of each list event."""
     return [(form, [row.server for row in rows]) for form, rows in module.named("server_list")]
 
 
@@ -30,12 +30,12 @@
         registry.tell(43, entry("s1", status="leaving"))
         registry.write(b"\n")
         registry.tell(50, entry("s2"), snapshot=True)
-        await until(lambda: len(told_of(module)) == 3)
-        assert told_of(module) == [("remembered", ["s0"]), ("changes", ["s1"]), ("all", ["s2"])]
+        await until(lambda: len(updates_of(module)) == 3)
+        assert updates_of(module) == [("remembered", ["s0"]), ("changes", ["s1"]), ("all", ["s2"])]
 
 
 @loopback
-async def test_lines_are_whole_however_they_are_cut_into_chunks():
+async def test_lines_are_assembled_however_they_are_cut_into_chunks():
     registry = await Registry().start()
     module = Scripted()
     async with running(balancer=module, registry=registry):
@@ -44,12 +44,12 @@
         for i in range(0, len(line), 9):
             registry.write(line[i : i + 9])
             await asyncio.sleep(0)
-        await until(lambda: len(told_of(module)) == 2)
-        assert told_of(module)[1] == ("changes", ["s1"])
+        await until(lambda: len(updates_of(module)) == 2)
+        assert updates_of(module)[1] == ("changes", ["s1"])
 
 
 @loopback
-async def test_a_full_list_drops_servers_from_the_pool():
+async def test_a_complete_list_drops_servers_from_the_pool():
     registry = await Registry().start()
     async with running(registry=registry, raw={"known": listed(41, entry("s0"), entry("s1"))}) as sidecar:
         await until(lambda: registry.watches)
@@ -59,7 +59,7 @@
 
 
 @loopback
-async def test_older_changes_are_not_told_again_and_the_version_held_answers_a_watch():
+async def test_older_changes_are_not_reported_again_and_the_version_held_answers_a_watch():
     registry = await Registry().start()
     module = Scripted()
     async with running(balancer=module, registry=registry):
@@ -67,22 +67,22 @@
         registry.tell(41)
         registry.tell(40, entry("old"))
         registry.tell(42, entry("new"))
-        await until(lambda: len(told_of(module)) == 3)
-        assert told_of(module)[1:] == [("changes", []), ("changes", ["new"])]
+        await until(lambda: len(updates_of(module)) == 3)
+        assert updates_of(module)[1:] == [("changes", []), ("changes", ["new"])]
 
 
 @pytest.mark.parametrize("how", ["ended", "garbage", "silent"])
 @loopback
 async def test_a_watch_that_breaks_is_opened_again_where_lists_are_pushed(how, monkeypatch):
-    monkeypatch.setattr(discovery, "BACKOFF_S", 0.01)
+    monkeypatch.setattr(timing, "MIN_BACKOFF_S", 0.01)
     if how == "silent":
-        monkeypatch.setattr(discovery, "SILENT_S", 1.0)
+        monkeypatch.setattr(timing, "WATCH_TIMEOUT_S", 1.0)
     registry = await Registry().start()
     module = Scripted()
     async with running(balancer=module, registry=registry):
         await until(lambda: registry.watches)
         registry.tell(44, entry("s1"))
-        await until(lambda: len(told_of(module)) == 2)
+        await until(lambda: len(updates_of(module)) == 2)
         if how == "ended":
             registry.watches[0].close()
         elif how == "garbage":
@@ -90,16 +90,14 @@
         await until(lambda: len(registry.asked) > 1)
         after = 0 if how == "garbage" else 44
         assert registry.asked[1] == f"/registry/instances?watch=1&from={after}"
-        assert "refused" not in [form for form, _ in told_of(module)]
+        assert "refused" not in [form for form, _ in updates_of(module)]
 
 
 @loopback
-async def test_a_watch_that_moves_takes_a_whole_list_at_once_whatever_its_version(monkeypatch):
-    """Guards against waiting for a backoff, and against holding two places' versions against each
-    other: the new one counts from its own start.
-    """
-    monkeypatch.setattr(discovery, "BACKOFF_S", 3600.0)
-    monkeypatch.setattr(discovery, "BACKOFF_MOST_S", 3600.0)
+async def test_a_watch_that_moves_takes_a_complete_list_at_once_whatever_its_version(monkeypatch):
+    """The client waits for no backoff, and compares no versions of the two: the new one has its own."""
+    monkeypatch.setattr(timing, "MIN_BACKOFF_S", 3600.0)
+    monkeypatch.setattr(timing, "MAX_BACKOFF_S", 3600.0)
     old, new = await Registry().start(), await Registry(listed(3, entry("s1"))).start()
     module = Scripted()
     known = listed(41, entry("s0"))
@@ -111,27 +109,27 @@
         assert new.asked == ["/registry/instances", "/registry/instances?watch=1&from=3"]
         await until(lambda: old.watches[0].is_closing())
         new.tell(4, entry("s2"))
-        await until(lambda: len(told_of(module)) == 3)
-        assert told_of(module)[1:] == [("all", ["s1"]), ("changes", ["s2"])]
+        await until(lambda: len(updates_of(module)) == 3)
+        assert updates_of(module)[1:] == [("all", ["s1"]), ("changes", ["s2"])]
         assert set(sidecar.pool._servers) == {"s1", "s2"}
     new.stop()
 
 
 @loopback
-async def test_a_list_call_under_way_is_made_again_where_discovery_has_moved():
+async def test_a_fetch_in_flight_is_made_again_where_the_registry_has_moved():
     old, new = await Registry().start(), await Registry(listed(3, entry("s1"))).start()
     module = Scripted()
     raw = {"known": listed(41, entry("s0"))}
     async with running(balancer=module, registry=old, raw=raw, Discovery="subscribe") as sidecar:
         sidecar.driver._act(Fetch())
         sidecar.discovery.move(parse_address(new.address))
-        await until(lambda: len(told_of(module)) == 2)
-        assert told_of(module)[1:] == [("all", ["s1"])]
+        await until(lambda: len(updates_of(module)) == 2)
+        assert updates_of(module)[1:] == [("all", ["s1"])]
     new.stop()
 
 
 @loopback
-async def test_where_discovery_is_asked_the_module_says_when_and_hears_of_failures():
+async def test_where_lists_are_asked_for_the_module_says_when_and_gets_failures():
     registry = await Registry(listed(60, entry("s5"))).start()
     module = Scripted()
     async with running(balancer=module, registry=registry, Discovery="subscribe") as sidecar:
@@ -139,13 +137,13 @@
         sidecar.driver._act(Watch(True))
         await until(lambda: registry.watches)
         registry.watches[0].close()
-        await until(lambda: len(told_of(module)) == 2)
+        await until(lambda: len(updates_of(module)) == 2)
         sidecar.driver._act(Fetch())
-        await until(lambda: len(told_of(module)) == 3)
+        await until(lambda: len(updates_of(module)) == 3)
         registry.stop()
         sidecar.driver._act(Fetch())
-        await until(lambda: len(told_of(module)) == 4)
-        assert told_of(module)[1:] == [("refused", []), ("all", ["s5"]), ("refused", [])]
+        await until(lambda: len(updates_of(module)) == 4)
+        assert updates_of(module)[1:] == [("refused", []), ("all", ["s5"]), ("refused", [])]
         assert len(registry.watches) == 1
 
 
--- a/tests/proxy/membership/test_forms.py
+++ b/tests/proxy/membership/test_list_forms.py
@@ -1,4 +1,4 @@
-"""Lists in all forms that the protocol allows, whole and in pieces, over a call and over a watch."""
+"""Lists in all forms that the protocol allows, at once and in pieces, fetched and over a watch."""
 
 from __future__ import annotations
 
@@ -8,23 +8,25 @@
 import pytest
 
 from tests.loopback import entry, listed, read_message
-from tests.proxy.membership.standin import NewsRecorder, asking
+from tests.proxy.membership.stand_ins import UpdateRecorder, make_client
 from tests.virtual import virtual
 
 ROWS = [entry("s0"), entry("s1", status="leaving", weight=1, since_ms=1700000000000.5)]
-WHOLE = listed(42, *ROWS)
-LEAST = {"index": 42, "snapshot": True, "endpoints": [{"name": "s0", "address": "10.1.0.18:7070"}]}
+COMPLETE = listed(42, *ROWS)
+MINIMAL = {"index": 42, "snapshot": True, "endpoints": [{"name": "s0", "address": "10.1.0.18:7070"}]}
 TEXTS = {
-    "one line": json.dumps(WHOLE),
-    "no blanks": json.dumps(WHOLE, separators=(",", ":")),
-    "indented": json.dumps(WHOLE, indent=2),
-    "indented by tabs, lines that end in CR LF": json.dumps(WHOLE, indent="\t").replace("\n", "\r\n"),
+    "one line": json.dumps(COMPLETE),
+    "no blanks": json.dumps(COMPLETE, separators=(",", ":")),
+    "indented": json.dumps(COMPLETE, indent=2),
+    "indented by tabs, lines that end in CR LF": json.dumps(COMPLETE, indent="\t").replace("\n", "\r\n"),
     "other letters in names, escaped": json.dumps(listed(42, entry("s-é{}"), entry("s1"))),
     "other letters in names, as they are": json.dumps(
         listed(42, entry("s-é"), entry("s1")), ensure_ascii=False
     ),
-    "members in another order, and more of them": json.dumps({"more": {"a": [1]}, **WHOLE}, sort_keys=True),
-    "the least": json.dumps(LEAST),
+    "members in another order, and more of them": json.dumps(
+        {"more": {"a": [1]}, **COMPLETE}, sort_keys=True
+    ),
+    "minimal": json.dumps(MINIMAL),
     "no servers": json.dumps(listed(42)),
 }
 
@@ -44,7 +46,7 @@
         HEAD + b"transfer-encoding:Chunked \r\nX-More: 1\r\n\r\n" + chunks(raw, 27, b"00%X;a=b")
     ),
 }
-LENGTH = {
+BODIES = {
     "a length": lambda raw: HEAD + b"Content-Length: %d\r\n\r\n" % len(raw) + raw,
     "a length and a close": lambda raw: (
         HEAD + b"content-length:%d\r\nConnection: close\r\n\r\n" % len(raw) + raw
@@ -53,11 +55,11 @@
 }
 
 
-class Answers:
-    """Discovery that answers each call with given bytes, in pieces, and leaves a watch open behind them."""
+class ScriptedRegistry:
+    """A registry that answers with given bytes, in pieces, and leaves the connection open behind them."""
 
-    def __init__(self, answer, size):
-        self.answer, self.size = answer, size
+    def __init__(self, response, size):
+        self.response, self.size = response, size
         self.writers = []
 
     async def start(self):
@@ -68,8 +70,8 @@
     async def _serve(self, reader, writer):
         self.writers.append(writer)
         await read_message(reader)
-        for at in range(0, len(self.answer), self.size):
-            writer.write(self.answer[at : at + self.size])
+        for at in range(0, len(self.response), self.size):
+            writer.write(self.response[at : at + self.size])
             await writer.drain()
             await asyncio.sleep(0)
         await reader.read()
@@ -80,16 +82,16 @@
             writer.transport.abort()
 
 
-async def taken(answer, size, watch):
-    place, told = await Answers(answer, size).start(), NewsRecorder()
-    discovery = asking(place.address, told, pushed=watch, version=41)
-    discovery.start()
-    if not watch:
-        discovery.fetch()
-    await told.until(lambda news: news[0] != "remembered")
-    discovery.close()
-    place.stop()
-    return told.since_start()[0]
+async def first_update(response, size, is_pushed):
+    registry, recorder = await ScriptedRegistry(response, size).start(), UpdateRecorder()
+    client = make_client(registry.address, recorder, is_pushed, version=41)
+    client.start()
+    if not is_pushed:
+        client.fetch()
+    await recorder.until(lambda update: update[0] != "remembered")
+    client.close()
+    registry.stop()
+    return recorder.since_start()[0]
 
 
 def expected(text):
@@ -99,16 +101,16 @@
 @pytest.mark.parametrize("frame", FRAMES)
 @pytest.mark.parametrize("what", TEXTS)
 @virtual
-async def test_a_list_of_any_form_over_a_watch_is_taken_as_it_stands(what, frame):
+async def test_a_list_of_any_form_over_a_watch_is_reported_as_it_stands(what, frame):
     text = TEXTS[what]
     for size in (1, 7, 100_000):
-        assert await taken(FRAMES[frame](text.encode() + b"\n"), size, True) == expected(text)
+        assert await first_update(FRAMES[frame](text.encode() + b"\n"), size, True) == expected(text)
 
 
-@pytest.mark.parametrize("frame", LENGTH)
+@pytest.mark.parametrize("frame", BODIES)
 @pytest.mark.parametrize("what", TEXTS)
 @virtual
-async def test_a_whole_list_of_any_form_is_taken_as_it_stands(what, frame):
+async def test_a_complete_list_of_any_form_is_reported_as_it_stands(what, frame):
     text = TEXTS[what]
     for size in (1, 7, 100_000):
-        assert await taken(LENGTH[frame](text.encode()), size, False) == expected(text)
+        assert await first_update(BODIES[frame](text.encode()), size, False) == expected(text)
--- a/tests/proxy/membership/test_spoilt.py
+++ b/tests/proxy/membership/test_malformed_lists.py
@@ -1,4 +1,4 @@
-"""Lists that discovery spoils, over a watch: what was good before stays in force, with a line in the log."""
+"""Malformed lists over a watch: the last good list stays in force, with one line in the log."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 import pytest
 
-from fordtrestle.proxy.membership import registry as discovery
+from fordtrestle.proxy.membership import timing
 from tests.loopback import App, Registry, Upstream, entry, listed, loopback, running, until
 
 DEEP = 100_000
-SPOILT = {
+MALFORMED = {
     "no JSON": b"nonsense",
     "not UTF-8": b'{"index": 44, "endpoints": "\xff\xfe"}',
     "no object": b"[]",
@@ -48,14 +48,14 @@
     {"weight": "heavy"},
     {"weight": 10**400},
 ]
-LINES = [*SPOILT.values()]
+LINES = [*MALFORMED.values()]
 LINES += [json.dumps(listed(44, entry("s8"), {**entry("s9"), **fields})).encode() for fields in FIELDS]
 
 
-@pytest.mark.parametrize("line", LINES, ids=[*SPOILT, *(ascii(fields)[:40] for fields in FIELDS)])
+@pytest.mark.parametrize("line", LINES, ids=[*MALFORMED, *(ascii(fields)[:40] for fields in FIELDS)])
 @loopback
-async def test_a_spoilt_list_changes_nothing_and_the_whole_list_is_asked_for_anew(line, monkeypatch, capfd):
-    monkeypatch.setattr(discovery, "BACKOFF_S", 0.01)
+async def test_a_malformed_list_changes_nothing_and_the_complete_list_is_asked_for(line, monkeypatch, capfd):
+    monkeypatch.setattr(timing, "MIN_BACKOFF_S", 0.01)
     upstream, registry = await Upstream().start(), await Registry().start()
     async with running(upstream, registry=registry) as sidecar:
         await until(lambda: registry.watches)
@@ -77,7 +77,7 @@
 
 @loopback
 async def test_half_a_list_and_a_reset_change_nothing(monkeypatch):
-    monkeypatch.setattr(discovery, "BACKOFF_S", 0.01)
+    monkeypatch.setattr(timing, "MIN_BACKOFF_S", 0.01)
     upstream, registry = await Upstream().start(), await Registry().start()
     async with running(upstream, registry=registry) as sidecar:
         await until(lambda: registry.watches)
@@ -91,8 +91,8 @@
 
 
 @loopback
-async def test_a_whole_list_without_servers_is_believed_and_so_is_the_next():
-    """The page knows no other meaning: with nobody to send to requests are refused, which does no harm."""
+async def test_a_complete_list_without_servers_is_accepted_and_so_is_the_next():
+    """The protocol gives it no other meaning, and to refuse requests without servers does no harm."""
     upstream, registry = await Upstream().start(), await Registry().start()
     async with running(upstream, registry=registry) as sidecar:
         await until(lambda: registry.watches)
