--- a/fordtrestle/cli/check.py
+++ b/fordtrestle/cli/check.py
@@ -6,8 +6,8 @@
 import json
 from collections.abc import Sequence
 
-from fordtrestle.proxy.config import operator
-from fordtrestle.proxy.config.operator import OperatorError
+from fordtrestle.proxy.config import operator_file
+from fordtrestle.proxy.config.errors import OperatorFileError
 from fordtrestle.proxy.engine.schema import Fault
 
 TABLES = ("services", "fronts", "sources")
@@ -28,11 +28,11 @@
     faults: Sequence[Fault] = ()
     try:
         if given.platform:
-            operator.read_limits(given.file)
+            operator_file.read_limits(given.file)
         else:
-            config = operator.read(given.file)
+            config = operator_file.read(given.file)
             named = {table: list(getattr(config, table)) for table in TABLES}
-    except OperatorError as error:
+    except OperatorFileError as error:
         faults = error.faults
         if not given.json:
             print(error)
--- a/fordtrestle/cli/platform.py
+++ b/fordtrestle/cli/platform.py
@@ -4,8 +4,8 @@
 
 import sys
 
-from fordtrestle.proxy.config import operator
-from fordtrestle.proxy.config.operator import OperatorError
+from fordtrestle.proxy.config import operator_file
+from fordtrestle.proxy.config.errors import OperatorFileError
 from fordtrestle.proxy.daemon import sidecar
 from fordtrestle.proxy.daemon.signals import Signals
 
@@ -13,8 +13,8 @@
 def run(file: str, signals: Signals) -> int:
     """Run with an operator's limits, within the platform's; the exit code."""
     try:
-        limits = operator.read_limits(file)
-    except OperatorError as error:
+        limits = operator_file.read_limits(file)
+    except OperatorFileError as error:
         print(error, file=sys.stderr)
         return 2
     return sidecar.main(signals, limits)
--- a/fordtrestle/proxy/config/__init__.py
+++ b/fordtrestle/proxy/config/__init__.py
@@ -1,1 +1,1 @@
-"""What a process is told at its start."""
+"""Configuration of a process: the operator file (TOML), or the platform's JSON and environment."""
--- a/fordtrestle/proxy/config/changes.py
+++ b/fordtrestle/proxy/config/changes.py
@@ -1,4 +1,4 @@
-"""What differs between two readings of an operator file, and what of it can change at run time. Pure."""
+"""Which keys differ between two operator files, and which of them need a restart. Pure."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-# Fields that stand for a table by another name than their own.
-TABLES = {
+# Fields of the configuration whose table in the file has another name.
+TABLE_NAMES = {
     "services": "service",
     "fronts": "front",
     "sources": "source",
     "classes": "class",
     "servers": "server",
 }
-AT_RUN_TIME = re.compile(
+RELOADABLE_KEY = re.compile(
     r"source\.[^.]+\.(server|address)|limits\.(descriptors|buffered_bytes_most|open_calls_most)"
 )
 
 
-def changed(old: Any, new: Any) -> list[str]:
-    """The full names of all keys that differ; a table that only one of the two has is named whole."""
-    return list(_differ("", old, new))
+def changed_keys(old: Any, new: Any) -> list[str]:
+    """Return the full names of all keys that differ; a table that only one file has is named as a whole."""
+    return list(_differences("", old, new))
 
 
-def restarts(keys: list[str]) -> list[str]:
-    """Those of them that only a new start can change."""
-    return [key for key in keys if AT_RUN_TIME.fullmatch(key) is None]
+def keys_needing_restart(keys: list[str]) -> list[str]:
+    """Return those of the keys that a reload can't change."""
+    return [key for key in keys if RELOADABLE_KEY.fullmatch(key) is None]
 
 
-def _differ(at: str, old: Any, new: Any) -> Iterator[str]:
+def _differences(at: str, old: Any, new: Any) -> Iterator[str]:
     if old == new:
         return
     if type(old) is not type(new) or not (dataclasses.is_dataclass(old) or isinstance(old, Mapping)):
@@ -38,11 +38,11 @@
         return
     before, after = _fields(old), _fields(new)
     for key in dict.fromkeys((*before, *after)):
-        yield from _differ(f"{at}.{key}" if at else key, before.get(key), after.get(key))
+        yield from _differences(f"{at}.{key}" if at else key, before.get(key), after.get(key))
 
 
 def _fields(value: Any) -> Mapping[str, Any]:
     if isinstance(value, Mapping):
         return value
     names = [field.name for field in dataclasses.fields(value)]
-    return {TABLES.get(name, name): getattr(value, name) for name in names}
+    return {TABLE_NAMES.get(name, name): getattr(value, name) for name in names}
--- /dev/null
+++ b/fordtrestle/proxy/config/errors.py
@@ -0,0 +1,36 @@
+"""Errors of the configuration. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Iterable
+from typing import TYPE_CHECKING
+
+if TYPE_CHECKING:  # the platform's process loads none of the operator file's reader
+    from fordtrestle.proxy.engine.schema import Fault
+
+
+class ConfigError(Exception):
+    """Base class of the errors of this package."""
+
+
+class PlatformConfigError(ConfigError):
+    """A configuration of the platform that no sidecar can start with; the message is one line."""
+
+
+class OperatorFileError(ConfigError):
+    """An operator file that can't be used.
+
+    Attributes:
+        file: Its path.
+        faults: All that is wrong with it.
+    """
+
+    def __init__(self, file: str, faults: Iterable[Fault]) -> None:
+        self.file = file
+        self.faults = tuple(faults)
+        super().__init__("\n".join(self.lines))
+
+    @property
+    def lines(self) -> list[str]:
+        """One line for each fault, as `FILE: table.key: reason`."""
+        return [": ".join(part for part in (self.file, *fault) if part) for fault in self.faults]
--- a/fordtrestle/proxy/config/events.py
+++ b/fordtrestle/proxy/config/events.py
@@ -1,4 +1,4 @@
-"""The table `[events]`: where the process tells what it learned, kept and acted on. Pure."""
+"""The table `[events]`: where the process reports what it learned, stored and acted on. Pure."""
 
 from __future__ import annotations
 
@@ -6,27 +6,29 @@
 
 from fordtrestle.proxy.engine.schema import Table
 
-MB_MOST = 64
+DEFAULT_MAX_MB = 64
 
 
 @dataclass(frozen=True, slots=True)
 class EventsSpec:
-    """`[events]`: `file` is appended to, a line of JSON an event.
+    """`[events]`.
 
-    `mb_most`: megabytes (2^20 bytes) that it has at the most; what comes past that is counted only.
+    Attributes:
+        file: Is appended to, a line of JSON for each event.
+        mb_most: Megabytes (2^20 bytes) that the file may have; events beyond that are only counted.
     """
 
     file: str
-    mb_most: int = MB_MOST
+    mb_most: int = DEFAULT_MAX_MB
 
 
 def read_events(table: Table) -> EventsSpec:
-    """What the table says; faults are noted in it."""
+    """Read the table; faults are recorded in it."""
     if not table.has("file"):
         table.fault("file", "missing")
-    read = EventsSpec(
+    spec = EventsSpec(
         file=table.file("file") or "",
-        mb_most=table.count("mb_most", MB_MOST, 1, 2**20) or MB_MOST,
+        mb_most=table.count("mb_most", DEFAULT_MAX_MB, 1, 2**20) or DEFAULT_MAX_MB,
     )
     table.end()
-    return read
+    return spec
--- a/fordtrestle/proxy/config/fronts.py
+++ b/fordtrestle/proxy/config/fronts.py
@@ -1,4 +1,4 @@
-"""The tables `[front.NAME]`: where callers connect, and which service they reach. Pure."""
+"""The tables `[front.NAME]`: where clients connect, and which service they reach. Pure."""
 
 from __future__ import annotations
 
@@ -10,16 +10,21 @@
 from fordtrestle.proxy.engine.schema import Table, address_text
 
 PROTOCOLS = ("http",)
+DEFAULT_TRACE_MB = 64  # before compression
 
 
 @dataclass(frozen=True, slots=True)
 class FrontSpec:
-    """`[front.NAME]`: `listen` holds one address or more, port 0 for any that is free.
-
-    `guaranteed_share`: of the descriptors for connections (see `[limits]`); None: an equal part of what
-    the other fronts leave of `fronts_guaranteed_share`.
-    `trace_file`: where each whole request is recorded, for `fordtrestle load` to replay; None: nowhere.
-    `trace_mb_most`: megabytes (2^20 bytes, before any compression) after which no more is.
+    """`[front.NAME]`.
+
+    Attributes:
+        protocol: One of `PROTOCOLS`.
+        listen: One address or more, port 0 for any that is free.
+        service: The name of the service that requests go to.
+        guaranteed_share: Of the descriptors for connections (see `[limits]`); None: an equal part of what
+            the other fronts leave of `fronts_guaranteed_share`.
+        trace_file: Where each complete request is recorded, for `fordtrestle load` to replay; None: nowhere.
+        trace_mb_most: Megabytes (2^20 bytes, before any compression) after which no more are recorded.
     """
 
     protocol: str
@@ -27,45 +32,45 @@
     service: str
     guaranteed_share: float | None
     trace_file: str | None = None
-    trace_mb_most: int = 64
+    trace_mb_most: int = DEFAULT_TRACE_MB
 
 
 def read_fronts(root: Table) -> dict[str, FrontSpec]:
-    """All fronts of a file; faults are noted in its table."""
-    fronts = {name: _front(table) for name, table in root.named("front", needed=True)}
-    _listen_once(root, fronts)
+    """Read all fronts of a file; faults are recorded in its table."""
+    fronts = {name: _read_front(table) for name, table in root.named("front", needed=True)}
+    _check_addresses(root, fronts)
     return fronts
 
 
-def _front(table: Table) -> FrontSpec:
-    read = FrontSpec(
+def _read_front(table: Table) -> FrontSpec:
+    spec = FrontSpec(
         protocol=table.one_of("protocol", PROTOCOLS),
         listen=table.addresses("listen"),
         service=table.word("service"),
         guaranteed_share=table.share("guaranteed_share"),
         trace_file=table.file("trace_file"),
-        trace_mb_most=table.count("trace_mb_most", 64, 1, 2**20) or 64,
+        trace_mb_most=table.count("trace_mb_most", DEFAULT_TRACE_MB, 1, 2**20) or DEFAULT_TRACE_MB,
     )
     table.end()
-    return read
+    return spec
 
 
-def _listen_once(root: Table, fronts: Mapping[str, FrontSpec]) -> None:
-    """Guards against two listeners of which the second can't start, however they are written."""
+def _check_addresses(root: Table, fronts: Mapping[str, FrontSpec]) -> None:
+    """Record a fault for each address that another listener has, however it is written."""
     seen: list[tuple[str, Address]] = []
     for name, front in fronts.items():
         for address in front.listen:
             for other, taken in seen:
-                if _same(address, taken):
-                    where = address_text(address)
-                    root.faults.add(f"front.{name}.listen", f"{where} is taken by front {other}")
+                if _overlap(address, taken):
+                    reason = f"{address_text(address)} is taken by front {other}"
+                    root.faults.add(f"front.{name}.listen", reason)
                     break
             seen.append((name, address))
 
 
-def _same(one: Address, other: Address) -> bool:
+def _overlap(one: Address, other: Address) -> bool:
     if one.port != other.port or one.port == 0:
         return False
     first, second = ipaddress.ip_address(one.host), ipaddress.ip_address(other.host)
-    anywhere = first.is_unspecified or second.is_unspecified
-    return first.version == second.version and (anywhere or first == second)
+    is_any_unspecified = first.is_unspecified or second.is_unspecified
+    return first.version == second.version and (is_any_unspecified or first == second)
--- /dev/null
+++ b/fordtrestle/proxy/config/operator_file.py
@@ -0,0 +1,186 @@
+"""The operator file: TOML, typed and strict, read into a tree of immutable values.
+
+Each table has a module of its own, which reads and checks it by itself; what has to hold between tables is
+checked here. All that is wrong with a file is reported at once, one line each.
+"""
+
+from __future__ import annotations
+
+import re
+import tomllib
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, TypeVar
+
+from fordtrestle.proxy.config.errors import OperatorFileError
+from fordtrestle.proxy.config.events import EventsSpec, read_events
+from fordtrestle.proxy.config.fronts import FrontSpec, read_fronts
+from fordtrestle.proxy.config.limits import LimitsSpec
+from fordtrestle.proxy.config.limits_table import read_limits_table
+from fordtrestle.proxy.config.peers import PeersSpec, read_peers
+from fordtrestle.proxy.config.services import SHARE_TOLERANCE, ServiceSpec, read_services
+from fordtrestle.proxy.config.sources import SourceSpec, StaticSpec, read_sources
+from fordtrestle.proxy.config.state import StateSpec, read_state
+from fordtrestle.proxy.engine.schema import Fault, Faults, Table
+
+MAX_FILE_BYTES = 16 * 1024 * 1024  # a path may lead to something without an end, such as a device
+MAX_SEED = 2**53
+# The position at the end of the TOML parser's messages.
+ERROR_POSITION = re.compile(r"(.*?) \(at (?:line (\d+), column \d+|end of document)\)", re.DOTALL)
+
+T = TypeVar("T")
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessSpec:
+    """`[process]`.
+
+    Attributes:
+        name: Of this process among those of its fleet; empty for the host's name.
+        seed: Of random numbers; None: a new one with each start.
+    """
+
+    name: str = ""
+    seed: int | None = None
+
+
+@dataclass(frozen=True, slots=True)
+class OperatorConfig:
+    """The content of an operator file; `state`, `events` and `peers` are off where they are None."""
+
+    services: Mapping[str, ServiceSpec]
+    fronts: Mapping[str, FrontSpec]
+    sources: Mapping[str, SourceSpec]
+    limits: LimitsSpec
+    process: ProcessSpec
+    state: StateSpec | None = None
+    events: EventsSpec | None = None
+    peers: PeersSpec | None = None
+
+
+def read(file: str) -> OperatorConfig:
+    """Read an operator file for `serve`.
+
+    Raises:
+        OperatorFileError: With all that is wrong with the file.
+    """
+    faults = Faults()
+    root = Table(_load(file), "", faults)
+    config = OperatorConfig(
+        services=read_services(root),
+        fronts=read_fronts(root),
+        sources=read_sources(root),
+        limits=read_limits_table(root.table("limits")),
+        process=_read_process(root.table("process")),
+        state=_read_optional(root, "state", read_state),
+        events=_read_optional(root, "events", read_events),
+        peers=_read_optional(root, "peers", read_peers),
+    )
+    root.end()
+    _check(config, faults)
+    if faults.found:
+        raise OperatorFileError(file, faults.found)
+    return config
+
+
+def read_limits(file: str) -> LimitsSpec:
+    """Read an operator file for the platform, which has a configuration of its own for all but the limits.
+
+    Raises:
+        OperatorFileError: With all that is wrong with the file.
+    """
+    faults = Faults()
+    raw = _load(file)
+    root = Table(raw, "", faults)
+    limits = read_limits_table(root.table("limits"))
+    for key in raw:
+        if key != "limits":
+            root.fault(key, "only [limits] is read on the platform, which tells the rest")
+    if faults.found:
+        raise OperatorFileError(file, faults.found)
+    return limits
+
+
+def _load(file: str) -> dict[str, Any]:
+    """Return the file's TOML, or raise `OperatorFileError`."""
+    try:
+        with open(file, "rb") as opened:
+            data = opened.read(MAX_FILE_BYTES + 1)
+        if len(data) > MAX_FILE_BYTES:
+            raise ValueError(f"larger than {MAX_FILE_BYTES} bytes")
+        text = data.decode()
+        return tomllib.loads(text)
+    except OSError as error:
+        fault = Fault("", error.strerror or str(error))
+    except UnicodeDecodeError as error:
+        line = data[: error.start].count(b"\n") + 1
+        fault = Fault(f"line {line}", "not UTF-8")
+    except tomllib.TOMLDecodeError as error:
+        fault = _syntax_fault(str(error), text)
+    except RecursionError:
+        fault = Fault("", "too deeply nested")
+    except ValueError as error:  # numbers of too many digits
+        fault = Fault("", " ".join(str(error).split()))
+    raise OperatorFileError(file, [fault])
+
+
+def _syntax_fault(message: str, text: str) -> Fault:
+    """Return the parser's message as a fault, with the line as its position as in all other faults."""
+    match = ERROR_POSITION.fullmatch(message)
+    reason = " ".join((match[1] if match else message).split())
+    line = (match and match[2]) or text.rstrip().count("\n") + 1
+    return Fault(f"line {line}", reason)
+
+
+def _read_process(table: Table) -> ProcessSpec:
+    spec = ProcessSpec(name=table.word("name", ""), seed=table.count("seed", None, 0, MAX_SEED))
+    table.end()
+    return spec
+
+
+def _read_optional(root: Table, key: str, read_table: Callable[[Table], T]) -> T | None:
+    """Read a table that may be missing; None if it is, or if it is no table."""
+    faults_before = len(root.faults.found)
+    table = root.table(key)
+    is_table = root.has(key) and len(root.faults.found) == faults_before
+    return read_table(table) if is_table else None
+
+
+# --- what has to hold between tables --------------------------------------------
+
+
+def _check(config: OperatorConfig, faults: Faults) -> None:
+    for name, front in config.fronts.items():
+        if front.service and front.service not in config.services:
+            faults.add(f"front.{name}.service", f"there is no service {front.service}")
+    for name, service in config.services.items():
+        source = config.sources.get(service.source)
+        if isinstance(source, StaticSpec):
+            _check_localities(name, service, source, faults)
+        elif service.source and source is None:
+            faults.add(f"service.{name}.source", f"there is no source {service.source}")
+    if config.peers is not None and len(config.services) > 1:
+        faults.add("peers", f"one service may speak to its peers, and there are {len(config.services)}")
+    _check_shares(config, faults)
+
+
+def _check_shares(config: OperatorConfig, faults: Faults) -> None:
+    """Record guarantees that can't all be kept, and fronts that would get nothing."""
+    available = config.limits.fronts_guaranteed_share
+    shares = [front.guaranteed_share for front in config.fronts.values()]
+    total = sum(share or 0.0 for share in shares)
+    if total > available + SHARE_TOLERANCE:
+        reason = f"guaranteed_share makes {total:g} in all, limits.fronts_guaranteed_share is {available:g}"
+        faults.add("front", reason)
+    elif total > available - SHARE_TOLERANCE and None in shares:
+        faults.add("front", "guaranteed_share leaves nothing for the fronts that have none")
+
+
+def _check_localities(name: str, service: ServiceSpec, source: StaticSpec, faults: Faults) -> None:
+    """Record unknown zones and kinds of servers, which would silently count as the first ones."""
+    for i, server in enumerate(source.servers):
+        at = f"source.{service.source}.server[{i}]"
+        if server.zone and server.zone not in service.zones:
+            faults.add(f"{at}.zone", f"{server.zone} is not among service.{name}.zones")
+        if server.kind and server.kind not in service.kinds:
+            faults.add(f"{at}.kind", f"{server.kind} is not among service.{name}.kinds")
--- /dev/null
+++ b/fordtrestle/proxy/config/operator_options.py
@@ -0,0 +1,253 @@
+"""The options of each part of a process, from an operator file."""
+
+from __future__ import annotations
+
+import dataclasses
+import json
+import os
+import resource
+import socket
+from collections.abc import Mapping
+from dataclasses import dataclass
+from hashlib import blake2b
+from typing import Any
+
+from fordtrestle.balancer import model
+from fordtrestle.proxy.config.limits import RETRY_AFTER_MS
+from fordtrestle.proxy.config.operator_file import OperatorConfig
+from fordtrestle.proxy.config.services import ClassSpec, ServiceSpec, TenantSpec
+from fordtrestle.proxy.config.sources import DEFAULT_ASK_WITHIN_MS, RegistrySpec, ServerSpec, StaticSpec
+from fordtrestle.proxy.engine.driver import EngineOptions
+from fordtrestle.proxy.engine.ports import Address, ServerList
+from fordtrestle.proxy.http.front import FrontOptions
+from fordtrestle.proxy.http.pool import PoolOptions
+from fordtrestle.proxy.http.requests import RequestClass, RequestNames, stable_number
+from fordtrestle.proxy.membership.discovery_client import DiscoveryOptions
+from fordtrestle.proxy.membership.list_format import NameIndices
+
+SEMANTICS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}  # the words of the module's settings
+NODE_NUMBER_RANGE = 2**16  # numbers of processes without `[peers]` are below it
+MIN_CLIENTS = 4  # of a front, however small its share is
+SEED_BYTES = 6
+
+
+@dataclass(frozen=True, slots=True)
+class StartOptions:
+    """What one start of a process has beside its file.
+
+    Attributes:
+        number: Of this process in the decision module's settings.
+        seed: Of all its random numbers.
+        granted_descriptors: What the system grants the process; None: no bound.
+    """
+
+    number: int
+    seed: int
+    granted_descriptors: int | None
+
+
+def start_options(config: OperatorConfig) -> StartOptions:
+    """Return the options of this start: the file's, and where it is silent the machine's."""
+    seed = config.process.seed
+    granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
+    return StartOptions(
+        number=stable_number(node_name(config)) % NODE_NUMBER_RANGE,
+        seed=int.from_bytes(os.urandom(SEED_BYTES)) if seed is None else seed,
+        granted_descriptors=None if granted < 0 else granted,
+    )
+
+
+def node_name(config: OperatorConfig) -> str:
+    """Return the name of this process among those of its fleet."""
+    return config.process.name or socket.gethostname()
+
+
+# --- a service ------------------------------------------------------------------
+
+
+def engine_options(config: OperatorConfig, name: str, start: StartOptions) -> EngineOptions:
+    """Return the options of a service's engine."""
+    seed = stable_number(f"{start.seed}:{name}")
+    return EngineOptions(settings(config, name, start), seed, config.services[name].open_most)
+
+
+def pool_options(config: OperatorConfig, name: str) -> PoolOptions:
+    """Return the options of a service's pool."""
+    service = config.services[name]
+    return PoolOptions(
+        connect_timeout_ms=service.connect_timeout_ms,
+        idle_close_ms=service.idle_close_ms,
+        drain_grace_ms=service.drain_grace_ms,
+        report_fields=service.load_reports,
+    )
+
+
+def request_names(service: ServiceSpec) -> RequestNames:
+    """Return a service's classes and tenants by the names that requests use."""
+    classes = {
+        name: RequestClass(number, "GET" if spec.semantics == "safe" else "POST", spec.semantics == "keyed")
+        for number, (name, spec) in enumerate(service.classes.items())
+    }
+    return RequestNames(classes, {tenant.name: i for i, tenant in enumerate(service.tenants)})
+
+
+def name_indices(service: ServiceSpec) -> NameIndices:
+    """Return a service's zones and kinds of machine by the names that lists use."""
+    zones = {zone: i for i, zone in enumerate(service.zones)}
+    return NameIndices(zones, {kind: i for i, kind in enumerate(service.kinds)})
+
+
+def list_basis(service: ServiceSpec) -> str:
+    """Return 16 hex digits that tell apart by which names the zones and kinds of lists are numbered."""
+    numbered = json.dumps([service.zones, service.kinds]).encode()
+    return blake2b(numbered, digest_size=8).hexdigest()
+
+
+def settings(config: OperatorConfig, name: str, start: StartOptions) -> model.Settings:
+    """Return the decision module's settings of a service.
+
+    Raises:
+        ValueError: A setting makes no sense; the message names the first one.
+    """
+    service = config.services[name]
+    source = config.sources[service.source]
+    registry = source if isinstance(source, RegistrySpec) else None
+    peers = config.peers
+    raw = {
+        "Profiles": [_profile(spec) for spec in service.classes.values()],
+        "Me": start.number if peers is None else peers.me,
+        "Balancers": 1 if peers is None else len(peers.at),
+        "Locality": service.zones.index(service.zone) if service.zone else 0,
+        "FailureDomains": list(service.zones),
+        "Kinds": list(service.kinds),
+        "Discovery": "automatic" if registry is None or registry.pushed else "subscribe",
+        "Domain": {"WarmKeys": service.warm_keys},
+        "Tenants": [_tenant(spec) for spec in service.tenants],
+        "OverShareWorth": service.over_share_worth,
+        "WorthBy": service.worth_by,
+        "PolicyLimits": {**_policy_limits(service), "PeerMessages": peers is not None},
+        "Report": {"How": "inline" if service.load_reports else "off", "Fields": list(service.load_reports)},
+        "Rules": _rules(service, DEFAULT_ASK_WITHIN_MS if registry is None else registry.ask_within_ms),
+    }
+    return model.Settings.parse(raw)
+
+
+def _profile(spec: ClassSpec) -> dict[str, Any]:
+    return {
+        "Objective": spec.aim_ms,
+        "Deadline": spec.deadline_ms,
+        "Semantics": SEMANTICS[spec.semantics],
+        "Group": spec.group,
+        "KeyTtl": spec.key_window_ms,
+        "LateWorth": spec.late_worth,
+        "Worth": spec.worth,
+        "InTurn": spec.in_turn,
+    }
+
+
+def _tenant(spec: TenantSpec) -> dict[str, Any]:
+    """Return a tenant's allowance; only ratios count, so shares of the service will do as well as rates."""
+    return {"AllowancePerS": spec.share if spec.allowance_per_s is None else spec.allowance_per_s}
+
+
+def _policy_limits(service: ServiceSpec) -> dict[str, Any]:
+    return {
+        "MaxAttempts": service.attempts_most,
+        "MaxRetryAfter": service.retry_after_most_ms,
+        "RetryAfter": service.retry_after_most_ms > 0.0,
+        "MayCancel": service.cancel,
+        "MayProbe": service.probes,
+        "ParallelTries": service.parallel_tries,
+        "ConnectTimeout": service.connect_timeout_ms,
+        "IdleClose": service.idle_close_ms,
+    }
+
+
+def _rules(service: ServiceSpec, ask_within_ms: float) -> dict[str, Any]:
+    return {
+        "AskWithin": ask_within_ms,
+        "ColdFrom": service.cold_from_share,
+        "WarmUp": service.warm_up_ms,
+        "FallMultiple": service.fall_multiple,
+        "OverloadFor": service.overload_ms,
+        "ReleaseWithin": service.release_ms,
+        "SettleAfterDoubt": service.settle_ms,
+    }
+
+
+def settings_digest(config: OperatorConfig, name: str) -> str:
+    """Return 16 hex digits of a service's settings, alike in all processes with the same settings.
+
+    What is a process's own, such as its zone and its addresses, is left out.
+    """
+    service = config.services[name]
+    source = config.sources[service.source]
+    registry: tuple[object, ...] = ()
+    if isinstance(source, RegistrySpec):
+        registry = (source.pushed, source.ask_within_ms)
+    content = [
+        dataclasses.asdict(dataclasses.replace(service, zone="")),
+        registry,
+        dataclasses.asdict(config.limits),
+    ]
+    return blake2b(json.dumps(content).encode(), digest_size=8).hexdigest()
+
+
+# --- fronts and sources -----------------------------------------------------------
+
+
+def front_options(config: OperatorConfig, name: str, start: StartOptions) -> FrontOptions:
+    """Return a front's options; its clients may use its guaranteed share and what is guaranteed to none."""
+    limits = config.limits
+    common_share = 1.0 - limits.fronts_guaranteed_share - limits.upstreams_guaranteed_share
+    share = front_share(config, name) + common_share
+    max_clients = max(MIN_CLIENTS, int(limits.max_connections(start.granted_descriptors) * share))
+    service = config.services[config.fronts[name].service]
+    retry_after_ms = min(RETRY_AFTER_MS, service.retry_after_most_ms)
+    return FrontOptions(request_names(service), max_clients, retry_after_ms)
+
+
+def upstream_share(config: OperatorConfig) -> float:
+    """Return what a service's connections to servers are guaranteed of each resource: equal shares."""
+    return config.limits.upstreams_guaranteed_share / len(config.services)
+
+
+def front_share(config: OperatorConfig, name: str) -> float:
+    """Return what a front is guaranteed; where the file is silent, an equal part of what the others leave."""
+    share = config.fronts[name].guaranteed_share
+    if share is None:
+        shares = [front.guaranteed_share for front in config.fronts.values()]
+        remaining = config.limits.fronts_guaranteed_share - sum(other or 0.0 for other in shares)
+        share = max(0.0, remaining) / shares.count(None)
+    return share
+
+
+def discovery_options(
+    source: RegistrySpec, service: ServiceSpec, seed: int, known_list: ServerList | None = None
+) -> DiscoveryOptions:
+    """Return the options of a discovery client; without a known list it starts with an empty one."""
+    assert source.address is not None
+    known_list = known_list or ServerList(0, True, [], {})
+    return DiscoveryOptions(source.address, name_indices(service), source.pushed, known_list, seed)
+
+
+def server_list(source: StaticSpec, service: ServiceSpec, version: int) -> ServerList:
+    """Return a static source's servers as a complete list."""
+    indices = name_indices(service)
+    addresses: Mapping[str, Address | None] = {server.name: server.address for server in source.servers}
+    return ServerList(
+        version,
+        True,
+        [_listing(server, indices) for server in source.servers],
+        {name: address for name, address in addresses.items() if address is not None},
+    )
+
+
+def _listing(server: ServerSpec, indices: NameIndices) -> model.Listing:
+    return model.Listing(
+        server=server.name,
+        zone=indices.zones.get(server.zone, 0),
+        kind=indices.kinds.get(server.kind, 0),
+        cell=server.cell,
+        weight=server.weight,
+    )
--- a/fordtrestle/proxy/config/peers.py
+++ b/fordtrestle/proxy/config/peers.py
@@ -7,13 +7,17 @@
 from fordtrestle.proxy.engine.ports import Address
 from fordtrestle.proxy.engine.schema import Table, address_text
 
-PEERS_MOST = 4096
+MAX_PEERS = 4096  # bounds the datagrams of a message to all of them
 
 
 @dataclass(frozen=True, slots=True)
 class PeersSpec:
-    """`[peers]`: `listen` is where messages arrive (UDP), `at` where each process of the fleet is reached, by
-    its number, this one included, and `me` the own number.
+    """`[peers]`.
+
+    Attributes:
+        listen: Where messages arrive (UDP).
+        me: The number of this process.
+        at: The address of each process of the fleet, this one included, by its number.
     """
 
     listen: Address | None
@@ -22,24 +26,24 @@
 
 
 def read_peers(table: Table) -> PeersSpec:
-    """What the table says; faults are noted in it."""
-    before = len(table.faults.found)
-    read = PeersSpec(
+    """Read the table; faults are recorded in it."""
+    faults_before = len(table.faults.found)
+    spec = PeersSpec(
         listen=table.address("listen"),
-        me=table.count("me", None, 0, PEERS_MOST - 1, needed=True) or 0,
+        me=table.count("me", None, 0, MAX_PEERS - 1, needed=True) or 0,
         at=table.addresses("at"),
     )
-    if len(table.faults.found) == before:  # else a bad row would make others seem wrong
-        _check(table, read)
+    if len(table.faults.found) == faults_before:  # otherwise a bad row would make others look wrong
+        _check(table, spec)
     table.end()
-    return read
+    return spec
 
 
-def _check(table: Table, read: PeersSpec) -> None:
-    if len(read.at) > PEERS_MOST:
-        table.fault("at", f"{len(read.at)} addresses, more than {PEERS_MOST}")
-    if read.me >= len(read.at):
-        table.fault("me", f"{read.me} is not among at, which has {len(read.at)}")
-    # Guards against a message that could be of either of two.
-    for address in sorted(address for address in set(read.at) if read.at.count(address) > 1):
+def _check(table: Table, spec: PeersSpec) -> None:
+    if len(spec.at) > MAX_PEERS:
+        table.fault("at", f"{len(spec.at)} addresses, more than {MAX_PEERS}")
+    if spec.me >= len(spec.at):
+        table.fault("me", f"{spec.me} is not among at, which has {len(spec.at)}")
+    # The sender of a message is recognized by its address, which may belong to one process only.
+    for address in sorted(address for address in set(spec.at) if spec.at.count(address) > 1):
         table.fault("at", f"{address_text(address)} is there more than once")
--- a/fordtrestle/proxy/config/services.py
+++ b/fordtrestle/proxy/config/services.py
@@ -1,4 +1,4 @@
-"""The tables `[service.NAME]`: what calls a service takes and by which figures it is kept. Pure."""
+"""The tables `[service.NAME]`: the calls of a service, and the figures for them. Pure."""
 
 from __future__ import annotations
 
@@ -10,18 +10,23 @@
 SEMANTICS = ("safe", "keyed", "unsafe")
 GROUPS = ("all", "zone", "cell")
 WORTH_BY = ("request", "work")
+SHARE_TOLERANCE = 1e-9  # shares that make 1 in decimals may make a little more as binary fractions
 
 
 @dataclass(frozen=True, slots=True)
 class ClassSpec:
-    """`[service.NAME.class.CLASS]`: one kind of call; times in milliseconds.
-
-    `aim_ms`: an answer within it is good. `deadline_ms`: when a caller gives up who does not say (over
-    HTTP each does, by `X-Budget`).
-    `semantics`: `safe` calls may be repeated at will, `keyed` ones under their key, `unsafe` ones never
-    once they may have run. `group` and `key_window_ms`: where, and for how long, a keyed call may be
-    repeated after it may have run. `worth`: against other classes; `late_worth`: what an answer past
-    the aim keeps of it (share). `in_turn`: calls with one key run one at a time.
+    """`[service.NAME.class.CLASS]`: one class of calls; times in milliseconds.
+
+    Attributes:
+        aim_ms: The latency target: an answer within it is good.
+        deadline_ms: When a caller gives up that names no deadline (over HTTP each does, by `X-Budget`).
+        semantics: `safe` calls may be retried at will, `keyed` ones under their key, `unsafe` ones never
+            once they may have run.
+        group: Among which servers a keyed call may be retried after it may have run.
+        key_window_ms: For how long it may be.
+        worth: Its priority weight among the classes.
+        late_worth: The share of it that an answer past the latency target keeps.
+        in_turn: Whether calls with one key run one at a time.
     """
 
     aim_ms: float
@@ -36,9 +41,12 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSpec:
-    """One row of `tenants`: a caller by name, and its allowance.
+    """One row of `tenants`: a caller and its allowance, which is one of the two figures; the other is None.
 
-    `share` (of the service) or `allowance_per_s` (calls a second); one of the two, None the other.
+    Attributes:
+        name: As requests name it.
+        share: Of the service.
+        allowance_per_s: Calls per second.
     """
 
     name: str
@@ -50,16 +58,32 @@
 class ServiceSpec:
     """`[service.NAME]`; times in milliseconds.
 
-    `attempts_most`: of one call. `open_most`: calls taken and not answered. `retry_after_most_ms`: the
-    most that a refusal asks to wait, 0 for no word of it. `zone`: this process's own, of `zones`.
-    `drain_grace_ms`: nothing new to a server for longer after the news that it leaves. A started server
-    has `cold_from_share` of its capacity, and all of it after `warm_up_ms`; one is held to turn away when
-    asked for `fall_multiple` of what it holds for `overload_ms`. `load_reports`: the fields of
-    reports that answers carry. `warm_keys`: servers answer keys that they had before with less work.
-    `worth_by`: whether a call's worth counts by itself or by its work. `over_share_worth`: what a call
-    past its tenant's allowance keeps of its worth. `settle_ms`: a key's rest after a call of a class
-    `in_turn` that may be running still. `release_ms`: idle connections to a server that leaves are
-    closed within it; 0: they may stay.
+    Attributes:
+        source: The name of the source of its endpoint list.
+        classes: Its classes of calls, by name.
+        tenants: Its callers that have an allowance.
+        attempts_most: Attempts of one call.
+        open_most: Calls that are accepted and not answered.
+        connect_timeout_ms: For a connection to a server.
+        idle_close_ms: After which an idle connection is closed.
+        retry_after_most_ms: The longest wait that a rejection asks for; 0: it asks for none.
+        zones: All zones of the service's servers.
+        zone: The zone of this process, one of `zones`.
+        kinds: All kinds of machine of the service's servers.
+        drain_grace_ms: For how long new calls may go to a server after the update that it leaves.
+        cold_from_share: The share of its capacity that a started server has at first (slow start).
+        warm_up_ms: After which it has all of it.
+        fall_multiple: A server is taken to reject work once asked for this multiple of its capacity ...
+        overload_ms: ... for so long.
+        release_ms: Within which idle connections to a server that leaves are closed; 0: they may stay.
+        settle_ms: The rest of a key after a call of a class `in_turn` that may still be running.
+        probes: Whether servers may be probed.
+        cancel: Whether attempts may be cancelled.
+        parallel_tries: Whether a call may have several attempts in flight (hedging).
+        warm_keys: Whether servers answer keys that they had before with less work.
+        worth_by: Whether a call's worth counts once, or by its work.
+        over_share_worth: The share of its worth that a call past its tenant's allowance keeps.
+        load_reports: The fields of load reports that answers carry.
     """
 
     source: str
@@ -90,15 +114,15 @@
 
 
 def read_services(root: Table) -> dict[str, ServiceSpec]:
-    """All services of a file; faults are noted in its table."""
-    return {name: _service(table) for name, table in root.named("service", needed=True)}
+    """Read all services of a file; faults are recorded in its table."""
+    return {name: _read_service(table) for name, table in root.named("service", needed=True)}
 
 
-def _service(table: Table) -> ServiceSpec:
-    read = ServiceSpec(
+def _read_service(table: Table) -> ServiceSpec:
+    spec = ServiceSpec(
         source=table.word("source"),
-        classes={name: _class(row) for name, row in table.named("class", needed=True)},
-        tenants=_tenants(table),
+        classes={name: _read_class(row) for name, row in table.named("class", needed=True)},
+        tenants=_read_tenants(table),
         attempts_most=table.count("attempts_most", 2, 1, 100) or 0,
         open_most=table.count("open_most", 4096, 1) or 0,
         connect_timeout_ms=good(table.figure("connect_timeout_ms", 250.0, 1.0)),
@@ -122,18 +146,18 @@
         over_share_worth=good(table.share("over_share_worth", 1.0)),
         load_reports=table.words("load_reports"),
     )
-    if read.zones and read.zone and read.zone not in read.zones:
-        table.fault("zone", f"{read.zone} is not among zones")
-    if read.zone and not table.has("zones"):
+    if spec.zones and spec.zone and spec.zone not in spec.zones:
+        table.fault("zone", f"{spec.zone} is not among zones")
+    if spec.zone and not table.has("zones"):
         table.fault("zone", "zones is missing")
     table.end()
-    return read
+    return spec
 
 
-def _class(table: Table) -> ClassSpec:
+def _read_class(table: Table) -> ClassSpec:
     deadline_ms = table.figure("deadline_ms", low=1.0, needed=True)
     semantics = table.one_of("semantics", SEMANTICS)
-    read = ClassSpec(
+    spec = ClassSpec(
         aim_ms=good(table.figure("aim_ms", deadline_ms, 1.0)),
         deadline_ms=good(deadline_ms),
         semantics=semantics,
@@ -143,18 +167,18 @@
         late_worth=good(table.share("late_worth", 0.0)),
         in_turn=table.flag("in_turn", False),
     )
-    if read.deadline_ms < read.aim_ms:
-        table.fault("deadline_ms", f"{read.deadline_ms:g} is less than aim_ms, {read.aim_ms:g}")
+    if spec.deadline_ms < spec.aim_ms:
+        table.fault("deadline_ms", f"{spec.deadline_ms:g} is less than aim_ms, {spec.aim_ms:g}")
     for key in ("group", "key_window_ms"):
         if table.has(key) and semantics in ("safe", "unsafe"):
             table.fault(key, f"only for keyed classes, and this one is {semantics}")
     table.end()
-    return read
+    return spec
 
 
-def _tenants(table: Table) -> tuple[TenantSpec, ...]:
+def _read_tenants(table: Table) -> tuple[TenantSpec, ...]:
     rows = table.rows("tenants")
-    tenants = tuple(_tenant(row) for row in rows)
+    tenants = tuple(_read_tenant(row) for row in rows)
     names = [tenant.name for tenant in tenants]
     for row, name in zip(rows, names, strict=True):
         if name and names.index(name) < rows.index(row):
@@ -162,13 +186,13 @@
     shares = [tenant.share for tenant in tenants if tenant.share is not None]
     if shares and len({tenant.share is None for tenant in tenants}) > 1:
         table.fault("tenants", "all with share or all with allowance_per_s")
-    if sum(shares) > 1.0 + 1e-9:
+    if sum(shares) > 1.0 + SHARE_TOLERANCE:
         table.fault("tenants", f"their shares make {sum(shares):g}, which is more than 1")
     return tenants
 
 
-def _tenant(table: Table) -> TenantSpec:
-    read = TenantSpec(
+def _read_tenant(table: Table) -> TenantSpec:
+    spec = TenantSpec(
         name=table.word("name"),
         share=table.figure("share", None, 1e-6, 1.0),
         allowance_per_s=table.figure("allowance_per_s", None, 1e-3, COUNT_MOST),
@@ -176,4 +200,4 @@
     if table.has("share") == table.has("allowance_per_s"):
         table.fault("share", "one of share and allowance_per_s is needed, and no more")
     table.end()
-    return read
+    return spec
--- a/fordtrestle/proxy/config/sources.py
+++ b/fordtrestle/proxy/config/sources.py
@@ -1,4 +1,4 @@
-"""The tables `[source.NAME]`: where a service's list of servers comes from. Pure."""
+"""The tables `[source.NAME]`: where a service's endpoint list comes from. Pure."""
 
 from __future__ import annotations
 
@@ -8,10 +8,12 @@
 from fordtrestle.proxy.engine.ports import Address
 from fordtrestle.proxy.engine.schema import Table, good
 
+DEFAULT_ASK_WITHIN_MS = 10_000.0  # the default of the decision module
+
 
 @dataclass(frozen=True, slots=True)
 class ServerSpec:
-    """`[[source.NAME.server]]`: one server; `weight` is its size against the others'."""
+    """`[[source.NAME.server]]`: one server; `weight` is its size in relation to the others'."""
 
     name: str
     address: Address | None
@@ -23,17 +25,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StaticSpec:
-    """`kind = "static"`: the servers stand in the file."""
+    """`kind = "static"`: the servers are listed in the file."""
 
     servers: tuple[ServerSpec, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RegistrySpec:
-    """`kind = "registry"`: a list kept over HTTP, at `address`.
+    """`kind = "registry"`: a registry serves the list over HTTP.
 
-    `pushed`: changes are watched at all times; else the list is asked for when it is wanted, and news
-    counts as told `ask_within_ms` later at most.
+    Attributes:
+        address: Of the registry; None only if the file is faulty.
+        pushed: Whether changes are watched at all times; otherwise the list is asked for when it is needed.
+        ask_within_ms: Where it is asked for: how late a change may take effect, in milliseconds.
     """
 
     address: Address | None
@@ -46,28 +50,28 @@
 
 
 def read_sources(root: Table) -> dict[str, SourceSpec]:
-    """All sources of a file; faults are noted in its table."""
-    return {name: _source(table) for name, table in root.named("source")}
+    """Read all sources of a file; faults are recorded in its table."""
+    return {name: _read_source(table) for name, table in root.named("source")}
 
 
-def _source(table: Table) -> SourceSpec:
+def _read_source(table: Table) -> SourceSpec:
     kind = table.one_of("kind", KINDS)
-    if not kind:  # it is there, all the same, for who names it
+    if not kind:  # the fault is recorded; services that name this source are not faulty for that
         return RegistrySpec(None, True, 0.0)
-    return _static(table) if kind == "static" else _registry(table)
+    return _read_static(table) if kind == "static" else _read_registry(table)
 
 
-def _static(table: Table) -> StaticSpec:
+def _read_static(table: Table) -> StaticSpec:
     rows = table.rows("server", needed=True)
-    servers = tuple(_server(row) for row in rows)
-    _once(rows, "name", [server.name or None for server in servers])
-    _once(rows, "address", [server.address and str(server.address) for server in servers])
+    servers = tuple(_read_server(row) for row in rows)
+    _check_unique(rows, "name", [server.name or None for server in servers])
+    _check_unique(rows, "address", [server.address and str(server.address) for server in servers])
     table.end()
     return StaticSpec(servers)
 
 
-def _server(table: Table) -> ServerSpec:
-    read = ServerSpec(
+def _read_server(table: Table) -> ServerSpec:
+    spec = ServerSpec(
         name=table.word("name"),
         address=table.address("address"),
         zone=table.word("zone", ""),
@@ -76,24 +80,24 @@
         weight=good(table.figure("weight", 1.0, 1e-3, 1000.0)),
     )
     table.end()
-    return read
+    return spec
 
 
-def _once(rows: Sequence[Table], key: str, values: Sequence[str | None]) -> None:
-    """Guards against two servers of one name or at one address, of which one would be forgotten."""
+def _check_unique(rows: Sequence[Table], key: str, values: Sequence[str | None]) -> None:
+    """Record a fault for each row whose value an earlier one has: one of the two servers would be lost."""
     first: dict[str, int] = {}
     for i, value in enumerate(values):
         if value is not None and first.setdefault(value, i) != i:
             rows[i].fault(key, f"taken by server[{first[value]}]")
 
 
-def _registry(table: Table) -> RegistrySpec:
-    read = RegistrySpec(
+def _read_registry(table: Table) -> RegistrySpec:
+    spec = RegistrySpec(
         address=table.address("address", named=True),
         pushed=table.flag("pushed", True),
-        ask_within_ms=good(table.figure("ask_within_ms", 10_000.0, 1.0)),
+        ask_within_ms=good(table.figure("ask_within_ms", DEFAULT_ASK_WITHIN_MS, 1.0)),
     )
-    if table.has("ask_within_ms") and read.pushed:
+    if table.has("ask_within_ms") and spec.pushed:
         table.fault("ask_within_ms", "only where pushed = false")
     table.end()
-    return read
+    return spec
--- a/fordtrestle/proxy/config/state.py
+++ b/fordtrestle/proxy/config/state.py
@@ -1,4 +1,4 @@
-"""The table `[state]`: where what must outlive the process is kept. Pure."""
+"""The table `[state]`: where state is stored that outlives the process. Pure."""
 
 from __future__ import annotations
 
@@ -9,15 +9,19 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSpec:
-    """`[state]`: `folder`, of this process alone; it is made where it is missing."""
+    """`[state]`.
+
+    Attributes:
+        folder: Is used by this process alone, and created if it is missing.
+    """
 
     folder: str
 
 
 def read_state(table: Table) -> StateSpec:
-    """What the table says; faults are noted in it."""
+    """Read the table; faults are recorded in it."""
     if not table.has("folder"):
         table.fault("folder", "missing")
-    read = StateSpec(table.file("folder") or "")
+    spec = StateSpec(table.file("folder") or "")
     table.end()
-    return read
+    return spec
--- a/fordtrestle/proxy/daemon/rules.py
+++ b/fordtrestle/proxy/daemon/rules.py
@@ -11,8 +11,8 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from fordtrestle.proxy.config import options
-from fordtrestle.proxy.config.operator import Operator
+from fordtrestle.proxy.config import operator_options as options
+from fordtrestle.proxy.config.operator_file import OperatorConfig
 from fordtrestle.proxy.config.sources import RegistrySpec
 from fordtrestle.proxy.daemon.seams import Seams
 from fordtrestle.proxy.engine.clock import Clock
@@ -39,7 +39,7 @@
     can't be used is told in one line, and nothing is stored.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, config: Operator, seams: Seams) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, config: OperatorConfig, seams: Seams) -> None:
         self._loop = loop
         self._config = config
         self._list_store: EndpointListStore | None = None
@@ -81,7 +81,7 @@
 
         return on_update
 
-    def settle(self, config: Operator) -> None:
+    def settle(self, config: OperatorConfig) -> None:
         """What a file says is in force from now on."""
         for name, rules in self._rules.items():
             rules.settle(options.settings_digest(config, name))
@@ -128,7 +128,7 @@
             return RestoredState(log_lines=[f"state: {folder}: {error.strerror or error}; {STORING_STOPPED}"])
         finally:
             opening.close(0.0)
-        bases = {name: options.basis(self._config.services[name]) for name in self._fed}
+        bases = {name: options.list_basis(self._config.services[name]) for name in self._fed}
         self._list_store = EndpointListStore(self._loop, store, self._stored, self._failed, bases)
         return self._list_store.load(self._fed)
 
--- a/fordtrestle/proxy/daemon/sidecar.py
+++ b/fordtrestle/proxy/daemon/sidecar.py
@@ -6,9 +6,10 @@
 import os
 from collections.abc import Mapping
 
-from fordtrestle.proxy.config import platform
-from fordtrestle.proxy.config.limits import LimitsOptions, budget, reserve
-from fordtrestle.proxy.config.platform import Config, ConfigError
+from fordtrestle.proxy.config import platform_config
+from fordtrestle.proxy.config.errors import PlatformConfigError
+from fordtrestle.proxy.config.limits import DEFAULT_LIMITS, LimitsSpec, make_budget, make_reserve
+from fordtrestle.proxy.config.platform_config import PlatformConfig
 from fordtrestle.proxy.daemon.peers import PeerOptions
 from fordtrestle.proxy.daemon.process import FrontAt, Machine, Process, Service, run
 from fordtrestle.proxy.daemon.signals import Signals
@@ -26,24 +27,27 @@
     """All parts of one sidecar, wired together; `environment` names the file that a reload reads."""
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, config: Config, environment: Mapping[str, str] | None = None
+        self,
+        loop: asyncio.AbstractEventLoop,
+        config: PlatformConfig,
+        environment: Mapping[str, str] | None = None,
     ) -> None:
         self._environment = environment or {}
 
         def discovery(on_update: UpdateListener) -> DiscoveryClient:
-            self.discovery = DiscoveryClient(loop, platform.discovery_options(config), on_update)
+            self.discovery = DiscoveryClient(loop, platform_config.discovery_options(config), on_update)
             return self.discovery
 
         clock = Clock(loop)
-        engine, pool = platform.engine_options(config), platform.pool_options(config)
+        engine, pool = platform_config.engine_options(config), platform_config.pool_options(config)
         limits = config.limits
-        self.limits = limits.ledgers(config.sockets)
-        to_servers = budget(self.limits, "servers", limits.upstreams_guaranteed_share)
-        to_clients = budget(self.limits, "clients", limits.fronts_guaranteed_share)
+        self.limits = limits.make_limits(config.max_descriptors)
+        to_servers = make_budget(self.limits, "servers", limits.upstreams_guaranteed_share)
+        to_clients = make_budget(self.limits, "clients", limits.fronts_guaranteed_share)
         service = Service(loop, clock, engine, pool, to_servers, discovery, peer_options(config))
         self.driver, self.pool, self.peers = service.driver, service.pool, service.peers
         machine = Machine(loop, clock, self.limits, limits.memory_mb, config.cores)
-        front, at_limit = platform.front_options(config), reserve(self.limits)
+        front, at_limit = platform_config.front_options(config), make_reserve(self.limits)
         self.front = Front(loop, clock, front, self.driver, to_clients, at_limit, machine.lag)
         fronts = {ONLY: FrontAt(self.front, [config.listen])}
         self._process = Process(loop, machine, {ONLY: service}, fronts)
@@ -60,8 +64,8 @@
         Guards against a file that can't be read at that moment: the old state is kept.
         """
         try:
-            config = platform.reload(self._environment)
-        except ConfigError as error:
+            config = platform_config.reload(self._environment)
+        except PlatformConfigError as error:
             log(f"reload: {error}; nothing changes")
             return
         self.discovery.move(config.discovery)
@@ -79,17 +83,17 @@
         return self._process.unsettled()
 
 
-def peer_options(config: Config) -> PeerOptions:
+def peer_options(config: PlatformConfig) -> PeerOptions:
     """Where other sidecars are, if the settings allow messages."""
     bind = config.peer_listen if config.settings.peer_messages else None
     return PeerOptions(bind, config.settings.me, config.peers, config.peers_all)
 
 
-def main(signals: Signals, limits: LimitsOptions = platform.USUAL) -> int:
+def main(signals: Signals, limits: LimitsSpec = DEFAULT_LIMITS) -> int:
     """Run as the environment tells; the exit code."""
     try:
-        config = platform.load(os.environ, limits)
-    except ConfigError as error:
+        config = platform_config.load(os.environ, limits)
+    except PlatformConfigError as error:
         log(str(error))
         return 2
     try:
--- a/fordtrestle/proxy/daemon/standalone.py
+++ b/fordtrestle/proxy/daemon/standalone.py
@@ -7,9 +7,11 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from fordtrestle.proxy.config import changes, operator, options
-from fordtrestle.proxy.config.limits import budget, reserve
-from fordtrestle.proxy.config.operator import Operator, OperatorError
+from fordtrestle.proxy.config import changes, operator_file
+from fordtrestle.proxy.config import operator_options as options
+from fordtrestle.proxy.config.errors import OperatorFileError
+from fordtrestle.proxy.config.limits import make_budget, make_reserve
+from fordtrestle.proxy.config.operator_file import OperatorConfig
 from fordtrestle.proxy.config.sources import StaticSpec
 from fordtrestle.proxy.daemon.peers import PeerOptions
 from fordtrestle.proxy.daemon.process import FrontAt, Machine, Process, Service, Source, run
@@ -38,13 +40,13 @@
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, file: str, config: Operator, seams: Seams = USUAL
+        self, loop: asyncio.AbstractEventLoop, file: str, config: OperatorConfig, seams: Seams = USUAL
     ) -> None:
         self._loop = loop
         self._file = file
         self._config = config
-        self._start = options.start_of(config)
-        self.limits = config.limits.ledgers(self._start.granted)
+        self._start = options.start_options(config)
+        self.limits = config.limits.make_limits(self._start.granted_descriptors)
         self._clock = Clock(loop, seams.wall)
         self._machine = Machine(loop, self._clock, self.limits, config.limits.memory_mb)
         self._recordings: list[Recording] = []
@@ -52,10 +54,10 @@
         self._rules = self._rulebook(seams)
         self.services = {name: self._service(name) for name in config.services}
         parts = {
-            name: budget(self.limits, f"front.{name}", options.front_share(config, name))
+            name: make_budget(self.limits, f"front.{name}", options.front_share(config, name))
             for name in config.fronts
         }
-        at_limit = reserve(self.limits)
+        at_limit = make_reserve(self.limits)
         fronts = {name: self._front(name, part, at_limit) for name, part in parts.items()}
         self._process = Process(loop, self._machine, self.services, fronts)
 
@@ -69,8 +71,8 @@
 
     def _service(self, name: str) -> Service:
         engine = options.engine_options(self._config, name, self._start)
-        pool = options.pool_options(self._config, name, self._start)
-        part = budget(self.limits, f"service.{name}", options.upstream_share(self._config))
+        pool = options.pool_options(self._config, name)
+        part = make_budget(self.limits, f"service.{name}", options.upstream_share(self._config))
         driver = None if self._rules is None else self._rules.driver(name, self._clock, engine)
         peers = peer_options(self._config)
         return Service(self._loop, self._clock, engine, pool, part, self._source(name), peers, driver)
@@ -112,14 +114,14 @@
     def reload(self) -> None:
         """Read the file anew: what it says takes effect whole, or nothing does."""
         try:
-            config = operator.read(self._file)
-        except OperatorError as error:
+            config = operator_file.read(self._file)
+        except OperatorFileError as error:
             for line in error.lines:
                 log(f"reload: {line}")
             log("reload: nothing changes")
             return
-        keys = changes.changed(self._config, config)
-        restarts = changes.restarts(keys)
+        keys = changes.changed_keys(self._config, config)
+        restarts = changes.keys_needing_restart(keys)
         if restarts:
             log(f"reload: {self._file}: {', '.join(restarts)}: needs a restart; nothing changes")
             return
@@ -128,7 +130,7 @@
         if self._rules is not None:
             self._rules.settle(config)
         if any(key.startswith("limits.") for key in keys):
-            self.limits.resize(*config.limits.capacities(self._start.granted))
+            self.limits.resize(*config.limits.capacities(self._start.granted_descriptors))
         for name, service in config.services.items():
             self._change(name, service.source, keys)
         log(f"reload: {', '.join(keys) or 'nothing'} changed")
@@ -164,7 +166,7 @@
         return self._process.unsettled()
 
 
-def peer_options(config: Operator) -> PeerOptions | None:
+def peer_options(config: OperatorConfig) -> PeerOptions | None:
     """Where the other processes of the fleet are, if the file says so."""
     spec = config.peers
     return None if spec is None else PeerOptions(spec.listen, spec.me, spec.at)
@@ -173,8 +175,8 @@
 def main(file: str, signals: Signals, seams: Seams = USUAL) -> int:
     """Run as an operator file tells; the exit code."""
     try:
-        config = operator.read(file)
-    except OperatorError as error:
+        config = operator_file.read(file)
+    except OperatorFileError as error:
         for line in error.lines:
             log(line)
         return 2
--- a/fordtrestle/proxy/membership/timing.py
+++ b/fordtrestle/proxy/membership/timing.py
@@ -13,10 +13,10 @@
 | a connect that succeeds late and is never answered | 1.25 + 2.75 + 1.0 = 5.0  |                         |
 | a watch that is silent since its last line         | 3.5 + 1.0         = 4.5  | 3.5 + 1.5        = 5.0  |
 
-The waits are `MAX_BACKOFF_S`, and where lists are asked for what the decision module takes to ask again (1.5
-s). There a request that is accepted at last stands in the registry's queue, and has 2 s more from the end of
-that wait. After a move to another registry the complete list is asked for first, within the same bounds, and
-the watch starts from it.
+The waits are `MAX_BACKOFF_S`, and where lists are asked for what the decision module takes to ask again,
+1.5 s. There a request that is accepted at last stands in the registry's queue, and has 2 s more from the end
+of that wait. After a move to another registry the complete list is asked for first, within the same bounds,
+and the watch starts from it.
 """
 
 from __future__ import annotations
--- a/fordtrestle/proxy/state/endpoint_list_store.py
+++ b/fordtrestle/proxy/state/endpoint_list_store.py
@@ -37,8 +37,9 @@
 
     Attributes:
         incarnation: Counts the starts of the process, this one included, from 1 on; 0 if nothing can be
-        stored. lists: The last list of each service. log_lines: For the log: which services start without a
-        list, and why.
+            stored.
+        lists: The last list of each service.
+        log_lines: For the log: which services start without a list, and why.
     """
 
     incarnation: int = 0
--- a/rig/cluster/nodes.py
+++ b/rig/cluster/nodes.py
@@ -26,8 +26,8 @@
 from typing import Any
 
 from fordtrestle.proxy.config import changes
-from fordtrestle.proxy.config import operator as operator_files
-from fordtrestle.proxy.config.operator import OperatorError
+from fordtrestle.proxy.config import operator_file as operator_files
+from fordtrestle.proxy.config.errors import OperatorFileError
 from rig.balancers import answers_ready
 from rig.cluster.clocks import DRIFT_MOST_PPM, JUMP_MOST_MS
 from rig.cluster.links import Address, address_of, free_port
@@ -486,7 +486,7 @@
         self.settings = settings
         self._write_file()
         new = _read(self.file)
-        return old is None or bool(changes.restarts(changes.changed(old, new)))
+        return old is None or bool(changes.keys_needing_restart(changes.changed_keys(old, new)))
 
     def _write_file(self) -> None:
         """Whole at any time, since its process may read it just now."""
@@ -499,10 +499,10 @@
     return max(-most, min(most, value))
 
 
-def _read(file: Path) -> operator_files.Operator:
+def _read(file: Path) -> operator_files.OperatorConfig:
     try:
         return operator_files.read(str(file))
-    except OperatorError as error:
+    except OperatorFileError as error:
         raise ProgramError(error.lines[0]) from None
 
 
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -11,7 +11,7 @@
 
 from fordtrestle import cli
 from fordtrestle.cli import WORDS
-from tests.proxy.config.test_operator import GOOD
+from tests.proxy.config.test_operator_file import GOOD
 from tests.proxy.daemon.test_process import ROOT, environment
 
 
@@ -137,11 +137,12 @@
     )
     assert done.returncode == 0, done.stderr
     loaded = set(done.stdout.split())
-    assert {"fordtrestle.proxy.daemon.sidecar", "fordtrestle.proxy.config.platform"} <= loaded
+    assert {"fordtrestle.proxy.daemon.sidecar", "fordtrestle.proxy.config.platform_config"} <= loaded
     unwanted = {"argparse", "tomllib", "difflib", "ipaddress", "fordtrestle.cli"}
-    ours = {"operator", "options", "schema", "services", "fronts", "sources", "changes"}
+    ours = {"operator_file", "operator_options", "limits_table", "services", "fronts", "sources", "changes"}
     unwanted |= {f"fordtrestle.proxy.config.{name}" for name in ours} | {
-        "fordtrestle.proxy.daemon.standalone"
+        "fordtrestle.proxy.daemon.standalone",
+        "fordtrestle.proxy.engine.schema",
     }
     assert not loaded & unwanted
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass, field
 
 from fordtrestle.balancer.model import Send
-from fordtrestle.proxy.config import platform
+from fordtrestle.proxy.config import platform_config
+from fordtrestle.proxy.config.limits import DEFAULT_LIMITS
 from fordtrestle.proxy.daemon.sidecar import Sidecar
 from fordtrestle.proxy.engine.pressure import RULES, Monitor, Pressure
 from rig import balancers
@@ -195,23 +196,23 @@
         return [(hop, status, last) for _, hop, status, _, last, _ in self.named("outcome")]
 
 
-def platform_config(upstreams=(), registry="127.0.0.1:9", raw=None, limits=platform.USUAL, **settings):
+def make_platform_config(upstreams=(), registry="127.0.0.1:9", raw=None, limits=DEFAULT_LIMITS, **settings):
     """A configuration that knows these servers, as s0, s1 and on."""
     known = listed(41, *(entry(f"s{i}", upstream.address) for i, upstream in enumerate(upstreams)))
     base = balancers.config_for(known, registry, 1024, **{**SETTINGS, **settings})
-    return platform.parse({**base, **(raw or {})}, {}, limits)
+    return platform_config.parse({**base, **(raw or {})}, {}, limits)
 
 
 @contextlib.asynccontextmanager
 async def running(
-    *upstreams, balancer=None, registry=None, raw=None, limits=platform.USUAL, rules=BY_LEDGERS, **settings
+    *upstreams, balancer=None, registry=None, raw=None, limits=DEFAULT_LIMITS, rules=BY_LEDGERS, **settings
 ):
     """A sidecar in this process, and the upstreams it knows; `rules` are those of its pressure."""
     own = registry is None
     registry = await Registry().start() if own else registry
     made = Sidecar(
         asyncio.get_running_loop(),
-        platform_config(upstreams, registry=registry.address, raw=raw, limits=limits, **settings),
+        make_platform_config(upstreams, registry=registry.address, raw=raw, limits=limits, **settings),
     )
     if balancer is not None:
         made.driver._balancer = balancer
--- a/tests/proxy/config/test_numbering.py
+++ b/tests/proxy/config/test_numbering.py
@@ -1,4 +1,4 @@
-"""Names keep their indices as settings change, and what has gone keeps its own and counts for nothing."""
+"""Names keep their indices as settings change; retired ones keep theirs and count for nothing."""
 
 from __future__ import annotations
 
@@ -8,17 +8,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fordtrestle.proxy.config import numbering, operator, options
+from fordtrestle.proxy.config import numbering, operator_file
+from fordtrestle.proxy.config import operator_options as options
 from fordtrestle.proxy.config.services import TenantSpec
-from tests.proxy.config.test_operator import GOOD, START, written
+from tests.proxy.config.test_operator_file import GOOD, START, written
 
 
-def service_of(tmp_path):
-    told = operator.read(written(tmp_path, GOOD))
-    return told, told.services["shop"]
+def read_shop(tmp_path):
+    config = operator_file.read(written(tmp_path, GOOD))
+    return config, config.services["shop"]
 
 
-def less(service, name, **more):
+def without(service, name, **more):
     """A service without the class, tenant, zone or kind of this name, and with more classes."""
     return dataclasses.replace(
         service,
@@ -33,10 +34,10 @@
 
 
 @given(st.lists(NAMES, max_size=6))
-def test_a_name_has_one_index_for_good(turns):
+def test_a_name_has_one_index_for_the_life_of_the_process(changes):
     known, index_of = (), {}
-    for names in turns:
-        known = numbering.extended(known, names)
+    for names in changes:
+        known = numbering.extend_names(known, names)
         assert set(names) <= set(known)
         assert len(set(known)) == len(known)
         for name, index in index_of.items():
@@ -44,44 +45,47 @@
         index_of = {name: index for index, name in enumerate(known)}
 
 
-def test_names_are_bounded():
-    known = [f"n{i}" for i in range(numbering.NAMES_MOST)]
-    assert len(numbering.extended(known, known)) == numbering.NAMES_MOST
+def test_the_number_of_names_is_bounded():
+    known = [f"n{i}" for i in range(numbering.MAX_NAMES)]
+    assert len(numbering.extend_names(known, known)) == numbering.MAX_NAMES
     with pytest.raises(ValueError, match="zones: 257 names in the life of this process, at most 256"):
-        numbering.extended(known, ["one more"], "zones")
+        numbering.extend_names(known, ["one more"], "zones")
 
 
-def test_what_goes_keeps_its_place_and_what_comes_back_has_its_own_again(tmp_path):
-    told, service = service_of(tmp_path)
-    now = less(service, "look", new=service.classes["book"])
-    kept = numbering.kept(service, now)
-    assert list(kept.classes) == ["look", "book", "new"]
-    assert kept.classes["look"].worth == 0.0
-    settings = options.settings(dataclasses.replace(told, services={"shop": kept}), "shop", START)
-    settings = numbering.retired(settings, kept, now.classes)
+def test_a_retired_class_keeps_its_index_and_has_it_again_when_it_returns(tmp_path):
+    config, service = read_shop(tmp_path)
+    now = without(service, "look", new=service.classes["book"])
+    numbered = numbering.keep_indices(service, now)
+    assert list(numbered.classes) == ["look", "book", "new"]
+    assert numbered.classes["look"].worth == 0.0
+    settings = options.settings(dataclasses.replace(config, services={"shop": numbered}), "shop", START)
+    settings = numbering.mark_retired(settings, numbered, now.classes)
     assert [profile.gone for profile in settings.profiles] == [True, False, False]
-    names = numbering.renumbered(options.names(now), kept)
+    names = numbering.renumber(options.request_names(now), numbered)
     assert {name: kind.traffic_class for name, kind in names.classes.items()} == {"new": 2, "book": 1}
-    back = numbering.kept(kept, service)
+    back = numbering.keep_indices(numbered, service)
     assert list(back.classes) == ["look", "book", "new"]
     assert back.classes["look"] == service.classes["look"]
-    assert numbering.renumbered(options.names(service), back) == options.names(service)
+    assert numbering.renumber(options.request_names(service), back) == options.request_names(service)
 
 
-def test_tenants_zones_and_kinds_keep_theirs(tmp_path):
-    told, service = service_of(tmp_path)
-    kept = numbering.kept(service, less(service, "a"))
-    assert kept.tenants == (TenantSpec("a", 0.0, None), service.tenants[1])
-    assert numbering.renumbered(options.names(less(service, "a")), kept).tenants == {"b": 1}
-    settings = options.settings(dataclasses.replace(told, services={"shop": kept}), "shop", START)
+def test_tenants_zones_and_kinds_keep_their_indices(tmp_path):
+    config, service = read_shop(tmp_path)
+    numbered = numbering.keep_indices(service, without(service, "a"))
+    assert numbered.tenants == (TenantSpec("a", 0.0, None), service.tenants[1])
+    assert numbering.renumber(options.request_names(without(service, "a")), numbered).tenants == {"b": 1}
+    settings = options.settings(dataclasses.replace(config, services={"shop": numbered}), "shop", START)
     assert settings.allowances == (0.0, 0.4)
-    assert numbering.kept(service, dataclasses.replace(service, tenants=())).tenants == ()
-    kept = numbering.kept(service, less(service, "east"))
-    assert options.indices_of(kept).zones == {"east": 0, "west": 1}
-    assert options.settings(dataclasses.replace(told, services={"shop": kept}), "shop", START).locality == 1
-    assert numbering.kept(service, less(service, "big")).kinds == ("big",)
+    assert numbering.keep_indices(service, dataclasses.replace(service, tenants=())).tenants == ()
+    numbered = numbering.keep_indices(service, without(service, "east"))
+    assert options.name_indices(numbered).zones == {"east": 0, "west": 1}
+    assert (
+        options.settings(dataclasses.replace(config, services={"shop": numbered}), "shop", START).locality
+        == 1
+    )
+    assert numbering.keep_indices(service, without(service, "big")).kinds == ("big",)
 
 
-def test_a_service_that_has_not_changed_is_kept_as_it_is(tmp_path):
-    _, service = service_of(tmp_path)
-    assert numbering.kept(service, service) == service
+def test_a_service_that_has_not_changed_stays_as_it_is(tmp_path):
+    _, service = read_shop(tmp_path)
+    assert numbering.keep_indices(service, service) == service
--- a/tests/proxy/config/test_operator.py
+++ b/tests/proxy/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator file: strict, all that is wrong with it at once, and what its figures become."""
+"""The operator file: strict, all faults at once, and the options that its keys become."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fordtrestle.proxy.config import changes, operator, options
-from fordtrestle.proxy.config.limits import LimitsOptions, budget
-from fordtrestle.proxy.config.operator import OperatorError
-from fordtrestle.proxy.config.options import Start
+from fordtrestle.proxy.config import changes, operator_file
+from fordtrestle.proxy.config import operator_options as options
+from fordtrestle.proxy.config.errors import OperatorFileError
+from fordtrestle.proxy.config.limits import LimitsSpec, make_budget
+from fordtrestle.proxy.config.operator_options import StartOptions
 from fordtrestle.proxy.engine.ports import Address
 
 GOOD = """
@@ -41,7 +42,7 @@
     { name = "s1", address = "[::1]:9001" },
 ]
 """
-START = Start(number=7, seed=1, granted=1024)
+START = StartOptions(number=7, seed=1, granted_descriptors=1024)
 
 
 def written(tmp_path, text):
@@ -50,10 +51,10 @@
     return str(path)
 
 
-def lines(tmp_path, text, read=operator.read):
-    """What is wrong with a text, without the file's name, which each line must begin with."""
+def lines(tmp_path, text, read=operator_file.read):
+    """Return the faults of a text, without the file's name, which each line must start with."""
     path = written(tmp_path, text)
-    with pytest.raises(OperatorError) as raised:
+    with pytest.raises(OperatorFileError) as raised:
         read(path)
     assert all(line.startswith(f"{path}: ") and "\n" not in line for line in raised.value.lines)
     return [line.removeprefix(f"{path}: ") for line in raised.value.lines]
@@ -67,7 +68,7 @@
 # --- strictness -----------------------------------------------------------------------
 
 
-# Three lines each: what stands in the good file, what takes its place, and what is told of it.
+# Three lines each: a part of the good file, what replaces it, and the line of the fault.
 FAULTS = r"""
 [front.web]
 [stat]\n[front.web]
@@ -232,7 +233,7 @@
 
 
 @pytest.mark.parametrize(("old", "new", "line"), threes(FAULTS))
-def test_a_fault_is_one_line_that_names_the_key_and_why(tmp_path, old, new, line):
+def test_a_fault_is_one_line_that_names_the_key_and_the_reason(tmp_path, old, new, line):
     assert lines(tmp_path, instead(old, new)) == [line]
 
 
@@ -246,14 +247,12 @@
         ("a = " + "[" * 100_000, "too deeply nested"),
     ],
 )
-def test_what_is_no_toml_is_told_with_its_line(tmp_path, text, line):
+def test_invalid_toml_is_reported_with_its_line(tmp_path, text, line):
     assert lines(tmp_path, text) == [line]
 
 
-def test_all_that_is_wrong_is_told_at_once_and_one_fault_brings_no_others(tmp_path):
-    """Guards against a file that is mended one run at a time, and against faults that are none: a
-    missing deadline is not also one that is less than the aim.
-    """
+def test_all_faults_are_reported_at_once_and_one_fault_causes_no_others(tmp_path):
+    """A missing deadline is not also one that is less than the latency target."""
     text = instead("deadline_ms = 1000", "deadline_s = 1").replace('"http"', '"htp"')
     text = text.replace('kind = "static"', 'kind = "list"').replace("deadline_ms = 2000", "deadline_ms = 0")
     assert lines(tmp_path, text) == [
@@ -275,9 +274,9 @@
 
 
 @pytest.mark.parametrize("place", ["missing.toml", ".", "/dev/zero"])
-def test_a_file_that_cannot_be_read_is_one_line_too(tmp_path, place):
-    with pytest.raises(OperatorError) as raised:
-        operator.read(str(tmp_path / place))
+def test_a_file_that_can_not_be_read_is_one_line_too(tmp_path, place):
+    with pytest.raises(OperatorFileError) as raised:
+        operator_file.read(str(tmp_path / place))
     assert len(raised.value.lines) == 1
 
 
@@ -289,18 +288,26 @@
 
 
 def paths(raw, at=()):
-    """The way to every value of a file, tables and arrays included."""
+    """The path to every value of a file, tables and arrays included."""
     for key, value in raw.items() if isinstance(raw, dict) else enumerate(raw):
         yield (*at, key)
         if isinstance(value, dict | list):
             yield from paths(value, (*at, key))
 
 
+def read_raw(raw):
+    """Read a file of such content; return its configuration or its error, and None for the other."""
+    with pytest.MonkeyPatch.context() as patch:
+        patch.setattr(operator_file, "_load", lambda file: raw)
+        try:
+            return operator_file.read("file"), None
+        except OperatorFileError as error:
+            return None, error
+
+
 @given(st.data())
-def test_whatever_stands_in_a_file_it_is_good_or_told_in_lines(data):
-    """Guards against nonsense that raises something else, and against a file that passes the check
-    and that the engine can't start from.
-    """
+def test_a_file_of_any_content_is_good_or_rejected_in_lines(data):
+    """No content raises another error, and the engine can start with each file that passes."""
     raw = tomllib.loads(GOOD)
     for path in data.draw(st.lists(st.sampled_from(list(paths(raw))), min_size=1, max_size=3)):
         *way, last = path
@@ -310,27 +317,24 @@
                 holder = holder[step]
             holder[last] = data.draw(VALUES)
         except (KeyError, IndexError, TypeError):
-            continue  # a value before has taken the place
-    with pytest.MonkeyPatch.context() as patch:
-        patch.setattr(operator, "_raw", lambda file: raw)
-        try:
-            told = operator.read("file")
-        except OperatorError as error:
-            assert error.faults
-            assert all("\n" not in line for line in error.lines)
-            return
-    for name in told.services:
-        assert options.settings(told, name, START).profiles
-    for name in told.fronts:
-        assert options.front_options(told, name, START).clients_most >= 4
+            continue  # an earlier value has replaced its table
+    config, error = read_raw(raw)
+    if error is not None:
+        assert error.faults
+        assert all("\n" not in line for line in error.lines)
+        return
+    for name in config.services:
+        assert options.settings(config, name, START).profiles
+    for name in config.fronts:
+        assert options.front_options(config, name, START).clients_most >= 4
 
 
-# --- what its figures become ------------------------------------------------------------
+# --- the options that its keys become ------------------------------------------------------------
 
 
 def test_a_service_becomes_the_settings_of_an_engine(tmp_path):
-    told = operator.read(written(tmp_path, GOOD))
-    settings = options.settings(told, "shop", START)
+    config = operator_file.read(written(tmp_path, GOOD))
+    settings = options.settings(config, "shop", START)
     look, book = settings.profiles
     assert (look.semantics, look.objective, look.deadline) == ("pure", 100.0, 1000.0)
     assert (book.semantics, book.group, book.key_ttl, book.objective) == ("token", "zone", 1200.0, 2000.0)
@@ -340,13 +344,13 @@
     assert not settings.retry_after
     assert not settings.may_probe
     assert not settings.parallel_tries
-    names = options.names(told.services["shop"])
+    names = options.request_names(config.services["shop"])
     assert [(kind.method, kind.keyed) for kind in names.classes.values()] == [("GET", False), ("POST", True)]
     assert names.tenants == {"a": 0, "b": 1}
 
 
-def test_every_figure_of_a_service_reaches_the_setting_that_it_stands_for(tmp_path):
-    """Guards against a key that is read, checked and forgotten."""
+def test_every_key_of_a_service_reaches_its_setting(tmp_path):
+    """No key is read, checked and forgotten."""
     figures = {
         "attempts_most": ("max_attempts", 5),
         "connect_timeout_ms": ("connect_timeout", 77.0),
@@ -366,46 +370,46 @@
     }
     rows = "\n".join(f"{key} = {str(value).lower()}" for key, (_, value) in figures.items())
     rows += '\nworth_by = "work"\nload_reports = ["inflight", "queue"]'
-    told = operator.read(written(tmp_path, instead('source = "fleet"', f'source = "fleet"\n{rows}')))
-    settings = options.settings(told, "shop", START)
+    config = operator_file.read(written(tmp_path, instead('source = "fleet"', f'source = "fleet"\n{rows}')))
+    settings = options.settings(config, "shop", START)
     assert {name: getattr(settings, name) for name, _ in figures.values()} == dict(figures.values())
     assert settings.retry_after
     assert settings.worth_by_work
     assert (settings.report_how, settings.report_fields) == ("inline", ("inflight", "queue"))
-    pool = options.pool_options(told, "shop", START)
+    pool = options.pool_options(config, "shop")
     assert (pool.connect_timeout_ms, pool.idle_close_ms) == (77.0, 78.0)
     assert (pool.drain_grace_ms, pool.report_fields) == (500.0, ("inflight", "queue"))
 
 
-def test_a_static_source_becomes_a_whole_list(tmp_path):
-    told = operator.read(written(tmp_path, GOOD))
-    news = options.server_list(told.sources["fleet"], told.services["shop"], 4)
-    first, second = news.entries
-    assert (news.version, news.is_complete) == (4, True)
+def test_a_static_source_becomes_a_complete_list(tmp_path):
+    config = operator_file.read(written(tmp_path, GOOD))
+    update = options.server_list(config.sources["fleet"], config.services["shop"], 4)
+    first, second = update.entries
+    assert (update.version, update.is_complete) == (4, True)
     assert (first.server, first.zone, first.kind, first.cell, first.weight) == ("s0", 1, 0, 3, 2.5)
     assert (second.zone, second.weight, second.state, second.started) == (0, 1.0, "active", 0.0)
-    assert news.addresses == {"s0": Address("127.0.0.1", 9000), "s1": Address("::1", 9001)}
+    assert update.addresses == {"s0": Address("127.0.0.1", 9000), "s1": Address("::1", 9001)}
 
 
-def test_a_registry_that_is_asked_is_asked_as_the_engine_says(tmp_path):
+def test_a_registry_that_is_not_pushed_is_asked_when_the_engine_says(tmp_path):
     source = (
         '[source.r]\nkind = "registry"\naddress = "registry.local:80"\npushed = false\nask_within_ms = 700\n'
     )
-    told = operator.read(written(tmp_path, GOOD.replace('"fleet"', '"r"') + source))
-    settings = options.settings(told, "shop", START)
+    config = operator_file.read(written(tmp_path, GOOD.replace('"fleet"', '"r"') + source))
+    settings = options.settings(config, "shop", START)
     assert (settings.discovery, settings.ask_within) == ("subscribe", 700.0)
-    registry = options.discovery_options(told.sources["r"], told.services["shop"], 1)
+    registry = options.discovery_options(config.sources["r"], config.services["shop"], 1)
     assert (registry.address, registry.is_pushed) == (("registry.local", 80), False)
 
 
-def test_descriptors_are_shared_out_and_never_more_than_there_are(tmp_path):
-    """Guards against fronts that overcommit: what one is guaranteed is not another's."""
+def test_descriptors_are_shared_out_and_never_overcommitted(tmp_path):
+    """What one front is guaranteed is not another's."""
     more = '[front.{0}]\nprotocol = "http"\nlisten = "127.0.0.1:0"\nservice = "shop"\n'
     text = GOOD + more.format("b") + "guaranteed_share = 0.24\n" + more.format("c")
-    told = operator.read(written(tmp_path, text + "[limits]\nopen_calls_most = 9\n"))
-    limits = told.limits.ledgers(1024)
-    parts = {name: budget(limits, name, options.front_share(told, name)) for name in told.fronts}
-    parts["servers"] = budget(limits, "servers", options.upstream_share(told))
+    config = operator_file.read(written(tmp_path, text + "[limits]\nopen_calls_most = 9\n"))
+    limits = config.limits.make_limits(1024)
+    parts = {name: make_budget(limits, name, options.front_share(config, name)) for name in config.fronts}
+    parts["servers"] = make_budget(limits, "servers", options.upstream_share(config))
     guaranteed = {name: part.descriptors.guaranteed for name, part in parts.items()}
     assert guaranteed == {"web": 54, "b": 240, "c": 54, "servers": 350}
     assert limits.descriptors.capacity == 1000
@@ -414,9 +418,9 @@
     assert not parts["b"].calls.take()
 
 
-def test_the_system_bounds_what_an_operator_grants():
-    limits = LimitsOptions(descriptors=500, reserved_descriptors=20)
-    assert [limits.connections_most(granted) for granted in (None, 1024, 100, 5)] == [480, 480, 80, 4]
+def test_the_system_s_limit_bounds_the_operator_s():
+    limits = LimitsSpec(descriptors=500, reserved_descriptors=20)
+    assert [limits.max_connections(granted) for granted in (None, 1024, 100, 5)] == [480, 480, 80, 4]
     assert limits.within(300, 64).descriptors == 300
     assert limits.within(900, None).descriptors == 500
 
@@ -424,20 +428,20 @@
 @pytest.mark.parametrize(
     ("memory_mb", "buffered"), [(None, 256 * 2**20), (32, 4 * 2**20), (96, 24 * 2**20), (192, 56 * 2**20)]
 )
-def test_what_may_be_buffered_follows_from_the_memory_unless_it_is_said(memory_mb, buffered):
-    assert LimitsOptions(memory_mb=memory_mb).ledgers(100).buffered.capacity == buffered
-    assert LimitsOptions(memory_mb=memory_mb, buffered_bytes_most=7).ledgers(100).buffered.capacity == 7
+def test_buffered_bytes_follow_from_the_memory_unless_they_are_configured(memory_mb, buffered):
+    assert LimitsSpec(memory_mb=memory_mb).make_limits(100).buffered.capacity == buffered
+    assert LimitsSpec(memory_mb=memory_mb, buffered_bytes_most=7).make_limits(100).buffered.capacity == 7
 
 
 PEERS = '[peers]\nlisten = "127.0.0.1:7"\nme = 1\nat = ["127.0.0.1:8", "127.0.0.1:7"]\n'
 
 
-def test_peers_become_the_settings_that_they_stand_for(tmp_path):
-    told = operator.read(written(tmp_path, GOOD + PEERS))
-    settings = options.settings(told, "shop", START)
+def test_peers_become_their_settings(tmp_path):
+    config = operator_file.read(written(tmp_path, GOOD + PEERS))
+    settings = options.settings(config, "shop", START)
     assert (settings.me, settings.balancers, settings.peer_messages) == (1, 2, True)
-    assert (told.peers.listen, told.peers.at[1]) == (Address("127.0.0.1", 7), Address("127.0.0.1", 7))
-    alone = options.settings(operator.read(written(tmp_path, GOOD)), "shop", START)
+    assert (config.peers.listen, config.peers.at[1]) == (Address("127.0.0.1", 7), Address("127.0.0.1", 7))
+    alone = options.settings(operator_file.read(written(tmp_path, GOOD)), "shop", START)
     assert (alone.balancers, alone.peer_messages) == (1, False)
     two = GOOD + '[service.b]\nsource = "fleet"\nzones = ["west"]\nkinds = ["big"]\n'
     two += '[service.b.class.look]\nsemantics = "safe"\ndeadline_ms = 1\n' + PEERS
@@ -449,27 +453,27 @@
     [
         ('zone = "west"\ntenants', 'zone = "east"\ntenants', True),  # each process has its own
         ("127.0.0.1:8080", "127.0.0.1:8081", True),
-        ("weight = 2.5", "weight = 3", True),  # the list is a rule of its own
+        ("weight = 2.5", "weight = 3", True),  # lists have digests of their own
         ("aim_ms = 100", "aim_ms = 101", False),
         ("[front.web]", "[limits]\nopen_calls_most = 7\n[front.web]", False),
     ],
 )
 def test_settings_that_are_the_same_for_a_fleet_have_one_digest(tmp_path, old, new, same):
-    before = options.settings_digest(operator.read(written(tmp_path, GOOD)), "shop")
-    after = options.settings_digest(operator.read(written(tmp_path, instead(old, new))), "shop")
+    before = options.settings_digest(operator_file.read(written(tmp_path, GOOD)), "shop")
+    after = options.settings_digest(operator_file.read(written(tmp_path, instead(old, new))), "shop")
     assert (before == after) is same
 
 
-def test_lists_are_kept_apart_by_what_their_zones_and_kinds_are_numbered_by(tmp_path):
+def test_the_basis_of_lists_differs_with_the_numbering_of_zones_and_kinds(tmp_path):
     texts = (GOOD, instead('["east", "west"]', '["west", "east"]'), instead('["big"]', '["small", "big"]'))
-    told = [operator.read(written(tmp_path, text)).services["shop"] for text in texts]
-    assert len({options.basis(service) for service in told}) == 3
+    services = [operator_file.read(written(tmp_path, text)).services["shop"] for text in texts]
+    assert len({options.list_basis(service) for service in services}) == 3
 
 
 # --- what a reload may change ------------------------------------------------------------
 
 
-# Three lines each: what stands in the file, what takes its place, and the keys that a restart must change.
+# Three lines each: a part of the file, what replaces it, and the keys that need a restart.
 CHANGES = """
 aim_ms = 100
 aim_ms = 90
@@ -507,28 +511,28 @@
 
 
 @pytest.mark.parametrize(("old", "new", "keys"), threes(CHANGES))
-def test_what_needs_a_restart_is_named_by_its_key(tmp_path, old, new, keys):
-    before = operator.read(written(tmp_path, GOOD))
-    found = changes.changed(before, operator.read(written(tmp_path, instead(old, new))))
-    assert changes.restarts(found) == keys.strip("-").split()
-    assert found == changes.restarts(found) or found == ["source.fleet.server"]
+def test_a_change_that_needs_a_restart_is_named_by_its_key(tmp_path, old, new, keys):
+    before = operator_file.read(written(tmp_path, GOOD))
+    found = changes.changed_keys(before, operator_file.read(written(tmp_path, instead(old, new))))
+    assert changes.keys_needing_restart(found) == keys.strip("-").split()
+    assert found == changes.keys_needing_restart(found) or found == ["source.fleet.server"]
 
 
 def test_another_kind_of_source_needs_a_restart_and_another_address_does_not(tmp_path):
     registry = '[source.{}]\nkind = "registry"\naddress = "127.0.0.1:{}"\n'
-    before = operator.read(written(tmp_path, GOOD + registry.format("r", 1)))
-    moved = operator.read(written(tmp_path, GOOD + registry.format("r", 2)))
-    found = changes.changed(before, moved)
-    assert (found, changes.restarts(found)) == (["source.r.address"], [])
+    before = operator_file.read(written(tmp_path, GOOD + registry.format("r", 1)))
+    moved = operator_file.read(written(tmp_path, GOOD + registry.format("r", 2)))
+    found = changes.changed_keys(before, moved)
+    assert (found, changes.keys_needing_restart(found)) == (["source.r.address"], [])
     static = GOOD[: GOOD.index("[source.fleet]")] + registry.format("fleet", 1) + registry.format("r", 1)
-    found = changes.changed(before, operator.read(written(tmp_path, static)))
-    assert changes.restarts(found) == found == ["source.fleet"]
+    found = changes.changed_keys(before, operator_file.read(written(tmp_path, static)))
+    assert changes.keys_needing_restart(found) == found == ["source.fleet"]
 
 
-def test_the_platform_takes_limits_and_no_more(tmp_path):
+def test_the_platform_reads_limits_and_nothing_else(tmp_path):
     text = "[limits]\ndescriptors = 100\n[process]\nseed = 1\n[limit]\n"
     reason = "only [limits] is read on the platform, which tells the rest"
-    assert lines(tmp_path, text, operator.read_limits) == [f"process: {reason}", f"limit: {reason}"]
-    limits = operator.read_limits(written(tmp_path, "[limits]\ndescriptors = 100\nmemory_mb = 64\n"))
-    assert limits == LimitsOptions(descriptors=100, memory_mb=64)
-    assert operator.read_limits(written(tmp_path, "")) == LimitsOptions()
+    assert lines(tmp_path, text, operator_file.read_limits) == [f"process: {reason}", f"limit: {reason}"]
+    limits = operator_file.read_limits(written(tmp_path, "[limits]\ndescriptors = 100\nmemory_mb = 64\n"))
+    assert limits == LimitsSpec(descriptors=100, memory_mb=64)
+    assert operator_file.read_limits(written(tmp_path, "")) == LimitsSpec()
--- a/tests/proxy/daemon/test_long.py
+++ b/tests/proxy/daemon/test_long.py
@@ -10,7 +10,7 @@
 from fordtrestle.proxy.http.downstream import ClientConnection
 from fordtrestle.proxy.http.upstream import UpstreamExchange
 from fordtrestle.proxy.membership.list_format import parse_list
-from tests.loopback import OK, App, Upstream, entry, listed, loopback, platform_config, running, until
+from tests.loopback import OK, App, Upstream, entry, listed, loopback, make_platform_config, running, until
 
 TURNS, CLIENTS = 60, 20
 HELD = (OpenRequest, OpenAttempt, ClientConnection, ClientCall, UpstreamExchange)
@@ -33,7 +33,7 @@
         served = 0
         for turn in range(TURNS):
             rows = [entry(f"s{turn}-{i}", upstream.address) for i, upstream in enumerate(upstreams)]
-            news = parse_list(listed(42 + turn, *rows, snapshot=False), platform_config().indices)
+            news = parse_list(listed(42 + turn, *rows, snapshot=False), make_platform_config().name_indices)
             sidecar.driver.server_list("changes", news)
             apps = [await App.connect(sidecar.address) for _ in range(CLIENTS)]
             for number, app in enumerate(apps):
--- a/tests/proxy/daemon/test_overload.py
+++ b/tests/proxy/daemon/test_overload.py
@@ -11,7 +11,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Fail, Outcome, Probe, Send
-from fordtrestle.proxy.config import operator
+from fordtrestle.proxy.config import operator_file
 from fordtrestle.proxy.daemon import overload as watch
 from fordtrestle.proxy.daemon.standalone import Standalone
 from fordtrestle.proxy.engine.connections import ConnectionTable, TableOptions
@@ -199,7 +199,7 @@
     """A process of two fronts, and where they listen."""
     file = tmp_path / "operator.toml"
     file.write_text(OPERATOR.format(server=upstream.address, descriptors=descriptors))
-    made = Standalone(asyncio.get_running_loop(), str(file), operator.read(str(file)))
+    made = Standalone(asyncio.get_running_loop(), str(file), operator_file.read(str(file)))
     bound = await made._process.start()
     return made, file, bound["one"][0], bound["two"][0]
 
--- a/tests/proxy/daemon/test_recording.py
+++ b/tests/proxy/daemon/test_recording.py
@@ -10,8 +10,8 @@
 import pytest
 
 from fordtrestle.load import trace
-from fordtrestle.proxy.config import operator
-from fordtrestle.proxy.config.operator import OperatorError
+from fordtrestle.proxy.config import operator_file
+from fordtrestle.proxy.config.errors import OperatorFileError
 from fordtrestle.proxy.daemon import recording
 from fordtrestle.proxy.daemon.recording import Recording
 from fordtrestle.proxy.daemon.standalone import Standalone
@@ -43,7 +43,7 @@
 async def test_each_whole_request_of_a_front_is_recorded_and_can_be_replayed(tmp_path):
     upstream = await Upstream([OK]).start()
     file = traced(tmp_path, upstream)
-    made = Standalone(asyncio.get_running_loop(), str(file), operator.read(str(file)))
+    made = Standalone(asyncio.get_running_loop(), str(file), operator_file.read(str(file)))
     bound = await made._process.start()
     app, other = await App.connect(bound["one"][0]), await App.connect(bound["two"][0])
     for number in range(5):
@@ -68,10 +68,10 @@
     file.write_text(OPERATOR.format(server=upstream.address, descriptors=200))
     code = (
         "import asyncio, sys\n"
-        "from fordtrestle.proxy.config import operator\n"
+        "from fordtrestle.proxy.config import operator_file\n"
         "from fordtrestle.proxy.daemon.standalone import Standalone\n"
         "async def main():\n"
-        f"    Standalone(asyncio.get_running_loop(), 'x', operator.read({str(file)!r}))\n"
+        f"    Standalone(asyncio.get_running_loop(), 'x', operator_file.read({str(file)!r}))\n"
         "asyncio.run(main())\n"
         "print(sorted(name for name in sys.modules if name.startswith('fordtrestle.load')))\n"
     )
@@ -147,8 +147,8 @@
     upstream = Upstream(address="127.0.0.1:9")
     file = traced(tmp_path, upstream)
     file.write_text(file.read_text().replace(f'"{tmp_path}/asked.trace.gz"', value))
-    with pytest.raises(OperatorError) as raised:
-        operator.read(str(file))
+    with pytest.raises(OperatorFileError) as raised:
+        operator_file.read(str(file))
     assert "front.one.trace_file: expected the path of a file" in raised.value.lines[0]
 
 
@@ -157,6 +157,6 @@
     upstream = await Upstream([OK]).start()
     file = traced(tmp_path, upstream, name="missing/asked.trace")
     with pytest.raises(OSError, match="No such file"):
-        Standalone(asyncio.get_running_loop(), str(file), operator.read(str(file)))
+        Standalone(asyncio.get_running_loop(), str(file), operator_file.read(str(file)))
     await until(lambda: True)
     upstream.stop()
--- a/tests/proxy/daemon/test_reload.py
+++ b/tests/proxy/daemon/test_reload.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from fordtrestle.proxy.config import platform
-from fordtrestle.proxy.config.platform import ConfigError
+from fordtrestle.proxy.config import platform_config
+from fordtrestle.proxy.config.errors import PlatformConfigError
 from fordtrestle.proxy.daemon.sidecar import Sidecar
 from tests.loopback import SETTINGS, App, Registry, Upstream, entry, listed, loopback, until
 from tests.proxy.daemon.test_process import ROOT, Process, environment
@@ -57,8 +57,8 @@
 def test_what_is_wrong_with_a_file_is_told_in_one_line(text, tmp_path):
     path = tmp_path / "config.json"
     path.write_bytes(text)
-    with pytest.raises(ConfigError) as told:
-        platform.load({"NODE_CONFIG": str(path)})
+    with pytest.raises(PlatformConfigError) as told:
+        platform_config.load({"NODE_CONFIG": str(path)})
     assert str(told.value).startswith("configuration: ")
     assert len(str(told.value).splitlines()) == 1
 
@@ -67,8 +67,8 @@
     path = tmp_path / "config.json"
     for size in range(0, len(TEXT), 13):
         path.write_bytes(TEXT[:size])
-        with pytest.raises(ConfigError):
-            platform.load({"NODE_CONFIG": str(path)})
+        with pytest.raises(PlatformConfigError):
+            platform_config.load({"NODE_CONFIG": str(path)})
 
 
 @pytest.mark.parametrize("what", ["half written", "no settings", "no address"])
@@ -88,7 +88,7 @@
     raw = {**GOOD, "discovery": old.address, "known": listed(1, entry("s0", upstream.address))}
     path.write_text(json.dumps(raw))
     env = {"NODE_CONFIG": str(path)}
-    sidecar = Sidecar(asyncio.get_running_loop(), platform.load(env), env)
+    sidecar = Sidecar(asyncio.get_running_loop(), platform_config.load(env), env)
     address = await sidecar.start()
     app = await App.connect(address)
 
--- a/tests/proxy/daemon/test_rules.py
+++ b/tests/proxy/daemon/test_rules.py
@@ -12,7 +12,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Send
-from fordtrestle.proxy.config import operator
+from fordtrestle.proxy.config import operator_file
 from fordtrestle.proxy.daemon import rules
 from fordtrestle.proxy.daemon.seams import Seams
 from fordtrestle.proxy.daemon.standalone import Standalone
@@ -160,7 +160,7 @@
     (tmp_path / "state").write_text("a file")
     path = tmp_path / "operator.toml"
     path.write_text(text(tmp_path, registry.address))
-    made = Standalone(asyncio.get_running_loop(), str(path), operator.read(str(path)))
+    made = Standalone(asyncio.get_running_loop(), str(path), operator_file.read(str(path)))
     await made.start()
     said = capfd.readouterr().err
     assert len(said.splitlines()) == 2
@@ -198,7 +198,7 @@
         return disks[0]
 
     seams = Seams(store=store, stamp=lambda: 7.0, wall=lambda: 1e9)
-    made = Standalone(asyncio.get_running_loop(), str(path), operator.read(str(path)), seams)
+    made = Standalone(asyncio.get_running_loop(), str(path), operator_file.read(str(path)), seams)
     await made.start()
     fronts = listening(capfd.readouterr().err)
     await until(lambda: told(tmp_path, "unstored"))
@@ -286,7 +286,10 @@
     path = tmp_path / "operator.toml"
     path.write_text(SERVICE.format(name="a") + servers("a", one) + TABLES.format(at=tmp_path))
     made = Standalone(
-        asyncio.get_running_loop(), str(path), operator.read(str(path)), Seams(store=store, stamp=lambda: 7.0)
+        asyncio.get_running_loop(),
+        str(path),
+        operator_file.read(str(path)),
+        Seams(store=store, stamp=lambda: 7.0),
     )
     waited = not opens.is_set()
     opens.set()
--- a/tests/proxy/daemon/test_standalone.py
+++ b/tests/proxy/daemon/test_standalone.py
@@ -12,7 +12,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Tell
-from fordtrestle.proxy.config import operator
+from fordtrestle.proxy.config import operator_file
 from fordtrestle.proxy.daemon import process
 from fordtrestle.proxy.daemon.standalone import Standalone
 from fordtrestle.proxy.engine.ports import parse_address
@@ -60,7 +60,7 @@
     """A process of the file in this one, and the addresses of its fronts."""
     path = tmp_path / "operator.toml"
     path.write_text(text)
-    made = Standalone(asyncio.get_running_loop(), str(path), operator.read(str(path)))
+    made = Standalone(asyncio.get_running_loop(), str(path), operator_file.read(str(path)))
     for name, module in dict(scripted).items():
         made.services[name].driver._balancer = module
     await made.start()
@@ -118,7 +118,7 @@
     text = service("a", upstream).replace('"127.0.0.1:0"', '["127.0.0.1:0", "[::1]:0"]')
     path = tmp_path / "operator.toml"
     path.write_text(text)
-    made = Standalone(asyncio.get_running_loop(), str(path), operator.read(str(path)))
+    made = Standalone(asyncio.get_running_loop(), str(path), operator_file.read(str(path)))
     await made.start()
     rows = [parse_address(row.split(" ")[-1]) for row in capfd.readouterr().err.splitlines()]
     assert [address.host for address in rows] == ["127.0.0.1", "::1"]
@@ -316,7 +316,7 @@
 
 @loopback
 async def test_the_example_with_a_static_source_serves(tmp_path):
-    operator.read(str(ROOT / "deploy/example-http.toml"))
+    operator_file.read(str(ROOT / "deploy/example-http.toml"))
     upstreams = [await answering("done") for _ in range(3)]
     moved = {f"127.0.0.1:{9001 + i}": upstream.address for i, upstream in enumerate(upstreams)}
     path = example(tmp_path, "example-http.toml", {"127.0.0.1:8080": "127.0.0.1:0", **moved})
@@ -330,7 +330,7 @@
 
 @loopback
 async def test_the_example_with_registries_serves_both_services(tmp_path):
-    operator.read(str(ROOT / "deploy/example-registry.toml"))
+    operator_file.read(str(ROOT / "deploy/example-registry.toml"))
     orders, pages = await answering("ordered"), await answering("page")
     pushed, asked_for = await Registry().start(), await Registry().start()
     moved = {"127.0.0.1:8500": pushed.address, "127.0.0.1:8501": asked_for.address}
@@ -350,7 +350,7 @@
 
 @loopback
 async def test_the_example_of_a_fleet_serves_tells_and_keeps(tmp_path):
-    operator.read(str(ROOT / "deploy/example-cluster.toml"))
+    operator_file.read(str(ROOT / "deploy/example-cluster.toml"))
     ordered, registry = await answering("ordered"), await Registry().start()
     moved = {
         "127.0.0.1:8083": "127.0.0.1:0",
@@ -377,7 +377,7 @@
     """Of the operator's 64 descriptors 24 are reserved, and clients may have 26 of the others, since 14 are
     guaranteed to servers, though the platform grants 1,024.
     """
-    operator.read_limits(str(ROOT / "deploy/platform-limits.toml"))
+    operator_file.read_limits(str(ROOT / "deploy/platform-limits.toml"))
     text = (ROOT / "deploy/platform-limits.toml").read_text()
     for descriptors, least, most in ((1024, 40, 40), (64, 1, 26)):
         limits = text.replace("descriptors = 1024", f"descriptors = {descriptors}", 1)
--- a/tests/proxy/daemon/test_told.py
+++ b/tests/proxy/daemon/test_told.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from fordtrestle.proxy.config import platform
+from fordtrestle.proxy.config import platform_config
 from fordtrestle.proxy.daemon.sidecar import Sidecar
 from fordtrestle.proxy.engine.pressure import Pressure
 from tests.loopback import BY_LEDGERS, OK, SETTINGS, App, Upstream, entry, listed, read_message
@@ -152,7 +152,7 @@
     async def running(self):
         self.path.write_text(json.dumps(self.raw))
         env = {"NODE_CONFIG": str(self.path)}
-        self.sidecar = Sidecar(asyncio.get_running_loop(), platform.load(env), env)
+        self.sidecar = Sidecar(asyncio.get_running_loop(), platform_config.load(env), env)
         self.sidecar.overload.pressure = Pressure(BY_LEDGERS)
         address = await self.sidecar.start()
         clients = [asyncio.create_task(self._client(address)) for _ in range(CLIENTS)]
--- a/tests/proxy/http/test_front.py
+++ b/tests/proxy/http/test_front.py
@@ -15,7 +15,18 @@
 from fordtrestle.proxy.http import downstream, requests
 from fordtrestle.proxy.membership import list_format
 from tests import loopback as partners
-from tests.loopback import OK, App, Scripted, Upstream, entry, hang, listed, platform_config, running, until
+from tests.loopback import (
+    OK,
+    App,
+    Scripted,
+    Upstream,
+    entry,
+    hang,
+    listed,
+    make_platform_config,
+    running,
+    until,
+)
 from tests.virtual import virtual
 
 
@@ -31,7 +42,7 @@
     clock = Clock(asyncio.get_running_loop())
     assert abs(clock.now() - time.time() * 1000.0) < 1000.0
     rows = listed(1, entry("old"), entry("new", since_ms=1_790_000_000_000))
-    news = list_format.parse_list(rows, platform_config().indices)
+    news = list_format.parse_list(rows, make_platform_config().name_indices)
     assert [row.started for row in news.entries] == [0.0, 1_790_000_000_000.0]
 
 
--- a/tests/proxy/http/test_holding.py
+++ b/tests/proxy/http/test_holding.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from fordtrestle.proxy.config.limits import LimitsOptions
+from fordtrestle.proxy.config.limits import LimitsSpec
 from fordtrestle.proxy.http import front
 from tests import loopback as partners
 from tests.loopback import OK, App, Upstream, until
@@ -20,7 +20,7 @@
 # by worth too once the watch looks, which on a slow machine falls into the test and on a fast one does not.
 running = functools.partial(partners.running, rules=())
 
-NO_GUARANTEES = LimitsOptions(fronts_guaranteed_share=0.0, upstreams_guaranteed_share=0.0)
+NO_GUARANTEES = LimitsSpec(fronts_guaranteed_share=0.0, upstreams_guaranteed_share=0.0)
 
 
 async def bare(address, kernel=4096):
--- a/tests/proxy/http/test_settle.py
+++ b/tests/proxy/http/test_settle.py
@@ -8,9 +8,9 @@
 import pytest
 
 from fordtrestle.balancer.model import Send
-from fordtrestle.proxy.config import platform
+from fordtrestle.proxy.config import platform_config
 from fordtrestle.proxy.http.requests import BadRequest, RequestClass, RequestNames, judge_again
-from tests.loopback import OK, App, Scripted, Upstream, entry, platform_config, request, running, until
+from tests.loopback import OK, App, Scripted, Upstream, entry, make_platform_config, request, running, until
 from tests.proxy.http.test_front import status_of
 from tests.proxy.http.test_upstream import failing, news, pooled
 from tests.virtual import virtual
@@ -97,7 +97,7 @@
 
 
 def options(**changes):
-    return dataclasses.replace(platform.pool_options(platform_config()), **changes)
+    return dataclasses.replace(platform_config.pool_options(make_platform_config()), **changes)
 
 
 @pytest.mark.parametrize(("grace_ms", "from_ms"), [(100.0, 1050.0), (9000.0, 1450.0), (0.0, 1000.0)])
--- a/tests/proxy/http/test_upstream.py
+++ b/tests/proxy/http/test_upstream.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Cancel, CloseIdle, Fail, Outcome, Probe, Refuse, Send
-from fordtrestle.proxy.config import platform
+from fordtrestle.proxy.config import platform_config
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.limits import Limits
 from fordtrestle.proxy.http import pool as pools
@@ -24,7 +24,7 @@
     entry,
     hang,
     listed,
-    platform_config,
+    make_platform_config,
     running,
     until,
 )
@@ -207,13 +207,15 @@
 
 
 def news(*entries):
-    return parse_list(listed(42, *entries, snapshot=False), platform_config().indices)
+    return parse_list(listed(42, *entries, snapshot=False), make_platform_config().name_indices)
 
 
 def pooled(upstream):
     loop = asyncio.get_running_loop()
     budget = Limits(100, 2**20, 100).budget("servers")
-    pool = pools.Pool(loop, Clock(loop), platform.pool_options(platform_config([upstream])), budget)
+    pool = pools.Pool(
+        loop, Clock(loop), platform_config.pool_options(make_platform_config([upstream])), budget
+    )
     pool.update(0.0, True, news(entry("s0", upstream.address)))
     return pool
 
