--- a/tests/proxy/membership/conftest.py
+++ b/tests/proxy/membership/conftest.py
@@ -5,6 +5,7 @@
 import pytest
 
 from fordtrestle.proxy.membership.registry_call import RegistryConnection
+from tests.proxy.membership.stand_ins import UpdateRecorder
 
 
 @pytest.fixture
@@ -19,3 +20,9 @@
 
     monkeypatch.setattr(RegistryConnection, "connection_made", record)
     return made
+
+
+@pytest.fixture
+def recorder():
+    """A listener that records updates."""
+    return UpdateRecorder()
--- a/tests/proxy/membership/test_discovery_races.py
+++ b/tests/proxy/membership/test_discovery_races.py
@@ -19,10 +19,9 @@
 
 
 @virtual
-async def test_an_update_of_the_old_registry_at_hand_at_a_move_is_not_reported(connections):
+async def test_an_update_of_the_old_registry_at_hand_at_a_move_is_not_reported(connections, recorder):
     """Otherwise all lists of the new registry would be older than the version of the old one."""
     old, new = await two_registries()
-    recorder = UpdateRecorder()
     client = make_client(old.address, recorder)
     client.start()
     await until_virtual(lambda: old.watches)
@@ -40,9 +39,8 @@
 
 
 @virtual
-async def test_an_update_whose_listener_moves_the_client_is_the_last_of_that_registry():
+async def test_an_update_whose_listener_moves_the_client_is_the_last_of_that_registry(recorder):
     old, new = await two_registries()
-    recorder = UpdateRecorder()
     client = make_client(old.address, recorder)
     recorder.react = lambda form: form == "changes" and client.move(parse_address(new.address))
     client.start()
@@ -58,10 +56,9 @@
 @pytest.mark.parametrize("how", ["off", "closed"])
 @pytest.mark.parametrize("when", ["before", "by its own news"])
 @virtual
-async def test_a_watch_stopped_with_its_answer_at_hand_reports_nothing_more(when, how, connections):
+async def test_a_watch_stopped_with_its_answer_at_hand_reports_nothing_more(when, how, connections, recorder):
     """Neither an update nor a failure."""
     registry = await Registry().start()
-    recorder = UpdateRecorder()
     client = make_client(registry.address, recorder, is_pushed=False)
     client.start()
     client.watch(True)
@@ -89,9 +86,8 @@
 
 
 @virtual
-async def test_a_watch_that_breaks_in_the_turn_in_which_it_is_stopped_is_no_failure(connections):
+async def test_a_watch_that_breaks_in_the_turn_in_which_it_is_stopped_is_no_failure(connections, recorder):
     registry = await Registry().start()
-    recorder = UpdateRecorder()
     client = make_client(registry.address, recorder, is_pushed=False)
     client.watch(True)
     await until_virtual(lambda: registry.watches)
@@ -105,9 +101,8 @@
 
 
 @virtual
-async def test_a_list_that_is_complete_in_the_turn_of_a_move_is_not_reported(connections):
+async def test_a_list_that_is_complete_in_the_turn_of_a_move_is_not_reported(connections, recorder):
     old, new = await Outage("mute").start(), await Registry(listed(3, entry("s1"))).start()
-    recorder = UpdateRecorder()
     client = make_client(old.address, recorder, is_pushed=False)
     client.fetch()
     await old.has_request.wait()
@@ -155,10 +150,9 @@
 
 
 @virtual
-async def test_a_list_older_than_what_a_malformed_watch_reported_is_rejected(connections, capfd):
+async def test_a_list_older_than_what_a_malformed_watch_reported_is_rejected(connections, capfd, recorder):
     """Otherwise servers that leave would be listed as active again."""
     registry = await Registry(listed(45, entry("old"))).start()
-    recorder = UpdateRecorder()
     client = make_client(registry.address, recorder, is_pushed=False)
     client.watch(True)
     await until_virtual(lambda: registry.watches)
@@ -192,11 +186,10 @@
 
 
 @virtual
-async def test_moves_in_a_row_end_at_the_last_registry_whatever_is_in_flight():
+async def test_moves_in_a_row_end_at_the_last_registry_whatever_is_in_flight(recorder):
     """There and back while a connect hangs; then to a registry that counts from its own start."""
     old, new = await two_registries()
     hangs = await Outage("hangs").start()
-    recorder = UpdateRecorder()
     client = make_client(old.address, recorder)
     client.start()
     await until_virtual(lambda: old.watches)
--- a/tests/proxy/membership/test_hostile_registry.py
+++ b/tests/proxy/membership/test_hostile_registry.py
@@ -68,10 +68,11 @@
 
 @pytest.mark.parametrize("what", MALFORMED)
 @virtual
-async def test_a_watch_whose_response_is_always_malformed_is_one_log_line_and_few_requests(what, capfd):
+async def test_a_watch_whose_response_is_always_malformed_is_one_log_line_and_few_requests(
+    what, capfd, recorder
+):
     """What was good stays in force, and the first good response is applied."""
     hostile = await HostileRegistry(MALFORMED[what]).start()
-    recorder = UpdateRecorder()
     client = make_client(hostile.address, recorder)
     client.start()
     await asyncio.sleep(20.0)
@@ -94,10 +95,9 @@
 )
 @virtual
 async def test_a_complete_list_that_never_ends_fails_in_bounded_time_and_memory(
-    body, repeat, connections, monkeypatch, capfd
+    body, repeat, connections, monkeypatch, capfd, recorder
 ):
     hostile = await HostileRegistry(HEAD + (chunk(body) if body else b""), repeat).start()
-    recorder = UpdateRecorder()
     client = make_client(hostile.address, recorder, is_pushed=False)
     read_bytes = []
     data_received = RegistryConnection.data_received
@@ -147,9 +147,8 @@
 
 
 @virtual
-async def test_lists_of_a_watch_may_come_indented_in_any_pieces():
+async def test_lists_of_a_watch_may_come_indented_in_any_pieces(recorder):
     registry = await Registry().start()
-    recorder = UpdateRecorder()
     client = make_client(registry.address, recorder)
     client.start()
     await until_virtual(lambda: registry.watches)
@@ -165,10 +164,9 @@
 
 
 @virtual
-async def test_a_list_cut_off_by_a_heartbeat_ends_its_watch_and_is_asked_for_again():
+async def test_a_list_cut_off_by_a_heartbeat_ends_its_watch_and_is_asked_for_again(recorder):
     """A heartbeat can't come within a list: what came before it is all that comes."""
     registry = await Registry().start()
-    recorder = UpdateRecorder()
     client = make_client(registry.address, recorder)
     client.start()
     await until_virtual(lambda: registry.watches)
--- a/tests/proxy/membership/test_timing.py
+++ b/tests/proxy/membership/test_timing.py
@@ -58,13 +58,12 @@
 @pytest.mark.parametrize("kind", OUTAGE_KINDS)
 @pytest.mark.parametrize("way", ["pushed", "moved", "asked", "asked, moved"])
 @virtual
-async def test_a_change_is_reported_in_time_once_the_registry_can_be_reached(way, kind, end_s):
+async def test_a_change_is_reported_in_time_once_the_registry_can_be_reached(way, kind, end_s, recorder):
     is_pushed = not way.startswith("asked")
     # Who was never answered while it could be reached has more time: that of the queue.
     queue_s = 0.0 if is_pushed or kind in ("mute", "half", "malformed") else QUEUE_S
     outage = await Outage(kind, queue_s=queue_s).start()
     before = await Outage("mute").start()
-    recorder = UpdateRecorder()
     client = make_client(before.address if "moved" in way else outage.address, recorder, is_pushed)
     client.start()
     if not is_pushed:
@@ -88,9 +87,8 @@
 @pytest.mark.parametrize("rest", [b"", b"1\r\n{\r\n"], ids=["silent", "half a line"])
 @pytest.mark.parametrize("is_pushed", [True, False])
 @virtual
-async def test_what_a_silent_watch_misses_is_reported_in_time(is_pushed, rest):
+async def test_what_a_silent_watch_misses_is_reported_in_time(is_pushed, rest, recorder):
     first = await Registry().start()
-    recorder = UpdateRecorder()
     client = make_client(first.address, recorder, is_pushed)
     client.start()
     if not is_pushed:
--- a/tests/proxy/state/test_endpoint_list_store.py
+++ b/tests/proxy/state/test_endpoint_list_store.py
@@ -70,8 +70,7 @@
 
 
 @loopback
-async def test_a_list_is_reported_as_stored_only_once_it_and_its_name_are_synced():
-    store = MemoryFileStore()
+async def test_a_list_is_reported_as_stored_only_once_it_and_its_name_are_synced(store):
     recorded = RecordedStore(store)
     recorded.lists.load(["a"])
     store.calls.clear()
@@ -119,8 +118,7 @@
 
 
 @loopback
-async def test_a_corrupt_list_is_a_cold_start_of_its_service_alone():
-    store = MemoryFileStore()
+async def test_a_corrupt_list_is_a_cold_start_of_its_service_alone(store):
     recorded = RecordedStore(store)
     recorded.lists.load(["a", "b"])
     for service in "ab":
@@ -142,8 +140,7 @@
 
 
 @loopback
-async def test_a_list_of_other_zones_or_of_another_service_is_not_used():
-    store = MemoryFileStore()
+async def test_a_list_of_other_zones_or_of_another_service_is_not_used(store):
     recorded = RecordedStore(store, {"a": "east,west"})
     recorded.lists.load(["a"])
     await recorded.save("a", 1)
@@ -160,8 +157,7 @@
 
 
 @loopback
-async def test_a_disk_that_does_not_answer_delays_a_start_and_an_end_by_their_time_outs_only():
-    store = MemoryFileStore()
+async def test_a_disk_that_does_not_answer_delays_a_start_and_an_end_by_their_time_outs_only(store):
     first = RecordedStore(store)
     first.lists.load(["a"])
     await first.save("a", 1)
--- a/tests/proxy/state/test_snapshots.py
+++ b/tests/proxy/state/test_snapshots.py
@@ -67,8 +67,7 @@
         (bytes(200), "more than 100 bytes"),
     ],
 )
-def test_the_reason_why_a_file_is_rejected_is_given(raw, reason):
-    store = MemoryFileStore()
+def test_the_reason_why_a_file_is_rejected_is_given(raw, reason, store):
     store.files["a"] = bytearray(raw)
     with pytest.raises(SnapshotError, match=reason):
         snapshots.read(store, "a", 100)
@@ -90,8 +89,7 @@
         assert found == b"new" if done else found in (b"old", b"new")
 
 
-def test_a_temporary_file_left_by_a_crash_is_not_appended_to():
-    store = MemoryFileStore()
+def test_a_temporary_file_left_by_a_crash_is_not_appended_to(store):
     store.append("a.tmp", b"half of")
     snapshots.write(store, "a", b"new")
     assert snapshots.read(store, "a", 100) == b"new"
