--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from fordtrestle.peer.replicator import UNLINKED_S
+from fordtrestle.peer.replicator import LINK_LOST_TIMEOUT_S
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Store
 from fordtrestle.replication.messages import Message, Record
@@ -105,7 +105,7 @@
         """End a process, and with it its links; its disk may go with it."""
         if machine.node:
             ended = machine.node.me.id
-            self.at(self.now + self._delay_s + UNLINKED_S, lambda: self._unlink(machine, ended))
+            self.at(self.now + self._delay_s + LINK_LOST_TIMEOUT_S, lambda: self._unlink(machine, ended))
         machine.node = None
         if wipe:
             machine.disk = []
--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -73,7 +73,7 @@
     mesh = Mesh(Hello("core-1", "127.0.0.1:1"), lambda link, message: None, lambda link: None)
     replicator = Replicator(node, log, mesh, lambda peer: True, lambda: None)
     running = asyncio.create_task(replicator.run())
-    if not await replicator.until(lambda: node.is_ready, FOUNDED_S):
+    if not await replicator.wait_until(lambda: node.is_ready, FOUNDED_S):
         raise RuntimeError("the store never became ready")
     orders, took, most = Orders(replicator), [], 0
     for number in range(1, count + 1):
--- a/fordtrestle/control_api/client.py
+++ b/fordtrestle/control_api/client.py
@@ -8,7 +8,7 @@
 
 import aiohttp
 
-from fordtrestle.settings.boot import Address
+from fordtrestle.settings.records import Address
 
 TRY_S = 6.0
 PAUSE_S = 0.3
--- a/fordtrestle/control_api/configuration.py
+++ b/fordtrestle/control_api/configuration.py
@@ -14,7 +14,7 @@
 from more_itertools import duplicates_everseen
 from returns.result import Failure, Result, Success
 
-from fordtrestle.settings.boot import flatten
+from fordtrestle.settings.schema import flatten_errors
 
 LISTS = ("routes", "services")
 
@@ -127,7 +127,7 @@
 
 def _check(schema: Schema, raw: dict[str, Any]) -> Result[dict[str, Any], Invalid]:
     faults = schema.validate(raw)
-    return Failure(Invalid(flatten(faults))) if faults else Success(raw)
+    return Failure(Invalid(flatten_errors(faults))) if faults else Success(raw)
 
 
 def _check_whole(raw: dict[str, Any], known: Mapping[str, Any]) -> Result[dict[str, Any], Invalid]:
@@ -144,7 +144,7 @@
     if wrong := _reference_faults(raw):
         of_rows = faults.get("routes")
         faults["routes"] = {**of_rows, "_schema": wrong} if isinstance(of_rows, dict) else wrong
-    return Failure(Invalid(flatten(faults))) if faults else Success(raw)
+    return Failure(Invalid(flatten_errors(faults))) if faults else Success(raw)
 
 
 def _changed(rows: object, known: object) -> list[tuple[int, Any]] | None:
--- a/fordtrestle/control_api/heartbeats.py
+++ b/fordtrestle/control_api/heartbeats.py
@@ -13,7 +13,7 @@
 from fordtrestle.control_api.configuration import Invalid
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import SERVER_PREFIX, Item, Phase, ServerRecord, server_item
-from fordtrestle.settings.boot import flatten
+from fordtrestle.settings.schema import flatten_errors
 
 BODY_MOST = 4096
 SILENT_BEATS = 3.5  # heartbeats that a server may leave out before it is told to be silent
@@ -53,7 +53,7 @@
             return Failure(Invalid(("expected a JSON object",)))
         data: Mapping[str, Any] = _Heartbeat().load(raw)
     except ValidationError as error:
-        return Failure(Invalid(flatten(error.messages)))
+        return Failure(Invalid(flatten_errors(error.messages)))
     except (ValueError, RecursionError) as error:
         return Failure(Invalid((f"not JSON: {error}",)))
     record = ServerRecord(
--- a/fordtrestle/control_api/http.py
+++ b/fordtrestle/control_api/http.py
@@ -14,7 +14,7 @@
 from fordtrestle.control_api.heartbeats import BODY_MOST, Heartbeats, read_heartbeat
 from fordtrestle.control_api.orders import IsWaiting, Orders, Outcome, Verdict
 from fordtrestle.control_api.withdrawals import Withdrawals
-from fordtrestle.dissemination.items import DOCUMENT_MOST, Phase
+from fordtrestle.dissemination.items import MAX_DOCUMENT_BYTES, Phase
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.replication.node import Node
 
@@ -53,7 +53,7 @@
 
     def application(self) -> web.Application:
         """The routes of the endpoint."""
-        application = web.Application(middlewares=[errors], client_max_size=DOCUMENT_MOST)
+        application = web.Application(middlewares=[errors], client_max_size=MAX_DOCUMENT_BYTES)
         application.add_routes(
             [
                 web.post("/v1/config/{kind:put|patch}", self._change),
--- a/fordtrestle/control_api/orders.py
+++ b/fordtrestle/control_api/orders.py
@@ -17,7 +17,7 @@
 from returns.result import Failure, Success
 
 from fordtrestle.control_api.configuration import check_generation, read_patch, read_put
-from fordtrestle.dissemination.items import DOCUMENT_MOST
+from fordtrestle.dissemination.items import MAX_DOCUMENT_BYTES
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.state import Change, ConfigChange, ControlState, Evacuation
 
@@ -70,8 +70,10 @@
     match read.bind(lambda raw: check_generation(raw, state.generation).map(lambda _: raw)):
         case Success(raw):
             document = json.dumps(raw, separators=(",", ":")).encode()
-            if len(document) > DOCUMENT_MOST:
-                return Outcome(Verdict.INVALID, (f"the configuration has more than {DOCUMENT_MOST} bytes",))
+            if len(document) > MAX_DOCUMENT_BYTES:
+                return Outcome(
+                    Verdict.INVALID, (f"the configuration has more than {MAX_DOCUMENT_BYTES} bytes",)
+                )
             return ConfigChange(digest, int(raw["generation"]), document)
         case Failure(invalid):
             return Outcome(Verdict.INVALID, invalid.faults)
@@ -156,7 +158,7 @@
         def settled() -> bool:
             return not node.is_primary or (node.committed_state is not None and node.is_ready)
 
-        await self._replicator.until(settled, COMMIT_S)
+        await self._replicator.wait_until(settled, COMMIT_S)
         return node.committed_state if node.is_ready else None
 
     async def _newest(self) -> bool:
@@ -164,7 +166,7 @@
         node = self._node
         asked = node.ask_round(self._replicator.now())
         self._replicator.pump()
-        await self._replicator.until(lambda: node.confirmed(asked) or not node.is_primary, CONFIRM_S)
+        await self._replicator.wait_until(lambda: node.confirmed(asked) or not node.is_primary, CONFIRM_S)
         return node.confirmed(asked)
 
     async def _write(self, change: Change, judged_on: ControlState) -> Outcome:
@@ -181,7 +183,7 @@
             state = node.committed_state
             return state is not None and state.sequence >= ticket.sequence
 
-        if await self._replicator.until(lambda: done() or not node.is_primary, COMMIT_S) and done():
+        if await self._replicator.wait_until(lambda: done() or not node.is_primary, COMMIT_S) and done():
             state = node.committed_state
             if state and _holds(state, change):
                 return Outcome(Verdict.DONE)
--- a/fordtrestle/dissemination/catalog.py
+++ b/fordtrestle/dissemination/catalog.py
@@ -1,6 +1,6 @@
 """The newest item of each key, and its reconciliation with another process's by digests of ranges.
 
-Bounded: at most `ITEMS_MOST` keys. Items of what is gone stay as tombstones as long as an old message may
+Bounded: at most `MAX_ITEMS` keys. Items of what is gone stay as tombstones as long as an old message may
 travel, those of servers that nobody hears any more for longer. Each process forgets them by its own clock,
 and takes them back from nobody who has yet to forget them.
 """
@@ -25,17 +25,19 @@
 )
 from fordtrestle.dissemination.messages import GossipMessage, RangeDigests, RangeVersions, Update, Want
 
-RANGES = 16
+RANGE_COUNT = 16
 DIGEST_BYTES = 8
-ITEMS_MOST = 20_000
+MAX_ITEMS = 20_000
 TOMBSTONE_S = 120.0
-UNHEARD_S = 600.0  # for servers that have fallen silent, or drain and never say that they are gone
-EJECTION_KEPT_S = 600.0  # so that the next one of that server is known to be newer
+UNRESPONSIVE_RETENTION_S = (
+    600.0  # for servers that have fallen silent, or drain and never say that they are gone
+)
+EJECTION_RETENTION_S = 600.0  # so that the next one of that server is known to be newer
 
 
 def range_of(key: str) -> int:
     """The range that a key falls into."""
-    return hashlib.blake2b(key.encode(), digest_size=1).digest()[0] % RANGES
+    return hashlib.blake2b(key.encode(), digest_size=1).digest()[0] % RANGE_COUNT
 
 
 def _fingerprint(item: Item) -> int:
@@ -51,15 +53,15 @@
     return isinstance(value, MemberRecord) and value.availability is Availability.DOWN
 
 
-def lasts_s(item: Item) -> float | None:
+def retention_s(item: Item) -> float | None:
     """For how long an item is remembered that is followed by no newer one; nothing where for good."""
     if is_tombstone(item):
         return TOMBSTONE_S
     value = item.value
     if isinstance(value, EjectionRecord):
-        return EJECTION_KEPT_S
+        return EJECTION_RETENTION_S
     if isinstance(value, ServerRecord) and (value.is_unresponsive or value.phase is Phase.DRAINING):
-        return UNHEARD_S
+        return UNRESPONSIVE_RETENTION_S
     return None
 
 
@@ -68,7 +70,7 @@
 
     def __init__(self) -> None:
         self._items: dict[str, Item] = {}
-        self._digests = [0] * RANGES  # XOR of the fingerprints of a range's items
+        self._digests = [0] * RANGE_COUNT  # XOR of the fingerprints of a range's items
         self._ends_at: dict[str, float] = {}  # of items that do not last for good
         self._forgotten: dict[str, tuple[Version, float]] = {}  # of what was forgotten, and until when
 
@@ -108,7 +110,7 @@
             if not self.lacks(item.key, item.version):
                 continue
             known = self._items.get(item.key)
-            if known is None and len(self._items) >= ITEMS_MOST:
+            if known is None and len(self._items) >= MAX_ITEMS:
                 continue
             self._put(known, item, now)
             fresh.append(item)
@@ -173,7 +175,7 @@
             self._digests[range_of(item.key)] ^= _fingerprint(known)
         self._digests[range_of(item.key)] ^= _fingerprint(item)
         self._items[item.key] = item
-        lasts = lasts_s(item)
+        lasts = retention_s(item)
         if lasts is None:
             self._ends_at.pop(item.key, None)
         else:
--- a/fordtrestle/dissemination/delta.py
+++ b/fordtrestle/dissemination/delta.py
@@ -9,11 +9,11 @@
 import zlib
 from dataclasses import dataclass
 
-from fordtrestle.dissemination.items import DOCUMENT_MOST, ControlView
+from fordtrestle.dissemination.items import MAX_DOCUMENT_BYTES, ControlView
 
-_CUT = b"{"
-SHARE_MOST = 0.5  # of the new document's length, that a delta may tell in bytes of its own
-PARTS_MOST = 10_000  # of one delta
+_SPLIT_AT = b"{"
+MAX_LITERAL_SHARE = 0.5  # of the new document's length, that a delta may tell in bytes of its own
+MAX_PARTS = 10_000  # of one delta
 
 
 class DeltaError(Exception):
@@ -41,8 +41,8 @@
 
 
 def _rows(document: bytes) -> list[bytes]:
-    first, *others = document.split(_CUT)
-    return [first, *(_CUT + row for row in others)]
+    first, *others = document.split(_SPLIT_AT)
+    return [first, *(_SPLIT_AT + row for row in others)]
 
 
 def _parts(old: bytes, new: bytes) -> list[Copy | bytes]:
@@ -73,7 +73,7 @@
     """What leads from one to the other; nothing where the whole is hardly longer."""
     parts = _parts(old.document, new.document)
     told = sum(_length(part) for part in parts if isinstance(part, bytes))
-    if len(parts) > PARTS_MOST or told > SHARE_MOST * len(new.document):
+    if len(parts) > MAX_PARTS or told > MAX_LITERAL_SHARE * len(new.document):
         return None
     checksum = zlib.crc32(new.document)
     return ControlDelta(old.sequence, new.sequence, new.generation, tuple(parts), checksum, new.evacuated)
@@ -83,10 +83,10 @@
     """The newer view. Raises `DeltaError` where that is not what the delta was made of."""
     if old.sequence != delta.base:
         raise DeltaError(f"based on {delta.base}, not on {old.sequence}")
-    if len(delta.parts) > PARTS_MOST:
-        raise DeltaError(f"more than {PARTS_MOST} parts")
-    if sum(map(_length, delta.parts)) > DOCUMENT_MOST:
-        raise DeltaError(f"more than {DOCUMENT_MOST} bytes")
+    if len(delta.parts) > MAX_PARTS:
+        raise DeltaError(f"more than {MAX_PARTS} parts")
+    if sum(map(_length, delta.parts)) > MAX_DOCUMENT_BYTES:
+        raise DeltaError(f"more than {MAX_DOCUMENT_BYTES} bytes")
     parts = (old.document[part.start : part.end] if isinstance(part, Copy) else part for part in delta.parts)
     document = b"".join(parts)
     if zlib.crc32(document) != delta.checksum:
--- a/fordtrestle/dissemination/items.py
+++ b/fordtrestle/dissemination/items.py
@@ -7,7 +7,9 @@
 
 Version = tuple[int, ...]
 
-DOCUMENT_MOST = 8 * 1024 * 1024  # bytes of a configuration: it has to fit into one message to each replica
+MAX_DOCUMENT_BYTES = (
+    8 * 1024 * 1024
+)  # bytes of a configuration: it has to fit into one message to each replica
 
 CONTROL_KEY = "control"
 SERVER_PREFIX = "server/"
--- a/fordtrestle/dissemination/rendezvous.py
+++ b/fordtrestle/dissemination/rendezvous.py
@@ -9,13 +9,13 @@
 from collections.abc import Iterable
 from functools import lru_cache
 
-NAMES_MOST = 65_536  # hashes that are kept
+MAX_CACHED_NAMES = 65_536  # hashes that are kept
 _MASK = 0xFFFFFFFFFFFFFFFF
 # Odd multipliers of the 64-bit finalizer of MurmurHash3 (Appleby, public domain).
 _FIRST, _SECOND = 0xFF51AFD7ED558CCD, 0xC4CEB9FE1A85EC53
 
 
-@lru_cache(maxsize=NAMES_MOST)
+@lru_cache(maxsize=MAX_CACHED_NAMES)
 def _salt(name: str) -> int:
     return int.from_bytes(hashlib.blake2b(name.encode(), digest_size=8).digest(), "big")
 
--- a/fordtrestle/dissemination/suspicion.py
+++ b/fordtrestle/dissemination/suspicion.py
@@ -16,16 +16,16 @@
 from fordtrestle.dissemination.items import Availability, MemberRecord
 from fordtrestle.dissemination.rendezvous import weight
 
-WATCHERS = 3
-SUSPECT_S = 4.0  # without a link, then others are asked
-CONFIRM_S = 2.0  # that they have to answer in
-ASKED_MOST = 5
+MONITORS_PER_NODE = 3
+SUSPICION_TIMEOUT_S = 4.0  # without a link, then others are asked
+INDIRECT_PROBE_TIMEOUT_S = 2.0  # that they have to answer in
+MAX_INDIRECT_PROBES = 5
 
 
-def watchers(node: str, nodes: Iterable[str]) -> list[str]:
+def monitors_of(node: str, nodes: Iterable[str]) -> list[str]:
     """Who watches a node; the same everywhere."""
     others = (other for other in nodes if other != node)
-    return heapq.nlargest(WATCHERS, others, key=lambda other: weight(node, other))
+    return heapq.nlargest(MONITORS_PER_NODE, others, key=lambda other: weight(node, other))
 
 
 def successor_of(node: str, members: Iterable[MemberRecord], role: str) -> str | None:
@@ -51,16 +51,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Steps:
+class SuspicionEffects:
     """What to do now: whom to ask others about, and who is down."""
 
-    ask: tuple[str, ...] = ()
+    probe: tuple[str, ...] = ()
     down: tuple[str, ...] = ()
 
 
-def watched_by(me: str, nodes: Collection[str]) -> set[str]:
+def monitored_by(me: str, nodes: Collection[str]) -> set[str]:
     """The nodes that one of them is to watch."""
-    return {node for node in nodes if node != me and me in watchers(node, nodes)}
+    return {node for node in nodes if node != me and me in monitors_of(node, nodes)}
 
 
 @dataclass(slots=True)
@@ -69,23 +69,23 @@
 
     _watches: dict[str, _Watch] = field(default_factory=dict)
 
-    def tick(self, mine: Collection[str], linked: Collection[str], now: float) -> Steps:
+    def tick(self, mine: Collection[str], linked: Collection[str], now: float) -> SuspicionEffects:
         """Go on with the watches; `mine` are the nodes to watch, `linked` those with a link."""
         for node in list(self._watches):
             if node not in mine or node in linked:
                 del self._watches[node]
-        ask, down = [], []
+        probe, down = [], []
         for node in sorted(set(mine) - set(linked)):
             watch = self._watches.setdefault(node, _Watch(now))
-            if watch.asked_at is None and now - watch.missed_since >= SUSPECT_S:
+            if watch.asked_at is None and now - watch.missed_since >= SUSPICION_TIMEOUT_S:
                 watch.asked_at = now
-                ask.append(node)
-            elif watch.asked_at is not None and now - watch.asked_at >= CONFIRM_S:
+                probe.append(node)
+            elif watch.asked_at is not None and now - watch.asked_at >= INDIRECT_PROBE_TIMEOUT_S:
                 del self._watches[node]
                 down.append(node)
-        return Steps(tuple(ask), tuple(down))
+        return SuspicionEffects(tuple(probe), tuple(down))
 
-    def vouched(self, node: str, now: float) -> None:
+    def on_probe_ack(self, node: str, now: float) -> None:
         """Another process has a link to it: it is only this one that cannot reach it."""
         if node in self._watches:
             self._watches[node] = _Watch(now)
--- a/fordtrestle/ingress/early_listener.py
+++ b/fordtrestle/ingress/early_listener.py
@@ -11,7 +11,7 @@
 import socket
 import time
 
-from fordtrestle.settings.place import file_bytes
+from fordtrestle.settings.settings_file import read_settings_bytes
 
 BACKLOG = 256  # connections that wait at the most
 
@@ -48,7 +48,7 @@
     and tells what is wrong.
     """
     try:
-        host, _, port = json.loads(file_bytes())["listen"][endpoint].rpartition(":")
+        host, _, port = json.loads(read_settings_bytes())["listen"][endpoint].rpartition(":")
         address = (host, int(port))
     except (ValueError, LookupError, TypeError, AttributeError):
         return None
--- a/fordtrestle/ingress/server.py
+++ b/fordtrestle/ingress/server.py
@@ -21,7 +21,7 @@
 from fordtrestle.routing.intake import Intake
 from fordtrestle.routing.pick import read_prompt
 from fordtrestle.routing.table import Limits
-from fordtrestle.settings.boot import Address
+from fordtrestle.settings.records import Address
 
 HEAD_MOST = 64 * 1024  # bytes of a line or field; what the configuration allows lies below
 IDLE_S = 60.0  # that an unused connection is kept at least: longer than any client rests
--- a/fordtrestle/peer/gossip.py
+++ b/fordtrestle/peer/gossip.py
@@ -6,14 +6,14 @@
 import random
 from collections.abc import Callable, Iterable
 
-from fordtrestle.dissemination.broadcast import Broadcast, Sending, Steps
+from fordtrestle.dissemination.broadcast import Broadcast, BroadcastEffects, OutgoingMessage
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import MEMBER_PREFIX, Item, MemberRecord, member_item
 from fordtrestle.dissemination.messages import GossipMessage
-from fordtrestle.peer.connection import pack
+from fordtrestle.peer.connection import frame_message
 from fordtrestle.peer.mesh import Link, Mesh
 
-ROUND_S = 1.0
+GOSSIP_ROUND_S = 1.0
 
 
 class Gossip:
@@ -25,14 +25,14 @@
         mesh: Mesh,
         me: MemberRecord,
         incarnation: int,
-        changed: Callable[[list[Item]], None],
+        on_change: Callable[[list[Item]], None],
     ) -> None:
         self.catalog = catalog
         self.me = me
         self._mesh = mesh
         self._incarnation = incarnation
         self._counter = 0
-        self._changed = changed
+        self._on_change = on_change
         self._broadcast = Broadcast(catalog)
         self._timer: asyncio.TimerHandle | None = None
 
@@ -47,49 +47,49 @@
         self._counter += 1
         self.publish([member_item(me, self._incarnation, self._counter)])
 
-    def linked(self, link: Link) -> None:
+    def on_link_up(self, link: Link) -> None:
         """A link is up: find out what either side has missed."""
-        self._broadcast.linked(link.node)
+        self._broadcast.on_link_up(link.node)
         link.send(self.catalog.digests())
 
-    def received(self, link: Link, message: GossipMessage) -> None:
+    def on_message(self, link: Link, message: GossipMessage) -> None:
         """Take in a message of a peer."""
         now = asyncio.get_running_loop().time()
-        self._carry_out(self._broadcast.received(message, self._peers(), now, link.node))
+        self._carry_out(self._broadcast.on_message(message, self._peers(), now, link.node))
 
     async def run(self, rng: random.Random) -> None:
         """Compare with one peer a round, until cancelled."""
         while True:
-            await asyncio.sleep(ROUND_S * (0.75 + 0.5 * rng.random()))
+            await asyncio.sleep(GOSSIP_ROUND_S * (0.75 + 0.5 * rng.random()))
             self.catalog.expire(asyncio.get_running_loop().time())
             links = self._mesh.links()
-            self._broadcast.keep({link.node for link in links})
+            self._broadcast.retain_peers({link.node for link in links})
             if links:
                 rng.choice(links).send(self.catalog.digests())
 
     def _peers(self) -> list[str]:
         return [link.node for link in self._mesh.links()]
 
-    def _carry_out(self, steps: Steps) -> None:
-        self._send(steps.sendings)
+    def _carry_out(self, effects: BroadcastEffects) -> None:
+        self._send(effects.outgoing)
         self._set_timer()
-        if steps.fresh:
-            self._changed(steps.fresh)
-            self._refute(steps.fresh)
+        if effects.new_items:
+            self._on_change(effects.new_items)
+            self._refute(effects.new_items)
 
-    def _send(self, sendings: Iterable[Sending]) -> None:
+    def _send(self, outgoing: Iterable[OutgoingMessage]) -> None:
         """What goes to many is framed once."""
         frames: dict[int, bytes | None] = {}  # by identity: a message is sent to many as one object
-        for sending in sendings:
+        for sending in outgoing:
             link = self._mesh.link(sending.peer)
             if link is None:
                 continue
             message = sending.message
             if id(message) not in frames:
-                frames[id(message)] = pack(message)
+                frames[id(message)] = frame_message(message)
             framed = frames[id(message)]
             if framed is not None:
-                link.write(framed)
+                link.write_frame(framed)
 
     def _set_timer(self) -> None:
         """Be back when the broadcast has something to do."""
@@ -105,10 +105,10 @@
         self._send(self._broadcast.tick(asyncio.get_running_loop().time()))
         self._set_timer()
 
-    def _refute(self, fresh: Iterable[Item]) -> None:
+    def _refute(self, new_items: Iterable[Item]) -> None:
         """An earlier life of this process, or one that held it to be down, is outdone by a newer word."""
         mine = MEMBER_PREFIX + self.me.node
-        for item in fresh:
+        for item in new_items:
             if item.key == mine and item.value != self.me:
                 self._incarnation = max(self._incarnation, item.version[0] + 1)
                 self.announce(self.me)
--- a/fordtrestle/peer/mesh.py
+++ b/fordtrestle/peer/mesh.py
@@ -10,13 +10,13 @@
 
 from fordtrestle.peer.codec import CodecError, Hello, agreed_version
 from fordtrestle.peer.connection import Connection
-from fordtrestle.settings.boot import Address
+from fordtrestle.settings.records import Address
 
-DIAL_S = 0.8
-REDIAL_LEAST_S, REDIAL_MOST_S = 0.1, 0.5  # between dials, longer with each that failed
-HELLO_S = 2.0
-CLOSE_S = 0.5  # for accepted connections to notice that they were closed
-LINKS_MOST = 2048  # connections that others have opened
+DIAL_TIMEOUT_S = 0.8
+MIN_REDIAL_BACKOFF_S, MAX_REDIAL_BACKOFF_S = 0.1, 0.5  # between dials, longer with each that failed
+HELLO_TIMEOUT_S = 2.0
+CLOSE_TIMEOUT_S = 0.5  # for accepted connections to notice that they were closed
+MAX_LINKS = 2048  # connections that others have opened
 _FAILED = (OSError, EOFError, TimeoutError, asyncio.IncompleteReadError, CodecError)
 
 
@@ -33,9 +33,9 @@
         """Send a message; whether the connection still takes any."""
         return self._connection.send(message)
 
-    def write(self, framed: bytes) -> bool:
+    def write_frame(self, framed: bytes) -> bool:
         """Send a message that was framed before, for many links; whether the connection still takes any."""
-        return self._connection.write(framed)
+        return self._connection.write_frame(framed)
 
     def close(self) -> None:
         """End the connection."""
@@ -54,7 +54,7 @@
         self._linked = linked
         self._links: dict[str, list[Link]] = {}  # by node, the newest last
         self._refused: dict[str, tuple[int, int]] = {}  # by node: the versions it speaks, as told
-        self.skipped = 0  # messages of other versions, on connections that have ended
+        self.skipped_messages = 0  # messages of other versions, on connections that have ended
         self._dials: dict[str, asyncio.Task[None]] = {}  # by address
         self.round_trips: dict[str, float] = {}  # by address that is dialled: s, the shortest seen
         self._server: asyncio.Server | None = None
@@ -95,17 +95,17 @@
         for link in [link for links in self._links.values() for link in links]:
             link.close()
         if self._accepted:
-            await asyncio.wait(self._accepted, timeout=CLOSE_S)
+            await asyncio.wait(self._accepted, timeout=CLOSE_TIMEOUT_S)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         connection = Connection(reader, writer)
         task = asyncio.current_task()
-        if len(self._accepted) >= LINKS_MOST or task is None:
+        if len(self._accepted) >= MAX_LINKS or task is None:
             connection.close()
             return
         self._accepted.add(task)
         try:
-            async with asyncio.timeout(HELLO_S):
+            async with asyncio.timeout(HELLO_TIMEOUT_S):
                 hello = await connection.receive()
             connection.send(self._me)
             await self._run(hello, connection)
@@ -118,26 +118,26 @@
 
     async def _keep_dialled(self, address: str) -> None:
         where = Address.parse(address)
-        pause = REDIAL_LEAST_S
+        pause = MIN_REDIAL_BACKOFF_S
         while True:
             try:
                 began = asyncio.get_running_loop().time()
-                async with asyncio.timeout(DIAL_S):
+                async with asyncio.timeout(DIAL_TIMEOUT_S):
                     reader, writer = await asyncio.open_connection(where.host, where.port)
                 self._note_round_trip(address, asyncio.get_running_loop().time() - began)
                 connection = Connection(reader, writer)
                 try:
                     connection.send(self._me)
-                    async with asyncio.timeout(HELLO_S):
+                    async with asyncio.timeout(HELLO_TIMEOUT_S):
                         hello = await connection.receive()
-                    pause = REDIAL_LEAST_S
+                    pause = MIN_REDIAL_BACKOFF_S
                     await self._run(hello, connection)
                 finally:
                     connection.close()
             except _FAILED:
                 pass
             await asyncio.sleep(pause)
-            pause = min(REDIAL_MOST_S, 1.5 * pause)
+            pause = min(MAX_REDIAL_BACKOFF_S, 1.5 * pause)
 
     def _hand_over(self, link: Link, message: Any) -> None:
         """Handle a message; a fault of ours in that ends neither the link nor the task that dials it."""
@@ -149,7 +149,7 @@
     def _refuse(self, hello: Hello) -> None:
         """Say once of each node that it speaks no version that this one speaks."""
         speaks = (hello.oldest, hello.newest)
-        if self._refused.get(hello.node) != speaks and len(self._refused) < LINKS_MOST:
+        if self._refused.get(hello.node) != speaks and len(self._refused) < MAX_LINKS:
             self._refused[hello.node] = speaks
             mine = (self._me.oldest, self._me.newest)
             eliot.log_message("peer:no-common-version", node=hello.node, theirs=speaks, ours=mine)
@@ -173,7 +173,7 @@
             self._linked(link)
             await connection.run(lambda message: self._hand_over(link, message))
         finally:
-            self.skipped += connection.skipped
+            self.skipped_messages += connection.skipped_messages
             links = self._links[link.node]
             links.remove(link)
             if not links:
--- a/fordtrestle/peer/replicator.py
+++ b/fordtrestle/peer/replicator.py
@@ -12,11 +12,13 @@
 from fordtrestle.replication.node import Effects, Node
 from fordtrestle.storage.log import RecordLog, StorageError
 
-TICK_S = 0.05
-UNLINKED_S = 0.3  # without a link, which is dialled again at once, before its store is taken to have ended
-ANNOUNCE_S = 0.4
+TICK_INTERVAL_S = 0.05
+LINK_LOST_TIMEOUT_S = (
+    0.3  # without a link, which is dialled again at once, before its store is taken to have ended
+)
+ANNOUNCE_INTERVAL_S = 0.4
 DISK_RETRY_S = 0.2
-REWRITE_LEAST_BYTES = 256 * 1024  # the file is rewritten once it holds this much
+MIN_REWRITE_BYTES = 256 * 1024  # the file is rewritten once it holds this much
 REWRITE_FACTOR = 3  # and so many times what its newest snapshot takes
 
 
@@ -29,18 +31,18 @@
         log: RecordLog,
         mesh: Mesh,
         is_control: Callable[[str], bool],
-        changed: Callable[[], None],
+        on_change: Callable[[], None],
     ) -> None:
         self.node = node
         self._log = log
         self._mesh = mesh
         self._is_control = is_control  # whether a control process listens at HOST:PORT
-        self._changed = changed
+        self._on_change = on_change
         self._queue: list[Effects] = []
         self._work = asyncio.Event()
         self._progress = asyncio.Event()
         self._syncing_since: float | None = None
-        self._rewrite_above = REWRITE_LEAST_BYTES  # bytes of the file
+        self._rewrite_above = MIN_REWRITE_BYTES  # bytes of the file
         self._peers: dict[str, str] = {}  # by store: HOST:PORT of its process
         self._unlinked_since: dict[str, float] = {}  # by store
 
@@ -60,7 +62,7 @@
             tasks.create_task(self._tick())
             tasks.create_task(self._sync())
 
-    def received(self, message: Envelope | Announce) -> None:
+    def on_message(self, message: Envelope | Announce) -> None:
         """Take in a message from another control process."""
         if isinstance(message, Announce):
             self._peers[message.store.id] = message.store.address
@@ -76,7 +78,7 @@
             self._queue.append(effects)
             self._work.set()
         self._progress.set()
-        self._changed()
+        self._on_change()
 
     def announce(self) -> None:
         """Say what this store is to all control processes."""
@@ -84,7 +86,7 @@
             if self._is_control(link.peer):
                 link.send(self.node.announcement())
 
-    async def until(self, reached: Callable[[], bool], seconds: float) -> bool:
+    async def wait_until(self, reached: Callable[[], bool], seconds: float) -> bool:
         """Wait until something holds that the node's progress brings about; whether it did in time."""
         try:
             async with asyncio.timeout(seconds):
@@ -103,11 +105,11 @@
             syncing = now - self._syncing_since if self._syncing_since is not None else 0.0
             self.node.tick(now, syncing)
             if now >= announce_at:
-                announce_at = now + ANNOUNCE_S
-                if syncing < TICK_S * 10:
+                announce_at = now + ANNOUNCE_INTERVAL_S
+                if syncing < TICK_INTERVAL_S * 10:
                     self.announce()
             self.pump()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def _note_links(self, now: float) -> None:
         """Tell the node of stores whose links have ended: nothing is faster where a process has."""
@@ -117,7 +119,7 @@
                 self._unlinked_since.pop(store_id, None)
                 continue
             since = self._unlinked_since.setdefault(store_id, now)
-            if now - since >= UNLINKED_S:
+            if now - since >= LINK_LOST_TIMEOUT_S:
                 self.node.unlinked(store_id, now)
             if now - since >= FORGET_S:
                 del self._peers[store_id], self._unlinked_since[store_id]
@@ -155,7 +157,7 @@
 
     async def _rewrite(self) -> None:
         await asyncio.to_thread(self._log.rewrite, list(map(encode, self.node.durable.snapshot())))
-        self._rewrite_above = REWRITE_LEAST_BYTES + REWRITE_FACTOR * self._log.size
+        self._rewrite_above = MIN_REWRITE_BYTES + REWRITE_FACTOR * self._log.size
 
     def _deliver(self, receiver: str, message: Message) -> None:
         if receiver == self.node.me.id:
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -36,7 +36,7 @@
     serve_metrics,
 )
 from fordtrestle.roles.process import main as run_role
-from fordtrestle.settings.boot import Boot
+from fordtrestle.settings.records import BootSettings
 from fordtrestle.storage.log import RecordLog, StorageError, UnknownFormatError
 
 STORE_ID_BYTES = 8
@@ -70,7 +70,7 @@
 class Control:
     """The parts of one control process."""
 
-    def __init__(self, boot: Boot, log: RecordLog, durable: Durable) -> None:
+    def __init__(self, boot: BootSettings, log: RecordLog, durable: Durable) -> None:
         self.process = Process(boot, CONTROL_ROLE)
         me = Store(durable.store, self.process.gossip.me.peer, str(boot.listen["control"]), boot.zone)
         self.node = Node(
@@ -104,7 +104,7 @@
             case OutcomeReport():
                 self.outliers.received(link.node, message, asyncio.get_running_loop().time())
             case Envelope() | Announce():
-                self.replicator.received(message)
+                self.replicator.on_message(message)
 
     def _changed(self) -> None:
         """Spread what is committed; tell what has happened, and who is primary."""
@@ -137,7 +137,7 @@
             "sequence": state.sequence,
             "log_bytes": self.replicator.log_bytes,
             "links": len(self.process.mesh.links()),
-            "messages_skipped": self.process.mesh.skipped,
+            "messages_skipped": self.process.mesh.skipped_messages,
         }
 
     async def leave(self) -> None:
@@ -167,7 +167,7 @@
                 self.process.gossip.publish(items)
 
 
-async def run(boot: Boot) -> int:
+async def run(boot: BootSettings) -> int:
     """Serve until SIGTERM; the exit code."""
     if boot.data_dir is None:
         eliot.log_message("control:no-disk", reason="data_dir is not set")
@@ -196,7 +196,7 @@
         process.gossip.catalog,
         process.in_touch,
         frozenset(boot.zones.values()),
-        boot.bounds.ttl_most_s,
+        boot.bounds.max_ttl_s,
         process.rng,
     )
     if "directory" in boot.listen:
--- a/fordtrestle/roles/process.py
+++ b/fordtrestle/roles/process.py
@@ -14,19 +14,26 @@
 
 import eliot
 from aiohttp import web
-from returns.result import Failure, Success
 
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import MEMBER_PREFIX, Availability, Item, MemberRecord, member_item
 from fordtrestle.dissemination.messages import GossipMessage, IndirectProbe, IndirectProbeAck
-from fordtrestle.dissemination.suspicion import ASKED_MOST, Suspicion, live_nodes, owner_of, watched_by
+from fordtrestle.dissemination.suspicion import (
+    MAX_INDIRECT_PROBES,
+    Suspicion,
+    live_nodes,
+    monitored_by,
+    owner_of,
+)
 from fordtrestle.peer.codec import PROTOCOL, PROTOCOL_OLDEST, Hello
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Link, Mesh
 from fordtrestle.roles import metrics
 from fordtrestle.roles.ending import Ending
-from fordtrestle.settings.boot import Address, Boot, read
-from fordtrestle.settings.place import file_bytes
+from fordtrestle.settings.boot import read_settings
+from fordtrestle.settings.errors import SettingsError
+from fordtrestle.settings.records import Address, BootSettings
+from fordtrestle.settings.settings_file import read_settings_bytes
 
 CONTROL_ROLE = "control"
 SIDECAR_ROLE = "sidecar"
@@ -41,7 +48,7 @@
 EXIT_FAILED, EXIT_BAD_INPUT = 1, 2
 
 
-def peer_address(boot: Boot, host: str, role: str) -> str:
+def peer_address(boot: BootSettings, host: str, role: str) -> str:
     """Where a role's process listens for others: two roles on one machine share its range of ports."""
     return f"{host}:{boot.internal_ports[0] + (role != CONTROL_ROLE)}"
 
@@ -49,7 +56,7 @@
 class Process:
     """The mesh, the gossip and the signals of one process."""
 
-    def __init__(self, boot: Boot, role: str) -> None:
+    def __init__(self, boot: BootSettings, role: str) -> None:
         self.boot = boot
         self.role = role
         self.rng = random.Random(secrets.randbits(64))
@@ -72,7 +79,7 @@
         self._watched: set[str] = set()
         self._drawn_at = 0.0
         self._suspicion = Suspicion()
-        self._settings = file_bytes()
+        self._settings = read_settings_bytes()
         self.on_items: Callable[[list[Item]], None] = lambda items: None
         self.on_message: Callable[[Link, Any], None] = lambda link, message: None
 
@@ -110,7 +117,7 @@
         may_redraw = len(nodes) <= NODES_FEW or now - self._drawn_at >= REDRAW_S
         if nodes != self._nodes and may_redraw:
             self._nodes, self._drawn_at = nodes, now
-            self._watched = watched_by(self.boot.node_name, nodes)
+            self._watched = monitored_by(self.boot.node_name, nodes)
         self.mesh.dial(controls | {member.peer for member in members if member.node in self._watched})
 
     async def keep_dialling(self) -> None:
@@ -136,27 +143,28 @@
 
         Settings that are wrong change nothing; what a running process cannot change waits for the next one.
         """
-        standing = file_bytes()
+        standing = read_settings_bytes()
         if standing == self._settings:
             return
         self._settings = standing
-        match read():
-            case Success(boot):
-                followed = replace(self.boot, seeds=boot.seeds)
-                needs_restart = replace(boot, bootstrap=followed.bootstrap) != followed
-                eliot.log_message("settings:changed", needs_restart=needs_restart)
-                self.boot = followed
-            case Failure(wrong):
-                eliot.log_message("settings:refused", faults=list(wrong.faults))
+        try:
+            boot = read_settings()
+        except SettingsError as error:
+            eliot.log_message("settings:refused", faults=list(error.faults))
+            return
+        followed = replace(self.boot, seeds=boot.seeds)
+        needs_restart = replace(boot, bootstrap=followed.bootstrap) != followed
+        eliot.log_message("settings:changed", needs_restart=needs_restart)
+        self.boot = followed
 
     def _watch(self) -> None:
         """Tell of members that have gone, once others were asked about them too."""
         catalog = self.gossip.catalog
-        steps = self._suspicion.tick(self._watched, self.in_touch(), asyncio.get_running_loop().time())
-        for node in steps.ask:
-            for link in self.rng.sample(self.mesh.links(), min(ASKED_MOST, len(self.mesh.links()))):
+        effects = self._suspicion.tick(self._watched, self.in_touch(), asyncio.get_running_loop().time())
+        for node in effects.probe:
+            for link in self.rng.sample(self.mesh.links(), min(MAX_INDIRECT_PROBES, len(self.mesh.links()))):
                 link.send(IndirectProbe(node))
-        for node in steps.down:
+        for node in effects.down:
             item = catalog.get(MEMBER_PREFIX + node)
             if item and isinstance(item.value, MemberRecord):
                 eliot.log_message("members:down", node=node)
@@ -175,29 +183,29 @@
 
     def _received(self, link: Link, message: Any) -> None:
         if isinstance(message, GossipMessage):
-            self.gossip.received(link, message)
+            self.gossip.on_message(link, message)
         elif isinstance(message, IndirectProbe):
             if self.mesh.link(message.node):
                 link.send(IndirectProbeAck(message.node))
         elif isinstance(message, IndirectProbeAck):
-            self._suspicion.vouched(message.node, asyncio.get_running_loop().time())
+            self._suspicion.on_probe_ack(message.node, asyncio.get_running_loop().time())
         else:
             self.on_message(link, message)
 
     def _linked(self, link: Link) -> None:
-        self.gossip.linked(link)
+        self.gossip.on_link_up(link)
 
     def _changed(self, items: list[Item]) -> None:
         self.on_items(items)
 
 
-async def serve_metrics(boot: Boot, figures: Callable[[], metrics.Figures]) -> list[web.AppRunner]:
+async def serve_metrics(boot: BootSettings, figures: Callable[[], metrics.Figures]) -> list[web.AppRunner]:
     """Tell figures where the settings name a place for them. A place that is taken is no reason to end."""
     if boot.metrics is None:
         return []
-    address, path = boot.metrics
+    endpoint = boot.metrics
     try:
-        return [await serve_http(metrics.application(path, figures), address)]
+        return [await serve_http(metrics.application(endpoint.path, figures), endpoint.address)]
     except (OSError, ValueError) as error:
         eliot.log_message("metrics:not-served", reason=str(error))
         return []
@@ -214,21 +222,21 @@
     return runner
 
 
-def main(run: Callable[[Boot], Awaitable[int]]) -> int:
+def main(run: Callable[[BootSettings], Awaitable[int]]) -> int:
     """Read the settings and run a role; the exit code."""
     eliot.to_file(sys.stderr)
-    match read():
-        case Failure(wrong):
-            for line in wrong.faults:
-                print(f"fordtrestle: {line}", file=sys.stderr)
-            return EXIT_BAD_INPUT
-        case Success(boot):
-            try:
-                return asyncio.run(_run(run, boot))
-            except OSError as error:  # as it starts: an address that is taken, for one
-                eliot.log_message("process:failed", reason=str(error))
+    try:
+        boot = read_settings()
+    except SettingsError as error:
+        for fault in error.faults:
+            print(f"fordtrestle: {fault}", file=sys.stderr)
+        return EXIT_BAD_INPUT
+    try:
+        return asyncio.run(_run(run, boot))
+    except OSError as error:  # as it starts: an address that is taken, for one
+        eliot.log_message("process:failed", reason=str(error))
     return EXIT_FAILED
 
 
-async def _run(run: Callable[[Boot], Awaitable[int]], boot: Boot) -> int:
+async def _run(run: Callable[[BootSettings], Awaitable[int]], boot: BootSettings) -> int:
     return await run(boot)
--- a/fordtrestle/roles/sidecar.py
+++ b/fordtrestle/roles/sidecar.py
@@ -32,13 +32,13 @@
 from fordtrestle.routing.evidence import REPORT_S, Reporter
 from fordtrestle.routing.selection import Selection
 from fordtrestle.routing.view import View
-from fordtrestle.settings.boot import Boot
+from fordtrestle.settings.records import BootSettings
 
 CLOSE_S = 0.25  # for all connections to end in
 FORGET_S = 10.0
 
 
-async def run(boot: Boot, early: EarlyListener | None = None) -> int:
+async def run(boot: BootSettings, early: EarlyListener | None = None) -> int:
     """Serve until SIGTERM; the exit code. Clients may have come to an earlier listener."""
     process = Process(boot, SIDECAR_ROLE)
     loop = asyncio.get_running_loop()
--- a/fordtrestle/routing/servers.py
+++ b/fordtrestle/routing/servers.py
@@ -6,7 +6,7 @@
 from collections.abc import Collection, Iterable
 from dataclasses import dataclass, field
 
-from fordtrestle.dissemination.catalog import UNHEARD_S
+from fordtrestle.dissemination.catalog import UNRESPONSIVE_RETENTION_S
 from fordtrestle.dissemination.items import EjectionRecord, Phase, ServerRecord, Version
 from fordtrestle.routing.outliers import Health, without_ejected
 
@@ -131,7 +131,7 @@
             record = server.record
             gone = record.phase is Phase.DEPARTED and now - server.told_at > FORGET_S
             unheard = record.is_unresponsive or record.phase is Phase.DRAINING
-            gone = gone or (unheard and now - server.told_at > UNHEARD_S)
+            gone = gone or (unheard and now - server.told_at > UNRESPONSIVE_RETENTION_S)
             if gone and server.in_flight == 0:
                 del self._servers[instance]
                 self._by_service[server.record.service].pop(instance, None)
--- /dev/null
+++ b/fordtrestle/settings/records.py
@@ -0,0 +1,112 @@
+"""The settings that one process is started with, as the rest of the program uses them."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+from pathlib import Path
+
+MAX_PORT = 65_535
+
+
+@dataclass(frozen=True, slots=True, order=True)
+class Address:
+    """A TCP endpoint: IPv4 address and port."""
+
+    host: str
+    port: int
+
+    @classmethod
+    def parse(cls, text: str) -> Address:
+        """Read HOST:PORT.
+
+        Raises:
+            ValueError: the text has another form, or the port lies outside 1 to 65535.
+        """
+        host, colon, port = text.rpartition(":")
+        if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
+            raise ValueError(f"{text!r} is not HOST:PORT")
+        return cls(host, int(port))
+
+    def __str__(self) -> str:
+        return f"{self.host}:{self.port}"
+
+
+@dataclass(frozen=True, slots=True)
+class FaultTolerance:
+    """How many machines, zones or regions may be lost at once (key `fault_tolerance`)."""
+
+    machines: int = 0
+    zones: int = 0
+    regions: int = 0
+
+
+@dataclass(frozen=True, slots=True)
+class Bounds:
+    """Figures of the rules that this program acts by (key `bounds`).
+
+    Durations are in seconds; ratios, the overshoot and the slack are plain numbers, the allowance counts
+    retries.
+    """
+
+    drain_s: float = 3.0
+    grace_s: float = 8.0
+    retry_budget_ratio: float = 0.2
+    budget_window_s: float = 10.0
+    retry_allowance: float = 0.0
+    cold_overshoot: float = 1.0
+    cold_slack: float = 0.0
+    evacuation_s: float = 5.0
+    max_ttl_s: float = 2.0
+
+
+@dataclass(frozen=True, slots=True)
+class MetricsEndpoint:
+    """Where a process serves its metrics, and under which path."""
+
+    address: Address
+    path: str
+
+
+@dataclass(frozen=True, slots=True)
+class BootSettings:
+    """All that one process is told at its start.
+
+    Attributes:
+        node_name: the process's name, unique in the deployment.
+        role: what the deployment calls this process; empty where it says nothing.
+        ip: the IPv4 address of this machine.
+        zone: the zone of this machine.
+        region: the region of this machine.
+        zones: the region of each zone of the deployment, by zone.
+        listen: the addresses to serve at, by the name of what is served.
+        internal_ports: the first and the last port for traffic between processes.
+        seeds: addresses of control processes, to meet the others through.
+        bootstrap: whether a control process without a state of its own founds a new core.
+        counts_for_quorum: whether a control process may be a witness.
+        data_dir: the folder for what has to outlive the process; `None` where nothing is kept.
+        heartbeat_s: the interval at which servers send heartbeats.
+        tolerance: how many losses at once the deployment has to survive.
+        bounds: figures of the rules that this program acts by.
+        memory_mb: the memory that the process may take, in MB.
+        max_fds: how many file descriptors it may open.
+        metrics: where to serve metrics; `None` where they are not served.
+    """
+
+    node_name: str
+    role: str
+    ip: str
+    zone: str
+    region: str
+    zones: dict[str, str]
+    listen: dict[str, Address]
+    internal_ports: tuple[int, int]
+    seeds: tuple[Address, ...]
+    bootstrap: bool
+    counts_for_quorum: bool
+    data_dir: Path | None
+    heartbeat_s: float
+    tolerance: FaultTolerance
+    bounds: Bounds
+    memory_mb: float
+    max_fds: int
+    metrics: MetricsEndpoint | None
--- a/rig/system/gossip_network.py
+++ b/rig/system/gossip_network.py
@@ -14,7 +14,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from fordtrestle.dissemination.broadcast import Broadcast, Sending, Steps
+from fordtrestle.dissemination.broadcast import Broadcast, BroadcastEffects, OutgoingMessage
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.delta import ControlDelta
 from fordtrestle.dissemination.items import (
@@ -26,8 +26,8 @@
     member_item,
 )
 from fordtrestle.dissemination.messages import GossipMessage, Update
-from fordtrestle.dissemination.suspicion import watchers
-from fordtrestle.peer.connection import pack
+from fordtrestle.dissemination.suspicion import monitors_of
+from fordtrestle.peer.connection import frame_message
 
 NEVER = float("inf")
 TURN_S = 0.001  # at the least, until a timer runs
@@ -80,7 +80,7 @@
         names = [f"core-{n}" for n in range(controls)] + [f"front-{n}" for n in range(sidecars)]
         self.peers = {name: Peer(name, places[number % len(places)]) for number, name in enumerate(names)}
         for name in names:
-            for other in sorted({*names[:controls], *watchers(name, names)} - {name}):
+            for other in sorted({*names[:controls], *monitors_of(name, names)} - {name}):
                 self._link(name, other)
         for name in names:
             self.after(self.rng.random() * ROUND_S, partial(self._round, name))
@@ -126,11 +126,11 @@
         for near, far in ((one, other), (other, one)):
             if far not in self.peers[near].peers:
                 self.peers[near].peers.append(far)
-                self.peers[near].broadcast.linked(far)
+                self.peers[near].broadcast.on_link_up(far)
 
-    def _carry_out(self, peer: Peer, steps: Steps) -> None:
-        peer.note(steps.fresh)
-        for sending in steps.sendings:
+    def _carry_out(self, peer: Peer, effects: BroadcastEffects) -> None:
+        peer.note(effects.new_items)
+        for sending in effects.outgoing:
             self._send(peer, sending)
         self._wake(peer)
 
@@ -151,13 +151,13 @@
 
     def _round(self, node: str) -> None:
         peer = self.peers[node]
-        self._send(peer, Sending(self.rng.choice(peer.peers), peer.catalog.digests()))
+        self._send(peer, OutgoingMessage(self.rng.choice(peer.peers), peer.catalog.digests()))
         self.after(ROUND_S, lambda: self._round(node))
 
-    def _send(self, peer: Peer, sending: Sending) -> None:
+    def _send(self, peer: Peer, sending: OutgoingMessage) -> None:
         message = sending.message
         if self._weigh:
-            self.bytes[type(message).__name__] += len(pack(message) or b"")
+            self.bytes[type(message).__name__] += len(frame_message(message) or b"")
         if isinstance(message, Update):
             self.copies.update((item.key, item.version) for item in message.items)
         elif isinstance(message, ControlDelta):
@@ -176,4 +176,4 @@
         return IN_ZONE_S if one.zone == other.zone else IN_REGION_S
 
     def _receive(self, peer: Peer, source: str, message: GossipMessage) -> None:
-        self._carry_out(peer, peer.broadcast.received(message, peer.peers, self.now, source))
+        self._carry_out(peer, peer.broadcast.on_message(message, peer.peers, self.now, source))
--- a/rig/system/next_version.py
+++ b/rig/system/next_version.py
@@ -32,7 +32,7 @@
 
 
 def _write_with_unknown(whole: Any) -> Any:
-    unknown = connection.frame(cbor2.dumps(cbor2.CBORTag(UNKNOWN_TAG, ["news of a later version"])))
+    unknown = connection.encode_frame(cbor2.dumps(cbor2.CBORTag(UNKNOWN_TAG, ["news of a later version"])))
 
     def write(self: connection.Connection, framed: bytes) -> bool:
         write.calls += 1  # type: ignore[attr-defined]
@@ -49,7 +49,7 @@
     """Let this process speak as a later version would."""
     codec.PROTOCOL += 1
     codec._encode = _encode_with_more(codec._encode)
-    connection.Connection.write = _write_with_unknown(connection.Connection.write)  # type: ignore[method-assign]
+    connection.Connection.write_frame = _write_with_unknown(connection.Connection.write_frame)  # type: ignore[method-assign]
 
 
 if __name__ == "__main__":
--- a/tests/control_api/test_exchanges.py
+++ b/tests/control_api/test_exchanges.py
@@ -71,7 +71,7 @@
     async def __aenter__(self):
         self._running = asyncio.create_task(self.replicator.run())
         if self.node.durable.is_founder:
-            assert await self.replicator.until(lambda: self.node.is_ready, 5.0)
+            assert await self.replicator.wait_until(lambda: self.node.is_ready, 5.0)
         api = ControlApi(
             Orders(self.replicator),
             Heartbeats("core-1", 1.0),
--- a/tests/control_api/test_orders.py
+++ b/tests/control_api/test_orders.py
@@ -235,7 +235,7 @@
 
 
 def test_a_configuration_that_fits_no_message_is_refused(monkeypatch):
-    monkeypatch.setattr(orders_module, "DOCUMENT_MOST", 1000)
+    monkeypatch.setattr(orders_module, "MAX_DOCUMENT_BYTES", 1000)
     assert judge("put", 0, document(1, "s" * 1000), ControlState()).verdict is Verdict.INVALID
     state = after(1)
     patch = {"generation": 2, "upsert": {"services": [{"name": "s" * 990}]}}
--- a/tests/control_api/test_withdrawals.py
+++ b/tests/control_api/test_withdrawals.py
@@ -26,7 +26,7 @@
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Mesh
 from fordtrestle.replication.epochs import Epoch, Store, Term
-from fordtrestle.settings.boot import Address
+from fordtrestle.settings.records import Address
 from tests.exchanges import loopback, until
 
 PORT = 18_650  # at addresses of this test process alone
@@ -53,7 +53,7 @@
         elif isinstance(message, Confirmed):
             self.withdrawals.answered(link, message)
         elif isinstance(message, Update):
-            self.gossip.received(link, message)
+            self.gossip.on_message(link, message)
 
     def phase(self, instance: str) -> Phase | None:
         item = self.gossip.catalog.get(SERVER_PREFIX + instance)
@@ -145,7 +145,7 @@
         one.hear(Phase.DRAINING)
         for other in (two, three):
             other.hear(Phase.SERVING, "i-2")
-        monkeypatch.setattr(catalog_module, "ITEMS_MOST", 1)
+        monkeypatch.setattr(catalog_module, "MAX_ITEMS", 1)
         assert not await one.withdrawals.confirm("i-1")
 
 
--- a/tests/control_api/world.py
+++ b/tests/control_api/world.py
@@ -45,7 +45,7 @@
         if self.machine.node is not self.node:
             raise Died
 
-    async def until(self, reached: Callable[[], bool], seconds: float) -> bool:
+    async def wait_until(self, reached: Callable[[], bool], seconds: float) -> bool:
         end = self.machine.now + seconds
         self._live()
         while not reached():
--- a/tests/dissemination/test_broadcast.py
+++ b/tests/dissemination/test_broadcast.py
@@ -6,7 +6,13 @@
 
 import pytest
 
-from fordtrestle.dissemination.broadcast import ASK_AGAIN_S, ASK_S, OFFER_S, Broadcast, Sending
+from fordtrestle.dissemination.broadcast import (
+    OFFER_DELAY_S,
+    WANT_DELAY_S,
+    WANT_RETRY_S,
+    Broadcast,
+    OutgoingMessage,
+)
 from fordtrestle.dissemination.catalog import TOMBSTONE_S, Catalog
 from fordtrestle.dissemination.items import (
     CONTROL_KEY,
@@ -108,58 +114,61 @@
 def test_a_copy_that_comes_twice_shows_a_link_that_the_tree_does_without():
     me, peers = Broadcast(Catalog()), ["a", "b", "c"]
     update = Update((news(1),))
-    assert me.received(update, peers, 0.0, "a").sendings == [Sending("b", update), Sending("c", update)]
-    assert me.received(update, peers, 0.0, "b").sendings == [Sending("b", Prune())]
-    assert me.received(update, peers, 0.0, "b").sendings == [], "it is said once"
-    me.received(Prune(), peers, 0.0, "c")
-    assert me.publish([news(2)], peers, 0.0).sendings == [Sending("a", Update((news(2),)))]
+    assert me.on_message(update, peers, 0.0, "a").outgoing == [
+        OutgoingMessage("b", update),
+        OutgoingMessage("c", update),
+    ]
+    assert me.on_message(update, peers, 0.0, "b").outgoing == [OutgoingMessage("b", Prune())]
+    assert me.on_message(update, peers, 0.0, "b").outgoing == [], "it is said once"
+    me.on_message(Prune(), peers, 0.0, "c")
+    assert me.publish([news(2)], peers, 0.0).outgoing == [OutgoingMessage("a", Update((news(2),)))]
     offer = Offer(((CONTROL_KEY, (2,)),))
-    assert me.tick(OFFER_S) == [Sending("b", offer), Sending("c", offer)]
-    me.linked("b")
+    assert me.tick(OFFER_DELAY_S) == [OutgoingMessage("b", offer), OutgoingMessage("c", offer)]
+    me.on_link_up("b")
     again = me.publish([news(3)], ["b"], 1.0)
-    assert again.sendings == [Sending("b", Update((news(3),)))], "a new link is a part of the tree"
+    assert again.outgoing == [OutgoingMessage("b", Update((news(3),)))], "a new link is a part of the tree"
 
 
 def test_what_was_offered_and_does_not_come_is_asked_for_from_one_after_the_other():
     me = Broadcast(Catalog())
     offer = Offer(((CONTROL_KEY, (2,)),))
     want = Want((CONTROL_KEY,))
-    me.received(offer, ["a", "b"], 0.0, "a")
-    me.received(offer, ["a", "b"], 0.0, "b")
-    assert me.due_at() == ASK_S
-    assert me.tick(ASK_S - 0.01) == []
-    assert me.tick(ASK_S) == [Sending("a", want)]
-    assert me.tick(ASK_S + ASK_AGAIN_S) == [Sending("b", want)]
-    me.tick(ASK_S + 2 * ASK_AGAIN_S)
+    me.on_message(offer, ["a", "b"], 0.0, "a")
+    me.on_message(offer, ["a", "b"], 0.0, "b")
+    assert me.due_at() == WANT_DELAY_S
+    assert me.tick(WANT_DELAY_S - 0.01) == []
+    assert me.tick(WANT_DELAY_S) == [OutgoingMessage("a", want)]
+    assert me.tick(WANT_DELAY_S + WANT_RETRY_S) == [OutgoingMessage("b", want)]
+    me.tick(WANT_DELAY_S + 2 * WANT_RETRY_S)
     assert me.due_at() is None, "nobody is left to be asked"
 
 
 def test_what_came_in_time_or_is_known_is_not_asked_for():
     me = Broadcast(Catalog())
-    me.received(Offer(((CONTROL_KEY, (2,)),)), ["a", "b"], 0.0, "a")
-    me.received(Update((news(2),)), ["a", "b"], 0.1, "b")
-    me.received(Offer(((CONTROL_KEY, (1,)),)), ["a", "b"], 0.1, "a")
-    assert me.due_at() == 0.1 + OFFER_S or me.due_at() is None
+    me.on_message(Offer(((CONTROL_KEY, (2,)),)), ["a", "b"], 0.0, "a")
+    me.on_message(Update((news(2),)), ["a", "b"], 0.1, "b")
+    me.on_message(Offer(((CONTROL_KEY, (1,)),)), ["a", "b"], 0.1, "a")
+    assert me.due_at() == 0.1 + OFFER_DELAY_S or me.due_at() is None
     assert all(isinstance(sending.message, Update | Offer) for sending in me.tick(5.0))
 
 
 def test_who_is_asked_is_asked_as_a_parent_from_then_on():
     me, parent = Broadcast(Catalog()), Broadcast(Catalog())
-    parent.received(Prune(), ["me"], 0.0, "me")
-    me.received(Offer(((CONTROL_KEY, (1,)),)), ["parent"], 0.0, "parent")
-    assert me.tick(ASK_S) == [Sending("parent", Want((CONTROL_KEY,)))]
-    parent.received(Want((CONTROL_KEY,)), ["me"], 0.9, "me")
-    assert parent.publish([news(2)], ["me"], 1.0).sendings == [Sending("me", Update((news(2),)))]
+    parent.on_message(Prune(), ["me"], 0.0, "me")
+    me.on_message(Offer(((CONTROL_KEY, (1,)),)), ["parent"], 0.0, "parent")
+    assert me.tick(WANT_DELAY_S) == [OutgoingMessage("parent", Want((CONTROL_KEY,)))]
+    parent.on_message(Want((CONTROL_KEY,)), ["me"], 0.9, "me")
+    assert parent.publish([news(2)], ["me"], 1.0).outgoing == [OutgoingMessage("me", Update((news(2),)))]
 
 
 def test_only_the_newest_of_what_waits_to_be_offered_is_offered():
     me = Broadcast(Catalog())
-    me.received(Prune(), ["a"], 0.0, "a")
+    me.on_message(Prune(), ["a"], 0.0, "a")
     for number in (1, 2, 3):
         me.publish([news(number)], ["a"], 0.0)
-    assert me.tick(OFFER_S) == [Sending("a", Offer(((CONTROL_KEY, (3,)),)))]
+    assert me.tick(OFFER_DELAY_S) == [OutgoingMessage("a", Offer(((CONTROL_KEY, (3,)),)))]
     me.publish([news(4)], ["a"], 1.0)
-    me.keep(())
+    me.retain_peers(())
     assert me.tick(2.0) == [], "who is gone is offered nothing"
 
 
@@ -171,5 +180,5 @@
     me.publish([gone], [], 0.0)
     catalog.expire(TOMBSTONE_S + 1.0)
     assert catalog.get(gone.key) is None
-    me.received(Offer(((gone.key, gone.version),)), ["a"], TOMBSTONE_S + 1.0, "a")
+    me.on_message(Offer(((gone.key, gone.version),)), ["a"], TOMBSTONE_S + 1.0, "a")
     assert me.due_at() is None
--- a/tests/dissemination/test_catalog.py
+++ b/tests/dissemination/test_catalog.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from fordtrestle.dissemination import catalog as catalog_module
-from fordtrestle.dissemination.catalog import TOMBSTONE_S, UNHEARD_S, Catalog, range_of
+from fordtrestle.dissemination.catalog import TOMBSTONE_S, UNRESPONSIVE_RETENTION_S, Catalog, range_of
 from fordtrestle.dissemination.items import (
     Availability,
     ControlView,
@@ -141,17 +141,17 @@
     catalog = Catalog()
     items = [server("i-1", silent=True), server("i-2", phase=Phase.DRAINING), server("i-3")]
     catalog.merge(items, 0.0)
-    catalog.expire(UNHEARD_S)
+    catalog.expire(UNRESPONSIVE_RETENTION_S)
     assert len(held(catalog)) == 3
-    catalog.expire(UNHEARD_S + 1.0)
+    catalog.expire(UNRESPONSIVE_RETENTION_S + 1.0)
     assert set(held(catalog)) == {"server/i-3"}
-    assert catalog.merge([server("i-1", sequence=2)], UNHEARD_S + 2.0)
-    catalog.expire(3 * UNHEARD_S)
+    assert catalog.merge([server("i-1", sequence=2)], UNRESPONSIVE_RETENTION_S + 2.0)
+    catalog.expire(3 * UNRESPONSIVE_RETENTION_S)
     assert set(held(catalog)) == {"server/i-1", "server/i-3"}, "those that are heard last for good"
 
 
 def test_the_catalog_is_bounded(monkeypatch):
-    monkeypatch.setattr(catalog_module, "ITEMS_MOST", 2)
+    monkeypatch.setattr(catalog_module, "MAX_ITEMS", 2)
     catalog = Catalog()
     assert len(catalog.merge([server(f"i-{n}") for n in range(5)], 0.0)) == 2
     assert catalog.merge([server("i-0", sequence=2)], 0.0)
--- a/tests/dissemination/test_delta.py
+++ b/tests/dissemination/test_delta.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 
 from fordtrestle.dissemination import delta as delta_module
-from fordtrestle.dissemination.broadcast import ASK_AGAIN_S, Broadcast, Sending
+from fordtrestle.dissemination.broadcast import WANT_RETRY_S, Broadcast, OutgoingMessage
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.delta import ControlDelta, Copy, DeltaError, apply, difference
 from fordtrestle.dissemination.items import CONTROL_KEY, ControlView, control_item
@@ -88,12 +88,12 @@
 
 def test_a_change_is_passed_on_as_it_came():
     old, new = view(1, routes(50)), view(2, routes(51))
-    (sending,) = peer_with(old).publish([control_item(new)], ["a"], 1.0).sendings
+    (sending,) = peer_with(old).publish([control_item(new)], ["a"], 1.0).outgoing
     delta = sending.message
     assert isinstance(delta, ControlDelta)
-    steps = peer_with(old).received(delta, ["a", "b"], 1.0, "a")
-    assert steps.fresh == [control_item(new)]
-    assert steps.sendings == [Sending("b", delta)]
+    steps = peer_with(old).on_message(delta, ["a", "b"], 1.0, "a")
+    assert steps.new_items == [control_item(new)]
+    assert steps.outgoing == [OutgoingMessage("b", delta)]
 
 
 def test_who_passes_nothing_on_compares_no_documents(monkeypatch):
@@ -102,27 +102,27 @@
 
     monkeypatch.setattr("fordtrestle.dissemination.broadcast.difference", fail)
     peer = peer_with(view(1, routes(50)))
-    peer.received(Prune(), ["a", "b"], 1.0, "b")
-    assert peer.received(Update((control_item(view(2, routes(51))),)), ["a", "b"], 1.0, "a").sendings == []
+    peer.on_message(Prune(), ["a", "b"], 1.0, "b")
+    assert peer.on_message(Update((control_item(view(2, routes(51))),)), ["a", "b"], 1.0, "a").outgoing == []
 
 
 def test_who_lacks_what_a_change_rests_on_asks_for_the_whole():
     first, old, new = (view(number, routes(50 + number)) for number in (1, 2, 3))
     delta = difference(old, new)
     for peer in (peer_with(first), Broadcast(Catalog())):
-        steps = peer.received(delta, ["a", "b"], 1.0, "a")
-        assert steps.fresh == []
-        assert steps.sendings == [Sending("a", Want((CONTROL_KEY,)))]
-        whole = peer.received(Update((control_item(new),)), ["a", "b"], 1.1, "a")
-        assert whole.fresh == [control_item(new)]
+        steps = peer.on_message(delta, ["a", "b"], 1.0, "a")
+        assert steps.new_items == []
+        assert steps.outgoing == [OutgoingMessage("a", Want((CONTROL_KEY,)))]
+        whole = peer.on_message(Update((control_item(new),)), ["a", "b"], 1.1, "a")
+        assert whole.new_items == [control_item(new)]
 
 
 def test_a_change_that_was_had_before_shows_a_link_that_the_tree_does_without():
     old, new = view(1, routes(50)), view(2, routes(51))
     peer = peer_with(new)
-    (sending,) = peer.received(difference(old, new), ["a"], 1.0, "a").sendings
+    (sending,) = peer.on_message(difference(old, new), ["a"], 1.0, "a").outgoing
     assert sending.peer == "a"
-    assert peer.publish([control_item(view(3, []))], ["a"], 1.0).sendings == []
+    assert peer.publish([control_item(view(3, []))], ["a"], 1.0).outgoing == []
 
 
 def test_the_whole_is_asked_for_once_at_a_time_however_many_changes_come():
@@ -131,20 +131,20 @@
     changes = [difference(old, new) for old, new in itertools.pairwise(views[1:])]
     whole = Want((CONTROL_KEY,))
     sent = [
-        peer.received(change, ["a", "b"], 1.0, source).sendings
+        peer.on_message(change, ["a", "b"], 1.0, source).outgoing
         for change, source in zip(changes, "aab", strict=True)
     ]
-    assert sent == [[Sending("a", whole)], [], []]
-    assert peer.tick(1.0 + ASK_AGAIN_S) == [Sending("b", whole)], "who was not asked yet is next"
+    assert sent == [[OutgoingMessage("a", whole)], [], []]
+    assert peer.tick(1.0 + WANT_RETRY_S) == [OutgoingMessage("b", whole)], "who was not asked yet is next"
 
 
 def test_a_change_that_would_grow_too_large_is_refused(monkeypatch):
     old, new = view(1, routes(50)), view(2, routes(51))
     delta = difference(old, new)
     large = replace(delta, parts=(Copy(0, len(old.document)),) * 3)
-    monkeypatch.setattr(delta_module, "DOCUMENT_MOST", 2 * len(old.document))
+    monkeypatch.setattr(delta_module, "MAX_DOCUMENT_BYTES", 2 * len(old.document))
     with pytest.raises(DeltaError, match="bytes"):
         apply(old, large)
-    monkeypatch.setattr(delta_module, "PARTS_MOST", 1)
+    monkeypatch.setattr(delta_module, "MAX_PARTS", 1)
     with pytest.raises(DeltaError, match="parts"):
         apply(old, delta)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -98,7 +98,7 @@
     "a frame is given up once its peer is silent": _removal(
         "peer/connection.py",
         "tests/peer",
-        "            async with asyncio.timeout(SILENCE_MOST_S):\n                part",
+        "            async with asyncio.timeout(PEER_TIMEOUT_S):\n                part",
         "            async with asyncio.timeout(None):\n                part",
     ),
     "a long frame may take its time": _removal(
@@ -219,7 +219,7 @@
         ORDERS, ORDER_TESTS, "        if node.committed_state is not judged_on:\n", "        if False:\n"
     ),
     "a configuration fits into a message": _removal(
-        ORDERS, ORDER_TESTS, "            if len(document) > DOCUMENT_MOST:\n", "            if False:\n"
+        ORDERS, ORDER_TESTS, "            if len(document) > MAX_DOCUMENT_BYTES:\n", "            if False:\n"
     ),
     "orders that wait are bounded": _removal(
         ORDERS, ORDER_TESTS, "        if self._waiting >= WAITING_MOST:\n", "        if False:\n"
@@ -586,8 +586,8 @@
     "what was offered and does not come is asked for": _removal(
         BROADCAST,
         BROADCAST_TESTS,
-        "        sendings = self._ask(now)\n",
-        "        sendings: list[Sending] = []\n",
+        "        outgoing = self._ask(now)\n",
+        "        outgoing: list[OutgoingMessage] = []\n",
     ),
     "a link that brings what was had before leaves the tree": _removal(
         BROADCAST, BROADCAST_TESTS, "        elif source not in self._pruned:\n", "        elif False:\n"
@@ -602,7 +602,7 @@
         DELTA, DELTA_TESTS, "    if old.sequence != delta.base:\n", "    if False:\n"
     ),
     "a change that leads to too large a document is refused": _removal(
-        DELTA, DELTA_TESTS, "    if sum(map(_length, delta.parts)) > DOCUMENT_MOST:\n", "    if False:\n"
+        DELTA, DELTA_TESTS, "    if sum(map(_length, delta.parts)) > MAX_DOCUMENT_BYTES:\n", "    if False:\n"
     ),
     "what was forgotten is asked for from nobody": _removal(
         BROADCAST,
--- a/tests/ingress/stage.py
+++ b/tests/ingress/stage.py
@@ -21,7 +21,7 @@
 from fordtrestle.routing.decision import Decider
 from fordtrestle.routing.selection import Selection
 from fordtrestle.routing.view import View
-from fordtrestle.settings.boot import Address
+from fordtrestle.settings.records import Address
 
 ZONES = {"z-1": "r-1", "z-2": "r-2"}
 HOST = "ficu95.example"
--- a/tests/ingress/test_early_listener.py
+++ b/tests/ingress/test_early_listener.py
@@ -13,8 +13,8 @@
 
 from fordtrestle.ingress import server as server_module
 from fordtrestle.ingress.early_listener import BACKLOG, EarlyListener, listen_early
-from fordtrestle.settings.boot import Address
-from fordtrestle.settings.place import VARIABLE
+from fordtrestle.settings.records import Address
+from fordtrestle.settings.settings_file import PATH_VARIABLE
 from tests.exchanges import loopback, request
 from tests.guards import ROOT
 from tests.ingress.stage import Stage, StandIn, ok, route
@@ -44,7 +44,7 @@
 def settings(tmp_path, monkeypatch):
     """Writes the settings file that the environment names."""
     path = tmp_path / "boot.json"
-    monkeypatch.setenv(VARIABLE, str(path))
+    monkeypatch.setenv(PATH_VARIABLE, str(path))
     return path.write_text
 
 
--- a/tests/peer/test_connection.py
+++ b/tests/peer/test_connection.py
@@ -15,9 +15,9 @@
 from fordtrestle.dissemination.messages import Want
 from fordtrestle.peer import connection as connection_module
 from fordtrestle.peer.codec import CodecError, Hello, decode, encode
-from fordtrestle.peer.connection import Connection, frame, inflate, pack
+from fordtrestle.peer.connection import Connection, decompress, encode_frame, frame_message
 from fordtrestle.peer.mesh import Mesh
-from fordtrestle.settings.boot import Address
+from fordtrestle.settings.records import Address
 from tests.exchanges import loopback, until
 
 
@@ -50,7 +50,7 @@
         b"\x00\x00\x00\x01x",  # no CBOR
         encode(Want(("a",)))[:-1],  # no frame
         struct.pack(">I", (1 << 31) | 3) + b"abc",  # not compressed
-        struct.pack(">I", connection_module.FRAME_MOST + 1),
+        struct.pack(">I", connection_module.MAX_FRAME_BYTES + 1),
     ],
 )
 @loopback
@@ -71,7 +71,7 @@
 
 @loopback
 async def test_a_peer_that_falls_silent_is_given_up(monkeypatch):
-    monkeypatch.setattr(connection_module, "SILENCE_MOST_S", 0.05)
+    monkeypatch.setattr(connection_module, "PEER_TIMEOUT_S", 0.05)
     ended = asyncio.Event()
 
     async def serve(reader, writer):
@@ -80,7 +80,7 @@
 
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     _, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
-    writer.write(frame(encode(Want(("a",))))[:-1])
+    writer.write(encode_frame(encode(Want(("a",))))[:-1])
     await ended.wait()
     writer.close()
     server.close()
@@ -89,14 +89,14 @@
 @loopback
 async def test_a_long_frame_may_take_longer_than_a_silence(monkeypatch):
     """On a thin link, where its bytes come little by little."""
-    monkeypatch.setattr(connection_module, "SILENCE_MOST_S", 0.2)
+    monkeypatch.setattr(connection_module, "PEER_TIMEOUT_S", 0.2)
     received = []
 
     async def serve(reader, writer):
         await Connection(reader, writer).run(received.append)
 
     message = Want(tuple(f"server/{random.random()}" for _ in range(200)))
-    data = frame(encode(message))
+    data = encode_frame(encode(message))
     server = await asyncio.start_server(serve, "127.0.0.1", 0)
     _, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
     step = len(data) // 8
@@ -110,26 +110,26 @@
 
 def test_a_message_that_its_receiver_would_refuse_is_not_sent(monkeypatch):
     """However small it becomes once it is compressed: the receiver would end the link over it."""
-    monkeypatch.setattr(connection_module, "FRAME_MOST", 1000)
+    monkeypatch.setattr(connection_module, "MAX_FRAME_BYTES", 1000)
     long = Want(("a" * 2000,))
-    assert len(frame(encode(long))) < 1000
-    assert pack(long) is None
-    assert pack(Want(("a" * 500,))) is not None
+    assert len(encode_frame(encode(long))) < 1000
+    assert frame_message(long) is None
+    assert frame_message(Want(("a" * 500,))) is not None
 
 
 def test_a_frame_that_would_grow_too_large_is_refused(monkeypatch):
-    monkeypatch.setattr(connection_module, "FRAME_MOST", 1000)
+    monkeypatch.setattr(connection_module, "MAX_FRAME_BYTES", 1000)
     with pytest.raises(CodecError):
-        inflate(zlib.compress(bytes(2000)))
+        decompress(zlib.compress(bytes(2000)))
     with pytest.raises(CodecError):
-        inflate(zlib.compress(bytes(500))[:-3])
+        decompress(zlib.compress(bytes(500))[:-3])
 
 
 @given(st.binary(max_size=2000))
 def test_frames_hold_what_was_put_in(payload):
-    head = struct.unpack(">I", frame(payload)[:4])[0]
-    body = frame(payload)[4:]
-    assert (inflate(body) if head >> 31 else body) == payload
+    head = struct.unpack(">I", encode_frame(payload)[:4])[0]
+    body = encode_frame(payload)[4:]
+    assert (decompress(body) if head >> 31 else body) == payload
     assert len(body) == head & 0x7FFFFFFF
 
 
--- a/tests/peer/test_gossip.py
+++ b/tests/peer/test_gossip.py
@@ -5,7 +5,7 @@
 import asyncio
 import json
 
-from fordtrestle.dissemination.broadcast import OFFER_S
+from fordtrestle.dissemination.broadcast import OFFER_DELAY_S
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import Availability, ControlView, MemberRecord, control_item
 from fordtrestle.dissemination.messages import Prune
@@ -13,7 +13,7 @@
 from fordtrestle.peer.codec import Hello
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Mesh
-from fordtrestle.settings.boot import Address
+from fordtrestle.settings.records import Address
 from tests.virtual import virtual
 
 
@@ -29,8 +29,8 @@
     def __init__(self, name: str) -> None:
         self.mesh = Mesh(
             Hello(name, ""),
-            lambda link, message: self.gossip.received(link, message),
-            lambda link: self.gossip.linked(link),
+            lambda link, message: self.gossip.on_message(link, message),
+            lambda link: self.gossip.on_link_up(link),
         )
         me = MemberRecord(name, "sidecar", "z-1", "r-1", "", "", Availability.READY)
         self.gossip = Gossip(Catalog(), self.mesh, me, 1, lambda items: None)
@@ -75,9 +75,11 @@
 def sent_whole(monkeypatch):
     """The kinds of messages that are framed to be sent."""
     kinds = []
-    pack = gossip_module.pack
+    frame_message = gossip_module.frame_message
     monkeypatch.setattr(
-        gossip_module, "pack", lambda message: kinds.append(type(message).__name__) or pack(message)
+        gossip_module,
+        "frame_message",
+        lambda message: kinds.append(type(message).__name__) or frame_message(message),
     )
     return kinds
 
@@ -101,13 +103,13 @@
 @virtual
 async def test_what_is_only_offered_over_a_link_is_asked_for():
     async with Linked("one", "two") as (one, two):
-        one.gossip._broadcast.received(Prune(), ["two"], 0.0, "two")
+        one.gossip._broadcast.on_message(Prune(), ["two"], 0.0, "two")
         one.gossip.publish([news(1)])
-        await asyncio.sleep(OFFER_S / 2)
+        await asyncio.sleep(OFFER_DELAY_S / 2)
         assert two.sequence == 0
         await within(1.0, lambda: two.sequence == 1)
         one.gossip.publish([news(2)])
-        await within(OFFER_S / 2, lambda: two.sequence == 2)
+        await within(OFFER_DELAY_S / 2, lambda: two.sequence == 2)
 
 
 @virtual
--- a/tests/peer/test_replicator.py
+++ b/tests/peer/test_replicator.py
@@ -110,7 +110,7 @@
 
 @loopback
 async def test_the_file_is_rewritten_once_it_is_long_and_nothing_is_lost(tmp_path, monkeypatch):
-    monkeypatch.setattr(replicator_module, "REWRITE_LEAST_BYTES", 400)
+    monkeypatch.setattr(replicator_module, "MIN_REWRITE_BYTES", 400)
     async with stage(tmp_path) as (replicator, disk):
         for number in range(60):
             write(replicator, f"z-{number % 3}")
@@ -125,7 +125,7 @@
 async def test_a_message_to_an_earlier_store_of_this_machine_is_not_taken(tmp_path):
     async with stage(tmp_path) as (replicator, _):
         term = Term(99, "s9")
-        replicator.received(Envelope("s9", "s0", Prepare(term)))
+        replicator.on_message(Envelope("s9", "s0", Prepare(term)))
         assert replicator.node.durable.promised < term
-        replicator.received(Envelope("s9", "s1", Prepare(term)))
+        replicator.on_message(Envelope("s9", "s1", Prepare(term)))
         assert replicator.node.durable.promised == term
--- a/tests/peer/test_versions.py
+++ b/tests/peer/test_versions.py
@@ -24,11 +24,11 @@
     encode,
     table,
 )
-from fordtrestle.peer.connection import Connection, frame
+from fordtrestle.peer.connection import Connection, encode_frame
 from fordtrestle.peer.mesh import Mesh
 from fordtrestle.replication.epochs import UNKNOWN_CORE, Epoch, Term
 from fordtrestle.replication.messages import Announce
-from fordtrestle.settings.boot import Address
+from fordtrestle.settings.records import Address
 from tests.exchanges import loopback, until
 from tests.peer.test_connection import talk
 
@@ -195,10 +195,10 @@
 
     server, connection = await talk(serve)
     for payload in (NEWS, encode(Want(("a",))), NEWS, encode(Want(("b",)))):
-        connection.write(frame(payload))
+        connection.write_frame(encode_frame(payload))
     await until(lambda: len(received) == 2)
     assert received == [Want(("a",)), Want(("b",))]
-    assert connections[0].skipped == 2
+    assert connections[0].skipped_messages == 2
     connection.close()
     server.close()
 
--- a/tests/roles/test_leaving.py
+++ b/tests/roles/test_leaving.py
@@ -12,7 +12,7 @@
 from fordtrestle.roles.ending import Ending
 from fordtrestle.roles.leaving import leave
 from fordtrestle.roles.process import Process
-from fordtrestle.settings.boot import parse
+from fordtrestle.settings.boot import parse_settings
 from tests.ingress.stage import Stage, route
 from tests.settings.test_boot import BOOT
 from tests.virtual import virtual
@@ -49,7 +49,7 @@
     """What is told, and how many s after SIGTERM."""
     told = []
     loop = asyncio.get_running_loop()
-    process = Process(parse(json.dumps(BOOT)).unwrap(), "sidecar")
+    process = Process(parse_settings(json.dumps(BOOT)), "sidecar")
     process.announce(was)
 
     def note(text):
--- a/tests/roles/test_metrics.py
+++ b/tests/roles/test_metrics.py
@@ -9,7 +9,8 @@
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import ControlView, Phase, ServerRecord, control_item, server_item
 from fordtrestle.roles.metrics import application, of_catalog, render
-from fordtrestle.settings.boot import Address, parse
+from fordtrestle.settings.boot import parse_settings
+from fordtrestle.settings.records import Address, MetricsEndpoint
 from tests.exchanges import Client, loopback, request, serve
 from tests.settings.test_boot import BOOT
 
@@ -35,13 +36,14 @@
 
 @pytest.mark.parametrize("told", ["", "nowhere", "99999/metrics", None])
 def test_a_place_that_is_none_is_no_reason_not_to_start(told):
-    assert parse(json.dumps({**BOOT, "metrics": told})).unwrap().metrics is None
+    assert parse_settings(json.dumps({**BOOT, "metrics": told})).metrics is None
 
 
 @loopback
 async def test_figures_are_told_at_the_place_that_the_settings_name():
-    address, path = parse(json.dumps({**BOOT, "metrics": "8149/own/figures"})).unwrap().metrics
-    assert (address, path) == (Address("10.1.0.35", 8149), "/own/figures")
+    endpoint = parse_settings(json.dumps({**BOOT, "metrics": "8149/own/figures"})).metrics
+    assert endpoint == MetricsEndpoint(Address("10.1.0.35", 8149), "/own/figures")
+    path = endpoint.path
     runner, port = await serve(application(path, lambda: {"open_requests": 3}))
     async with Client(port) as client:
         assert (await client.exchange(request("GET", path))).endswith("fordtrestle_open_requests 3\n")
--- a/tests/roles/test_reports.py
+++ b/tests/roles/test_reports.py
@@ -11,7 +11,7 @@
 from fordtrestle.roles.process import Process
 from fordtrestle.roles.sidecar import report_failures
 from fordtrestle.routing.evidence import REPORT_S, Reporter
-from fordtrestle.settings.boot import parse
+from fordtrestle.settings.boot import parse_settings
 from tests.settings.test_boot import BOOT
 from tests.virtual import virtual
 
@@ -36,7 +36,7 @@
 
 def process_among(controls, monkeypatch):
     """A sidecar with a link to each of these control processes; the links by node."""
-    process = Process(parse(json.dumps(BOOT)).unwrap(), "sidecar")
+    process = Process(parse_settings(json.dumps(BOOT)), "sidecar")
     posts = {node: Post(node) for node in controls}
     for number, node in enumerate(controls):
         record = MemberRecord(node, "control", "z", "r", f"10.0.0.{number}:1", "", Availability.READY)
--- a/tests/roles/test_settings.py
+++ b/tests/roles/test_settings.py
@@ -7,7 +7,8 @@
 import pytest
 
 from fordtrestle.roles.process import Process
-from fordtrestle.settings.boot import Address, parse
+from fordtrestle.settings.boot import parse_settings
+from fordtrestle.settings.records import Address
 from tests.settings.test_boot import BOOT
 
 
@@ -17,7 +18,7 @@
     file = tmp_path / "boot.json"
     file.write_text(json.dumps(BOOT))
     monkeypatch.setenv("FORDTRESTLE_CONFIG", str(file))
-    process = Process(parse(json.dumps(BOOT)).unwrap(), "sidecar")
+    process = Process(parse_settings(json.dumps(BOOT)), "sidecar")
 
     def change(text):
         file.write_text(text)
--- a/tests/roles/test_signals.py
+++ b/tests/roles/test_signals.py
@@ -32,11 +32,11 @@
 ENDS = f"""{BEGIN}
 import asyncio, json, os, signal
 from fordtrestle.roles.process import Process
-from fordtrestle.settings.boot import parse
+from fordtrestle.settings.boot import parse_settings
 from tests.settings.test_boot import BOOT
 
 async def run():
-    process = Process(parse(json.dumps(BOOT)).unwrap(), "sidecar")
+    process = Process(parse_settings(json.dumps(BOOT)), "sidecar")
     loop = asyncio.get_running_loop()
     for name in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
         loop.add_signal_handler(name, process.stopping.set)
--- a/tests/settings/test_boot.py
+++ b/tests/settings/test_boot.py
@@ -9,9 +9,10 @@
 import sys
 
 import pytest
-from returns.pipeline import is_successful
 
-from fordtrestle.settings.boot import Address, Tolerance, parse
+from fordtrestle.settings.boot import parse_settings
+from fordtrestle.settings.errors import SettingsError
+from fordtrestle.settings.records import Address, FaultTolerance
 
 BOOT = {
     "node_name": "front-kul-1",
@@ -36,9 +37,9 @@
 
 
 def test_settings_are_read_and_what_is_new_is_ignored():
-    boot = parse(json.dumps(BOOT)).unwrap()
+    boot = parse_settings(json.dumps(BOOT))
     assert boot.seeds == (Address("10.1.0.37", 8146),)
-    assert boot.tolerance == Tolerance(1, 1, 1)
+    assert boot.tolerance == FaultTolerance(1, 1, 1)
     assert (boot.heartbeat_s, boot.bounds.drain_s, boot.internal_ports) == (1.2, 3.0, (7660, 7675))
 
 
@@ -52,14 +53,16 @@
         "fault_tolerance": {"machines": -1},
     }
     del wrong["node_name"]
-    found = parse(json.dumps(wrong))
-    assert not is_successful(found)
-    assert "\n".join(found.failure().faults) == snapshot
+    with pytest.raises(SettingsError) as raised:
+        parse_settings(json.dumps(wrong))
+    assert "\n".join(raised.value.faults) == snapshot
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{", '{"node_name": 1e999999}'])
 def test_what_is_no_object_is_refused(text):
-    assert not is_successful(parse(text))
+    with pytest.raises(SettingsError) as raised:
+        parse_settings(text)
+    assert raised.value.faults
 
 
 @pytest.mark.parametrize("role", ["sidecar", "control"])
