--- a/fordtrestle/dissemination/items.py
+++ b/fordtrestle/dissemination/items.py
@@ -1,15 +1,18 @@
-"""What is spread to all processes: versioned items, of which the newest wins everywhere."""
+"""What is spread to all processes: versioned items, of which the newest wins everywhere. Pure.
+
+The records travel between processes (`peer/codec.py`); how they may change is told in
+`docs/design/versions.md`.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import IntEnum
 
-Version = tuple[int, ...]
+Version = tuple[int, ...]  # compared as tuples are: the first number that differs decides
 
-MAX_DOCUMENT_BYTES = (
-    8 * 1024 * 1024
-)  # bytes of a configuration: it has to fit into one message to each replica
+# Of a configuration: it has to fit into one message to each replica.
+MAX_DOCUMENT_BYTES = 8 * 1024 * 1024
 
 CONTROL_KEY = "control"
 SERVER_PREFIX = "server/"
@@ -19,16 +22,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlView:
-    """What was decided, as far as those that only act by it need it. Versioned by `sequence`."""
+    """The control state, as far as processes that only act by it need it.
+
+    Attributes:
+        sequence: the number of changes that led to it; its version.
+        generation: the generation of the configuration.
+        document: the whole configuration, as JSON.
+        evacuated: the zones that are evacuated.
+    """
 
     sequence: int
     generation: int
-    document: bytes  # the whole configuration, as JSON
+    document: bytes
     evacuated: tuple[str, ...]
 
 
 class Phase(IntEnum):
-    """How far an incarnation of a server has come; later ones are final."""
+    """How far an incarnation of a server has come; none goes back to an earlier phase."""
 
     SERVING = 0
     DRAINING = 1
@@ -37,7 +47,21 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """One incarnation of a server, as its newest heartbeat told."""
+    """One incarnation of a server, as its newest heartbeat described it.
+
+    Attributes:
+        instance: the incarnation's identity.
+        service: the service that it belongs to.
+        address: HOST:PORT for requests.
+        zone: the zone that it is in.
+        slots: how many requests it serves at once.
+        phase: how far it has come.
+        is_unresponsive: whether its heartbeats have stopped.
+        warm_up_ms: how much longer it is warming up, in ms, as of that heartbeat.
+        remaining_ms: for how much longer it serves while it drains, in ms; `None` where it did not say.
+        models: the models that it has loaded.
+        heard_by: the control process that received the heartbeat.
+    """
 
     instance: str
     service: str
@@ -45,39 +69,49 @@
     zone: str
     slots: int
     phase: Phase
-    is_unresponsive: bool  # its heartbeats have stopped
-    warm_up_ms: float  # how much longer it is cold, as of that heartbeat
-    remaining_ms: float | None  # until it is taken away, where it said so
+    is_unresponsive: bool
+    warm_up_ms: float
+    remaining_ms: float | None
     models: tuple[str, ...]
-    heard_by: str  # the control process that took the heartbeat
+    heard_by: str
 
 
 class Availability(IntEnum):
-    """What a member says of itself."""
+    """What a member says of itself, and others of it once they have lost it (`DOWN`)."""
 
     STARTING = 0
     READY = 1
-    LEAVING = 2  # told to end: it serves on, for clients whose region has nobody else
-    DOWN = 3  # what others say of it once they have lost it
-    CLOSING = 4  # about to end: its clients are to go elsewhere
+    LEAVING = 2  # asked to end: it still serves clients whose region has no other process
+    DOWN = 3
+    CLOSING = 4  # about to end: its clients have to go elsewhere
 
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """One process of the system."""
+    """One process of the system.
+
+    Attributes:
+        node: its name, unique in the deployment.
+        role: what it does: `control` or `sidecar`.
+        zone: the zone that it is in.
+        region: the region that it is in.
+        peer: HOST:PORT for other processes.
+        front: HOST:PORT for clients; empty where it serves none.
+        availability: what it can do now.
+    """
 
     node: str
     role: str
     zone: str
     region: str
-    peer: str  # HOST:PORT for other processes
-    front: str  # HOST:PORT for clients; empty where it serves none
+    peer: str
+    front: str
     availability: Availability
 
 
 @dataclass(frozen=True, slots=True)
 class EjectionRecord:
-    """A server whose requests fail is to be left out for some s, from when that is heard."""
+    """A server whose requests fail is left out by all, for some s from when a process hears of it."""
 
     instance: str
     lasts_s: float
@@ -96,24 +130,44 @@
 
 
 def control_item(view: ControlView) -> Item:
-    """The item of what was decided."""
+    """Return the item of the control state."""
     return Item(CONTROL_KEY, (view.sequence,), view)
 
 
 def server_item(record: ServerRecord, sequence: int) -> Item:
-    """The item of a server. A final phase outdoes all heartbeats of an earlier one, and silence only the one
-    that it followed.
+    """Return the item of a server.
+
+    A later phase outdoes all heartbeats of an earlier one, however late those come: what has said that it
+    leaves is never used again. That heartbeats have stopped outdoes only the one that was the last.
+
+    Args:
+        record: the server.
+        sequence: the number of the heartbeat.
     """
     version = (int(record.phase), sequence, int(record.is_unresponsive))
     return Item(SERVER_PREFIX + record.instance, version, record)
 
 
 def ejection_item(record: EjectionRecord, known: Version | None) -> Item:
-    """The item of an ejection, newer than the last one that is known of that server."""
+    """Return the item of an ejection, newer than the last one that is known of that server.
+
+    Args:
+        record: the ejection.
+        known: the version of that last one; `None` where none is known.
+    """
     return Item(EJECTION_PREFIX + record.instance, (known[0] + 1 if known else 1,), record)
 
 
 def member_item(record: MemberRecord, incarnation: int, counter: int) -> Item:
-    """The item of a member. Being down is said at the counter that was known, and refuted by the next."""
+    """Return the item of a member.
+
+    Others say that a member is down at the counter that they know of it, so the member's next item refutes
+    that (SWIM's suspicion, Das, Gupta, Motivala 2002).
+
+    Args:
+        record: the member.
+        incarnation: rises with each start of the process.
+        counter: rises with each item of one incarnation.
+    """
     down = int(record.availability is Availability.DOWN)
     return Item(MEMBER_PREFIX + record.node, (incarnation, counter, down), record)
--- a/fordtrestle/dissemination/messages.py
+++ b/fordtrestle/dissemination/messages.py
@@ -1,4 +1,7 @@
-"""What processes tell each other to bring their catalogs into line."""
+"""Messages by which processes bring their catalogs into line, detect failures and report outcomes. Pure.
+
+They travel between processes (`peer/codec.py`); how they may change is told in `docs/design/versions.md`.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeDigests:
-    """A digest of each range of keys: what differs is looked into."""
+    """A digest of each range of keys, in order: ranges that differ are compared key by key."""
 
     digests: tuple[bytes, ...]
 
@@ -32,26 +35,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Want:
-    """Asks for items."""
+    """Asks for items, and for the link to become part of the broadcast's tree (Plumtree's GRAFT)."""
 
     keys: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """Keys with the versions that the sender holds, for who has not got them otherwise."""
+    """Keys with the versions that the sender holds, for a peer that has not got them otherwise (IHAVE)."""
 
     versions: tuple[tuple[str, Version], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Prune:
-    """The sender has had what came over this link from others before: offers are enough."""
+    """What came over this link had come over others before: offers are enough from now on (PRUNE)."""
 
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """Asks whether the receiver has a link to a node."""
+    """Asks whether the receiver has a link to a node (SWIM's ping-req)."""
 
     node: str
 
@@ -65,7 +68,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """Asks a control process to hold an item, to pass it on, and to say that it does."""
+    """Asks a control process to hold an item, to pass it on, and to confirm that.
+
+    Attributes:
+        token: by which the sender knows the answer.
+        item: the item.
+    """
 
     token: int
     item: Item
@@ -73,14 +81,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirmed:
-    """The item of that token is held."""
+    """The sender holds the item of that token."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Outcomes:
-    """How requests to a server ended since the sender's last report."""
+    """How many requests to a server succeeded and failed since the sender's last report."""
 
     instance: str
     good: int
@@ -89,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeReport:
-    """A sidecar's report on the servers of a service, to the control process that is to judge them."""
+    """A sidecar's report on the servers of a service, to the control process that has to judge them."""
 
     service: str
     outcomes: tuple[Outcomes, ...]
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -15,7 +15,7 @@
 from fordtrestle.control_api.withdrawals import Withdrawals
 from fordtrestle.dissemination.items import Availability, ControlView, control_item
 from fordtrestle.dissemination.messages import Confirm, Confirmed, OutcomeReport
-from fordtrestle.dissemination.suspicion import successor_of
+from fordtrestle.dissemination.ownership import successor_of
 from fordtrestle.ingress.directory import Directory
 from fordtrestle.peer.codec import CodecError, Envelope, decode, encode
 from fordtrestle.peer.mesh import Link
--- a/fordtrestle/roles/process.py
+++ b/fordtrestle/roles/process.py
@@ -18,13 +18,8 @@
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import MEMBER_PREFIX, Availability, Item, MemberRecord, member_item
 from fordtrestle.dissemination.messages import GossipMessage, IndirectProbe, IndirectProbeAck
-from fordtrestle.dissemination.suspicion import (
-    MAX_INDIRECT_PROBES,
-    Suspicion,
-    live_nodes,
-    monitored_by,
-    owner_of,
-)
+from fordtrestle.dissemination.ownership import live_nodes, owner_of
+from fordtrestle.dissemination.suspicion import MAX_INDIRECT_PROBES, Suspicion, monitored_by
 from fordtrestle.peer.codec import PROTOCOL, PROTOCOL_OLDEST, Hello
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Link, Mesh
--- a/tests/dissemination/test_broadcast.py
+++ b/tests/dissemination/test_broadcast.py
@@ -1,4 +1,4 @@
-"""News among many processes: about one copy for each, in time whatever link or process fails."""
+"""Broadcast among many processes: about one copy for each, in time whatever link or process fails."""
 
 from __future__ import annotations
 
@@ -6,13 +6,7 @@
 
 import pytest
 
-from fordtrestle.dissemination.broadcast import (
-    OFFER_DELAY_S,
-    WANT_DELAY_S,
-    WANT_RETRY_S,
-    Broadcast,
-    OutgoingMessage,
-)
+from fordtrestle.dissemination.broadcast import OFFER_DELAY_S, Broadcast, OutgoingMessage
 from fordtrestle.dissemination.catalog import TOMBSTONE_S, Catalog
 from fordtrestle.dissemination.items import (
     CONTROL_KEY,
@@ -23,97 +17,100 @@
     server_item,
 )
 from fordtrestle.dissemination.messages import Offer, Prune, Update, Want
+from fordtrestle.dissemination.missing_items import WANT_DELAY_S, WANT_RETRY_S
 from rig.system.gossip_network import Network, Place
 
-PLACES = [Place(f"z-{number}", f"r-{number % 3}") for number in range(6)]
-GONE = ServerRecord("i-1", "pool", "10.0.0.1:80", "z-1", 4, Phase.DEPARTED, False, 0.0, None, (), "core-1")
-IN_FORCE_S = 2.5  # a margin below the 3 s of all deployments
+LOCATIONS = [Place(f"z-{number}", f"r-{number % 3}") for number in range(6)]
+DEPARTED_SERVER = ServerRecord(
+    "i-1", "pool", "10.0.0.1:80", "z-1", 4, Phase.DEPARTED, False, 0.0, None, (), "core-1"
+)
+MAX_PROPAGATION_S = 2.5  # a margin below the 3 s of all deployments
 
 
-def news(number):
+def control_update(number):
     return control_item(ControlView(number, number, b"%d" % number * 1000, ()))
 
 
-def settled(controls=5, sidecars=63, seed=1):
-    network = Network(controls, sidecars, PLACES, seed)
+def converged_network(controls=5, sidecars=63, seed=1):
+    network = Network(controls, sidecars, LOCATIONS, seed)
     network.announce_all(within_s=0.3)
     network.run(5.0)
-    network.publish("core-0", news(1))
+    network.publish("core-0", control_update(1))
     network.run(5.0)
     network.copies.clear()
     return network
 
 
 @pytest.mark.parametrize("size", [30, 63, 195])
-def test_each_process_gets_about_one_copy(size):
-    network = settled(sidecars=size)
+def test_each_process_gets_about_one_copy_of_an_item(size):
+    network = converged_network(sidecars=size)
     all_of_them = len(network.peers)
     for number in range(2, 7):
-        network.publish(f"core-{number % 5}", news(number))
+        network.publish(f"core-{number % 5}", control_update(number))
         network.run(2.0)
-        assert network.reached(news(number)) == all_of_them
+        assert network.reached(control_update(number)) == all_of_them
         assert all_of_them - 1 <= network.copies[CONTROL_KEY, (number,)] <= 1.4 * all_of_them
 
 
-def test_who_starts_together_is_known_to_all_within_a_second():
-    network = Network(5, 63, PLACES, seed=2)
+def test_processes_that_start_together_know_each_other_within_a_second():
+    network = Network(5, 63, LOCATIONS, seed=2)
     network.announce_all(within_s=0.3)
     network.run(1.5)
     for peer in network.peers.values():
         assert sum(1 for _ in peer.catalog.members()) == 68
 
 
-def without(network, cut):
-    """From now on messages are lost on these links, given as pairs of who sends and who receives."""
-    network.lossy = lambda sender, receiver: (sender, receiver) in cut
+def lose_messages(network, lossy_links):
+    """Let messages be lost on these links, given as pairs of sender and receiver, and on no others."""
+    network.lossy = lambda sender, receiver: (sender, receiver) in lossy_links
 
 
 def links(network):
-    return {(near, far) for near, peer in network.peers.items() for far in peer.peers}
+    return {(sender, receiver) for sender, peer in network.peers.items() for receiver in peer.peers}
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_links_that_fall_silent_delay_nobody_for_long(seed):
-    """A third of the links loses all, most of them only one way, and nobody is told so."""
-    network = settled(seed=seed)
+def test_links_that_lose_all_messages_delay_no_process_beyond_the_bound(seed):
+    """A third of the links loses all, most of them one way only, and no process notices that."""
+    network = converged_network(seed=seed)
     rng = random.Random(seed)
     all_links = sorted(links(network))
-    without(network, set(rng.sample(all_links, len(all_links) // 3)))
+    lose_messages(network, set(rng.sample(all_links, len(all_links) // 3)))
     for number in range(2, 5):
-        network.publish("core-0", news(number))
-        network.run(IN_FORCE_S)
-        assert network.reached(news(number)) == len(network.peers)
+        network.publish("core-0", control_update(number))
+        network.run(MAX_PROPAGATION_S)
+        assert network.reached(control_update(number)) == len(network.peers)
 
 
-def test_a_parent_that_falls_silent_is_done_without():
-    """What the primary says reaches all though four of five control processes, which most hang on, do not."""
-    network = settled()
+def test_children_of_unresponsive_parents_get_items_over_other_links():
+    """Four of five control processes lose all: the primary reaches the others without them."""
+    network = converged_network()
     silent = {"core-1", "core-2", "core-3", "core-4"}
-    without(network, {(near, far) for near, far in links(network) if {near, far} & silent})
-    network.publish("core-0", news(2))
-    network.run(IN_FORCE_S)
-    assert network.reached(news(2)) == len(network.peers) - len(silent)
+    lose_messages(network, {link for link in links(network) if silent & set(link)})
+    network.publish("core-0", control_update(2))
+    network.run(MAX_PROPAGATION_S)
+    assert network.reached(control_update(2)) == len(network.peers) - len(silent)
 
 
-def test_a_process_that_was_cut_off_catches_up_and_nobody_ever_goes_back():
-    network = settled()
+def test_a_process_catches_up_after_a_partition_and_versions_never_go_back():
+    network = converged_network()
     alone = "front-7"
-    without(network, {(near, far) for near, far in links(network) if alone in (near, far)})
+    lose_messages(network, {link for link in links(network) if alone in link})
     for number in range(2, 30):
-        network.publish(f"core-{number % 5}", news(number))
+        network.publish(f"core-{number % 5}", control_update(number))
         network.run(0.4)
     assert network.peers[alone].versions[CONTROL_KEY][-1] == (1,)
-    without(network, set())
+    lose_messages(network, set())
     network.run(3.0)
-    assert network.reached(news(29)) == len(network.peers)
+    assert network.reached(control_update(29)) == len(network.peers)
     for peer in network.peers.values():
         versions = peer.versions[CONTROL_KEY]
         assert versions == sorted(versions)
 
 
-def test_a_copy_that_comes_twice_shows_a_link_that_the_tree_does_without():
+def test_a_second_copy_prunes_the_link_that_brought_it():
     me, peers = Broadcast(Catalog()), ["a", "b", "c"]
-    update = Update((news(1),))
+    update = Update((control_update(1),))
     assert me.on_message(update, peers, 0.0, "a").outgoing == [
         OutgoingMessage("b", update),
         OutgoingMessage("c", update),
@@ -121,15 +118,17 @@
     assert me.on_message(update, peers, 0.0, "b").outgoing == [OutgoingMessage("b", Prune())]
     assert me.on_message(update, peers, 0.0, "b").outgoing == [], "it is said once"
     me.on_message(Prune(), peers, 0.0, "c")
-    assert me.publish([news(2)], peers, 0.0).outgoing == [OutgoingMessage("a", Update((news(2),)))]
+    second = Update((control_update(2),))
+    assert me.publish(second.items, peers, 0.0).outgoing == [OutgoingMessage("a", second)]
     offer = Offer(((CONTROL_KEY, (2,)),))
     assert me.tick(OFFER_DELAY_S) == [OutgoingMessage("b", offer), OutgoingMessage("c", offer)]
     me.on_link_up("b")
-    again = me.publish([news(3)], ["b"], 1.0)
-    assert again.outgoing == [OutgoingMessage("b", Update((news(3),)))], "a new link is a part of the tree"
+    third = Update((control_update(3),))
+    again = me.publish(third.items, ["b"], 1.0)
+    assert again.outgoing == [OutgoingMessage("b", third)], "a new link is a part of the tree"
 
 
-def test_what_was_offered_and_does_not_come_is_asked_for_from_one_after_the_other():
+def test_an_offered_item_that_does_not_come_is_requested_from_one_peer_after_the_other():
     me = Broadcast(Catalog())
     offer = Offer(((CONTROL_KEY, (2,)),))
     want = Want((CONTROL_KEY,))
@@ -140,43 +139,44 @@
     assert me.tick(WANT_DELAY_S) == [OutgoingMessage("a", want)]
     assert me.tick(WANT_DELAY_S + WANT_RETRY_S) == [OutgoingMessage("b", want)]
     me.tick(WANT_DELAY_S + 2 * WANT_RETRY_S)
-    assert me.due_at() is None, "nobody is left to be asked"
+    assert me.due_at() is None, "no peer is left to be asked"
 
 
-def test_what_came_in_time_or_is_known_is_not_asked_for():
+def test_an_offered_item_that_came_in_time_or_is_known_is_not_requested():
     me = Broadcast(Catalog())
     me.on_message(Offer(((CONTROL_KEY, (2,)),)), ["a", "b"], 0.0, "a")
-    me.on_message(Update((news(2),)), ["a", "b"], 0.1, "b")
+    me.on_message(Update((control_update(2),)), ["a", "b"], 0.1, "b")
     me.on_message(Offer(((CONTROL_KEY, (1,)),)), ["a", "b"], 0.1, "a")
     assert me.due_at() == 0.1 + OFFER_DELAY_S or me.due_at() is None
-    assert all(isinstance(sending.message, Update | Offer) for sending in me.tick(5.0))
+    assert all(isinstance(outgoing.message, Update | Offer) for outgoing in me.tick(5.0))
 
 
-def test_who_is_asked_is_asked_as_a_parent_from_then_on():
+def test_a_peer_that_is_asked_for_an_item_becomes_a_parent():
     me, parent = Broadcast(Catalog()), Broadcast(Catalog())
     parent.on_message(Prune(), ["me"], 0.0, "me")
     me.on_message(Offer(((CONTROL_KEY, (1,)),)), ["parent"], 0.0, "parent")
     assert me.tick(WANT_DELAY_S) == [OutgoingMessage("parent", Want((CONTROL_KEY,)))]
     parent.on_message(Want((CONTROL_KEY,)), ["me"], 0.9, "me")
-    assert parent.publish([news(2)], ["me"], 1.0).outgoing == [OutgoingMessage("me", Update((news(2),)))]
+    second = Update((control_update(2),))
+    assert parent.publish(second.items, ["me"], 1.0).outgoing == [OutgoingMessage("me", second)]
 
 
-def test_only_the_newest_of_what_waits_to_be_offered_is_offered():
+def test_only_the_newest_version_of_a_pending_offer_is_sent():
     me = Broadcast(Catalog())
     me.on_message(Prune(), ["a"], 0.0, "a")
     for number in (1, 2, 3):
-        me.publish([news(number)], ["a"], 0.0)
+        me.publish([control_update(number)], ["a"], 0.0)
     assert me.tick(OFFER_DELAY_S) == [OutgoingMessage("a", Offer(((CONTROL_KEY, (3,)),)))]
-    me.publish([news(4)], ["a"], 1.0)
+    me.publish([control_update(4)], ["a"], 1.0)
     me.retain_peers(())
-    assert me.tick(2.0) == [], "who is gone is offered nothing"
+    assert me.tick(2.0) == [], "a peer without a link gets no offers"
 
 
-def test_what_was_forgotten_is_not_asked_for():
-    """Its tombstone has ended here and not there: it would be taken back from nobody, and asked of all."""
+def test_an_offered_item_that_has_expired_here_is_not_requested():
+    """Its tombstone has expired here and not there: it would not be taken back, and requested without end."""
     catalog = Catalog()
     me = Broadcast(catalog)
-    gone = server_item(GONE, 1)
+    gone = server_item(DEPARTED_SERVER, 1)
     me.publish([gone], [], 0.0)
     catalog.expire(TOMBSTONE_S + 1.0)
     assert catalog.get(gone.key) is None
--- a/tests/dissemination/test_catalog.py
+++ b/tests/dissemination/test_catalog.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from fordtrestle.dissemination import catalog as catalog_module
-from fordtrestle.dissemination.catalog import TOMBSTONE_S, UNRESPONSIVE_RETENTION_S, Catalog, range_of
+from fordtrestle.dissemination.catalog import TOMBSTONE_S, UNRESPONSIVE_RETENTION_S, Catalog
 from fordtrestle.dissemination.items import (
     Availability,
     ControlView,
@@ -18,11 +18,14 @@
     server_item,
 )
 from fordtrestle.dissemination.messages import RangeDigests, Update
+from fordtrestle.dissemination.range_digests import range_of
 from fordtrestle.dissemination.rendezvous import ranked
 
 
-def server(instance="i-1", sequence=1, phase=Phase.SERVING, silent=False):
-    record = ServerRecord(instance, "pool", "10.0.0.1:80", "z-1", 4, phase, silent, 0.0, None, (), "core-1")
+def server(instance="i-1", sequence=1, phase=Phase.SERVING, is_unresponsive=False):
+    record = ServerRecord(
+        instance, "pool", "10.0.0.1:80", "z-1", 4, phase, is_unresponsive, 0.0, None, (), "core-1"
+    )
     return server_item(record, sequence)
 
 
@@ -44,27 +47,27 @@
 )
 
 
-def reconcile(one: Catalog, other: Catalog) -> None:
-    """What two processes tell each other after one has sent its digests."""
+def reconcile(one: Catalog, other: Catalog, now: float = 0.0) -> None:
+    """Exchange what two processes send each other after one has sent its digests."""
     messages = [(other, one, one.digests())]
     while messages:
         receiver, sender, message = messages.pop(0)
         if isinstance(message, Update):
-            receiver.merge(message.items, 0.0)
+            receiver.merge(message.items, now)
         messages += [(sender, receiver, answer) for answer in receiver.answer(message)]
 
 
-def held(catalog: Catalog) -> dict[str, object]:
+def versions_in(catalog: Catalog) -> dict[str, object]:
     return {key: item.version for key, item in catalog._items.items()}
 
 
 @given(st.lists(ITEMS, max_size=30), st.lists(ITEMS, max_size=30))
-def test_catalogs_that_have_compared_hold_the_same(ours, theirs):
+def test_catalogs_hold_the_same_after_anti_entropy(our_items, their_items):
     one, other = Catalog(), Catalog()
-    one.merge(ours, 0.0)
-    other.merge(theirs, 0.0)
+    one.merge(our_items, 0.0)
+    other.merge(their_items, 0.0)
     reconcile(one, other)
-    assert held(one) == held(other)
+    assert versions_in(one) == versions_in(other)
     assert one.digests() == other.digests()
     assert other.answer(one.digests()) == []
 
@@ -76,23 +79,23 @@
     random.shuffle(items)
     for item in items:
         other.merge([item, item], 0.0)
-    assert held(one) == held(other)
+    assert versions_in(one) == versions_in(other)
     assert one.digests() == other.digests()
 
 
-def test_draining_and_gone_outdo_any_heartbeat_and_silence_only_the_one_it_followed():
+def test_later_phases_outdo_any_heartbeat_and_unresponsive_only_the_last_one():
     catalog = Catalog()
     catalog.merge([server(sequence=5)], 0.0)
-    assert catalog.merge([server(sequence=5, silent=True)], 0.0)
+    assert catalog.merge([server(sequence=5, is_unresponsive=True)], 0.0)
     assert catalog.merge([server(sequence=6)], 0.0)
-    assert not catalog.merge([server(sequence=5, silent=True)], 0.0)
+    assert not catalog.merge([server(sequence=5, is_unresponsive=True)], 0.0)
     assert catalog.merge([server(sequence=6, phase=Phase.DRAINING)], 0.0)
     assert not catalog.merge([server(sequence=9)], 0.0)
     assert catalog.merge([server(sequence=1, phase=Phase.DEPARTED)], 0.0)
     assert not catalog.merge([server(sequence=9, phase=Phase.DRAINING)], 0.0)
 
 
-def test_a_member_refutes_that_it_is_down_by_its_next_word():
+def test_a_member_refutes_that_it_is_down_with_its_next_item():
     catalog = Catalog()
     catalog.merge([member(counter=2)], 0.0)
     assert catalog.merge([member(counter=2, availability=Availability.DOWN)], 0.0)
@@ -101,7 +104,7 @@
     assert catalog.merge([member(incarnation=2, counter=1)], 0.0)
 
 
-def test_tombstones_stay_as_long_as_an_old_message_may_travel():
+def test_tombstones_expire_only_once_no_old_message_can_travel():
     catalog = Catalog()
     catalog.merge([server(phase=Phase.DEPARTED), server("i-2")], 0.0)
     catalog.expire(TOMBSTONE_S)
@@ -113,8 +116,8 @@
     assert catalog.digests() == other.digests()
 
 
-def test_what_one_process_has_forgotten_is_not_taken_back_from_another_that_has_not():
-    """Each would go on giving it to the other, and none would ever forget it."""
+def test_an_expired_item_is_not_taken_back_from_a_process_that_still_holds_it():
+    """Each would go on giving it to the other, and neither would ever forget it."""
     one, other = Catalog(), Catalog()
     one.merge([server(phase=Phase.DEPARTED)], 0.0)
     other.merge([server(phase=Phase.DEPARTED)], 1.0)
@@ -122,42 +125,37 @@
         now = tenth / 10
         for catalog, peer in ((one, other), (other, one)):
             catalog.expire(now)
-            messages = [(peer, catalog, catalog.digests())]
-            while messages:
-                receiver, sender, message = messages.pop(0)
-                if isinstance(message, Update):
-                    receiver.merge(message.items, now)
-                messages += [(sender, receiver, answer) for answer in receiver.answer(message)]
-    assert not held(one)
-    assert not held(other)
+            reconcile(catalog, peer, now)
+    assert not versions_in(one)
+    assert not versions_in(other)
     assert one.merge([server(sequence=1, phase=Phase.DEPARTED)], 3 * TOMBSTONE_S) == [], (
-        "an old word travels yet"
+        "an old message may still travel"
     )
     one.expire(3 * TOMBSTONE_S)
     assert one.merge([server(sequence=1)], 3 * TOMBSTONE_S)
 
 
-def test_servers_that_nobody_hears_any_more_are_forgotten_and_heard_again():
+def test_unresponsive_servers_expire_and_are_taken_in_again_when_they_are_heard():
     catalog = Catalog()
-    items = [server("i-1", silent=True), server("i-2", phase=Phase.DRAINING), server("i-3")]
+    items = [server("i-1", is_unresponsive=True), server("i-2", phase=Phase.DRAINING), server("i-3")]
     catalog.merge(items, 0.0)
     catalog.expire(UNRESPONSIVE_RETENTION_S)
-    assert len(held(catalog)) == 3
+    assert len(versions_in(catalog)) == 3
     catalog.expire(UNRESPONSIVE_RETENTION_S + 1.0)
-    assert set(held(catalog)) == {"server/i-3"}
+    assert set(versions_in(catalog)) == {"server/i-3"}
     assert catalog.merge([server("i-1", sequence=2)], UNRESPONSIVE_RETENTION_S + 2.0)
     catalog.expire(3 * UNRESPONSIVE_RETENTION_S)
-    assert set(held(catalog)) == {"server/i-1", "server/i-3"}, "those that are heard last for good"
+    assert set(versions_in(catalog)) == {"server/i-1", "server/i-3"}, "those that are heard last for good"
 
 
-def test_the_catalog_is_bounded(monkeypatch):
+def test_a_full_catalog_takes_newer_versions_and_no_new_keys(monkeypatch):
     monkeypatch.setattr(catalog_module, "MAX_ITEMS", 2)
     catalog = Catalog()
     assert len(catalog.merge([server(f"i-{n}") for n in range(5)], 0.0)) == 2
     assert catalog.merge([server("i-0", sequence=2)], 0.0)
 
 
-def test_only_ranges_that_differ_are_told_of():
+def test_versions_are_sent_only_of_ranges_that_differ():
     one, other = Catalog(), Catalog()
     items = [server(f"i-{n}") for n in range(100)]
     one.merge(items, 0.0)
@@ -168,7 +166,7 @@
     assert other.answer(RangeDigests(())) == []
 
 
-def test_rendezvous_moves_only_what_the_one_who_is_gone_had():
+def test_rendezvous_moves_only_the_keys_of_the_name_that_was_removed():
     names = [f"n-{n}" for n in range(10)]
     keys = [f"k-{n}" for n in range(200)]
     owners = {key: ranked(key, names)[0] for key in keys}
--- a/tests/dissemination/test_delta.py
+++ b/tests/dissemination/test_delta.py
@@ -1,4 +1,4 @@
-"""A configuration that is told by its change is what it was, and what does not fit is refused."""
+"""Deltas of a configuration: what they lead to, when they are made, and when they are rejected."""
 
 from __future__ import annotations
 
@@ -12,11 +12,13 @@
 from hypothesis import strategies as st
 
 from fordtrestle.dissemination import delta as delta_module
-from fordtrestle.dissemination.broadcast import WANT_RETRY_S, Broadcast, OutgoingMessage
+from fordtrestle.dissemination.broadcast import Broadcast, OutgoingMessage
 from fordtrestle.dissemination.catalog import Catalog
-from fordtrestle.dissemination.delta import ControlDelta, Copy, DeltaError, apply, difference
+from fordtrestle.dissemination.delta import ControlDelta, Copy, apply_delta, make_delta
+from fordtrestle.dissemination.errors import DeltaError
 from fordtrestle.dissemination.items import CONTROL_KEY, ControlView, control_item
 from fordtrestle.dissemination.messages import Prune, Update, Want
+from fordtrestle.dissemination.missing_items import WANT_RETRY_S
 from fordtrestle.peer.codec import decode, encode
 
 SHORT = 1_000  # bytes that the change of one route may take
@@ -35,14 +37,14 @@
     return ControlView(sequence, sequence, document, evacuated)
 
 
-def changed(rows):
+def with_one_route_changed(rows):
     return [*rows[:100], {**rows[100], "timeout_ms": 1}, *rows[101:]]
 
 
 @pytest.mark.parametrize(
     "change",
     [
-        pytest.param(changed, id="one route changed"),
+        pytest.param(with_one_route_changed, id="one route changed"),
         pytest.param(lambda rows: [*rows, {"name": "new"}], id="one added at the end"),
         pytest.param(lambda rows: [{"name": "new"}, *rows], id="one added at the beginning"),
         pytest.param(lambda rows: rows[:200] + rows[201:], id="one removed"),
@@ -54,30 +56,30 @@
 def test_the_change_of_a_long_configuration_is_short(change):
     rows = routes(500)
     old, new = view(1, rows), view(2, change(rows))
-    delta = difference(old, new)
+    delta = make_delta(old, new)
     assert len(encode(delta)) < SHORT < len(old.document)
-    assert apply(old, decode(encode(delta))) == new
+    assert apply_delta(old, decode(encode(delta))) == new
 
 
-def test_a_configuration_that_is_another_one_is_sent_whole():
-    assert difference(view(1, routes(100, seed=1)), view(2, routes(100, seed=2))) is None
+def test_a_configuration_without_common_pieces_has_no_delta():
+    assert make_delta(view(1, routes(100, seed=1)), view(2, routes(100, seed=2))) is None
 
 
 @given(st.binary(max_size=60), st.binary(max_size=60))
-def test_whatever_the_documents_hold_the_new_one_comes_out(old, new):
+def test_applying_the_delta_of_any_two_documents_gives_the_new_one(old, new):
     before, after = ControlView(1, 1, old, ()), ControlView(2, 2, new, ("z-1",))
-    delta = difference(before, after)
-    assert delta is None or apply(before, delta) == after
+    delta = make_delta(before, after)
+    assert delta is None or apply_delta(before, delta) == after
 
 
-def test_what_does_not_fit_is_refused():
+def test_a_delta_that_does_not_fit_the_document_raises():
     old, new = view(1, routes(50)), view(2, routes(51))
-    delta = difference(old, new)
+    delta = make_delta(old, new)
     for other in (replace(old, sequence=3), replace(old, document=old.document[1:])):
         with pytest.raises(DeltaError):
-            apply(other, delta)
+            apply_delta(other, delta)
     with pytest.raises(DeltaError):
-        apply(old, replace(delta, parts=(Copy(0, 5),)))
+        apply_delta(old, replace(delta, parts=(Copy(0, 5),)))
 
 
 def peer_with(known):
@@ -86,49 +88,49 @@
     return peer
 
 
-def test_a_change_is_passed_on_as_it_came():
+def test_a_delta_is_passed_on_as_it_came():
     old, new = view(1, routes(50)), view(2, routes(51))
-    (sending,) = peer_with(old).publish([control_item(new)], ["a"], 1.0).outgoing
-    delta = sending.message
+    (outgoing,) = peer_with(old).publish([control_item(new)], ["a"], 1.0).outgoing
+    delta = outgoing.message
     assert isinstance(delta, ControlDelta)
-    steps = peer_with(old).on_message(delta, ["a", "b"], 1.0, "a")
-    assert steps.new_items == [control_item(new)]
-    assert steps.outgoing == [OutgoingMessage("b", delta)]
+    effects = peer_with(old).on_message(delta, ["a", "b"], 1.0, "a")
+    assert effects.new_items == [control_item(new)]
+    assert effects.outgoing == [OutgoingMessage("b", delta)]
 
 
-def test_who_passes_nothing_on_compares_no_documents(monkeypatch):
+def test_a_process_without_children_makes_no_delta(monkeypatch):
     def fail(old, new):
         raise AssertionError("documents were compared")
 
-    monkeypatch.setattr("fordtrestle.dissemination.broadcast.difference", fail)
+    monkeypatch.setattr("fordtrestle.dissemination.broadcast.make_delta", fail)
     peer = peer_with(view(1, routes(50)))
     peer.on_message(Prune(), ["a", "b"], 1.0, "b")
     assert peer.on_message(Update((control_item(view(2, routes(51))),)), ["a", "b"], 1.0, "a").outgoing == []
 
 
-def test_who_lacks_what_a_change_rests_on_asks_for_the_whole():
+def test_a_process_without_the_base_of_a_delta_requests_the_whole():
     first, old, new = (view(number, routes(50 + number)) for number in (1, 2, 3))
-    delta = difference(old, new)
+    delta = make_delta(old, new)
     for peer in (peer_with(first), Broadcast(Catalog())):
-        steps = peer.on_message(delta, ["a", "b"], 1.0, "a")
-        assert steps.new_items == []
-        assert steps.outgoing == [OutgoingMessage("a", Want((CONTROL_KEY,)))]
+        effects = peer.on_message(delta, ["a", "b"], 1.0, "a")
+        assert effects.new_items == []
+        assert effects.outgoing == [OutgoingMessage("a", Want((CONTROL_KEY,)))]
         whole = peer.on_message(Update((control_item(new),)), ["a", "b"], 1.1, "a")
         assert whole.new_items == [control_item(new)]
 
 
-def test_a_change_that_was_had_before_shows_a_link_that_the_tree_does_without():
+def test_a_delta_that_is_no_longer_new_prunes_the_link_that_brought_it():
     old, new = view(1, routes(50)), view(2, routes(51))
     peer = peer_with(new)
-    (sending,) = peer.on_message(difference(old, new), ["a"], 1.0, "a").outgoing
-    assert sending.peer == "a"
+    (outgoing,) = peer.on_message(make_delta(old, new), ["a"], 1.0, "a").outgoing
+    assert outgoing.peer == "a"
     assert peer.publish([control_item(view(3, []))], ["a"], 1.0).outgoing == []
 
 
-def test_the_whole_is_asked_for_once_at_a_time_however_many_changes_come():
+def test_the_whole_is_requested_from_one_peer_at_a_time_however_many_deltas_come():
     views = [view(number, routes(50 + number)) for number in range(1, 6)]
     peer = peer_with(views[0])
-    changes = [difference(old, new) for old, new in itertools.pairwise(views[1:])]
+    changes = [make_delta(old, new) for old, new in itertools.pairwise(views[1:])]
     whole = Want((CONTROL_KEY,))
     sent = [
         peer.on_message(change, ["a", "b"], 1.0, source).outgoing
@@ -138,13 +140,13 @@
     assert peer.tick(1.0 + WANT_RETRY_S) == [OutgoingMessage("b", whole)], "who was not asked yet is next"
 
 
-def test_a_change_that_would_grow_too_large_is_refused(monkeypatch):
+def test_a_delta_that_would_exceed_a_bound_raises(monkeypatch):
     old, new = view(1, routes(50)), view(2, routes(51))
-    delta = difference(old, new)
+    delta = make_delta(old, new)
     large = replace(delta, parts=(Copy(0, len(old.document)),) * 3)
     monkeypatch.setattr(delta_module, "MAX_DOCUMENT_BYTES", 2 * len(old.document))
     with pytest.raises(DeltaError, match="bytes"):
-        apply(old, large)
+        apply_delta(old, large)
     monkeypatch.setattr(delta_module, "MAX_PARTS", 1)
     with pytest.raises(DeltaError, match="parts"):
-        apply(old, delta)
+        apply_delta(old, delta)
--- a/tests/dissemination/test_forgetting.py
+++ b/tests/dissemination/test_forgetting.py
@@ -1,8 +1,8 @@
-"""Words that are on no disk (`draining`, gone, silent) and are forgotten at any moment, by one process or by
-all: what is unsafe then, and until when (`docs/design/control.md`).
+"""What is unsafe, and for how long, when state that is on no disk is forgotten (`docs/design/control.md`).
 
-Two control processes and two sidecars; servers whose heartbeats reach either control process. Processes
-forget all that they know, are cut off, and bring old words back. Time is in s.
+That is what servers have said of themselves: that they drain, have departed, or are heard no more. Two
+control processes and two sidecars; servers whose heartbeats reach either control process. Processes forget
+all that they know at any moment, one of them or all, are partitioned, and bring old items back. Time is in s.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 @dataclass
 class Server:
-    """An incarnation as it is, whoever knows that."""
+    """An incarnation of a server as it really is, whatever processes know of it."""
 
     instance: str
     state: str = "ready"  # or draining, or gone
@@ -41,7 +41,7 @@
 
 @dataclass
 class Process:
-    """What one process knows, in one life of it."""
+    """What one process knows, from one start to the next."""
 
     node: str
     now: float
@@ -71,7 +71,7 @@
         self.cut: set[str] = set()
 
     def beat(self) -> None:
-        """Each living server whose time it is tells one control process that it reaches."""
+        """Let each server whose heartbeat is due send it to a control process that it reaches."""
         reached = [node for node in CONTROLS if node not in self.cut]
         for server in self.servers:
             if server.state == "gone" or self.now < server.beats_at or not reached:
@@ -89,7 +89,7 @@
             server.state, server.beats_at = "draining", self.now
 
     def deregister(self) -> None:
-        """Acknowledged once all control processes that are there hold it."""
+        """Deregister a server, acknowledged once all control processes that can be reached hold that."""
         server = self.rng.choice(self.servers)
         reached = [self.processes[node] for node in CONTROLS if node not in self.cut]
         if server.state != "gone" and len(reached) == len(CONTROLS):
@@ -99,7 +99,7 @@
                 control.take([item], self.now)
 
     def restart(self) -> None:
-        """Another incarnation comes in the place of one that is gone."""
+        """Start another incarnation in the place of one that has departed."""
         for place, server in enumerate(self.servers):
             if server.state == "gone" and self.rng.random() < 0.3:
                 self.servers[place] = Server(f"{server.instance}+", beats_at=self.now)
@@ -122,7 +122,7 @@
         self.processes[node] = Process(node, self.now)
 
     def forget_all(self) -> None:
-        """All that are not cut off lose power."""
+        """All processes that are not partitioned lose power."""
         for node in set(self.processes) - self.cut:
             self.processes[node] = Process(node, self.now)
 
@@ -148,7 +148,7 @@
         self.check()
 
     def check(self) -> None:
-        """Within one life nobody uses a server again that it has heard to leave."""
+        """Until it restarts, no sidecar uses a server again that it has heard to leave."""
         for node in SIDECARS:
             process = self.processes[node]
             used = process.usable(self.now)
@@ -157,7 +157,7 @@
             process.left |= known - used
 
     def heal(self) -> None:
-        """Nothing is cut off any more, and time goes by."""
+        """End the partition, and let time pass."""
         self.cut = set()
         until = self.now + HEALED_S
         while self.now < until:
@@ -181,7 +181,7 @@
 
 
 @pytest.mark.parametrize("part", range(5))
-def test_whatever_is_forgotten_nobody_goes_back_and_all_come_to_the_truth(part):
+def test_whatever_is_forgotten_no_process_goes_back_and_all_converge(part):
     for seed in range(part, SEEDS, 5):
         world = played(seed)
         world.heal()
@@ -205,15 +205,15 @@
     return world
 
 
-def test_a_sidecar_that_has_forgotten_all_uses_nothing_until_it_is_told():
+def test_a_sidecar_that_has_forgotten_all_uses_no_server_until_it_hears_of_one():
     world = served()
     world.drain()
     world.forget_all()
     assert world.processes["s-1"].usable(world.now) == set()
 
 
-def test_one_word_alone_is_unsafe_to_forget_that_a_server_is_gone_while_someone_is_cut_off():
-    """It brings the older word back to all; the server's silence ends that after the bound."""
+def test_a_forgotten_deregistration_is_undone_by_a_partitioned_process_until_the_bound():
+    """It brings the older item back to all; that no heartbeats come ends that after the bound."""
     world = served()
     world.cut = {"s-2"}
     server = world.servers[0]
--- a/tests/dissemination/test_suspicion.py
+++ b/tests/dissemination/test_suspicion.py
@@ -1,8 +1,7 @@
-"""A member is told to be down only once nobody who was asked can reach it."""
+"""A member is declared down only once no process that was asked can reach it."""
 
 from __future__ import annotations
 
-from fordtrestle.dissemination.items import Availability, MemberRecord
 from fordtrestle.dissemination.suspicion import (
     INDIRECT_PROBE_TIMEOUT_S,
     MONITORS_PER_NODE,
@@ -10,63 +9,50 @@
     Suspicion,
     monitored_by,
     monitors_of,
-    successor_of,
 )
 
 NODES = [f"n-{number}" for number in range(12)]
-GONE = "n-0"
-WATCHER = monitors_of(GONE, NODES)[0]
-MINE = monitored_by(WATCHER, NODES)
-LINKED = [node for node in NODES if node != GONE]
+LOST_NODE = "n-0"
+MONITOR = monitors_of(LOST_NODE, NODES)[0]
+MONITORED = monitored_by(MONITOR, NODES)
+LINKED = [node for node in NODES if node != LOST_NODE]
+DOWN_AFTER_S = SUSPICION_TIMEOUT_S + INDIRECT_PROBE_TIMEOUT_S
 
 
-def test_each_member_is_watched_by_a_few_and_all_agree_on_whom():
-    watched = {node: monitors_of(node, NODES) for node in NODES}
-    assert all(len(by) == MONITORS_PER_NODE and node not in by for node, by in watched.items())
-    assert monitors_of(GONE, reversed(NODES)) == watched[GONE]
+def test_all_processes_agree_on_the_few_monitors_of_a_member():
+    monitors = {node: monitors_of(node, NODES) for node in NODES}
+    assert all(len(by) == MONITORS_PER_NODE and node not in by for node, by in monitors.items())
+    assert monitors_of(LOST_NODE, reversed(NODES)) == monitors[LOST_NODE]
 
 
-def test_a_member_that_nobody_reaches_is_down_after_others_were_asked():
+def test_a_member_that_nobody_reaches_is_down_once_indirect_probes_time_out():
     suspicion = Suspicion()
-    assert suspicion.tick(MINE, LINKED, 0.0).probe == ()
-    assert suspicion.tick(MINE, LINKED, SUSPICION_TIMEOUT_S - 0.1).probe == ()
-    assert suspicion.tick(MINE, LINKED, SUSPICION_TIMEOUT_S).probe == (GONE,)
-    assert suspicion.tick(MINE, LINKED, SUSPICION_TIMEOUT_S + INDIRECT_PROBE_TIMEOUT_S - 0.1).down == ()
-    assert suspicion.tick(MINE, LINKED, SUSPICION_TIMEOUT_S + INDIRECT_PROBE_TIMEOUT_S).down == (GONE,)
+    assert suspicion.tick(MONITORED, LINKED, 0.0).probe == ()
+    assert suspicion.tick(MONITORED, LINKED, SUSPICION_TIMEOUT_S - 0.1).probe == ()
+    assert suspicion.tick(MONITORED, LINKED, SUSPICION_TIMEOUT_S).probe == (LOST_NODE,)
+    assert suspicion.tick(MONITORED, LINKED, DOWN_AFTER_S - 0.1).down == ()
+    assert suspicion.tick(MONITORED, LINKED, DOWN_AFTER_S).down == (LOST_NODE,)
 
 
-def test_a_member_that_another_reaches_is_not_down():
+def test_a_probe_ack_from_another_process_restarts_the_suspicion():
     suspicion = Suspicion()
-    suspicion.tick(MINE, LINKED, 0.0)
-    suspicion.tick(MINE, LINKED, SUSPICION_TIMEOUT_S)
-    suspicion.on_probe_ack(GONE, SUSPICION_TIMEOUT_S + 1.0)
-    assert suspicion.tick(MINE, LINKED, SUSPICION_TIMEOUT_S + INDIRECT_PROBE_TIMEOUT_S).down == ()
-    assert suspicion.tick(MINE, LINKED, SUSPICION_TIMEOUT_S + 1.0 + SUSPICION_TIMEOUT_S).probe == (GONE,)
+    suspicion.tick(MONITORED, LINKED, 0.0)
+    suspicion.tick(MONITORED, LINKED, SUSPICION_TIMEOUT_S)
+    acknowledged_at = SUSPICION_TIMEOUT_S + 1.0
+    suspicion.on_probe_ack(LOST_NODE, acknowledged_at)
+    assert suspicion.tick(MONITORED, LINKED, DOWN_AFTER_S).down == ()
+    assert suspicion.tick(MONITORED, LINKED, acknowledged_at + SUSPICION_TIMEOUT_S).probe == (LOST_NODE,)
 
 
 def test_a_link_that_comes_back_ends_the_suspicion():
     suspicion = Suspicion()
-    suspicion.tick(MINE, LINKED, 0.0)
-    suspicion.tick(MINE, LINKED, SUSPICION_TIMEOUT_S)
-    suspicion.tick(MINE, NODES, SUSPICION_TIMEOUT_S + 1.0)
-    assert suspicion.tick(MINE, LINKED, SUSPICION_TIMEOUT_S + INDIRECT_PROBE_TIMEOUT_S).down == ()
+    suspicion.tick(MONITORED, LINKED, 0.0)
+    suspicion.tick(MONITORED, LINKED, SUSPICION_TIMEOUT_S)
+    suspicion.tick(MONITORED, NODES, SUSPICION_TIMEOUT_S + 1.0)
+    assert suspicion.tick(MONITORED, LINKED, DOWN_AFTER_S).down == ()
 
 
-def test_each_watches_those_that_it_is_drawn_for():
-    watched = {node: monitored_by(node, NODES) for node in NODES}
-    assert all(node in watched[by] for node in NODES for by in monitors_of(node, NODES))
-    assert sum(map(len, watched.values())) == MONITORS_PER_NODE * len(NODES)
-
-
-def test_all_agree_on_one_heir_of_a_member_that_is_gone():
-    def member(node, role="control", availability=Availability.READY):
-        return MemberRecord(node, role, "z", "r", f"{node}:1", "", availability)
-
-    members = [member(f"c-{n}") for n in range(4)] + [member("s-1", "sidecar")]
-    assert successor_of("c-2", members, "control") is None, "it is there"
-    down = [*members[:2], member("c-2", availability=Availability.DOWN), *members[3:]]
-    heir = successor_of("c-2", down, "control")
-    assert heir in {"c-0", "c-1", "c-3"}
-    assert heir == successor_of("c-2", reversed(down), "control")
-    assert successor_of("forgotten", members, "control") in {f"c-{n}" for n in range(4)}
-    assert successor_of("c-2", [member("s-1", "sidecar")], "control") is None
+def test_each_process_monitors_the_nodes_whose_monitor_it_is():
+    monitored = {node: monitored_by(node, NODES) for node in NODES}
+    assert all(node in monitored[monitor] for node in NODES for monitor in monitors_of(node, NODES))
+    assert sum(map(len, monitored.values())) == MONITORS_PER_NODE * len(NODES)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -37,6 +37,7 @@
 DIRECTORY = "tests/ingress/test_directory.py"
 SIGNALS = "tests/roles/test_signals.py"
 LEAVING = "tests/roles/test_leaving.py"
+MISSING_ITEMS = "dissemination/missing_items.py"
 BROADCAST, BROADCAST_TESTS = "dissemination/broadcast.py", "tests/dissemination/test_broadcast.py"
 DELTA, DELTA_TESTS = "dissemination/delta.py", "tests/dissemination/test_delta.py"
 FRONTS, FRONTS_TESTS = "routing/fronts.py", "tests/routing/test_fronts.py"
@@ -479,13 +480,13 @@
     "what is gone stays gone as long as an old word may travel": _removal(
         "dissemination/catalog.py",
         "tests/dissemination/test_catalog.py",
-        "            self._ends_at[item.key] = now + lasts\n",
-        "            self._ends_at[item.key] = now\n",
+        "            self._expires_at[item.key] = now + retention\n",
+        "            self._expires_at[item.key] = now\n",
     ),
     "what was forgotten is not taken back": _removal(
         "dissemination/catalog.py",
         "tests/dissemination/test_catalog.py",
-        "        return key not in self._forgotten or version > self._forgotten[key][0]\n",
+        "        return key not in self._forgotten or version > self._forgotten[key].version\n",
         "        return True\n",
     ),
     "a store that is cut off waits for the others": _removal(
@@ -497,7 +498,7 @@
     "a member is down only once others were asked": _removal(
         "dissemination/suspicion.py",
         "tests/dissemination/test_suspicion.py",
-        "        if node in self._watches:\n",
+        "        if node in self._suspects:\n",
         "        if False:\n",
     ),
     "a front that ends waits for no connection that rests": _removal(
@@ -586,7 +587,7 @@
     "what was offered and does not come is asked for": _removal(
         BROADCAST,
         BROADCAST_TESTS,
-        "        outgoing = self._ask(now)\n",
+        "        outgoing = self._request_missing(now)\n",
         "        outgoing: list[OutgoingMessage] = []\n",
     ),
     "a link that brings what was had before leaves the tree": _removal(
@@ -611,7 +612,7 @@
         "            if True:\n",
     ),
     "the whole is asked for from one at a time": _removal(
-        BROADCAST, DELTA_TESTS, "        if not missing.asked:\n", "        if True:\n"
+        MISSING_ITEMS, DELTA_TESTS, "        if not missing.asked:\n", "        if True:\n"
     ),
     "a connection that cannot be taken over is done without": _removal(
         FRONT,
