--- a/tests/control_api/test_orders.py
+++ b/tests/control_api/test_orders.py
@@ -18,8 +18,8 @@
 from fordtrestle.replication.state import ConfigChange, ControlState
 from tests.control_api.world import VirtualReplicator
 from tests.exchanges import loopback
-from tests.replication.test_hard_cases import Script
-from tests.replication.world import Machine
+from tests.replication.deployment import Machine
+from tests.replication.serving_core import ServingCore
 
 
 def document(generation: int, name: str = "pool") -> bytes:
@@ -34,7 +34,7 @@
     return False
 
 
-class Core(Script):
+class Core(ServingCore):
     """Three stores that serve, and the orders of each."""
 
     def __init__(self) -> None:
@@ -52,7 +52,7 @@
         await asyncio.sleep(0)
         between()
         while not task.done():
-            self.flow(*among)
+            self.exchange_all(*among)
             for machine in among:
                 self.tick(machine, 0.05)
             await asyncio.sleep(0)
@@ -64,7 +64,7 @@
 
     def depose(self) -> None:
         """A is cut off from the others, and has not noticed yet that B is primary."""
-        self.candidate(self.b, self.c)
+        self.run_candidate(self.b, self.c)
         assert self.a.node.is_primary
         assert self.b.node.is_primary
 
@@ -140,10 +140,10 @@
 
 async def lead_meanwhile(core: Core, order: Coroutine[None, None, Outcome]) -> None:
     """B is primary for a while, takes an order, and A is primary again with what came of it."""
-    core.candidate(core.b, core.a)
+    core.run_candidate(core.b, core.a)
     assert not core.a.node.is_primary
     assert (await core.run(order, core.a, core.b)).verdict is Verdict.DONE
-    core.candidate(core.a, core.b, core.c)
+    core.run_candidate(core.a, core.b, core.c)
     assert core.a.node.is_primary
 
 
--- a/tests/control_api/world.py
+++ b/tests/control_api/world.py
@@ -14,7 +14,8 @@
 from fordtrestle.control_api.orders import Orders, Outcome, Verdict, digest_of
 from fordtrestle.replication.node import Node
 from fordtrestle.replication.state import ControlState
-from tests.replication.world import Breach, Machine, World
+from tests.replication.deployment import Machine
+from tests.replication.world import InvariantError, World
 
 PATIENCE_S = 1.0  # of silence, then a caller goes elsewhere
 TRIES_MOST = 12
@@ -167,7 +168,7 @@
         if outcome.verdict is Verdict.DONE:
             held = json.loads(outcome.document)["generation"] if outcome.document else 0
             if held < newest:
-                raise Breach(f"a read gave {held} after {newest} was acknowledged")
+                raise InvariantError(f"a read gave {held} after {newest} was acknowledged")
 
     async def _ask_around(
         self,
@@ -216,25 +217,25 @@
                 self._acknowledge(change)
             elif outcome.verdict in (Verdict.STALE, Verdict.INVALID):
                 if change.acknowledged:
-                    raise Breach(f"{change.digest.hex()[:6]} was acknowledged and is refused")
+                    raise InvariantError(f"{change.digest.hex()[:6]} was acknowledged and is refused")
                 rivals = [c for c in self.told.changes if c is not change and c.base >= change.base]
                 if change.alone and change.is_valid and not any(rival.is_valid for rival in rivals):
-                    raise Breach("a proper change on the newest version is refused")
+                    raise InvariantError("a proper change on the newest version is refused")
                 change.refused = True
 
         return check
 
     def _acknowledge(self, change: Change) -> None:
         if change.refused:
-            raise Breach("a change is acknowledged that was refused")
+            raise InvariantError("a change is acknowledged that was refused")
         if not change.is_valid:
-            raise Breach("an invalid change is acknowledged")
+            raise InvariantError("an invalid change is acknowledged")
         for other in self.told.changes:
             if other is not change and other.acknowledged:
                 if other.base == change.base:
-                    raise Breach("two changes on one version are acknowledged")
+                    raise InvariantError("two changes on one version are acknowledged")
                 if other.generation == change.generation:
-                    raise Breach("two changes are acknowledged under one number")
+                    raise InvariantError("two changes are acknowledged under one number")
         change.acknowledged = True
 
     # the play
@@ -249,13 +250,13 @@
         await asyncio.gather(*self.calls, return_exceptions=True)
         state = self.heal().durable.state
         if state.generation < self.told.newest:
-            raise Breach(f"{state.generation} is left of {self.told.newest}")
+            raise InvariantError(f"{state.generation} is left of {self.told.newest}")
         for change in self.told.changes:
             if change.refused and state.has_applied(change.digest):
-                raise Breach("a change is in force that was refused")
+                raise InvariantError("a change is in force that was refused")
         busy, active = self.told.zone_busy, self.told.zone_active
         if active is not None and not busy and (ZONE in state.evacuated) != active:
-            raise Breach("an order of the zone acts that was overtaken")
+            raise InvariantError("an order of the zone acts that was overtaken")
         return state
 
     async def _progress(self) -> None:
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -136,18 +136,18 @@
         "Verdict.UNCLEAR if state.may_have_applied(digest, base) else Verdict.STALE",
         "Verdict.STALE",
     ),
-    "a call whose print is known may have been taken": _removal(
+    "a call whose digest prefix is known may have been applied": _removal(
         "replication/state.py",
         ORDER_TESTS,
         " or _holds_prefix(self.digest_prefixes, prefix)",
     ),
-    "a call whose print is not known is refused": _removal(
+    "a call whose digest prefix is not known is refused": _removal(
         "replication/state.py",
         ORDER_TESTS,
         "base <= self.forgotten_base or _holds_prefix(self.digest_prefixes, prefix)",
         "base < self.applied_calls[0].base",
     ),
-    "prints are bounded": _removal(
+    "digest prefixes are bounded": _removal(
         "replication/state.py",
         ORDER_TESTS,
         'digest_prefixes=b"" if is_full else digest_prefixes',
@@ -176,23 +176,23 @@
         "tests/routing/test_long_configurations.py",
         "        self._unread = self._reading = None  # what is read is older\n",
     ),
-    "a wait is told at growing pauses": _removal(
+    "a wait is reported at growing intervals": _removal(
         "replication/events.py",
         "tests/replication/test_events.py",
         "        self._backoff_s = min(MAX_WAIT_REPORT_BACKOFF_S, 2 * self._backoff_s)\n",
     ),
-    "events that nobody takes are bounded": _removal(
+    "events that nobody drains are bounded": _removal(
         "replication/events.py",
         "tests/replication/test_events.py",
         "        del self._pending[:-MAX_PENDING_EVENTS]\n",
     ),
-    "a late write is told of once": _removal(
+    "a late write is reported once": _removal(
         "replication/leadership.py",
         "tests/replication/test_events.py",
         "        return reported != self.append_since\n",
         "        return True\n",
     ),
-    "calls are remembered": _removal(
+    "applied calls are remembered": _removal(
         "replication/state.py", ORDER_TESTS, "MAX_APPLIED_CALLS = 2048", "MAX_APPLIED_CALLS = 4"
     ),
     "the base of a change is the current version": _removal(
@@ -269,73 +269,73 @@
         "            if record.heard_by == self._node or inherits(record.heard_by):\n",
         "            if record.heard_by == self._node:\n",
     ),
-    "an ended link's store is not live": _removal(
+    "a disconnected store is not live": _removal(
         "replication/peer_table.py",
         "tests/replication/test_control_times.py",
         "        return heard - self._disconnected\n",
         "        return heard\n",
     ),
-    "a primary out of touch says that it resigns": _removal(
+    "a primary that no majority answers announces that it resigns": _removal(
         PRIMARY,
         "tests/replication/test_control_times.py",
         "            self.resign(Reason.OUT_OF_TOUCH, now)",
         "            self.step_down(Reason.OUT_OF_TOUCH, now)",
     ),
-    "a store that leaves stays until it is needed no more": _removal(
+    "a store that shuts down stays until it is needed no more": _removal(
         MEMBERSHIP, HARD_CASES, "        return context.me.id not in needed\n", "        return True\n"
     ),
-    "replicas that leave are replaced": _removal(
+    "replicas that shut down are replaced": _removal(
         "replication/reconfiguration.py",
         HARD_CASES,
         "        return Reason.REPLICA_LEAVES\n",
         "        return None\n",
     ),
-    "a store that leaves gives up its place": _removal(
+    "a store that shuts down gives up its slot": _removal(
         "replication/peer_table.py",
         HARD_CASES,
         " if store_id in leaving and store_id not in first\n",
         " if False\n",
     ),
-    "stores that leave are replicas last": _removal(
+    "stores that shut down are replicas last": _removal(
         "replication/epochs.py", HARD_CASES, "store.id in leaving, store.id not in", "store.id not in"
     ),
-    "a store that is behind is sent the state": _removal(
+    "a store that lags is sent the state": _removal(
         PRIMARY,
         HARD_CASES,
         "        if follows and leadership",
         "        if False and leadership",
     ),
-    "stores that are no replicas follow": _removal(
+    "witnesses that are no replicas follow": _removal(
         PRIMARY,
         HARD_CASES,
         "        for store_id in leadership.epoch.witness_ids:  # those",
         "        for store_id in leadership.epoch.replicas:  # those",
     ),
-    "who founds votes first": _removal(
+    "the founder votes first": _removal(
         EPOCH_CHANGE,
         BOOTSTRAP_TESTS,
         "        if self.is_bootstrap and self.me.id in asked:\n",
         "        if False:\n",
     ),
-    "all of a core promise before it begins anew": _removal(
+    "all of a core prepare before it bootstraps without a founder": _removal(
         EPOCH_CHANGE, BOOTSTRAP_TESTS, " and self.unanimous.issubset(self.prepared)"
     ),
-    "a core does not begin anew while a seed is missing": _removal(
+    "a core does not bootstrap without a founder while a seed is missing": _removal(
         BOOTSTRAP, BOOTSTRAP_TESTS, " or self.missing_seeds(heard, seeds):", ":"
     ),
-    "a core does not begin anew while its founder is there": _removal(
+    "a core does not bootstrap without its founder while it is there": _removal(
         BOOTSTRAP,
         BOOTSTRAP_TESTS,
         "if has_founder or not self._counts_for_quorum",
         "if not self._counts_for_quorum",
     ),
-    "no core is founded beside one that is heard": _removal(
+    "no core is bootstrapped beside one that is heard": _removal(
         BOOTSTRAP, BOOTSTRAP_TESTS, " or any(other.core for other in heard):", ":"
     ),
-    "no core is founded with fewer stores than a whole one has": _removal(
+    "no core is bootstrapped with fewer stores than a complete one has": _removal(
         BOOTSTRAP, BOOTSTRAP_TESTS, "if not is_complete or any(", "if any("
     ),
-    "that a store is to found is on disk before anything else": _removal(
+    "that a store is the founder is on disk before anything else": _removal(
         "replication/durable.py",
         BOOTSTRAP_TESTS,
         "[*founder, self._vote(), Snapshot(self.installed_term, self.state)]",
@@ -498,7 +498,7 @@
         "        return key not in self._forgotten or version > self._forgotten[key].version\n",
         "        return True\n",
     ),
-    "a store that is cut off waits for the others": _removal(
+    "a partitioned store that shuts down waits for the others": _removal(
         MEMBERSHIP,
         HARD_CASES,
         "        staying = context.peers.ids() - context",
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -1,6 +1,4 @@
-"""Guards of the replication, each with a way to take it out: the search has to find the breach that
-follows.
-"""
+"""Guards of the replication, each with a way to take it out: the search has to find what breaks then."""
 
 from __future__ import annotations
 
@@ -17,17 +15,18 @@
 from fordtrestle.replication.epochs import NO_TERM, Epoch, majority
 from fordtrestle.replication.node import Node
 from fordtrestle.replication.primary import Primary
-from tests.replication.world import Machine, World
+from tests.replication.deployment import Machine
+from tests.replication.world import World
 
 Removal = Callable[[pytest.MonkeyPatch], None]
 
 
 def _promises_are_forgotten(patch: pytest.MonkeyPatch) -> None:
-    whole = Durable.prepare
-    patch.setattr(Durable, "prepare", lambda self, term: None if whole(self, term) is None else [])
+    original = Durable.prepare
+    patch.setattr(Durable, "prepare", lambda self, term: None if original(self, term) is None else [])
 
 
-def _older_terms_are_promised(patch: pytest.MonkeyPatch) -> None:
+def _older_terms_are_prepared(patch: pytest.MonkeyPatch) -> None:
     def prepare(self, term):
         self.prepared_term = term
         return [self._vote()]
@@ -56,13 +55,13 @@
 
 
 def _appends_may_leave_gaps(patch: pytest.MonkeyPatch) -> None:
-    whole = Durable.append
+    original = Durable.append
 
     def append(self, term, sequence, change):
         if term == self.installed_term and term >= self.prepared_term and sequence > self.state.sequence + 1:
             self.state = replace(self.state.apply(change), sequence=sequence)
             return [wire.Entry(term, sequence, change)]
-        return whole(self, term, sequence, change)
+        return original(self, term, sequence, change)
 
     patch.setattr(Durable, "append", append)
 
@@ -83,31 +82,31 @@
 
 
 def _state_is_not_installed_first(patch: pytest.MonkeyPatch) -> None:
-    whole = EpochChange._propose
+    original = EpochChange._propose
 
     def propose(self, base_state=None):
         self.installed.update(self.installing)
-        return whole(self, base_state)
+        return original(self, base_state)
 
     patch.setattr(EpochChange, "_propose", propose)
 
 
 def _one_replica_is_enough(patch: pytest.MonkeyPatch) -> None:
-    whole = Primary.on_appended
+    original = Primary.on_appended
 
     def take(self, sender, message):
         if self.leadership and message.term == self.leadership.epoch.term:
             for replica in self.leadership.epoch.replicas:
-                whole(self, replica, message)
+                original(self, replica, message)
 
     patch.setattr(Primary, "on_appended", take)
 
 
 def _messages_overtake_the_disk(patch: pytest.MonkeyPatch) -> None:
-    whole = World.pump
+    original = World.pump
 
     def pump(self, machine: Machine) -> None:
-        whole(self, machine)
+        original(self, machine)
         if machine.queue and machine.queue[-1].messages:
             effects = machine.queue[-1]
             own = [pair for pair in effects.messages if pair[0] == machine.node.me.id]
@@ -132,10 +131,10 @@
 
 
 def _votes_are_lost_at_a_restart(patch: pytest.MonkeyPatch) -> None:
-    whole = Durable.restore.__func__
+    original = Durable.restore.__func__
 
     def restore(cls, records):
-        found = whole(cls, records)
+        found = original(cls, records)
         if found and found.accepted_epoch:
             found.prepared_term = found.accepted_epoch.term
         elif found:
@@ -145,7 +144,7 @@
     patch.setattr(Durable, "restore", classmethod(restore))
 
 
-def _new_epochs_are_acknowledged_in_before_they_are_known(patch: pytest.MonkeyPatch) -> None:
+def _writes_are_acknowledged_before_the_epoch_is_committed(patch: pytest.MonkeyPatch) -> None:
     def is_ready(self) -> bool:
         return self.is_primary and not self.candidate.epoch_change
 
@@ -171,15 +170,15 @@
     "a wiped disk is another store": _a_wiped_disk_keeps_its_name,
 }
 FOUND_BY_SCHEDULE: dict[str, Removal] = {
-    "earlier witnesses vote until the epoch is known": _earlier_witnesses_are_not_asked,
+    "earlier witnesses vote until the epoch is committed": _earlier_witnesses_are_not_asked,
     "the state is on all replicas before the epoch": _state_is_not_installed_first,
-    "a promise is on disk before it is told": _promises_are_forgotten,
+    "a promise is synced before it is sent": _promises_are_forgotten,
     "promises outlive a restart": _votes_are_lost_at_a_restart,
-    "no older term is promised": _older_terms_are_promised,
+    "no older term is prepared": _older_terms_are_prepared,
     "no older epoch is accepted": _older_epochs_are_accepted,
-    "a replica refuses writes of older epochs": _appends_pass_the_fence,
+    "a replica rejects writes of older epochs": _appends_pass_the_fence,
     "only a replica of the newest epoch opens the next": _any_candidate_may_open,
     "a read is confirmed after it was asked": _reads_are_not_confirmed,
-    "nothing is told before it is synced": _messages_overtake_the_disk,
-    "nothing is acknowledged with too few replicas": _new_epochs_are_acknowledged_in_before_they_are_known,
+    "nothing is sent before it is synced": _messages_overtake_the_disk,
+    "nothing is acknowledged with too few replicas": _writes_are_acknowledged_before_the_epoch_is_committed,
 }
--- a/tests/replication/stored.py
+++ b/tests/replication/stored.py
@@ -1,5 +1,7 @@
-"""The world of control stores over the record log of the program, each on a disk that loses what was not
-synced (`tests/storage/disk.py`). Processes are killed, or machines lose power, at any call to the disk.
+"""The world of control stores over the record log of the program.
+
+Each store is on a disk that loses what was not synced (`tests/storage/disk.py`). Processes are killed, or
+machines lose power, at any call to the disk.
 """
 
 from __future__ import annotations
@@ -13,10 +15,11 @@
 from fordtrestle.replication.node import Node
 from fordtrestle.storage import log as log_module
 from fordtrestle.storage.log import RecordLog, StorageError
-from tests.replication.world import Machine, World
+from tests.replication.deployment import Machine
+from tests.replication.world import World
 from tests.storage.disk import Disk, Stopped
 
-CALLS_MOST = 8  # to the disk, in which a process is ended
+MAX_DISK_CALLS = 8  # to the disk, in which a process is ended
 
 
 class StoredWorld(World):
@@ -61,9 +64,9 @@
     def _write(self, machine: Machine, records: list) -> None:
         with self.on(machine) as log:
             disk = self.disks[machine.address]
-            if self.rng.random() < self.trouble / 3:
-                disk.stop_at = len(disk.calls) + self.rng.randint(1, CALLS_MOST)
-            refused = self.rng.random() < self.trouble / 10
+            if self.rng.random() < self.fault_rate / 3:
+                disk.stop_at = len(disk.calls) + self.rng.randint(1, MAX_DISK_CALLS)
+            refused = self.rng.random() < self.fault_rate / 10
             disk.refuse = {self.rng.choice(("pwrite", "fdatasync"))} if refused else set()
             try:
                 log.append(map(encode, records))
@@ -73,7 +76,7 @@
             disk.stop_at = None
 
     def heal(self, seconds: float = 30.0) -> Node:
-        self.trouble = 0.0
+        self.fault_rate = 0.0
         return super().heal(seconds)
 
     def stop(self, machine: Machine) -> None:
--- a/tests/replication/test_bootstrap.py
+++ b/tests/replication/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""A core forms whatever is lost while it does, as far as losses are tolerated, and never a second one."""
+"""A core forms whatever is lost meanwhile, as far as losses are tolerated, and never a second one."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 from fordtrestle.replication.events import ForeignStoreSeen, Waiting, WaitReason
 from fordtrestle.replication.messages import Accepted, Announce, Heartbeat, Prepared, Record
 from fordtrestle.replication.state import ControlState
-from tests.replication.world import TICK_S, Machine, World
+from tests.replication.deployment import Machine
+from tests.replication.world import TICK_S, World
 
 STEPS = range(0, 240, 6)  # of the bootstrap, at which something is lost; it takes some 150
 
 
-class Birth(World):
-    """Stores that have just started for the first time, of which the first one was told to found."""
+class FormingCore(World):
+    """Stores that have just started for the first time, of which the first one was told to bootstrap."""
 
     def __init__(self, seed: int, machines: int) -> None:
         super().__init__(seed, machines)
-        self.trouble = 0.0
+        self.fault_rate = 0.0
 
     def go(self, steps: int) -> None:
         """Let so many things happen, in an order that the seed draws."""
@@ -31,7 +32,7 @@
     def run(self, seconds: float) -> None:
         """Let the machines that are up run."""
         for _ in range(int(seconds / TICK_S)):
-            self.round()
+            self.run_tick()
 
     def empty(self, *machines: Machine) -> None:
         """These have lost their disks, or were never given the time to write to them."""
@@ -41,16 +42,16 @@
     def ready(self) -> list[Machine]:
         return [machine for machine in self.machines if machine.node and machine.node.is_ready]
 
-    def waits(self) -> list[Waiting]:
-        """The waits that all have told."""
-        told = [event for machine in self.machines if machine.node for event in machine.node.events.drain()]
-        return [event for event in told if isinstance(event, Waiting)]
+    def recorded_waits(self) -> list[Waiting]:
+        """The waits that all have recorded."""
+        events = [event for machine in self.machines if machine.node for event in machine.node.events.drain()]
+        return [event for event in events if isinstance(event, Waiting)]
 
 
-def cut_off(world: World, machine: Machine) -> None:
+def isolate(world: World, machine: Machine) -> None:
     """Nothing passes between this machine and the others."""
     for other in world.machines:
-        world.cut |= {
+        world.partitioned |= {
             (machine.node.me.id, other.node.me.id),
             (other.node.me.id, machine.node.me.id),
         }
@@ -63,26 +64,26 @@
 SEEDS = [store.control for store in (ME, B, C)]
 
 
-def said(*stores: Store, **told) -> list[Announce]:
-    return [Announce(store, True, False, **{"core": "", **told}) for store in stores]
+def announces(*stores: Store, **fields) -> list[Announce]:
+    return [Announce(store, True, False, **{"core": "", **fields}) for store in stores]
 
 
-def test_a_whole_core_that_nobody_was_told_to_found_waits_for_each_seed_and_for_founders():
+def test_complete_core_without_a_founder_waits_for_each_seed_and_for_founders():
     def begins(heard, seeds=SEEDS):
         bootstrap = Bootstrap(ME, 1, True, 0.0)
         tries = [bootstrap.plan(False, heard, seeds, at) for at in (0.0, UNANIMOUS_DELAY_S)]
         assert tries[0] is None
         return tries[1]
 
-    assert not begins(said(B, D)), "a seed is missing: it may know more"
-    assert not begins([*said(B), *said(C, is_founder=True)])
-    assert not begins([*said(B), *said(C, core="a")])
-    assert not begins([*said(B, C), *said(D, core="a")])
-    assert not begins(said(B), [ME.control]), "two of three"
-    told = begins(said(B, C))
-    assert told.unanimous == {"a", "b", "c"}
-    assert set(told.witnesses) == {ME, B, C}
-    assert Bootstrap(B, 1, True, 0.0).plan(False, said(ME, C), SEEDS, 99.0) is None, "another goes first"
+    assert not begins(announces(B, D)), "a seed is missing: it may know more"
+    assert not begins([*announces(B), *announces(C, is_founder=True)])
+    assert not begins([*announces(B), *announces(C, core="a")])
+    assert not begins([*announces(B, C), *announces(D, core="a")])
+    assert not begins(announces(B), [ME.control]), "two of three"
+    plan = begins(announces(B, C))
+    assert plan.unanimous == {"a", "b", "c"}
+    assert set(plan.witnesses) == {ME, B, C}
+    assert Bootstrap(B, 1, True, 0.0).plan(False, announces(ME, C), SEEDS, 99.0) is None, "another goes first"
 
 
 def unanimous() -> EpochChange:
@@ -90,7 +91,7 @@
     return EpochChange(ME, Term(5, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0, unanimous=ids)
 
 
-def promise(accepted: Epoch | None) -> Prepared:
+def prepared_by_all(accepted: Epoch | None) -> Prepared:
     return Prepared(Term(5, "a"), accepted, Term(0, ""), 0)
 
 
@@ -98,26 +99,26 @@
     return Epoch(Term(2, "b"), "b", ("b",), witnesses, core="b")
 
 
-def test_a_core_that_nobody_was_told_to_found_needs_the_promise_of_all():
+def test_core_without_a_founder_needs_the_promise_of_all():
     change = unanimous()
     for store_id in ("a", "b"):
-        assert not change.receive(store_id, promise(None), ControlState())
+        assert not change.receive(store_id, prepared_by_all(None), ControlState())
     assert not change.repeat(ControlState())[1:], "C is asked again, and nobody to accept"
-    assert change.receive("c", promise(None), ControlState())
+    assert change.receive("c", prepared_by_all(None), ControlState())
     assert change.proposed
     assert not change.newer
 
 
-def test_a_core_is_not_founded_over_an_epoch_that_one_of_all_knows():
+def test_core_is_not_bootstrapped_over_an_epoch_that_one_store_knows():
     change = unanimous()
     for store_id in ("a", "b"):
-        change.receive(store_id, promise(None), ControlState())
-    assert not change.receive("c", promise(epoch(B, C)), ControlState())
+        change.receive(store_id, prepared_by_all(None), ControlState())
+    assert not change.receive("c", prepared_by_all(epoch(B, C)), ControlState())
     assert change.newer == epoch(B, C)
     assert not change.proposed
 
 
-def test_who_founds_votes_first():
+def test_founder_votes_before_it_asks_others():
     change = EpochChange(ME, Term(1, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0)
     asked = []
     for store_id in ("a", "b", "c"):
@@ -129,7 +130,7 @@
     assert [receiver for receiver, _ in asked] == ["b", "c"]
 
 
-def test_the_wish_to_found_outlives_power_and_ends_with_the_first_vote():
+def test_founder_record_survives_a_power_loss_and_is_void_with_the_first_vote():
     durable = Durable("a", must_bootstrap=True)
     records: list[Record] = list(durable.snapshot())
     for length in range(1, len(records) + 1):
@@ -143,8 +144,8 @@
 
 
 @pytest.mark.parametrize("machines", [0, 1, 2, 3])
-def test_the_store_that_is_told_to_opens_the_first_epoch_with_all(machines):
-    world = Birth(1, machines)
+def test_founder_opens_the_first_epoch_with_all_stores(machines):
+    world = FormingCore(1, machines)
     world.run(1.0)
     (primary,) = world.ready()
     epoch = primary.node.epoch
@@ -154,18 +155,18 @@
 
 
 @pytest.mark.parametrize("machines", [1, 2])
-def test_power_that_is_lost_before_anything_is_on_disk(machines):
-    """The settings say only at the first start that a core is to be founded; nobody knows of it any more."""
-    world = Birth(1, machines)
+def test_core_forms_after_a_power_loss_before_anything_is_on_disk(machines):
+    """The settings say only at the first start that a core is to be bootstrapped; nobody knows of it now."""
+    world = FormingCore(1, machines)
     world.empty(*world.machines)
     world.heal()
 
 
 @pytest.mark.parametrize("machines", [1, 2])
 @pytest.mark.parametrize("seed", range(3))
-def test_all_lose_power_at_any_step(machines, seed):
+def test_core_forms_when_all_lose_power_at_any_step(machines, seed):
     for steps in STEPS:
-        world = Birth(seed, machines)
+        world = FormingCore(seed, machines)
         world.go(steps)
         for machine in world.machines:
             world.stop(machine)
@@ -174,9 +175,9 @@
 
 @pytest.mark.parametrize("machines", [1, 2])
 @pytest.mark.parametrize("seed", range(3))
-def test_the_founder_and_others_lose_their_disks_at_any_step(machines, seed):
+def test_core_forms_when_the_founder_and_others_lose_their_disks_at_any_step(machines, seed):
     for steps in STEPS:
-        world = Birth(seed, machines)
+        world = FormingCore(seed, machines)
         world.go(steps)
         for machine in world.machines[:machines]:
             world.wipe(machine)
@@ -186,26 +187,26 @@
 
 
 @pytest.mark.parametrize("machines", [1, 2])
-def test_the_founder_is_cut_off_at_any_step(machines):
+def test_core_forms_once_when_the_founder_is_isolated_at_any_step(machines):
     for steps in STEPS:
-        world = Birth(2, machines)
+        world = FormingCore(2, machines)
         world.go(steps)
-        cut_off(world, world.machines[0])
+        isolate(world, world.machines[0])
         world.run(6.0)
         assert len(world.ready()) <= 1
         world.heal()
 
 
 @pytest.mark.parametrize("machines", [1, 2])
-def test_without_all_nothing_is_founded_and_the_log_says_who_is_missing(machines):
+def test_incomplete_core_is_not_bootstrapped_and_reports_who_is_missing(machines):
     """Not even with one less: if its witnesses lost a disk until the last one comes, no majority was left."""
     for missing in (1, 1 + machines):
-        world = Birth(1, machines)
+        world = FormingCore(1, machines)
         late = world.machines[1 : 1 + missing]
         world.empty(*late)
         world.run(20.0)
         assert not world.ready()
-        waits = [wait for wait in world.waits() if wait.wait is WaitReason.STORES]
+        waits = [wait for wait in world.recorded_waits() if wait.wait is WaitReason.STORES]
         assert waits[-1].missing == tuple(machine.address for machine in late[:2])
         assert len(waits) == 4, "after 1, 3, 7 and 15 s"
         for machine in late:
@@ -214,16 +215,16 @@
         assert world.ready()
 
 
-def test_a_store_that_is_told_to_found_beside_a_core_joins_it():
+def test_founder_beside_a_core_joins_it():
     """Its disk was lost, and its settings still say `bootstrap`."""
-    world = Birth(1, 1)
+    world = FormingCore(1, 1)
     world.run(1.0)
     a = world.machines[0]
     world.propose(a)
     world.run(0.5)
     core = a.node.durable.core
     world.wipe(a)
-    a.lives = 0  # so that it is told to again
+    a.start_count = 0  # so that it is told to bootstrap again
     world.start(a)
     assert a.node.durable.is_founder
     world.run(8.0)
@@ -234,14 +235,14 @@
     assert not a.node.durable.is_founder
 
 
-def test_a_store_that_is_told_to_found_and_hears_a_core_alone_waits():
-    world = Birth(1, 1)
+def test_founder_that_hears_one_store_of_a_core_waits():
+    world = FormingCore(1, 1)
     world.run(1.0)
     a, b, c = world.machines
     world.propose(a)
     world.run(0.5)
     world.wipe(a)
-    a.lives = 0
+    a.start_count = 0
     for machine in (b, c):
         world.stop(machine)
     world.start(a)
@@ -254,14 +255,14 @@
     assert primary.node.durable.state.evacuated == ("z0",)
 
 
-def test_two_cores_that_meet_keep_apart_and_say_so():
-    """Two were founded by mistake, each with a state of its own: none takes the other's stores in."""
-    one, other = Birth(1, 0), Birth(2, 0)
+def test_two_cores_that_hear_each_other_stay_apart_and_report_it():
+    """Two were bootstrapped by mistake, each with a state of its own: none takes the other's stores in."""
+    one, other = FormingCore(1, 0), FormingCore(2, 0)
     other.machines[0].address = "10.0.9.0:1"
     for world in (one, other):
         world.stores += 10 * (world is other)
         world.empty(world.machines[0])
-        world.machines[0].lives = 0
+        world.machines[0].start_count = 0
         world.machines[0].address = "10.0.0.0:1"
         world.start(world.machines[0])
         world.run(0.5)
@@ -270,8 +271,8 @@
     (a,), (b,) = one.machines, other.machines
     for _ in range(3):
         a.node.receive(b.node.me.id, b.node.announcement(), a.now)
-    told = [event for event in a.node.events.drain() if isinstance(event, ForeignStoreSeen)]
-    assert [event.store for event in told] == [b.node.me.id]
+    seen = [event for event in a.node.events.drain() if isinstance(event, ForeignStoreSeen)]
+    assert [event.store for event in seen] == [b.node.me.id]
     assert b.node.me.id not in a.node.context.peers.ids()
     a.node.receive(b.node.me.id, Heartbeat(_newer(b), 1), a.now)
     assert a.node.is_primary
--- a/tests/replication/test_double_losses.py
+++ b/tests/replication/test_double_losses.py
@@ -13,20 +13,21 @@
 
 import pytest
 
-from tests.replication.test_bootstrap import cut_off
-from tests.replication.world import Machine, World
+from tests.replication.deployment import Machine
+from tests.replication.test_bootstrap import isolate
+from tests.replication.world import World
 
 MOMENTS = range(0, 700, 50)  # steps after the first losses; a repair takes 200 to 600
 SEEDS = 3
 WRITES = 3  # acknowledged before the first losses
 
 
-class Five(World):
+class FiveStores(World):
     """Five stores that serve, with writes acknowledged; `order`: the primary, other replicas, the rest."""
 
     def __init__(self, seed: int) -> None:
         super().__init__(seed, machines=2)
-        self.trouble = 0.0
+        self.fault_rate = 0.0
         primary = self.heal()
         replicas = primary.epoch.replicas
 
@@ -62,59 +63,59 @@
     def replace_as_planned(self, machine: Machine) -> None:
         self._add()
         machine.node.leave(machine.now)
-        machine.leaving_since, machine.gone_for_good = machine.now, True
+        machine.leaving_since, machine.is_decommissioned = machine.now, True
         self.pump(machine)
 
 
-def kill(*places: int) -> Callable[[Five], None]:
-    def act(world: Five) -> None:
-        for place in places:
-            world.stop(world.order[place])
+def kill(*slots: int) -> Callable[[FiveStores], None]:
+    def act(world: FiveStores) -> None:
+        for slot in slots:
+            world.stop(world.order[slot])
 
     return act
 
 
-def wipe(*places: int) -> Callable[[Five], None]:
-    def act(world: Five) -> None:
-        for place in places:
-            world.lose(world.order[place])
-            world.start(world.order[place])
+def wipe(*slots: int) -> Callable[[FiveStores], None]:
+    def act(world: FiveStores) -> None:
+        for slot in slots:
+            world.lose(world.order[slot])
+            world.start(world.order[slot])
 
     return act
 
 
-def replace(*places: int) -> Callable[[Five], None]:
-    return lambda world: [world.replace(world.order[place]) for place in places] and None
+def replace(*slots: int) -> Callable[[FiveStores], None]:
+    return lambda world: [world.replace(world.order[slot]) for slot in slots] and None
 
 
-def plan(*places: int) -> Callable[[Five], None]:
-    return lambda world: [world.replace_as_planned(world.order[place]) for place in places] and None
+def plan(*slots: int) -> Callable[[FiveStores], None]:
+    return lambda world: [world.replace_as_planned(world.order[slot]) for slot in slots] and None
 
 
-def one_of_each(world: Five) -> None:
+def one_of_each(world: FiveStores) -> None:
     world.replace_as_planned(world.order[1])
     world.replace(world.order[2])
 
 
-def cut(*places: int) -> Callable[[Five], None]:
-    return lambda world: [cut_off(world, world.order[place]) for place in places] and None
+def isolate_all(*slots: int) -> Callable[[FiveStores], None]:
+    return lambda world: [isolate(world, world.order[slot]) for slot in slots] and None
 
 
-def come_back_to_no_place(world: Five) -> None:
-    for place in (1, 2):
-        world.stop(world.order[place])
+def come_back_to_slots_given_away(world: FiveStores) -> None:
+    for slot in (1, 2):
+        world.stop(world.order[slot])
     for machine in world.machines:
-        machine.now += 3.0  # the silence has lasted: their places are given away
+        machine.now += 3.0  # past the time-out: their slots are given away
     world._add()
     world._add()
     world.go(150)
-    for place in (1, 2):
-        world.start(world.order[place])
+    for slot in (1, 2):
+        world.start(world.order[slot])
 
 
-def roll_by_two(world: Five) -> None:
-    for place in (0, 1):
-        machine = world.order[place]
+def roll_by_two(world: FiveStores) -> None:
+    for slot in (0, 1):
+        machine = world.order[slot]
         machine.node.leave(machine.now)
         machine.leaving_since = machine.now
         world.pump(machine)
@@ -124,37 +125,37 @@
             world.start(machine)
 
 
-def three_gone(world: Five) -> None:
+def three_killed_and_restarted(world: FiveStores) -> None:
     kill(0, 1, 2)(world)
-    for place in (0, 1, 2):
+    for slot in (0, 1, 2):
         world.go(40)
-        world.start(world.order[place])
+        world.start(world.order[slot])
 
 
-ROWS: dict[str, Callable[[Five], None]] = {
+ROWS: dict[str, Callable[[FiveStores], None]] = {
     "the primary and a backup killed": kill(0, 1),
     "both backups killed": kill(1, 2),
     "the primary and a backup wiped": wipe(0, 1),
     "both backups wiped": wipe(1, 2),
     "two that are no replicas wiped": wipe(3, 4),
-    "the primary and another cut off": cut(0, 3),
+    "the primary and another isolated": isolate_all(0, 3),
     "the primary and a backup gone, others elsewhere": replace(0, 1),
     "two that are no replicas gone, others elsewhere": replace(3, 4),
     "two replaced as planned": plan(0, 1),
     "one replaced as planned, one gone": one_of_each,
-    "two come back to places given away": come_back_to_no_place,
+    "two come back to slots given away": come_back_to_slots_given_away,
     "rolled by two": roll_by_two,
-    "three gone and back one by one": three_gone,
+    "three gone and back one by one": three_killed_and_restarted,
 }
 
 
 @functools.cache
-def serving(seed: int) -> Five:
-    return Five(seed)
+def serving(seed: int) -> FiveStores:
+    return FiveStores(seed)
 
 
 @pytest.mark.parametrize("name", ROWS)
-def test_the_next_two_losses_at_any_moment_lose_nothing(name):
+def test_next_two_losses_at_any_moment_lose_nothing_acknowledged(name):
     later = 0  # acknowledged after the first losses
     for seed in range(SEEDS):
         for moment in MOMENTS:
@@ -173,7 +174,7 @@
     assert later
 
 
-def test_the_losses_are_met_while_the_first_are_repaired():
+def test_drawn_moments_lie_before_and_after_the_repair():
     """Some of the moments lie before the next epoch, some behind it, and disks are lost at many."""
     before = behind = lost = 0
     for moment in MOMENTS:
--- a/tests/replication/test_durable.py
+++ b/tests/replication/test_durable.py
@@ -1,4 +1,4 @@
-"""What a store takes from its disk, also behind a disk that refused: the state that it has told of."""
+"""What a store restores from its disk, also after a disk that refused writes."""
 
 from __future__ import annotations
 
@@ -18,9 +18,10 @@
     return found
 
 
-def test_entries_of_another_term_are_no_part_of_a_later_snapshot():
-    """A disk refused, and a snapshot took the place of what it refused: writes of the primary before were
-    still to come behind it when power was lost.
+def test_entries_of_an_older_term_behind_a_snapshot_are_void():
+    """A disk refused writes, and a snapshot took their place.
+
+    Writes of the primary before were still to come behind it when power was lost.
     """
     records = [Vote("s", NEW, None), Snapshot(NEW, state("z-1")), Entry(OLD, 2, Evacuation("z-old", True))]
     assert Durable.restore(records).state == state("z-1")
@@ -28,7 +29,7 @@
     assert Durable.restore(records).state == state("z-1", "z-new")
 
 
-def test_entries_that_a_snapshot_holds_already_are_not_taken_twice():
+def test_entries_that_a_snapshot_holds_already_are_not_applied_twice():
     records = [
         Vote("s", NEW, None),
         Snapshot(NEW, state("z-1", "z-2")),
--- a/tests/replication/test_epoch_change.py
+++ b/tests/replication/test_epoch_change.py
@@ -11,15 +11,15 @@
 
 A, B, C, D, E = (Store(name, f"10.0.0.{n}:1", "", f"z-{n % 3}") for n, name in enumerate("abcde"))
 EPOCH = Epoch(Term(3, "a"), "a", ("a", "b"), (A, B, C))
-HELD = (Term(3, "a"), 7)
+HELD_STATE = (Term(3, "a"), 7)
 
 
-def test_a_lost_disk_gives_its_place_to_the_store_on_the_same_machine():
+def test_store_on_the_machine_of_a_lost_disk_takes_its_slot():
     again = Store("b2", B.address, "", B.zone)
     assert plan_witnesses(EPOCH, [D, again], [], 3) == (A, again, C)
 
 
-def test_a_place_that_is_lost_is_filled_before_one_whose_store_is_about_to_end():
+def test_slot_of_a_lost_store_is_filled_before_that_of_one_that_shuts_down():
     peers = PeerTable()
     for store, at in ((A, 10.0), (B, 5.0), (C, 10.0)):
         peers.on_announce(Announce(store, True, store is C), at)
@@ -30,11 +30,11 @@
     assert peers.giving_up(EPOCH.witness_ids, 0.0, 5.0 + REPLACEMENT_TIMEOUT_S) == ["c"]
 
 
-def test_nobody_takes_a_place_that_is_not_given_up():
+def test_joining_store_gets_no_slot_that_is_not_given_up():
     assert plan_witnesses(EPOCH, [D, E], [], 3) == (A, B, C)
 
 
-def test_stores_of_zones_without_a_witness_go_first_and_take_a_place_of_a_zone_with_several():
+def test_store_of_a_zone_without_a_witness_goes_first_and_takes_a_slot_of_a_crowded_zone():
     near = Store("b", B.address, "", A.zone)
     epoch = Epoch(Term(3, "a"), "a", ("a",), (A,))
     assert plan_witnesses(epoch, [near, C, Store("x", "10.0.0.9:1", "", "z-1")], [], 3)[1].zone != A.zone
@@ -42,10 +42,10 @@
     other = Store("x", "10.0.0.9:1", "", "z-1")
     assert plan_witnesses(crowded, [other], [], 3) == (A, other, C)
     replicas = Epoch(Term(3, "a"), "a", ("a", "b"), (A, near, C))
-    assert plan_witnesses(replicas, [other], [], 3) == (A, near, C), "a replica keeps its place"
+    assert plan_witnesses(replicas, [other], [], 3) == (A, near, C), "a replica keeps its slot"
 
 
-def test_replicas_hold_the_state_mean_to_stay_and_lie_in_zones_of_their_own():
+def test_replicas_stay_hold_the_state_and_lie_in_zones_of_their_own():
     assert choose_replicas(A, [A, B, C, D], {"b", "c", "d"}, (), 2) == ("a", "b")
     assert choose_replicas(A, [A, B, C, D], {"c"}, (), 2) == ("a", "c")
     assert choose_replicas(A, [A, B, C, D], {"b", "c"}, {"b"}, 2) == ("a", "c")
@@ -57,7 +57,7 @@
     return EpochChange(A, Term(4, "a"), EPOCH, EPOCH.witnesses, 2, leaving, started_at=0.0)
 
 
-def prepared(from_, position=HELD):
+def prepared(from_, position=HELD_STATE):
     return Prepared(Term(4, "a"), EPOCH, *position)
 
 
@@ -65,7 +65,7 @@
     return {type(message) for _, message in messages}
 
 
-def test_a_candidate_waits_for_stores_that_hold_its_state_and_then_does_without():
+def test_candidate_waits_for_stores_that_hold_its_state_until_it_repeats():
     state = ControlState(sequence=7)
     behind = (Term(2, "b"), 5)
     patient = epoch_change()
@@ -73,14 +73,14 @@
     assert patient.receive("b", prepared("b", behind), state) == [], "C may hold it"
     assert kinds(patient.receive("c", prepared("c"), state)) == {Accept}
     assert patient.proposed.replicas == ("a", "c")
-    assert patient.proposed.base_state == HELD
+    assert patient.proposed.base_state == HELD_STATE
     tired = epoch_change()
     tired.receive("a", prepared("a"), state)
     tired.receive("b", prepared("b", behind), state)
     assert Install in kinds(tired.repeat(state))
 
 
-def test_a_candidate_goes_on_at_once_where_nobody_is_left_to_wait_for():
+def test_candidate_goes_on_at_once_where_all_have_answered():
     state = ControlState(sequence=7)
     trial = epoch_change(leaving=frozenset(("b", "c")))
     trial.receive("a", prepared("a"), state)
@@ -88,7 +88,7 @@
     assert kinds(trial.receive("c", prepared("c"), state)) == {Accept}
 
 
-def test_a_candidate_that_has_not_synced_its_own_promise_installs_nothing():
+def test_candidate_that_has_not_synced_its_own_promise_installs_nothing():
     state = ControlState(sequence=7)
     trial = epoch_change()
     trial.receive("b", prepared("b"), state)
@@ -96,7 +96,7 @@
     assert kinds(trial.receive("a", prepared("a"), state)) == {Accept}
 
 
-def test_whole_states_are_repeated_at_doubled_pauses():
+def test_states_are_sent_again_at_doubled_intervals():
     state = ControlState(sequence=7)
     trial = epoch_change()
     for store in "abc":
--- a/tests/replication/test_events.py
+++ b/tests/replication/test_events.py
@@ -1,4 +1,4 @@
-"""What a store tells of itself: each change once, each wait at doubled pauses, never more than so many."""
+"""What a store reports: each change once, each wait at doubled intervals, a bounded number in all."""
 
 from __future__ import annotations
 
@@ -24,106 +24,101 @@
 from fordtrestle.roles import event_log as event_log_module
 from fordtrestle.roles.event_log import EventLog, message_type
 from fordtrestle.roles.metrics import of_events
-from tests.replication.test_hard_cases import Script
+from tests.replication.serving_core import ServingCore
 
 
-def quiet(script: Script) -> None:
-    """What was told while the core formed is taken."""
-    for machine in script.machines:
+def drain_events(core: ServingCore) -> None:
+    """Drop what was recorded while the core formed."""
+    for machine in core.machines:
         machine.node.events.drain()
 
 
-def run(script: Script, *machines, seconds: float) -> None:
+def run(core: ServingCore, *machines, seconds: float) -> None:
     for _ in range(int(seconds / 0.05)):
         for machine in machines:
-            script.tick(machine, 0.05)
-            script.announce(machine)
-        script.flow(*machines)
+            core.tick(machine, 0.05)
+            core.announce(machine)
+        core.exchange_all(*machines)
 
 
-def test_a_calm_core_tells_nothing():
-    script = Script()
-    quiet(script)
-    assert script.acknowledge(script.a, script.b, script.c)
-    run(script, *script.machines, seconds=10.0)
-    assert not any(machine.node.events.drain() for machine in script.machines)
+def test_core_that_serves_undisturbed_records_nothing(core):
+    drain_events(core)
+    assert core.acknowledge(core.a, core.b, core.c)
+    run(core, *core.machines, seconds=10.0)
+    assert not any(machine.node.events.drain() for machine in core.machines)
 
 
-def test_the_founder_tells_of_its_opening_and_of_the_epoch():
-    script = Script()
-    began, opened, *_ = script.a.node.events.drain()
+def test_founder_records_its_epoch_change_and_the_epoch(core):
+    began, opened, *_ = core.a.node.events.drain()
     assert (began.why, opened.why) == (Reason.BOOTSTRAP, Reason.BOOTSTRAP)
     assert opened.number == 1
-    assert opened.core == script.a.node.me.id
-    assert opened.replicas == script.a.node.epoch.replicas
+    assert opened.core == core.a.node.me.id
+    assert opened.replicas == core.a.node.epoch.replicas
     assert len(opened.witnesses) == 3
 
 
-def test_a_primary_that_is_missed_is_told_of_by_its_heir():
-    script = Script()
-    quiet(script)
-    script.stop(script.a)
-    run(script, script.b, script.c, seconds=4.0)
-    told = script.b.node.events.drain()
-    assert [type(event) for event in told] == [EpochChangeStarted, EpochOpened], "before the wait is long"
-    assert {event.why for event in told} == {Reason.PRIMARY_LOST}
-
-
-def test_a_backup_that_is_lost_and_the_state_that_goes_to_another():
-    script = Script()
-    assert script.acknowledge(script.a, script.b)  # C lacks it
-    quiet(script)
-    script.stop(script.b)
-    run(script, script.a, script.c, seconds=3.0)
-    told = script.a.node.events.drain()
-    assert [type(event) for event in told] == [StateSent, EpochChangeStarted, EpochOpened] or [
-        type(event) for event in told
+def test_backup_that_replaces_a_lost_primary_records_its_epoch_change(core):
+    drain_events(core)
+    core.stop(core.a)
+    run(core, core.b, core.c, seconds=4.0)
+    recorded = core.b.node.events.drain()
+    assert [type(event) for event in recorded] == [EpochChangeStarted, EpochOpened], (
+        "no wait is long enough to be reported"
+    )
+    assert {event.why for event in recorded} == {Reason.PRIMARY_LOST}
+
+
+def test_primary_that_replaces_a_lost_backup_records_the_state_that_it_sends(core):
+    assert core.acknowledge(core.a, core.b)  # C lacks it
+    drain_events(core)
+    core.stop(core.b)
+    run(core, core.a, core.c, seconds=3.0)
+    recorded = core.a.node.events.drain()
+    assert [type(event) for event in recorded] == [StateSent, EpochChangeStarted, EpochOpened] or [
+        type(event) for event in recorded
     ] == [EpochChangeStarted, StateSent, EpochOpened]
-    assert {event.why for event in told if not isinstance(event, StateSent)} == {Reason.REPLICA_LOST}
+    assert {event.why for event in recorded if not isinstance(event, StateSent)} == {Reason.REPLICA_LOST}
 
 
-def test_a_write_that_a_backup_holds_up_is_told_of_once_with_its_name():
-    script = Script()
-    quiet(script)
-    script.propose(script.a)
-    script.flow(script.a)
+def test_write_that_a_backup_stalls_is_recorded_once_with_the_backup(core):
+    drain_events(core)
+    core.propose(core.a)
+    core.exchange_all(core.a)
     for _ in range(40):  # C answers heartbeats, and nobody announces itself: no other epoch can be opened
-        script.tick(script.a, 0.05)
-        script.flow(script.a, script.c)
-    late = [event for event in script.a.node.events.drain() if isinstance(event, WriteLate)]
-    assert [event.missing for event in late] == [(script.b.node.me.id,)]
+        core.tick(core.a, 0.05)
+        core.exchange_all(core.a, core.c)
+    late = [event for event in core.a.node.events.drain() if isinstance(event, WriteLate)]
+    assert [event.missing for event in late] == [(core.b.node.me.id,)]
 
 
-def test_a_primary_that_ends_says_why_it_steps_down():
-    script = Script()
-    quiet(script)
-    script.a.node.leave(script.a.now)
-    (told,) = script.a.node.events.drain()
-    assert told == SteppedDown(script.a.node.epoch.term.number, Reason.LEAVING)
+def test_primary_that_shuts_down_records_why_it_steps_down(core):
+    drain_events(core)
+    core.a.node.leave(core.a.now)
+    (recorded,) = core.a.node.events.drain()
+    assert recorded == SteppedDown(core.a.node.epoch.term.number, Reason.LEAVING)
 
 
-def test_an_opening_that_too_few_answer_fails_and_says_who_did():
-    script = Script()
-    quiet(script)
-    a = script.a
-    script.candidate(a)
+def test_epoch_change_that_too_few_answer_records_who_did(core):
+    drain_events(core)
+    a = core.a
+    core.run_candidate(a)
     for _ in range(60):
-        script.tick(a, 0.05)
-        script.flow(a)
+        core.tick(a, 0.05)
+        core.exchange_all(a)
     failed = [event for event in a.node.events.drain() if isinstance(event, EpochChangeFailed)]
     assert failed[0].why is Reason.TIMED_OUT
     assert failed[0].answered == (a.node.me.id,)
 
 
-def test_a_wait_is_told_at_doubled_pauses_and_anew_where_it_changes():
-    events, told = Events(), []
+def test_wait_is_reported_at_doubled_intervals_and_anew_where_its_reason_changes():
+    events, recorded = Events(), []
     for tenth in range(3000):
         at = tenth / 10
         if events.is_wait_due(WaitReason.FOUNDER, at):
             events.record_wait(WaitReason.FOUNDER, 2, ("10.0.0.1:1",), at)
-            told.append(at)
-    gaps = [round(after - before, 1) for before, after in itertools.pairwise(told)]
-    assert told[0] == 1.0
+            recorded.append(at)
+    gaps = [round(after - before, 1) for before, after in itertools.pairwise(recorded)]
+    assert recorded[0] == 1.0
     assert gaps[:4] == [2.0, 4.0, 8.0, 16.0]
     assert max(gaps) <= MAX_WAIT_REPORT_BACKOFF_S
     assert not events.is_wait_due(None, 300.0)
@@ -131,7 +126,7 @@
     assert events.is_wait_due(WaitReason.PRIMARY, 301.0)
 
 
-def test_what_nobody_takes_is_bounded():
+def test_events_that_nobody_drains_are_bounded():
     events = Events()
     for number in range(3 * MAX_PENDING_EVENTS):
         events.record(SteppedDown(number, Reason.NEWER_TERM))
@@ -149,18 +144,18 @@
         StateSent("a", 7, 1000),
     ],
 )
-def test_an_event_is_a_line_on_the_log_with_its_fields(event, monkeypatch):
+def test_event_is_logged_with_its_fields(event, monkeypatch):
     lines = []
     monkeypatch.setattr(
-        event_log_module.eliot, "log_message", lambda kind, **told: lines.append((kind, told))
+        event_log_module.eliot, "log_message", lambda kind, **recorded: lines.append((kind, recorded))
     )
     events = Events()
     events.record(event)
     EventLog(events)()
-    ((kind, told),) = lines
+    ((kind, recorded),) = lines
     assert kind == message_type(event)
     assert kind.startswith("replication:")
-    assert set(told) == {field.name for field in fields(event)}
-    assert all(isinstance(value, str | int | float | list) for value in told.values())
+    assert set(recorded) == {field.name for field in fields(event)}
+    assert all(isinstance(value, str | int | float | list) for value in recorded.values())
     EventLog(events)()
     assert len(lines) == 1
