--- a/rig/system/deployment.py
+++ b/rig/system/deployment.py
@@ -16,7 +16,9 @@
 PORTS = {"control": 8140, "directory": 8141, "front": 8142, "readiness": 8143}
 INTERNAL = (8150, 8159)
 STOP_S = 10.0
-INTERPRETER = os.path.abspath(sys.executable)  # holds in another checkout, too, where PATH names it relatively
+INTERPRETER = os.path.abspath(
+    sys.executable
+)  # holds in another checkout, too, where PATH names it relatively
 GRACE_S = 3.0  # short, so that a demonstration ends soon
 
 
