--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -11,7 +11,7 @@
 
 from __future__ import annotations
 
-import importlib.util
+import importlib
 import random
 import sys
 from collections import Counter
@@ -21,6 +21,7 @@
 from typing import Any
 
 from benchmarks.common import BAD_INPUT, DONE, NOT_MET, chosen, figure, options, table, write_json
+from fordtrestle import balancer as package
 from fordtrestle.balancer import model
 from fordtrestle.balancer.model import Settings
 from rig.model import Make
@@ -275,17 +276,27 @@
 
 
 def balancer_of(tree: Path) -> Callable[[float, Settings, int], Any]:
-    """The decision module of a checkout; `ValueError` where it can't be loaded."""
+    """The decision module of a checkout with all its parts; `ValueError` where it can't be loaded.
+
+    The interface alone, `fordtrestle.balancer.model`, stays that of this checkout: the rig plays with it.
+    """
     path = tree / "fordtrestle" / "balancer" / "balancer.py"
-    spec = importlib.util.spec_from_file_location("balancer_of_tree", path)
-    if spec is None or spec.loader is None:
-        raise ValueError(f"{path}: can't be loaded")
-    module = importlib.util.module_from_spec(spec)
-    sys.modules[spec.name] = module
+    apart = f"{package.__name__}."
+    own = {name: sys.modules[name] for name in list(sys.modules) if name.startswith(apart)}
+    attributes, own_path = dict(vars(package)), package.__path__
+    for name in own.keys() - {model.__name__}:
+        del sys.modules[name]
+    package.__path__ = [str(path.parent)]
     try:
-        spec.loader.exec_module(module)
+        module = importlib.import_module(f"{apart}balancer")
     except (OSError, SyntaxError, ImportError) as error:
         raise ValueError(f"{path}: {error}") from error
+    finally:
+        for name in [name for name in sys.modules if name.startswith(apart)]:
+            del sys.modules[name]
+        sys.modules.update(own)
+        vars(package).update(attributes)
+        package.__path__ = own_path
     made: Callable[[float, Settings, int], Any] = module.Balancer
     return made
 
--- a/fordtrestle/admission/window.py
+++ b/fordtrestle/admission/window.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from fordtrestle.balancer.balancer import Throttle
+from fordtrestle.balancer.throttle import Throttle
 
 MS_PER_S = 1000.0
 
--- a/fordtrestle/balancer/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -17,6 +17,7 @@
 
 from fordtrestle.balancer import model
 from fordtrestle.balancer.model import Cause
+from fordtrestle.balancer.throttle import Throttle
 
 Report = Mapping[str, float] | None
 
@@ -26,12 +27,6 @@
 DOUBTS = frozenset((TIMEOUT, RESET, CANCELLED))  # the server may be at it still
 FAULTS = frozenset((ERROR, TIMEOUT, CONNECT_FAILED, RESET))
 
-# The throttle. Two minutes of memory would outlast every overload: evidence ages sooner.
-WINDOW_MS = 10000.0
-WINDOW_SAMPLES = 60
-WINDOW_LEAST_MS = 4000.0  # a busy sidecar keeps more samples: sixty may span a fifth of a second
-K = 2.0
-PROTECTION = 3.0
 UNHEARD_MS = 2000.0  # with nothing sent for longer, one goes to see: refusals tell nothing of the service
 LATE_ACCEPT = 0.5  # an answer past its aim shows a service that is falling behind
 
@@ -163,40 +158,6 @@
 CLOSE = "close:"
 
 
-class Throttle:
-    """Refuses with a chance that grows as the service turns work away of late: requests and accepts."""
-
-    def __init__(self, age: float = WINDOW_MS, samples: int = WINDOW_SAMPLES) -> None:
-        self.requests = 0
-        self.accepts = 0.0
-        self._age = age
-        self._samples = samples
-        self._entries: deque[tuple[float, float]] = deque()
-
-    def add(self, now: float, accepted: float) -> None:
-        self._entries.append((now, accepted))
-        self.requests += 1
-        self.accepts += accepted
-        self.trim(now)
-
-    def missed(self) -> float:
-        """The share of requests that were not accepted; a lone one tells nothing."""
-        return max(0.0, self.requests - self.accepts - 1.0) / max(1, self.requests)
-
-    def trim(self, now: float) -> None:
-        entries = self._entries
-        while entries:
-            at = entries[0][0]
-            if at > now - self._age and (len(entries) <= self._samples or at > now - WINDOW_LEAST_MS):
-                break
-            self.accepts -= entries.popleft()[1]
-            self.requests -= 1
-
-    def drop_chance(self, now: float) -> float:
-        self.trim(now)
-        return max(0.0, (self.requests - PROTECTION - K * self.accepts) / (self.requests + 1))
-
-
 class Shed:
     """Refuses what is worth least per unit of work while servers turn work away. A tenant's allowance is of
     the whole fleet: its part of this sidecar's arrivals is held against its part of all allowances.
@@ -1073,7 +1034,8 @@
     def _taken(self, now: float) -> None:
         """The service takes work: an outage is over, and what was learned in it, or before, is void."""
         if self._away:
-            self._away, self._throttle = False, Throttle()
+            self._away = False
+            self._throttle.clear()
             self._sends_at += now - self._failed_at  # nothing could be sent: the rate stands still
         self._failed = 0
 
@@ -1112,7 +1074,7 @@
         What was out already when it was ejected belongs to the same event: it strikes no more.
         """
         server.ill += self._ill_gain(now) * (1.0 - server.ill)
-        if server.ill > ILL_LEAST + ILL_OVER * self._throttle.missed():
+        if server.ill > ILL_LEAST + ILL_OVER * self._throttle.failure_share():
             if sent > server.struck_at:
                 self._strike(now, server)
             if silent and server.strikes > 1:
--- a/tests/balancer/test_failures.py
+++ b/tests/balancer/test_failures.py
@@ -367,7 +367,7 @@
     assert idle
     assert idle <= closed
     assert not any(s.idle for s in made._servers.values() if s.zone == 1)
-    assert made._throttle.missed() < 0.1
+    assert made._throttle.failure_share() < 0.1
     assert made._shed.level(14_400.0) < 0.1
 
 
--- a/tests/balancer/test_throttle.py
+++ b/tests/balancer/test_throttle.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from fordtrestle.balancer.balancer import WINDOW_LEAST_MS, Throttle
 from fordtrestle.balancer.model import Fail, Outcome, Refuse, Send
+from fordtrestle.balancer.throttle import MIN_WINDOW_MS, Throttle
 from tests.balancer.helpers import arrival, balancer, of_type
 
 
 def filled(accepts, refusals, now=0.0):
-    throttle = Throttle(age=1e9, samples=1000)
+    throttle = Throttle(age_ms=1e9, samples=1000)
     for _ in range(accepts):
         throttle.add(now, 1.0)
     for _ in range(refusals):
@@ -31,7 +31,7 @@
 
 
 def test_window_forgets_by_age():
-    window = Throttle(age=100.0, samples=50)
+    window = Throttle(age_ms=100.0, samples=50)
     window.add(0.0, 1.0)
     window.add(60.0, 0.0)
     window.trim(99.0)
@@ -43,11 +43,11 @@
 
 
 def test_window_forgets_by_count():
-    window = Throttle(age=1e9, samples=3)
+    window = Throttle(age_ms=1e9, samples=3)
     for accepted in (1.0, 1.0, 0.0, 0.0, 0.0):
         window.add(0.0, accepted)
     assert window.requests == 5  # a busy sidecar's window is not cut short by its count
-    window.trim(WINDOW_LEAST_MS)
+    window.trim(MIN_WINDOW_MS)
     assert (window.requests, window.accepts) == (3, 0.0)
 
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -28,16 +28,28 @@
     return met
 
 
-@pytest.mark.parametrize(
-    ("name", "allowed"),
-    [
-        ("model.py", set()),
-        ("balancer.py", {"fordtrestle.balancer.model"}),
-        ("wirehost.py", {"fordtrestle.balancer.model", "fordtrestle.balancer.balancer"}),
-    ],
-)
-def test_imports_run_from_adapter_to_module_to_interface(name, allowed):
-    assert imported(name) <= allowed
+# The modules of the decision module: each may import those after it, and no other module of the program.
+PARTS = ("balancer", "throttle", "model")
+
+
+@pytest.mark.parametrize("part", PARTS)
+def test_the_decision_modules_parts_import_only_those_below_them(part):
+    below = PARTS[PARTS.index(part) + 1 :]
+    assert imported(f"{part}.py") <= {f"fordtrestle.balancer.{name}" for name in below}
+
+
+def test_the_parts_are_all_of_the_decision_module_but_the_wires_adapter():
+    names = {path.stem for path in PACKAGE.glob("*.py")}
+    assert names == {*PARTS, "wirehost", "__init__"}
+
+
+def test_the_wires_adapter_knows_of_the_decision_module_and_its_interface_only():
+    assert imported("wirehost.py") <= {"fordtrestle.balancer.model", "fordtrestle.balancer.balancer"}
+
+
+@pytest.mark.parametrize("part", ["throttle", "model"])
+def test_throttle_and_interface_stand_alone(part):
+    assert not imported(f"{part}.py")
 
 
 # Packages may import from those to their right, never from those to their left.
@@ -58,6 +70,7 @@
     "admission/window.py",
     "balancer/balancer.py",
     "balancer/model.py",
+    "balancer/throttle.py",
     "control_api/listings.py",
     "dissemination/broadcast.py",
     "dissemination/catalog.py",
