--- a/fordtrestle/balancer/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -17,6 +17,13 @@
 
 from fordtrestle.balancer import model
 from fordtrestle.balancer.model import Cause
+from fordtrestle.balancer.shedding import (
+    MIN_OVERLOAD_SLOWDOWN,
+    MIN_SHED_SHARE,
+    OVERLOAD_SLOWDOWN,
+    UNANSWERED_SLOWDOWN,
+    LoadShedder,
+)
 from fordtrestle.balancer.throttle import Throttle
 
 Report = Mapping[str, float] | None
@@ -43,25 +50,12 @@
 DOWN_MS = 250.0  # until a server that refused a connection is tried again; doubles
 DOWN_MOST = 3
 
-# Shedding: the least worth per work is refused first. What is admitted is a power of how many times longer
-# than usual answers take, over CROWDED; nothing else is kept, so that it ends with its cause.
-CROWDED = 2.0
-CROWDED_POWER = 3.0
-UNANSWERED = 8.0  # times the usual that what is turned away counts as; what is out past its aim, at the most
-ROW_CHANCE, ROW_CROWD = 1.0, 4.0  # out past their aims in a row: a few are chance, many a crowd
-SLOWDOWN_GAIN = 0.1  # weight of the newest outcome
-SLOWDOWN_MS = 2000.0  # it weighs more where outcomes are few: what was is forgotten in so long
-SILENCE_MS = 500.0  # with no outcome for longer, a crowd is doubted: a refusal tells nothing
 USUAL_MS = 120000.0  # in which the usual follows a service that has become slower for good,
 USUAL_FALLS_MS = 10000.0  # and a quicker one: a few quick answers by chance are not the usual
 USUAL_ANSWERS = 20  # the first ones of a class are taken as they come
 USUAL_LEAST, USUAL_MOST = 0.1, 0.35  # of the aim: what is answered far sooner has room, whatever the usual
 STOOD_STILL_MS = 100.0  # a timer later than this shows a stall of one's own; a tick is far less
-SHED_IDLE = 0.1  # chance trouble below this sheds nothing
-MIX_MEMORY = 0.98  # the mix of arrivals: about the last fifty
-MIX_LEAST = 10.0  # fewer arrivals tell nothing of a tenant's share
 
-SLOW = 1.4  # times the usual: more is a crowd, less are lost answers and hung servers
 BUSY_HELD = 2.0  # requests that busy cores hold, where only those that wait are reported
 REPORT_MS = 300.0  # a report fades to its server's mean: others send there meanwhile
 REPORT_GAIN = 0.2  # weight of the newest report in that mean
@@ -158,114 +152,6 @@
 CLOSE = "close:"
 
 
-class Shed:
-    """Refuses what is worth least per unit of work while servers turn work away. A tenant's allowance is of
-    the whole fleet: its part of this sidecar's arrivals is held against its part of all allowances.
-    """
-
-    def __init__(self, settings: model.Settings) -> None:
-        self._seen: list[float] = []
-        self._seen_all = 0.0
-        self._mix: dict[tuple[int, bool], list[float]] = {}  # work asked and its worth
-        self._slowdown, self._at = 1.0, 0.0  # mean of outcomes, in times the usual
-        self._answers, self._row = 1.0, 0  # mean of answers alone; how many are out past their aims since
-        self.pressure = self._share = 0.0
-        self._worths: object = None
-        self.settle(settings)
-
-    def settle(self, settings: model.Settings) -> None:
-        """Go by these settings; the mix is forgotten where they tell of other worths."""
-        self._by_work = settings.worth_by_work
-        self._over_worth = settings.over_share_worth
-        self._worst_class = settings.worst_class
-        whole = sum(settings.allowances) or 1.0
-        self._shares = [allowance / whole for allowance in settings.allowances]
-        self._seen += [0.0] * (len(self._shares) - len(self._seen))
-        worths = self._by_work, self._over_worth, [profile.worth for profile in settings.profiles]
-        if worths != self._worths:
-            self._mix, self._worths = {}, worths
-
-    def arrive(self, traffic_class: int, worth: float, work: float, tenant: int, luck: float) -> bool:
-        """Count an arrival; whether it is held to be past its tenant's share."""
-        over = False
-        self._seen_all = self._seen_all * MIX_MEMORY + 1.0
-        if tenant < len(self._shares):
-            self._seen = [seen * MIX_MEMORY for seen in self._seen]
-            self._seen[tenant] += 1.0
-            within = self._shares[tenant] * self._seen_all / self._seen[tenant]
-            over = self._seen_all >= MIX_LEAST and luck > within
-        value = worth * (self._over_worth if over else 1.0)
-        for entry in self._mix.values():
-            entry[0] *= MIX_MEMORY
-            entry[1] *= MIX_MEMORY
-        entry = self._mix.setdefault((traffic_class, over), [0.0, 0.0])
-        entry[0] += work
-        entry[1] += value * (work if self._by_work else 1.0)
-        return over
-
-    def learn(self, now: float, times: float, answered: bool = False) -> None:
-        """Take in an outcome, in times the usual: a few that are lost, or hang, speak by their share only."""
-        if answered:
-            self._answers += SLOWDOWN_GAIN * (min(UNANSWERED, times) - self._answers)
-            self._row = 0
-        gain = max(SLOWDOWN_GAIN, 1.0 - math.exp((self._at - now) / SLOWDOWN_MS))
-        self._slowdown += gain * (min(UNANSWERED, times) - self._slowdown)
-        self._at = now
-
-    def unanswered(self, now: float) -> None:
-        """Take in what is out past its aim: it weighs as the answers that come are slow, or as none come."""
-        self._row += 1
-        row = (self._row - ROW_CHANCE) / (ROW_CROWD - ROW_CHANCE)
-        crowd = min(1.0, max((self._answers - 1.0) / (SLOW - 1.0), row))
-        self.learn(now, 1.0 + (UNANSWERED - 1.0) * crowd)
-
-    def slowdown(self, now: float) -> float:
-        """How many times longer than usual answers take."""
-        doubt = math.exp(min(0.0, (self._at + SILENCE_MS - now) / SLOWDOWN_MS))
-        return 1.0 + (self._slowdown - 1.0) * doubt
-
-    def level(self, now: float) -> float:
-        """The share of the work that is to go."""
-        return max(0.0, 1.0 - math.pow(CROWDED / self.slowdown(now), CROWDED_POWER))
-
-    def chance(self, now: float, drop: float, traffic_class: int, over: bool) -> float:
-        """The chance of refusing this kind of request, so that `drop` of the work goes, or what the level or
-        this sidecar's own pressure asks, if more. What is past a tenant's share goes first, then the kinds of
-        least worth per work, evenly; from how many is weighed by the goal, which counts the worst class.
-        """
-        self._share = share = max(drop, self.level(now) - SHED_IDLE, self.pressure)
-        if share <= 0.0:
-            return 0.0
-        need = share * sum(work for work, _ in self._mix.values())
-        kinds = sorted((not past, worth / work, kind) for (kind, past), (work, worth) in self._mix.items())
-        chance, least, taken, lost = 0.0, math.inf, 0.0, 0.0
-        worth_all = sum(worth for _, worth in self._mix.values()) or 1.0  # classes may be worth nothing
-        mine = False
-        for within, _, kind in kinds:
-            work, worth = self._mix[kind, not within]
-            if not within:
-                if kind == traffic_class and over:
-                    return need / work
-                need -= work
-                if need <= 0.0:
-                    return 0.0
-                continue
-            taken += work
-            lost += worth
-            mine = mine or (kind == traffic_class and not over)
-            part = need / taken
-            cost = part * ((1.0 - self._worst_class) * lost / worth_all + self._worst_class)
-            if cost < least and (part <= 1.0 or kind == kinds[-1][2]):
-                least, chance = cost, part if mine else 0.0
-        return chance
-
-    def blamed(self, drop: float) -> Cause:
-        """Which of the three that `chance` last went by asked for the most."""
-        if self._share == self.pressure:
-            return Cause.PRESSURE
-        return Cause.THROTTLE if self._share == drop else Cause.SHED
-
-
 @dataclass(slots=True, eq=False)
 class Pace:
     """Time taken for the work asked, with the newest evidence weighing most."""
@@ -453,7 +339,7 @@
     def __init__(self, now: float, settings: model.Settings, seed: int) -> None:
         self._rng = random.Random(seed)
         self._throttle = Throttle()
-        self._shed = Shed(settings)
+        self._shedder = LoadShedder(settings)
         self._servers: dict[str, Server] = {}
         self._resting: dict[str, Server] = {}
         self._requests: dict[int, Request] = {}
@@ -501,7 +387,7 @@
         self._attempts_most = [settings.max_attempts * (not p.gone) for p in settings.profiles]
         self._wait_most = settings.max_retry_after * settings.retry_after
         self._rebuild()
-        self._shed.settle(settings)
+        self._shedder.apply_settings(settings)
 
     # --- events -----------------------------------------------------------
 
@@ -548,7 +434,9 @@
         gain = WORK_MEMORY if self._mean_work else 1.0
         self._mean_work += gain * (request.work - self._mean_work)
         luck = self._rng.random()
-        request.over = self._shed.arrive(traffic_class, profile.worth, request.work, arrival.tenant, luck)
+        request.over = self._shedder.on_arrival(
+            traffic_class, profile.worth, request.work, arrival.tenant, luck
+        )
         if self._set.warm_keys and key is not None:
             self._count_key(key)
         if self._too_heavy(now, request):
@@ -658,7 +546,7 @@
 
     def pressure(self, now: float, share: float) -> list[model.Action]:
         """This sidecar itself is pressed (memory, calls, its loop): such a share of the work is to go."""
-        self._shed.pressure = min(1.0, max(0.0, share)) if math.isfinite(share) else 0.0
+        self._shedder.pressure = min(1.0, max(0.0, share)) if math.isfinite(share) else 0.0
         return self._take()
 
     def probe_result(
@@ -685,10 +573,10 @@
         """Throttle, draw, then send to the drawn with fewest in flight per capacity."""
         if not self._is_out(now):
             drop = self._throttle.drop_chance(now)
-            chance = self._shed.chance(now, drop, request.traffic_class, request.over)
+            chance = self._shedder.refusal_chance(now, drop, request.traffic_class, request.over)
             heard = now - self._sends_at < UNHEARD_MS
             if heard and chance > 0.0 and self._rng.random() < chance:
-                cause = self._shed.blamed(drop)
+                cause = self._shedder.cause(drop)
                 if cause is Cause.THROTTLE:  # what others refuse tells nothing of the service
                     self._throttle.add(now, 0.0)
                 self._give_up(now, request, cause)
@@ -793,7 +681,11 @@
 
     def _too_heavy(self, now: float, request: Request) -> bool:
         """Whether, under strain, a request would take a server and still come too late."""
-        if request.profile.late_worth > 0.0 or self._shed.level(now) <= SHED_IDLE or not self._pace.work:
+        if (
+            request.profile.late_worth > 0.0
+            or self._shedder.level(now) <= MIN_SHED_SHARE
+            or not self._pace.work
+        ):
             return False
         return request.work * self._pace.rate(0.0, 0.0) > HOPELESS * request.profile.objective
 
@@ -999,9 +891,11 @@
         late = spent > aim
         if status in (OK, FULL, TIMEOUT):
             if status != TIMEOUT:
-                self._shed.learn(now, times if status == OK else UNANSWERED, status == OK)
+                self._shedder.record_outcome(
+                    now, times if status == OK else UNANSWERED_SLOWDOWN, status == OK
+                )
             elif spent < aim or request.profile.late_worth <= 0.0:  # where late pays, it counted at its aim
-                self._shed.unanswered(now)
+                self._shedder.record_unanswered(now)
             self._learn_pace(now, server, max(spent, 0.0 if status == OK else aim), request.work)
         if self._zoned:
             missed = float(status != OK or late)
@@ -1101,12 +995,12 @@
         if request is None or not (attempt := request.attempts[int(hop)]).out:
             return
         aim = request.profile.objective
-        usual = self._usuals[request.traffic_class].times(aim, request.work) < CROWDED
+        usual = self._usuals[request.traffic_class].times(aim, request.work) < OVERLOAD_SLOWDOWN
         stood_still = now - attempt.sent - aim > STOOD_STILL_MS  # this sidecar itself: it tells nothing
         if usual or stood_still or self._is_cut_off(now, attempt.server):
             return
-        self._shed.unanswered(now)
-        if self._shed.slowdown(now) < SLOW:
+        self._shedder.record_unanswered(now)
+        if self._shedder.slowdown(now) < MIN_OVERLOAD_SLOWDOWN:
             self._blame(now, attempt.server, True, attempt.sent)
 
     def _learn_pace(self, now: float, server: Server, spent: float, work: float) -> None:
@@ -1144,7 +1038,7 @@
         """How long to wait for an attempt before it is better spent elsewhere."""
         useful, profile = request.useful_until(), request.profile
         whole = max(0.0, (useful if useful > now else request.give_up_at) - now)
-        quick = self._shed.slowdown(now) < SLOW and now - self._silent_at < REST_MAX_MS
+        quick = self._shedder.slowdown(now) < MIN_OVERLOAD_SLOWDOWN and now - self._silent_at < REST_MAX_MS
         if profile.harmless and quick and len(request.attempts) + 1 < request.attempts_most:
             # Guards against hung and silent servers, also where they hold up a key's line. Only
             # after one was met and while answers are quick: in a crowd repeats would add to it.
--- a/tests/balancer/test_causes.py
+++ b/tests/balancer/test_causes.py
@@ -9,8 +9,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fordtrestle.balancer.balancer import UNANSWERED
 from fordtrestle.balancer.model import Cause, Fail, Listing, Outcome, Refuse
+from fordtrestle.balancer.shedding import UNANSWERED_SLOWDOWN
 from fordtrestle.proxy.engine.tally import OwnCause
 from rig.helper import ROOT
 from tests.balancer.helpers import arrival, balancer, listing
@@ -46,7 +46,7 @@
 def test_the_level_sheds():
     made = balancer()
     for _ in range(30):
-        made._shed.learn(0.0, UNANSWERED)
+        made._shedder.record_outcome(0.0, UNANSWERED_SLOWDOWN)
     assert set(causes(made)) == {Cause.SHED}
 
 
@@ -59,7 +59,7 @@
 def test_of_the_three_that_is_blamed_which_asks_for_the_most():
     made = balancer()
     for _ in range(30):
-        made._shed.learn(0.0, UNANSWERED)
+        made._shedder.record_outcome(0.0, UNANSWERED_SLOWDOWN)
     made.pressure(0.0, 0.5)
     assert set(causes(made)) == {Cause.SHED}
     made.pressure(0.0, 1.0)
@@ -119,7 +119,7 @@
     made = balancer()
     made._pace.add(100.0, 1.0, 50.0)
     for _ in range(30):
-        made._shed.learn(0.0, UNANSWERED)
+        made._shedder.record_outcome(0.0, UNANSWERED_SLOWDOWN)
     heavy = arrival(1)._replace(work=1000.0)
     assert [end.cause for end in ends(made.request(0.0, heavy))] == [Cause.NO_TIME]
 
--- a/tests/balancer/test_cold_sum.py
+++ b/tests/balancer/test_cold_sum.py
@@ -40,7 +40,7 @@
             return True
 
         def outcome(self, *told, **more):
-            self._shed.learn = lambda *_: None  # shedding alone holds this fleet back in time
+            self._shedder.record_outcome = lambda *_: None  # shedding alone holds this fleet back in time
             return super().outcome(*told, **more)
 
     assert play("few", Careless, 200, 1, 8.0).over > 0.0
--- a/tests/balancer/test_crowd.py
+++ b/tests/balancer/test_crowd.py
@@ -7,8 +7,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fordtrestle.balancer.balancer import UNANSWERED, Shed
 from fordtrestle.balancer.model import Outcome, Refuse, Send, Settings, Timer
+from fordtrestle.balancer.shedding import UNANSWERED_SLOWDOWN, LoadShedder
 from tests.balancer.helpers import arrival, balancer, of_type, raw_settings
 
 
@@ -36,7 +36,7 @@
 def crowded(made, now=0.0, count=200):
     """A service that usually takes 40 ms of 200 takes 180."""
     _, now = play(made, lambda: 40.0, 200, now)
-    assert made._shed.level(now) == 0.0
+    assert made._shedder.level(now) == 0.0
     refused, now = play(made, lambda: 180.0, count, now)
     assert refused > 0.3 * count
     return now
@@ -57,11 +57,11 @@
 
 
 def test_without_any_outcome_a_crowd_is_doubted():
-    shed = Shed(Settings.parse(raw_settings("safe")))
+    shedder = LoadShedder(Settings.parse(raw_settings("safe")))
     for number in range(30):
-        shed.learn(10.0 * number, UNANSWERED)
-    assert shed.level(300.0) > 0.9
-    assert shed.level(6000.0) == 0.0
+        shedder.record_outcome(10.0 * number, UNANSWERED_SLOWDOWN)
+    assert shedder.level(300.0) > 0.9
+    assert shedder.level(6000.0) == 0.0
 
 
 def test_a_few_that_hang_shed_nothing_where_the_others_have_room():
@@ -69,11 +69,11 @@
     made = balancer(Profiles=[late_pays])
     refused, now = play(made, lambda: 40.0, 2000, lost=0.02)
     assert refused < 20
-    assert made._shed._at > 0.0
+    assert made._shedder._slowdown_at > 0.0
     dues = [due for number in range(10) for due in of_type(made.request(now, arrival(number, now)), Timer)]
     for due in dues:  # they do count: ten in a row are a crowd
         made.timer(now + 200.0, due.token)
-    assert made._shed.level(now + 200.0) > 0.1
+    assert made._shedder.level(now + 200.0) > 0.1
 
 
 def test_time_outs_show_a_crowd_also_where_late_answers_earn_nothing():
@@ -84,7 +84,7 @@
         now += 20.0
         for _ in of_type(made.request(now, arrival(number, now)), Send):
             made.outcome(now + 200.2, number, 0, Outcome.TIMEOUT, 200.2, last=True)
-    assert made._shed.level(now) > 0.3
+    assert made._shedder.level(now) > 0.3
 
 
 def test_a_third_that_is_lost_is_no_crowd_while_the_others_are_quick():
@@ -98,11 +98,11 @@
 
 
 def test_what_is_lost_beside_slow_answers_is_part_of_a_crowd():
-    shed = Shed(Settings.parse(raw_settings("safe")))
+    shedder = LoadShedder(Settings.parse(raw_settings("safe")))
     for number in range(60):
-        shed.learn(10.0 * number, 1.9, answered=True)
-        shed.unanswered(10.0 * number)
-    assert shed.level(600.0) > 0.8
+        shedder.record_outcome(10.0 * number, 1.9, is_answer=True)
+        shedder.record_unanswered(10.0 * number)
+    assert shedder.level(600.0) > 0.8
 
 
 def test_a_service_that_is_twice_as_slow_for_good_is_no_crowd():
@@ -138,7 +138,7 @@
     made = balancer("safe")
     refused, now = play(made, lambda: 0.0, 200, step=1.0)
     assert refused == 0
-    assert made._shed.level(now) == 0.0
+    assert made._shedder.level(now) == 0.0
 
 
 def test_a_few_quick_answers_by_chance_are_not_the_usual():
@@ -185,7 +185,7 @@
         for number in range(100):
             now += 200.0
             made._throttle.add(now, 0.0)
-            made._shed.learn(now, UNANSWERED)
+            made._shedder.record_outcome(now, UNANSWERED_SLOWDOWN)
             if of_type(made.request(now, arrival(number, now)), Send):
                 longest, last = max(longest, now - last), now
                 made.outcome(now + 1.0, number, 0, Outcome.ERROR, 1.0, last=True)
--- a/tests/balancer/test_departures.py
+++ b/tests/balancer/test_departures.py
@@ -8,8 +8,8 @@
 import pytest
 
 from fordtrestle.balancer import Balancer, Settings
-from fordtrestle.balancer.balancer import UNANSWERED, Shed
 from fordtrestle.balancer.model import Arrival, Listing, Outcome, Probe, Refuse, Send, Timer, Watch
+from fordtrestle.balancer.shedding import UNANSWERED_SLOWDOWN, LoadShedder
 from tests.balancer.helpers import arrival, balancer, listing, of_type, raw_settings
 
 LOOKING = {
@@ -239,7 +239,7 @@
     made.request(0.0, arrival(1))
     made.outcome(5.0, 1, 0, Outcome.OK, 5.0, True, {"inflight": float("nan")})
     assert of_type(made.request(6.0, arrival(2, 6.0)), Send)
-    assert made._shed.level(6.0) == 0.0
+    assert made._shedder.level(6.0) == 0.0
 
 
 def test_time_outs_without_a_crowd_shed_little_where_servers_report():
@@ -255,20 +255,20 @@
             status = Outcome.TIMEOUT if late else Outcome.OK
             report = None if late else {"inflight": held}
             made.outcome(now + spent, number, 0, status, spent, True, report)
-    assert calm._shed.level(6000.0) < 0.2
+    assert calm._shedder.level(6000.0) < 0.2
     # Found on a customer with four cores a server: its calm day refused 15%.
-    assert many_cores._shed.level(6000.0) < 0.2, "what is held while answers are quick is no crowd"
-    assert crowded._shed.level(6000.0) > 0.5
+    assert many_cores._shedder.level(6000.0) < 0.2, "what is held while answers are quick is no crowd"
+    assert crowded._shedder.level(6000.0) > 0.5
 
 
 def shed_chances(worths, share, worst_class):
     """The chance of refusing each class when `share` of equal work is to go."""
     raw = raw_settings(*["safe"] * len(worths), Goal={"Whole": 1 - worst_class, "WorstClass": worst_class})
-    shed = Shed(Settings.parse(raw))
+    shedder = LoadShedder(Settings.parse(raw))
     for _ in range(100):
         for traffic_class, worth in enumerate(worths):
-            shed.arrive(traffic_class, worth, 1.0, 0, 1.0)
-    return [shed.chance(0.0, share, traffic_class, False) for traffic_class in range(len(worths))]
+            shedder.on_arrival(traffic_class, worth, 1.0, 0, 1.0)
+    return [shedder.refusal_chance(0.0, share, traffic_class, False) for traffic_class in range(len(worths))]
 
 
 def test_the_least_worth_goes_first_where_only_the_whole_counts():
@@ -290,10 +290,10 @@
 
 def test_what_is_past_a_tenants_share_goes_first():
     raw = raw_settings("safe", Tenants=[{"AllowancePerS": 5.0}] * 2, OverShareWorth=0.1)
-    shed = Shed(Settings.parse(raw))
-    over = [shed.arrive(0, 1.0, 1.0, int(i % 5 == 0), i % 7 / 7.0) for i in range(200)]
+    shedder = LoadShedder(Settings.parse(raw))
+    over = [shedder.on_arrival(0, 1.0, 1.0, int(i % 5 == 0), i % 7 / 7.0) for i in range(200)]
     assert any(over)
-    assert shed.chance(0.0, 0.2, 0, True) > 0.5 > 0.05 > shed.chance(0.0, 0.2, 0, False)
+    assert shedder.refusal_chance(0.0, 0.2, 0, True) > 0.5 > 0.05 > shedder.refusal_chance(0.0, 0.2, 0, False)
 
 
 def test_under_strain_work_that_cannot_end_in_time_is_not_begun():
@@ -303,7 +303,7 @@
     heavy = Arrival(500, 0, 3000.0, work=100.0)
     assert of_type(made.request(2000.0, heavy), Send)
     for _ in range(20):
-        made._shed.learn(2001.0, UNANSWERED)
+        made._shedder.record_outcome(2001.0, UNANSWERED_SLOWDOWN)
     assert of_type(made.request(2002.0, heavy._replace(request=501)), Refuse)
 
 
@@ -314,7 +314,7 @@
     dues = [due for number in range(6) for due in of_type(made.request(0.0, arrival(number)), Timer)]
     assert [due.delay for due in dues] == [200.0] * 6
     assert not any(made.timer(200.0, due.token) for due in dues)
-    assert made._shed.level(200.0) > 0.1
+    assert made._shedder.level(200.0) > 0.1
     assert not made.timer(200.0, "due:999:0")
 
 
@@ -369,8 +369,8 @@
 def test_a_rate_that_has_faded_to_nothing_divides_by_nothing():
     made = balancer("safe")
     serve(made, 5, lambda server: (Outcome.OK, 20.0))
-    made._shed.learn(1e9, UNANSWERED)
-    assert made._shed.level(1e9) > 0.0
+    made._shedder.record_outcome(1e9, UNANSWERED_SLOWDOWN)
+    assert made._shedder.level(1e9) > 0.0
     assert made._ill_gain(1e9) > 0.0
 
 
--- a/tests/balancer/test_failures.py
+++ b/tests/balancer/test_failures.py
@@ -148,7 +148,7 @@
         lost = number % 6 == 0
         status = Outcome.TIMEOUT if lost else Outcome.OK
         made.outcome(now + 50.0, number, 0, status, 200.0 if lost else 30.0, last=not lost)
-    assert made._shed.level(20_000.0) < 0.05
+    assert made._shedder.level(20_000.0) < 0.05
 
 
 def test_a_silent_server_is_ejected_though_many_others_fail_too():
@@ -188,7 +188,7 @@
     actions = made.request(0.0, arrival(1))
     (due,) = of_type(actions, Timer)
     made.timer(due.delay + 500.0, due.token)
-    assert made._shed.level(700.0) == 0.0
+    assert made._shedder.level(700.0) == 0.0
     assert all(s.ill == 0.0 for s in made._servers.values())
 
 
@@ -299,7 +299,7 @@
             if of_type(made.request(now, arrival(number, now)), Send):
                 made.outcome(now + spent, number, 0, Outcome.OK, spent, True, {"inflight": 4.0})
             now += step
-        levels.append(made._shed.level(now))
+        levels.append(made._shedder.level(now))
     assert 0.0 < levels[1] < 2.0 * levels[0]
     assert levels[1] < 0.5
 
@@ -368,7 +368,7 @@
     assert idle <= closed
     assert not any(s.idle for s in made._servers.values() if s.zone == 1)
     assert made._throttle.failure_share() < 0.1
-    assert made._shed.level(14_400.0) < 0.1
+    assert made._shedder.level(14_400.0) < 0.1
 
 
 def test_a_zone_that_answers_again_is_used_at_once():
--- a/tests/balancer/test_settle.py
+++ b/tests/balancer/test_settle.py
@@ -180,14 +180,20 @@
     for number in range(20):
         made.request(number, Arrival(number, 0, 1000.0 + number))
     more = [{"AllowancePerS": 1.0}, {"AllowancePerS": 3.0}]
-    learned = made._throttle, made._servers, made._requests, made._shed._seen[0], made._shed._mix
+    learned = (
+        made._throttle,
+        made._servers,
+        made._requests,
+        made._shedder._arrivals_by_tenant[0],
+        made._shedder._mix,
+    )
     prices, made._spill = {"CrossZone": 0.5}, [0.4]
     made.settle(30.0, told("safe", ("safe", {"Worth": 3.0}), Tenants=more, Prices=prices))
-    assert made._shed._shares == [0.25, 0.75]
+    assert made._shedder._tenant_shares == [0.25, 0.75]
     assert made._zoned
     assert learned[:3] == (made._throttle, made._servers, made._requests)
-    assert made._shed._seen == [learned[3], 0.0]
-    assert made._shed._mix == {}
+    assert made._shedder._arrivals_by_tenant == [learned[3], 0.0]
+    assert made._shedder._mix == {}
     assert of_type(made.request(30.0, Arrival(50, 1, 1030.0, 1)), Send)
     made.outcome(40.0, 50, 0, Outcome.OK, 10.0, True)
     assert made._usuals[1].rate(0.0, 0.0) == 10.0
@@ -205,14 +211,27 @@
     assert made._near == []
 
 
+BY_CLASS_OR_TENANT = {"_spill", "_usuals", "_arrivals_by_tenant"}  # compared as far as the first two
+
+
 def state(made):
-    """All that a balancer holds, as text; lists by class or tenant as far as the first two."""
-    held = {**vars(made), "_rng": made._rng.getstate()}
-    for part in ("_shed", "_throttle"):
-        held |= {f"{part}.{name}": value for name, value in vars(held.pop(part)).items()}
-    for name in ("_spill", "_usuals", "_shed._seen"):
-        held[name] = held[name][:2]
-    return {name: repr(value) for name, value in held.items()}
+    """All that a balancer and its parts hold, as text by where it is held."""
+    held, seen = {}, set()
+
+    def hold(path, value):
+        if isinstance(value, random.Random):
+            held[path] = repr(value.getstate())
+        elif type(value).__module__.startswith("fordtrestle.balancer.") and hasattr(value, "__dict__"):
+            if id(value) not in seen:  # parts know each other
+                seen.add(id(value))
+                for name, part in vars(value).items():
+                    hold(f"{path}.{name}", part[:2] if name in BY_CLASS_OR_TENANT else part)
+        elif not callable(value):
+            held[path] = repr(value)
+
+    hold("balancer", made)
+    assert not [path for path, text in held.items() if " object at 0x" in text]
+    return held
 
 
 class Told(World):
--- a/tests/proxy/daemon/test_overload.py
+++ b/tests/proxy/daemon/test_overload.py
@@ -66,16 +66,16 @@
         other = sidecar.limits.buffered.part("another front")
         assert other.take(sidecar.limits.buffered.capacity // 2)
         resident = 99 * 2**20
-        await until(lambda: module._shed.pressure > 0.8)
+        await until(lambda: module._shedder.pressure > 0.8)
         assert sidecar.overload.pressure.on(Action.PAUSE_ACCEPTING)
         assert sidecar.driver.optional is False
         assert sidecar.front.table.hurried
         for app in deaf:
             app.close()
         await until(lambda: sidecar.limits.buffered.held == other.held)
-        assert module._shed.pressure > 0.8
+        assert module._shedder.pressure > 0.8
         other.give(other.held)  # what is resident stays
-        await until(lambda: module._shed.pressure == 0.0)
+        await until(lambda: module._shedder.pressure == 0.0)
         await until(lambda: sidecar.driver.optional and not sidecar.front.table.hurried)
         upstream.replies = [OK]
         good = await App.connect(sidecar.address)
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -29,7 +29,9 @@
 
 
 # The modules of the decision module: each may import those after it, and no other module of the program.
-PARTS = ("balancer", "throttle", "model")
+PARTS = (
+    "balancer", "shedding", "throttle", "model",
+)  # fmt: skip
 
 
 @pytest.mark.parametrize("part", PARTS)
@@ -70,6 +72,7 @@
     "admission/window.py",
     "balancer/balancer.py",
     "balancer/model.py",
+    "balancer/shedding.py",
     "balancer/throttle.py",
     "control_api/listings.py",
     "dissemination/broadcast.py",
