--- a/fordtrestle/balancer/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -18,6 +18,7 @@
 from fordtrestle.balancer import model
 from fordtrestle.balancer.baselines import MAX_SPEED, PACE_MEMORY_MS, ServiceTimes
 from fordtrestle.balancer.model import Cause
+from fordtrestle.balancer.outage import OutageDetector
 from fordtrestle.balancer.outcomes import (
     ANSWERS,
     CONNECT_FAILED,
@@ -29,6 +30,7 @@
     RESET,
     TIMEOUT,
 )
+from fordtrestle.balancer.own_load import OwnLoad
 from fordtrestle.balancer.requests import Request, stricter_profile
 from fordtrestle.balancer.servers import HASH_MASK, HASH_MULTIPLIER, Attempt, Server
 from fordtrestle.balancer.shedding import (
@@ -49,11 +51,6 @@
 # sooner its client gave up, whatever the service did.
 PATIENT = 3.0
 
-# Outage: nothing at all is accepted. Then trials tell when it ends, and the window of nothing.
-OUTAGE_MS = 300.0
-OUTAGE_FAILURES = 5
-TRIALS_HELD = 4.0  # silent trials that a server may hold from all sidecars together,
-TRIALS_PER_S = 2.0  # and new ones that it may get besides
 REFUSED = 0.5  # of the connect time-out: a sooner end is a refusal, which cost the server nothing
 DOWN_MS = 250.0  # until a server that refused a connection is tried again; doubles
 DOWN_MOST = 3
@@ -113,8 +110,6 @@
 
 COME_BACK = 0.1  # of the aim: soon enough that a client's retry may still be served in time
 COLD_SHARE = 0.5  # of what topples a cold server, were all warm ones fully loaded
-RATE_MS = 10000.0  # memory of the own rate of sends
-RATE_LEAST_MS = 200.0  # a first burst is no rate
 
 # Connections dropped unseen while idle: those unused for so much of the time at which one failed
 # are closed; this is forgotten again.
@@ -194,7 +189,7 @@
         self._servers: dict[str, Server] = {}
         self._resting: dict[str, Server] = {}
         self._requests: dict[int, Request] = {}
-        self._open = 0
+        self._own = OwnLoad(now)
         self._times = ServiceTimes(settings)
         self._keys: deque[int] = deque()
         self._key_counts: dict[int, int] = {}
@@ -206,13 +201,9 @@
         self._cut_off_at = -math.inf
         self._silent_at = -math.inf  # when a server was last ejected for silence
         self._idle_learned, self._idle_at = settings.idle_close, now
-        self._failed, self._failed_at = 0, now  # attempts since the last that the service took, and the first
-        self._away = False  # an outage: nothing at all is accepted
-        self._trials_at = now
+        self._outage = OutageDetector(now)
         self._connect_ill = 0.0  # fading share of new connections that fail
         self._turns: dict[int, Turn] = {}
-        self._born = now
-        self._sends, self._sends_at = 0.0, now  # fading count of sends, for the own rate
         self._most_servers, self._most_at = 1.0, now  # of late
         self._to_cold = (now, 0, 0, 0), True  # the last that was worked out: of what, and whether
         self._ask_pending = False
@@ -322,7 +313,7 @@
             self._connect_ill += (1.0 - ILL_MEMORY) * ((status == CONNECT_FAILED) - self._connect_ill)
         attempt.server.attempts.pop(attempt, None)
         self._hear_of_zone(now, attempt, status, spent)
-        self._open -= 1
+        self._own.on_end()
         request.in_flight -= 1
         if report and self._reports:
             self._hear(now, attempt.server, report)
@@ -421,7 +412,7 @@
         if not self._is_out(now):
             drop = self._throttle.drop_chance(now)
             chance = self._shedder.refusal_chance(now, drop, request.traffic_class, request.is_over_share)
-            heard = now - self._sends_at < UNHEARD_MS
+            heard = now - self._own.last_send_at < UNHEARD_MS
             if heard and chance > 0.0 and self._rng.random() < chance:
                 cause = self._shedder.cause(drop)
                 if cause is Cause.THROTTLE:  # what others refuse tells nothing of the service
@@ -437,24 +428,16 @@
             self._give_up(now, request, request.undrawn_cause)
 
     def _is_out(self, now: float) -> bool:
-        """Whether nothing is accepted: five attempts and 0.3 s without an accept or a `full`."""
-        if not self._away and self._failed >= OUTAGE_FAILURES and now - self._failed_at >= OUTAGE_MS:
-            self._away, self._trials_at = True, now
+        """Whether an outage is on; as one begins, all servers may be the first that is back."""
+        if self._outage.begins(now):
             for server in self._resting.values():
-                server.rest_until, server.ejections = 0.0, 0  # any may be the first that is back
-        return self._away
+                server.rest_until, server.ejections = 0.0, 0
+        return self._outage.is_ongoing
 
     def _trial(self, now: float) -> bool:
-        """In an outage: send, unless too many trials are silent. Refused connections hold none back.
-
-        Each sidecar has its part of what a server may be sent, since all act alike.
-        """
-        part = len(self._ring) / self._set.balancers
-        gained = (now - self._trials_at) * TRIALS_PER_S / 1000.0 * part
-        full = self._open >= TRIALS_HELD * part + self._rng.random()
-        if full and gained >= 1.0:
-            self._trials_at = now
-        return not full or gained >= 1.0
+        """Whether a trial of the outage may be sent."""
+        share = len(self._ring) / self._set.balancers
+        return self._outage.allows_trial(now, self._own.in_flight, share, self._rng.random())
 
     def _hear_of_zone(self, now: float, attempt: Attempt, status: int, spent: float) -> None:
         """Whether an outcome shows that the server's zone can be reached, or is a sign that it can't."""
@@ -548,7 +531,7 @@
             ring = self._far if self._rng.random() < self._spill[request.traffic_class] else self._near
         reach = self._subset * (1 + len(request.attempts))
         if self._subset > SUBSET_PRICED:
-            reach += SUBSET_PER_OPEN * self._open
+            reach += SUBSET_PER_OPEN * self._own.in_flight
         reach = min(reach, len(ring))
         top = self._top_weight * MAX_SPEED
         for draw in range(DRAWS if ring else 0):
@@ -598,7 +581,7 @@
         width = max(KEY_LEAST, round(KEY_SPREAD * share * len(near)))
         mixed = key * HASH_MULTIPLIER & HASH_MASK
         tried = [attempt.server for attempt in request.attempts]
-        crowd = max(KEY_CROWD_LEAST, KEY_CROWD * self._open / max(1, len(self._ring)))
+        crowd = max(KEY_CROWD_LEAST, KEY_CROWD * self._own.in_flight / max(1, len(self._ring)))
         drawn: list[Server] = []
         for server in sorted(near, key=lambda server: server.rank(mixed)):
             warmth = self._warmth(now, server)
@@ -622,7 +605,7 @@
         spread keys over all servers. As many for a rate everywhere, so that all servers get alike;
         those in trouble are passed over for the next, so that the others never narrow.
         """
-        reach = max(KEY_REACH_LEAST, self._rate(now) * self._set.idle_close / KEY_USES)
+        reach = max(KEY_REACH_LEAST, self._own.rate_per_ms(now) * self._set.idle_close / KEY_USES)
         if reach >= len(self._ring):
             return self._ring
         near: list[Server] = []
@@ -671,7 +654,9 @@
         of what there was lately, the fewer may go. Sidecars act alike, so that what hundreds send adds up to
         the same. A request has one coin for all servers and repeats, since more coins would send more.
         """
-        if self._warmth(now, server) >= 1.0 or self._away:  # the trials of an outage have their own bound
+        if (
+            self._warmth(now, server) >= 1.0 or self._outage.is_ongoing
+        ):  # the trials of an outage have their own bound
             return True
         asked = now, request.id, len(ring), reach
         if asked != self._to_cold[0]:
@@ -687,11 +672,6 @@
             self._to_cold = asked, request.cold_luck < self._set.fall_multiple * COLD_SHARE * left
         return self._to_cold[1]
 
-    def _rate(self, now: float) -> float:
-        """The own rate of sends of late, per millisecond."""
-        known = max(RATE_LEAST_MS, RATE_MS * (1.0 - math.exp((self._born - now) / RATE_MS)))
-        return self._sends * math.exp((self._sends_at - now) / RATE_MS) / known
-
     # --- health -----------------------------------------------------------
 
     def _may_draw(self, now: float, request: Request, server: Server, ring: list[Server], reach: int) -> bool:
@@ -718,7 +698,7 @@
             return  # its client went, or it was spoilt on our side: that tells nothing of the service
         baseline = self._times.baselines[request.traffic_class]
         if status == OK:
-            answers = self._rate(now) * PACE_MEMORY_MS
+            answers = self._own.rate_per_ms(now) * PACE_MEMORY_MS
             target_per_work = aim / self._times.mean_work
             baseline.record_answer(now, spent, request.work, answers, target_per_work)
         times = baseline.slowdown(spent, request.work)
@@ -734,7 +714,7 @@
                 )
             elif spent < aim or request.profile.late_worth <= 0.0:  # where late pays, it counted at its aim
                 self._shedder.record_unanswered(now)
-            answers = self._rate(now) * PACE_MEMORY_MS
+            answers = self._own.rate_per_ms(now) * PACE_MEMORY_MS
             took = max(spent, 0.0 if status == OK else aim)
             self._times.record_answer(
                 server.pace, server.kind_pace, took, request.work, answers, self._most_servers
@@ -749,8 +729,7 @@
         if status in (OK, FULL):
             self._taken(now)
         else:
-            self._failed_at = self._failed_at if self._failed else now
-            self._failed += 1
+            self._outage.record_failure(now)
         if status == OK:
             server.ejections = server.rejections = server.refused_connections = 0
             server.error_weight *= 1.0 - self._ill_gain(now)
@@ -769,11 +748,10 @@
 
     def _taken(self, now: float) -> None:
         """The service takes work: an outage is over, and what was learned in it, or before, is void."""
-        if self._away:
-            self._away = False
+        lasted_ms = self._outage.record_accept(now)
+        if lasted_ms is not None:
             self._throttle.clear()
-            self._sends_at += now - self._failed_at  # nothing could be sent: the rate stands still
-        self._failed = 0
+            self._own.skip(lasted_ms)
 
     def _refused(self, now: float, server: Server) -> None:
         """No process listens there: it is tried again soon, by one request, and all but it go elsewhere.
@@ -782,7 +760,7 @@
         """
         if server.idle_connections or server.in_flight:
             return
-        if not self._away:
+        if not self._outage.is_ongoing:
             server.rest_until = now + DOWN_MS * 2.0**server.refused_connections * (
                 0.75 + 0.5 * self._rng.random()
             )
@@ -824,7 +802,7 @@
 
     def _ill_gain(self, now: float) -> float:
         """Weight of a server's newest outcome in its share of faults."""
-        outcomes = self._rate(now) * ILL_MS / self._most_servers
+        outcomes = self._own.rate_per_ms(now) * ILL_MS / self._most_servers
         return min(1.0 - ILL_MEMORY, 1.0 / max(1.0, outcomes))
 
     def _hear(self, now: float, server: Server, report: Mapping[str, float]) -> None:
@@ -854,7 +832,9 @@
     def _strike(self, now: float, server: Server) -> None:
         """Eject a server for a while, unless too many look bad to be believed."""
         self._resting = {name: s for name, s in self._resting.items() if s.rest_until > now}
-        if self._away or len(self._resting.keys() - {server.name}) >= EJECT_SHARE * len(self._ring):
+        if self._outage.is_ongoing or len(self._resting.keys() - {server.name}) >= EJECT_SHARE * len(
+            self._ring
+        ):
             return
         rest = min(REST_MS * 2.0**server.ejections, REST_MAX_MS) * (0.75 + 0.5 * self._rng.random())
         server.rest_until, server.ejected_at = now + rest, now
@@ -965,10 +945,8 @@
         if timeout > (aim := request.profile.objective):
             self._out.append(model.Timer(aim, f"{DUE}{request.id}:{len(request.attempts) - 1}"))
         request.in_flight += 1
-        self._sends = self._sends * math.exp((self._sends_at - now) / RATE_MS) + 1.0
-        self._sends_at = now
         server.in_flight += 1
-        self._open += 1
+        self._own.on_send(now)
         self._out.append(model.Send(request.id, server.name, timeout, within))
 
     def _give_up(self, now: float, request: Request, cause: Cause) -> None:
--- a/tests/balancer/test_causes.py
+++ b/tests/balancer/test_causes.py
@@ -104,7 +104,7 @@
 
 def test_nothing_is_accepted_and_the_trials_are_out():
     made = balancer(servers=2)
-    made._failed, made._failed_at = 5, -300.0
+    made._outage._failures, made._outage._failing_since = 5, -300.0
     assert causes(made, 40)[Cause.OUTAGE] > 20
 
 
--- a/tests/balancer/test_departures.py
+++ b/tests/balancer/test_departures.py
@@ -393,7 +393,7 @@
     made = warm(servers=6)
     for name in ("s0", "s1"):
         made._servers[name].in_flight = 20
-    made._open = 40
+    made._own.in_flight = 40
     for key in range(40):
         (send,) = of_type(made.request(0.0, Arrival(key, 0, 1000.0, key=key)), Send)
         assert send.server not in ("s0", "s1")
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -30,7 +30,8 @@
 
 # The modules of the decision module: each may import those after it, and no other module of the program.
 PARTS = (
-    "balancer", "shedding", "throttle", "requests", "servers", "baselines", "outcomes", "model",
+    "balancer", "shedding", "outage", "own_load", "throttle", "requests", "servers", "baselines",
+    "outcomes", "model",
 )  # fmt: skip
 
 
@@ -73,7 +74,9 @@
     "balancer/balancer.py",
     "balancer/baselines.py",
     "balancer/model.py",
+    "balancer/outage.py",
     "balancer/outcomes.py",
+    "balancer/own_load.py",
     "balancer/requests.py",
     "balancer/servers.py",
     "balancer/shedding.py",
