--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -2,7 +2,8 @@
 last, the file, and a start on it.
 
 `python -m benchmarks.control_changes`: one store alone on this machine's disk, the program's own replicator,
-log and orders; the configuration is about as long as asked (`--bytes`). Times are those of this machine.
+log and command handler; the configuration is about as long as asked (`--bytes`). Times are those of this
+machine.
 """
 
 from __future__ import annotations
@@ -17,7 +18,8 @@
 import time
 from pathlib import Path
 
-from fordtrestle.control_api.orders import Orders, Outcome, Verdict
+from fordtrestle.control_api.commands import CommandHandler
+from fordtrestle.control_api.requests import CommandResult, CommandStatus, ConfigRequest, ConfigRequestKind
 from fordtrestle.peer.codec import Hello, decode
 from fordtrestle.peer.mesh import Mesh
 from fordtrestle.peer.replicator import Replicator
@@ -48,17 +50,18 @@
     return json.dumps({"generation": number, "routes": routes, "services": [{"name": "pool"}]}).encode()
 
 
-async def _changed(orders: Orders, number: int, body: bytes) -> Outcome:
+async def _change(commands: CommandHandler, number: int, body: bytes) -> CommandResult:
     """A change, sent again unchanged while its store has lost its place, as operators do.
 
     A store whose disk takes long, on a busy machine too, leads no more until its disk answers.
     """
+    request = ConfigRequest(ConfigRequestKind.PUT, number - 1, body, lambda: True)
     give_up = time.perf_counter() + AGAIN_S
     while True:
-        outcome = await orders.change_config("put", number - 1, body, lambda: True)
-        is_final = outcome.verdict not in (Verdict.ELSEWHERE, Verdict.UNCLEAR)
+        result = await commands.change_config(request)
+        is_final = result.status not in (CommandStatus.NOT_PRIMARY, CommandStatus.UNKNOWN)
         if is_final or time.perf_counter() > give_up:
-            return outcome
+            return result
         await asyncio.sleep(AGAIN_PAUSE_S)
 
 
@@ -75,15 +78,15 @@
     running = asyncio.create_task(replicator.run())
     if not await replicator.until(lambda: node.is_ready, FOUNDED_S):
         raise RuntimeError("the store never became ready")
-    orders, took, most = Orders(replicator), [], 0
+    commands, took, most = CommandHandler(replicator), [], 0
     for number in range(1, count + 1):
         body = _document(number, length)
         began = time.perf_counter()
-        outcome = await _changed(orders, number, body)
+        result = await _change(commands, number, body)
         took.append(time.perf_counter() - began)
         most = max(most, log.size)
-        if outcome.verdict is not Verdict.DONE:
-            raise RuntimeError(f"change {number}: {outcome}")
+        if result.status is not CommandStatus.DONE:
+            raise RuntimeError(f"change {number}: {result}")
     running.cancel()
     await asyncio.gather(running, return_exceptions=True)
     log.close()
--- a/fordtrestle/cli/ctl.py
+++ b/fordtrestle/cli/ctl.py
@@ -10,7 +10,10 @@
 import json
 import sys
 from pathlib import Path
-from typing import Any
+from typing import TYPE_CHECKING, Any
+
+if TYPE_CHECKING:  # as commands run, it is imported only where a process is asked
+    from fordtrestle.control_api.client import ControlClient, ControlResponse
 
 DONE, REFUSED, BAD_INPUT, UNREACHABLE = 0, 1, 2, 3
 DEFAULT_TIMEOUT_S = 15.0
@@ -77,7 +80,8 @@
 
 
 async def _ask(given: argparse.Namespace) -> int:
-    from fordtrestle.control_api.client import ControlClient, Unreachable
+    from fordtrestle.control_api.client import ControlClient
+    from fordtrestle.control_api.errors import UnreachableError
 
     body = b""
     if given.word == "config" and given.act != "get":
@@ -92,51 +96,50 @@
     except ValueError as error:
         print(f"fordtrestle ctl: {error}", file=sys.stderr)
         return BAD_INPUT
-    except Unreachable as error:
+    except UnreachableError as error:
         print(f"fordtrestle ctl: {error}", file=sys.stderr)
         return UNREACHABLE
 
 
-async def _answer(given: argparse.Namespace, client: Any, body: bytes) -> int:
+async def _answer(given: argparse.Namespace, client: ControlClient, body: bytes) -> int:
     if given.word == "evacuate":
-        return _told(await client.send("POST", f"/v1/evacuations/{given.zone}/{given.step}"))
+        return _print_faults(await client.send("POST", f"/v1/evacuations/{given.zone}/{given.step}"))
     if given.word in ("epoch", "members", "servers"):
-        return _shown(await client.send("GET", f"/v1/{given.word}"), given.json)
+        return _print_rows(await client.send("GET", f"/v1/{given.word}"), given.json)
     if given.act in ("put", "patch"):
         base = given.base if given.base is not None else await _generation(client)
-        return _told(
+        return _print_faults(
             await client.send("POST", f"/v1/config/{given.act}", body, {"X-Base-Version": str(base)})
         )
-    status, text = await client.send("GET", "/v1/config/get")
-    if status != 200:
-        return _told((status, text))
+    response = await client.send("GET", "/v1/config/get")
+    if response.status != 200:
+        return _print_faults(response)
     if given.act == "diff":
-        return _differs(json.loads(text), json.loads(body))
-    print(json.dumps(json.loads(text), indent=2))
+        return _print_differences(json.loads(response.body), json.loads(body))
+    print(json.dumps(json.loads(response.body), indent=2))
     return DONE
 
 
-async def _generation(client: Any) -> int:
-    status, text = await client.send("GET", "/v1/config/get")
-    return int(json.loads(text)["generation"]) if status == 200 else 0
+async def _generation(client: ControlClient) -> int:
+    response = await client.send("GET", "/v1/config/get")
+    return int(json.loads(response.body)["generation"]) if response.status == 200 else 0
 
 
-def _told(answer: tuple[int, bytes]) -> int:
-    """Say why an order was refused; the exit code."""
-    status, text = answer
-    if status == 200:
+def _print_faults(response: ControlResponse) -> int:
+    """Print why a command was refused, if it was; the exit code."""
+    if response.status == 200:
         return DONE
-    faults = json.loads(text or b"{}").get("errors") or [f"status {status}"]
+    faults = json.loads(response.body or b"{}").get("errors") or [f"status {response.status}"]
     for line in faults:
-        print(f"refused ({status}): {line}", file=sys.stderr)
+        print(f"refused ({response.status}): {line}", file=sys.stderr)
     return REFUSED
 
 
-def _shown(answer: tuple[int, bytes], as_json: bool) -> int:
-    status, text = answer
-    if status != 200:
-        return _told(answer)
-    rows = json.loads(text)["rows"]
+def _print_rows(response: ControlResponse, as_json: bool) -> int:
+    """Print a listing as a table or as JSON; the exit code."""
+    if response.status != 200:
+        return _print_faults(response)
+    rows = json.loads(response.body)["rows"]
     if as_json:
         print(json.dumps(rows, indent=2))
         return DONE
@@ -147,7 +150,7 @@
     return DONE
 
 
-def _differs(current: dict[str, Any], other: dict[str, Any]) -> int:
+def _print_differences(current: dict[str, Any], other: dict[str, Any]) -> int:
     """Print what a document would change, item by item."""
     for kind in ("routes", "services"):
         before = {row["name"]: row for row in current.get(kind) or ()}
--- a/fordtrestle/control_api/__init__.py
+++ b/fordtrestle/control_api/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP calls of operators and servers to a control process."""
+"""The HTTP endpoint of a control process: operators' commands, heartbeats of servers, listings."""
--- a/fordtrestle/control_api/configuration.py
+++ b/fordtrestle/control_api/configuration.py
@@ -1,6 +1,7 @@
-"""Reads and checks what operators send: whole configurations and patches.
+"""Reads and checks what operators send: complete configurations and patches.
 
-What is checked is what makes a configuration unusable; fields that are not known are kept as they came.
+What is checked is what makes a configuration unusable. Unknown fields stay as they came: they may belong to a
+later version.
 """
 
 from __future__ import annotations
@@ -16,27 +17,33 @@
 
 from fordtrestle.settings.boot import flatten
 
-LISTS = ("routes", "services")
+LISTS = ("routes", "services")  # the lists of named rows that a configuration has
 
 
 @dataclass(frozen=True, slots=True)
-class Invalid:
-    """Why a call is refused, one line a fault."""
+class ValidationErrors:
+    """All that is wrong with the body of a call.
+
+    Attributes:
+        faults: One line a fault, beginning with the position of the field.
+    """
 
     faults: tuple[str, ...]
 
 
-class _Open(Schema):
+class _OpenSchema(Schema):
+    """A schema whose objects may have more fields than it knows."""
+
     class Meta:
         unknown = INCLUDE
 
 
-class _Weighted(_Open):
+class _WeightedSchema(_OpenSchema):
     backend = fields.String(required=True)
     weight = fields.Float(required=True, validate=validate.Range(min=0))
 
 
-class _Route(_Open):
+class _RouteSchema(_OpenSchema):
     name = fields.String(required=True)
     authority = fields.String(required=True)
     path_prefix = fields.String(required=True, validate=validate.Length(min=1))
@@ -49,7 +56,7 @@
     priority = fields.Integer(allow_none=True)
     max_attempts = fields.Integer(allow_none=True)
     backend = fields.String(allow_none=True)
-    weighted_backends = fields.List(fields.Nested(_Weighted), allow_none=True)
+    weighted_backends = fields.List(fields.Nested(_WeightedSchema), allow_none=True)
     home_regions = fields.List(fields.String(), allow_none=True)
 
     @validates_schema(skip_on_field_errors=False)
@@ -61,7 +68,7 @@
             raise ValidationError("the weights add up to 0", "weighted_backends")
 
 
-class _Service(_Open):
+class _ServiceSchema(_OpenSchema):
     name = fields.String(required=True)
     health_check = fields.String(allow_none=True)
     max_connections = fields.Integer(allow_none=True)
@@ -70,18 +77,24 @@
     engine = fields.Dict(allow_none=True)
 
 
-class _Limits(_Open):
+class _LimitsSchema(_OpenSchema):
     max_header_bytes = fields.Integer(allow_none=True)
     max_body_bytes = fields.Integer(allow_none=True)
     header_timeout_ms = fields.Float(allow_none=True)
     idle_timeout_ms = fields.Float(allow_none=True)
 
 
-class _Configuration(_Open):
+class _ConfigurationSchema(_OpenSchema):
+    generation = fields.Integer(required=True, strict=True)
+    routes = fields.List(fields.Nested(_RouteSchema), required=True)
+    services = fields.List(fields.Nested(_ServiceSchema), required=True)
+    limits = fields.Nested(_LimitsSchema, allow_none=True)
+
+
+class _PatchSchema(_OpenSchema):
     generation = fields.Integer(required=True, strict=True)
-    routes = fields.List(fields.Nested(_Route), required=True)
-    services = fields.List(fields.Nested(_Service), required=True)
-    limits = fields.Nested(_Limits, allow_none=True)
+    upsert = fields.Dict(keys=fields.String(), values=fields.List(fields.Dict()), load_default=dict)
+    delete = fields.Dict(keys=fields.String(), values=fields.List(fields.String()), load_default=dict)
 
 
 def _reference_faults(data: Mapping[str, Any]) -> list[str]:
@@ -94,65 +107,100 @@
         named = [entry.get("backend") for entry in weighted if isinstance(entry, dict)]
         unknown = [name for name in named if name and name not in services]
         faults += [f"{route.get('name')}: no service {name!r}" for name in unknown]
-    places = [(str(route.get("authority", "")).lower(), str(route.get("path_prefix"))) for route in routes]
-    faults += [f"two routes at {host}{prefix}" for host, prefix in duplicates_everseen(places)]
+    matches = [(str(route.get("authority", "")).lower(), str(route.get("path_prefix"))) for route in routes]
+    faults += [f"two routes at {host}{prefix}" for host, prefix in duplicates_everseen(matches)]
     names = [str(route.get("name")) for route in routes]
     faults += [f"two routes are called {name!r}" for name in duplicates_everseen(names)]
     return faults
 
 
 def _rows(data: Mapping[str, Any], kind: str) -> list[dict[str, Any]]:
-    """The rows of a list that are rows at all, by names that can be told apart."""
+    """The rows of a list that are objects with a name: others have faults of their own."""
     rows = data.get(kind)
     if not isinstance(rows, list):
         return []
     return [row for row in rows if isinstance(row, dict) and isinstance(row.get("name"), str)]
 
 
-class _Patch(_Open):
-    generation = fields.Integer(required=True, strict=True)
-    upsert = fields.Dict(keys=fields.String(), values=fields.List(fields.Dict()), load_default=dict)
-    delete = fields.Dict(keys=fields.String(), values=fields.List(fields.String()), load_default=dict)
+def read_put(body: bytes, current: bytes = b"") -> Result[dict[str, Any], ValidationErrors]:
+    """Read and check a complete configuration.
+
+    Args:
+        body: The configuration in JSON.
+        current: One that was checked before, in JSON: rows that stand in it are not checked again.
+
+    Returns:
+        The configuration as it came, or all that is wrong with it.
+    """
+    checked = json.loads(current) if current else {}
+    return _parse_object(body).bind(lambda document: _check_document(document, checked))
+
 
+def read_patch(body: bytes, current: bytes) -> Result[dict[str, Any], ValidationErrors]:
+    """Read a patch, apply it and check what it makes of the current configuration.
 
-def _object(body: bytes) -> Result[dict[str, Any], Invalid]:
+    Args:
+        body: The patch in JSON: a generation, rows to put by list, names to delete by list.
+        current: The current configuration in JSON, checked before; empty while there is none.
+
+    Returns:
+        The configuration that the patch makes, or all that is wrong with the patch or with that.
+    """
+    if not current:
+        return Failure(ValidationErrors(("there is no configuration to patch",)))
+    patch = _parse_object(body).bind(_check_patch)
+    return patch.bind(lambda changes: _apply_patch(json.loads(current), changes))
+
+
+def _parse_object(body: bytes) -> Result[dict[str, Any], ValidationErrors]:
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return Failure(Invalid((f"not JSON: {error}",)))
+        return Failure(ValidationErrors((f"not JSON: {error}",)))
     if not isinstance(raw, dict):
-        return Failure(Invalid(("expected a JSON object",)))
+        return Failure(ValidationErrors(("expected a JSON object",)))
     return Success(raw)
 
 
-def _check(schema: Schema, raw: dict[str, Any]) -> Result[dict[str, Any], Invalid]:
-    faults = schema.validate(raw)
-    return Failure(Invalid(flatten(faults))) if faults else Success(raw)
+def _check_patch(patch: dict[str, Any]) -> Result[dict[str, Any], ValidationErrors]:
+    faults = _PatchSchema().validate(patch)
+    return Failure(ValidationErrors(flatten(faults))) if faults else Success(patch)
+
+
+def _apply_patch(current: dict[str, Any], patch: dict[str, Any]) -> Result[dict[str, Any], ValidationErrors]:
+    return _check_document(_merge(current, patch), current)
 
 
-def _check_whole(raw: dict[str, Any], known: Mapping[str, Any]) -> Result[dict[str, Any], Invalid]:
-    """Check a configuration: each row that is not in one that was checked before, and how they fit together.
+def _check_document(
+    document: dict[str, Any], checked: Mapping[str, Any]
+) -> Result[dict[str, Any], ValidationErrors]:
+    """Check each row that is not in a configuration that was checked before, and how all rows fit together.
 
     Checking a row costs some 40 us, comparing it a hundredth of that.
     """
-    changed = {kind: _changed(raw.get(kind), known.get(kind)) for kind in LISTS}
-    partial = raw | {kind: [row for _, row in rows] for kind, rows in changed.items() if rows is not None}
-    faults: dict[str, Any] = _Configuration().validate(partial)
+    changed = {kind: _changed_rows(document.get(kind), checked.get(kind)) for kind in LISTS}
+    partial = document | {
+        kind: [row for _, row in rows] for kind, rows in changed.items() if rows is not None
+    }
+    faults: dict[str, Any] = _ConfigurationSchema().validate(partial)
     for kind, rows in changed.items():
         if rows is not None and isinstance(faults.get(kind), dict):
-            faults[kind] = {rows[index][0]: told for index, told in faults[kind].items()}
-    if wrong := _reference_faults(raw):
+            # Operators read positions in the document that they sent.
+            faults[kind] = {rows[index][0]: of_row for index, of_row in faults[kind].items()}
+    if reference_faults := _reference_faults(document):
         of_rows = faults.get("routes")
-        faults["routes"] = {**of_rows, "_schema": wrong} if isinstance(of_rows, dict) else wrong
-    return Failure(Invalid(flatten(faults))) if faults else Success(raw)
+        faults["routes"] = (
+            {**of_rows, "_schema": reference_faults} if isinstance(of_rows, dict) else reference_faults
+        )
+    return Failure(ValidationErrors(flatten(faults))) if faults else Success(document)
 
 
-def _changed(rows: object, known: object) -> list[tuple[int, Any]] | None:
-    """The rows of a list that are not among those known, with their places; nothing where it is no list."""
+def _changed_rows(rows: object, checked: object) -> list[tuple[int, Any]] | None:
+    """The rows of a list that were not checked before, with their positions; `None` where it is no list."""
     if not isinstance(rows, list):
         return None
-    by_name = {row["name"]: row for row in known} if isinstance(known, list) else {}
-    return [(place, row) for place, row in enumerate(rows) if not _is_among(row, by_name)]
+    by_name = {row["name"]: row for row in checked} if isinstance(checked, list) else {}
+    return [(position, row) for position, row in enumerate(rows) if not _is_among(row, by_name)]
 
 
 def _is_among(row: object, by_name: Mapping[str, Any]) -> bool:
@@ -160,25 +208,8 @@
     return isinstance(name, str) and by_name.get(name) == row
 
 
-def read_put(body: bytes, current: bytes = b"") -> Result[dict[str, Any], Invalid]:
-    """A whole configuration, checked, as it came; `current` is one that was checked before."""
-    known = json.loads(current) if current else {}
-    return _object(body).bind(lambda raw: _check_whole(raw, known))
-
-
-def read_patch(body: bytes, current: bytes) -> Result[dict[str, Any], Invalid]:
-    """The configuration that a patch makes of the current document, checked."""
-
-    def apply(patch: dict[str, Any]) -> Result[dict[str, Any], Invalid]:
-        known = json.loads(current)
-        return _check_whole(_merged(known, patch), known)
-
-    if not current:
-        return Failure(Invalid(("there is no configuration to patch",)))
-    return _object(body).bind(lambda raw: _check(_Patch(), raw)).bind(apply)
-
-
-def _merged(document: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
+def _merge(document: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
+    """The document with a patch applied: rows are deleted, then put, by name."""
     merged = {**document, "generation": patch["generation"]}
     upsert, delete = patch.get("upsert") or {}, patch.get("delete") or {}
     for kind in dict.fromkeys((*LISTS, *upsert, *delete)):
@@ -191,9 +222,9 @@
     return merged
 
 
-def check_generation(document: Mapping[str, Any], current: int) -> Result[int, Invalid]:
-    """The document's generation, which has to lie above the current one."""
+def check_generation(document: Mapping[str, Any], current: int) -> Result[int, ValidationErrors]:
+    """The document's generation, which has to be above the current one."""
     generation = int(document["generation"])
     if generation <= current:
-        return Failure(Invalid((f"generation: {generation} is not above {current}",)))
+        return Failure(ValidationErrors((f"generation: {generation} is not above {current}",)))
     return Success(generation)
--- /dev/null
+++ b/fordtrestle/control_api/errors.py
@@ -0,0 +1,11 @@
+"""Errors of the control API. Pure."""
+
+from __future__ import annotations
+
+
+class ControlApiError(Exception):
+    """Base of all errors that this package raises."""
+
+
+class UnreachableError(ControlApiError):
+    """No control process gave a clear answer in time. The message names the last address and its answer."""
--- a/fordtrestle/control_api/http.py
+++ b/fordtrestle/control_api/http.py
@@ -1,50 +1,81 @@
-"""The `control` endpoint: operators' orders and servers' heartbeats over HTTP."""
+"""The `control` endpoint: operators' commands, servers' heartbeats and listings over HTTP.
+
+Paths, statuses, bodies and header fields are part of the protocol, and stay as they are.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import json
 from collections.abc import Awaitable, Callable
+from functools import partial
 from typing import Any
 
 from aiohttp import web
 from returns.result import Failure, Success
 
 from fordtrestle.control_api import listings
-from fordtrestle.control_api.heartbeats import BODY_MOST, Heartbeats, read_heartbeat
-from fordtrestle.control_api.orders import IsWaiting, Orders, Outcome, Verdict
-from fordtrestle.control_api.withdrawals import Withdrawals
+from fordtrestle.control_api.commands import CommandHandler
+from fordtrestle.control_api.heartbeats import MAX_HEARTBEAT_BYTES, HeartbeatMonitor, read_heartbeat
+from fordtrestle.control_api.requests import (
+    CommandResult,
+    CommandStatus,
+    ConfigRequest,
+    ConfigRequestKind,
+    EvacuationRequest,
+)
+from fordtrestle.control_api.withdrawals import WithdrawalConfirmer
 from fordtrestle.dissemination.items import DOCUMENT_MOST, Phase
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.replication.node import Node
 
-BODY_S = 5.0
+# For the body of a call to arrive in full.
+BODY_TIMEOUT_S = 5.0
+
+# What callers are asked to wait for, in the header field `Retry-After`: about as long as an election takes.
 RETRY_AFTER_S = 0.3
-BASE_HEADER = "X-Base-Version"
+
+BASE_HEADER = "X-Base-Version"  # the generation that a change builds on
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 def reply(status: int, *faults: str, **headers: str) -> web.Response:
-    """An answer in JSON, with its faults where it has some."""
+    """An answer in JSON.
+
+    Args:
+        status: The HTTP status.
+        faults: All that is wrong with the call, a line each.
+        headers: Header fields; underscores in their names stand for hyphens.
+    """
     body: dict[str, Any] = {"errors": list(faults)} if faults else {}
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     return web.json_response(body, status=status, headers=named)
 
 
 class ControlApi:
-    """Turns calls into orders and heartbeats, and what comes of them into answers."""
+    """Turns calls into commands and heartbeats, and their results into answers."""
 
     def __init__(
         self,
-        orders: Orders,
-        heartbeats: Heartbeats,
-        withdrawals: Withdrawals,
+        commands: CommandHandler,
+        heartbeats: HeartbeatMonitor,
+        withdrawals: WithdrawalConfirmer,
         gossip: Gossip,
         zones: frozenset[str],
         node: Node,
     ) -> None:
-        self._orders = orders
+        """Keep what calls are passed on to.
+
+        Args:
+            commands: Carries out operators' commands.
+            heartbeats: Records servers' heartbeats.
+            withdrawals: Confirms that a majority holds a server's withdrawal.
+            gossip: The table of members and servers.
+            zones: The zones that can be evacuated.
+            node: The replication of this store, for where the primary is.
+        """
+        self._commands = commands
         self._heartbeats = heartbeats
         self._withdrawals = withdrawals
         self._gossip = gossip
@@ -53,11 +84,11 @@
 
     def application(self) -> web.Application:
         """The routes of the endpoint."""
-        application = web.Application(middlewares=[errors], client_max_size=DOCUMENT_MOST)
+        application = web.Application(middlewares=[answer_errors], client_max_size=DOCUMENT_MOST)
         application.add_routes(
             [
-                web.post("/v1/config/{kind:put|patch}", self._change),
-                web.get("/v1/config/get", self._get),
+                web.post("/v1/config/{kind:put|patch}", self._change_config),
+                web.get("/v1/config/get", self._read_config),
                 web.post("/v1/evacuations/{zone}/{step:start|finish}", self._evacuate),
                 web.get("/v1/{listing:epoch|members|servers}", self._list),
                 web.post("/v1/instances/{instance}/heartbeat", self._heartbeat),
@@ -66,30 +97,30 @@
         )
         return application
 
-    async def _change(self, request: web.Request) -> web.StreamResponse:
+    async def _change_config(self, request: web.Request) -> web.StreamResponse:
         base = request.headers.get(BASE_HEADER, "0")
         if not (base.isascii() and base.isdigit()):
             return reply(400, f"{BASE_HEADER}: expected a whole number")
         body = await read_body(request)
-        kind = request.match_info["kind"]
-        outcome = await self._orders.change_config(kind, int(base), body, is_waiting(request))
-        return self._answer(request, outcome)
-
-    async def _get(self, request: web.Request) -> web.StreamResponse:
-        outcome = await self._orders.current()
-        if outcome.verdict is not Verdict.DONE:
-            return self._answer(request, outcome)
-        if not outcome.document:
+        kind = ConfigRequestKind(request.match_info["kind"])
+        command = ConfigRequest(kind, int(base), body, partial(is_connected, request))
+        return self._answer(request, await self._commands.change_config(command))
+
+    async def _read_config(self, request: web.Request) -> web.StreamResponse:
+        result = await self._commands.read_config()
+        if result.status is not CommandStatus.DONE:
+            return self._answer(request, result)
+        if not result.document:
             return reply(404, "there is no configuration yet")
-        return web.Response(body=outcome.document, content_type="application/json")
+        return web.Response(body=result.document, content_type="application/json")
 
     async def _evacuate(self, request: web.Request) -> web.StreamResponse:
         zone = request.match_info["zone"]
         if zone not in self._zones:
             return reply(404, f"no zone {zone!r}")
-        active = request.match_info["step"] == "start"
-        outcome = await self._orders.evacuate(zone, active, is_waiting(request))
-        return self._answer(request, outcome)
+        is_start = request.match_info["step"] == "start"
+        command = EvacuationRequest(zone, is_start, partial(is_connected, request))
+        return self._answer(request, await self._commands.evacuate(command))
 
     async def _list(self, request: web.Request) -> web.StreamResponse:
         """What this process knows, as rows for `fordtrestle ctl`."""
@@ -106,17 +137,17 @@
     async def _heartbeat(self, request: web.Request) -> web.StreamResponse:
         instance = request.match_info["instance"]
         body = await read_body(request)
-        if len(body) > BODY_MOST:
-            return reply(413, f"a heartbeat holds {BODY_MOST} bytes at most")
+        if len(body) > MAX_HEARTBEAT_BYTES:
+            return reply(413, f"a heartbeat holds {MAX_HEARTBEAT_BYTES} bytes at most")
         match read_heartbeat(instance, body, self._gossip.me.node):
             case Failure(invalid):
                 return reply(400, *invalid.faults)
-            case Success(beat):
+            case Success(heartbeat):
                 now = asyncio.get_running_loop().time()
-                item = self._heartbeats.take(beat, self._gossip.catalog, now)
+                item = self._heartbeats.on_heartbeat(heartbeat, self._gossip.catalog, now)
                 if item:
                     self._gossip.publish([item])
-                if beat.record.phase is not Phase.SERVING:
+                if heartbeat.record.phase is not Phase.SERVING:
                     return await self._acknowledge_withdrawal(instance)
         return reply(200)
 
@@ -129,46 +160,56 @@
         """200 binds all sidecars, so it is withheld where they might not learn of it in time."""
         if await self._withdrawals.confirm(instance):
             return reply(200)
-        return _come_back("not known to enough control processes yet")
+        return _retry_later("not known to enough control processes yet")
 
-    def _answer(self, request: web.Request, outcome: Outcome) -> web.StreamResponse:
-        match outcome.verdict:
-            case Verdict.DONE:
+    def _answer(self, request: web.Request, result: CommandResult) -> web.StreamResponse:
+        match result.status:
+            case CommandStatus.DONE:
                 return reply(200)
-            case Verdict.STALE:
+            case CommandStatus.STALE:
                 return reply(412, "another version is current")
-            case Verdict.INVALID:
-                return reply(400, *outcome.faults)
-            case Verdict.ELSEWHERE:
-                primary = self._node.reachable_primary(asyncio.get_running_loop().time())
-                if primary:
-                    return reply(307, Location=f"http://{primary.control}{request.raw_path}")
-        return _come_back("no answer yet")
-
-
-def _come_back(reason: str) -> web.Response:
+            case CommandStatus.INVALID:
+                return reply(400, *result.faults)
+            case CommandStatus.NOT_PRIMARY:
+                return self._redirect_to_primary(request)
+            case CommandStatus.UNKNOWN:
+                return _retry_later("no answer yet")
+
+    def _redirect_to_primary(self, request: web.Request) -> web.StreamResponse:
+        """Send the caller to the primary, or away where it was not heard lately: it may have moved."""
+        primary = self._node.reachable_primary(asyncio.get_running_loop().time())
+        if primary is None:
+            return _retry_later("no answer yet")
+        return reply(307, Location=f"http://{primary.control}{request.raw_path}")
+
+
+def _retry_later(reason: str) -> web.Response:
     return reply(503, f"{reason}: send it again", Retry_After=str(RETRY_AFTER_S))
 
 
-def is_waiting(request: web.Request) -> IsWaiting:
-    """Whether a call's connection is still there, as far as this process has read."""
+def is_connected(request: web.Request) -> bool:
+    """Whether a call's connection is still there, as far as this process has read.
 
-    def check() -> bool:
-        transport = request.transport
-        return transport is not None and not transport.is_closing()
-
-    return check
+    A caller may have gone all the same: what it sent as it left is seen only once the event loop reads it.
+    """
+    transport = request.transport
+    return transport is not None and not transport.is_closing()
 
 
 async def read_body(request: web.Request) -> bytes:
-    """The whole body, in good time. Raises `TimeoutError`, or aiohttp's answer for one that is too large."""
-    async with asyncio.timeout(BODY_S):
+    """Read the whole body.
+
+    Raises:
+        TimeoutError: It did not come in time.
+        aiohttp.web.HTTPRequestEntityTooLarge: It is longer than a configuration may be.
+    """
+    async with asyncio.timeout(BODY_TIMEOUT_S):
         return await request.read()
 
 
 @web.middleware
-async def errors(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """No call ends without an answer in JSON."""
+async def answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
+    """Answer errors in JSON, as everything else."""
     try:
         return await handler(request)
     except web.HTTPException as error:
--- a/fordtrestle/control_api/listings.py
+++ b/fordtrestle/control_api/listings.py
@@ -1,10 +1,10 @@
-"""What a control process knows, as rows that an operator reads. Pure."""
+"""What a control process knows, as rows for `fordtrestle ctl`. Keys and values are shown to users. Pure."""
 
 from __future__ import annotations
 
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import Phase, ServerRecord
-from fordtrestle.replication.epochs import Epoch
+from fordtrestle.replication.epochs import Epoch, Store
 
 Row = dict[str, str | int | float]
 
@@ -14,7 +14,7 @@
 
 
 def members(catalog: Catalog) -> list[Row]:
-    """The processes of the system, by region and name."""
+    """A row for each process of the system, by region and name."""
     known = sorted((record.region, record.node, record) for record, _ in catalog.members())
     return [
         {
@@ -30,7 +30,7 @@
 
 
 def servers(catalog: Catalog) -> list[Row]:
-    """The servers, by service and zone, and why some get nothing."""
+    """A row for each server, by service and zone, and why some get no requests."""
     control = catalog.control
     evacuated = control.evacuated if control else ()
     known = sorted((record.service, record.zone, record.instance, record) for record, _ in catalog.servers())
@@ -41,14 +41,15 @@
             "zone": record.zone,
             "address": record.address,
             "slots": record.slots,
-            "usable": _why_not(record, evacuated) or "yes",
+            "usable": _reason_unusable(record, evacuated) or "yes",
             "heard_by": record.heard_by,
         }
         for _, _, _, record in known
     ]
 
 
-def _why_not(record: ServerRecord, evacuated: tuple[str, ...]) -> str:
+def _reason_unusable(record: ServerRecord, evacuated: tuple[str, ...]) -> str:
+    """Why a server gets no requests; empty where it does."""
     if record.phase is not Phase.SERVING:
         return PHASE_LABELS[record.phase]
     if record.is_unresponsive:
@@ -57,7 +58,7 @@
 
 
 def epoch(newest: Epoch | None) -> list[Row]:
-    """The stores of the newest epoch, and what each is in it."""
+    """A row for each store of the newest epoch, and its role in it."""
     if newest is None:
         return []
     return [
@@ -66,11 +67,13 @@
             "store": store.id,
             "zone": store.zone,
             "control": store.control,
-            "role": "primary"
-            if store.id == newest.primary
-            else "backup"
-            if store.id in newest.replicas
-            else "witness",
+            "role": _role_in(newest, store),
         }
         for store in newest.witnesses
     ]
+
+
+def _role_in(newest: Epoch, store: Store) -> str:
+    if store.id == newest.primary:
+        return "primary"
+    return "backup" if store.id in newest.replicas else "witness"
--- a/fordtrestle/control_api/outliers.py
+++ b/fordtrestle/control_api/outliers.py
@@ -10,28 +10,49 @@
 from fordtrestle.routing.evidence import Evidence
 
 
-class Outliers:
-    """Takes reports and spreads the ejections that come of them."""
+class OutlierDetector:
+    """Collects sidecars' reports and spreads the ejections that follow from them."""
 
     def __init__(self, gossip: Gossip, regions: dict[str, str]) -> None:
+        """Begin without evidence.
+
+        Args:
+            gossip: The table of members and servers, and who is to learn of ejections.
+            regions: The region of each zone.
+        """
         self._gossip = gossip
         self._evidence = Evidence(regions)
 
-    def received(self, node: str, report: OutcomeReport, now: float) -> None:
-        """A sidecar's report; `now` in s of a steady clock."""
+    def on_report(self, node: str, report: OutcomeReport, now: float) -> None:
+        """Weigh a report. One of a process that is no member counts for nothing.
+
+        Ejections continue from the version in the catalog: the owner of the service may have changed, and
+        what the earlier one published must not outdo them.
+
+        Args:
+            node: The sidecar that reports.
+            report: How its requests to the servers of one service ended.
+            now: Seconds of a monotonic clock.
+        """
         catalog = self._gossip.catalog
         reporter = catalog.get(MEMBER_PREFIX + node)
         if reporter is None or not isinstance(reporter.value, MemberRecord):
             return
-        zones = {r.instance: r.zone for r, _ in catalog.servers() if r.service == report.service}
+        zones = {
+            record.instance: record.zone
+            for record, _ in catalog.servers()
+            if record.service == report.service
+        }
         items = []
-        for record in self._evidence.take(report, reporter.value.zone, zones, now):
-            eliot.log_message("servers:ejected-for-all", instance=record.instance, lasts_s=record.lasts_s)
-            known = catalog.get(EJECTION_PREFIX + record.instance)
-            items.append(ejection_item(record, known.version if known else None))
+        for ejection in self._evidence.take(report, reporter.value.zone, zones, now):
+            eliot.log_message(
+                "servers:ejected-by-control", instance=ejection.instance, lasts_s=ejection.lasts_s
+            )
+            known = catalog.get(EJECTION_PREFIX + ejection.instance)
+            items.append(ejection_item(ejection, known.version if known else None))
         if items:
             self._gossip.publish(items)
 
-    def forget(self, now: float) -> None:
-        """Drop evidence that tells nothing any more."""
+    def expire(self, now: float) -> None:
+        """Drop evidence that is too old to count; `now` in seconds of a monotonic clock."""
         self._evidence.forget(now)
--- a/fordtrestle/control_api/withdrawals.py
+++ b/fordtrestle/control_api/withdrawals.py
@@ -1,15 +1,16 @@
-"""Words of servers that bind the whole fleet once they are acknowledged: that they drain, or are gone.
+"""Withdrawals of servers: that they drain or have departed, which binds the whole fleet once acknowledged.
 
-Such a word is acknowledged only once a majority of the core holds it: each control process tells all sidecars
-that it is linked to, and a sidecar in touch with the core is linked to one of any majority.
+A withdrawal is acknowledged only once a majority of the core holds it: each control process reports it to all
+sidecars that it is linked to, and a sidecar in touch with the core is linked to one of any majority.
 """
 
 from __future__ import annotations
 
 import asyncio
+import contextlib
 import itertools
 from collections import OrderedDict
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
 from fordtrestle.dissemination.items import SERVER_PREFIX, Item, Phase, ServerRecord
@@ -18,77 +19,114 @@
 from fordtrestle.peer.mesh import Link, Mesh
 from fordtrestle.replication.epochs import Epoch, Store, majority
 
-CONFIRM_S = 0.7  # of the second that a server waits for its acknowledgement (PROTOCOL: service discovery)
-PENDING_MOST = 1024  # words that are being confirmed; more are not acknowledged yet
-KNOWN_MOST = 4096  # words that were confirmed and need no more messages
+# Of the second that a server waits for its acknowledgement (PROTOCOL: service discovery).
+CONFIRM_TIMEOUT_S = 0.7
+
+# Withdrawals that are being confirmed; more are not acknowledged yet, and come again with the next heartbeat.
+MAX_PENDING = 1024
+
+# Confirmed withdrawals that are remembered: further heartbeats of a draining server cost no messages.
+MAX_CONFIRMED = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class _Pending:
-    held_at: set[str]  # addresses of the stores that hold the word
-    news: asyncio.Event
+    holders: set[str]  # addresses of the stores that hold the withdrawal
+    changed: asyncio.Event
 
 
-class Withdrawals:
-    """Confirms what one control process hears, and what others ask it to hold."""
+class WithdrawalConfirmer:
+    """Confirms withdrawals that one control process hears of, and holds those that others ask it to."""
 
     def __init__(self, me: Store, mesh: Mesh, gossip: Gossip, epoch: Callable[[], Epoch | None]) -> None:
+        """Keep what it works on.
+
+        Args:
+            me: The store of this process.
+            mesh: The links to other processes.
+            gossip: The table of servers, and who is to learn of its changes.
+            epoch: Gives the newest epoch that this store knows of, whose witnesses are asked.
+        """
         self._me = me
         self._mesh = mesh
         self._gossip = gossip
         self._epoch = epoch
         self._tokens = itertools.count(1)
         self._pending: dict[int, _Pending] = {}  # by token
-        self._known: OrderedDict[tuple[str, Phase], None] = OrderedDict()
+        self._confirmed: OrderedDict[tuple[str, Phase], None] = OrderedDict()  # oldest first
 
     async def confirm(self, instance: str) -> bool:
-        """Whether a majority of the core holds that this incarnation is to get nothing more."""
+        """Whether a majority of the core holds that this incarnation is to get nothing more.
+
+        Guards against a process that is cut off: its own gossip reaches nobody, and an acknowledgement of it
+        alone would let sidecars go on sending to a server that has gone.
+
+        Args:
+            instance: The incarnation of a server.
+
+        Returns:
+            False also where the incarnation serves, or too many withdrawals are being confirmed.
+        """
         item = self._gossip.catalog.get(SERVER_PREFIX + instance)
         if item is None or not isinstance(item.value, ServerRecord) or item.value.phase is Phase.SERVING:
             return False
-        word = (instance, item.value.phase)
-        if word in self._known:
+        withdrawal = (instance, item.value.phase)
+        if withdrawal in self._confirmed:
             return True
-        if len(self._pending) >= PENDING_MOST or not await self._ask(item):
+        if len(self._pending) >= MAX_PENDING or not await self._ask_witnesses(item):
             return False
-        self._known[word] = None
-        if len(self._known) > KNOWN_MOST:
-            self._known.popitem(last=False)
+        self._confirmed[withdrawal] = None
+        if len(self._confirmed) > MAX_CONFIRMED:
+            self._confirmed.popitem(last=False)
         return True
 
-    def asked(self, link: Link, message: Confirm) -> None:
-        """Another control process asks to hold a word, and to pass it on."""
+    def on_confirm(self, link: Link, message: Confirm) -> None:
+        """Hold a withdrawal for another control process, pass it on, and say so.
+
+        Nothing is said where the catalog had no room for it, or holds an older version still.
+        """
         self._gossip.publish([message.item], source=link)
         held = self._gossip.catalog.get(message.item.key)
         if held and held.version >= message.item.version:
             link.send(Confirmed(message.token))
 
-    def answered(self, link: Link, message: Confirmed) -> None:
-        """Another control process holds a word."""
+    def on_confirmed(self, link: Link, message: Confirmed) -> None:
+        """Record that another control process holds a withdrawal; one that came too late changes nothing."""
         pending = self._pending.get(message.token)
         if pending:
-            pending.held_at.add(link.peer)
-            pending.news.set()
+            pending.holders.add(link.peer)
+            pending.changed.set()
 
-    async def _ask(self, item: Item) -> bool:
-        """Ask the other witnesses to hold a word; whether a majority of all does in time."""
+    async def _ask_witnesses(self, item: Item) -> bool:
+        """Ask the other witnesses to hold a withdrawal; whether a majority of all does in time."""
         epoch = self._epoch()
         if epoch is None:
             return False
         witnesses = [store.address for store in epoch.witnesses]
-        token, held_at, news = next(self._tokens), {self._me.address}, asyncio.Event()
-        self._pending[token] = _Pending(held_at, news)
-        try:
+        with self._pending_confirmation() as (token, pending):
             for address in witnesses:
                 link = self._mesh.link_at(address)
                 if link:
                     link.send(Confirm(token, item))
-            async with asyncio.timeout(CONFIRM_S):
-                while not majority(held_at, witnesses):
-                    news.clear()
-                    await news.wait()
-        except TimeoutError:
-            return False
+            return await _is_held_by_majority(pending, witnesses)
+
+    @contextlib.contextmanager
+    def _pending_confirmation(self) -> Iterator[tuple[int, _Pending]]:
+        """A confirmation that answers are recorded for, with its token."""
+        token, pending = next(self._tokens), _Pending({self._me.address}, asyncio.Event())
+        self._pending[token] = pending
+        try:
+            yield token, pending
         finally:
             del self._pending[token]
-        return True
+
+
+async def _is_held_by_majority(pending: _Pending, witnesses: list[str]) -> bool:
+    try:
+        async with asyncio.timeout(CONFIRM_TIMEOUT_S):
+            while not majority(pending.holders, witnesses):
+                pending.changed.clear()
+                await pending.changed.wait()
+    except TimeoutError:
+        return False
+    return True
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -8,11 +8,11 @@
 
 import eliot
 
-from fordtrestle.control_api.heartbeats import Heartbeats
+from fordtrestle.control_api.commands import CommandHandler
+from fordtrestle.control_api.heartbeats import HeartbeatMonitor
 from fordtrestle.control_api.http import ControlApi
-from fordtrestle.control_api.orders import Orders
-from fordtrestle.control_api.outliers import Outliers
-from fordtrestle.control_api.withdrawals import Withdrawals
+from fordtrestle.control_api.outliers import OutlierDetector
+from fordtrestle.control_api.withdrawals import WithdrawalConfirmer
 from fordtrestle.dissemination.items import Availability, ControlView, control_item
 from fordtrestle.dissemination.messages import Confirm, Confirmed, OutcomeReport
 from fordtrestle.dissemination.suspicion import successor_of
@@ -85,24 +85,24 @@
         self.replicator = Replicator(
             self.node, log, self.process.mesh, self.process.is_control, self._changed
         )
-        self.heartbeats = Heartbeats(boot.node_name, boot.heartbeat_s)
+        self.heartbeats = HeartbeatMonitor(boot.node_name, boot.heartbeat_s)
         self._published = -1
         self._epoch = -1
         self._log_events = EventLog(self.node.events)
-        self.withdrawals = Withdrawals(
+        self.withdrawals = WithdrawalConfirmer(
             me, self.process.mesh, self.process.gossip, lambda: self.node.newest_epoch
         )
-        self.outliers = Outliers(self.process.gossip, dict(boot.zones))
+        self.outliers = OutlierDetector(self.process.gossip, dict(boot.zones))
         self.process.on_message = self._received
 
     def _received(self, link: Link, message: Any) -> None:
         match message:
             case Confirm():
-                self.withdrawals.asked(link, message)
+                self.withdrawals.on_confirm(link, message)
             case Confirmed():
-                self.withdrawals.answered(link, message)
+                self.withdrawals.on_confirmed(link, message)
             case OutcomeReport():
-                self.outliers.received(link.node, message, asyncio.get_running_loop().time())
+                self.outliers.on_report(link.node, message, asyncio.get_running_loop().time())
             case Envelope() | Announce():
                 self.replicator.received(message)
 
@@ -160,10 +160,10 @@
         while True:
             await asyncio.sleep(SILENCE_CHECK_S)
             now = asyncio.get_running_loop().time()
-            self.outliers.forget(now)
-            items = self.heartbeats.fallen_silent(self.process.gossip.catalog, now, self._inherits)
+            self.outliers.expire(now)
+            items = self.heartbeats.find_unresponsive(self.process.gossip.catalog, now, self._inherits)
             if items:
-                eliot.log_message("control:servers-silent", keys=[item.key for item in items])
+                eliot.log_message("control:servers-unresponsive", keys=[item.key for item in items])
                 self.process.gossip.publish(items)
 
 
@@ -184,7 +184,7 @@
     await process.start()
     process.announce(Availability.READY)
     api = ControlApi(
-        Orders(control.replicator),
+        CommandHandler(control.replicator),
         control.heartbeats,
         control.withdrawals,
         process.gossip,
--- a/tests/control_api/test_exchanges.py
+++ b/tests/control_api/test_exchanges.py
@@ -1,5 +1,6 @@
-"""Whole exchanges of operators and servers with a control process that stands alone (none is tolerated to be
-lost).
+"""Complete exchanges of operators and servers with a control process that stands alone.
+
+No loss is tolerated, so it is the only witness. Stored transcripts are found by the names of their tests.
 """
 
 from __future__ import annotations
@@ -9,13 +10,13 @@
 import json
 import random
 
-from fordtrestle.control_api.heartbeats import Heartbeats
+from fordtrestle.control_api.commands import CommandHandler
+from fordtrestle.control_api.heartbeats import HeartbeatMonitor
 from fordtrestle.control_api.http import ControlApi
-from fordtrestle.control_api.orders import Orders
-from fordtrestle.control_api.withdrawals import Withdrawals
+from fordtrestle.control_api.withdrawals import WithdrawalConfirmer
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import Availability, MemberRecord, Phase
-from fordtrestle.peer.codec import Hello
+from fordtrestle.peer.codec import Hello, decode
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Mesh
 from fordtrestle.peer.replicator import Replicator
@@ -51,13 +52,13 @@
 class Stage:
     """One control process: its disk, its replication and its endpoint."""
 
-    def __init__(self, folder, founded=True):
+    def __init__(self, folder, is_founder=True):
         self.log = RecordLog(folder)
         self.log.open()
         store = Store("s1", "127.0.0.1:1", "127.0.0.1:2", "z-1")
         self.node = Node(
             store,
-            Durable("s1", must_bootstrap=founded),
+            Durable("s1", must_bootstrap=is_founder),
             machines=0,
             counts=True,
             draw=random.Random(1).random,
@@ -73,9 +74,9 @@
         if self.node.durable.is_founder:
             assert await self.replicator.until(lambda: self.node.is_ready, 5.0)
         api = ControlApi(
-            Orders(self.replicator),
-            Heartbeats("core-1", 1.0),
-            Withdrawals(self.node.me, self.mesh, self.gossip, lambda: self.node.newest_epoch),
+            CommandHandler(self.replicator),
+            HeartbeatMonitor("core-1", 1.0),
+            WithdrawalConfirmer(self.node.me, self.mesh, self.gossip, lambda: self.node.newest_epoch),
             self.gossip,
             frozenset(("z-1", "z-2")),
             self.node,
@@ -108,9 +109,8 @@
         }
         await client.exchange(put(patch, base=3, kind="patch"))
         await client.exchange(request("GET", "/v1/config/get"))
-        await client.exchange(
-            put(CONFIG)
-        )  # its acknowledgement was lost: acknowledged again, after newer ones
+        # Its acknowledgement was lost: it is acknowledged again, after newer ones.
+        await client.exchange(put(CONFIG))
         assert approved(client) == snapshot
 
 
@@ -128,16 +128,15 @@
     async with Stage(tmp_path) as stage, Client(stage.port) as client:
         await client.exchange(put(CONFIG))
         await client.exchange(put({**CONFIG, "generation": 4}, base=1))
-        await client.exchange(
-            put(CONFIG | {"limits": {"max_body_bytes": 1}}, base=3)
-        )  # the same number again
+        same_generation = CONFIG | {"limits": {"max_body_bytes": 1}}
+        await client.exchange(put(same_generation, base=3))
         await client.exchange(put(wrong, base=3))
         two = {**CONFIG, "generation": 9, "routes": [ROUTE, {**ROUTE, "name": "r-2"}]}
         await client.exchange(put(two, base=3))
         unknown = {**CONFIG, "generation": 9, "routes": [{**ROUTE, "backend": "nowhere"}]}
         await client.exchange(put(unknown, base=3))
-        cut_short = json.dumps(CONFIG)[:40]
-        await client.exchange(request("POST", "/v1/config/put", cut_short, X_Base_Version="3"))
+        truncated = json.dumps(CONFIG)[:40]
+        await client.exchange(request("POST", "/v1/config/put", truncated, X_Base_Version="3"))
         await client.exchange(request("POST", "/v1/config/put", "{}", X_Base_Version="-1"))
         await client.exchange(request("POST", "/v1/config/patch", "[]", X_Base_Version="3"))
         await client.exchange(request("POST", "/v1/config/burn", "{}"))
@@ -181,7 +180,7 @@
 
 @loopback
 async def test_who_is_not_primary_sends_callers_there_or_away(tmp_path, snapshot):
-    async with Stage(tmp_path, founded=False) as stage, Client(stage.port) as client:
+    async with Stage(tmp_path, is_founder=False) as stage, Client(stage.port) as client:
         await client.exchange(put(CONFIG))
         stage.node.receive("s2", Heartbeat(THEIRS, 1), stage.replicator.now())
         await client.exchange(put(CONFIG))
@@ -191,8 +190,8 @@
 
 
 @loopback
-async def test_nobody_is_sent_on_to_a_primary_that_was_not_heard_lately_or_that_ends(tmp_path):
-    async with Stage(tmp_path, founded=False) as stage, Client(stage.port) as client:
+async def test_nobody_is_redirected_to_a_primary_that_was_not_heard_lately_or_that_resigned(tmp_path):
+    async with Stage(tmp_path, is_founder=False) as stage, Client(stage.port) as client:
         now = stage.replicator.now()
         stage.node.receive("s2", Heartbeat(THEIRS, 1), now - ELECTION_S - 0.1)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 503")
@@ -203,7 +202,7 @@
 
 
 @loopback
-async def test_one_that_is_primary_no_more_sends_nobody_to_itself(tmp_path):
+async def test_a_primary_that_resigned_redirects_nobody_to_itself(tmp_path):
     async with Stage(tmp_path) as stage, Client(stage.port) as client:
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 200")
         stage.node.leave(stage.replicator.now())
@@ -214,12 +213,10 @@
 
 
 @loopback
-async def test_what_was_acknowledged_is_on_disk(tmp_path):
+async def test_an_acknowledged_configuration_is_on_disk(tmp_path):
     async with Stage(tmp_path) as stage, Client(stage.port) as client:
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 200")
     log = RecordLog(tmp_path)
-    from fordtrestle.peer.codec import decode
-
     restored = Durable.restore(map(decode, log.open()))
     assert json.loads(restored.state.document) == CONFIG
     log.close()
--- a/tests/control_api/test_outliers.py
+++ b/tests/control_api/test_outliers.py
@@ -1,8 +1,8 @@
-"""A control process judges servers by sidecars' reports and spreads what comes of it."""
+"""A control process judges servers by sidecars' reports and spreads the ejections."""
 
 from __future__ import annotations
 
-from fordtrestle.control_api.outliers import Outliers
+from fordtrestle.control_api.outliers import OutlierDetector
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import (
     EJECTION_PREFIX,
@@ -20,7 +20,7 @@
 REGIONS = {"z-1": "r-1", "z-2": "r-1"}
 
 
-class Spread:
+class FakeGossip:
     """Gossip as far as it is needed here: the catalog, and what was published."""
 
     def __init__(self):
@@ -43,46 +43,46 @@
     )
 
 
-def stage():
-    gossip = Spread()
+def detector_and_gossip():
+    gossip = FakeGossip()
     gossip.catalog.merge([member("s-1", "z-1"), member("s-2", "z-2")], 0.0)
     gossip.catalog.merge([server("bad"), server("good"), server("else", "calm")], 0.0)
-    return Outliers(gossip, REGIONS), gossip
+    return OutlierDetector(gossip, REGIONS), gossip
 
 
 def report(bad="bad", service="pool"):
     return OutcomeReport(service, (Outcomes("good", 6, 0), Outcomes(bad, 0, 2)))
 
 
-def test_what_sidecars_of_two_zones_report_is_spread_once():
-    outliers, gossip = stage()
+def test_an_ejection_that_sidecars_of_two_zones_report_is_spread_once():
+    detector, gossip = detector_and_gossip()
     for node in ("s-1", "s-2", "s-1"):
-        outliers.received(node, report(), 1.0)
+        detector.on_report(node, report(), 1.0)
     assert [(item.key, item.value) for item in gossip.published] == [
         (EJECTION_PREFIX + "bad", EjectionRecord("bad", EJECTION_S))
     ]
 
 
-def test_the_next_ejection_is_news_to_all():
-    outliers, gossip = stage()
+def test_the_next_ejection_of_a_server_is_spread_too():
+    detector, gossip = detector_and_gossip()
     for now in (1.0, 1.0 + EJECTION_S):
         for node in ("s-1", "s-2"):
-            outliers.received(node, report(), now)
+            detector.on_report(node, report(), now)
     assert [item.value.lasts_s for item in gossip.published] == [EJECTION_S, 2 * EJECTION_S]
 
 
-def test_another_owner_goes_on_from_the_version_that_is_known():
-    outliers, gossip = stage()
-    for heir in (outliers, Outliers(gossip, REGIONS)):
+def test_another_owner_continues_from_the_known_version():
+    detector, gossip = detector_and_gossip()
+    for owner in (detector, OutlierDetector(gossip, REGIONS)):
         for node in ("s-1", "s-2"):
-            heir.received(node, report(), 1.0)
+            owner.on_report(node, report(), 1.0)
     assert len(gossip.published) == 2
 
 
-def test_a_reporter_that_is_not_known_and_servers_of_another_service_are_not_counted():
-    outliers, gossip = stage()
+def test_unknown_reporters_and_servers_of_another_service_are_not_counted():
+    detector, gossip = detector_and_gossip()
     for node in ("s-1", "stranger"):
-        outliers.received(node, report(), 1.0)
+        detector.on_report(node, report(), 1.0)
     for node in ("s-1", "s-2"):
-        outliers.received(node, report(bad="else"), 1.0)
+        detector.on_report(node, report(bad="else"), 1.0)
     assert not gossip.published
--- a/tests/control_api/test_withdrawals.py
+++ b/tests/control_api/test_withdrawals.py
@@ -1,4 +1,4 @@
-"""A server's word that it drains or is gone is acknowledged only where all sidecars will learn of it."""
+"""A server's withdrawal is acknowledged only where all sidecars will learn of it."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import pytest
 
 from fordtrestle.control_api import withdrawals as withdrawals_module
-from fordtrestle.control_api.heartbeats import Heartbeats
-from fordtrestle.control_api.withdrawals import Withdrawals
+from fordtrestle.control_api.heartbeats import HeartbeatMonitor
+from fordtrestle.control_api.withdrawals import WithdrawalConfirmer
 from fordtrestle.dissemination import catalog as catalog_module
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import (
@@ -44,14 +44,14 @@
         self.mesh = Mesh(Hello(name, self.address), self._received, lambda link: None)
         me = MemberRecord(name, "control", "z-1", "r-1", self.address, "", Availability.READY)
         self.gossip = Gossip(Catalog(), self.mesh, me, 1, lambda items: None)
-        self.withdrawals = Withdrawals(self.store, self.mesh, self.gossip, lambda: self.epoch)
-        self.mute = False  # it reads, and answers nothing
+        self.withdrawals = WithdrawalConfirmer(self.store, self.mesh, self.gossip, lambda: self.epoch)
+        self.is_mute = False  # it reads, and answers nothing
 
     def _received(self, link, message) -> None:
-        if isinstance(message, Confirm) and not self.mute:
-            self.withdrawals.asked(link, message)
+        if isinstance(message, Confirm) and not self.is_mute:
+            self.withdrawals.on_confirm(link, message)
         elif isinstance(message, Confirmed):
-            self.withdrawals.answered(link, message)
+            self.withdrawals.on_confirmed(link, message)
         elif isinstance(message, Update):
             self.gossip.received(link, message)
 
@@ -59,8 +59,8 @@
         item = self.gossip.catalog.get(SERVER_PREFIX + instance)
         return item.value.phase if item else None
 
-    def hear(self, phase: Phase, instance: str = "i-1") -> None:
-        """A server says this here; nothing is spread yet."""
+    def receive(self, phase: Phase, instance: str = "i-1") -> None:
+        """Receive a server's heartbeat; nothing is spread yet."""
         record = ServerRecord(
             instance, "pool", "10.0.0.9:80", "z-1", 4, phase, False, 0.0, None, (), self.name
         )
@@ -89,84 +89,84 @@
 
 
 @pytest.fixture(autouse=True)
-def short(monkeypatch):
-    monkeypatch.setattr(withdrawals_module, "CONFIRM_S", 0.3)
+def short_timeout(monkeypatch):
+    monkeypatch.setattr(withdrawals_module, "CONFIRM_TIMEOUT_S", 0.3)
 
 
 @loopback
-async def test_a_word_is_confirmed_once_a_majority_holds_it_and_sidecars_are_told_by_each_of_them():
+async def test_a_withdrawal_is_confirmed_once_a_majority_holds_it_and_each_of_them_passes_it_on_to_sidecars():
     async with core() as (one, two, three, sidecar):
-        one.hear(Phase.DRAINING)
-        two.mute = True
+        one.receive(Phase.DRAINING)
+        two.is_mute = True
         assert await one.withdrawals.confirm("i-1")
         assert three.phase("i-1") is Phase.DRAINING
         await until(lambda: sidecar.phase("i-1") is Phase.DRAINING)
 
 
 @loopback
-async def test_a_word_that_no_majority_holds_is_not_confirmed_and_may_be_later():
+async def test_a_withdrawal_that_no_majority_holds_is_not_confirmed_and_may_be_later():
     async with core() as (one, two, three, _):
-        one.hear(Phase.DRAINING)
-        two.mute = three.mute = True
+        one.receive(Phase.DRAINING)
+        two.is_mute = three.is_mute = True
         assert not await one.withdrawals.confirm("i-1")
         assert not one.withdrawals._pending
-        two.mute = False
+        two.is_mute = False
         assert await one.withdrawals.confirm("i-1")
 
 
 @loopback
-async def test_a_process_that_is_cut_off_or_knows_no_epoch_confirms_nothing():
+async def test_a_process_that_is_partitioned_or_knows_no_epoch_confirms_nothing():
     async with core() as (one, two, _, _):
-        one.hear(Phase.DRAINING)
+        one.receive(Phase.DRAINING)
         one.mesh.dial([])
         for link in one.mesh.links():
             link.close()
         await until(lambda: not one.mesh.links())
         assert not await one.withdrawals.confirm("i-1")
-        two.hear(Phase.DEPARTED)
+        two.receive(Phase.DEPARTED)
         two.epoch = None
         assert not await two.withdrawals.confirm("i-1")
 
 
 @loopback
-async def test_what_is_confirmed_is_not_asked_again_and_being_gone_is_another_word():
+async def test_a_confirmed_withdrawal_is_not_asked_again_and_a_deregistration_is_another_one():
     async with core() as (one, two, three, _):
-        one.hear(Phase.DRAINING)
+        one.receive(Phase.DRAINING)
         assert await one.withdrawals.confirm("i-1")
-        two.mute = three.mute = True
+        two.is_mute = three.is_mute = True
         assert await one.withdrawals.confirm("i-1")
-        one.hear(Phase.DEPARTED)
+        one.receive(Phase.DEPARTED)
         assert not await one.withdrawals.confirm("i-1")
 
 
 @loopback
-async def test_who_has_no_room_for_a_word_does_not_say_that_it_holds_it(monkeypatch):
+async def test_a_process_without_room_for_a_withdrawal_does_not_claim_to_hold_it(monkeypatch):
     async with core() as (one, two, three, _):
-        one.hear(Phase.DRAINING)
+        one.receive(Phase.DRAINING)
         for other in (two, three):
-            other.hear(Phase.SERVING, "i-2")
+            other.receive(Phase.SERVING, "i-2")
         monkeypatch.setattr(catalog_module, "ITEMS_MOST", 1)
         assert not await one.withdrawals.confirm("i-1")
 
 
 @loopback
-async def test_words_that_are_being_confirmed_are_bounded(monkeypatch):
-    monkeypatch.setattr(withdrawals_module, "PENDING_MOST", 1)
+async def test_withdrawals_that_are_being_confirmed_are_bounded(monkeypatch):
+    monkeypatch.setattr(withdrawals_module, "MAX_PENDING", 1)
     async with core() as (one, two, three, _):
-        two.mute = three.mute = True
-        one.hear(Phase.DRAINING)
-        one.hear(Phase.DRAINING, "i-2")
+        two.is_mute = three.is_mute = True
+        one.receive(Phase.DRAINING)
+        one.receive(Phase.DRAINING, "i-2")
         first = asyncio.create_task(one.withdrawals.confirm("i-1"))
         await until(lambda: one.withdrawals._pending)
-        two.mute = three.mute = False
+        two.is_mute = three.is_mute = False
         assert not await one.withdrawals.confirm("i-2")
         await first
 
 
-def test_an_incarnation_that_was_never_heard_of_here_is_gone_for_those_that_have_heard_of_it():
+def test_a_deregistration_of_an_incarnation_unknown_here_holds_for_those_that_know_it():
     here, there = Catalog(), Catalog()
     record = ServerRecord("i-1", "pool", "10.0.0.9:80", "z-1", 4, Phase.SERVING, False, 0.0, None, (), "two")
     there.merge([server_item(record, 9)], 0.0)
-    item = Heartbeats("one", 1.0).deregister("i-1", here)
+    item = HeartbeatMonitor("one", 1.0).deregister("i-1", here)
     assert there.merge([item], 0.0) == [item]
     assert not there.merge([server_item(record, 10)], 0.0)
--- a/tests/control_api/world.py
+++ b/tests/control_api/world.py
@@ -1,7 +1,7 @@
-"""Operators before a deployment of control stores in which anything may happen between two steps
-(`tests/replication/world.py`): calls wait, their answers get lost, they are sent again to any machine.
+"""Operators before a deployment of control stores in which anything may happen between two steps.
 
-What operators are told is held against what they may be told (PROTOCOL: the operator's API; RULES: CONFIG).
+The stores are those of `tests/replication/world.py`. Calls wait, their answers get lost, they are sent again
+to any machine. Each answer is compared with what it may be (PROTOCOL: the operator's API; RULES: CONFIG).
 """
 
 from __future__ import annotations
@@ -11,23 +11,32 @@
 from collections.abc import Callable, Coroutine
 from dataclasses import dataclass, field
 
-from fordtrestle.control_api.orders import Orders, Outcome, Verdict, digest_of
+from fordtrestle.control_api.commands import CommandHandler
+from fordtrestle.control_api.evaluation import digest_of
+from fordtrestle.control_api.requests import (
+    CommandResult,
+    CommandStatus,
+    ConfigRequest,
+    ConfigRequestKind,
+    EvacuationRequest,
+    IsCallerWaiting,
+)
 from fordtrestle.replication.node import Node
 from fordtrestle.replication.state import ControlState
 from tests.replication.world import Breach, Machine, World
 
-PATIENCE_S = 1.0  # of silence, then a caller goes elsewhere
-TRIES_MOST = 12
-CALLS_MOST = 8  # under way at a time
+CALLER_TIMEOUT_S = 1.0  # then a caller tries another machine
+MAX_ATTEMPTS = 12  # of a call, each at a machine drawn anew
+MAX_CALLS = 8  # in flight at a time
 ZONE = "z-1"
 
 
-class Died(Exception):
-    """The process that a call was at has ended."""
+class ProcessEndedError(Exception):
+    """The process that a call was sent to has ended."""
 
 
 class VirtualReplicator:
-    """What `Orders` needs of a `Replicator`, in the world's time."""
+    """What `CommandHandler` needs of a `Replicator`, in the world's time."""
 
     def __init__(self, world: World, machine: Machine) -> None:
         self.world = world
@@ -38,21 +47,21 @@
         return self.machine.now
 
     def pump(self) -> None:
-        self._live()
+        self._check_running()
         self.world.pump(self.machine)
 
-    def _live(self) -> None:
+    def _check_running(self) -> None:
         if self.machine.node is not self.node:
-            raise Died
+            raise ProcessEndedError
 
     async def until(self, reached: Callable[[], bool], seconds: float) -> bool:
         end = self.machine.now + seconds
-        self._live()
+        self._check_running()
         while not reached():
             if self.machine.now >= end:
                 return False
             await asyncio.sleep(0)
-            self._live()
+            self._check_running()
         return True
 
 
@@ -60,14 +69,14 @@
 class Change:
     """A configuration that an operator wants, sent until there is a clear answer."""
 
-    kind: str
+    kind: ConfigRequestKind
     base: int
     generation: int
     body: bytes
     is_valid: bool
     acknowledged: bool = False
     refused: bool = False
-    alone: bool = False  # as it was sent first, its base was the newest and no other change was under way
+    alone: bool = False  # as it was sent first, its base was the newest and no other change was in flight
 
     @property
     def digest(self) -> bytes:
@@ -75,46 +84,46 @@
 
 
 @dataclass
-class Told:
-    """What operators have been told so far."""
+class Acknowledgements:
+    """What operators were answered so far."""
 
-    changes: list[Change] = field(default_factory=list)
+    changes: list[Change] = field(default_factory=list)  # all that were sent
     newest: int = 0  # generation that was acknowledged
-    zone_active: bool | None = None  # what was acknowledged of the zone last; nothing while that is not clear
-    zone_busy: bool = False
+    zone_active: bool | None = None  # what was acknowledged of the zone last; `None` while that is not clear
+    zone_busy: bool = False  # whether an evacuation of the zone is in flight
 
 
-class OrderWorld(World):
-    """The stores, an `Orders` on each, and the calls under way. Has to run in an event loop."""
+class CommandWorld(World):
+    """The stores, a `CommandHandler` on each, and the calls in flight. Has to run in an event loop."""
 
     def __init__(self, seed: int, machines: int = 1) -> None:
-        self.told = Told()
+        self.answered = Acknowledgements()
         self.calls: set[asyncio.Task[None]] = set()
-        self.orders: dict[Node, Orders] = {}
+        self.handlers: dict[Node, CommandHandler] = {}
         super().__init__(seed, machines)
         self.lost_answers = self.rng.choice((0.0, 0.2, 0.6))
 
     def start(self, machine: Machine) -> None:
         super().start(machine)
-        self.orders[machine.node] = Orders(VirtualReplicator(self, machine))
+        self.handlers[machine.node] = CommandHandler(VirtualReplicator(self, machine))
 
-    # what operators do, in the place of the plain writes and reads of the world
+    # what operators do, in place of the writes and reads of `World`
 
     def propose(self, machine: Machine) -> None:
         kind = self.rng.random()
-        if len(self.calls) >= CALLS_MOST:
+        if len(self.calls) >= MAX_CALLS:
             return
         if kind < 0.6:
             self._begin(self._change(self._drawn_change()))
-        elif kind < 0.8 and not self.told.zone_busy:
+        elif kind < 0.8 and not self.answered.zone_busy:
             self._begin(self._evacuate())
-        elif self.told.changes:
-            acknowledged = [change for change in self.told.changes if change.acknowledged]
+        elif self.answered.changes:
+            acknowledged = [change for change in self.answered.changes if change.acknowledged]
             if acknowledged:
                 self._begin(self._change(self.rng.choice(acknowledged)))
 
     def ask(self, machine: Machine) -> None:
-        if len(self.calls) < CALLS_MOST:
+        if len(self.calls) < MAX_CALLS:
             self._begin(self._read())
 
     def _begin(self, call: Coroutine[None, None, None]) -> None:
@@ -122,102 +131,106 @@
         self.calls.add(task)
 
     def _drawn_change(self) -> Change:
-        rng, told = self.rng, self.told
-        base = told.newest if rng.random() < 0.8 else rng.randint(0, told.newest)
+        rng, answered = self.rng, self.answered
+        base = answered.newest if rng.random() < 0.8 else rng.randint(0, answered.newest)
         generation = base + rng.randint(1, 2)
-        marker = f"m{rng.randint(0, 2)}" if rng.random() < 0.2 else f"n{len(told.changes)}"
+        marker = f"m{rng.randint(0, 2)}" if rng.random() < 0.2 else f"n{len(answered.changes)}"
         services = [{"name": marker}]
         if rng.random() < 0.3 and base > 0:
-            body, kind = {"generation": generation, "upsert": {"services": services}}, "patch"
+            body, kind = {"generation": generation, "upsert": {"services": services}}, ConfigRequestKind.PATCH
         else:
-            body, kind = {"generation": generation, "services": services, "routes": []}, "put"
+            body, kind = {"generation": generation, "services": services, "routes": []}, ConfigRequestKind.PUT
         is_valid = rng.random() > 0.1
         if not is_valid:
             body["generation"] = base
         drawn = Change(kind, base, generation, json.dumps(body).encode(), is_valid)
-        change = next((known for known in told.changes if known.digest == drawn.digest), drawn)
+        change = next((known for known in answered.changes if known.digest == drawn.digest), drawn)
         if change is drawn:
-            rivals = [other for other in told.changes if other.base >= base and other.is_valid]
-            change.alone = base == told.newest and not rivals
-            told.changes.append(change)
+            rivals = [other for other in answered.changes if other.base >= base and other.is_valid]
+            change.alone = base == answered.newest and not rivals
+            answered.changes.append(change)
         return change
 
     async def _change(self, change: Change) -> None:
-        def send(orders: Orders, is_waiting: Callable[[], bool]) -> Coroutine[None, None, Outcome]:
-            return orders.change_config(change.kind, change.base, change.body, is_waiting)
+        def send(
+            handler: CommandHandler, is_waiting: IsCallerWaiting
+        ) -> Coroutine[None, None, CommandResult]:
+            return handler.change_config(ConfigRequest(change.kind, change.base, change.body, is_waiting))
 
-        verdict = (await self._ask_around(send, self._check_change(change))).verdict
-        if verdict is Verdict.DONE:
-            self.told.newest = max(self.told.newest, change.generation)
+        status = (await self._send_until_clear(send, self._check_change(change))).status
+        if status is CommandStatus.DONE:
+            self.answered.newest = max(self.answered.newest, change.generation)
 
     async def _evacuate(self) -> None:
-        self.told.zone_busy = True
-        active = not self.told.zone_active if self.told.zone_active is not None else False
+        self.answered.zone_busy = True
+        active = not self.answered.zone_active if self.answered.zone_active is not None else False
 
-        def send(orders: Orders, is_waiting: Callable[[], bool]) -> Coroutine[None, None, Outcome]:
-            return orders.evacuate(ZONE, active, is_waiting)
+        def send(
+            handler: CommandHandler, is_waiting: IsCallerWaiting
+        ) -> Coroutine[None, None, CommandResult]:
+            return handler.evacuate(EvacuationRequest(ZONE, active, is_waiting))
 
-        outcome = await self._ask_around(send, lambda outcome: None)
-        self.told.zone_active = active if outcome.verdict is Verdict.DONE else None
-        self.told.zone_busy = False
+        result = await self._send_until_clear(send, lambda result: None)
+        self.answered.zone_active = active if result.status is CommandStatus.DONE else None
+        self.answered.zone_busy = False
 
     async def _read(self) -> None:
-        newest = self.told.newest
-        outcome = await self._ask_around(lambda orders, _: orders.current(), lambda outcome: None)
-        if outcome.verdict is Verdict.DONE:
-            held = json.loads(outcome.document)["generation"] if outcome.document else 0
-            if held < newest:
-                raise Breach(f"a read gave {held} after {newest} was acknowledged")
-
-    async def _ask_around(
+        newest = self.answered.newest
+        result = await self._send_until_clear(lambda handler, _: handler.read_config(), lambda result: None)
+        if result.status is CommandStatus.DONE:
+            generation = json.loads(result.document)["generation"] if result.document else 0
+            if generation < newest:
+                raise Breach(f"a read gave {generation} after {newest} was acknowledged")
+
+    async def _send_until_clear(
         self,
-        send: Callable[[Orders, Callable[[], bool]], Coroutine[None, None, Outcome]],
-        check: Callable[[Outcome], None],
-    ) -> Outcome:
+        send: Callable[[CommandHandler, IsCallerWaiting], Coroutine[None, None, CommandResult]],
+        check: Callable[[CommandResult], None],
+    ) -> CommandResult:
         """Send a call to one machine after the other until it has a clear answer."""
-        for _ in range(TRIES_MOST):
-            outcome = await self._try(self.rng.choice(self.machines), send, check)
-            if outcome.verdict not in (Verdict.UNCLEAR, Verdict.ELSEWHERE):
-                return outcome
+        for _ in range(MAX_ATTEMPTS):
+            result = await self._attempt(self.rng.choice(self.machines), send, check)
+            if result.status not in (CommandStatus.UNKNOWN, CommandStatus.NOT_PRIMARY):
+                return result
             for _ in range(self.rng.randint(0, 60)):
                 await asyncio.sleep(0)
-        return Outcome(Verdict.UNCLEAR)
+        return CommandResult(CommandStatus.UNKNOWN)
 
-    async def _try(self, machine: Machine, send, check) -> Outcome:
+    async def _attempt(self, machine: Machine, send, check) -> CommandResult:
         node = machine.node
         if node is None:
-            return Outcome(Verdict.UNCLEAR)
-        left = False  # whether the caller has left, and whether that is seen
-        is_seen = self.rng.random() < 0.5
+            return CommandResult(CommandStatus.UNKNOWN)
+        has_left = False
+        is_seen = self.rng.random() < 0.5  # whether the process notices that
 
-        async def handle() -> Outcome:
+        async def handle() -> CommandResult:
             try:
-                outcome = await send(self.orders[node], lambda: not (left and is_seen))
-            except Died:
-                return Outcome(Verdict.UNCLEAR)
-            check(outcome)
-            return outcome
+                result = await send(self.handlers[node], lambda: not (has_left and is_seen))
+            except ProcessEndedError:
+                return CommandResult(CommandStatus.UNKNOWN)
+            check(result)
+            return result
 
         handler = asyncio.get_running_loop().create_task(handle())
         self.calls.add(handler)
-        end = machine.now + PATIENCE_S
+        end = machine.now + CALLER_TIMEOUT_S
         while not handler.done() and machine.now < end and machine.node is node:
             await asyncio.sleep(0)
-        left = True
+        has_left = True
         if not handler.done() or self.rng.random() < self.lost_answers:
-            return Outcome(Verdict.UNCLEAR)
+            return CommandResult(CommandStatus.UNKNOWN)
         return handler.result()
 
-    def _check_change(self, change: Change) -> Callable[[Outcome], None]:
+    def _check_change(self, change: Change) -> Callable[[CommandResult], None]:
         """What a machine answers binds, whether the answer arrives or not."""
 
-        def check(outcome: Outcome) -> None:
-            if outcome.verdict is Verdict.DONE:
+        def check(result: CommandResult) -> None:
+            if result.status is CommandStatus.DONE:
                 self._acknowledge(change)
-            elif outcome.verdict in (Verdict.STALE, Verdict.INVALID):
+            elif result.status in (CommandStatus.STALE, CommandStatus.INVALID):
                 if change.acknowledged:
                     raise Breach(f"{change.digest.hex()[:6]} was acknowledged and is refused")
-                rivals = [c for c in self.told.changes if c is not change and c.base >= change.base]
+                rivals = [c for c in self.answered.changes if c is not change and c.base >= change.base]
                 if change.alone and change.is_valid and not any(rival.is_valid for rival in rivals):
                     raise Breach("a proper change on the newest version is refused")
                 change.refused = True
@@ -229,7 +242,7 @@
             raise Breach("a change is acknowledged that was refused")
         if not change.is_valid:
             raise Breach("an invalid change is acknowledged")
-        for other in self.told.changes:
+        for other in self.answered.changes:
             if other is not change and other.acknowledged:
                 if other.base == change.base:
                     raise Breach("two changes on one version are acknowledged")
@@ -237,7 +250,7 @@
                     raise Breach("two changes are acknowledged under one number")
         change.acknowledged = True
 
-    # the play
+    # the run
 
     async def play(self, steps: int) -> ControlState:
         """Play steps and let all heal; the state in the end."""
@@ -248,14 +261,14 @@
             call.cancel()
         await asyncio.gather(*self.calls, return_exceptions=True)
         state = self.heal().durable.state
-        if state.generation < self.told.newest:
-            raise Breach(f"{state.generation} is left of {self.told.newest}")
-        for change in self.told.changes:
+        if state.generation < self.answered.newest:
+            raise Breach(f"{state.generation} is left of {self.answered.newest}")
+        for change in self.answered.changes:
             if change.refused and state.has_taken(change.digest):
                 raise Breach("a change is in force that was refused")
-        busy, active = self.told.zone_busy, self.told.zone_active
+        busy, active = self.answered.zone_busy, self.answered.zone_active
         if active is not None and not busy and (ZONE in state.evacuated) != active:
-            raise Breach("an order of the zone acts that was overtaken")
+            raise Breach("an evacuation is in force that was overtaken")
         return state
 
     async def _progress(self) -> None:
@@ -266,11 +279,11 @@
                 raise call.exception()
 
 
-def play(seed: int, machines: int, steps: int) -> OrderWorld:
+def play(seed: int, machines: int, steps: int) -> CommandWorld:
     """Play one seed. Raises `Breach`."""
 
-    async def run() -> OrderWorld:
-        world = OrderWorld(seed, machines)
+    async def run() -> CommandWorld:
+        world = CommandWorld(seed, machines)
         await world.play(steps)
         return world
 
--- a/tests/dissemination/test_forgetting.py
+++ b/tests/dissemination/test_forgetting.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from fordtrestle.control_api.heartbeats import SILENT_BEATS, Heartbeats, read_heartbeat
+from fordtrestle.control_api.heartbeats import MAX_MISSED_HEARTBEATS, HeartbeatMonitor, read_heartbeat
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.messages import Update
 from fordtrestle.routing.view import View
@@ -22,7 +22,7 @@
 CONTROLS, SIDECARS = ("c-1", "c-2"), ("s-1", "s-2")
 SERVERS = ("i-1", "i-2", "i-3")
 SEEDS, STEPS = 150, 250
-HEALED_S = (SILENT_BEATS + 2) * HEARTBEAT_S
+HEALED_S = (MAX_MISSED_HEARTBEATS + 2) * HEARTBEAT_S
 
 
 @dataclass
@@ -49,7 +49,7 @@
     left: set[str] = field(default_factory=set)  # servers that it has heard to be draining or gone
 
     def __post_init__(self) -> None:
-        self.heartbeats = Heartbeats(self.node, HEARTBEAT_S)
+        self.heartbeats = HeartbeatMonitor(self.node, HEARTBEAT_S)
         self.view = View({"z": "r"}, HEARTBEAT_S, self.now)
 
     def take(self, items, now):
@@ -80,7 +80,7 @@
             server.beats_at = self.now + HEARTBEAT_S
             control = self.processes[self.rng.choice(reached)]
             beat = read_heartbeat(server.instance, server.body(), control.node).unwrap()
-            item = control.heartbeats.take(beat, control.catalog, self.now)
+            item = control.heartbeats.on_heartbeat(beat, control.catalog, self.now)
             control.take([item] if item else [], self.now)
 
     def drain(self) -> None:
@@ -135,7 +135,9 @@
         for node in CONTROLS:
             control = self.processes[node]
             heir = [other for other in CONTROLS if other not in self.cut] == [node]
-            silent = control.heartbeats.fallen_silent(control.catalog, self.now, lambda _, heir=heir: heir)
+            silent = control.heartbeats.find_unresponsive(
+                control.catalog, self.now, lambda _, heir=heir: heir
+            )
             control.take(silent, self.now)
         for process in self.processes.values():
             process.catalog.expire(self.now)
@@ -232,4 +234,4 @@
         world.tick()
         for node in (*CONTROLS, "s-2"):
             world.compare(world.processes[node], world.processes["s-1"])
-    assert world.now - back <= SILENT_BEATS * HEARTBEAT_S + 0.5
+    assert world.now - back <= MAX_MISSED_HEARTBEATS * HEARTBEAT_S + 0.5
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -31,7 +31,8 @@
 
 
 LOG, LOG_TESTS = "storage/log.py", "tests/storage"
-ORDERS, ORDER_TESTS = "control_api/orders.py", "tests/control_api"
+COMMANDS, CONTROL_API_TESTS = "control_api/commands.py", "tests/control_api"
+EVALUATION = "control_api/evaluation.py"
 ENDS = "tests/ingress/test_ends.py"
 FRONT, CLOSING = "ingress/server.py", "tests/ingress/test_closing.py"
 DIRECTORY = "tests/ingress/test_directory.py"
@@ -108,55 +109,56 @@
         "                part = await self._reader.readexactly(length - len(data))\n",
     ),
     "reads are confirmed by a majority": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "        if not await self._newest():\n            return self._unable()\n        state = ",
-        "        state = ",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if not await self._confirm_leadership():\n"
+        "            return self._not_done()\n        state = await",
+        "        state = await",
     ),
     "refusals are confirmed by a majority": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "            return judged if await self._newest() else self._unable()\n",
-        "            return judged\n",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        return evaluated if await self._confirm_leadership() else self._not_done()\n",
+        "        return evaluated\n",
     ),
     "evacuations are confirmed by a majority": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "                return self._unable()\n            if (zone",
-        "                pass\n            if (zone",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "            return self._not_done()\n        if (request.zone",
+        "            pass\n        if (request.zone",
     ),
     "a call that was taken is acknowledged again": _removal(
-        ORDERS, ORDER_TESTS, "    if state.has_taken(digest):\n", "    if False:\n"
+        EVALUATION, CONTROL_API_TESTS, "    if state.has_taken(digest):\n", "    if False:\n"
     ),
     "a call that may have been taken is not refused": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "Verdict.UNCLEAR if state.may_have_taken(digest, base) else Verdict.STALE",
-        "Verdict.STALE",
+        EVALUATION,
+        CONTROL_API_TESTS,
+        "CommandStatus.UNKNOWN if may_be_applied else CommandStatus.STALE",
+        "CommandStatus.STALE",
     ),
     "a call whose print is known may have been taken": _removal(
-        "replication/state.py", ORDER_TESTS, " or _stands_in(self.prints, digest[:PRINT_BYTES])"
+        "replication/state.py", CONTROL_API_TESTS, " or _stands_in(self.prints, digest[:PRINT_BYTES])"
     ),
     "a call whose print is not known is refused": _removal(
         "replication/state.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "base <= self.forgotten_base or _stands_in(self.prints, digest[:PRINT_BYTES])",
         "base < self.taken[0].base",
     ),
     "prints are bounded": _removal(
-        "replication/state.py", ORDER_TESTS, 'prints=b"" if is_full else prints', "prints=prints"
+        "replication/state.py", CONTROL_API_TESTS, 'prints=b"" if is_full else prints', "prints=prints"
     ),
     "a row that has changed is checked": _removal(
         "control_api/configuration.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "by_name.get(name) == row",
         "name in by_name",
     ),
     "how rows name one another is checked whole": _removal(
         "control_api/configuration.py",
-        ORDER_TESTS,
-        "    if wrong := _reference_faults(raw):\n",
-        "    if wrong := _reference_faults(partial):\n",
+        CONTROL_API_TESTS,
+        "    if reference_faults := _reference_faults(document):\n",
+        "    if reference_faults := _reference_faults(partial):\n",
     ),
     "a long configuration is read in steps": _removal(
         "routing/view.py",
@@ -186,80 +188,86 @@
         "        return True\n",
     ),
     "calls are remembered": _removal(
-        "replication/state.py", ORDER_TESTS, "TAKEN_MOST = 2048", "TAKEN_MOST = 4"
+        "replication/state.py", CONTROL_API_TESTS, "TAKEN_MOST = 2048", "TAKEN_MOST = 4"
     ),
     "the base of a change is the current version": _removal(
-        ORDERS, ORDER_TESTS, "    if base != state.generation:\n", "    if False:\n"
+        EVALUATION, CONTROL_API_TESTS, "    if request.base != state.generation:\n", "    if False:\n"
     ),
     "numbers rise": _removal(
         "control_api/configuration.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "    if generation <= current:\n",
         "    if False:\n",
     ),
     "a write is done once it is on all replicas": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "            return state is not None and state.sequence >= ticket.sequence\n",
-        "            return node.durable.state.sequence >= ticket.sequence\n",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        return state is not None and state.sequence >= sequence\n",
+        "        return self._node.durable.state.sequence >= sequence\n",
     ),
     "a change whose caller has left does not act": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "return await self._write(judged, state) if is_waiting() else self._unable()",
-        "return await self._write(judged, state)",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "return await self._write(evaluated, state) if request.is_caller_waiting() else self._not_done()",
+        "return await self._write(evaluated, state)",
     ),
     "an evacuation whose caller has left does not act": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "            if not is_waiting() or self._replicator.now() > last:\n",
-        "            if False:\n",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if not request.is_caller_waiting() or self._replicator.now() > deadline:\n",
+        "        if False:\n",
     ),
     "a change is written on the state that it was judged on": _removal(
-        ORDERS, ORDER_TESTS, "        if node.committed_state is not judged_on:\n", "        if False:\n"
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if node.committed_state is not evaluated_on:\n",
+        "        if False:\n",
     ),
     "a configuration fits into a message": _removal(
-        ORDERS, ORDER_TESTS, "            if len(document) > DOCUMENT_MOST:\n", "            if False:\n"
+        EVALUATION, CONTROL_API_TESTS, "    if len(encoded) > DOCUMENT_MOST:\n", "    if False:\n"
     ),
-    "orders that wait are bounded": _removal(
-        ORDERS, ORDER_TESTS, "        if self._waiting >= WAITING_MOST:\n", "        if False:\n"
+    "commands that wait are bounded": _removal(
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if self._waiting >= MAX_WAITING_COMMANDS:\n",
+        "        if False:\n",
     ),
     "callers are sent on to a primary that was heard lately alone": _removal(
         "replication/primary_watch.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         " or now - self.heard_at > ELECTION_S:\n            return None",
         ":\n            return None",
     ),
     "nobody is sent on to a primary that has said that it ends": _removal(
-        "replication/primary_watch.py", ORDER_TESTS, " or primary.id == self._lost or now", " or now"
+        "replication/primary_watch.py", CONTROL_API_TESTS, " or primary.id == self._lost or now", " or now"
     ),
     "a withdrawal is acknowledged once a majority holds it": _removal(
         "control_api/withdrawals.py",
-        ORDER_TESTS,
-        "                while not majority(held_at, witnesses):\n",
-        "                while False:\n",
+        CONTROL_API_TESTS,
+        "            while not majority(pending.holders, witnesses):\n",
+        "            while False:\n",
     ),
     "another process confirms only what it holds": _removal(
         "control_api/withdrawals.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "        if held and held.version >= message.item.version:\n",
         "        if True:\n",
     ),
     "a withdrawal that is confirmed is passed on": _removal(
         "control_api/withdrawals.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "        self._gossip.publish([message.item], source=link)\n",
     ),
     "an incarnation that was never heard of here may be gone": _removal(
         "control_api/heartbeats.py",
-        ORDER_TESTS,
-        "            return server_item(_nameless(instance, self._node), 0)\n",
-        "            return server_item(replace(_nameless(instance, self._node), phase=Phase.SERVING), 0)\n",
+        CONTROL_API_TESTS,
+        "server_item(_unknown_server(instance, self._node), 0)",
+        "server_item(replace(_unknown_server(instance, self._node), phase=Phase.SERVING), 0)",
     ),
-    "an heir watches the servers of a process that is gone": _removal(
+    "a successor watches the servers of a process that is down": _removal(
         "control_api/heartbeats.py",
-        ORDER_TESTS,
-        "            if record.heard_by == self._node or inherits(record.heard_by):\n",
+        CONTROL_API_TESTS,
+        "            if record.heard_by == self._node or is_successor_of(record.heard_by):\n",
         "            if record.heard_by == self._node:\n",
     ),
     "an ended link's store is not live": _removal(
@@ -426,10 +434,10 @@
         "                if server.is_silent_since(now - took_s):\n",
         "                if True:\n",
     ),
-    "servers whose heartbeats went to an earlier life or to one that is gone are watched": _removal(
+    "servers whose heartbeats went to an earlier incarnation or to one that is down are watched": _removal(
         "control_api/heartbeats.py",
         "tests/dissemination/test_forgetting.py",
-        "        self._adopt(catalog, now, inherits)\n",
+        "        self._adopt_servers(catalog, now, is_successor_of)\n",
     ),
     "a final phase outdoes all heartbeats": _removal(
         "dissemination/items.py",
--- a/tests/replication/test_control_changes.py
+++ b/tests/replication/test_control_changes.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from benchmarks.control_changes import _changed, changes, main, start
-from fordtrestle.control_api.orders import Outcome, Verdict
+from benchmarks.control_changes import _change, changes, main, start
+from fordtrestle.control_api.requests import CommandResult, CommandStatus, ConfigRequestKind
 from tests.virtual import virtual
 
 
@@ -30,20 +30,20 @@
 
 
 class Scripted:
-    """Orders that answer as they are told."""
+    """A command handler that gives these results in turn."""
 
-    def __init__(self, *verdicts):
-        self.verdicts = list(verdicts)
+    def __init__(self, *statuses):
+        self.statuses = list(statuses)
         self.calls = []
 
-    async def change_config(self, verb, base, body, wanted):
-        self.calls.append((verb, base, body))
-        return Outcome(self.verdicts.pop(0))
+    async def change_config(self, request):
+        self.calls.append((request.kind, request.base, request.body))
+        return CommandResult(self.statuses.pop(0))
 
 
-@pytest.mark.parametrize("final", [Verdict.DONE, Verdict.STALE, Verdict.INVALID])
+@pytest.mark.parametrize("final", [CommandStatus.DONE, CommandStatus.STALE, CommandStatus.INVALID])
 @virtual
-async def test_a_change_is_sent_again_unchanged_while_its_store_does_not_lead_or_is_unclear(final):
-    orders = Scripted(Verdict.ELSEWHERE, Verdict.UNCLEAR, final)
-    assert (await _changed(orders, 4, b"{}")).verdict is final
-    assert orders.calls == 3 * [("put", 3, b"{}")]
+async def test_a_change_is_sent_again_unchanged_while_its_store_is_not_primary_or_does_not_know(final):
+    commands = Scripted(CommandStatus.NOT_PRIMARY, CommandStatus.UNKNOWN, final)
+    assert (await _change(commands, 4, b"{}")).status is final
+    assert commands.calls == 3 * [(ConfigRequestKind.PUT, 3, b"{}")]
--- a/tests/roles/test_reports.py
+++ b/tests/roles/test_reports.py
@@ -89,7 +89,7 @@
         def __init__(self):
             self.taken = []
 
-        def received(self, node, report, now):
+        def on_report(self, node, report, now):
             self.taken.append((node, report))
 
     control = Control.__new__(Control)
