--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from fordtrestle.peer.replicator import UNLINKED_S
+from fordtrestle.peer.replicator import LINK_LOST_TIMEOUT_S
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Store
 from fordtrestle.replication.messages import Message, Record
@@ -97,7 +97,12 @@
         store = Store(durable.store, machine.address, machine.address, machine.address)
         machine.life += 1
         machine.node = Node(
-            store, durable, machines=self._tolerated, counts=True, draw=self.rng.random, now=self.now
+            store,
+            durable,
+            tolerated_failures=self._tolerated,
+            counts_for_quorum=True,
+            draw=self.rng.random,
+            now=self.now,
         )
         self._tick(machine, machine.life, 0)
 
@@ -105,7 +110,7 @@
         """End a process, and with it its links; its disk may go with it."""
         if machine.node:
             ended = machine.node.me.id
-            self.at(self.now + self._delay_s + UNLINKED_S, lambda: self._unlink(machine, ended))
+            self.at(self.now + self._delay_s + LINK_LOST_TIMEOUT_S, lambda: self._unlink(machine, ended))
         machine.node = None
         if wipe:
             machine.disk = []
@@ -116,7 +121,7 @@
             return
         for other in self.machines:
             if other.node:
-                other.node.unlinked(ended, self.now)
+                other.node.on_connection_lost(ended, self.now)
                 self.pump(other)
 
     def primary(self) -> Machine | None:
@@ -318,7 +323,7 @@
 def end_once_it_may(deployment: Deployment, machine: Machine) -> None:
     """End a process that was told to as soon as it may."""
     node = machine.node
-    if node is None or node.may_leave(deployment.now):
+    if node is None or node.can_leave(deployment.now):
         deployment.kill(machine)
     else:
         deployment.at(deployment.now + TICK_S, lambda: end_once_it_may(deployment, machine))
--- a/fordtrestle/control_api/client.py
+++ b/fordtrestle/control_api/client.py
@@ -13,7 +13,7 @@
 import aiohttp
 
 from fordtrestle.control_api.errors import UnreachableError
-from fordtrestle.settings.boot import Address
+from fordtrestle.settings.records import Address
 
 # For one process to answer: a write may wait for its turn and for an epoch change (`commands.py`).
 ATTEMPT_TIMEOUT_S = 6.0
--- a/fordtrestle/control_api/commands.py
+++ b/fordtrestle/control_api/commands.py
@@ -155,7 +155,7 @@
 
     async def _committed_state(self) -> ControlState | None:
         """The state, once all of it is on all replicas; nothing where that takes too long."""
-        await self._replicator.until(self._is_settled, COMMIT_TIMEOUT_S)
+        await self._replicator.wait_until(self._is_settled, COMMIT_TIMEOUT_S)
         return self._node.committed_state if self._node.is_ready else None
 
     def _is_settled(self) -> bool:
@@ -166,10 +166,12 @@
     async def _confirm_leadership(self) -> bool:
         """Whether a majority of witnesses, asked now, knows of no newer epoch (Raft's read index)."""
         node = self._node
-        asked = node.ask_round(self._replicator.now())
+        asked = node.begin_confirmation(self._replicator.now())
         self._replicator.pump()
-        await self._replicator.until(lambda: node.confirmed(asked) or not node.is_primary, CONFIRM_TIMEOUT_S)
-        return node.confirmed(asked)
+        await self._replicator.wait_until(
+            lambda: node.is_confirmed(asked) or not node.is_primary, CONFIRM_TIMEOUT_S
+        )
+        return node.is_confirmed(asked)
 
     async def _write(self, change: Change, evaluated_on: ControlState) -> CommandResult:
         """Write a change, unless the state has changed since the change was evaluated on it.
@@ -184,7 +186,7 @@
         if write is None:
             return self._not_done()
         self._replicator.pump()
-        is_over = await self._replicator.until(
+        is_over = await self._replicator.wait_until(
             lambda: self._has_committed(write.sequence) or not node.is_primary, COMMIT_TIMEOUT_S
         )
         if is_over and self._has_committed(write.sequence) and self._holds(change):
@@ -202,7 +204,7 @@
         if state is None:
             return False
         if isinstance(change, ConfigChange):
-            return state.has_taken(change.digest)
+            return state.has_applied(change.digest)
         return (change.zone in state.evacuated) == change.active
 
     def _not_done(self) -> CommandResult:
--- a/fordtrestle/control_api/configuration.py
+++ b/fordtrestle/control_api/configuration.py
@@ -15,7 +15,7 @@
 from more_itertools import duplicates_everseen
 from returns.result import Failure, Result, Success
 
-from fordtrestle.settings.boot import flatten
+from fordtrestle.settings.schema import flatten_errors
 
 LISTS = ("routes", "services")  # the lists of named rows that a configuration has
 
@@ -164,7 +164,7 @@
 
 def _check_patch(patch: dict[str, Any]) -> Result[dict[str, Any], ValidationErrors]:
     faults = _PatchSchema().validate(patch)
-    return Failure(ValidationErrors(flatten(faults))) if faults else Success(patch)
+    return Failure(ValidationErrors(flatten_errors(faults))) if faults else Success(patch)
 
 
 def _apply_patch(current: dict[str, Any], patch: dict[str, Any]) -> Result[dict[str, Any], ValidationErrors]:
@@ -192,7 +192,7 @@
         faults["routes"] = (
             {**of_rows, "_schema": reference_faults} if isinstance(of_rows, dict) else reference_faults
         )
-    return Failure(ValidationErrors(flatten(faults))) if faults else Success(document)
+    return Failure(ValidationErrors(flatten_errors(faults))) if faults else Success(document)
 
 
 def _changed_rows(rows: object, checked: object) -> list[tuple[int, Any]] | None:
--- a/fordtrestle/control_api/evaluation.py
+++ b/fordtrestle/control_api/evaluation.py
@@ -13,7 +13,7 @@
 
 from fordtrestle.control_api.configuration import ValidationErrors, check_generation, read_patch, read_put
 from fordtrestle.control_api.requests import CommandResult, CommandStatus, ConfigRequest, ConfigRequestKind
-from fordtrestle.dissemination.items import DOCUMENT_MOST
+from fordtrestle.dissemination.items import MAX_DOCUMENT_BYTES
 from fordtrestle.replication.state import ConfigChange, ControlState
 
 DIGEST_BYTES = 16  # 128 bits: no two of the calls that a core ever sees have the same by chance
@@ -42,10 +42,10 @@
         The result where nothing has to be written, or else the change to write.
     """
     digest = digest_of(request.kind, request.base, request.body)
-    if state.has_taken(digest):
+    if state.has_applied(digest):
         return CommandResult(CommandStatus.DONE)
     if request.base != state.generation:
-        may_be_applied = state.may_have_taken(digest, request.base)
+        may_be_applied = state.may_have_applied(digest, request.base)
         return CommandResult(CommandStatus.UNKNOWN if may_be_applied else CommandStatus.STALE)
     match _read_document(request, state):
         case Success(document):
@@ -67,7 +67,7 @@
 def _encode_change(digest: bytes, document: dict[str, Any]) -> CommandResult | ConfigChange:
     """The change that puts a document in force, unless it is too long for one message between processes."""
     encoded = json.dumps(document, separators=(",", ":")).encode()
-    if len(encoded) > DOCUMENT_MOST:
-        fault = f"the configuration has more than {DOCUMENT_MOST} bytes"
+    if len(encoded) > MAX_DOCUMENT_BYTES:
+        fault = f"the configuration has more than {MAX_DOCUMENT_BYTES} bytes"
         return CommandResult(CommandStatus.INVALID, (fault,))
     return ConfigChange(digest, int(document["generation"]), encoded)
--- a/fordtrestle/control_api/heartbeats.py
+++ b/fordtrestle/control_api/heartbeats.py
@@ -13,7 +13,7 @@
 from fordtrestle.control_api.configuration import ValidationErrors
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import SERVER_PREFIX, Item, Phase, ServerRecord, server_item
-from fordtrestle.settings.boot import flatten
+from fordtrestle.settings.schema import flatten_errors
 
 # A longer body is refused; heartbeats take some hundred bytes.
 MAX_HEARTBEAT_BYTES = 4096
@@ -77,7 +77,7 @@
             return Failure(ValidationErrors(("expected a JSON object",)))
         data: Mapping[str, Any] = _HeartbeatSchema().load(raw)
     except ValidationError as error:
-        return Failure(ValidationErrors(flatten(error.messages)))
+        return Failure(ValidationErrors(flatten_errors(error.messages)))
     except (ValueError, RecursionError) as error:
         return Failure(ValidationErrors((f"not JSON: {error}",)))
     return Success(ServerHeartbeat(_record_of(instance, data, heard_by), data["sequence"]))
--- a/fordtrestle/control_api/http.py
+++ b/fordtrestle/control_api/http.py
@@ -25,7 +25,7 @@
     EvacuationRequest,
 )
 from fordtrestle.control_api.withdrawals import WithdrawalConfirmer
-from fordtrestle.dissemination.items import DOCUMENT_MOST, Phase
+from fordtrestle.dissemination.items import MAX_DOCUMENT_BYTES, Phase
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.replication.node import Node
 
@@ -84,7 +84,7 @@
 
     def application(self) -> web.Application:
         """The routes of the endpoint."""
-        application = web.Application(middlewares=[answer_errors], client_max_size=DOCUMENT_MOST)
+        application = web.Application(middlewares=[answer_errors], client_max_size=MAX_DOCUMENT_BYTES)
         application.add_routes(
             [
                 web.post("/v1/config/{kind:put|patch}", self._change_config),
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -15,7 +15,7 @@
 from fordtrestle.control_api.withdrawals import WithdrawalConfirmer
 from fordtrestle.dissemination.items import Availability, ControlView, control_item
 from fordtrestle.dissemination.messages import Confirm, Confirmed, OutcomeReport
-from fordtrestle.dissemination.suspicion import successor_of
+from fordtrestle.dissemination.ownership import successor_of
 from fordtrestle.ingress.directory import Directory
 from fordtrestle.peer.codec import CodecError, Envelope, decode, encode
 from fordtrestle.peer.mesh import Link
@@ -36,7 +36,7 @@
     serve_metrics,
 )
 from fordtrestle.roles.process import main as run_role
-from fordtrestle.settings.boot import Boot
+from fordtrestle.settings.records import BootSettings
 from fordtrestle.storage.log import RecordLog, StorageError, UnknownFormatError
 
 STORE_ID_BYTES = 8
@@ -70,14 +70,14 @@
 class Control:
     """The parts of one control process."""
 
-    def __init__(self, boot: Boot, log: RecordLog, durable: Durable) -> None:
+    def __init__(self, boot: BootSettings, log: RecordLog, durable: Durable) -> None:
         self.process = Process(boot, CONTROL_ROLE)
         me = Store(durable.store, self.process.gossip.me.peer, str(boot.listen["control"]), boot.zone)
         self.node = Node(
             me,
             durable,
-            machines=boot.tolerance.machines,
-            counts=boot.counts_for_quorum,
+            tolerated_failures=boot.tolerance.machines,
+            counts_for_quorum=boot.counts_for_quorum,
             draw=self.process.rng.random,
             now=asyncio.get_running_loop().time(),
             seeds=lambda: [str(seed) for seed in self.process.boot.seeds],
@@ -104,7 +104,7 @@
             case OutcomeReport():
                 self.outliers.on_report(link.node, message, asyncio.get_running_loop().time())
             case Envelope() | Announce():
-                self.replicator.received(message)
+                self.replicator.on_message(message)
 
     def _changed(self) -> None:
         """Spread what is committed; tell what has happened, and who is primary."""
@@ -137,7 +137,7 @@
             "sequence": state.sequence,
             "log_bytes": self.replicator.log_bytes,
             "links": len(self.process.mesh.links()),
-            "messages_skipped": self.process.mesh.skipped,
+            "messages_skipped": self.process.mesh.skipped_messages,
         }
 
     async def leave(self) -> None:
@@ -147,7 +147,7 @@
         self.replicator.announce()
         self.replicator.pump()
         await asyncio.sleep(LEAVE_LEAST_S)
-        while not self.node.may_leave(loop.time()):
+        while not self.node.can_leave(loop.time()):
             await asyncio.sleep(LEAVE_CHECK_S)
 
     def _inherits(self, node: str) -> bool:
@@ -167,7 +167,7 @@
                 self.process.gossip.publish(items)
 
 
-async def run(boot: Boot) -> int:
+async def run(boot: BootSettings) -> int:
     """Serve until SIGTERM; the exit code."""
     if boot.data_dir is None:
         eliot.log_message("control:no-disk", reason="data_dir is not set")
@@ -196,7 +196,7 @@
         process.gossip.catalog,
         process.in_touch,
         frozenset(boot.zones.values()),
-        boot.bounds.ttl_most_s,
+        boot.bounds.max_ttl_s,
         process.rng,
     )
     if "directory" in boot.listen:
--- a/tests/control_api/test_commands.py
+++ b/tests/control_api/test_commands.py
@@ -258,17 +258,17 @@
 
 
 def test_a_configuration_that_fits_no_message_is_invalid(monkeypatch):
-    monkeypatch.setattr(evaluation_module, "DOCUMENT_MOST", 1000)
+    monkeypatch.setattr(evaluation_module, "MAX_DOCUMENT_BYTES", 1000)
     assert evaluate(put(0, document(1, "s" * 1000)), ControlState()).status is CommandStatus.INVALID
     state = after(1)
     changes = {"generation": 2, "upsert": {"services": [{"name": "s" * 990}]}}
     assert evaluate(patch(1, json.dumps(changes).encode()), state).status is CommandStatus.INVALID
 
 
-def state_after_calls(count: int, most: int, monkeypatch, prints_most: int = 100) -> ControlState:
+def state_after_calls(count: int, most: int, monkeypatch, max_prefixes: int = 100) -> ControlState:
     """A state after as many changes, of which the newest `most` are known by their digests."""
-    monkeypatch.setattr(state_module, "TAKEN_MOST", most)
-    monkeypatch.setattr(state_module, "PRINTS_MOST", prints_most)
+    monkeypatch.setattr(state_module, "MAX_APPLIED_CALLS", most)
+    monkeypatch.setattr(state_module, "MAX_DIGEST_PREFIXES", max_prefixes)
     state = ControlState()
     for number in range(1, count + 1):
         digest = digest_of(ConfigRequestKind.PUT, number - 1, b"%d" % number)
@@ -289,14 +289,14 @@
 
 
 def test_digests_of_old_calls_are_bounded_and_no_old_call_is_refused_for_it(monkeypatch):
-    state = state_after_calls(40, 3, monkeypatch, prints_most=10)
-    assert len(state.prints) <= 10 * state_module.PRINT_BYTES
+    state = state_after_calls(40, 3, monkeypatch, max_prefixes=10)
+    assert len(state.digest_prefixes) <= 10 * state_module.DIGEST_PREFIX_BYTES
     statuses = {evaluate(put(number - 1, b"%d" % number), state).status for number in range(1, 38)}
     assert statuses == {CommandStatus.UNKNOWN}
     assert evaluate(put(36, b"another"), state).status is CommandStatus.STALE
 
 
 def test_a_digest_prefix_is_found_only_where_one_begins():
-    state = ControlState(generation=9, prints=b"\x01\x02\x03\x04\x05\x06\x07\x08")
-    assert state.may_have_taken(b"\x05\x06\x07\x08 and more", 1)
-    assert not state.may_have_taken(b"\x03\x04\x05\x06 and more", 1)
+    state = ControlState(generation=9, digest_prefixes=b"\x01\x02\x03\x04\x05\x06\x07\x08")
+    assert state.may_have_applied(b"\x05\x06\x07\x08 and more", 1)
+    assert not state.may_have_applied(b"\x03\x04\x05\x06 and more", 1)
--- a/tests/control_api/test_short_memory.py
+++ b/tests/control_api/test_short_memory.py
@@ -14,8 +14,8 @@
 
 @pytest.mark.parametrize(("calls", "prefixes"), [(2, 1000), (2, 4)])
 def test_a_short_memory_of_calls_refuses_none_that_was_applied(calls, prefixes, monkeypatch):
-    monkeypatch.setattr(state_module, "TAKEN_MOST", calls)
-    monkeypatch.setattr(state_module, "PRINTS_MOST", prefixes)
+    monkeypatch.setattr(state_module, "MAX_APPLIED_CALLS", calls)
+    monkeypatch.setattr(state_module, "MAX_DIGEST_PREFIXES", prefixes)
     worlds = [play(seed, 1 + (seed % 4 == 3), STEPS) for seed in range(SEEDS)]
     changes = [change for world in worlds for change in world.answered.changes]
     assert sum(change.acknowledged for change in changes) > SEEDS / 2
--- a/tests/control_api/world.py
+++ b/tests/control_api/world.py
@@ -54,7 +54,7 @@
         if self.machine.node is not self.node:
             raise ProcessEndedError
 
-    async def until(self, reached: Callable[[], bool], seconds: float) -> bool:
+    async def wait_until(self, reached: Callable[[], bool], seconds: float) -> bool:
         end = self.machine.now + seconds
         self._check_running()
         while not reached():
@@ -264,7 +264,7 @@
         if state.generation < self.answered.newest:
             raise Breach(f"{state.generation} is left of {self.answered.newest}")
         for change in self.answered.changes:
-            if change.refused and state.has_taken(change.digest):
+            if change.refused and state.has_applied(change.digest):
                 raise Breach("a change is in force that was refused")
         busy, active = self.answered.zone_busy, self.answered.zone_active
         if active is not None and not busy and (ZONE in state.evacuated) != active:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -28,16 +28,31 @@
     return met
 
 
-@pytest.mark.parametrize(
-    ("name", "allowed"),
-    [
-        ("model.py", set()),
-        ("balancer.py", {"fordtrestle.balancer.model"}),
-        ("wirehost.py", {"fordtrestle.balancer.model", "fordtrestle.balancer.balancer"}),
-    ],
-)
-def test_imports_run_from_adapter_to_module_to_interface(name, allowed):
-    assert imported(name) <= allowed
+# The modules of the decision module: each may import those after it, and no other module of the program.
+PARTS = (
+    "balancer", "shedding", "outage", "own_load", "throttle", "requests", "servers", "baselines",
+    "outcomes", "model",
+)  # fmt: skip
+
+
+@pytest.mark.parametrize("part", PARTS)
+def test_the_decision_modules_parts_import_only_those_below_them(part):
+    below = PARTS[PARTS.index(part) + 1 :]
+    assert imported(f"{part}.py") <= {f"fordtrestle.balancer.{name}" for name in below}
+
+
+def test_the_parts_are_all_of_the_decision_module_but_the_wires_adapter():
+    names = {path.stem for path in PACKAGE.glob("*.py")}
+    assert names == {*PARTS, "wirehost", "__init__"}
+
+
+def test_the_wires_adapter_knows_of_the_decision_module_and_its_interface_only():
+    assert imported("wirehost.py") <= {"fordtrestle.balancer.model", "fordtrestle.balancer.balancer"}
+
+
+@pytest.mark.parametrize("part", ["throttle", "model"])
+def test_throttle_and_interface_stand_alone(part):
+    assert not imported(f"{part}.py")
 
 
 # Packages may import from those to their right, never from those to their left.
@@ -57,31 +72,43 @@
     "admission/urgency.py",
     "admission/window.py",
     "balancer/balancer.py",
+    "balancer/baselines.py",
     "balancer/model.py",
+    "balancer/outage.py",
+    "balancer/outcomes.py",
+    "balancer/own_load.py",
+    "balancer/requests.py",
+    "balancer/servers.py",
+    "balancer/shedding.py",
+    "balancer/throttle.py",
     "control_api/errors.py",
     "control_api/listings.py",
     "control_api/requests.py",
     "dissemination/broadcast.py",
     "dissemination/catalog.py",
     "dissemination/delta.py",
+    "dissemination/errors.py",
     "dissemination/items.py",
     "dissemination/messages.py",
+    "dissemination/missing_items.py",
+    "dissemination/ownership.py",
+    "dissemination/range_digests.py",
     "dissemination/rendezvous.py",
     "dissemination/suspicion.py",
     "forward/events.py",
     "forward/headers.py",
-    "replication/candidacy.py",
+    "replication/bootstrap.py",
+    "replication/candidate.py",
     "replication/catch_up.py",
-    "replication/contacts.py",
     "replication/durable.py",
+    "replication/epoch_change.py",
     "replication/epochs.py",
     "replication/events.py",
-    "replication/founding.py",
+    "replication/failure_detector.py",
     "replication/leadership.py",
     "replication/messages.py",
     "replication/node.py",
-    "replication/opening.py",
-    "replication/primary_watch.py",
+    "replication/peer_table.py",
     "replication/reconfiguration.py",
     "replication/state.py",
     "replication/voting.py",
@@ -98,11 +125,14 @@
     "routing/servers.py",
     "routing/table.py",
     "routing/view.py",
+    "settings/errors.py",
     "storage/records.py",
     "proxy/config/changes.py",
+    "proxy/config/errors.py",
     "proxy/config/events.py",
     "proxy/config/fronts.py",
     "proxy/config/limits.py",
+    "proxy/config/limits_table.py",
     "proxy/config/numbering.py",
     "proxy/config/peers.py",
     "proxy/config/services.py",
@@ -123,9 +153,13 @@
     "load/samples.py",
     "load/spec.py",
     "load/wire.py",
-    "proxy/membership/lists.py",
-    "proxy/membership/static.py",
-    "proxy/membership/whole.py",
+    "proxy/membership/endpoint_list.py",
+    "proxy/membership/errors.py",
+    "proxy/membership/list_format.py",
+    "proxy/membership/registry_protocol.py",
+    "proxy/membership/static_endpoint_list.py",
+    "proxy/membership/timing.py",
+    "proxy/membership/updates.py",
     "proxy/state/errors.py",
     "proxy/state/file_store.py",
     "proxy/state/records.py",
@@ -165,16 +199,18 @@
     "roles/process.py",
     "roles/sidecar.py",
     "settings/boot.py",
-    "settings/place.py",
+    "settings/records.py",
+    "settings/schema.py",
+    "settings/settings_file.py",
     "storage/log.py",
     "__main__.py",
     "cli/check.py",
     "cli/load.py",
     "cli/platform.py",
     "cli/serve.py",
-    "proxy/config/operator.py",
-    "proxy/config/options.py",
-    "proxy/config/platform.py",
+    "proxy/config/operator_file.py",
+    "proxy/config/operator_options.py",
+    "proxy/config/platform_config.py",
     "proxy/daemon/events.py",
     "proxy/daemon/overload.py",
     "proxy/daemon/peers.py",
@@ -206,7 +242,8 @@
     "load/schedule.py",
     "load/trace.py",
     "load/worker.py",
-    "proxy/membership/registry.py",
+    "proxy/membership/discovery_client.py",
+    "proxy/membership/registry_call.py",
     "proxy/state/background_writer.py",
     "proxy/state/endpoint_list_store.py",
     "proxy/state/posix_file_store.py",
