--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -18,8 +18,9 @@
 from pathlib import Path
 
 from fordtrestle.control_api.orders import Orders, Outcome, Verdict
-from fordtrestle.peer.codec import Hello, decode
+from fordtrestle.peer.codec import decode
 from fordtrestle.peer.mesh import Mesh
+from fordtrestle.peer.messages import Hello
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Store
--- a/fordtrestle/control_api/withdrawals.py
+++ b/fordtrestle/control_api/withdrawals.py
@@ -15,7 +15,8 @@
 from fordtrestle.dissemination.items import SERVER_PREFIX, Item, Phase, ServerRecord
 from fordtrestle.dissemination.messages import Confirm, Confirmed
 from fordtrestle.peer.gossip import Gossip
-from fordtrestle.peer.mesh import Link, Mesh
+from fordtrestle.peer.link import Link
+from fordtrestle.peer.mesh import Mesh
 from fordtrestle.replication.epochs import Epoch, Store, majority
 
 CONFIRM_S = 0.7  # of the second that a server waits for its acknowledgement (PROTOCOL: service discovery)
--- a/fordtrestle/peer/mesh.py
+++ b/fordtrestle/peer/mesh.py
@@ -4,68 +4,93 @@
 
 import asyncio
 from collections.abc import Callable, Collection
+from contextlib import closing, suppress
 from typing import Any
 
 import eliot
 
-from fordtrestle.peer.codec import CodecError, Hello, agreed_version
 from fordtrestle.peer.connection import Connection
+from fordtrestle.peer.errors import NoCommonVersionError, PeerError
+from fordtrestle.peer.handshake import accept_hello
+from fordtrestle.peer.link import Link
+from fordtrestle.peer.messages import Hello
 from fordtrestle.settings.records import Address
 
-DIAL_TIMEOUT_S = 0.8
-MIN_REDIAL_BACKOFF_S, MAX_REDIAL_BACKOFF_S = 0.1, 0.5  # between dials, longer with each that failed
-HELLO_TIMEOUT_S = 2.0
+DIAL_TIMEOUT_S = 0.8  # for a connection to come up: several round trips between regions
+HELLO_TIMEOUT_S = 2.0  # for the other side's hello
+MIN_REDIAL_BACKOFF_S = 0.1
+MAX_REDIAL_BACKOFF_S = 0.5  # a process that is back has to be found soon
+REDIAL_BACKOFF_FACTOR = 1.5
 CLOSE_TIMEOUT_S = 0.5  # for accepted connections to notice that they were closed
 MAX_LINKS = 2048  # connections that others have opened
-_FAILED = (OSError, EOFError, TimeoutError, asyncio.IncompleteReadError, CodecError)
+LISTEN_BACKLOG = 512  # connections that wait to be accepted: all processes may dial at once
 
+_CONNECTION_ERRORS = (OSError, TimeoutError, PeerError)
 
-class Link:
-    """A connection whose other side is known; `version` of the protocol is what both sides speak."""
+OnMessage = Callable[[Link, Any], None]
+OnLinkUp = Callable[[Link], None]
 
-    def __init__(self, hello: Hello, version: int, connection: Connection) -> None:
-        self.node = hello.node
-        self.peer = hello.peer
-        self.version = version
-        self._connection = connection
 
-    def send(self, message: Any) -> bool:
-        """Send a message; whether the connection still takes any."""
-        return self._connection.send(message)
+class _RedialBackoff:
+    """How long to wait before an address is dialled again: longer with each dial that failed."""
 
-    def write_frame(self, framed: bytes) -> bool:
-        """Send a message that was framed before, for many links; whether the connection still takes any."""
-        return self._connection.write_frame(framed)
+    def __init__(self) -> None:
+        self._next_s = MIN_REDIAL_BACKOFF_S
 
-    def close(self) -> None:
-        """End the connection."""
-        self._connection.close()
+    def reset(self) -> None:
+        """Begin anew: the other side has answered."""
+        self._next_s = MIN_REDIAL_BACKOFF_S
 
-
-Received = Callable[[Link, Any], None]
+    def take_s(self) -> float:
+        """Return how long to wait now, in s."""
+        wait_s = self._next_s
+        self._next_s = min(MAX_REDIAL_BACKOFF_S, REDIAL_BACKOFF_FACTOR * wait_s)
+        return wait_s
 
 
 class Mesh:
-    """Listens, dials the addresses it is given, and keeps the links that are up."""
-
-    def __init__(self, me: Hello, received: Received, linked: Callable[[Link], None]) -> None:
+    """Listens, dials the addresses that it is given, and keeps the links that are up.
+
+    Two processes may dial each other at the same time, and then have two links: both stay, since neither side
+    can know which one the other would end, and messages go over the newest.
+
+    Attributes:
+        skipped_messages: messages of other versions of the protocol, on connections that have ended.
+        round_trips: the shortest time that a connection took to come up, in s, by the address that is
+        dialled.
+    """
+
+    def __init__(self, me: Hello, on_message: OnMessage, on_link_up: OnLinkUp) -> None:
+        """Make a mesh that neither listens nor dials yet.
+
+        Args:
+            me: the hello of this process.
+            on_message: called with each message and the link that it came over.
+            on_link_up: called once with each link, before any of its messages.
+        """
+        self.skipped_messages = 0
+        self.round_trips: dict[str, float] = {}
         self._me = me
-        self._received = received
-        self._linked = linked
+        self._on_message = on_message
+        self._on_link_up = on_link_up
         self._links: dict[str, list[Link]] = {}  # by node, the newest last
-        self._refused: dict[str, tuple[int, int]] = {}  # by node: the versions it speaks, as told
-        self.skipped_messages = 0  # messages of other versions, on connections that have ended
+        self._rejected: dict[str, tuple[int, int]] = {}  # by node: the versions that it speaks
         self._dials: dict[str, asyncio.Task[None]] = {}  # by address
-        self.round_trips: dict[str, float] = {}  # by address that is dialled: s, the shortest seen
         self._server: asyncio.Server | None = None
         self._accepted: set[asyncio.Task[None]] = set()
 
     async def listen(self, address: Address) -> None:
-        """Take connections at this address. Raises `OSError`."""
-        self._server = await asyncio.start_server(self._accept, address.host, address.port, backlog=512)
+        """Accept connections at this address.
+
+        Raises:
+            OSError: the address is taken or not of this machine.
+        """
+        self._server = await asyncio.start_server(
+            self._accept, address.host, address.port, backlog=LISTEN_BACKLOG
+        )
 
     def dial(self, addresses: Collection[str]) -> None:
-        """Keep a connection to each of these, and to no others."""
+        """Keep a connection to each of these addresses (HOST:PORT), and to no others."""
         wanted = set(addresses) - {self._me.peer}
         for address in set(self._dials) - wanted:
             self._dials.pop(address).cancel()
@@ -74,20 +99,20 @@
             self._dials[address] = asyncio.create_task(self._keep_dialled(address))
 
     def links(self) -> list[Link]:
-        """The link to each node that one is up to."""
+        """Return the link to each node that one is up to."""
         return [links[-1] for links in self._links.values()]
 
     def link(self, node: str) -> Link | None:
-        """The newest link to a node."""
+        """Return the newest link to a node; `None` where none is up."""
         links = self._links.get(node)
         return links[-1] if links else None
 
     def link_at(self, peer: str) -> Link | None:
-        """A link to whoever listens at that address."""
+        """Return a link to the process that listens at that address; `None` where none is up."""
         return next((link for link in self.links() if link.peer == peer), None)
 
     async def close(self) -> None:
-        """End all."""
+        """End all connections, and neither accept nor dial any more."""
         for dial in self._dials.values():
             dial.cancel()
         if self._server:
@@ -98,79 +123,63 @@
             await asyncio.wait(self._accepted, timeout=CLOSE_TIMEOUT_S)
 
     async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        connection = Connection(reader, writer)
+        """Run a connection that another process has opened: its hello comes first, then ours."""
         task = asyncio.current_task()
-        if len(self._accepted) >= MAX_LINKS or task is None:
-            connection.close()
-            return
-        self._accepted.add(task)
-        try:
-            async with asyncio.timeout(HELLO_TIMEOUT_S):
-                hello = await connection.receive()
-            connection.send(self._me)
-            await self._run(hello, connection)
-        except (*_FAILED, asyncio.CancelledError):
-            # Cancelled as the process ends, with nothing left to do: asyncio tells of a cancelled handler on
-            # the log as of a fault.
-            connection.close()
-        finally:
-            self._accepted.discard(task)
+        with closing(Connection(reader, writer)) as connection:
+            if len(self._accepted) >= MAX_LINKS or task is None:
+                return
+            self._accepted.add(task)
+            try:
+                hello = await self._receive_hello(connection)
+                connection.send(self._me)
+                await self._run_link(hello, connection)
+            except (*_CONNECTION_ERRORS, asyncio.CancelledError):
+                # Cancelled as the process ends, with nothing left to do: asyncio would log that as a fault.
+                return
+            finally:
+                self._accepted.discard(task)
 
     async def _keep_dialled(self, address: str) -> None:
-        where = Address.parse(address)
-        pause = MIN_REDIAL_BACKOFF_S
+        """Dial an address whenever no connection to it is up, until cancelled."""
+        backoff = _RedialBackoff()
         while True:
-            try:
-                began = asyncio.get_running_loop().time()
-                async with asyncio.timeout(DIAL_TIMEOUT_S):
-                    reader, writer = await asyncio.open_connection(where.host, where.port)
-                self._note_round_trip(address, asyncio.get_running_loop().time() - began)
-                connection = Connection(reader, writer)
-                try:
-                    connection.send(self._me)
-                    async with asyncio.timeout(HELLO_TIMEOUT_S):
-                        hello = await connection.receive()
-                    pause = MIN_REDIAL_BACKOFF_S
-                    await self._run(hello, connection)
-                finally:
-                    connection.close()
-            except _FAILED:
-                pass
-            await asyncio.sleep(pause)
-            pause = min(MAX_REDIAL_BACKOFF_S, 1.5 * pause)
-
-    def _hand_over(self, link: Link, message: Any) -> None:
-        """Handle a message; a fault of ours in that ends neither the link nor the task that dials it."""
-        try:
-            self._received(link, message)
-        except Exception:
-            eliot.write_traceback()
+            with suppress(*_CONNECTION_ERRORS):
+                await self._dial(address, backoff)
+            await asyncio.sleep(backoff.take_s())
+
+    async def _dial(self, address: str, backoff: _RedialBackoff) -> None:
+        """Dial an address, and run the connection until it ends: our hello goes first, then theirs comes."""
+        endpoint = Address.parse(address)
+        started_at = asyncio.get_running_loop().time()
+        async with asyncio.timeout(DIAL_TIMEOUT_S):
+            reader, writer = await asyncio.open_connection(endpoint.host, endpoint.port)
+        self._record_round_trip(address, asyncio.get_running_loop().time() - started_at)
+        with closing(Connection(reader, writer)) as connection:
+            connection.send(self._me)
+            hello = await self._receive_hello(connection)
+            backoff.reset()
+            await self._run_link(hello, connection)
 
-    def _refuse(self, hello: Hello) -> None:
-        """Say once of each node that it speaks no version that this one speaks."""
-        speaks = (hello.oldest, hello.newest)
-        if self._refused.get(hello.node) != speaks and len(self._refused) < MAX_LINKS:
-            self._refused[hello.node] = speaks
-            mine = (self._me.oldest, self._me.newest)
-            eliot.log_message("peer:no-common-version", node=hello.node, theirs=speaks, ours=mine)
+    @staticmethod
+    async def _receive_hello(connection: Connection) -> Any:
+        async with asyncio.timeout(HELLO_TIMEOUT_S):
+            return await connection.receive()
 
-    def _note_round_trip(self, address: str, took_s: float) -> None:
-        """A connection came up after one round trip, and whatever delayed it."""
-        self.round_trips[address] = min(took_s, self.round_trips.get(address, took_s))
+    async def _run_link(self, first_message: Any, connection: Connection) -> None:
+        """Keep a link until its connection ends.
 
-    async def _run(self, hello: Any, connection: Connection) -> None:
-        if not isinstance(hello, Hello) or hello.node == self._me.node:
-            connection.close()
-            return
-        version = agreed_version(self._me, hello)
-        if version is None:
-            self._refuse(hello)
-            connection.close()
-            return
+        Raises:
+            HandshakeError: the first message is no hello that this process can accept.
+        """
+        try:
+            hello, version = accept_hello(self._me, first_message)
+        except NoCommonVersionError as error:
+            self._log_rejection(error)
+            raise
         link = Link(hello, version, connection)
         self._links.setdefault(link.node, []).append(link)
         try:
-            self._linked(link)
+            self._on_link_up(link)
             await connection.run(lambda message: self._hand_over(link, message))
         finally:
             self.skipped_messages += connection.skipped_messages
@@ -178,3 +187,20 @@
             links.remove(link)
             if not links:
                 del self._links[link.node]
+
+    def _hand_over(self, link: Link, message: Any) -> None:
+        """Handle a message; a fault of ours in that ends neither the link nor the task that dials it."""
+        try:
+            self._on_message(link, message)
+        except Exception:
+            eliot.write_traceback()
+
+    def _log_rejection(self, error: NoCommonVersionError) -> None:
+        """Log once of each node that it speaks no version that this process speaks: it goes on dialling."""
+        if self._rejected.get(error.node) != error.theirs and len(self._rejected) < MAX_LINKS:
+            self._rejected[error.node] = error.theirs
+            eliot.log_message("peer:no-common-version", node=error.node, theirs=error.theirs, ours=error.ours)
+
+    def _record_round_trip(self, address: str, took_s: float) -> None:
+        """Take note of how long a connection took to come up: one round trip, and whatever delayed it."""
+        self.round_trips[address] = min(took_s, self.round_trips.get(address, took_s))
--- a/fordtrestle/peer/replicator.py
+++ b/fordtrestle/peer/replicator.py
@@ -5,8 +5,9 @@
 import asyncio
 from collections.abc import Callable
 
-from fordtrestle.peer.codec import Envelope, encode
+from fordtrestle.peer.codec import encode
 from fordtrestle.peer.mesh import Mesh
+from fordtrestle.peer.messages import Envelope
 from fordtrestle.replication.contacts import FORGET_S
 from fordtrestle.replication.messages import Announce, Message
 from fordtrestle.replication.node import Effects, Node
--- /dev/null
+++ b/fordtrestle/peer/wire_types.py
@@ -0,0 +1,139 @@
+"""The types that travel between processes or lie on disks: their tags, fields and enumerations. Pure.
+
+How they may change is told in `docs/design/versions.md`: a type may gain fields behind its last one, each
+with a default that says what their lack means. Anything else is another type with another tag.
+"""
+
+from __future__ import annotations
+
+from dataclasses import MISSING, dataclass, fields
+from enum import IntEnum
+from typing import Any
+
+from fordtrestle.dissemination import delta, items, messages
+from fordtrestle.peer.handshake import PROTOCOL_VERSION
+from fordtrestle.peer.messages import Envelope, Hello
+from fordtrestle.replication import epochs, state
+from fordtrestle.replication import messages as replication
+
+
+class Retired:
+    """Holds the tag of a type that had other fields, so that it is never used again."""
+
+
+FIRST_TAG = 48_100  # the beginning of a range of CBOR tags that IANA has not assigned
+
+# A type's position is its tag: types are added at the end, and never moved or removed.
+_TYPES: tuple[type, ...] = (
+    Hello,
+    Envelope,
+    epochs.Term,
+    epochs.Store,
+    epochs.Epoch,
+    state.ConfigChange,
+    state.Evacuation,
+    Retired,  # ControlState with digests alone
+    Retired,  # Announce without `leaving`
+    replication.Heartbeat,
+    Retired,  # HeartbeatAck without the state's position
+    replication.PreVote,
+    replication.PreVoteGrant,
+    replication.Prepare,
+    replication.Promised,
+    replication.Install,
+    replication.Installed,
+    replication.Accept,
+    replication.Accepted,
+    replication.Append,
+    replication.Appended,
+    replication.Rejected,
+    replication.Vote,
+    replication.Snapshot,
+    replication.Entry,
+    items.ControlView,
+    items.ServerRecord,
+    items.MemberRecord,
+    items.Item,
+    messages.Update,
+    messages.RangeDigests,
+    messages.RangeVersions,
+    messages.Want,
+    messages.IndirectProbe,
+    messages.IndirectProbeAck,
+    replication.Resign,
+    replication.Announce,
+    replication.HeartbeatAck,
+    state.AppliedCall,
+    state.ControlState,
+    messages.Confirm,
+    messages.Confirmed,
+    messages.Offer,
+    messages.Prune,
+    delta.Copy,
+    delta.ControlDelta,
+    replication.Founder,
+    items.EjectionRecord,
+    messages.Outcomes,
+    messages.OutcomeReport,
+)
+
+_ENUMERATIONS: dict[tuple[type, str], type[IntEnum]] = {
+    (items.ServerRecord, "phase"): items.Phase,
+    (items.MemberRecord, "availability"): items.Availability,
+}
+
+
+@dataclass(frozen=True, slots=True)
+class WireType:
+    """How one type is written.
+
+    Attributes:
+        kind: the type.
+        tag: its CBOR tag.
+        fields: the names of its fields, in the order in which their values are written.
+        required: how many of them have no default.
+        enumerations: the enumeration of each field that holds one, by the field's position.
+    """
+
+    kind: type
+    tag: int
+    fields: tuple[str, ...]
+    required: int
+    enumerations: dict[int, type[IntEnum]]
+
+
+def _wire_type(kind: type, tag: int) -> WireType:
+    names = tuple(field.name for field in fields(kind))
+    return WireType(
+        kind=kind,
+        tag=tag,
+        fields=names,
+        required=sum(field.default is MISSING for field in fields(kind)),
+        enumerations={
+            position: _ENUMERATIONS[kind, name]
+            for position, name in enumerate(names)
+            if (kind, name) in _ENUMERATIONS
+        },
+    )
+
+
+BY_TYPE: dict[type, WireType] = {
+    kind: _wire_type(kind, FIRST_TAG + position)
+    for position, kind in enumerate(_TYPES)
+    if kind is not Retired
+}
+BY_TAG: dict[int, WireType] = {wire_type.tag: wire_type for wire_type in BY_TYPE.values()}
+
+
+def wire_table() -> dict[str, Any]:
+    """Return all types with their tags, fields and values by name, as they are on wires and disks."""
+    by_tag = sorted(BY_TAG.items())
+    return {
+        "protocol": PROTOCOL_VERSION,
+        "types": {str(tag): [known.kind.__name__, *known.fields] for tag, known in by_tag},
+        "optional": {str(tag): len(known.fields) - known.required for tag, known in by_tag},
+        "values": {
+            f"{kind.__name__}.{name}": {member.name: int(member) for member in enumeration}
+            for (kind, name), enumeration in _ENUMERATIONS.items()
+        },
+    }
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -17,8 +17,10 @@
 from fordtrestle.dissemination.messages import Confirm, Confirmed, OutcomeReport
 from fordtrestle.dissemination.ownership import successor_of
 from fordtrestle.ingress.directory import Directory
-from fordtrestle.peer.codec import CodecError, Envelope, decode, encode
-from fordtrestle.peer.mesh import Link
+from fordtrestle.peer.codec import decode, encode
+from fordtrestle.peer.errors import CodecError
+from fordtrestle.peer.link import Link
+from fordtrestle.peer.messages import Envelope
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Store
--- a/fordtrestle/roles/process.py
+++ b/fordtrestle/roles/process.py
@@ -20,9 +20,11 @@
 from fordtrestle.dissemination.messages import GossipMessage, IndirectProbe, IndirectProbeAck
 from fordtrestle.dissemination.ownership import live_nodes, owner_of
 from fordtrestle.dissemination.suspicion import MAX_INDIRECT_PROBES, Suspicion, monitored_by
-from fordtrestle.peer.codec import PROTOCOL, PROTOCOL_OLDEST, Hello
 from fordtrestle.peer.gossip import Gossip
-from fordtrestle.peer.mesh import Link, Mesh
+from fordtrestle.peer.handshake import OLDEST_PROTOCOL_VERSION, PROTOCOL_VERSION
+from fordtrestle.peer.link import Link
+from fordtrestle.peer.mesh import Mesh
+from fordtrestle.peer.messages import Hello
 from fordtrestle.roles import metrics
 from fordtrestle.roles.ending import Ending
 from fordtrestle.settings.boot import read_settings
@@ -57,7 +59,7 @@
         self.rng = random.Random(secrets.randbits(64))
         self.stopping = asyncio.Event()
         peer = peer_address(boot, boot.ip, role)
-        hello = Hello(boot.node_name, peer, PROTOCOL, PROTOCOL_OLDEST)
+        hello = Hello(boot.node_name, peer, PROTOCOL_VERSION, OLDEST_PROTOCOL_VERSION)
         self.mesh = Mesh(hello, self._received, self._linked)
         me = MemberRecord(
             node=boot.node_name,
--- a/rig/system/gossip_network.py
+++ b/rig/system/gossip_network.py
@@ -27,7 +27,7 @@
 )
 from fordtrestle.dissemination.messages import GossipMessage, Update
 from fordtrestle.dissemination.suspicion import monitors_of
-from fordtrestle.peer.connection import frame_message
+from fordtrestle.peer.frames import frame_message
 
 NEVER = float("inf")
 TURN_S = 0.001  # at the least, until a timer runs
--- a/rig/system/next_version.py
+++ b/rig/system/next_version.py
@@ -12,27 +12,29 @@
 import cbor2
 
 from fordtrestle import __main__ as program
-from fordtrestle.peer import codec, connection
+from fordtrestle.peer import codec, connection, handshake
+from fordtrestle.peer.frames import encode_frame
+from fordtrestle.peer.wire_types import BY_TYPE, FIRST_TAG
 
-UNKNOWN_TAG = codec._FIRST_TAG + 400
+UNKNOWN_TAG = FIRST_TAG + 400
 ONE_IN = 5  # messages that are followed by one of the unknown type
 LATER = "a field of a later version"
 
 
 def _encode_with_more(whole: Any) -> Any:
     def encode(encoder: cbor2.CBOREncoder, value: Any) -> None:
-        kind = type(value)
-        if kind not in codec._TAGS:
+        wire_type = BY_TYPE.get(type(value))
+        if wire_type is None:
             whole(encoder, value)
             return
-        values = [getattr(value, name) for name in codec._FIELDS[kind]]
-        encoder.encode(cbor2.CBORTag(codec._TAGS[kind], [*values, LATER]))
+        values = [getattr(value, name) for name in wire_type.fields]
+        encoder.encode(cbor2.CBORTag(wire_type.tag, [*values, LATER]))
 
     return encode
 
 
 def _write_with_unknown(whole: Any) -> Any:
-    unknown = connection.encode_frame(cbor2.dumps(cbor2.CBORTag(UNKNOWN_TAG, ["news of a later version"])))
+    unknown = encode_frame(cbor2.dumps(cbor2.CBORTag(UNKNOWN_TAG, ["news of a later version"])))
 
     def write(self: connection.Connection, framed: bytes) -> bool:
         write.calls += 1  # type: ignore[attr-defined]
@@ -47,8 +49,8 @@
 
 def become_next() -> None:
     """Let this process speak as a later version would."""
-    codec.PROTOCOL += 1
-    codec._encode = _encode_with_more(codec._encode)
+    handshake.PROTOCOL_VERSION += 1
+    codec._encode_value = _encode_with_more(codec._encode_value)
     connection.Connection.write_frame = _write_with_unknown(connection.Connection.write_frame)  # type: ignore[method-assign]
 
 
--- a/tests/control_api/test_exchanges.py
+++ b/tests/control_api/test_exchanges.py
@@ -15,9 +15,9 @@
 from fordtrestle.control_api.withdrawals import Withdrawals
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import Availability, MemberRecord, Phase
-from fordtrestle.peer.codec import Hello
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Mesh
+from fordtrestle.peer.messages import Hello
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Epoch, Store, Term
--- a/tests/control_api/test_withdrawals.py
+++ b/tests/control_api/test_withdrawals.py
@@ -22,9 +22,9 @@
     server_item,
 )
 from fordtrestle.dissemination.messages import Confirm, Confirmed, Update
-from fordtrestle.peer.codec import Hello
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Mesh
+from fordtrestle.peer.messages import Hello
 from fordtrestle.replication.epochs import Epoch, Store, Term
 from fordtrestle.settings.records import Address
 from tests.exchanges import loopback, until
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -99,14 +99,16 @@
     "a frame is given up once its peer is silent": _removal(
         "peer/connection.py",
         "tests/peer",
-        "            async with asyncio.timeout(PEER_TIMEOUT_S):\n                part",
-        "            async with asyncio.timeout(None):\n                part",
+        "        async with asyncio.timeout(PEER_TIMEOUT_S):\n",
+        "        async with asyncio.timeout(None):\n",
     ),
     "a long frame may take its time": _removal(
         "peer/connection.py",
         "tests/peer",
-        "                part = await self._reader.read(length - len(data))\n",
-        "                part = await self._reader.readexactly(length - len(data))\n",
+        "                    on_message(await self.receive())\n",
+        "                    async with asyncio.timeout(PEER_TIMEOUT_S):\n"
+        "                        message = await self.receive()\n"
+        "                    on_message(message)\n",
     ),
     "reads are confirmed by a majority": _removal(
         ORDERS,
@@ -345,10 +347,10 @@
         "        if False:\n",
     ),
     "a message of another version is skipped": _removal(
-        "peer/connection.py",
+        "peer/protocol.py",
         "tests/peer",
-        "                except UnknownMessageError as error:\n",
-        "                except MemoryError as error:\n",
+        "        except UnknownMessageError as error:\n",
+        "        except MemoryError as error:\n",
     ),
     "a value that is not known is of another version": _removal(
         "peer/codec.py",
@@ -357,10 +359,10 @@
         "        raise\n",
     ),
     "fields of a later version are left out": _removal(
-        "peer/codec.py", "tests/peer", "list(values[: len(names)])", "list(values)"
+        "peer/codec.py", "tests/peer", "list(values[: len(wire_type.fields)])", "list(values)"
     ),
     "no link is up without a version that both sides speak": _removal(
-        "peer/mesh.py", "tests/peer", "        if version is None:\n", "        if version == -1:\n"
+        "peer/handshake.py", "tests/peer", "    if version is None:\n", "    if version == -1:\n"
     ),
     "a file of an unknown format is left as it is": _removal(
         LOG,
@@ -550,7 +552,7 @@
         "roles/ending.py", "tests/roles/test_ending.py", "        last_resort.start()\n"
     ),
     "a link that is cancelled at the end is no fault": _removal(
-        "peer/mesh.py", "tests/peer", "(*_FAILED, asyncio.CancelledError)", "_FAILED"
+        "peer/mesh.py", "tests/peer", "(*_CONNECTION_ERRORS, asyncio.CancelledError)", "_CONNECTION_ERRORS"
     ),
     "a control process that ends waits until it is not needed": _removal(
         "roles/control.py",
--- a/tests/peer/test_gossip.py
+++ b/tests/peer/test_gossip.py
@@ -1,4 +1,4 @@
-"""Dissemination over real links: whole items, changes, offers that are asked for, digests for latecomers."""
+"""Dissemination over real links: whole items, deltas, offers that are requested, digests for latecomers."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 from fordtrestle.dissemination.items import Availability, ControlView, MemberRecord, control_item
 from fordtrestle.dissemination.messages import Prune
 from fordtrestle.peer import gossip as gossip_module
-from fordtrestle.peer.codec import Hello
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Mesh
-from fordtrestle.settings.records import Address
+from fordtrestle.peer.messages import Hello
+from tests.peer.peers import address_of, listen
 from tests.virtual import virtual
 
 
-def news(sequence, routes=50):
+def control_update(sequence, routes=50):
     rows = [{"name": f"r-{number}", "timeout_ms": 1000} for number in range(routes)]
     document = json.dumps({"generation": sequence, "routes": rows}).encode()
     return control_item(ControlView(sequence, sequence, document, ()))
@@ -35,11 +35,6 @@
         me = MemberRecord(name, "sidecar", "z-1", "r-1", "", "", Availability.READY)
         self.gossip = Gossip(Catalog(), self.mesh, me, 1, lambda items: None)
 
-    async def start(self) -> str:
-        await self.mesh.listen(Address("127.0.0.1", 0))
-        assert self.mesh._server is not None
-        return f"127.0.0.1:{self.mesh._server.sockets[0].getsockname()[1]}"
-
     @property
     def sequence(self) -> int:
         control = self.gossip.catalog.control
@@ -53,7 +48,7 @@
         self.processes = [Process(name) for name in names]
 
     async def __aenter__(self) -> list[Process]:
-        addresses = [await process.start() for process in self.processes]
+        addresses = [await listen(process.mesh) for process in self.processes]
         for number, process in enumerate(self.processes):
             process.mesh.dial(addresses[:number])
         others = len(addresses) - 1
@@ -66,14 +61,14 @@
 
 
 async def within(seconds, condition):
-    """Wait until a condition holds; it has to in that (virtual) time."""
+    """Wait until a condition holds, at most so many s of the (virtual) clock."""
     async with asyncio.timeout(seconds):
         while not condition():
             await asyncio.sleep(0.005)
 
 
-def sent_whole(monkeypatch):
-    """The kinds of messages that are framed to be sent."""
+def record_framed_kinds(monkeypatch):
+    """Return a list to which the kind of each message that is framed is added."""
     kinds = []
     frame_message = gossip_module.frame_message
     monkeypatch.setattr(
@@ -84,48 +79,47 @@
     return kinds
 
 
-def test_a_change_reaches_all_and_travels_as_a_change(monkeypatch):
-    kinds = sent_whole(monkeypatch)
+def test_a_change_reaches_all_processes_and_travels_as_a_delta(monkeypatch):
+    kinds = record_framed_kinds(monkeypatch)
 
     @virtual
     async def run():
         async with Linked("one", "two", "three") as processes:
             for sequence in (1, 2, 3):
-                processes[sequence % 3].gossip.publish([news(sequence)])
+                processes[sequence % 3].gossip.publish([control_update(sequence)])
                 await within(1.0, lambda s=sequence: all(p.sequence == s for p in processes))
-            assert {process.gossip.catalog.control for process in processes} == {news(3).value}
+            assert {process.gossip.catalog.control for process in processes} == {control_update(3).value}
 
     run()
-    assert kinds.count("Update") <= 4, "the first one alone is sent whole: twice, and crosses once each way"
+    assert kinds.count("Update") <= 4, "only the first one is sent whole: twice, and crosses once each way"
     assert kinds.count("ControlDelta") >= 4
 
 
 @virtual
-async def test_what_is_only_offered_over_a_link_is_asked_for():
+async def test_an_item_that_is_only_offered_over_a_link_is_requested():
     async with Linked("one", "two") as (one, two):
         one.gossip._broadcast.on_message(Prune(), ["two"], 0.0, "two")
-        one.gossip.publish([news(1)])
+        one.gossip.publish([control_update(1)])
         await asyncio.sleep(OFFER_DELAY_S / 2)
         assert two.sequence == 0
         await within(1.0, lambda: two.sequence == 1)
-        one.gossip.publish([news(2)])
+        one.gossip.publish([control_update(2)])
         await within(OFFER_DELAY_S / 2, lambda: two.sequence == 2)
 
 
 @virtual
-async def test_who_comes_later_is_told_what_stands():
+async def test_a_process_that_links_up_later_gets_what_it_has_missed():
     async with Linked("one", "two") as (one, _):
-        one.gossip.publish([news(1)])
+        one.gossip.publish([control_update(1)])
         late = Process("late")
-        await late.start()
-        assert one.mesh._server is not None
-        late.mesh.dial([f"127.0.0.1:{one.mesh._server.sockets[0].getsockname()[1]}"])
+        await listen(late.mesh)
+        late.mesh.dial([address_of(one.mesh)])
         await within(2.0, lambda: late.sequence == 1)
         await late.mesh.close()
 
 
 @virtual
-async def test_a_word_that_this_process_is_down_is_outdone():
+async def test_a_process_refutes_that_it_is_down():
     async with Linked("one", "two") as (one, two):
         one.gossip.announce(one.gossip.me)
         await within(1.0, lambda: two.gossip.catalog.get("member/one") is not None)
--- a/tests/peer/test_replicator.py
+++ b/tests/peer/test_replicator.py
@@ -10,8 +10,9 @@
 import pytest
 
 from fordtrestle.peer import replicator as replicator_module
-from fordtrestle.peer.codec import Envelope, Hello, decode
+from fordtrestle.peer.codec import decode
 from fordtrestle.peer.mesh import Mesh
+from fordtrestle.peer.messages import Envelope, Hello
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Store, Term
--- a/tests/peer/test_versions.py
+++ b/tests/peer/test_versions.py
@@ -1,5 +1,6 @@
-"""Versions of the program speak with one another, and read what others wrote, as far as the rules of
-`docs/design/versions.md` go; the tables of each landed protocol stand in `wire/`.
+"""Versions of the program speak with one another, and read what others wrote.
+
+As far as the rules of `docs/design/versions.md` go; the tables of each landed protocol stand in `wire/`.
 """
 
 from __future__ import annotations
@@ -14,28 +15,23 @@
 
 from fordtrestle.dissemination.items import Availability, MemberRecord
 from fordtrestle.dissemination.messages import Want
-from fordtrestle.peer import codec
-from fordtrestle.peer.codec import (
-    CodecError,
-    Hello,
-    UnknownMessageError,
-    agreed_version,
-    decode,
-    encode,
-    table,
-)
-from fordtrestle.peer.connection import Connection, encode_frame
+from fordtrestle.peer.codec import decode, encode
+from fordtrestle.peer.connection import Connection
+from fordtrestle.peer.errors import CodecError, UnknownMessageError
+from fordtrestle.peer.frames import encode_frame
+from fordtrestle.peer.handshake import agreed_version
 from fordtrestle.peer.mesh import Mesh
+from fordtrestle.peer.messages import Hello
+from fordtrestle.peer.wire_types import FIRST_TAG, wire_table
 from fordtrestle.replication.epochs import UNKNOWN_CORE, Epoch, Term
 from fordtrestle.replication.messages import Announce
-from fordtrestle.settings.records import Address
 from tests.exchanges import loopback, until
-from tests.peer.test_connection import talk
+from tests.peer.peers import connected, listen
 
 WIRE = Path(__file__).parent / "wire"
 TABLES = sorted(WIRE.glob("protocol-*.json"))
 RENAMED = json.loads((WIRE / "renamed.json").read_text())
-NEWS = cbor2.dumps(cbor2.CBORTag(codec._FIRST_TAG + 400, ["of a later version"]))
+UNKNOWN = cbor2.dumps(cbor2.CBORTag(FIRST_TAG + 400, ["of a later version"]))
 
 
 def in_names_of_today(landed: dict) -> dict:
@@ -83,21 +79,22 @@
 
 
 @pytest.mark.parametrize("path", TABLES, ids=lambda path: path.stem)
-def test_what_landed_once_can_still_be_read(path):
-    assert not faults(in_names_of_today(json.loads(path.read_text())), table())
+def test_each_landed_protocol_can_still_be_read(path):
+    assert not faults(in_names_of_today(json.loads(path.read_text())), wire_table())
 
 
 def test_the_newest_table_is_kept():
-    """Where this fails, the change is one that the rule allows, or the test above fails too: write the table
-    down under its number, a new one where others have to know of it.
+    """Where this fails, write the table down under its number, a new one where others have to know of it.
+
+    The change is then one that the rules allow, or the test above fails too.
     """
     newest = in_names_of_today(json.loads(TABLES[-1].read_text()))
-    assert newest == json.loads(json.dumps(table()))
+    assert newest == json.loads(json.dumps(wire_table()))
 
 
-def test_names_that_have_changed_are_names_of_the_landed_table_and_of_today():
+def test_renamed_types_and_fields_stood_in_the_landed_table_and_stand_today():
     """Guards against a map that hides a type, field or value that is gone."""
-    landed, now = json.loads(TABLES[-1].read_text()), table()
+    landed, now = json.loads(TABLES[-1].read_text()), wire_table()
     landed_types = {name: fields for name, *fields in landed["types"].values()}
     types_now = {name: fields for name, *fields in now["types"].values()}
     for old, new in RENAMED["types"].items():
@@ -140,19 +137,19 @@
 
 
 @pytest.mark.parametrize("change", BREAKS)
-def test_a_change_against_the_rule_is_found(change):
-    new = copy.deepcopy(json.loads(json.dumps(table())))
+def test_a_change_against_the_rules_is_found(change):
+    new = copy.deepcopy(json.loads(json.dumps(wire_table())))
     change(new)
-    assert len(faults(table(), new)) == 1
+    assert len(faults(wire_table(), new)) == 1
 
 
-def test_a_field_that_can_be_left_out_may_be_added():
-    new = copy.deepcopy(json.loads(json.dumps(table())))
+def test_an_optional_field_and_a_new_type_and_a_new_value_are_allowed():
+    new = copy.deepcopy(json.loads(json.dumps(wire_table())))
     new["types"]["48103"].append("mood")
     new["optional"]["48103"] += 1
-    new["types"]["48999"] = ["News", "text"]
+    new["types"]["48999"] = ["Notice", "text"]
     new["values"]["ServerRecord.phase"]["RESTING"] = 9
-    assert not faults(table(), new)
+    assert not faults(wire_table(), new)
 
 
 def fields_of(message) -> tuple[int, list]:
@@ -160,7 +157,7 @@
     return tagged.tag, list(tagged.value)
 
 
-def test_fields_that_lack_have_their_defaults_and_others_are_left_out():
+def test_lacking_fields_have_their_defaults_and_unknown_ones_are_left_out():
     told = Epoch(Term(3, "a"), "a", ("a",), (), core="c")
     tag, values = fields_of(told)
     longer = decode(cbor2.dumps(cbor2.CBORTag(tag, [*values, "later"])))
@@ -171,7 +168,7 @@
         decode(cbor2.dumps(cbor2.CBORTag(tag, values[:3])))
 
 
-def test_a_value_that_is_not_known_is_of_another_version():
+def test_an_unknown_value_raises_as_of_another_version():
     member = MemberRecord("n", "sidecar", "z", "r", "p", "f", Availability.READY)
     tag, values = fields_of(member)
     values[-1] = 99
@@ -179,7 +176,7 @@
         decode(cbor2.dumps(cbor2.CBORTag(tag, values)))
 
 
-def test_a_store_of_the_version_before_belongs_to_no_core_that_could_be_told():
+def test_an_announce_of_the_version_before_has_no_core():
     tag, values = fields_of(Announce("s", True, False, "c", True))
     told = decode(cbor2.dumps(cbor2.CBORTag(tag, values[:3])))
     assert (told.core, told.founder) == (UNKNOWN_CORE, False)
@@ -187,20 +184,14 @@
 
 @loopback
 async def test_messages_of_another_version_are_skipped_and_counted():
-    received, connections = [], []
-
-    async def serve(reader, writer):
-        connections.append(Connection(reader, writer))
-        await connections[0].run(received.append)
-
-    server, connection = await talk(serve)
-    for payload in (NEWS, encode(Want(("a",))), NEWS, encode(Want(("b",)))):
-        connection.write_frame(encode_frame(payload))
-    await until(lambda: len(received) == 2)
-    assert received == [Want(("a",)), Want(("b",))]
-    assert connections[0].skipped_messages == 2
-    connection.close()
-    server.close()
+    async with connected() as (receiver, reader, writer):
+        connection = Connection(reader, writer)
+        for payload in (UNKNOWN, encode(Want(("a",))), UNKNOWN, encode(Want(("b",)))):
+            connection.write_frame(encode_frame(payload))
+        await until(lambda: len(receiver.received) == 2)
+        assert receiver.received == [Want(("a",)), Want(("b",))]
+        assert receiver.connections[0].skipped_messages == 2
+        connection.close()
 
 
 @pytest.mark.parametrize(
@@ -213,7 +204,7 @@
         ((1, 1), (0, 0), None),
     ],
 )
-def test_both_sides_take_the_newest_version_that_both_speak(mine, other, agreed):
+def test_both_sides_agree_on_the_newest_version_that_both_speak(mine, other, agreed):
     one, two = Hello("a", "", *mine), Hello("b", "", *other)
     assert agreed_version(one, two) == agreed_version(two, one) == agreed
 
@@ -221,19 +212,17 @@
 @pytest.mark.parametrize(("other", "agreed"), [((3, 1), 1), ((3, 2), None)])
 @loopback
 async def test_a_link_is_up_only_where_a_version_is_spoken_on_both_sides(other, agreed, monkeypatch):
-    told = []
-    monkeypatch.setattr("fordtrestle.peer.mesh.eliot.log_message", lambda kind, **_: told.append(kind))
+    logged = []
+    monkeypatch.setattr("fordtrestle.peer.mesh.eliot.log_message", lambda kind, **_: logged.append(kind))
     linked = []
     here = Mesh(Hello("here", "127.0.0.1:0", 1, 1), lambda *_: None, linked.append)
-    await here.listen(Address("127.0.0.1", 0))
-    port = here._server.sockets[0].getsockname()[1]
     there = Mesh(Hello("there", "", *other), lambda *_: None, linked.append)
-    there.dial([f"127.0.0.1:{port}"])
+    there.dial([await listen(here)])
     if agreed is None:
-        await until(lambda: len(there._refused) == len(here._refused) == 1)
+        await until(lambda: len(there._rejected) == len(here._rejected) == 1)
         await asyncio.sleep(0)
         assert not linked
-        assert told.count("peer:no-common-version") == 2
+        assert logged.count("peer:no-common-version") == 2
     else:
         await until(lambda: len(linked) == 2)
         assert {link.version for link in linked} == {agreed}
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -10,7 +10,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fordtrestle.peer.codec import CodecError, decode
+from fordtrestle.peer.codec import decode
+from fordtrestle.peer.errors import CodecError
 from fordtrestle.storage import log as log_module
 from fordtrestle.storage.log import (
     FORMAT,
--- a/tests/stored/samples.py
+++ b/tests/stored/samples.py
@@ -8,7 +8,8 @@
 
 from fordtrestle.dissemination import delta, items
 from fordtrestle.dissemination import messages as gossip
-from fordtrestle.peer import codec
+from fordtrestle.peer import messages as peer
+from fordtrestle.peer.wire_types import BY_TYPE
 from fordtrestle.replication import epochs, state
 from fordtrestle.replication import messages as replication
 
@@ -45,12 +46,12 @@
 EJECTION = items.EjectionRecord("i-1", 4.0)
 ITEM = items.Item("server/i-1", (1, 9, 1), SERVER)
 VERSIONS = (("server/i-1", (1, 9, 1)), ("control", (12,)))
-HELLO = codec.Hello("front-1", "10.0.2.1:7000", 1, 1)
+HELLO = peer.Hello("front-1", "10.0.2.1:7000", 1, 1)
 ANNOUNCE = replication.Announce(STORES[0], True, True, "s1", True)
 
 SAMPLES = (
     HELLO,
-    codec.Envelope("s1", "s2", replication.HeartbeatAck(TERM, 5, OLDER, 11)),
+    peer.Envelope("s1", "s2", replication.HeartbeatAck(TERM, 5, OLDER, 11)),
     TERM,
     STORES[0],
     EPOCH,
@@ -109,4 +110,4 @@
         return [plain(part) for part in value]
     if value is None or isinstance(value, bool | int | float | str):
         return value
-    return {"tag": codec._TAGS[type(value)], "values": [plain(getattr(value, f.name)) for f in fields(value)]}
+    return {"tag": BY_TYPE[type(value)].tag, "values": [plain(getattr(value, f.name)) for f in fields(value)]}
--- a/tests/stored/test_messages.py
+++ b/tests/stored/test_messages.py
@@ -8,14 +8,15 @@
 import pytest
 
 from fordtrestle.peer import codec
+from fordtrestle.peer.wire_types import BY_TYPE
 from tests.stored.samples import SAMPLES, plain
 
 RECORDED = json.loads((Path(__file__).parent / "data" / "messages.json").read_text())
 
 
 def test_every_type_has_a_sample():
-    assert {type(sample) for sample in SAMPLES} == set(codec._TAGS)
-    assert len(RECORDED) == len(SAMPLES) == len(codec._TAGS)
+    assert {type(sample) for sample in SAMPLES} == set(BY_TYPE)
+    assert len(RECORDED) == len(SAMPLES) == len(BY_TYPE)
 
 
 @pytest.mark.parametrize("index", range(len(SAMPLES)), ids=[type(sample).__name__ for sample in SAMPLES])
