--- a/fordtrestle/peer/wire_types.py
+++ b/fordtrestle/peer/wire_types.py
@@ -39,7 +39,7 @@
     replication.PreVote,
     replication.PreVoteGrant,
     replication.Prepare,
-    replication.Promised,
+    replication.Prepared,
     replication.Install,
     replication.Installed,
     replication.Accept,
--- a/fordtrestle/proxy/daemon/standalone.py
+++ b/fordtrestle/proxy/daemon/standalone.py
@@ -7,12 +7,14 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from fordtrestle.proxy.config import changes, operator, options
-from fordtrestle.proxy.config.limits import budget, reserve
-from fordtrestle.proxy.config.operator import Operator, OperatorError
+from fordtrestle.proxy.config import changes, operator_file
+from fordtrestle.proxy.config import operator_options as options
+from fordtrestle.proxy.config.errors import OperatorFileError
+from fordtrestle.proxy.config.limits import make_budget, make_reserve
+from fordtrestle.proxy.config.operator_file import OperatorConfig
 from fordtrestle.proxy.config.sources import StaticSpec
 from fordtrestle.proxy.daemon.peers import PeerOptions
-from fordtrestle.proxy.daemon.process import FrontAt, Machine, News, Process, Service, Source, run
+from fordtrestle.proxy.daemon.process import FrontAt, Machine, Process, Service, Source, run
 from fordtrestle.proxy.daemon.seams import Seams
 from fordtrestle.proxy.daemon.signals import Signals
 from fordtrestle.proxy.engine.clock import Clock
@@ -20,8 +22,9 @@
 from fordtrestle.proxy.engine.log import log
 from fordtrestle.proxy.engine.schema import address_text
 from fordtrestle.proxy.http.front import Front
-from fordtrestle.proxy.membership.registry import Discovery
-from fordtrestle.proxy.membership.static import StaticList
+from fordtrestle.proxy.membership.discovery_client import DiscoveryClient
+from fordtrestle.proxy.membership.static_endpoint_list import StaticEndpointList
+from fordtrestle.proxy.membership.updates import UpdateListener
 
 if TYPE_CHECKING:  # each is loaded only where it is on
     from fordtrestle.proxy.daemon.recording import Recording
@@ -37,13 +40,13 @@
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, file: str, config: Operator, seams: Seams = USUAL
+        self, loop: asyncio.AbstractEventLoop, file: str, config: OperatorConfig, seams: Seams = USUAL
     ) -> None:
         self._loop = loop
         self._file = file
         self._config = config
-        self._start = options.start_of(config)
-        self.limits = config.limits.ledgers(self._start.granted)
+        self._start = options.start_options(config)
+        self.limits = config.limits.make_limits(self._start.granted_descriptors)
         self._clock = Clock(loop, seams.wall)
         self._machine = Machine(loop, self._clock, self.limits, config.limits.memory_mb)
         self._recordings: list[Recording] = []
@@ -51,10 +54,10 @@
         self._rules = self._rulebook(seams)
         self.services = {name: self._service(name) for name in config.services}
         parts = {
-            name: budget(self.limits, f"front.{name}", options.front_share(config, name))
+            name: make_budget(self.limits, f"front.{name}", options.front_share(config, name))
             for name in config.fronts
         }
-        at_limit = reserve(self.limits)
+        at_limit = make_reserve(self.limits)
         fronts = {name: self._front(name, part, at_limit) for name, part in parts.items()}
         self._process = Process(loop, self._machine, self.services, fronts)
 
@@ -68,8 +71,8 @@
 
     def _service(self, name: str) -> Service:
         engine = options.engine_options(self._config, name, self._start)
-        pool = options.pool_options(self._config, name, self._start)
-        part = budget(self.limits, f"service.{name}", options.upstream_share(self._config))
+        pool = options.pool_options(self._config, name)
+        part = make_budget(self.limits, f"service.{name}", options.upstream_share(self._config))
         driver = None if self._rules is None else self._rules.driver(name, self._clock, engine)
         peers = peer_options(self._config)
         return Service(self._loop, self._clock, engine, pool, part, self._source(name), peers, driver)
@@ -88,17 +91,17 @@
             front.note = recording.note
         return FrontAt(front, spec.listen)
 
-    def _source(self, name: str) -> Callable[[News], Source]:
+    def _source(self, name: str) -> Callable[[UpdateListener], Source]:
         service = self._config.services[name]
         spec = self._config.sources[service.source]
 
-        def make(hear: News) -> Source:
-            news = hear if self._rules is None else self._rules.first(name, hear)
+        def make(listener: UpdateListener) -> Source:
+            on_update = listener if self._rules is None else self._rules.first(name, listener)
             if isinstance(spec, StaticSpec):
-                return StaticList(self._loop, options.server_list(spec, service, 0), news)
+                return StaticEndpointList(self._loop, options.server_list(spec, service, 0), on_update)
             known = None if self._rules is None else self._rules.known.get(name)
-            registry_options = options.registry_options(spec, service, self._start.seed, known)
-            return Discovery(self._loop, registry_options, news)
+            discovery_options = options.discovery_options(spec, service, self._start.seed, known)
+            return DiscoveryClient(self._loop, discovery_options, on_update)
 
         return make
 
@@ -111,14 +114,14 @@
     def reload(self) -> None:
         """Read the file anew: what it says takes effect whole, or nothing does."""
         try:
-            config = operator.read(self._file)
-        except OperatorError as error:
+            config = operator_file.read(self._file)
+        except OperatorFileError as error:
             for line in error.lines:
                 log(f"reload: {line}")
             log("reload: nothing changes")
             return
-        keys = changes.changed(self._config, config)
-        restarts = changes.restarts(keys)
+        keys = changes.changed_keys(self._config, config)
+        restarts = changes.keys_needing_restart(keys)
         if restarts:
             log(f"reload: {self._file}: {', '.join(restarts)}: needs a restart; nothing changes")
             return
@@ -127,7 +130,7 @@
         if self._rules is not None:
             self._rules.settle(config)
         if any(key.startswith("limits.") for key in keys):
-            self.limits.resize(*config.limits.capacities(self._start.granted))
+            self.limits.resize(*config.limits.capacities(self._start.granted_descriptors))
         for name, service in config.services.items():
             self._change(name, service.source, keys)
         log(f"reload: {', '.join(keys) or 'nothing'} changed")
@@ -136,9 +139,9 @@
         """Tell one service of what is new in its source."""
         spec, holder = self._config.sources[source], self.services[name].source
         if isinstance(spec, StaticSpec):
-            if f"source.{source}.server" in keys and isinstance(holder, StaticList):
-                holder.change(options.server_list(spec, self._config.services[name], self._version))
-        elif spec.address is not None and isinstance(holder, Discovery):
+            if f"source.{source}.server" in keys and isinstance(holder, StaticEndpointList):
+                holder.replace(options.server_list(spec, self._config.services[name], self._version))
+        elif spec.address is not None and isinstance(holder, DiscoveryClient):
             holder.move(spec.address)
 
     def ending(self) -> None:
@@ -163,7 +166,7 @@
         return self._process.unsettled()
 
 
-def peer_options(config: Operator) -> PeerOptions | None:
+def peer_options(config: OperatorConfig) -> PeerOptions | None:
     """Where the other processes of the fleet are, if the file says so."""
     spec = config.peers
     return None if spec is None else PeerOptions(spec.listen, spec.me, spec.at)
@@ -172,8 +175,8 @@
 def main(file: str, signals: Signals, seams: Seams = USUAL) -> int:
     """Run as an operator file tells; the exit code."""
     try:
-        config = operator.read(file)
-    except OperatorError as error:
+        config = operator_file.read(file)
+    except OperatorFileError as error:
         for line in error.lines:
             log(line)
         return 2
--- a/tests/peer/test_versions.py
+++ b/tests/peer/test_versions.py
@@ -179,7 +179,7 @@
 def test_an_announce_of_the_version_before_has_no_core():
     tag, values = fields_of(Announce("s", True, False, "c", True))
     told = decode(cbor2.dumps(cbor2.CBORTag(tag, values[:3])))
-    assert (told.core, told.founder) == (UNKNOWN_CORE, False)
+    assert (told.core, told.is_founder) == (UNKNOWN_CORE, False)
 
 
 @loopback
