--- a/tests/control_api/test_exchanges.py
+++ b/tests/control_api/test_exchanges.py
@@ -16,9 +16,10 @@
 from fordtrestle.control_api.withdrawals import WithdrawalConfirmer
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import Availability, MemberRecord, Phase
-from fordtrestle.peer.codec import Hello, decode
+from fordtrestle.peer.codec import decode
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Mesh
+from fordtrestle.peer.messages import Hello
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Epoch, Store, Term
