--- a/tests/guards.py
+++ b/tests/guards.py
@@ -31,7 +31,8 @@
 
 
 LOG, LOG_TESTS = "storage/log.py", "tests/storage"
-ORDERS, ORDER_TESTS = "control_api/orders.py", "tests/control_api"
+COMMANDS, CONTROL_API_TESTS = "control_api/commands.py", "tests/control_api"
+EVALUATION = "control_api/evaluation.py"
 ENDS = "tests/ingress/test_ends.py"
 FRONT, CLOSING = "ingress/server.py", "tests/ingress/test_closing.py"
 DIRECTORY = "tests/ingress/test_directory.py"
@@ -100,70 +101,73 @@
     "a frame is given up once its peer is silent": _removal(
         "peer/connection.py",
         "tests/peer",
-        "            async with asyncio.timeout(PEER_TIMEOUT_S):\n                part",
-        "            async with asyncio.timeout(None):\n                part",
+        "        async with asyncio.timeout(PEER_TIMEOUT_S):\n",
+        "        async with asyncio.timeout(None):\n",
     ),
     "a long frame may take its time": _removal(
         "peer/connection.py",
         "tests/peer",
-        "                part = await self._reader.read(length - len(data))\n",
-        "                part = await self._reader.readexactly(length - len(data))\n",
+        "                    on_message(await self.receive())\n",
+        "                    async with asyncio.timeout(PEER_TIMEOUT_S):\n"
+        "                        message = await self.receive()\n"
+        "                    on_message(message)\n",
     ),
     "reads are confirmed by a majority": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "        if not await self._newest():\n            return self._unable()\n        state = ",
-        "        state = ",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if not await self._confirm_leadership():\n"
+        "            return self._not_done()\n        state = await",
+        "        state = await",
     ),
     "refusals are confirmed by a majority": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "            return judged if await self._newest() else self._unable()\n",
-        "            return judged\n",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        return evaluated if await self._confirm_leadership() else self._not_done()\n",
+        "        return evaluated\n",
     ),
     "evacuations are confirmed by a majority": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "                return self._unable()\n            if (zone",
-        "                pass\n            if (zone",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "            return self._not_done()\n        if (request.zone",
+        "            pass\n        if (request.zone",
     ),
     "a call that was taken is acknowledged again": _removal(
-        ORDERS, ORDER_TESTS, "    if state.has_applied(digest):\n", "    if False:\n"
+        EVALUATION, CONTROL_API_TESTS, "    if state.has_applied(digest):\n", "    if False:\n"
     ),
     "a call that may have been taken is not refused": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "Verdict.UNCLEAR if state.may_have_applied(digest, base) else Verdict.STALE",
-        "Verdict.STALE",
+        EVALUATION,
+        CONTROL_API_TESTS,
+        "CommandStatus.UNKNOWN if may_be_applied else CommandStatus.STALE",
+        "CommandStatus.STALE",
     ),
     "a call whose digest prefix is known may have been applied": _removal(
         "replication/state.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         " or _holds_prefix(self.digest_prefixes, prefix)",
     ),
     "a call whose digest prefix is not known is refused": _removal(
         "replication/state.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "base <= self.forgotten_base or _holds_prefix(self.digest_prefixes, prefix)",
         "base < self.applied_calls[0].base",
     ),
     "digest prefixes are bounded": _removal(
         "replication/state.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         'digest_prefixes=b"" if is_full else digest_prefixes',
         "digest_prefixes=digest_prefixes",
     ),
     "a row that has changed is checked": _removal(
         "control_api/configuration.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "by_name.get(name) == row",
         "name in by_name",
     ),
     "how rows name one another is checked whole": _removal(
         "control_api/configuration.py",
-        ORDER_TESTS,
-        "    if wrong := _reference_faults(raw):\n",
-        "    if wrong := _reference_faults(partial):\n",
+        CONTROL_API_TESTS,
+        "    if reference_faults := _reference_faults(document):\n",
+        "    if reference_faults := _reference_faults(partial):\n",
     ),
     "a long configuration is read in steps": _removal(
         "routing/view.py",
@@ -193,80 +197,86 @@
         "        return True\n",
     ),
     "applied calls are remembered": _removal(
-        "replication/state.py", ORDER_TESTS, "MAX_APPLIED_CALLS = 2048", "MAX_APPLIED_CALLS = 4"
+        "replication/state.py", CONTROL_API_TESTS, "MAX_APPLIED_CALLS = 2048", "MAX_APPLIED_CALLS = 4"
     ),
     "the base of a change is the current version": _removal(
-        ORDERS, ORDER_TESTS, "    if base != state.generation:\n", "    if False:\n"
+        EVALUATION, CONTROL_API_TESTS, "    if request.base != state.generation:\n", "    if False:\n"
     ),
     "numbers rise": _removal(
         "control_api/configuration.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "    if generation <= current:\n",
         "    if False:\n",
     ),
     "a write is done once it is on all replicas": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "            return state is not None and state.sequence >= ticket.sequence\n",
-        "            return node.durable.state.sequence >= ticket.sequence\n",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        return state is not None and state.sequence >= sequence\n",
+        "        return self._node.durable.state.sequence >= sequence\n",
     ),
     "a change whose caller has left does not act": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "return await self._write(judged, state) if is_waiting() else self._unable()",
-        "return await self._write(judged, state)",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "return await self._write(evaluated, state) if request.is_caller_waiting() else self._not_done()",
+        "return await self._write(evaluated, state)",
     ),
     "an evacuation whose caller has left does not act": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "            if not is_waiting() or self._replicator.now() > last:\n",
-        "            if False:\n",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if not request.is_caller_waiting() or self._replicator.now() > deadline:\n",
+        "        if False:\n",
     ),
     "a change is written on the state that it was judged on": _removal(
-        ORDERS, ORDER_TESTS, "        if node.committed_state is not judged_on:\n", "        if False:\n"
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if node.committed_state is not evaluated_on:\n",
+        "        if False:\n",
     ),
     "a configuration fits into a message": _removal(
-        ORDERS, ORDER_TESTS, "            if len(document) > MAX_DOCUMENT_BYTES:\n", "            if False:\n"
+        EVALUATION, CONTROL_API_TESTS, "    if len(encoded) > MAX_DOCUMENT_BYTES:\n", "    if False:\n"
     ),
-    "orders that wait are bounded": _removal(
-        ORDERS, ORDER_TESTS, "        if self._waiting >= WAITING_MOST:\n", "        if False:\n"
+    "commands that wait are bounded": _removal(
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if self._waiting >= MAX_WAITING_COMMANDS:\n",
+        "        if False:\n",
     ),
     "callers are sent on to a primary that was heard lately alone": _removal(
         "replication/failure_detector.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         " or now - self.heard_at > ELECTION_TIMEOUT_S:\n            return None",
         ":\n            return None",
     ),
     "nobody is sent on to a primary that has said that it ends": _removal(
-        "replication/failure_detector.py", ORDER_TESTS, " or primary.id == self._lost or now", " or now"
+        "replication/failure_detector.py", CONTROL_API_TESTS, " or primary.id == self._lost or now", " or now"
     ),
     "a withdrawal is acknowledged once a majority holds it": _removal(
         "control_api/withdrawals.py",
-        ORDER_TESTS,
-        "                while not majority(held_at, witnesses):\n",
-        "                while False:\n",
+        CONTROL_API_TESTS,
+        "            while not majority(pending.holders, witnesses):\n",
+        "            while False:\n",
     ),
     "another process confirms only what it holds": _removal(
         "control_api/withdrawals.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "        if held and held.version >= message.item.version:\n",
         "        if True:\n",
     ),
     "a withdrawal that is confirmed is passed on": _removal(
         "control_api/withdrawals.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "        self._gossip.publish([message.item], source=link)\n",
     ),
     "an incarnation that was never heard of here may be gone": _removal(
         "control_api/heartbeats.py",
-        ORDER_TESTS,
-        "            return server_item(_nameless(instance, self._node), 0)\n",
-        "            return server_item(replace(_nameless(instance, self._node), phase=Phase.SERVING), 0)\n",
+        CONTROL_API_TESTS,
+        "server_item(_unknown_server(instance, self._node), 0)",
+        "server_item(replace(_unknown_server(instance, self._node), phase=Phase.SERVING), 0)",
     ),
-    "an heir watches the servers of a process that is gone": _removal(
+    "a successor watches the servers of a process that is down": _removal(
         "control_api/heartbeats.py",
-        ORDER_TESTS,
-        "            if record.heard_by == self._node or inherits(record.heard_by):\n",
+        CONTROL_API_TESTS,
+        "            if record.heard_by == self._node or is_successor_of(record.heard_by):\n",
         "            if record.heard_by == self._node:\n",
     ),
     "a disconnected store is not live": _removal(
@@ -354,10 +364,10 @@
         "        if False:\n",
     ),
     "a message of another version is skipped": _removal(
-        "peer/connection.py",
+        "peer/protocol.py",
         "tests/peer",
-        "                except UnknownMessageError as error:\n",
-        "                except MemoryError as error:\n",
+        "        except UnknownMessageError as error:\n",
+        "        except MemoryError as error:\n",
     ),
     "a value that is not known is of another version": _removal(
         "peer/codec.py",
@@ -366,10 +376,10 @@
         "        raise\n",
     ),
     "fields of a later version are left out": _removal(
-        "peer/codec.py", "tests/peer", "list(values[: len(names)])", "list(values)"
+        "peer/codec.py", "tests/peer", "list(values[: len(wire_type.fields)])", "list(values)"
     ),
     "no link is up without a version that both sides speak": _removal(
-        "peer/mesh.py", "tests/peer", "        if version is None:\n", "        if version == -1:\n"
+        "peer/handshake.py", "tests/peer", "    if version is None:\n", "    if version == -1:\n"
     ),
     "a file of an unknown format is left as it is": _removal(
         LOG,
@@ -436,10 +446,10 @@
         "                if server.is_silent_since(now - took_s):\n",
         "                if True:\n",
     ),
-    "servers whose heartbeats went to an earlier life or to one that is gone are watched": _removal(
+    "servers whose heartbeats went to an earlier incarnation or to one that is down are watched": _removal(
         "control_api/heartbeats.py",
         "tests/dissemination/test_forgetting.py",
-        "        self._adopt(catalog, now, inherits)\n",
+        "        self._adopt_servers(catalog, now, is_successor_of)\n",
     ),
     "a final phase outdoes all heartbeats": _removal(
         "dissemination/items.py",
@@ -559,7 +569,7 @@
         "roles/ending.py", "tests/roles/test_ending.py", "        last_resort.start()\n"
     ),
     "a link that is cancelled at the end is no fault": _removal(
-        "peer/mesh.py", "tests/peer", "(*_FAILED, asyncio.CancelledError)", "_FAILED"
+        "peer/mesh.py", "tests/peer", "(*_CONNECTION_ERRORS, asyncio.CancelledError)", "_CONNECTION_ERRORS"
     ),
     "a control process that ends waits until it is not needed": _removal(
         "roles/control.py",
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -28,16 +28,31 @@
     return met
 
 
-@pytest.mark.parametrize(
-    ("name", "allowed"),
-    [
-        ("model.py", set()),
-        ("balancer.py", {"fordtrestle.balancer.model"}),
-        ("wirehost.py", {"fordtrestle.balancer.model", "fordtrestle.balancer.balancer"}),
-    ],
-)
-def test_imports_run_from_adapter_to_module_to_interface(name, allowed):
-    assert imported(name) <= allowed
+# The modules of the decision module: each may import those after it, and no other module of the program.
+PARTS = (
+    "balancer", "shedding", "outage", "own_load", "throttle", "requests", "servers", "baselines",
+    "outcomes", "model",
+)  # fmt: skip
+
+
+@pytest.mark.parametrize("part", PARTS)
+def test_the_decision_modules_parts_import_only_those_below_them(part):
+    below = PARTS[PARTS.index(part) + 1 :]
+    assert imported(f"{part}.py") <= {f"fordtrestle.balancer.{name}" for name in below}
+
+
+def test_the_parts_are_all_of_the_decision_module_but_the_wires_adapter():
+    names = {path.stem for path in PACKAGE.glob("*.py")}
+    assert names == {*PARTS, "wirehost", "__init__"}
+
+
+def test_the_wires_adapter_knows_of_the_decision_module_and_its_interface_only():
+    assert imported("wirehost.py") <= {"fordtrestle.balancer.model", "fordtrestle.balancer.balancer"}
+
+
+@pytest.mark.parametrize("part", ["throttle", "model"])
+def test_throttle_and_interface_stand_alone(part):
+    assert not imported(f"{part}.py")
 
 
 # Packages may import from those to their right, never from those to their left.
@@ -57,8 +72,18 @@
     "admission/urgency.py",
     "admission/window.py",
     "balancer/balancer.py",
+    "balancer/baselines.py",
     "balancer/model.py",
+    "balancer/outage.py",
+    "balancer/outcomes.py",
+    "balancer/own_load.py",
+    "balancer/requests.py",
+    "balancer/servers.py",
+    "balancer/shedding.py",
+    "balancer/throttle.py",
+    "control_api/errors.py",
     "control_api/listings.py",
+    "control_api/requests.py",
     "dissemination/broadcast.py",
     "dissemination/catalog.py",
     "dissemination/delta.py",
@@ -72,6 +97,13 @@
     "dissemination/suspicion.py",
     "forward/events.py",
     "forward/headers.py",
+    "peer/codec.py",
+    "peer/errors.py",
+    "peer/frames.py",
+    "peer/handshake.py",
+    "peer/messages.py",
+    "peer/protocol.py",
+    "peer/wire_types.py",
     "replication/bootstrap.py",
     "replication/candidate.py",
     "replication/catch_up.py",
@@ -154,10 +186,11 @@
     "cli/sidecar.py",
     "cli/start.py",
     "control_api/client.py",
+    "control_api/commands.py",
     "control_api/configuration.py",
+    "control_api/evaluation.py",
     "control_api/heartbeats.py",
     "control_api/http.py",
-    "control_api/orders.py",
     "control_api/outliers.py",
     "control_api/withdrawals.py",
     "forward/client.py",
@@ -168,9 +201,9 @@
     "ingress/relay.py",
     "ingress/server.py",
     "ingress/waiting.py",
-    "peer/codec.py",
     "peer/connection.py",
     "peer/gossip.py",
+    "peer/link.py",
     "peer/mesh.py",
     "peer/replicator.py",
     "roles/control.py",
