--- a/fordtrestle/replication/context.py
+++ b/fordtrestle/replication/context.py
@@ -25,6 +25,7 @@
         detector: Its view of the primary.
         witness_count: How many witnesses a complete core has.
         replica_count: How many replicas hold each acknowledged write.
+        counts_for_quorum: Whether this store may become a witness.
         epoch: The newest epoch that is known to be open.
         events: What operators are to know.
         effects: What is to be synced and sent next.
@@ -37,6 +38,7 @@
     detector: PrimaryFailureDetector
     witness_count: int
     replica_count: int
+    counts_for_quorum: bool
     epoch: Epoch | None = None
     events: Events = field(default_factory=Events)
     effects: Effects = field(default_factory=Effects)
--- a/fordtrestle/replication/membership.py
+++ b/fordtrestle/replication/membership.py
@@ -23,22 +23,21 @@
         primary: Primary,
         candidate: Candidate,
         bootstrap: Bootstrap,
-        *,
-        counts_for_quorum: bool,
         seeds: Callable[[], Collection[str]],
     ) -> None:
         self._context = context
         self._primary = primary
         self._candidate = candidate
         self._bootstrap = bootstrap
-        self._counts_for_quorum = counts_for_quorum
         self._seeds = seeds
 
     def announcement(self) -> Announce:
         """What this store says of itself."""
         context, durable = self._context, self._context.durable
         is_leaving = context.detector.is_leaving
-        return Announce(context.me, self._counts_for_quorum, is_leaving, durable.core, durable.is_founder)
+        return Announce(
+            context.me, self._context.counts_for_quorum, is_leaving, durable.core, durable.is_founder
+        )
 
     def on_announce(self, message: Announce, now: float) -> None:
         """Take note of a store, unless it is of another core, which is reported once."""
@@ -116,4 +115,4 @@
         if context.detector.reachable_primary(now) is None:
             return WaitReason.PRIMARY
         is_witness = context.epoch is not None and context.me.id in context.epoch.witness_ids
-        return WaitReason.ADMISSION if self._counts_for_quorum and not is_witness else None
+        return WaitReason.ADMISSION if context.counts_for_quorum and not is_witness else None
--- a/fordtrestle/replication/node.py
+++ b/fordtrestle/replication/node.py
@@ -76,18 +76,12 @@
             PrimaryFailureDetector(me.id, durable.accepted_epoch, draw, now),
             witness_count=2 * tolerated_failures + 1,
             replica_count=tolerated_failures + 1,
+            counts_for_quorum=counts_for_quorum,
         )
         bootstrap = Bootstrap(me, tolerated_failures, counts_for_quorum, now)
         self.primary = Primary(self.context, now)
         self.candidate = Candidate(self.context, self.primary, bootstrap)
-        self.membership = Membership(
-            self.context,
-            self.primary,
-            self.candidate,
-            bootstrap,
-            counts_for_quorum=counts_for_quorum,
-            seeds=seeds,
-        )
+        self.membership = Membership(self.context, self.primary, self.candidate, bootstrap, seeds)
         self._witness = Witness(self.context, self.primary, self.candidate)
 
     # questions of callers
