--- a/fordtrestle/peer/replicator.py
+++ b/fordtrestle/peer/replicator.py
@@ -10,7 +10,8 @@
 from fordtrestle.replication.messages import Announce, Message
 from fordtrestle.replication.node import Effects, Node
 from fordtrestle.replication.peer_table import PEER_RETENTION_S
-from fordtrestle.storage.log import RecordLog, StorageError
+from fordtrestle.storage.errors import StorageError
+from fordtrestle.storage.log import RecordLog
 
 TICK_INTERVAL_S = 0.05
 LINK_LOST_TIMEOUT_S = (
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -37,7 +37,8 @@
 )
 from fordtrestle.roles.process import main as run_role
 from fordtrestle.settings.records import BootSettings
-from fordtrestle.storage.log import RecordLog, StorageError, UnknownFormatError
+from fordtrestle.storage.errors import StorageError, UnknownFormatError
+from fordtrestle.storage.log import RecordLog
 
 STORE_ID_BYTES = 8
 SILENCE_CHECK_S = 0.3
--- a/fordtrestle/storage/__init__.py
+++ b/fordtrestle/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The one append-only file of a control process."""
+"""The append-only log on the disk of a control process."""
--- a/fordtrestle/storage/log.py
+++ b/fordtrestle/storage/log.py
@@ -7,140 +7,188 @@
 
 import contextlib
 import os
-from collections.abc import Iterable
+from collections.abc import Iterable, Iterator
 from pathlib import Path
+from types import TracebackType
 
-from fordtrestle.storage.records import frame, scan
+from fordtrestle.storage.errors import StorageError, UnknownFormatError
+from fordtrestle.storage.records import ScannedRecord, frame, scan
 
 NAME = "control.log"
+NEW_NAME = "control.log.new"  # a rewrite that has not replaced the file yet
+
 MAGIC = b"fordtrestle log "  # what the first record begins with, before its format
 FORMAT = b"1"
-HEADER = frame(MAGIC + FORMAT)  # a record: versions that know of no header refuse it, and leave the file
-NEW_NAME = "control.log.new"
-READ_BYTES = 1 << 20
-FORMAT_TOLD_MOST = 16  # bytes
-
 
-class StorageError(Exception):
-    """The disk did not take or give what was asked; the cause is chained."""
+# A record of its own, so that versions that know of no header refuse it as a message, and leave the file.
+HEADER = frame(MAGIC + FORMAT)
 
+READ_CHUNK_BYTES = 1 << 20
+FILE_MODE = 0o644
 
-class UnknownFormatError(StorageError):
-    """The file was written by a version of the program whose format this one does not read."""
+# Of an unknown format, in the message of the error: the rest may be anything.
+MAX_SHOWN_FORMAT_BYTES = 16
 
 
 class RecordLog:
-    """The file of one store. One thread at a time."""
+    """The log of one store, to be used by one thread at a time. `with` closes it."""
 
     def __init__(self, folder: Path) -> None:
+        """Open nothing yet; `folder` is where the file lies."""
         self._folder = folder
-        self._file = -1
-        self._folder_synced = True
-        self._tail_refused = False  # what a refused append wrote may still stand behind the last record
-        self.size = 0
+        self._path = folder / NAME
+        self._new_path = folder / NEW_NAME
+        self._file = -1  # descriptor
+        self._is_folder_synced = True
+        self._has_refused_tail = False  # what a refused append wrote may still stand behind the last record
+        self.size = 0  # bytes of the records in force
+
+    def __enter__(self) -> RecordLog:
+        return self
+
+    def __exit__(
+        self, kind: type[BaseException] | None, error: BaseException | None, trace: TracebackType | None
+    ) -> None:
+        self.close()
 
     def open(self) -> list[bytes]:
-        """Read all whole records, cut off a torn tail and sync what is left. `StorageError` if the disk
-        refuses; `UnknownFormatError`, with the file untouched, if it is of another version.
+        """Read all complete records, truncate a torn tail and sync what is left.
+
+        The sync guards against a loss of power after a kill: what a killed process wrote may not have been
+        synced, nor the name of a file that it rewrote, and whoever reads it here acts on it.
+
+        Returns:
+            The payloads in order.
+
+        Raises:
+            StorageError: The disk refuses.
+            UnknownFormatError: The file is of another version; it stays as it is.
         """
         try:
             os.makedirs(self._folder, exist_ok=True)
             with contextlib.suppress(FileNotFoundError):
-                os.unlink(self._folder / NEW_NAME)
+                os.unlink(self._new_path)
             self.close()
-            self._file = os.open(self._folder / NAME, os.O_RDWR | os.O_CREAT, 0o644)
-            data = self._read_all()
-            whole = list(scan(data))
-            records = self._without_header(whole)
-            self.size = whole[-1][1] if whole else 0
+            self._file = os.open(self._path, os.O_RDWR | os.O_CREAT, FILE_MODE)
+            records = list(scan(self._read_all()))
+            payloads = [record.payload for record in self._without_header(records)]
+            self.size = records[-1].end if records else 0
             os.ftruncate(self._file, self.size)
-            # What a killed process wrote may not have been synced, nor the name of a file that it rewrote:
-            # whoever reads it here rests on it.
             os.fsync(self._file)
             self._sync_folder()
         except OSError as error:
-            raise StorageError(f"cannot open {self._folder / NAME}") from error
-        return [payload for payload, _ in records]
+            raise StorageError(f"cannot open {self._path}: {error}") from error
+        return payloads
 
     def append(self, payloads: Iterable[bytes]) -> None:
-        """Write records behind the last one and sync. `StorageError` leaves the file as it was."""
+        """Write records behind the last one and sync.
+
+        A refused append may leave complete records on the disk all the same. They are truncated before the
+        next one is written: behind that they would be read as if they had been accepted.
+
+        Args:
+            payloads: The records, in order.
+
+        Raises:
+            StorageError: The disk refuses; the records in force are those from before.
+        """
         data = (b"" if self.size else HEADER) + b"".join(map(frame, payloads))
         try:
-            if not self._folder_synced:
+            if not self._is_folder_synced:
                 self._sync_folder()
-            if self._tail_refused:
-                self._cut_back()
-            self._write_all(data, self.size)
+            if self._has_refused_tail:
+                self._truncate_refused_tail()
+            _write_all(self._file, data, self.size)
             os.fdatasync(self._file)
         except OSError as error:
-            self._tail_refused = True
-            raise StorageError("cannot append") from error
+            self._has_refused_tail = True
+            raise StorageError(
+                f"cannot append {len(data)} bytes at {self.size} of {self._path}: {error}"
+            ) from error
         self.size += len(data)
 
     def rewrite(self, payloads: Iterable[bytes]) -> None:
-        """Put these records in the place of all others, at once. `StorageError` leaves the old file in
-        force.
+        """Put these records in place of all others, at once.
+
+        The new file is synced before it gets the name, and the folder after that: a loss of power in between
+        brings back the old file or the new one, each complete.
+
+        Args:
+            payloads: The records, in order.
+
+        Raises:
+            StorageError: The disk refuses. The old file is in force, or, where the folder alone was not
+                synced, the new one; the next append syncs the folder first then.
         """
         data = HEADER + b"".join(map(frame, payloads))
-        new = -1
         try:
-            new = os.open(self._folder / NEW_NAME, os.O_RDWR | os.O_CREAT | os.O_TRUNC, 0o644)
-            old, self._file = self._file, new
-            try:
-                self._write_all(data, 0)
-                os.fsync(new)
-                os.rename(self._folder / NEW_NAME, self._folder / NAME)
-            except OSError:
-                self._file = old
-                os.close(new)
-                raise
+            old, self._file = self._file, self._write_new_file(data)
             os.close(old)
             self.size = len(data)
-            self._tail_refused = False
-            self._folder_synced = False  # until it is, a loss of power may bring the old file back
+            self._has_refused_tail = False
+            self._is_folder_synced = False
             self._sync_folder()
         except OSError as error:
-            raise StorageError("cannot rewrite") from error
+            raise StorageError(f"cannot rewrite {self._path} with {len(data)} bytes: {error}") from error
 
     def close(self) -> None:
-        """Give the descriptor back."""
+        """Close the file, if it is open."""
         if self._file >= 0:
             os.close(self._file)
             self._file = -1
 
-    def _without_header(self, records: list[tuple[bytes, int]]) -> list[tuple[bytes, int]]:
+    def _without_header(self, records: list[ScannedRecord]) -> list[ScannedRecord]:
         """The records behind the one that tells the format, which files of the first versions do not have."""
-        if not records or not records[0][0].startswith(MAGIC):
+        if not records or not records[0].payload.startswith(MAGIC):
             return records
-        told = records[0][0][len(MAGIC) :]
-        if told != FORMAT:
-            name = self._folder / NAME
-            text = told[:FORMAT_TOLD_MOST].decode(errors="replace")
-            raise UnknownFormatError(f"{name} has format {text}; this version reads {FORMAT.decode()}")
+        found = records[0].payload[len(MAGIC) :]
+        if found != FORMAT:
+            shown = found[:MAX_SHOWN_FORMAT_BYTES].decode(errors="replace")
+            raise UnknownFormatError(f"{self._path} has format {shown}; this version reads {FORMAT.decode()}")
         return records[1:]
 
     def _read_all(self) -> bytes:
         data = bytearray()
-        while part := os.pread(self._file, READ_BYTES, len(data)):
-            data += part
+        while chunk := os.pread(self._file, READ_CHUNK_BYTES, len(data)):
+            data += chunk
         return bytes(data)
 
-    def _write_all(self, data: bytes, at: int) -> None:
-        view = memoryview(data)
-        while view:
-            written = os.pwrite(self._file, view, at)
-            view = view[written:]
-            at += written
-
-    def _cut_back(self) -> None:
-        """Take away what a refused append wrote: whole records of it would be read behind the next one."""
+    def _write_new_file(self, data: bytes) -> int:
+        """Write and sync a new file and give it the log's name; its descriptor."""
+        new = os.open(self._new_path, os.O_RDWR | os.O_CREAT | os.O_TRUNC, FILE_MODE)
+        try:
+            _write_all(new, data, 0)
+            os.fsync(new)
+            os.rename(self._new_path, self._path)
+        except OSError:
+            os.close(new)
+            raise
+        return new
+
+    def _truncate_refused_tail(self) -> None:
         os.ftruncate(self._file, self.size)
-        self._tail_refused = False
+        self._has_refused_tail = False
 
     def _sync_folder(self) -> None:
-        folder = os.open(self._folder, os.O_RDONLY)
-        try:
+        """Make the file's name last through a loss of power."""
+        with _opened_folder(self._folder) as folder:
             os.fsync(folder)
-            self._folder_synced = True
-        finally:
-            os.close(folder)
+        self._is_folder_synced = True
+
+
+def _write_all(file: int, data: bytes, offset: int) -> None:
+    """Write all bytes at an offset: one call may take only a part of them."""
+    rest = memoryview(data)
+    while rest:
+        written = os.pwrite(file, rest, offset)
+        rest = rest[written:]
+        offset += written
+
+
+@contextlib.contextmanager
+def _opened_folder(folder: Path) -> Iterator[int]:
+    descriptor = os.open(folder, os.O_RDONLY)
+    try:
+        yield descriptor
+    finally:
+        os.close(descriptor)
--- a/fordtrestle/storage/records.py
+++ b/fordtrestle/storage/records.py
@@ -5,32 +5,56 @@
 import struct
 import zlib
 from collections.abc import Iterator
+from dataclasses import dataclass
 
 _HEADER = struct.Struct(">II")  # payload bytes; CRC-32 over that length and the payload
 HEADER_BYTES = _HEADER.size
-RECORD_MOST = 64 * 1024 * 1024
+
+# A longer length is corrupt: the longest record, a snapshot, takes several MB (docs/design/control.md).
+MAX_RECORD_BYTES = 64 * 1024 * 1024
+
+
+@dataclass(frozen=True, slots=True)
+class ScannedRecord:
+    """A complete record of a file.
+
+    Attributes:
+        payload: What was framed.
+        end: The offset behind the record, in bytes.
+    """
+
+    payload: bytes
+    end: int
 
 
 def frame(payload: bytes) -> bytes:
     """One record as it stands in the file."""
-    length = struct.pack(">I", len(payload))
-    return _HEADER.pack(len(payload), zlib.crc32(payload, zlib.crc32(length))) + payload
+    return _HEADER.pack(len(payload), _checksum(payload)) + payload
+
 
+def scan(data: bytes) -> Iterator[ScannedRecord]:
+    """Yield all complete records from the start of a file.
 
-def scan(data: bytes) -> Iterator[tuple[bytes, int]]:
-    """The payloads of all whole records from the start, each with the offset behind it.
+    Ends at the first record that is torn or corrupt, also where complete ones follow it. Those were never
+    synced, since a sync covers the whole file: nothing that rests on them was sent.
 
-    Ends at the first record that is torn or spoilt: what follows it was never synced, since a sync covers the
-    whole file.
+    Args:
+        data: The bytes of the file.
     """
-    at = 0
-    while at + HEADER_BYTES <= len(data):
-        length, checksum = _HEADER.unpack_from(data, at)
-        end = at + HEADER_BYTES + length
-        if length > RECORD_MOST or end > len(data):
+    start = 0
+    while start + HEADER_BYTES <= len(data):
+        length, checksum = _HEADER.unpack_from(data, start)
+        end = start + HEADER_BYTES + length
+        if length > MAX_RECORD_BYTES or end > len(data):
             return
-        payload = data[at + HEADER_BYTES : end]
-        if zlib.crc32(payload, zlib.crc32(struct.pack(">I", length))) != checksum:
+        payload = data[start + HEADER_BYTES : end]
+        if checksum != _checksum(payload):
             return
-        yield payload, end
-        at = end
+        yield ScannedRecord(payload, end)
+        start = end
+
+
+def _checksum(payload: bytes) -> int:
+    """CRC-32 over length and payload: a run of zeros would pass as empty records without the length."""
+    length = struct.pack(">I", len(payload))
+    return zlib.crc32(payload, zlib.crc32(length))
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -59,18 +59,18 @@
         "            os.fsync(self._file)\n",
     ),
     "an append is synced": _removal(LOG, LOG_TESTS, "            os.fdatasync(self._file)\n"),
-    "a rewritten file is synced before its name": _removal(LOG, LOG_TESTS, "                os.fsync(new)\n"),
+    "a rewritten file is synced before its name": _removal(LOG, LOG_TESTS, "            os.fsync(new)\n"),
     "a rewritten file's name is synced before an append": _removal(
-        LOG, LOG_TESTS, "            if not self._folder_synced:\n", "            if False:\n"
+        LOG, LOG_TESTS, "            if not self._is_folder_synced:\n", "            if False:\n"
     ),
     "a torn tail is cut off": _removal(LOG, LOG_TESTS, "            os.ftruncate(self._file, self.size)\n"),
     "a refused append is cut off before the next": _removal(
-        LOG, LOG_TESTS, "            if self._tail_refused:\n", "            if False:\n"
+        LOG, LOG_TESTS, "            if self._has_refused_tail:\n", "            if False:\n"
     ),
     "a record's checksum is compared": _removal(
         "storage/records.py",
         LOG_TESTS,
-        '        if zlib.crc32(payload, zlib.crc32(struct.pack(">I", length))) != checksum:\n',
+        "        if checksum != _checksum(payload):\n",
         "        if False:\n",
     ),
     "entries of another term are void": _removal(
@@ -381,7 +381,7 @@
     "a file of an unknown format is left as it is": _removal(
         LOG,
         LOG_TESTS,
-        "        if told != FORMAT:\n",
+        "        if found != FORMAT:\n",
         "        if False:\n",
     ),
     "a request's answer has its id": _removal(
--- a/tests/peer/test_replicator.py
+++ b/tests/peer/test_replicator.py
@@ -18,7 +18,8 @@
 from fordtrestle.replication.messages import Prepare
 from fordtrestle.replication.node import Node
 from fordtrestle.replication.state import Evacuation
-from fordtrestle.storage.log import RecordLog, StorageError
+from fordtrestle.storage.errors import StorageError
+from fordtrestle.storage.log import RecordLog
 from tests.exchanges import loopback, until
 
 
--- a/tests/replication/stored.py
+++ b/tests/replication/stored.py
@@ -12,9 +12,10 @@
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.node import Node
 from fordtrestle.storage import log as log_module
-from fordtrestle.storage.log import RecordLog, StorageError
+from fordtrestle.storage.errors import StorageError
+from fordtrestle.storage.log import RecordLog
 from tests.replication.world import Machine, World
-from tests.storage.disk import Disk, Stopped
+from tests.storage.disk import Disk, StoppedError
 
 CALLS_MOST = 8  # to the disk, in which a process is ended
 
@@ -52,7 +53,7 @@
         try:
             if records:
                 self._write(machine, records)
-        except Stopped:
+        except StoppedError:
             machine.node, machine.queue = None, []
             self._end(machine)
             return
--- a/tests/storage/disk.py
+++ b/tests/storage/disk.py
@@ -1,5 +1,6 @@
-"""A disk that loses at a loss of power what was not synced: of each file the writes since its last sync, of
-the folder the names that were put or taken away.
+"""A disk that loses what was not synced at a loss of power.
+
+Of each file it loses the writes since its last sync, of the folder the names that were put or taken away.
 
 `Disk.calls` stands in the place of `os` in `fordtrestle.storage.log`. A process that is killed loses nothing
 (`kill`). At a loss of power (`lose_power`) each write that was not synced is there, missing or torn, and each
@@ -18,7 +19,7 @@
 FOLDER = "the folder"
 
 
-class Stopped(BaseException):
+class StoppedError(BaseException):
     """The process ended amid a call to the disk. No `except` of the program may hold it up."""
 
 
@@ -28,13 +29,15 @@
 
     synced: bytes = b""
     data: bytearray = field(default_factory=bytearray)
-    writes: list[tuple[int, bytes]] = field(default_factory=list)  # a negative offset: cut to that length
+    writes: list[tuple[int, bytes]] = field(
+        default_factory=list
+    )  # a negative offset: truncated to that length
 
     def write(self, at: int, data: bytes) -> None:
         self.writes.append((at, bytes(data)))
         _apply(self.data, at, data)
 
-    def cut(self, length: int) -> None:
+    def truncate(self, length: int) -> None:
         if length != len(self.data):
             self.writes.append((-1 - length, b""))
             _apply(self.data, -1 - length, b"")
@@ -44,14 +47,14 @@
 
     def lose(self, rng: random.Random) -> None:
         left = bytearray(self.synced)
-        all_gone = rng.random() < 0.3
+        loses_all = rng.random() < 0.3
         for at, data in self.writes:
-            kept = 0 if all_gone else rng.choice((0, rng.randint(0, len(data)), len(data)))
+            remaining = 0 if loses_all else rng.choice((0, rng.randint(0, len(data)), len(data)))
             if at < 0:
-                if not all_gone and rng.random() < 0.5:
+                if not loses_all and rng.random() < 0.5:
                     _apply(left, at, b"")
-            elif kept:
-                _apply(left, at, data[:kept])
+            elif remaining:
+                _apply(left, at, data[:remaining])
         self.data, self.writes, self.synced = left, [], bytes(left)
 
 
@@ -108,7 +111,7 @@
         self._call("open")
         file = self.names.setdefault(path.name, File())
         if flags & os.O_TRUNC:
-            file.cut(0)
+            file.truncate(0)
         self._open[self._next] = file
         return self._next
 
@@ -124,7 +127,7 @@
         return len(part)
 
     def ftruncate(self, descriptor: int, length: int) -> None:
-        self._call("ftruncate", lambda: self._file(descriptor).cut(length))
+        self._call("ftruncate", lambda: self._file(descriptor).truncate(length))
 
     def fdatasync(self, descriptor: int) -> None:
         self._call("fdatasync", self._file(descriptor).sync)
@@ -171,7 +174,7 @@
         if not stops or self.rng.random() < 0.5:
             effect()
         if stops:
-            raise Stopped(name)
+            raise StoppedError(name)
 
 
 def _put(names: dict[str, File], name: str, file: File | None) -> None:
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -1,6 +1,4 @@
-"""The record log before disks that tear, refuse and forget: what was synced is found again, whole and in
-order.
-"""
+"""The record log on disks that tear, refuse and forget: synced records are read again, all and in order."""
 
 from __future__ import annotations
 
@@ -12,6 +10,7 @@
 
 from fordtrestle.peer.codec import CodecError, decode
 from fordtrestle.storage import log as log_module
+from fordtrestle.storage.errors import StorageError, UnknownFormatError
 from fordtrestle.storage.log import (
     FORMAT,
     HEADER,
@@ -19,23 +18,25 @@
     NAME,
     NEW_NAME,
     RecordLog,
-    StorageError,
-    UnknownFormatError,
 )
 from fordtrestle.storage.records import frame, scan
-from tests.storage.disk import Disk, Stopped
+from tests.storage.disk import Disk, StoppedError
 
 FOLDER = Path("data")
 
 
+def write(folder, payloads):
+    with RecordLog(folder) as log:
+        log.open()
+        log.append(payloads)
+
+
 def reopened(folder):
-    log = RecordLog(folder)
-    records = log.open()
-    log.close()
-    return records
+    with RecordLog(folder) as log:
+        return log.open()
 
 
-def test_records_are_found_again(tmp_path):
+def test_records_are_read_again(tmp_path):
     log = RecordLog(tmp_path / "data")
     assert log.open() == []
     log.append([b"one", b""])
@@ -45,38 +46,33 @@
 
 
 @given(st.lists(st.binary(max_size=40), max_size=6), st.data())
-def test_a_torn_tail_is_cut_off_at_the_last_whole_record(payloads, data):
-    whole = b"".join(map(frame, payloads))
-    cut = data.draw(st.integers(0, len(whole)))
-    found = [payload for payload, _ in scan(whole[:cut])]
+def test_a_torn_tail_is_truncated_at_the_last_complete_record(payloads, data):
+    complete = b"".join(map(frame, payloads))
+    torn_at = data.draw(st.integers(0, len(complete)))
+    found = [record.payload for record in scan(complete[:torn_at])]
     assert found == payloads[: len(found)]
-    assert cut < len(whole) or found == payloads
+    assert torn_at < len(complete) or found == payloads
 
 
 @given(st.lists(st.binary(min_size=1, max_size=20), min_size=2, max_size=5), st.data())
-def test_a_spoilt_record_ends_what_is_read(payloads, data):
-    whole = bytearray(b"".join(map(frame, payloads)))
-    at = data.draw(st.integers(0, len(whole) - 1))
-    whole[at] ^= data.draw(st.integers(1, 255))
-    found = [payload for payload, _ in scan(bytes(whole))]
+def test_a_corrupt_record_ends_what_is_read(payloads, data):
+    corrupt = bytearray(b"".join(map(frame, payloads)))
+    offset = data.draw(st.integers(0, len(corrupt) - 1))
+    corrupt[offset] ^= data.draw(st.integers(1, 255))
+    found = [record.payload for record in scan(bytes(corrupt))]
     assert found == payloads[: len(found)]
     assert len(found) < len(payloads)
 
 
-def test_appends_go_on_behind_a_tail_that_was_cut_off(tmp_path):
-    log = RecordLog(tmp_path)
-    log.open()
-    log.append([b"one"])
-    log.close()
+def test_appends_continue_behind_a_truncated_tail(tmp_path):
+    write(tmp_path, [b"one"])
     with open(tmp_path / NAME, "ab") as file:
         file.write(frame(b"torn")[:-1])
-    log.open()
-    log.append([b"two"])
-    log.close()
+    write(tmp_path, [b"two"])
     assert reopened(tmp_path) == [b"one", b"two"]
 
 
-def test_rewriting_replaces_all_and_appends_go_on(tmp_path):
+def test_a_rewrite_replaces_all_records_and_appends_continue(tmp_path):
     log = RecordLog(tmp_path)
     log.open()
     log.append([b"one", b"two"])
@@ -86,11 +82,8 @@
     assert reopened(tmp_path) == [b"all", b"three"]
 
 
-def test_an_unfinished_rewrite_is_as_if_it_had_not_begun(tmp_path):
-    log = RecordLog(tmp_path)
-    log.open()
-    log.append([b"one"])
-    log.close()
+def test_an_unfinished_rewrite_changes_nothing(tmp_path):
+    write(tmp_path, [b"one"])
     (tmp_path / NEW_NAME).write_bytes(frame(b"half")[:-2])
     assert reopened(tmp_path) == [b"one"]
     assert not (tmp_path / NEW_NAME).exists()
@@ -111,7 +104,7 @@
 
 
 @pytest.mark.parametrize("refused", ["pwrite", "fdatasync"])
-def test_a_disk_that_refuses_leaves_the_file_as_it_was(disk, refused):
+def test_a_refused_append_leaves_the_records_as_they_were(disk, refused):
     log, _ = opened(disk)
     log.append([b"one"])
     disk.refuse = {refused}
@@ -137,7 +130,7 @@
 
 
 @pytest.mark.parametrize("refused", ["pwrite", "fsync", "rename"])
-def test_a_rewrite_that_is_refused_leaves_the_old_file_in_force(disk, refused):
+def test_a_refused_rewrite_leaves_the_old_file_in_force(disk, refused):
     log, _ = opened(disk)
     log.append([b"one"])
     disk.refuse = {refused}
@@ -149,7 +142,7 @@
     assert opened(disk)[1] == [b"one", b"two"]
 
 
-def test_the_new_file_is_synced_before_its_name_and_the_folder_before_anything_else(disk):
+def test_a_rewrite_syncs_the_file_before_its_name_and_the_folder_after_it(disk):
     log, _ = opened(disk)
     disk.calls.clear()
     log.rewrite([b"all"])
@@ -158,7 +151,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_folder_that_was_not_synced_is_before_the_next_append(disk, seed):
+def test_a_folder_that_was_not_synced_is_synced_before_the_next_append(disk, seed):
     disk.rng.seed(seed)
     log, _ = opened(disk)
     disk.refuse = {"fsync-folder"}
@@ -170,7 +163,7 @@
     assert opened(disk)[1] == [b"all", b"two"]
 
 
-def test_no_record_behind_a_spoilt_one_is_read_once_that_is_written_over(disk):
+def test_no_record_behind_a_corrupt_one_is_read_once_that_is_overwritten(disk):
     log, _ = opened(disk)
     log.append([b"one", b"two"])
     (file,) = disk.names.values()
@@ -183,12 +176,12 @@
     assert opened(disk)[1] == [b"six"]
 
 
-def test_what_a_killed_process_left_unsynced_is_on_disk_once_it_has_been_read(disk):
+def test_records_that_a_killed_process_did_not_sync_are_synced_as_they_are_read(disk):
     log, _ = opened(disk)
     log.append([b"one"])
     disk.stop_at = len(disk.calls) + 2  # the write has its effect, and the sync has not
     disk.rng.random = lambda: 0.9  # no part of a write alone, no effect of the call that stops
-    with pytest.raises(Stopped):
+    with pytest.raises(StoppedError):
         log.append([b"two"])
     del disk.rng.random
     disk.kill()
@@ -198,7 +191,7 @@
     assert opened(disk)[1] == found
 
 
-def test_a_name_that_a_killed_process_did_not_sync_is_on_disk_once_its_file_has_been_read(disk):
+def test_a_name_that_a_killed_process_did_not_sync_is_synced_as_its_file_is_read(disk):
     log, _ = opened(disk)
     log.append([b"one"])
     disk.refuse = {"fsync-folder"}
@@ -214,37 +207,39 @@
 
 
 @given(seed=st.integers(0, 2**32), data=st.data())
-def test_what_was_written_or_read_outlives_any_loss_of_power(seed, data):
+def test_records_that_were_written_or_read_survive_any_loss_of_power(seed, data):
     """Any calls, each ended at any point by a kill or a loss of power."""
     disk = Disk(seed)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(log_module, "os", disk)
-        log, held = opened(disk)
+        log, expected = opened(disk)
         for number in range(data.draw(st.integers(1, 8))):
             payloads = [f"{number}.{part}".encode() * part for part in range(data.draw(st.integers(1, 4)))]
-            rewriting = data.draw(st.booleans())
-            may_hold = [payloads] if rewriting else [held + payloads[: n + 1] for n in range(len(payloads))]
+            is_rewrite = data.draw(st.booleans())
+            may_hold = (
+                [payloads] if is_rewrite else [expected + payloads[: n + 1] for n in range(len(payloads))]
+            )
             if data.draw(st.booleans()):
                 disk.stop_at = len(disk.calls) + data.draw(st.integers(1, 6))
             try:
-                (log.rewrite if rewriting else log.append)(payloads)
-                held = may_hold[-1]
+                (log.rewrite if is_rewrite else log.append)(payloads)
+                expected = may_hold[-1]
                 if disk.stop_at is None and data.draw(st.booleans()):
                     continue
-            except Stopped:
-                may_hold.append(held)
-                held = None
+            except StoppedError:
+                may_hold.append(expected)
+                expected = None
             data.draw(st.sampled_from([disk.kill, disk.lose_power]))()
             log, found = opened(disk)
-            assert found == held if held is not None else found in may_hold
-            held = found
+            assert found == expected if expected is not None else found in may_hold
+            expected = found
             if data.draw(st.booleans()):
                 disk.lose_power()
                 log, found = opened(disk)
-                assert found == held, "what was read was not on disk yet"
+                assert found == expected, "what was read was not on disk yet"
 
 
-def test_a_file_of_an_unknown_format_is_refused_and_left_as_it_is(tmp_path):
+def test_a_file_of_an_unknown_format_is_refused_and_unchanged(tmp_path):
     later = frame(MAGIC + b"2") + b"whatever a later version writes"
     (tmp_path / NAME).write_bytes(later)
     with pytest.raises(UnknownFormatError, match=r"format 2; this version reads 1"):
@@ -252,7 +247,7 @@
     assert (tmp_path / NAME).read_bytes() == later
 
 
-def test_a_file_without_a_header_is_read_and_has_one_once_it_is_rewritten(tmp_path):
+def test_a_file_without_a_header_is_read_and_gets_one_with_its_rewrite(tmp_path):
     (tmp_path / NAME).write_bytes(frame(b"one"))
     log = RecordLog(tmp_path)
     assert log.open() == [b"one"]
@@ -266,14 +261,14 @@
     assert reopened(tmp_path) == [b"all"]
 
 
-def test_a_version_that_knows_of_no_header_refuses_it():
+def test_a_version_without_headers_refuses_one():
     """It reads each record as a message: what it can't read as one it leaves alone."""
     with pytest.raises(CodecError):
         decode(MAGIC + FORMAT)
 
 
 @pytest.mark.parametrize("length", range(len(HEADER) + 3))
-def test_a_header_that_is_torn_was_never_synced(tmp_path, length):
+def test_a_torn_header_is_truncated(tmp_path, length):
     (tmp_path / NAME).write_bytes((HEADER + frame(b"one"))[:length])
     log = RecordLog(tmp_path)
     assert log.open() == []
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -126,6 +126,7 @@
     "routing/table.py",
     "routing/view.py",
     "settings/errors.py",
+    "storage/errors.py",
     "storage/records.py",
     "proxy/config/changes.py",
     "proxy/config/errors.py",
