--- /dev/null
+++ b/fordtrestle/roles/control_process.py
@@ -0,0 +1,201 @@
+"""The parts of one control process, and what each is told of the others.
+
+`control.py` opens what they need, serves their endpoints and ends them in order.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Coroutine
+from typing import Any
+
+import eliot
+
+from fordtrestle.control_api.commands import CommandHandler
+from fordtrestle.control_api.heartbeats import HeartbeatMonitor
+from fordtrestle.control_api.http import ControlApi
+from fordtrestle.control_api.outliers import OutlierDetector
+from fordtrestle.control_api.withdrawals import WithdrawalConfirmer
+from fordtrestle.dissemination.items import ControlView, control_item
+from fordtrestle.dissemination.messages import Confirm, Confirmed, OutcomeReport
+from fordtrestle.dissemination.ownership import successor_of
+from fordtrestle.ingress.directory import Directory
+from fordtrestle.peer.codec import Envelope
+from fordtrestle.peer.mesh import Link
+from fordtrestle.peer.replicator import Replicator
+from fordtrestle.replication.durable import Durable
+from fordtrestle.replication.epochs import Epoch, Store
+from fordtrestle.replication.messages import Announce
+from fordtrestle.replication.node import Node
+from fordtrestle.replication.state import ControlState
+from fordtrestle.roles import metrics
+from fordtrestle.roles.event_log import EventLog
+from fordtrestle.roles.process import CONTROL_ROLE, Process
+from fordtrestle.settings.records import BootSettings
+from fordtrestle.storage.log import RecordLog
+
+# Between two looks for servers whose heartbeats have stopped: a fraction of the second that those are apart.
+HEARTBEAT_CHECK_S = 0.3
+
+# How long a process that leaves serves on at least, for the announcement of it to reach the others.
+MIN_LEAVE_S = 0.3
+
+# Between two looks whether this process can leave. It depends on time, too, so no event tells of it.
+LEAVE_CHECK_S = 0.05
+
+NOTHING_PUBLISHED = -1  # below all sequences and epochs
+
+
+class ControlProcess:
+    """One control process: its store, its links, and what operators and servers ask of it."""
+
+    def __init__(self, boot: BootSettings, log: RecordLog, durable: Durable) -> None:
+        """Make the parts; nothing runs yet.
+
+        Args:
+            boot: The settings that the process was started with.
+            log: The open log of its store.
+            durable: What the log holds.
+        """
+        self.process = Process(boot, CONTROL_ROLE)
+        me = Store(durable.store, self.process.gossip.me.peer, str(boot.listen["control"]), boot.zone)
+        self.node = self._make_node(boot, me, durable)
+        self.replicator = Replicator(
+            self.node, log, self.process.mesh, self.process.is_control, self._on_progress
+        )
+        self.heartbeats = HeartbeatMonitor(boot.node_name, boot.heartbeat_s)
+        self.withdrawals = WithdrawalConfirmer(
+            me, self.process.mesh, self.process.gossip, lambda: self.node.newest_epoch
+        )
+        self.outliers = OutlierDetector(self.process.gossip, dict(boot.zones))
+        self._event_log = EventLog(self.node.events)
+        self._published_sequence = NOTHING_PUBLISHED
+        self._logged_epoch = NOTHING_PUBLISHED
+        self.process.on_message = self._on_message
+
+    def make_api(self, boot: BootSettings) -> ControlApi:
+        """The endpoint of operators and servers."""
+        return ControlApi(
+            CommandHandler(self.replicator),
+            self.heartbeats,
+            self.withdrawals,
+            self.process.gossip,
+            frozenset(boot.zones),
+            self.node,
+        )
+
+    def make_directory(self, boot: BootSettings) -> Directory:
+        """The endpoint that tells clients which sidecar to connect to."""
+        return Directory(
+            self.process.gossip.catalog,
+            self.process.in_touch,
+            frozenset(boot.zones.values()),
+            boot.bounds.max_ttl_s,
+            self.process.rng,
+        )
+
+    def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
+        """What runs until the process ends."""
+        return [
+            self.replicator.run(),
+            self.process.keep_dialling(),
+            self.process.gossip.run(self.process.rng),
+            self.monitor_servers(),
+        ]
+
+    def figures(self) -> metrics.Figures:
+        """The metrics of this process, by name."""
+        epoch, state = self.node.epoch, self.node.durable.state
+        return {
+            **metrics.of_catalog(self.process.gossip.catalog),
+            "epoch": epoch.term.number if epoch else 0,
+            "is_primary": self.node.is_primary,
+            "is_ready": self.node.is_ready,
+            **metrics.of_events(self.node.events),
+            "sequence": state.sequence,
+            "log_bytes": self.replicator.log_bytes,
+            "links": len(self.process.mesh.links()),
+            "messages_skipped": self.process.mesh.skipped_messages,
+        }
+
+    async def leave(self) -> None:
+        """Serve on until others hold what this store holds, under an epoch without it.
+
+        A store that ended as soon as it is told to would take the only other copy of a write with it where a
+        replica is lost next.
+        """
+        loop = asyncio.get_running_loop()
+        self.node.leave(loop.time())
+        self.replicator.announce()
+        self.replicator.pump()
+        await asyncio.sleep(MIN_LEAVE_S)
+        while not self.node.can_leave(loop.time()):
+            await asyncio.sleep(LEAVE_CHECK_S)
+
+    async def monitor_servers(self) -> None:
+        """Publish which servers are unresponsive, until cancelled."""
+        while True:
+            await asyncio.sleep(HEARTBEAT_CHECK_S)
+            now = asyncio.get_running_loop().time()
+            self.outliers.expire(now)
+            items = self.heartbeats.find_unresponsive(self.process.gossip.catalog, now, self._is_successor_of)
+            if items:
+                eliot.log_message("control:servers-unresponsive", keys=[item.key for item in items])
+                self.process.gossip.publish(items)
+
+    def _make_node(self, boot: BootSettings, me: Store, durable: Durable) -> Node:
+        return Node(
+            me,
+            durable,
+            tolerated_failures=boot.tolerance.machines,
+            counts_for_quorum=boot.counts_for_quorum,
+            draw=self.process.rng.random,
+            now=asyncio.get_running_loop().time(),
+            seeds=self._seeds,
+        )
+
+    def _seeds(self) -> list[str]:
+        """The seeds as the settings file has them now, not as it had them at the start."""
+        return [str(seed) for seed in self.process.boot.seeds]
+
+    def _on_message(self, link: Link, message: Any) -> None:
+        match message:
+            case Confirm():
+                self.withdrawals.on_confirm(link, message)
+            case Confirmed():
+                self.withdrawals.on_confirmed(link, message)
+            case OutcomeReport():
+                self.outliers.on_report(link.node, message, asyncio.get_running_loop().time())
+            case Envelope() | Announce():
+                self.replicator.on_message(message)
+
+    def _on_progress(self) -> None:
+        """Publish and log what has changed in the replication."""
+        self._event_log.write()
+        state = self.node.committed_state
+        if state and self.node.is_ready and state.sequence > self._published_sequence:
+            self._publish_state(state)
+        epoch = self.node.epoch
+        if epoch and epoch.term.number != self._logged_epoch:
+            self._log_epoch(epoch)
+
+    def _publish_state(self, state: ControlState) -> None:
+        """Spread a committed state to all processes; one that is not committed may still be lost."""
+        self._published_sequence = state.sequence
+        view = ControlView(state.sequence, state.generation, state.document, state.evacuated)
+        self.process.gossip.publish([control_item(view)])
+
+    def _log_epoch(self, epoch: Epoch) -> None:
+        self._logged_epoch = epoch.term.number
+        eliot.log_message(
+            "control:epoch",
+            number=epoch.term.number,
+            primary=epoch.primary,
+            replicas=list(epoch.replicas),
+            witnesses=list(epoch.witness_ids),
+        )
+
+    def _is_successor_of(self, node: str) -> bool:
+        """Whether this process watches the servers of a control process that is down."""
+        members = [member for member, _ in self.process.gossip.catalog.members()]
+        return successor_of(node, members, CONTROL_ROLE) == self.process.boot.node_name
--- a/fordtrestle/roles/metrics.py
+++ b/fordtrestle/roles/metrics.py
@@ -1,4 +1,7 @@
-"""A role's own figures as text, a `name value` a line, where the settings name a place (`metrics`)."""
+"""A process's own metrics as text, `fordtrestle_NAME VALUE` a line, served where the settings name a port.
+
+Names of metrics are part of the operators' interface, and stay as they are.
+"""
 
 from __future__ import annotations
 
@@ -11,17 +14,17 @@
 from fordtrestle.dissemination.items import Availability, Phase
 from fordtrestle.replication.events import Events
 
-Figures = Mapping[str, float]
-PREFIX = "fordtrestle_"
+Figures = Mapping[str, float]  # by name, without the prefix
+PREFIX = "fordtrestle_"  # of each name, so that those of other programs are told apart
 
 
 def render(figures: Figures) -> str:
-    """The text of some figures, by name."""
+    """The text of some metrics, sorted by name."""
     return "".join(f"{PREFIX}{name} {value:g}\n" for name, value in sorted(figures.items()))
 
 
 def of_catalog(catalog: Catalog) -> dict[str, float]:
-    """What any process knows of the system."""
+    """Metrics of what any process knows of the system: its configuration, members and servers."""
     members = [record.availability for record, _ in catalog.members()]
     servers = [record for record, _ in catalog.servers()]
     control = catalog.control
@@ -50,21 +53,26 @@
 
 
 def of_events(events: Events) -> dict[str, float]:
-    """How many events of the replication there were of each kind since the start."""
+    """Metrics of the replication: how many events there were of each kind since the start."""
     return {EVENT_METRICS[name]: count for name, count in events.counts.items()}
 
 
-def snake(name: str) -> str:
-    """A class's name in lower case, its words joined by underscores."""
+def to_snake_case(name: str) -> str:
+    """The name of a class in lower case, its words joined by underscores."""
     return re.sub(r"(?<=.)(?=[A-Z])", "_", name).lower()
 
 
 def application(path: str, figures: Callable[[], Figures]) -> web.Application:
-    """Serves the figures as they are when they are asked for."""
+    """Serve metrics.
+
+    Args:
+        path: Where.
+        figures: Gives them as they are when it is called, once a request.
+    """
 
     async def answer(_: web.Request) -> web.StreamResponse:
         return web.Response(text=render(figures()))
 
-    made = web.Application()
-    made.add_routes([web.get(path, answer)])
-    return made
+    endpoint = web.Application()
+    endpoint.add_routes([web.get(path, answer)])
+    return endpoint
--- a/fordtrestle/roles/process.py
+++ b/fordtrestle/roles/process.py
@@ -145,7 +145,7 @@
         try:
             boot = read_settings()
         except SettingsError as error:
-            eliot.log_message("settings:refused", faults=list(error.faults))
+            eliot.log_message("settings:rejected", faults=list(error.faults))
             return
         followed = replace(self.boot, seeds=boot.seeds)
         needs_restart = replace(boot, bootstrap=followed.bootstrap) != followed
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -569,7 +569,7 @@
         "peer/mesh.py", "tests/peer", "(*_FAILED, asyncio.CancelledError)", "_FAILED"
     ),
     "a control process that ends waits until it is not needed": _removal(
-        "roles/control.py",
+        "roles/control_process.py",
         "tests/roles/test_control_leaving.py",
         "        while not self.node.can_leave(loop.time()):\n",
         "        while False:\n",
--- a/tests/replication/test_events.py
+++ b/tests/replication/test_events.py
@@ -156,11 +156,11 @@
     )
     events = Events()
     events.record(event)
-    EventLog(events)()
+    EventLog(events).write()
     ((kind, told),) = lines
     assert kind == message_type(event)
     assert kind.startswith("replication:")
     assert set(told) == {field.name for field in fields(event)}
     assert all(isinstance(value, str | int | float | list) for value in told.values())
-    EventLog(events)()
+    EventLog(events).write()
     assert len(lines) == 1
--- a/tests/roles/test_metrics.py
+++ b/tests/roles/test_metrics.py
@@ -1,4 +1,4 @@
-"""Figures as text, where the settings name a place for them."""
+"""Metrics as text, served where the settings name a port."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 from tests.settings.test_boot import BOOT
 
 
-def test_figures_are_one_a_line_by_name():
+def test_metrics_are_rendered_one_a_line_sorted_by_name():
     assert render({"b": 2, "a": 1.5, "is_primary": True}) == (
         "fordtrestle_a 1.5\nfordtrestle_b 2\nfordtrestle_is_primary 1\n"
     )
 
 
-def test_what_a_catalog_holds_is_counted():
+def test_the_items_of_a_catalog_are_counted():
     catalog = Catalog()
-    for number, (phase, silent) in enumerate(
+    for number, (phase, is_unresponsive) in enumerate(
         ((Phase.SERVING, False), (Phase.SERVING, True), (Phase.DEPARTED, False))
     ):
-        record = ServerRecord(f"i-{number}", "pool", "10.0.0.1:80", "z", 4, phase, silent, 0.0, None, (), "c")
+        record = ServerRecord(
+            f"i-{number}", "pool", "10.0.0.1:80", "z", 4, phase, is_unresponsive, 0.0, None, (), "c"
+        )
         catalog.merge([server_item(record, 1)], 0.0)
     catalog.merge([control_item(ControlView(1, 7, b"{}", ("z",)))], 0.0)
     figures = of_catalog(catalog)
@@ -34,13 +36,13 @@
     assert (figures["servers_serving"], figures["servers_silent"], figures["servers_draining"]) == (1, 1, 0)
 
 
-@pytest.mark.parametrize("told", ["", "nowhere", "99999/metrics", None])
-def test_a_place_that_is_none_is_no_reason_not_to_start(told):
-    assert parse_settings(json.dumps({**BOOT, "metrics": told})).metrics is None
+@pytest.mark.parametrize("setting", ["", "nowhere", "99999/metrics", None])
+def test_an_unusable_metrics_setting_is_left_out(setting):
+    assert parse_settings(json.dumps({**BOOT, "metrics": setting})).metrics is None
 
 
 @loopback
-async def test_figures_are_told_at_the_place_that_the_settings_name():
+async def test_metrics_are_served_at_the_port_and_path_of_the_settings():
     endpoint = parse_settings(json.dumps({**BOOT, "metrics": "8149/own/figures"})).metrics
     assert endpoint == MetricsEndpoint(Address("10.1.0.35", 8149), "/own/figures")
     path = endpoint.path
--- a/tests/roles/test_reports.py
+++ b/tests/roles/test_reports.py
@@ -1,4 +1,4 @@
-"""Sidecars report failed requests to the control process that owns the service, which judges them."""
+"""Sidecars report failed requests to the control process that owns the service, which evaluates them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 from fordtrestle.dissemination.items import Availability, MemberRecord, member_item
 from fordtrestle.dissemination.messages import OutcomeReport, Outcomes
-from fordtrestle.roles.control import Control
+from fordtrestle.roles.control_process import ControlProcess
 from fordtrestle.roles.process import Process
 from fordtrestle.roles.sidecar import report_failures
 from fordtrestle.routing.evidence import REPORT_S, Reporter
@@ -22,8 +22,8 @@
     return asyncio.get_running_loop().time()
 
 
-class Post:
-    """A link that keeps what is sent on it."""
+class RecordingLink:
+    """A link that records what is sent on it."""
 
     def __init__(self, node):
         self.node = node
@@ -37,12 +37,12 @@
 def process_among(controls, monkeypatch):
     """A sidecar with a link to each of these control processes; the links by node."""
     process = Process(parse_settings(json.dumps(BOOT)), "sidecar")
-    posts = {node: Post(node) for node in controls}
+    links = {node: RecordingLink(node) for node in controls}
     for number, node in enumerate(controls):
         record = MemberRecord(node, "control", "z", "r", f"10.0.0.{number}:1", "", Availability.READY)
         process.gossip.publish([member_item(record, 1, 1)])
-    monkeypatch.setattr(process.mesh, "link", posts.get)
-    return process, posts
+    monkeypatch.setattr(process.mesh, "link", links.get)
+    return process, links
 
 
 def lose(process, node):
@@ -52,8 +52,8 @@
 
 
 @virtual
-async def test_one_control_process_has_all_reports_of_a_service_and_its_heir_those_after_it(monkeypatch):
-    process, posts = process_among(["c-1", "c-2", "c-3"], monkeypatch)
+async def test_the_owner_of_a_service_gets_all_reports_and_its_successor_those_after_it(monkeypatch):
+    process, links = process_among(["c-1", "c-2", "c-3"], monkeypatch)
     reporter = Reporter()
     task = asyncio.create_task(report_failures(process, reporter))
     owners = []
@@ -61,11 +61,11 @@
         for _ in range(2):
             reporter.note("pool", "i-1", True, now())
             await asyncio.sleep(1.5 * REPORT_S)
-        owners += [node for node, post in posts.items() if len(post.sent) == 2]
+        owners += [node for node, link in links.items() if len(link.sent) == 2]
         lose(process, owners[-1])
-        for post in posts.values():
-            assert post.sent in ([], [REPORT, REPORT])
-            post.sent.clear()
+        for link in links.values():
+            assert link.sent in ([], [REPORT, REPORT])
+            link.sent.clear()
     task.cancel()
     assert len(set(owners)) == 2
 
@@ -84,15 +84,15 @@
 
 
 @virtual
-async def test_a_control_process_hands_reports_to_its_judge():
-    class Judge:
+async def test_a_control_process_hands_reports_to_its_outlier_detector():
+    class RecordingDetector:
         def __init__(self):
-            self.taken = []
+            self.reports = []
 
         def on_report(self, node, report, now):
-            self.taken.append((node, report))
+            self.reports.append((node, report))
 
-    control = Control.__new__(Control)
-    control.outliers = Judge()
-    control._received(Post("s-1"), REPORT)
-    assert control.outliers.taken == [("s-1", REPORT)]
+    control = ControlProcess.__new__(ControlProcess)
+    control.outliers = RecordingDetector()
+    control._on_message(RecordingLink("s-1"), REPORT)
+    assert control.outliers.reports == [("s-1", REPORT)]
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -193,6 +193,8 @@
     "peer/mesh.py",
     "peer/replicator.py",
     "roles/control.py",
+    "roles/control_process.py",
+    "roles/control_store.py",
     "roles/ending.py",
     "roles/event_log.py",
     "roles/leaving.py",
