--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -20,8 +20,9 @@
 
 from fordtrestle.control_api.commands import CommandHandler
 from fordtrestle.control_api.requests import CommandResult, CommandStatus, ConfigRequest, ConfigRequestKind
-from fordtrestle.peer.codec import Hello, decode
+from fordtrestle.peer.codec import decode
 from fordtrestle.peer.mesh import Mesh
+from fordtrestle.peer.messages import Hello
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Store
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -11,7 +11,7 @@
 from aiohttp import web
 
 from fordtrestle.dissemination.items import Availability
-from fordtrestle.peer.codec import CodecError
+from fordtrestle.peer.errors import CodecError
 from fordtrestle.roles.control_process import ControlProcess
 from fordtrestle.roles.control_store import open_store
 from fordtrestle.roles.ending import Ending
--- a/fordtrestle/roles/control_process.py
+++ b/fordtrestle/roles/control_process.py
@@ -20,8 +20,8 @@
 from fordtrestle.dissemination.messages import Confirm, Confirmed, OutcomeReport
 from fordtrestle.dissemination.ownership import successor_of
 from fordtrestle.ingress.directory import Directory
-from fordtrestle.peer.codec import Envelope
-from fordtrestle.peer.mesh import Link
+from fordtrestle.peer.link import Link
+from fordtrestle.peer.messages import Envelope
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Epoch, Store
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -42,7 +42,8 @@
 BROADCAST, BROADCAST_TESTS = "dissemination/broadcast.py", "tests/dissemination/test_broadcast.py"
 DELTA, DELTA_TESTS = "dissemination/delta.py", "tests/dissemination/test_delta.py"
 FRONTS, FRONTS_TESTS = "routing/fronts.py", "tests/routing/test_fronts.py"
-NODE, HARD_CASES = "replication/node.py", "tests/replication/test_hard_cases.py"
+HARD_CASES = "tests/replication/test_hard_cases.py"
+MEMBERSHIP, PRIMARY, WITNESS = (f"replication/{name}.py" for name in ("membership", "primary", "witness"))
 BOOTSTRAP, BOOTSTRAP_TESTS = "replication/bootstrap.py", "tests/replication/test_bootstrap.py"
 EPOCH_CHANGE = "replication/epoch_change.py"
 OUTLIERS, OUTLIERS_TESTS = "routing/outliers.py", "tests/routing/test_outliers.py"
@@ -100,14 +101,16 @@
     "a frame is given up once its peer is silent": _removal(
         "peer/connection.py",
         "tests/peer",
-        "            async with asyncio.timeout(PEER_TIMEOUT_S):\n                part",
-        "            async with asyncio.timeout(None):\n                part",
+        "        async with asyncio.timeout(PEER_TIMEOUT_S):\n",
+        "        async with asyncio.timeout(None):\n",
     ),
     "a long frame may take its time": _removal(
         "peer/connection.py",
         "tests/peer",
-        "                part = await self._reader.read(length - len(data))\n",
-        "                part = await self._reader.readexactly(length - len(data))\n",
+        "                    on_message(await self.receive())\n",
+        "                    async with asyncio.timeout(PEER_TIMEOUT_S):\n"
+        "                        message = await self.receive()\n"
+        "                    on_message(message)\n",
     ),
     "reads are confirmed by a majority": _removal(
         COMMANDS,
@@ -283,13 +286,13 @@
         "        return heard\n",
     ),
     "a primary out of touch says that it resigns": _removal(
-        NODE,
+        PRIMARY,
         "tests/replication/test_control_times.py",
-        "            self._resign(leadership, Reason.OUT_OF_TOUCH, now)",
-        "            self._step_down(Reason.OUT_OF_TOUCH, now)",
+        "            self.resign(Reason.OUT_OF_TOUCH, now)",
+        "            self.step_down(Reason.OUT_OF_TOUCH, now)",
     ),
     "a store that leaves stays until it is needed no more": _removal(
-        NODE, HARD_CASES, "        return self.me.id not in needed\n", "        return True\n"
+        MEMBERSHIP, HARD_CASES, "        return context.me.id not in needed\n", "        return True\n"
     ),
     "replicas that leave are replaced": _removal(
         "replication/reconfiguration.py",
@@ -300,20 +303,20 @@
     "a store that leaves gives up its place": _removal(
         "replication/peer_table.py",
         HARD_CASES,
-        " if store_id in leaving and store_id not in first)\n",
-        " if False)\n",
+        " if store_id in leaving and store_id not in first\n",
+        " if False\n",
     ),
     "stores that leave are replicas last": _removal(
         "replication/epochs.py", HARD_CASES, "store.id in leaving, store.id not in", "store.id not in"
     ),
     "a store that is behind is sent the state": _removal(
-        NODE,
+        PRIMARY,
         HARD_CASES,
         "        if follows and leadership",
         "        if False and leadership",
     ),
     "stores that are no replicas follow": _removal(
-        NODE,
+        PRIMARY,
         HARD_CASES,
         "        for store_id in leadership.epoch.witness_ids:  # those",
         "        for store_id in leadership.epoch.replicas:  # those",
@@ -345,26 +348,26 @@
     "that a store is to found is on disk before anything else": _removal(
         "replication/durable.py",
         BOOTSTRAP_TESTS,
-        "[*wish, self._vote(), Snapshot(self.installed_term, self.state)]",
-        "[self._vote(), Snapshot(self.installed_term, self.state), *wish]",
+        "[*founder, self._vote(), Snapshot(self.installed_term, self.state)]",
+        "[self._vote(), Snapshot(self.installed_term, self.state), *founder]",
     ),
     "stores of another core are not taken in": _removal(
-        NODE,
+        MEMBERSHIP,
         BOOTSTRAP_TESTS,
-        "        if self._peers.is_foreign(message, core):\n",
+        "        if context.peers.is_foreign(message, core):\n",
         "        if False:\n",
     ),
     "a primary of another core is not followed": _removal(
-        NODE,
+        WITNESS,
         BOOTSTRAP_TESTS,
         "        if core and not is_same_core(core, epoch.core):\n",
         "        if False:\n",
     ),
     "a message of another version is skipped": _removal(
-        "peer/connection.py",
+        "peer/protocol.py",
         "tests/peer",
-        "                except UnknownMessageError as error:\n",
-        "                except MemoryError as error:\n",
+        "        except UnknownMessageError as error:\n",
+        "        except MemoryError as error:\n",
     ),
     "a value that is not known is of another version": _removal(
         "peer/codec.py",
@@ -373,10 +376,10 @@
         "        raise\n",
     ),
     "fields of a later version are left out": _removal(
-        "peer/codec.py", "tests/peer", "list(values[: len(names)])", "list(values)"
+        "peer/codec.py", "tests/peer", "list(values[: len(wire_type.fields)])", "list(values)"
     ),
     "no link is up without a version that both sides speak": _removal(
-        "peer/mesh.py", "tests/peer", "        if version is None:\n", "        if version == -1:\n"
+        "peer/handshake.py", "tests/peer", "    if version is None:\n", "    if version == -1:\n"
     ),
     "a file of an unknown format is left as it is": _removal(
         LOG,
@@ -506,10 +509,10 @@
         "        return True\n",
     ),
     "a store that is cut off waits for the others": _removal(
-        NODE,
+        MEMBERSHIP,
         HARD_CASES,
-        "        staying = self._peers.ids() - self",
-        "        staying = self._peers.live(now) - self",
+        "        staying = context.peers.ids() - context",
+        "        staying = context.peers.live(now) - context",
     ),
     "a member is down only once others were asked": _removal(
         "dissemination/suspicion.py",
@@ -566,7 +569,7 @@
         "roles/ending.py", "tests/roles/test_ending.py", "        last_resort.start()\n"
     ),
     "a link that is cancelled at the end is no fault": _removal(
-        "peer/mesh.py", "tests/peer", "(*_FAILED, asyncio.CancelledError)", "_FAILED"
+        "peer/mesh.py", "tests/peer", "(*_CONNECTION_ERRORS, asyncio.CancelledError)", "_CONNECTION_ERRORS"
     ),
     "a control process that ends waits until it is not needed": _removal(
         "roles/control_process.py",
