--- a/tests/guards.py
+++ b/tests/guards.py
@@ -60,18 +60,18 @@
         "            os.fsync(self._file)\n",
     ),
     "an append is synced": _removal(LOG, LOG_TESTS, "            os.fdatasync(self._file)\n"),
-    "a rewritten file is synced before its name": _removal(LOG, LOG_TESTS, "                os.fsync(new)\n"),
+    "a rewritten file is synced before its name": _removal(LOG, LOG_TESTS, "            os.fsync(new)\n"),
     "a rewritten file's name is synced before an append": _removal(
-        LOG, LOG_TESTS, "            if not self._folder_synced:\n", "            if False:\n"
+        LOG, LOG_TESTS, "            if not self._is_folder_synced:\n", "            if False:\n"
     ),
     "a torn tail is cut off": _removal(LOG, LOG_TESTS, "            os.ftruncate(self._file, self.size)\n"),
     "a refused append is cut off before the next": _removal(
-        LOG, LOG_TESTS, "            if self._tail_refused:\n", "            if False:\n"
+        LOG, LOG_TESTS, "            if self._has_refused_tail:\n", "            if False:\n"
     ),
     "a record's checksum is compared": _removal(
         "storage/records.py",
         LOG_TESTS,
-        '        if zlib.crc32(payload, zlib.crc32(struct.pack(">I", length))) != checksum:\n',
+        "        if checksum != _checksum(payload):\n",
         "        if False:\n",
     ),
     "entries of another term are void": _removal(
@@ -384,7 +384,7 @@
     "a file of an unknown format is left as it is": _removal(
         LOG,
         LOG_TESTS,
-        "        if told != FORMAT:\n",
+        "        if found != FORMAT:\n",
         "        if False:\n",
     ),
     "a request's answer has its id": _removal(
@@ -572,7 +572,7 @@
         "peer/mesh.py", "tests/peer", "(*_CONNECTION_ERRORS, asyncio.CancelledError)", "_CONNECTION_ERRORS"
     ),
     "a control process that ends waits until it is not needed": _removal(
-        "roles/control.py",
+        "roles/control_process.py",
         "tests/roles/test_control_leaving.py",
         "        while not self.node.can_leave(loop.time()):\n",
         "        while False:\n",
