--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -18,7 +18,7 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from fordtrestle.peer.replicator import LINK_LOST_TIMEOUT_S
+from fordtrestle.peer.store_links import LINK_LOST_TIMEOUT_S
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Store
 from fordtrestle.replication.messages import Message, Record
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -79,15 +79,15 @@
         "entry",
     ),
     "what a disk refused is not told": _removal(
-        "peer/replicator.py",
+        "peer/record_writer.py",
         "tests/peer",
         "                snapshot = True\n",
         "                break\n",
     ),
     "the file is rewritten once it is long": _removal(
-        "peer/replicator.py",
+        "peer/record_writer.py",
         "tests/peer",
-        "        snapshot = self._log.size > self._rewrite_above\n",
+        "        snapshot = self._log.size > self._rewrite_above_bytes\n",
         "        snapshot = False\n",
     ),
     "a message to an earlier store is not taken": _removal(
--- a/tests/peer/test_replicator.py
+++ b/tests/peer/test_replicator.py
@@ -1,4 +1,4 @@
-"""The disk under a node: nothing is told before it is synced, nothing it refuses is lost or doubled."""
+"""The disk under a node: nothing is sent before it is synced, nothing it refuses is lost or doubled."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 import pytest
 
-from fordtrestle.peer import replicator as replicator_module
+from fordtrestle.peer import record_writer as record_writer_module
 from fordtrestle.peer.codec import decode
 from fordtrestle.peer.mesh import Mesh
 from fordtrestle.peer.messages import Envelope, Hello
@@ -24,7 +24,7 @@
 
 
 class Disk(RecordLog):
-    """A log whose appends wait for a word, and are refused a number of times."""
+    """A log whose appends wait until they may go on, and are refused a number of times."""
 
     def __init__(self, folder):
         super().__init__(folder)
@@ -68,16 +68,17 @@
 
 
 def write(replicator, zone):
-    ticket = replicator.node.propose(Evacuation(zone, True), replicator.now())
+    """Propose an evacuation; the write that is pending."""
+    pending = replicator.node.propose(Evacuation(zone, True), replicator.now())
     replicator.pump()
-    return ticket
+    return pending
 
 
-def on_disk(folder):
+def state_on_disk(folder):
     log = RecordLog(folder)
-    found = Durable.restore(map(decode, log.open()))
+    restored = Durable.restore(map(decode, log.open()))
     log.close()
-    return found.state
+    return restored.state
 
 
 @loopback
@@ -85,45 +86,45 @@
     async with stage(tmp_path) as (replicator, disk):
         disk.may_go_on.clear()
         assert write(replicator, "z-1")
-        await until(lambda: replicator._syncing_since is not None)
+        await until(lambda: replicator._writer.is_syncing)
         assert replicator.node.committed_state is None
         disk.may_go_on.set()
         await until(lambda: replicator.node.committed_state is not None)
-        assert on_disk(tmp_path).evacuated == ("z-1",)
+        assert state_on_disk(tmp_path).evacuated == ("z-1",)
 
 
 @pytest.mark.parametrize("refusals", [1, 3])
 @loopback
-async def test_writes_that_the_disk_refused_at_first_are_there_once(tmp_path, monkeypatch, refusals):
-    monkeypatch.setattr(replicator_module, "DISK_RETRY_S", 0.01)
+async def test_writes_that_the_disk_refused_at_first_are_applied_once(tmp_path, monkeypatch, refusals):
+    monkeypatch.setattr(record_writer_module, "DISK_RETRY_S", 0.01)
     async with stage(tmp_path) as (replicator, disk):
         disk.refusals = refusals
         disk.may_go_on.clear()
         write(replicator, "z-1")
-        await until(lambda: replicator._syncing_since is not None)  # the second waits behind the first
+        await until(lambda: replicator._writer.is_syncing)  # the second waits behind the first
         write(replicator, "z-2")
         disk.may_go_on.set()
         await until(lambda: replicator.node.committed_state is not None)
         assert replicator.node.committed_state.sequence == 2
-    state = on_disk(tmp_path)
+    state = state_on_disk(tmp_path)
     assert (state.sequence, state.evacuated) == (2, ("z-1", "z-2"))
 
 
 @loopback
-async def test_the_file_is_rewritten_once_it_is_long_and_nothing_is_lost(tmp_path, monkeypatch):
-    monkeypatch.setattr(replicator_module, "MIN_REWRITE_BYTES", 400)
+async def test_a_long_file_is_rewritten_and_nothing_is_lost(tmp_path, monkeypatch):
+    monkeypatch.setattr(record_writer_module, "MIN_REWRITE_BYTES", 400)
     async with stage(tmp_path) as (replicator, disk):
         for number in range(60):
             write(replicator, f"z-{number % 3}")
             await until(lambda: replicator.node.committed_state is not None)
         assert replicator.node.committed_state.sequence == 60
         assert disk.size < 1_500
-    state = on_disk(tmp_path)
+    state = state_on_disk(tmp_path)
     assert (state.sequence, sorted(state.evacuated)) == (60, ["z-0", "z-1", "z-2"])
 
 
 @loopback
-async def test_a_message_to_an_earlier_store_of_this_machine_is_not_taken(tmp_path):
+async def test_a_message_to_an_earlier_store_of_this_machine_is_dropped(tmp_path):
     async with stage(tmp_path) as (replicator, _):
         term = Term(99, "s9")
         replicator.on_message(Envelope("s9", "s0", Prepare(term)))
