--- a/fordtrestle/dissemination/broadcast.py
+++ b/fordtrestle/dissemination/broadcast.py
@@ -6,7 +6,7 @@
 Every link begins as a part of the tree. An item that comes a second time shows that the tree does without the
 link that brought it: both sides then only send offers over it. A process that is offered what no link of the
 tree has brought in time asks for it, and takes that link into the tree. So each process gets each item about
-once, and a parent that is cut off, frozen or dead delays its children by one wait.
+once, and a parent that is partitioned, frozen or dead delays its children by one wait.
 """
 
 from __future__ import annotations
--- a/fordtrestle/dissemination/catalog.py
+++ b/fordtrestle/dissemination/catalog.py
@@ -31,7 +31,7 @@
 from fordtrestle.dissemination.range_digests import RangeDigestTable, range_of
 
 MAX_ITEMS = 20_000
-TOMBSTONE_S = 120.0  # as long as an old message may travel, also by way of a process that was cut off
+TOMBSTONE_S = 120.0  # as long as an old message may travel, also by way of a process that was partitioned
 # For servers whose heartbeats have stopped, or that drain and never say that they have departed.
 UNRESPONSIVE_RETENTION_S = 600.0
 EJECTION_RETENTION_S = 600.0  # so that the next ejection of that server is known to be newer
@@ -97,14 +97,14 @@
                 yield item.value, item.version
 
     def lacks(self, key: str, version: Version) -> bool:
-        """Return whether that version would be new here: nothing as new is held, nor was it forgotten."""
+        """Return whether that version would be new here: neither known, nor forgotten after it expired."""
         known = self._items.get(key)
         if known:
             return known.version < version
         return key not in self._forgotten or version > self._forgotten[key].version
 
     def merge(self, items: Iterable[Item], now: float) -> list[Item]:
-        """Take in the items that are newer than what is held.
+        """Take in the items that are newer than those known.
 
         Returns:
             Those items. New keys are left out while the catalog is full.
--- a/fordtrestle/dissemination/delta.py
+++ b/fordtrestle/dissemination/delta.py
@@ -55,7 +55,7 @@
 
 
 def _offsets(document: bytes) -> dict[bytes, int]:
-    """Return where each piece of a document begins; the first place of those that occur more than once."""
+    """Return the offset of each piece of a document; the first one of those that occur more than once."""
     offsets: dict[bytes, int] = {}
     offset = 0
     for piece in _split(document):
--- a/fordtrestle/dissemination/items.py
+++ b/fordtrestle/dissemination/items.py
@@ -1,7 +1,6 @@
 """What is spread to all processes: versioned items, of which the newest wins everywhere. Pure.
 
-The records travel between processes (`peer/codec.py`); how they may change is told in
-`docs/design/versions.md`.
+The records travel between processes (`peer/codec.py`). Rules for changes: `docs/design/versions.md`.
 """
 
 from __future__ import annotations
@@ -58,7 +57,7 @@
         phase: how far it has come.
         is_unresponsive: whether its heartbeats have stopped.
         warm_up_ms: how much longer it is warming up, in ms, as of that heartbeat.
-        remaining_ms: for how much longer it serves while it drains, in ms; `None` where it did not say.
+        remaining_ms: for how much longer it serves while it drains, in ms; `None` where that is not known.
         models: the models that it has loaded.
         heard_by: the control process that received the heartbeat.
     """
@@ -137,8 +136,9 @@
 def server_item(record: ServerRecord, sequence: int) -> Item:
     """Return the item of a server.
 
-    A later phase outdoes all heartbeats of an earlier one, however late those come: what has said that it
-    leaves is never used again. That heartbeats have stopped outdoes only the one that was the last.
+    A later phase is newer than all heartbeats of an earlier one, however late those come: a server that
+    drains or has departed is never used again. An unresponsive server's item is newer only than its last
+    heartbeat.
 
     Args:
         record: the server.
@@ -161,8 +161,8 @@
 def member_item(record: MemberRecord, incarnation: int, counter: int) -> Item:
     """Return the item of a member.
 
-    Others say that a member is down at the counter that they know of it, so the member's next item refutes
-    that (SWIM's suspicion, Das, Gupta, Motivala 2002).
+    Others declare a member down at the counter that they know of it, so the member's next item refutes that
+    (SWIM's suspicion, Das, Gupta, Motivala 2002).
 
     Args:
         record: the member.
--- a/fordtrestle/dissemination/messages.py
+++ b/fordtrestle/dissemination/messages.py
@@ -1,6 +1,6 @@
 """Messages by which processes bring their catalogs into line, detect failures and report outcomes. Pure.
 
-They travel between processes (`peer/codec.py`); how they may change is told in `docs/design/versions.md`.
+They travel between processes (`peer/codec.py`). Rules for changes: `docs/design/versions.md`.
 """
 
 from __future__ import annotations
--- a/fordtrestle/dissemination/ownership.py
+++ b/fordtrestle/dissemination/ownership.py
@@ -1,7 +1,7 @@
 """Which member is responsible for what, by rendezvous hashing over the members that are live. Pure.
 
 Members that know of the same live members name the same owner. While what they know differs, two may take
-themselves for the owner of one key: every duty that is shared out like this has to stand being done twice.
+themselves for the owner of one key: whatever is shared out like this has to be safe to do twice.
 """
 
 from __future__ import annotations
--- a/fordtrestle/peer/gossip.py
+++ b/fordtrestle/peer/gossip.py
@@ -23,7 +23,7 @@
 
     Attributes:
         catalog: all items that this process holds.
-        me: what this process last said of itself.
+        me: what this process last announced of itself.
     """
 
     def __init__(
@@ -34,7 +34,7 @@
         incarnation: int,
         on_change: Callable[[list[Item]], None],
     ) -> None:
-        """Make the gossip of a process that has not said anything of itself yet.
+        """Make the gossip of a process that has not announced itself yet.
 
         Args:
             catalog: the items to hold and spread.
--- a/fordtrestle/peer/handshake.py
+++ b/fordtrestle/peer/handshake.py
@@ -1,6 +1,6 @@
 """The handshake of a connection: who the other side is, and which version of the protocol both speak. Pure.
 
-How the protocol may change is told in `docs/design/versions.md`.
+Rules for changes of the protocol: `docs/design/versions.md`.
 """
 
 from __future__ import annotations
--- a/fordtrestle/peer/mesh.py
+++ b/fordtrestle/peer/mesh.py
@@ -202,5 +202,5 @@
             eliot.log_message("peer:no-common-version", node=error.node, theirs=error.theirs, ours=error.ours)
 
     def _record_round_trip(self, address: str, took_s: float) -> None:
-        """Take note of how long a connection took to come up: one round trip, and whatever delayed it."""
+        """Record how long a connection took to come up: one round trip, and whatever delayed it."""
         self.round_trips[address] = min(took_s, self.round_trips.get(address, took_s))
--- a/fordtrestle/peer/protocol.py
+++ b/fordtrestle/peer/protocol.py
@@ -87,7 +87,7 @@
 
     @property
     def keepalive_due_at(self) -> float:
-        """When the other side would begin to miss us, unless something is sent before."""
+        """When a keep-alive has to be sent, unless something else is sent before."""
         return self._sent_at + KEEPALIVE_S
 
     def is_idle(self, now: float) -> bool:
--- a/fordtrestle/peer/replicator.py
+++ b/fordtrestle/peer/replicator.py
@@ -72,8 +72,8 @@
     def on_message(self, message: Envelope | Announce) -> None:
         """Handle a message from another control process.
 
-        One to another store is dropped: it was meant for an earlier one at this address, and what that has
-        promised is not known here.
+        One to another store is dropped: it was meant for an earlier one at this address, and
+        what that one has prepared is not known here.
         """
         if isinstance(message, Announce):
             self._store_links.on_announce(message.store.id, message.store.address)
--- a/fordtrestle/peer/wire_types.py
+++ b/fordtrestle/peer/wire_types.py
@@ -1,6 +1,6 @@
 """The types that travel between processes or lie on disks: their tags, fields and enumerations. Pure.
 
-How they may change is told in `docs/design/versions.md`: a type may gain fields behind its last one, each
+Rules for changes (`docs/design/versions.md`): a type may gain fields behind its last one, each
 with a default that says what their lack means. Anything else is another type with another tag.
 """
 
--- a/fordtrestle/settings/records.py
+++ b/fordtrestle/settings/records.py
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BootSettings:
-    """All that one process is told at its start.
+    """All settings that one process is started with.
 
     Attributes:
         node_name: the process's name, unique in the deployment.
@@ -80,7 +80,7 @@
         zones: the region of each zone of the deployment, by zone.
         listen: the addresses to serve at, by the name of what is served.
         internal_ports: the first and the last port for traffic between processes.
-        seeds: addresses of control processes, to meet the others through.
+        seeds: addresses of control processes, through which this one finds the others.
         bootstrap: whether a control process without a state of its own founds a new core.
         counts_for_quorum: whether a control process may be a witness.
         data_dir: the folder for what has to outlive the process; `None` where nothing is kept.
--- a/tests/settings/test_boot.py
+++ b/tests/settings/test_boot.py
@@ -1,6 +1,4 @@
-"""Reading of the settings file: what is known is checked, all faults at once; what is not known is left
-alone.
-"""
+"""Reading of the settings file: known fields are checked, all faults at once, unknown ones are ignored."""
 
 from __future__ import annotations
 
@@ -10,9 +8,9 @@
 
 import pytest
 
-from fordtrestle.settings.boot import parse_settings
+from fordtrestle.settings.boot import parse_settings, read_settings
 from fordtrestle.settings.errors import SettingsError
-from fordtrestle.settings.records import Address, FaultTolerance
+from fordtrestle.settings.records import Address, Bounds, FaultTolerance
 
 BOOT = {
     "node_name": "front-kul-1",
@@ -36,14 +34,14 @@
 }
 
 
-def test_settings_are_read_and_what_is_new_is_ignored():
+def test_known_fields_are_read_and_unknown_ones_ignored():
     boot = parse_settings(json.dumps(BOOT))
     assert boot.seeds == (Address("10.1.0.37", 8146),)
     assert boot.tolerance == FaultTolerance(1, 1, 1)
     assert (boot.heartbeat_s, boot.bounds.drain_s, boot.internal_ports) == (1.2, 3.0, (7660, 7675))
 
 
-def test_all_faults_are_told_at_once(snapshot):
+def test_all_faults_are_listed_at_once(snapshot):
     wrong = {
         **BOOT,
         "ip": "nowhere",
@@ -58,8 +56,32 @@
     assert "\n".join(raised.value.faults) == snapshot
 
 
+def test_a_file_with_the_required_fields_alone_gets_the_defaults():
+    required = ("node_name", "ip", "zone", "region", "listen", "internal_port_range", "seeds")
+    boot = parse_settings(json.dumps({name: BOOT[name] for name in required}))
+    assert (boot.bounds, boot.tolerance) == (Bounds(), FaultTolerance())
+    assert (boot.heartbeat_s, boot.memory_mb, boot.max_fds) == (1.0, 256.0, 1024)
+    assert boot.zones == {"kul-1": "kul"}
+    assert (boot.bootstrap, boot.counts_for_quorum, boot.data_dir, boot.metrics) == (False, False, None, None)
+
+
+@pytest.mark.parametrize(
+    "text", ["10.0.0.1", ":80", "10.0.0.1:", "10.0.0.1:0", "10.0.0.1:65536", "10.0.0.1:x"]
+)
+def test_an_address_that_is_not_host_and_port_is_rejected(text):
+    with pytest.raises(ValueError, match="is not HOST:PORT"):
+        Address.parse(text)
+
+
+def test_a_file_that_cannot_be_read_is_named_in_the_fault(tmp_path):
+    with pytest.raises(SettingsError) as raised:
+        read_settings(tmp_path / "absent.json")
+    (fault,) = raised.value.faults
+    assert fault.startswith(f"{tmp_path / 'absent.json'}: ")
+
+
 @pytest.mark.parametrize("text", ["", "[]", "{", '{"node_name": 1e999999}'])
-def test_what_is_no_object_is_refused(text):
+def test_text_that_is_no_json_object_is_rejected(text):
     with pytest.raises(SettingsError) as raised:
         parse_settings(text)
     assert raised.value.faults
