--- a/fordtrestle/peer/replicator.py
+++ b/fordtrestle/peer/replicator.py
@@ -9,8 +9,9 @@
 from fordtrestle.peer.messages import Envelope
 from fordtrestle.peer.record_writer import RecordWriter
 from fordtrestle.peer.store_links import StoreLinks
+from fordtrestle.replication.effects import Effects
 from fordtrestle.replication.messages import Announce, Message
-from fordtrestle.replication.node import Effects, Node
+from fordtrestle.replication.node import Node
 from fordtrestle.storage.log import RecordLog
 
 TICK_INTERVAL_S = 0.05
