--- a/tests/replication/test_events.py
+++ b/tests/replication/test_events.py
@@ -151,11 +151,11 @@
     )
     events = Events()
     events.record(event)
-    EventLog(events)()
+    EventLog(events).write()
     ((kind, recorded),) = lines
     assert kind == message_type(event)
     assert kind.startswith("replication:")
     assert set(recorded) == {field.name for field in fields(event)}
     assert all(isinstance(value, str | int | float | list) for value in recorded.values())
-    EventLog(events)()
+    EventLog(events).write()
     assert len(lines) == 1
