--- a/tests/replication/conftest.py
+++ b/tests/replication/conftest.py
@@ -1,4 +1,4 @@
-"""Set-ups that the tests of the replication share."""
+"""Fixtures of the replication's tests."""
 
 from __future__ import annotations
 
--- a/tests/replication/deployment.py
+++ b/tests/replication/deployment.py
@@ -232,7 +232,7 @@
                 self.end(machine, is_lost=True)
 
     def end(self, machine: Machine, is_lost: bool) -> None:
-        """A process has ended by itself; its machine may be gone with it, if that is tolerated or no loss."""
+        """A process has ended by itself; its machine is removed with it, if that is tolerated or no loss."""
         newest = self.newest()
         is_witness = newest is None or machine.node.me.id in newest.witness_ids
         no_loss = not (is_witness or is_lost or self.lost_witnesses(but=machine)) and self.is_complete()
--- a/tests/replication/test_bootstrap.py
+++ b/tests/replication/test_bootstrap.py
@@ -57,7 +57,7 @@
         }
 
 
-# the pieces, first: guards stop at their first failing test
+# Single parts come first: a run without a guard stops at its first failing test.
 
 
 ME, B, C, D, E = (Store(name, f"10.0.0.{n}:1", f"10.0.0.{n}:2", f"z-{n}") for n, name in enumerate("abcde"))
@@ -91,7 +91,7 @@
     return EpochChange(ME, Term(5, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0, unanimous=ids)
 
 
-def prepared_by_all(accepted: Epoch | None) -> Prepared:
+def prepared_message(accepted: Epoch | None) -> Prepared:
     return Prepared(Term(5, "a"), accepted, Term(0, ""), 0)
 
 
@@ -102,9 +102,9 @@
 def test_core_without_a_founder_needs_the_promise_of_all():
     change = unanimous()
     for store_id in ("a", "b"):
-        assert not change.receive(store_id, prepared_by_all(None), ControlState())
+        assert not change.receive(store_id, prepared_message(None), ControlState())
     assert not change.repeat(ControlState())[1:], "C is asked again, and nobody to accept"
-    assert change.receive("c", prepared_by_all(None), ControlState())
+    assert change.receive("c", prepared_message(None), ControlState())
     assert change.proposed
     assert not change.newer
 
@@ -112,8 +112,8 @@
 def test_core_is_not_bootstrapped_over_an_epoch_that_one_store_knows():
     change = unanimous()
     for store_id in ("a", "b"):
-        change.receive(store_id, prepared_by_all(None), ControlState())
-    assert not change.receive("c", prepared_by_all(epoch(B, C)), ControlState())
+        change.receive(store_id, prepared_message(None), ControlState())
+    assert not change.receive("c", prepared_message(epoch(B, C)), ControlState())
     assert change.newer == epoch(B, C)
     assert not change.proposed
 
--- a/tests/replication/test_double_losses.py
+++ b/tests/replication/test_double_losses.py
@@ -54,7 +54,7 @@
             self.stop(machine)
 
     def replace(self, machine: Machine) -> None:
-        """Another one comes in the place of one that is gone for good, if that loss is tolerated."""
+        """Another machine replaces one that is lost for good, if that loss is tolerated."""
         if self.may_wipe(machine):
             self.machines.remove(machine)
             machine.node = None
--- a/tests/replication/test_exhaustive.py
+++ b/tests/replication/test_exhaustive.py
@@ -90,13 +90,13 @@
 
 
 def state_of_candidate(node: Node) -> tuple[object, ...]:
-    """What tells a candidate from another one, with the times at which it sends once more."""
+    """What distinguishes a candidate from another one, with the time at which it sends once more."""
     candidate = node.candidate
     return candidate.epoch_change, candidate.reason, node.context.pre_votes, candidate._resend_at
 
 
 def state_of(world: World) -> str:
-    """What tells a state from another one, but for clocks."""
+    """What distinguishes a state from another one, but for clocks."""
     parts = [str(world.pending), str([write.acknowledged for write in world.writes])]
     for machine in world.machines:
         node = machine.node
--- a/tests/replication/test_hard_cases.py
+++ b/tests/replication/test_hard_cases.py
@@ -21,7 +21,7 @@
 
 
 def _two_candidates(core: ServingCore, restart: bool) -> None:
-    """C has promised itself to B. A, whose term is older, must not get C's vote any more."""
+    """C has prepared B's term. A, whose term is older, must not get C's vote any more."""
     a, b, c = core.a, core.b, core.c
     base = b.node.durable.accepted_epoch
     b.node.context.pre_votes.newest_term = Term(base.term.number, "")
@@ -118,7 +118,7 @@
 
 
 def a_read_is_confirmed_after_it_was_asked(core: ServingCore) -> None:
-    """A is cut off and still takes itself for primary: it must not answer reads."""
+    """A is partitioned and still takes itself for primary: it must not answer reads."""
     a, b, c = core.a, core.b, core.c
     core.run_candidate(b, c)
     assert core.acknowledge(b, c)
--- a/tests/replication/test_stored.py
+++ b/tests/replication/test_stored.py
@@ -61,7 +61,7 @@
     core.exchange_all(a, b)
     core.check()
     assert core.writes[-1].acknowledged
-    disk.rng.random = lambda: 0.1  # at a loss of power all later writes are gone
+    disk.rng.random = lambda: 0.1  # at a loss of power all later writes are lost
     core._end = lambda machine: disk.lose_power()
     core.stop(b)
     core.wipe(a)
--- a/tests/replication/world.py
+++ b/tests/replication/world.py
@@ -125,7 +125,7 @@
             self.partitioned = {(one, other)} if self.rng.random() < 0.5 else {(one, other), (other, one)}
 
     def _partition_halves(self) -> None:
-        """Cut some off from all others, both ways or one way."""
+        """Partition some from all others, both ways or one way."""
         ids = [machine.node.me.id for machine in self.machines if machine.node]
         if self.partitioned:
             self.partitioned.clear()
@@ -162,7 +162,7 @@
             self.start(machine)
 
     def _replace(self) -> None:
-        """Another machine comes in the place of one: planned, before that one leaves, or after it is gone."""
+        """Another machine replaces one: planned, before that one shuts down, or after it is lost."""
         up = [machine for machine in self.machines if machine.node and machine.leaving_since is None]
         if not up:
             return
