--- a/fordtrestle/control_api/commands.py
+++ b/fordtrestle/control_api/commands.py
@@ -31,15 +31,15 @@
 # nothing for so long is partitioned.
 CONFIRM_TIMEOUT_S = 2.0
 
-# Callers go elsewhere after a second of silence (PROTOCOL: the operator's API). What an evacuation does rests
-# on no version, so one that has waited for longer might undo what came after it.
+# Callers try another process after a second without an answer (PROTOCOL: the operator's API). An evacuation
+# builds on no generation, so one that has waited for longer might undo what came after it.
 EVACUATION_DEADLINE_S = 0.9
 
 # Commands at a time, each with a body in memory; a caller beyond them is asked to come back.
 MAX_WAITING_COMMANDS = 64
 
 # Documents up to this length, request and state together, are evaluated on the event loop. Longer ones go to
-# a thread: checking them takes longer than a primary may be silent.
+# a thread: checking them takes longer than a primary may leave out heartbeats.
 MAX_INLINE_BYTES = 64 * 1024
 
 
@@ -95,7 +95,7 @@
     async def _change_config(self, request: ConfigRequest, state: ControlState) -> CommandResult:
         evaluated = await self._evaluate(request, state)
         if isinstance(evaluated, ConfigChange):
-            # The caller may have gone elsewhere meanwhile, and sent something else there.
+            # The caller may have tried another process meanwhile, and sent something newer there.
             return await self._write(evaluated, state) if request.is_caller_waiting() else self._not_done()
         return evaluated if await self._confirm_leadership() else self._not_done()
 
@@ -109,7 +109,7 @@
         self, request: EvacuationRequest, deadline: float, state: ControlState
     ) -> CommandResult:
         # Confirmed also before a write: a process that stood still with this call in its queue reads during
-        # the round trip that its caller has gone.
+        # the round trip that its caller has disconnected.
         if not await self._confirm_leadership():
             return self._not_done()
         if (request.zone in state.evacuated) == request.active:
@@ -125,7 +125,7 @@
     ) -> CommandResult:
         """Execute a command on the newest state once all commands before it are through.
 
-        A command whose caller has gone before its turn came is not executed: the caller may have sent it to
+        A command whose caller disconnects before its turn is not executed: the caller may have sent it to
         another process, and something newer after it.
         """
         if not self._node.is_primary:
@@ -155,10 +155,10 @@
 
     async def _committed_state(self) -> ControlState | None:
         """The state, once all of it is on all replicas; nothing where that takes too long."""
-        await self._replicator.wait_until(self._is_settled, COMMIT_TIMEOUT_S)
+        await self._replicator.wait_until(self._is_state_committed, COMMIT_TIMEOUT_S)
         return self._node.committed_state if self._node.is_ready else None
 
-    def _is_settled(self) -> bool:
+    def _is_state_committed(self) -> bool:
         """Whether all of the state is committed, or another store's concern."""
         node = self._node
         return not node.is_primary or (node.committed_state is not None and node.is_ready)
--- a/fordtrestle/control_api/evaluation.py
+++ b/fordtrestle/control_api/evaluation.py
@@ -31,8 +31,8 @@
 def evaluate(request: ConfigRequest, state: ControlState) -> CommandResult | ConfigChange:
     """Evaluate a configuration request on a state.
 
-    A call that was applied is never refused when it comes again, also once it is too long ago to be told from
-    another call for sure: its answer is `UNKNOWN` then.
+    A call that was applied is never refused when it comes again. Where that was so long ago that only a
+    prefix of its digest is known, another call may have the same prefix, and the result is `UNKNOWN`.
 
     Args:
         request: The operator's call.
--- a/fordtrestle/control_api/http.py
+++ b/fordtrestle/control_api/http.py
@@ -190,7 +190,8 @@
 def is_connected(request: web.Request) -> bool:
     """Whether a call's connection is still there, as far as this process has read.
 
-    A caller may have gone all the same: what it sent as it left is seen only once the event loop reads it.
+    A caller may have disconnected all the same: the end of its connection is known only once the event loop
+    has read it.
     """
     transport = request.transport
     return transport is not None and not transport.is_closing()
--- a/fordtrestle/control_api/withdrawals.py
+++ b/fordtrestle/control_api/withdrawals.py
@@ -59,8 +59,8 @@
     async def confirm(self, instance: str) -> bool:
         """Whether a majority of the core holds that this incarnation is to get nothing more.
 
-        Guards against a process that is cut off: its own gossip reaches nobody, and an acknowledgement of it
-        alone would let sidecars go on sending to a server that has gone.
+        Guards against a process that is partitioned: its own gossip reaches nobody, and an acknowledgement of
+        it alone would let sidecars go on sending to a server that has departed.
 
         Args:
             instance: The incarnation of a server.
@@ -82,9 +82,9 @@
         return True
 
     def on_confirm(self, link: Link, message: Confirm) -> None:
-        """Hold a withdrawal for another control process, pass it on, and say so.
+        """Hold a withdrawal for another control process, pass it on, and confirm that.
 
-        Nothing is said where the catalog had no room for it, or holds an older version still.
+        Nothing is answered where the catalog was full, or still holds an older version.
         """
         self._gossip.publish([message.item], source=link)
         held = self._gossip.catalog.get(message.item.key)
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -43,7 +43,7 @@
 
 
 def _must_bootstrap(boot: BootSettings) -> bool:
-    """Whether a new store of this process bootstraps the core: the first seed alone may, where told to."""
+    """Whether a new store of this process bootstraps the core: only the first seed's, as the settings say."""
     is_first_seed = bool(boot.seeds) and boot.listen["control"] == boot.seeds[0]
     return boot.bootstrap and is_first_seed
 
--- a/fordtrestle/roles/control_process.py
+++ b/fordtrestle/roles/control_process.py
@@ -1,4 +1,4 @@
-"""The parts of one control process, and what each is told of the others.
+"""The parts of one control process, and how they work together.
 
 `control.py` opens what they need, serves their endpoints and ends them in order.
 """
@@ -34,13 +34,13 @@
 from fordtrestle.settings.records import BootSettings
 from fordtrestle.storage.log import RecordLog
 
-# Between two looks for servers whose heartbeats have stopped: a fraction of the second that those are apart.
+# Between two checks for servers whose heartbeats have stopped: a fraction of the second that those are apart.
 HEARTBEAT_CHECK_S = 0.3
 
-# How long a process that leaves serves on at least, for the announcement of it to reach the others.
+# For which a process serves on at least, so that its announcement reaches the others.
 MIN_LEAVE_S = 0.3
 
-# Between two looks whether this process can leave. It depends on time, too, so no event tells of it.
+# Between two checks whether this process can leave. That depends on time, too: no event could announce it.
 LEAVE_CHECK_S = 0.05
 
 NOTHING_PUBLISHED = -1  # below all sequences and epochs
@@ -85,7 +85,7 @@
         )
 
     def make_directory(self, boot: BootSettings) -> Directory:
-        """The endpoint that tells clients which sidecar to connect to."""
+        """The endpoint where clients look up which sidecar to connect to."""
         return Directory(
             self.process.gossip.catalog,
             self.process.in_touch,
@@ -121,8 +121,8 @@
     async def leave(self) -> None:
         """Serve on until others hold what this store holds, under an epoch without it.
 
-        A store that ended as soon as it is told to would take the only other copy of a write with it where a
-        replica is lost next.
+        A store that ended at once would take one of the copies of each write with it: the next loss could
+        then be one too many.
         """
         loop = asyncio.get_running_loop()
         self.node.leave(loop.time())
--- a/fordtrestle/roles/metrics.py
+++ b/fordtrestle/roles/metrics.py
@@ -15,7 +15,7 @@
 from fordtrestle.replication.events import Events
 
 Figures = Mapping[str, float]  # by name, without the prefix
-PREFIX = "fordtrestle_"  # of each name, so that those of other programs are told apart
+PREFIX = "fordtrestle_"  # of each name: dashboards show other programs, too
 
 
 def render(figures: Figures) -> str:
