--- a/tests/cli/test_ctl.py
+++ b/tests/cli/test_ctl.py
@@ -9,7 +9,7 @@
 
 from fordtrestle import cli
 from fordtrestle.cli import ctl
-from tests.control_api.test_exchanges import BEAT, CONFIG, Stage
+from tests.control_api.test_exchanges import CONFIG, HEARTBEAT, Stage
 from tests.exchanges import Client, loopback, request
 
 
@@ -34,7 +34,7 @@
         codes.append(await called(*at, "config", "get"))
         codes.append(await called(*at, "config", "put", str(file), "--base", "4"))
         async with Client(stage.port) as server:
-            await server.exchange(request("POST", "/v1/instances/i-1/heartbeat", json.dumps(BEAT)))
+            await server.exchange(request("POST", "/v1/instances/i-1/heartbeat", json.dumps(HEARTBEAT)))
         codes.append(await called(*at, "servers"))
         codes.append(await called(*at, "evacuate", "start", "z-1"))
         codes.append(await called(*at, "--json", "epoch"))
--- a/tests/control_api/test_exchanges.py
+++ b/tests/control_api/test_exchanges.py
@@ -39,7 +39,7 @@
     "max_attempts": 2,
 }
 CONFIG = {"generation": 3, "routes": [ROUTE], "services": [{"name": "pool", "new_field": 1}], "limits": {}}
-BEAT = {
+HEARTBEAT = {
     "backend": "pool",
     "address": "10.0.0.9:8080",
     "zone": "z-1",
@@ -158,14 +158,16 @@
 @loopback
 async def test_heartbeats_are_taken_and_bad_ones_told_why(tmp_path, snapshot):
     async with Stage(tmp_path) as stage, Client(stage.port) as client:
-        beat = "/v1/instances/i-1/heartbeat"
-        await client.exchange(request("POST", beat, json.dumps(BEAT)))
-        await client.exchange(request("POST", beat, json.dumps({**BEAT, "state": "draining", "sequence": 5})))
-        late = {**BEAT, "sequence": 3}
-        await client.exchange(request("POST", beat, json.dumps(late)))
-        await client.exchange(request("POST", beat, json.dumps({"state": "asleep", "address": "nowhere"})))
-        await client.exchange(request("POST", beat, "{"))
-        await client.exchange(request("POST", beat, "x" * 5000))
+        path = "/v1/instances/i-1/heartbeat"
+        await client.exchange(request("POST", path, json.dumps(HEARTBEAT)))
+        await client.exchange(
+            request("POST", path, json.dumps({**HEARTBEAT, "state": "draining", "sequence": 5}))
+        )
+        late = {**HEARTBEAT, "sequence": 3}
+        await client.exchange(request("POST", path, json.dumps(late)))
+        await client.exchange(request("POST", path, json.dumps({"state": "asleep", "address": "nowhere"})))
+        await client.exchange(request("POST", path, "{"))
+        await client.exchange(request("POST", path, "x" * 5000))
         record, _ = next(stage.gossip.catalog.servers())
         assert record.phase is Phase.DRAINING
         await client.exchange(request("POST", "/v1/instances/i-1/deregister"))
--- a/tests/control_api/test_heartbeats.py
+++ b/tests/control_api/test_heartbeats.py
@@ -6,7 +6,7 @@
 
 from fordtrestle.control_api.heartbeats import HeartbeatMonitor, read_heartbeat
 from fordtrestle.dissemination.catalog import Catalog
-from tests.control_api.test_exchanges import BEAT
+from tests.control_api.test_exchanges import HEARTBEAT
 
 
 class ControlProcess:
@@ -19,7 +19,7 @@
 
     def receive(self, now, **fields):
         """Receive a heartbeat; whether it said something new."""
-        heartbeat = read_heartbeat("i-1", json.dumps({**BEAT, **fields}).encode(), self.name).unwrap()
+        heartbeat = read_heartbeat("i-1", json.dumps({**HEARTBEAT, **fields}).encode(), self.name).unwrap()
         item = self.heartbeats.on_heartbeat(heartbeat, self.catalog, now)
         return bool(item and self.catalog.merge([item], now))
 
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -64,8 +64,8 @@
     "a rewritten file's name is synced before an append": _removal(
         LOG, LOG_TESTS, "            if not self._is_folder_synced:\n", "            if False:\n"
     ),
-    "a torn tail is cut off": _removal(LOG, LOG_TESTS, "            os.ftruncate(self._file, self.size)\n"),
-    "a refused append is cut off before the next": _removal(
+    "a torn tail is truncated": _removal(LOG, LOG_TESTS, "            os.ftruncate(self._file, self.size)\n"),
+    "a refused append is truncated before the next": _removal(
         LOG, LOG_TESTS, "            if self._has_refused_tail:\n", "            if False:\n"
     ),
     "a record's checksum is compared": _removal(
@@ -131,10 +131,10 @@
         "            return self._not_done()\n        if (request.zone",
         "            pass\n        if (request.zone",
     ),
-    "a call that was taken is acknowledged again": _removal(
+    "an applied call is acknowledged again": _removal(
         EVALUATION, CONTROL_API_TESTS, "    if state.has_applied(digest):\n", "    if False:\n"
     ),
-    "a call that may have been taken is not refused": _removal(
+    "a call that may have been applied is not refused": _removal(
         EVALUATION,
         CONTROL_API_TESTS,
         "CommandStatus.UNKNOWN if may_be_applied else CommandStatus.STALE",
@@ -214,19 +214,19 @@
         "        return state is not None and state.sequence >= sequence\n",
         "        return self._node.durable.state.sequence >= sequence\n",
     ),
-    "a change whose caller has left does not act": _removal(
+    "a change whose caller has left is not written": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "return await self._write(evaluated, state) if request.is_caller_waiting() else self._not_done()",
         "return await self._write(evaluated, state)",
     ),
-    "an evacuation whose caller has left does not act": _removal(
+    "an evacuation whose caller has left is not written": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "        if not request.is_caller_waiting() or self._replicator.now() > deadline:\n",
         "        if False:\n",
     ),
-    "a change is written on the state that it was judged on": _removal(
+    "a change is written on the state that it was evaluated on": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "        if node.committed_state is not evaluated_on:\n",
@@ -241,13 +241,13 @@
         "        if self._waiting >= MAX_WAITING_COMMANDS:\n",
         "        if False:\n",
     ),
-    "callers are sent on to a primary that was heard lately alone": _removal(
+    "callers are redirected only to a primary that was heard lately": _removal(
         "replication/failure_detector.py",
         CONTROL_API_TESTS,
         " or now - self.heard_at > ELECTION_TIMEOUT_S:\n            return None",
         ":\n            return None",
     ),
-    "nobody is sent on to a primary that has said that it ends": _removal(
+    "nobody is redirected to a primary that resigned": _removal(
         "replication/failure_detector.py", CONTROL_API_TESTS, " or primary.id == self._lost or now", " or now"
     ),
     "a withdrawal is acknowledged once a majority holds it": _removal(
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import contextlib
 from pathlib import Path
 
 import pytest
@@ -98,6 +99,14 @@
     return disk
 
 
+@contextlib.contextmanager
+def refusing(disk, *calls):
+    """The disk refuses these calls, and takes them again afterwards."""
+    disk.refuse = set(calls)
+    yield
+    disk.refuse = set()
+
+
 def opened(disk):
     """The file as a process that has just started finds it."""
     log = RecordLog(FOLDER)
@@ -108,10 +117,8 @@
 def test_a_refused_append_leaves_the_records_as_they_were(disk, refused):
     log, _ = opened(disk)
     log.append([b"one"])
-    disk.refuse = {refused}
-    with pytest.raises(StorageError):
+    with refusing(disk, refused), pytest.raises(StorageError):
         log.append([b"two"])
-    disk.refuse = set()
     log.append([b"three"])
     disk.lose_power()
     assert opened(disk)[1] == [b"one", b"three"]
@@ -119,12 +126,11 @@
 
 def test_no_record_of_a_refused_append_is_read_behind_the_next_one(disk):
     log, _ = opened(disk)
-    disk.refuse = {"fdatasync", "ftruncate"}
-    with pytest.raises(StorageError):
-        log.append([b"one", b"two"])
-    with pytest.raises(StorageError):
-        log.append([b"six"])
-    disk.refuse = set()
+    with refusing(disk, "fdatasync", "ftruncate"):
+        with pytest.raises(StorageError):
+            log.append([b"one", b"two"])
+        with pytest.raises(StorageError):
+            log.append([b"six"])
     log.append([b"six"])
     disk.kill()
     assert opened(disk)[1] == [b"six"]
@@ -134,10 +140,8 @@
 def test_a_refused_rewrite_leaves_the_old_file_in_force(disk, refused):
     log, _ = opened(disk)
     log.append([b"one"])
-    disk.refuse = {refused}
-    with pytest.raises(StorageError):
+    with refusing(disk, refused), pytest.raises(StorageError):
         log.rewrite([b"all"])
-    disk.refuse = set()
     log.append([b"two"])
     disk.lose_power()
     assert opened(disk)[1] == [b"one", b"two"]
@@ -155,10 +159,8 @@
 def test_a_folder_that_was_not_synced_is_synced_before_the_next_append(disk, seed):
     disk.rng.seed(seed)
     log, _ = opened(disk)
-    disk.refuse = {"fsync-folder"}
-    with pytest.raises(StorageError):
+    with refusing(disk, "fsync-folder"), pytest.raises(StorageError):
         log.rewrite([b"all"])
-    disk.refuse = set()
     log.append([b"two"])
     disk.lose_power()
     assert opened(disk)[1] == [b"all", b"two"]
@@ -195,10 +197,8 @@
 def test_a_name_that_a_killed_process_did_not_sync_is_synced_as_its_file_is_read(disk):
     log, _ = opened(disk)
     log.append([b"one"])
-    disk.refuse = {"fsync-folder"}
-    with pytest.raises(StorageError):
+    with refusing(disk, "fsync-folder"), pytest.raises(StorageError):
         log.rewrite([b"all"])
-    disk.refuse = set()
     disk.kill()
     log, found = opened(disk)
     assert found == [b"all"]
