--- a/tests/dissemination/test_broadcast.py
+++ b/tests/dissemination/test_broadcast.py
@@ -85,11 +85,11 @@
 def test_children_of_unresponsive_parents_get_items_over_other_links():
     """Four of five control processes lose all: the primary reaches the others without them."""
     network = converged_network()
-    silent = {"core-1", "core-2", "core-3", "core-4"}
-    lose_messages(network, {link for link in links(network) if silent & set(link)})
+    unresponsive = {"core-1", "core-2", "core-3", "core-4"}
+    lose_messages(network, {link for link in links(network) if unresponsive & set(link)})
     network.publish("core-0", control_update(2))
     network.run(MAX_PROPAGATION_S)
-    assert network.reached(control_update(2)) == len(network.peers) - len(silent)
+    assert network.reached(control_update(2)) == len(network.peers) - len(unresponsive)
 
 
 def test_a_process_catches_up_after_a_partition_and_versions_never_go_back():
@@ -176,9 +176,9 @@
     """Its tombstone has expired here and not there: it would not be taken back, and requested without end."""
     catalog = Catalog()
     me = Broadcast(catalog)
-    gone = server_item(DEPARTED_SERVER, 1)
-    me.publish([gone], [], 0.0)
+    departed = server_item(DEPARTED_SERVER, 1)
+    me.publish([departed], [], 0.0)
     catalog.expire(TOMBSTONE_S + 1.0)
-    assert catalog.get(gone.key) is None
-    me.on_message(Offer(((gone.key, gone.version),)), ["a"], TOMBSTONE_S + 1.0, "a")
+    assert catalog.get(departed.key) is None
+    me.on_message(Offer(((departed.key, departed.version),)), ["a"], TOMBSTONE_S + 1.0, "a")
     assert me.due_at() is None
--- a/tests/peer/test_versions.py
+++ b/tests/peer/test_versions.py
@@ -158,12 +158,12 @@
 
 
 def test_lacking_fields_have_their_defaults_and_unknown_ones_are_left_out():
-    told = Epoch(Term(3, "a"), "a", ("a",), (), core="c")
-    tag, values = fields_of(told)
-    longer = decode(cbor2.dumps(cbor2.CBORTag(tag, [*values, "later"])))
-    assert longer == told
-    shorter = decode(cbor2.dumps(cbor2.CBORTag(tag, values[:-1])))
-    assert shorter.core == UNKNOWN_CORE
+    earlier = Epoch(Term(3, "a"), "a", ("a",), (), core="c")
+    tag, values = fields_of(earlier)
+    with_more = decode(cbor2.dumps(cbor2.CBORTag(tag, [*values, "later"])))
+    assert with_more == earlier
+    with_fewer = decode(cbor2.dumps(cbor2.CBORTag(tag, values[:-1])))
+    assert with_fewer.core == UNKNOWN_CORE
     with pytest.raises(CodecError):
         decode(cbor2.dumps(cbor2.CBORTag(tag, values[:3])))
 
@@ -178,8 +178,8 @@
 
 def test_an_announce_of_the_version_before_has_no_core():
     tag, values = fields_of(Announce("s", True, False, "c", True))
-    told = decode(cbor2.dumps(cbor2.CBORTag(tag, values[:3])))
-    assert (told.core, told.is_founder) == (UNKNOWN_CORE, False)
+    earlier = decode(cbor2.dumps(cbor2.CBORTag(tag, values[:3])))
+    assert (earlier.core, earlier.is_founder) == (UNKNOWN_CORE, False)
 
 
 @loopback
