--- /dev/null
+++ b/fordtrestle/proxy/http/response_buffers.py
@@ -0,0 +1,63 @@
+"""Bytes held for responses that come in pieces: each is granted as a whole, or waits with its server."""
+
+from __future__ import annotations
+
+import asyncio
+
+from fordtrestle.proxy.engine.limits import Part
+from fordtrestle.proxy.http.upstream_connection import UpstreamConnection
+
+# Until responses that wait for memory are looked at again. Short beside any response time, and far longer
+# than a look takes.
+BUFFER_RETRY_S = 0.01
+
+
+class ResponseBuffers:
+    """Grants memory to responses in the order in which they began.
+
+    All or nothing: guards against responses that each hold a part and wait for one another's rest.
+    """
+
+    def __init__(self, loop: asyncio.AbstractEventLoop, buffered: Part) -> None:
+        """Hold nothing yet.
+
+        Args:
+            loop: Calls when waiting responses are looked at again.
+            buffered: The bytes that may be held.
+        """
+        self._loop = loop
+        self._buffered = buffered
+        self._waiting: dict[UpstreamConnection, int] = {}  # and for how many bytes
+        self._retry: asyncio.TimerHandle | None = None
+
+    def reserve(self, connection: UpstreamConnection, size_bytes: int) -> bool:
+        """Take memory for a response that has begun.
+
+        Returns:
+            Whether there is enough now; if not, the connection's `resume_reading` is called once there is.
+        """
+        if not self._waiting and self._buffered.take(size_bytes):
+            connection.buffered_bytes = size_bytes
+            return True
+        if self._retry is None:
+            self._retry = self._loop.call_later(BUFFER_RETRY_S, self._retry_buffers)
+        self._waiting[connection] = size_bytes
+        return False
+
+    def release(self, connection: UpstreamConnection) -> None:
+        """Give back the memory of a response, or its place among those that wait."""
+        self._buffered.give(connection.buffered_bytes)
+        connection.buffered_bytes = 0
+        self._waiting.pop(connection, None)
+
+    def _retry_buffers(self) -> None:
+        """Let waiting responses go on, in the order in which they began, as far as there is memory."""
+        self._retry = None
+        while self._waiting:
+            connection, size_bytes = next(iter(self._waiting.items()))
+            if not self._buffered.take(size_bytes):
+                self._retry = self._loop.call_later(BUFFER_RETRY_S, self._retry_buffers)
+                return
+            del self._waiting[connection]
+            connection.buffered_bytes = size_bytes
+            connection.resume_reading()
--- a/fordtrestle/proxy/http/upstream_connection.py
+++ b/fordtrestle/proxy/http/upstream_connection.py
@@ -107,7 +107,7 @@
     def __init__(self, owner: ConnectionOwner, server: UpstreamServer) -> None:
         self._owner = owner
         self.server = server
-        self.idle_since = 0.0
+        self.idle_since_ms = 0.0
         self._parser = wire.ResponseParser()
         self._transport: asyncio.Transport
         self._watch: stream.ReadableWatch
--- a/tests/proxy/daemon/test_long.py
+++ b/tests/proxy/daemon/test_long.py
@@ -48,7 +48,7 @@
         assert not sidecar.front._calls
         assert not sidecar.front.table.at_rest
         await until(lambda: pool._connections == {c for s in pool._servers.values() for c in s.idle})
-        assert not pool._opening
+        assert not pool._dialer.connecting
         assert not module._requests
         assert len(module._key_counts) <= len(module._keys) <= balancer.KEY_MEMORY
         assert module._resting.keys() <= module._servers.keys()
--- a/tests/proxy/daemon/test_overload.py
+++ b/tests/proxy/daemon/test_overload.py
@@ -96,7 +96,7 @@
         app = await App.connect(sidecar.address)
         assert status_of(await app.ask()) == 200
         (idle,) = sidecar.pool._idle
-        idle.idle_since -= 2000.0
+        idle.idle_since_ms -= 2000.0
         rules = [
             Rule(Action.SHRINK_POOLS, Monitor.DESCRIPTORS, 1e-9, 0.0),
             Rule(Action.STOP_OPTIONAL, Monitor.DESCRIPTORS, 1e-9, 0.0),
--- a/tests/proxy/http/test_client_gone.py
+++ b/tests/proxy/http/test_client_gone.py
@@ -10,7 +10,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Fail, Outcome, Refuse, Send, Timer
-from fordtrestle.proxy.http import client_connection, connection_pool, stream
+from fordtrestle.proxy.http import client_connection, idle_connections, stream
 from fordtrestle.proxy.http import server as server_module
 from fordtrestle.proxy.http.client_connection import ClientConnection
 from tests import loopback as partners
@@ -26,7 +26,7 @@
 @pytest.fixture
 def no_settling(monkeypatch):
     """A connection may be used again at once."""
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
+    monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
 
 
 @pytest.fixture
--- a/tests/proxy/http/test_dials.py
+++ b/tests/proxy/http/test_dials.py
@@ -12,7 +12,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Cancel, Outcome, Send
-from fordtrestle.proxy.http import connection_pool
+from fordtrestle.proxy.http import idle_connections
 from fordtrestle.proxy.http.upstream_connection import UpstreamConnection
 from tests.loopback import (
     OK,
@@ -33,7 +33,7 @@
 async def nothing_leaks(sidecar):
     """No dial and no connection is left but those accounted for."""
     pool = sidecar.pool
-    await until(lambda: not pool._opening and not sidecar.driver._requests)
+    await until(lambda: not pool._dialer.connecting and not sidecar.driver._requests)
     await until(lambda: pool.budget.descriptors.held == len(pool._connections))
     assert pool._connections == set(pool._idle)
 
@@ -89,7 +89,7 @@
         assert (await app.answer()).start.split(" ")[1] == "502"
         assert module.outcomes() == [(0, Outcome.TIMEOUT, False)]
         # What had come up by then is closed by the one who made it.
-        await until(lambda: not sidecar.pool._opening)
+        await until(lambda: not sidecar.pool._dialer.connecting)
         assert upstream.seen == []
 
 
@@ -100,7 +100,7 @@
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
-        sidecar.pool._connect_timeout_s = 0.05
+        sidecar.pool._dialer.connect_timeout_s = 0.05
         loop = asyncio.get_running_loop()
         real = loop.sock_connect
 
@@ -139,7 +139,7 @@
         async with running(upstream, balancer=module, PolicyLimits=limits) as sidecar:
             app = await App.connect(sidecar.address)
             app.send(X_Budget="300m")
-            await until(lambda: sidecar.pool._opening)
+            await until(lambda: sidecar.pool._dialer.connecting)
             assert sidecar.pool.budget.descriptors.held == 1
             assert (await app.answer()).start.split(" ")[1] == "504"
             assert module.outcomes()[0][1] in (Outcome.TIMEOUT, Outcome.CANCELLED)  # if it stood still
@@ -154,7 +154,7 @@
     with silent() as (host, port):
         upstream.address = f"{host}:{port}"
         async with running(upstream, balancer=module) as sidecar:
-            sidecar.pool._connect_timeout_s = 0.05
+            sidecar.pool._dialer.connect_timeout_s = 0.05
             app = await App.connect(sidecar.address)
             assert (await app.ask()).start.split(" ")[1] == "502"
             assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
@@ -167,12 +167,12 @@
 @pytest.fixture
 def ends_behind_the_look(monkeypatch):
     """A server ends a kept connection between the look at it and the write: `ends.append(how to)`."""
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
+    monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
     ends, real = [], UpstreamConnection.is_available
 
     def is_available(connection):
         was = real(connection)
-        if ends and connection.idle_since:
+        if ends and connection.idle_since_ms:
             poll = select.poll()
             poll.register(connection._transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
             ends.pop()()
@@ -232,7 +232,7 @@
 
 @virtual
 async def test_a_reset_behind_the_write_fails_an_unsafe_request(monkeypatch):
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
+    monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
     upstream = await Upstream([OK, break_off, OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/proxy/http/test_hard_cases.py
+++ b/tests/proxy/http/test_hard_cases.py
@@ -12,7 +12,7 @@
 from fordtrestle.balancer.model import Cancel, Outcome, Send
 from fordtrestle.proxy.engine.connections import ConnectionTable, Standing, TableOptions
 from fordtrestle.proxy.engine.limits import Limits
-from fordtrestle.proxy.http import connection_pool
+from fordtrestle.proxy.http import idle_connections
 from fordtrestle.proxy.http import server as server_module
 from fordtrestle.proxy.http.client_connection import ClientConnection
 from tests.loopback import OK, App, Scripted, Upstream, hang, request, running, until
@@ -57,7 +57,7 @@
         for _ in range(5):
             app = await App.connect(sidecar.address)
             app.send(X_Budget="50m")
-            await until(lambda: not sidecar.pool._opening)
+            await until(lambda: not sidecar.pool._dialer.connecting)
         await until(lambda: len(module.outcomes()) == 5)
         assert sidecar.pool.budget.descriptors.held == len(sidecar.pool._connections) == 0
 
@@ -339,7 +339,7 @@
 
 @virtual
 async def test_a_second_answer_that_comes_before_the_connection_is_used_again_marks_nothing(monkeypatch):
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 60_000.0)
+    monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 60_000.0)
 
     async def twice(reader, writer):
         asyncio.get_running_loop().call_later(0.005, writer.write, OK)
--- a/tests/proxy/http/test_restarts.py
+++ b/tests/proxy/http/test_restarts.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Outcome
-from fordtrestle.proxy.http import connection_pool
+from fordtrestle.proxy.http import idle_connections
 from tests.loopback import OK, App, Scripted, Upstream, entry, running, until
 from tests.proxy.http.test_client_gone import Held
 from tests.proxy.http.test_upstream import failing, news, pooled
@@ -20,7 +20,7 @@
 @pytest.fixture(autouse=True)
 def no_settling(monkeypatch):
     """A connection may be used again at once."""
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
+    monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
 
 
 def hear(sidecar, *entries):
@@ -66,7 +66,7 @@
         elif what == "moved":
             hear(sidecar, entry("s0", new.address))
         elif what == "left and back elsewhere":
-            (dialled,) = sidecar.pool._opening.values()
+            (dialled,) = sidecar.pool._dialer.connecting.values()
             hear(sidecar, entry("s0", status="left"))
             dialled.closed_from_ms = sidecar.driver._clock.now()  # its grace is over
             hear(sidecar, entry("s0", new.address))
--- a/tests/proxy/http/test_settle.py
+++ b/tests/proxy/http/test_settle.py
@@ -144,7 +144,7 @@
         await app.ask()
         (connection,) = sidecar.pool._connections
         sidecar.pool.apply_options(options(connect_timeout_ms=9.0))
-        assert sidecar.pool._connect_timeout_s == 0.009
+        assert sidecar.pool._dialer.connect_timeout_s == 0.009
         assert list(sidecar.pool._connections) == [connection]
         sidecar.pool.apply_options(options(idle_close_ms=20.0, report_fields=()))
         await until(lambda: not sidecar.pool._connections)
--- a/tests/proxy/http/test_upstream.py
+++ b/tests/proxy/http/test_upstream.py
@@ -12,7 +12,8 @@
 from fordtrestle.proxy.config import platform_config
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.limits import Limits
-from fordtrestle.proxy.http import connection_pool
+from fordtrestle.proxy.http import idle_connections
+from fordtrestle.proxy.http.connection_pool import ConnectionPool
 from fordtrestle.proxy.http.upstream_connection import UpstreamConnection, UpstreamExchange
 from fordtrestle.proxy.membership.list_format import parse_list
 from tests.loopback import (
@@ -44,7 +45,7 @@
 @pytest.fixture
 def no_settling(monkeypatch):
     """Connections may be used again at once: for tests of what else decides that."""
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 0.0)
+    monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
 
 
 def failing(now, number, hop, status, spent, last, report):
@@ -107,7 +108,7 @@
     """Guards against a second copy or noise that is read once the next request is out: until a
     connection has stood quiet for a moment it carries none.
     """
-    monkeypatch.setattr(connection_pool, "REUSE_DELAY_MS", 60_000.0)
+    monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 60_000.0)
     upstream = await Upstream([OK, OK, SECOND]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -213,7 +214,7 @@
 def pooled(upstream):
     loop = asyncio.get_running_loop()
     budget = Limits(100, 2**20, 100).budget("servers")
-    pool = connection_pool.ConnectionPool(
+    pool = ConnectionPool(
         loop, Clock(loop), platform_config.pool_options(make_platform_config([upstream])), budget
     )
     pool.update(0.0, True, news(entry("s0", upstream.address)))
@@ -407,11 +408,11 @@
         app = await App.connect(sidecar.address)
         await app.ask()
         (connection,) = sidecar.pool._servers["s0"].idle
-        connection.idle_since -= 360.0
+        connection.idle_since_ms -= 360.0
         assert (await app.ask()).body == b"done"
         assert [seen.connection for seen in upstream.seen] == [0, 1]
         await until(lambda: not sidecar.pool._servers["s0"].idle)
-        await until(lambda: not sidecar.pool._sweeping)
+        await until(lambda: not sidecar.pool._is_sweeping)
 
 
 @pytest.mark.usefixtures("no_settling")
