--- a/fordtrestle/proxy/daemon/process.py
+++ b/fordtrestle/proxy/daemon/process.py
@@ -146,7 +146,7 @@
         )
         for front in pressed:
             front.wake = self.overload.wake
-            front.status_body = self._status
+            front.intake.status_body = self._status
 
     async def start(self) -> dict[str, list[Address]]:
         """Be ready, then listen; the addresses bound, by front. `OSError` where one can't be."""
--- a/fordtrestle/proxy/daemon/standalone.py
+++ b/fordtrestle/proxy/daemon/standalone.py
@@ -88,7 +88,7 @@
             bytes_most = spec.trace_mb_most * 2**20
             recording = Recording(Path(spec.trace_file), bytes_most, front_options.names, self._clock.now)
             self._recordings.append(recording)
-            front.record = recording.note
+            front.intake.record = recording.note
         return FrontAt(front, spec.listen)
 
     def _source(self, name: str) -> Callable[[UpdateListener], Source]:
--- a/fordtrestle/proxy/http/accept.py
+++ b/fordtrestle/proxy/http/accept.py
@@ -18,31 +18,30 @@
 # else: what was accepted in a turn is looked at before more is.
 MAX_ACCEPTS_PER_TURN = 16
 MIN_LAG_MS = 20.0  # a loop that runs less late than this has kept nobody waiting
-ACCEPT_PAUSE_S = (
-    0.05  # the longest wait of a connection for a descriptor; it counts against its first request
-)
-
-
+# The longest wait of a connection for a descriptor. It counts against its first request.
+ACCEPT_PAUSE_S = 0.05
 # accept(2): the process or the system has no descriptor or memory for one. Other errors are of the
 # connection that would have been next.
 SHORTAGE_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-TCP_INFO_QUEUE_OFFSET = (
-    24  # struct tcp_info of a listening socket: its queue of connections not accepted, and its bound
-)
+# Bytes from the start of struct tcp_info. Of a listening socket, two unsigned integers there are its queue of
+# connections not accepted, and that queue's bound (linux/tcp.h: tcpi_unacked, tcpi_sacked).
+TCP_INFO_QUEUE_OFFSET = 24
 
 
 class AcceptPolicy(Protocol):
     """What connections are accepted for, and who finds descriptors for them."""
 
     def take_descriptor(self, certain: bool, urgent: bool) -> Part | None:
-        """The part that the descriptor of a connection about to be accepted was taken from; None: of none.
+        """Take the descriptor of a connection about to be accepted.
+
+        Only where it is `certain` that one waits is somebody evicted; where it is `urgent`, anybody may be.
 
-        Only where it is `certain` that one waits is somebody evicted; where it is `urgent`, anybody may
-        be.
+        Returns:
+            The part that it was taken from; None if there is none.
         """
 
     def on_accepted(self, sock: socket.socket, part: Part, waited_ms: float) -> None:
-        """A connection, which may have waited for so long."""
+        """A connection was accepted; it may have waited for so long."""
 
     @property
     def lag_ms(self) -> float:
@@ -53,7 +52,11 @@
 
 
 def accept_queue(sock: socket.socket) -> tuple[int, int]:
-    """Connections that wait to be accepted, and how many may (tcp(7), TCP_INFO); 0 of 0 if it is closed."""
+    """Read a listening socket's queue from the kernel (tcp(7), TCP_INFO).
+
+    Returns:
+        How many connections wait to be accepted, and how many may; 0 of 0 if the socket is closed.
+    """
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_QUEUE_OFFSET + 8)
         waiting, most = struct.unpack_from("=II", info, TCP_INFO_QUEUE_OFFSET)
@@ -63,9 +66,14 @@
 
 
 class Acceptor:
-    """Accepts at one listening socket, a few connections in each turn of the loop, while descriptors last."""
+    """Accepts at one listening socket, a few connections in each turn of the loop, while descriptors last.
+
+    Attributes:
+        sock: The listening socket.
+    """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, sock: socket.socket, policy: AcceptPolicy) -> None:
+        """Begin to accept; `policy` finds the descriptors and is given the connections."""
         self._loop = loop
         self.sock = sock
         self._policy = policy
@@ -81,8 +89,9 @@
         loop.add_reader(sock.fileno(), self._on_readable)
 
     def pause(self, is_firm: bool = False) -> None:
-        """Accept nothing for a moment: what connects waits in the kernel's backlog. One that is not `firm`
-        is over as soon as there may be a descriptor.
+        """Accept nothing for `ACCEPT_PAUSE_S`: what connects waits in the kernel's backlog.
+
+        A pause that is not firm is over as soon as there may be a descriptor.
         """
         self._is_firm = self._is_firm or is_firm
         if self._pause is None and not self._is_closed:
@@ -92,13 +101,13 @@
             self._pause = self._loop.call_later(ACCEPT_PAUSE_S, self._resume_accepting)
 
     def resume(self) -> None:
-        """There may be a descriptor."""
+        """Go on, unless the pause is firm: there may be a descriptor."""
         if self._pause is not None and not self._is_firm:
             self._pause.cancel()
             self._resume_accepting()
 
     def finish(self, within_s: float) -> None:
-        """Accept what is queued already, and then close; what is there after that long is not taken."""
+        """Accept what is queued already, and then close; after so many seconds nothing more is accepted."""
         if not self._is_closed:
             self._finishing = self._loop.call_later(within_s, self.close)
             self._on_readable()
@@ -138,8 +147,10 @@
                 return
 
     def _accept(self, certain: bool) -> bool:
-        """Accept one connection; whether there may be another. The first of a turn is known to be there:
-        guards against closing somebody for one that is not.
+        """Accept one connection; whether there may be another.
+
+        The first of a turn is known to be there (`certain`): guards against evicting somebody for one that
+        is not.
         """
         full_s = 0.0 if self._full_since_s is None else self._loop.time() - self._full_since_s
         part = self._policy.take_descriptor(certain, full_s >= ACCEPT_PAUSE_S)
@@ -176,7 +187,12 @@
 
 
 class PendingConnection:
-    """A connection that has said nothing: a socket and no more, since most of a crowd stay so."""
+    """A connection that has said nothing: a socket and no more, since most of a flood stay so.
+
+    Attributes:
+        sock: Its socket.
+        entry: Its place in the server's table.
+    """
 
     __slots__ = ("_loop", "_on_closed", "_on_first_bytes", "entry", "sock")
 
@@ -187,14 +203,21 @@
         on_first_bytes: Callable[[PendingConnection, bytes], None],
         on_closed: Callable[[TrackedConnection], None],
     ) -> None:
+        """Wait for the first bytes.
+
+        Args:
+            loop: Watches the socket.
+            sock: The accepted socket.
+            on_first_bytes: Called with this and its first bytes; from then on the socket is the callee's.
+            on_closed: Called once it was closed here.
+        """
         self._loop = loop
         self.sock = sock
         self.entry: TableEntry[TrackedConnection]
         self._on_first_bytes = on_first_bytes
         self._on_closed = on_closed
-        loop.add_reader(
-            sock.fileno(), self._on_readable
-        )  # by number: a socket is described each time it is met
+        # By number: asyncio describes a socket object anew each time that it is met.
+        loop.add_reader(sock.fileno(), self._on_readable)
 
     @property
     def is_idle(self) -> bool:
--- a/fordtrestle/proxy/http/call.py
+++ b/fordtrestle/proxy/http/call.py
@@ -14,19 +14,23 @@
 
 
 class OpenConnection(TrackedConnection, Protocol):
-    """A connection whose client has said something, as its calls and the front see it."""
+    """A connection whose client has said something, as its calls and the server see it.
 
-    buffered_bytes: int  # bytes in the front's accounting
+    Attributes:
+        buffered_bytes: What it holds, by the server's accounting.
+    """
+
+    buffered_bytes: int
 
     @property
     def acknowledged_bytes(self) -> int:
-        """Bytes of answers that its client's kernel has."""
+        """Bytes of responses that its client's kernel has."""
 
     def has_disconnected(self) -> bool:
         """Whether its client has closed or reset it."""
 
     def on_response(self) -> None:
-        """A call has its answer."""
+        """A call has its response."""
 
     def on_call_over(self, call: ClientCall) -> None:
         """Nothing of a request is out any more."""
@@ -35,38 +39,53 @@
         """Answer what can't be read on from, once requests before it are answered."""
 
     def end_after_last(self) -> None:
-        """Read no more requests: it ends with the answer to the last one read."""
+        """Read no more requests: it ends with the response to the last one read."""
 
 
 class ClientCall:
-    """One request on a connection, and its answer once there is one."""
+    """One request on a connection, and its response once there is one.
+
+    Attributes:
+        connection: Which it came on.
+        keep_alive: Whether the connection is kept behind its response.
+        request: What the engine knows it as, while it is open there.
+        response: Status, fields and body, once they are final.
+        traffic_class: Its class, by the index in the settings; also `tenant`.
+        key: A number that requests of the same user have in common.
+        work: What it is expected to cost, in seconds of a server's work.
+        again: Whether its client sends it again.
+        mutates: Whether its client says that it changes something.
+        budget: Milliseconds until its deadline, from its last byte.
+        names: By which its head was judged.
+        call_id: Its identity; empty if it is not for servers.
+        asks_for_counts: Whether it asks for this process's counts.
+        size_bytes: What it holds for as long as it may be sent.
+        charged_bytes: In the server's accounting, from taking it until nothing of it is out.
+    """
 
     __slots__ = (
-        *(
-            "_body",
-            "_head",
-            "again",
-            "response",
-            "traffic_class",
-            "budget",
-            "call_id",
-            "charged_bytes",
-            "connection",
-        ),
-        *(
-            "asks_for_counts",
-            "keep_alive",
-            "key",
-            "mutates",
-            "names",
-            "request",
-            "size_bytes",
-            "tenant",
-            "work",
-        ),
+        "_body",
+        "_head",
+        "again",
+        "asks_for_counts",
+        "budget",
+        "call_id",
+        "charged_bytes",
+        "connection",
+        "keep_alive",
+        "key",
+        "mutates",
+        "names",
+        "request",
+        "response",
+        "size_bytes",
+        "tenant",
+        "traffic_class",
+        "work",
     )
 
     def __init__(self, connection: OpenConnection) -> None:
+        """Begin with a request of which nothing is known yet."""
         self.connection = connection
         self.keep_alive = True
         self.request: OpenRequest | None = None
@@ -76,16 +95,20 @@
         self.work: float | None = None
         self.again = self.mutates = False
         self.budget = 0.0
-        self.names: RequestNames | None = None  # by which its head was judged
+        self.names: RequestNames | None = None
         self.call_id = ""
-        self.asks_for_counts = False  # it asks whether this process is ready, and for its counts
-        self.size_bytes = 0  # bytes that it holds for as long as it may be sent
-        self.charged_bytes = 0  # bytes in the front's accounting, from taking it until nothing of it is out
+        self.asks_for_counts = False
+        self.size_bytes = 0
+        self.charged_bytes = 0
         self._head = b""
         self._body = b""
 
     def read_head(self, message: Message, names: RequestNames) -> None:
-        """Take in the head of a request for servers; `BadRequest` says what is wrong with it."""
+        """Take in the head of a request for servers.
+
+        Raises:
+            BadRequestError: A field is missing, can't be read, or names what is not in `names`.
+        """
         kind = requests.resolve_class(message, names)
         self.names = names
         self.traffic_class = kind.traffic_class
@@ -98,7 +121,7 @@
             if tenant is None:
                 raise BadRequestError(400, "X-Caller: not known")
             self.tenant = tenant
-        user = requests.cookie(message.text("cookie") or "", "user")
+        user = requests.find_cookie(message.text("cookie") or "", "user")
         self.key = None if user is None else requests.stable_number(user)
         cost = message.text("x-call-cost")
         self.work = None if cost is None else requests.parse_cost(cost)
@@ -113,7 +136,7 @@
     def set_body(self, message: Message) -> None:
         """Take in the body."""
         self._body = bytes(message.body)
-        # Guards against a body without a length, which a server would read as the next request.
+        # Guards against a body without a length (RFC 9112, 6.3): a server would read it as the next request.
         if message.method != "GET" or self._body:
             self._head += b"Content-Length: %d\r\n" % len(self._body)
         self.size_bytes = len(self._head) + len(self._body)
@@ -124,22 +147,22 @@
         return len(self._body)
 
     def wire(self, left: float) -> bytes | None:
-        """The request for a server that has `left` milliseconds; None where its client has left."""
+        """Encode the request for a server that has `left` milliseconds; None where its client has left."""
         if self.connection.has_disconnected():
             return None
         return b"%bX-Budget: %du\r\n\r\n%b" % (self._head, max(0.0, left) * 1000.0, self._body)
 
     def served(self, answer: Answer) -> None:
-        """The final answer: a server's, its body unchanged."""
+        """Respond with a server's answer, its body unchanged."""
         self._finish(200, answer.headers, answer.body)
 
     def refused(self, retry_after: float) -> None:
-        """The final answer: refused, with when to come back if that was said."""
+        """Respond 503, with when to come back if `retry_after` says so (ms; RFC 9110, 10.2.3)."""
         wait = [(b"Retry-After", b"%.3f" % (retry_after / 1000.0))] if retry_after > 0.0 else []
         self._finish(503, wait, b"")
 
     def failed(self, late: bool) -> None:
-        """The final answer: failed."""
+        """Respond 504 if it is too late for another attempt, else 502."""
         self._finish(504 if late else 502, [], b"")
 
     def over(self) -> None:
--- a/fordtrestle/proxy/http/requests.py
+++ b/fordtrestle/proxy/http/requests.py
@@ -11,18 +11,19 @@
 from fordtrestle.proxy.http import wire
 from fordtrestle.proxy.http.errors import BadRequestError
 
-KEY_LIMIT = 2**53
-TARGET_TAIL_BYTES = 64  # bytes of a target by which its end is found again
+KEY_LIMIT = 2**53  # keys are integers that any program holds exactly, also one that knows only doubles
+TARGET_TAIL_BYTES = 64  # of a target by which its end is found again
 
-MAX_BUDGET_MS = 3_600_000.0
-BUDGET = re.compile(r"(\d{1,12}(?:\.\d{1,20})?)([mu])")  # as many decimals as any machine writes of a number
+MAX_BUDGET_MS = 3_600_000.0  # an hour
+# As many decimals as any machine writes of a number; in milliseconds (m) or microseconds (u).
+BUDGET = re.compile(r"(\d{1,12}(?:\.\d{1,20})?)([mu])")
 IDENTITY = re.compile(r"[!-~]{1,128}")
 TARGET = re.compile(rb"/[!\"$-~]*")  # RFC 9112, 3.2.1: a path and a query; a fragment is never sent
 # RFC 3986, 5.2.4: a server may take these away, and find the path of another class. And control
 # characters, which some servers decode before they read on.
 DOT_SEGMENT = re.compile(rb"/(?:\.|%2[eE]){1,2}(?:/|$)")
 CONTROL_CHARACTER = re.compile(rb"%(?:[01][0-9a-fA-F]|7[fF])")
-# Each at most once: guards against a head of which we judge one field and a server reads another.
+# Fields that are judged here, in the order in which they are written for a server.
 JUDGED_FIELDS = (
     "host",
     "x-call-id",
@@ -34,11 +35,12 @@
     "x-call-info",
     "idempotency-key",
 )
-REWRITTEN_FIELDS = frozenset(
-    ("x-budget", "content-length", "transfer-encoding")
-)  # written anew for each side
+# Written anew for each side.
+REWRITTEN_FIELDS = frozenset(("x-budget", "content-length", "transfer-encoding"))
+# Each at most once: guards against a head of which we judge one field and a server reads another.
 SINGLE_FIELDS = REWRITTEN_FIELDS | frozenset(JUDGED_FIELDS)
 FIELD_PREFIXES = tuple((name, name.encode() + b": ") for name in JUDGED_FIELDS)
+# Passed on as they came, and not judged.
 FORWARDED_FIELDS = frozenset(("content-type", "accept", "authorization", "traceparent", "tracestate"))
 
 
@@ -59,14 +61,14 @@
     tenants: Mapping[str, int]
 
 
-# Names of fields as they are written, and in small letters: those that clients use are few, and are met
+# Names of fields as they are written, and in lower case: those that clients use are few, and are met
 # with each request. Bounded: guards against clients that make names up.
 _LOWERCASE_NAMES: dict[bytes, str] = {}
 MAX_CACHED_NAMES = 256
 
 
 def lowercase_name(name: bytes) -> str:
-    """The name of a field in small letters."""
+    """Decode the name of a field in lower case: names differ in nothing else (RFC 9110, 5.1)."""
     known = _LOWERCASE_NAMES.get(name)
     if known is None:
         known = name.decode("latin-1").lower()
@@ -76,7 +78,15 @@
 
 
 class Message:
-    """A request as it is parsed."""
+    """A request as it is parsed.
+
+    Attributes:
+        method: The method, once the head is complete.
+        target: The request target so far (RFC 9112, 3.2).
+        headers: The head's fields, as they came.
+        body: The body's content so far.
+        is_judged: Whether the head was judged, and found good.
+    """
 
     __slots__ = ("_passed", "_values", "body", "headers", "is_judged", "method", "target")
 
@@ -85,18 +95,22 @@
         self.target = b""
         self.headers: wire.Headers = []
         self.body = bytearray()
-        self.is_judged = False  # and it was found good
+        self.is_judged = False
         self._values: dict[str, bytes] = {}
         self._passed: wire.Headers = []
 
     def finish_head(self) -> None:
-        """The head is whole: index its fields, and reject what can be read in two ways."""
+        """Index the fields of a complete head, and reject what can be read in two ways.
+
+        Raises:
+            BadRequestError: With 400 a field that may come once comes twice, or the target may be read as
+                another one; 404 the target is no path; 413 the body is too large (RFC 9110, 15.5.14); 501 a
+                transfer coding that is not known (RFC 9112, 6.1).
+        """
         values = self._values
         for key, raw in self.headers:
-            name, value = (
-                lowercase_name(key),
-                raw.rstrip(b" \t"),
-            )  # RFC 9110, 5.5: what is behind it is not of it
+            # RFC 9110, 5.5: blanks behind a value are not of it.
+            name, value = lowercase_name(key), raw.rstrip(b" \t")
             if name in SINGLE_FIELDS and name in values:
                 raise BadRequestError(400, f"{name}: more than once")
             values[name] = value
@@ -125,7 +139,7 @@
         return end + b"RTSP/" in raw or end + b"ICE/" in raw
 
     def encode_forwarded_fields(self) -> bytes:
-        """The lines of known fields, and of no others: what a server reads is what was judged here."""
+        """Encode the known fields, and no others: what a server reads is what was judged here."""
         values, parts = self._values, list[bytes]()
         for name, start in FIELD_PREFIXES:
             value = values.get(name)
@@ -136,12 +150,12 @@
         return b"".join(parts)
 
     def text(self, name: str) -> str | None:
-        """A header's value, if it is there."""
+        """Find a field's value, if it is there; `name` is in lower case."""
         value = self._values.get(name)
         return None if value is None else value.decode("latin-1")
 
     def require(self, name: str) -> str:
-        """A header's value; a request without it is bad."""
+        """Find a field's value; `BadRequestError` if it is not there."""
         value = self.text(name)
         if value is None:
             raise BadRequestError(400, f"{name}: missing")
@@ -149,7 +163,11 @@
 
 
 def resolve_class(message: Message, names: RequestNames) -> RequestClass:
-    """The class, which path and header name alike; the method follows from it."""
+    """Find a request's class, which its path and a field name alike; the method follows from it.
+
+    Raises:
+        BadRequestError: There is no such class, or path, field and method don't agree.
+    """
     path = message.target.partition(b"?")[0].decode("latin-1")
     first = path.split("/")[1] if path.startswith("/") else ""
     if first not in names.classes:
@@ -167,10 +185,13 @@
 
 
 def recheck_names(traffic_class: int, tenant: int, then: RequestNames, now: RequestNames) -> None:
-    """Other names hold than as a head was judged: `BadRequest` where it would not be taken as it was.
+    """Judge a head once more where other names hold by now.
+
+    Guards against a request that is complete only after its class or caller has gone, or its class is asked
+    for in another form: what it is asked for by now can't be read from it any more.
 
-    Guards against a request that is whole only after its class or caller has gone, or its class is asked for
-    in another form: what it is asked for by now can't be read from it any more.
+    Raises:
+        BadRequestError: It would not be taken as it was judged.
     """
     name = {kind.traffic_class: name for name, kind in then.classes.items()}[traffic_class]
     if name not in now.classes:
@@ -183,6 +204,7 @@
 
 
 def parse_budget(text: str) -> float:
+    """Read X-Budget as milliseconds; `BadRequestError` if it is no time above 0 and up to `MAX_BUDGET_MS`."""
     match = BUDGET.fullmatch(text)
     if match is None:
         raise BadRequestError(400, "X-Budget: not a time")
@@ -193,6 +215,7 @@
 
 
 def parse_cost(text: str) -> float:
+    """Read X-Call-Cost, which is in milliseconds, as seconds; `BadRequestError` if it is no time."""
     try:
         cost = float(text) / 1000.0
     except ValueError:
@@ -202,7 +225,8 @@
     return cost
 
 
-def cookie(text: str, name: str) -> str | None:
+def find_cookie(text: str, name: str) -> str | None:
+    """Find a cookie's value in a Cookie field (RFC 6265, 4.2.1); None if it is not there."""
     for pair in text.split(";"):
         key, found, value = pair.strip().partition("=")
         if found and key == name:
--- a/fordtrestle/proxy/http/response_buffers.py
+++ b/fordtrestle/proxy/http/response_buffers.py
@@ -7,8 +7,8 @@
 from fordtrestle.proxy.engine.limits import Part
 from fordtrestle.proxy.http.upstream_connection import UpstreamConnection
 
-# Until responses that wait for memory are looked at again. Short beside any response time, and far longer
-# than a look takes.
+# Until responses that wait for memory are looked at again: memory is given back by other connections, and
+# nobody is told of it. A look costs little beside the 10 ms.
 BUFFER_RETRY_S = 0.01
 
 
--- /dev/null
+++ b/fordtrestle/proxy/http/server_resources.py
@@ -0,0 +1,48 @@
+"""What the parts of an HTTP server share: its clock, its connections and what they may hold."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from fordtrestle.proxy.engine.clock import Clock
+from fordtrestle.proxy.engine.connections import ConnectionTable
+from fordtrestle.proxy.engine.driver import OpenRequest
+from fordtrestle.proxy.engine.limits import Budget, Part
+from fordtrestle.proxy.engine.tally import Tally
+from fordtrestle.proxy.http.call import ClientCall
+from fordtrestle.proxy.http.tracked_connection import TrackedConnection
+
+
+class CallHandler(Protocol):
+    """What requests are given to: an engine."""
+
+    def arrive(self, call: ClientCall, now: float) -> OpenRequest | None:
+        """Take a request; it gets one final response, and `over` once no attempt is out."""
+
+    def client_gone(self, request: OpenRequest) -> None:
+        """Its client has closed the connection."""
+
+
+class ServerResources(Protocol):
+    """An HTTP server as its parts see it.
+
+    Attributes:
+        clock: Tells milliseconds.
+        call_handler: What complete requests are given to.
+        is_draining: Whether the process ends: no connection is kept behind its last response.
+        budget: The descriptors, bytes and calls that the server may hold.
+        reserve: Descriptors for connections at the limit; each complete request there is answered with 503.
+        table: All connections, by what they have done.
+        tally: Counts what is answered here, and not by an engine.
+    """
+
+    clock: Clock
+    call_handler: CallHandler
+    is_draining: bool
+    budget: Budget
+    reserve: Part
+    table: ConnectionTable[TrackedConnection]
+    tally: Tally
+
+    def on_closed(self, connection: TrackedConnection) -> None:
+        """The connection's socket is closed, or about to be: all that it held is free."""
--- a/fordtrestle/proxy/http/stream.py
+++ b/fordtrestle/proxy/http/stream.py
@@ -1,4 +1,4 @@
-"""What both sides do with a connection's transport."""
+"""What both sides do with a connection's transport: questions to the kernel, shared reads, a half-close."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 import termios
 from collections.abc import Callable
 
-READ_BUFFER_BYTES = 64 * 1024
-PEER_CLOSED = select.POLLRDHUP
+READ_BUFFER_BYTES = 64 * 1024  # one read takes a complete body at the most
 READ_BUFFER = memoryview(bytearray(READ_BUFFER_BYTES))  # what any connection reads into
+PEER_CLOSED = select.POLLRDHUP  # poll(2): the other end has shut down its sending
 
 
 def is_readable(source: asyncio.BaseTransport | EarlyTransport | socket.socket) -> bool:
@@ -27,8 +27,9 @@
 
 
 def is_closed_by_peer(transport: asyncio.BaseTransport | EarlyTransport) -> bool:
-    """Whether the other end has closed or reset a connection, of which the loop may be yet to tell: it sees
-    nothing while reading is paused, and bytes before an end come a turn before it (poll(2)).
+    """Whether the other end has closed or reset a connection, of which the loop may be yet to tell.
+
+    The loop sees nothing while reading is paused, and bytes before an end come a turn before it (poll(2)).
     """
     sock = transport.get_extra_info("socket")
     if sock is None or sock.fileno() < 0:
@@ -65,7 +66,7 @@
 
 
 class ReadableWatch:
-    """The same question as `readable`, put to one socket again and again."""
+    """Asks the same as `is_readable` of one socket again and again."""
 
     __slots__ = ("_poll", "_sock")
 
@@ -82,8 +83,15 @@
 class EarlyTransport:
     """Stands in for a connection's transport until one is worth its cost: what is written is kept.
 
-    A transport costs more than all else of a request that is rejected, and most of a crowd's are: such
+    A transport costs more than all else of a request that is rejected, and most of a flood's are: such
     a connection ends here, with none.
+
+    Attributes:
+        sock: The connection's socket.
+        kept: What was written, and is not sent.
+        aborted: Whether it was closed at once.
+        paused: Whether nothing is to be read.
+        ended: Whether nothing more is written.
     """
 
     def __init__(self, sock: socket.socket) -> None:
@@ -141,8 +149,9 @@
         return not self.kept
 
     def linger(self, loop: asyncio.AbstractEventLoop, lost: Callable[[], None]) -> None:
-        """Write nothing more, and drop what is still read until its client ends it, too, or it is aborted:
-        then `lost` is called.
+        """Write nothing more, and drop what is still read until its client ends it, too, or it is aborted.
+
+        Then `lost` is called.
         """
         self._loop, self._lost = loop, lost
         if self.aborted:
@@ -183,7 +192,10 @@
 
 
 def end_writing(transport: asyncio.Transport | EarlyTransport) -> None:
-    """Write nothing more. Guards against a client that has reset it, of which the loop is yet to tell."""
+    """Shut down the sending side (RFC 9112, 9.6).
+
+    Guards against a client that has reset the connection, of which the loop is yet to tell.
+    """
     if transport.can_write_eof():
         with contextlib.suppress(OSError):
             transport.write_eof()
--- a/fordtrestle/proxy/http/tracked_connection.py
+++ b/fordtrestle/proxy/http/tracked_connection.py
@@ -1,4 +1,4 @@
-"""A client's connection as a front's table holds it, whether or not it has said anything."""
+"""A client's connection as a server's table holds it, whether or not it has said anything."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 
 class TrackedConnection(Protocol):
-    """A client's connection, before or after its first byte."""
+    """A client's connection, before or after its first byte.
+
+    Attributes:
+        entry: Its place in the server's table.
+    """
 
     entry: TableEntry[TrackedConnection]
 
--- a/fordtrestle/proxy/http/upstream_connection.py
+++ b/fordtrestle/proxy/http/upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a server, the exchange on it, and what an answer means.
+"""One connection to a server, the exchange on it, and what a response means.
 
 Nothing here retries or picks: an attempt that meets a broken connection ends, and the decision
 module is told how.
@@ -10,6 +10,7 @@
 import math
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import Enum
 from typing import Protocol
 
 from fordtrestle.balancer.model import Outcome
@@ -17,14 +18,31 @@
 from fordtrestle.proxy.http import stream, wire
 from fordtrestle.proxy.http.errors import RemoteProtocolError
 
-MAX_REPORT_VALUE = 1e9  # of a load report
+# Of a field of a load report: no server holds more of anything.
+MAX_REPORT_VALUE = 1e9
+# Fields that servers write for the sidecar.
 NOT_FOR_CLIENTS = frozenset((b"x-load-report", b"x-rejected"))
 
 Done = Callable[[Result], None]
 
 
+class UpstreamConnectionState(Enum):
+    """Whether a connection can be written to. An open one is idle while it carries no exchange."""
+
+    NEW = "new"  # the connect is not over
+    OPEN = "open"
+    CLOSED = "closed"  # the transport is gone
+
+
+NEW, OPEN, CLOSED = UpstreamConnectionState
+
+
 class ConnectionOwner(Protocol):
-    """What keeps connections, as they see it."""
+    """What keeps connections, as they see it.
+
+    Attributes:
+        report_fields: The fields of load reports in responses.
+    """
 
     report_fields: tuple[str, ...]
 
@@ -35,21 +53,29 @@
         """A connection is closed."""
 
     def on_unsolicited_data(self, connection: UpstreamConnection) -> None:
-        """A server has sent what nobody asked for, after an answer that was whole."""
+        """A server has sent what nobody asked for, behind a response that was complete."""
 
-    def reserve_buffer(self, connection: UpstreamConnection, size: int) -> bool:
-        """An answer of so many bytes has begun; whether there is room for it now. Where there is none the
-        connection is told to `resume_reading` once there is.
+    def reserve_buffer(self, connection: UpstreamConnection, size_bytes: int) -> bool:
+        """A response of so many bytes has begun; whether there is room for it now.
+
+        Where there is none the connection's `resume_reading` is called once there is.
         """
 
     def release_buffer(self, connection: UpstreamConnection) -> None:
-        """Its answer is held no more."""
+        """The response is held no more."""
 
 
 class UpstreamExchange:
-    """One attempt or probe: from asking for a connection until its outcome."""
+    """One attempt or probe: from asking for a connection until its outcome.
+
+    Attributes:
+        message: Makes the request's bytes, given the milliseconds left; None: nothing is to be written.
+        expires_ms: When the request's deadline is.
+        probe: Whether it is a probe.
+        ended: Whether its outcome was reported, or it was abandoned.
+    """
 
-    __slots__ = ("_connection", "_done", "_opening", "ended", "expires_ms", "message", "probe")
+    __slots__ = ("_connecting", "_connection", "_done", "ended", "expires_ms", "message", "probe")
 
     def __init__(
         self, message: Callable[[float], bytes | None], expires_ms: float, done: Done, probe: bool
@@ -60,21 +86,21 @@
         self.ended = False
         self._done = done
         self._connection: UpstreamConnection | None = None
-        self._opening: asyncio.Task[None] | None = None
+        self._connecting: asyncio.Task[None] | None = None
 
     def on_connecting(self, task: asyncio.Task[None]) -> None:
         """It waits for a new connection."""
-        self._opening = task
+        self._connecting = task
 
     def on_assigned(self, connection: UpstreamConnection) -> None:
         """It is on a connection."""
-        self._connection, self._opening = connection, None
+        self._connection, self._connecting = connection, None
 
     def end(self, result: Result) -> None:
         """Report how it ended, once."""
         if not self.ended:
             self.ended = True
-            self._connection = self._opening = None
+            self._connection = self._connecting = None
             self._done(result)
 
     def abandon(self) -> None:
@@ -82,39 +108,56 @@
         if self.ended:
             return
         self.ended = True
-        if self._opening is not None:
-            self._opening.cancel()
+        if self._connecting is not None:
+            self._connecting.cancel()
         if self._connection is not None:
             self._connection.abort()
-        self._connection = self._opening = None
+        self._connection = self._connecting = None
 
 
 @dataclass(slots=True, eq=False)
 class UpstreamServer:
-    """One life of a server that discovery has named: after a restart, or elsewhere, it is another."""
+    """One start of a server that discovery has named: after a restart, or elsewhere, it is another.
+
+    Attributes:
+        name: Its name in the endpoint list.
+        address: Where to connect.
+        started: When it started, by discovery.
+        closed_from_ms: Nothing is first written to it from then on.
+        reuse_from_ms: Until then a connection carries one request.
+        idle: Its idle connections, the newest last.
+    """
 
     name: str
     address: Address
     started: float = 0.0
-    closed_from_ms: float = math.inf  # nothing is first written to it from then on
-    reuse_from_ms: float = 0.0  # until then a connection carries one request
-    idle: list[UpstreamConnection] = field(default_factory=list)  # newest last
+    closed_from_ms: float = math.inf
+    reuse_from_ms: float = 0.0
+    idle: list[UpstreamConnection] = field(default_factory=list)
 
 
 class UpstreamConnection(stream.SharedBufferProtocol):
-    """A connection to a server; it carries one exchange at a time."""
+    """A connection to a server; it carries one exchange at a time.
+
+    Attributes:
+        server: The server that it was opened to.
+        state: Whether it can be written to.
+        idle_since_ms: Since when it carries nothing, while it is idle.
+        buffered_bytes: What its response holds, by the owner's accounting.
+    """
 
     def __init__(self, owner: ConnectionOwner, server: UpstreamServer) -> None:
+        """Wait for the connect; `owner` keeps the connection while it is idle."""
         self._owner = owner
         self.server = server
+        self.state = NEW
         self.idle_since_ms = 0.0
         self._parser = wire.ResponseParser()
         self._transport: asyncio.Transport
         self._watch: stream.ReadableWatch
         self._exchange: UpstreamExchange | None = None
-        self._is_written = True
-        self._made = self.is_closed = False
-        self.buffered_bytes = 0  # bytes in the pool's accounting
+        self._is_written = True  # the kernel has the last byte of its request
+        self.buffered_bytes = 0
 
     def send_request(self, exchange: UpstreamExchange, message: bytes) -> None:
         """Write a request; it is written once the kernel has its last byte."""
@@ -127,8 +170,8 @@
         self._is_written = not (self._transport.is_closing() or self._transport.get_write_buffer_size())
 
     def is_available(self) -> bool:
-        """Whether it stands ready: neither closed nor with anything unread, the end included."""
-        if self.is_closed or self._transport.is_closing():
+        """Whether it can carry a request: neither closed nor with anything unread, the end included."""
+        if self.state is CLOSED or self._transport.is_closing():
             return False
         if not self._watch.is_readable():
             return True
@@ -139,7 +182,7 @@
     def abort(self) -> None:
         """Close at once; what is buffered is dropped."""
         self._exchange = None
-        if self._made:
+        if self.state is not NEW:
             self._close_at_once()
 
     # --- called by the loop -------------------------------------------------
@@ -148,7 +191,7 @@
         """The connection is up."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._made = True
+        self.state = OPEN
         self._watch = stream.ReadableWatch(transport)
         transport.set_write_buffer_limits(0)  # so that `resume_writing` tells when all is written
 
@@ -157,7 +200,7 @@
         self._is_written = True
 
     def data_received(self, data: bytes) -> None:
-        """An answer, or a part of one."""
+        """A response, or a part of one."""
         if self._exchange is None:
             # It can't be told what it belongs to.
             if not self._transport.is_closing():
@@ -184,16 +227,16 @@
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """There is room for the rest of the answer."""
+        """There is room for the rest of the response."""
         self._transport.resume_reading()
 
     def eof_received(self) -> bool:
-        """The server has ended its sending: what is not whole by now never will be."""
+        """The server has ended its sending: what is not complete by now never will be."""
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
         """The connection is gone."""
-        self.is_closed = True
+        self.state = CLOSED
         self._parser.close()
         self._owner.on_closed(self)
         self._end_broken(Outcome.RESET if self._is_written else Outcome.CONNECT_FAILED)
@@ -222,15 +265,17 @@
             exchange.end(Result(outcome))
 
     def _close_at_once(self) -> None:
-        """Close at once. Guards against another attempt of the request that is written in this turn of the
-        loop, while the transport closes in the next: a second copy beside one that is out.
+        """Close at once, in this turn of the loop.
+
+        Guards against another attempt of the request that is written in this turn, while the transport closes
+        in the next: a second copy beside one that is out.
         """
         stream.end_writing(self._transport)
         self._transport.abort()
 
 
 def interpret_response(parser: wire.ResponseParser, fields: tuple[str, ...], probe: bool) -> Result:
-    """What a whole answer says."""
+    """Tell what a complete response means for an attempt, or for a probe."""
     report = _report(parser, fields, probe)
     status = parser.status
     if status == 200:
--- a/fordtrestle/proxy/http/wire.py
+++ b/fordtrestle/proxy/http/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 framing that both sides share: answers, header hygiene and the parser of answers. Pure."""
+"""HTTP/1.1 framing (RFC 9112) that both sides share: fields, responses and the parser of responses. Pure."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 from fordtrestle.proxy.http.errors import RemoteProtocolError
 
-MAX_BODY_BYTES = 64 * 1024
-MAX_HEAD_BYTES = 16 * 1024
-# All bytes behind a head: a body in chunks of one byte each is six times as long as its content.
+MAX_BODY_BYTES = 64 * 1024  # a body's content, of requests and responses
+MAX_HEAD_BYTES = 16 * 1024  # names and values of a head's fields
+# All bytes behind a head (RFC 9112, 7.1): a body in chunks of one byte each is six times as long.
 MAX_FRAMED_BYTES = 8 * MAX_BODY_BYTES
 REASON_PHRASES = {status.value: status.phrase for status in HTTPStatus}
 
@@ -37,7 +37,7 @@
 
 
 def end_to_end(headers: Headers, leave_out: frozenset[bytes] = frozenset()) -> Headers:
-    """The headers that are for the other end, not for this connection (RFC 9110, 7.6.1)."""
+    """Take the fields that are for the other end, and not for this connection (RFC 9110, 7.6.1)."""
     kept, named = [], None
     for field in headers:
         name = field[0].lower()
@@ -50,12 +50,12 @@
 
 
 def encode_headers(headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    """Headers as they stand on the wire."""
+    """Encode fields as lines."""
     return b"".join([b"%b: %b\r\n" % header for header in headers])
 
 
 def encode_response(status: int, headers: Headers, body: bytes, close: bool) -> bytes:
-    """A whole answer, ready to be written at once."""
+    """Encode a complete response, to be written at once; `close` says that the connection ends with it."""
     return b"HTTP/1.1 %d %b\r\n%bContent-Length: %d\r\n%b\r\n%b" % (
         status,
         REASON_PHRASES.get(status, "").encode(),
@@ -67,21 +67,32 @@
 
 
 class ResponseParser:
-    """The answers that come on one connection, one after the other."""
+    """Parses the responses that come on one connection, one after the other.
+
+    Attributes:
+        status: The status code; 0 until the head is complete.
+        headers: The fields, as they came.
+        body: The body's content so far.
+        is_complete: Whether the response is.
+        keep_alive: Whether the server keeps the connection behind it.
+        has_extra_bytes: Whether bytes came past a response: the connection can't be trusted.
+        expected_bytes: The body's size once the head is complete; where it does not tell, the most there may
+            be.
+    """
 
     def __init__(self) -> None:
+        """Begin before the first response."""
         self._parser = httptools.HttpResponseParser(self)
-        self.has_extra_bytes = False  # bytes past the answer: the connection can't be trusted
+        self.has_extra_bytes = False
         self.reset()
 
     def reset(self) -> None:
-        """Make ready for the next answer."""
+        """Make ready for the next response."""
         self._head_bytes = 0  # of interim answers, too: they may not go on for ever
         self._framed_bytes = 0
         self.body = bytearray()
         self.is_complete = False
         self.keep_alive = False
-        # Bytes of the body once the head is whole; where it does not tell, the most there may be.
         self.expected_bytes = 0
         self._next_head()
 
@@ -91,7 +102,11 @@
         self._is_head_done = False
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; `BadAnswer` if they are none of HTTP's."""
+        """Parse bytes.
+
+        Raises:
+            RemoteProtocolError: They are no HTTP/1.1, or more than is allowed.
+        """
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
@@ -107,11 +122,11 @@
                 raise RemoteProtocolError("the body does not end")
 
     def close(self) -> None:
-        """No more comes; the parser refers back: without it the memory is free at once."""
+        """Nothing more comes; httptools refers back: without it the memory is free at once."""
         del self._parser
 
     def header(self, name: bytes) -> bytes | None:
-        """A header's first value, without what is blank behind it (RFC 9110, 5.5)."""
+        """Find a field's first value, without the blanks behind it (RFC 9110, 5.5)."""
         for key, value in self.headers:
             if key.lower() == name:
                 return value.rstrip(b" \t")
@@ -123,21 +138,25 @@
             raise RemoteProtocolError("the head is too large")
 
     def on_message_begin(self) -> None:
-        """Called by the parser. Guards against a second answer in the same bytes, which would
-        go on into the headers, the status and the body of the first: nothing more is parsed.
+        """Called by httptools: a response begins.
+
+        Guards against a second response in the same bytes, which would go on into the headers, the status and
+        the body of the first: nothing more is parsed.
         """
         if self.is_complete:
             raise RemoteProtocolError("more than one answer")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Called by the parser; trailers are counted and dropped, since the head was judged without."""
+        """Called by httptools: a field; trailers are dropped, since the head was judged without them."""
         self._count(len(name) + len(value))
         if not self._is_head_done:
             self.headers.append((name, value))
 
     def on_headers_complete(self) -> None:
-        """Called by the parser. Guards against lengths that can't be taken in: such an answer ends
-        at its head, not after 64 KiB of it; and one that only its end would bound may be cut short.
+        """Called by httptools: the head is complete.
+
+        Guards against lengths that can't be taken in: such a response ends at its head, not after 64 KiB of
+        it; and one that only the connection's end would bound (RFC 9112, 6.3) may be cut short.
         """
         self.status = self._parser.get_status_code()
         if self.status < 200:
@@ -153,13 +172,13 @@
             raise RemoteProtocolError("the body has no length")
 
     def on_body(self, data: bytes) -> None:
-        """Called by the parser; what is too large ends the parse."""
+        """Called by httptools: a part of the body's content; what is too large ends the parse."""
         self.body += data
         if len(self.body) > MAX_BODY_BYTES:
             raise RemoteProtocolError("the body is too large")
 
     def on_message_complete(self) -> None:
-        """Called by the parser; an interim answer (1xx) is passed over."""
+        """Called by httptools: a response is complete; an interim one (RFC 9110, 15.2) is passed over."""
         if self.status < 200:
             self._next_head()
             return
--- a/tests/proxy/daemon/test_draining.py
+++ b/tests/proxy/daemon/test_draining.py
@@ -69,7 +69,7 @@
         busy.send()
         whole = request("POST", "/pay", b"hello")
         half.writer.write(whole[:-2])
-        await until(lambda: upstream.seen and sidecar.front._unfinished)
+        await until(lambda: upstream.seen and sidecar.front.buffers.unfinished)
         drain = asyncio.create_task(sidecar.drain())
         answer = await half.answer()
         assert (status_of(answer), answer.headers["connection"]) == (503, "close")
@@ -112,7 +112,9 @@
         app = await App.connect(sidecar.address)
         whole = request("POST", "/pay", b"hello")
         app.writer.write(whole[:before])
-        await until(lambda: len(sidecar.front.table) == 1 and (not before or sidecar.front._unfinished))
+        await until(
+            lambda: len(sidecar.front.table) == 1 and (not before or sidecar.front.buffers.unfinished)
+        )
         drain = asyncio.create_task(sidecar.drain())
         await asyncio.sleep(0)  # it stands in its first wait
         app.writer.write(whole[before:])
@@ -180,7 +182,7 @@
         loop = asyncio.get_running_loop()
         await loop.sock_connect(sock, tuple(sidecar.address))
         await loop.sock_sendall(sock, request())
-        await until(lambda: sidecar.front._stalled)
+        await until(lambda: sidecar.front.buffers.stalled)
         await asyncio.wait_for(sidecar.drain(), PATIENCE_S)
         assert sidecar.front.is_empty
         assert sidecar.limits.buffered.held == 0
--- a/tests/proxy/daemon/test_overload.py
+++ b/tests/proxy/daemon/test_overload.py
@@ -62,7 +62,7 @@
         for app in deaf:
             app.writer.transport.pause_reading()
             app.writer.write(b"".join(request() for _ in range(8)))
-        await until(lambda: len(sidecar.front._stalled) == 25)
+        await until(lambda: len(sidecar.front.buffers.stalled) == 25)
         other = sidecar.limits.buffered.part("another front")
         assert other.take(sidecar.limits.buffered.capacity // 2)
         resident = 99 * 2**20
--- a/tests/proxy/http/test_accept.py
+++ b/tests/proxy/http/test_accept.py
@@ -114,7 +114,7 @@
         ((arrival,),) = module.named("request")[-1:]
         left = arrival.give_up_at - sidecar.driver._clock.now()
         assert left < 2000.0 - 100.0
-        assert sidecar.front._shares
+        assert sidecar.front.evictor.shares
         assert acceptor._pause is None
 
 
@@ -205,7 +205,7 @@
         await until(lambda: sidecar.front.is_empty and module.named("request"))
         await until(lambda: sidecar.limits.descriptors.held == sidecar.pool.budget.descriptors.held)
         assert sidecar.front.budget.descriptors.held == 0
-        assert not sidecar.front._shares
+        assert not sidecar.front.evictor.shares
         assert not sidecar.front._starting
 
 
@@ -253,7 +253,7 @@
         assert status_of(await busy.answer()) == 200
         assert sidecar.front.budget.descriptors.held == 1
         await until(lambda: all(entry.holder.is_evictable for entry in sidecar.front.table))  # acknowledged
-        sidecar.front._reclaim(1)
+        sidecar.front.evictor._reclaim(1)
         assert sidecar.front.budget.descriptors.held == 0
         assert await busy.answer() is None
 
--- a/tests/proxy/http/test_bad_clients.py
+++ b/tests/proxy/http/test_bad_clients.py
@@ -13,7 +13,7 @@
 
 import pytest
 
-from fordtrestle.proxy.http import client_connection
+from fordtrestle.proxy.http import client_connection, client_stream
 from tests.loopback import App, Upstream, read_message, request, running, until
 from tests.virtual import virtual
 
@@ -85,7 +85,7 @@
             yield sidecar
             await until(lambda: len(sidecar.front.table) <= 1)
         await until(lambda: not len(sidecar.front.table) and sidecar.driver.idle)
-        await until(lambda: not sidecar.front._calls)
+        await until(lambda: not sidecar.front.intake.open_calls)
     await until(lambda: not sidecar.limits.unsettled())
     assert [told for told in raised if "exception" in told and "StreamReader" not in str(told)] == []
 
@@ -199,7 +199,7 @@
 async def test_a_flood_of_half_requests_is_over_soon_and_sends_nothing_on(send, monkeypatch):
     """Each client sends on for as long as it is let, and is ended by the sidecar."""
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.3)
-    monkeypatch.setattr(client_connection, "LINGER_TIMEOUT_S", 0.2)
+    monkeypatch.setattr(client_stream, "LINGER_TIMEOUT_S", 0.2)
     upstream = await Echo().start()
 
     async def bad(address, number):
--- a/tests/proxy/http/test_client_gone.py
+++ b/tests/proxy/http/test_client_gone.py
@@ -10,7 +10,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Fail, Outcome, Refuse, Send, Timer
-from fordtrestle.proxy.http import client_connection, idle_connections, stream
+from fordtrestle.proxy.http import client_buffers, client_connection, idle_connections, stream
 from fordtrestle.proxy.http import server as server_module
 from fordtrestle.proxy.http.client_connection import ClientConnection
 from tests import loopback as partners
@@ -238,13 +238,13 @@
 
 @virtual
 async def test_a_client_that_reads_nothing_and_ends_its_sending_is_noticed_soon(monkeypatch):
-    monkeypatch.setattr(server_module, "STALL_TIMEOUT_MS", 3_600_000.0)
-    monkeypatch.setattr(server_module, "UNSENT_TIMEOUT_MS", 3_600_000.0)
+    monkeypatch.setattr(client_buffers, "STALL_TIMEOUT_MS", 3_600_000.0)
+    monkeypatch.setattr(client_buffers, "UNSENT_TIMEOUT_MS", 3_600_000.0)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
         sock = await bare(sidecar.address)
         await asyncio.get_running_loop().sock_sendall(sock, b"".join(request() for _ in range(16)))
-        await until(lambda: sidecar.front._stalled)
+        await until(lambda: sidecar.front.buffers.stalled)
         seen = len(upstream.seen)
         sock.shutdown(socket.SHUT_WR)
         await until(lambda: not holders(sidecar))
--- a/tests/proxy/http/test_closing.py
+++ b/tests/proxy/http/test_closing.py
@@ -10,7 +10,7 @@
 import pytest
 
 from fordtrestle.proxy.engine.connections import ConnectionTable, Standing, TableOptions
-from fordtrestle.proxy.http import client_connection
+from fordtrestle.proxy.http import client_stream
 from fordtrestle.proxy.http import server as server_module
 from fordtrestle.proxy.http.client_connection import ClientConnection
 from tests.loopback import OK, App, Upstream, request, running, until
@@ -143,20 +143,20 @@
         await until(lambda: sidecar.front.is_empty)
         assert len(upstream.seen) == (1 if b"/look" in first and status == b"200" else 0)
         assert sidecar.front.budget.descriptors.held == 0
-        assert not sidecar.front._shares
+        assert not sidecar.front.evictor.shares
 
 
 @virtual
 async def test_a_slow_reader_gets_its_last_answer_whole_however_long_that_takes(monkeypatch):
     """Guards against a bound on the client's end that cuts an answer which it still reads."""
     monkeypatch.setattr(server_module, "SEND_BUFFER_BYTES", 4096)
-    monkeypatch.setattr(client_connection, "LINGER_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(client_stream, "LINGER_TIMEOUT_S", 0.02)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
         sock = await client(sidecar.address, kernel=4096)
         await asyncio.get_running_loop().sock_sendall(sock, request(Connection="close"))
-        await until(lambda: sidecar.front._stalled)
-        await asyncio.sleep(5 * client_connection.LINGER_TIMEOUT_S)
+        await until(lambda: sidecar.front.buffers.stalled)
+        await asyncio.sleep(5 * client_stream.LINGER_TIMEOUT_S)
         assert (await to_the_end(sock)).count(b"x") == BODY
         await until(lambda: sidecar.front.is_empty)  # though it does not end the connection
         sock.close()
@@ -202,7 +202,7 @@
     async with running(upstream) as sidecar:
         sock = await client(sidecar.address, kernel=4096)
         await asyncio.get_running_loop().sock_sendall(sock, request(Connection="close"))
-        await until(lambda: sidecar.front._stalled)
+        await until(lambda: sidecar.front.buffers.stalled)
         plain, shut = socket.socket.shutdown, []
 
         def reset_first(other, how):
@@ -241,4 +241,4 @@
         await until(lambda: sidecar.front.is_empty)
         assert len(upstream.seen) == asked_before
         assert sidecar.front.budget.descriptors.held == 0
-        assert not sidecar.front._shares
+        assert not sidecar.front.evictor.shares
--- a/tests/proxy/http/test_counts.py
+++ b/tests/proxy/http/test_counts.py
@@ -84,9 +84,9 @@
         busy.send("POST", "/pay")
         await until(lambda: upstream.seen)
         await told_as(sidecar, 503)
-        sidecar.front._has_descriptor = lambda connection: False
+        sidecar.front.evictor.claim_descriptor = lambda connection: False
         await told_as(sidecar, 503)
-        sidecar.front._intake_ends_ms = 0.0
+        sidecar.front.intake.ends_ms = 0.0
         await told_as(sidecar, 503)
         await told_as(sidecar, 503, "POST", "/pay")
         service, front = await counts(sidecar)
--- a/tests/proxy/http/test_hard_cases.py
+++ b/tests/proxy/http/test_hard_cases.py
@@ -263,7 +263,7 @@
         loop = asyncio.get_running_loop()
         await loop.sock_connect(sock, sidecar.address)
         await loop.sock_sendall(sock, request())
-        await until(lambda: sidecar.front._stalled)
+        await until(lambda: sidecar.front.buffers.stalled)
         (entry,) = sidecar.front.table
         assert entry.standing is Standing.IN_CALL
         assert sidecar.front.table.at_rest == 0
--- a/tests/proxy/http/test_holding.py
+++ b/tests/proxy/http/test_holding.py
@@ -9,7 +9,8 @@
 import pytest
 
 from fordtrestle.proxy.config.limits import LimitsSpec
-from fordtrestle.proxy.http import server as server_module
+from fordtrestle.proxy.http import client_buffers
+from fordtrestle.proxy.http.client_stream import ClientConnectionState
 from tests import loopback as partners
 from tests.loopback import OK, App, Upstream, until
 from tests.virtual import virtual
@@ -43,7 +44,7 @@
 
 def stuck(sidecar):
     """The addresses of the clients that do not read, the longest first."""
-    return [connection._transport.get_extra_info("peername") for connection in sidecar.front._stalled]
+    return [connection._transport.get_extra_info("peername") for connection in sidecar.front.buffers.stalled]
 
 
 def held(sidecar):
@@ -75,14 +76,14 @@
 
 @virtual
 async def test_a_client_that_reads_nothing_is_cut_after_a_while_and_one_that_reads_slowly_is_not(monkeypatch):
-    monkeypatch.setattr(server_module, "STALL_TIMEOUT_MS", 200.0)
+    monkeypatch.setattr(client_buffers, "STALL_TIMEOUT_MS", 200.0)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
         loop = asyncio.get_running_loop()
         deaf, slow = await bare(sidecar.address), await bare(sidecar.address, 32_768)
         for sock in (deaf, slow):
             await loop.sock_sendall(sock, pipelined(9))
-        await until(lambda: len(sidecar.front._stalled) == 2)
+        await until(lambda: len(sidecar.front.buffers.stalled) == 2)
         got = b""
         while got.count(b"x") < 9 * 65536:
             await asyncio.sleep(0.02)  # in all far longer than a stall may last
@@ -103,13 +104,13 @@
         for sock in deaf:
             await loop.sock_sendall(sock, pipelined(16))
             await until(lambda sock=sock: sock.getsockname() in stuck(sidecar))
-        oldest, newest = sidecar.front._stalled
+        oldest, newest = sidecar.front.buffers.stalled
         sidecar.limits.buffered.resize(held(sidecar) + 1000)
         upstream.replies = [OK]
         good = await App.connect(sidecar.address)
         assert (await good.ask("POST", "/pay", b"x" * 4000)).body == b"done"
-        assert list(sidecar.front._stalled) == [newest]
-        assert oldest._is_closed
+        assert list(sidecar.front.buffers.stalled) == [newest]
+        assert oldest.state is ClientConnectionState.CLOSED
         for sock in deaf:
             sock.close()
 
@@ -120,7 +121,7 @@
     async with running(upstream) as sidecar:
         app = await narrow(sidecar.address)
         app.writer.write(pipelined(16))
-        await until(lambda: sidecar.front._stalled)
+        await until(lambda: sidecar.front.buffers.stalled)
         await asyncio.sleep(0.1)
         assert len(upstream.seen) < 16
         assert sidecar.limits.calls.held == 0  # what was taken is answered
--- a/tests/proxy/http/test_hostile.py
+++ b/tests/proxy/http/test_hostile.py
@@ -137,7 +137,7 @@
         assert sidecar.limits.buffered.held == sidecar.limits.calls.held == 0
         assert sidecar.limits.descriptors.held == len(sidecar.pool._connections)
         assert sidecar.driver.idle
-        assert not sidecar.front._calls
+        assert not sidecar.front.intake.open_calls
     for message in upstream.seen:
         # What a server reads is a request of a class there is, which was judged, and nothing beside it.
         method, target, version = message.start.split(" ")
--- a/tests/proxy/http/test_settle.py
+++ b/tests/proxy/http/test_settle.py
@@ -63,7 +63,7 @@
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         assert status_of(await app.ask("POST", "/pay")) == 200
-        sidecar.front.apply_options(names("pay", new=RequestClass(0, "GET", False)), 40.0)
+        sidecar.front.intake.apply_options(names("pay", new=RequestClass(0, "GET", False)), 40.0)
         assert status_of(await app.ask(target="/new")) == 200
         assert status_of(await app.ask("POST", "/pay")) == 400
         assert len(upstream.seen) == 2
@@ -76,8 +76,8 @@
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         app.writer.write(request("POST", "/pay", b"half")[:-4])
-        await until(lambda: sidecar.front._unfinished)
-        sidecar.front.apply_options(names("pay"), 0.0)
+        await until(lambda: sidecar.front.buffers.unfinished)
+        sidecar.front.intake.apply_options(names("pay"), 0.0)
         app.writer.write(b"half")
         assert status_of(await app.answer()) == 400
         assert module.named("request") == []
@@ -88,7 +88,7 @@
 @virtual
 async def test_who_there_is_no_room_for_is_told_the_wait_that_holds_by_now():
     async with running(balancer=Scripted(request=lambda now, arrival: [])) as sidecar:
-        sidecar.front.apply_options(NAMES, 2500.0)
+        sidecar.front.intake.apply_options(NAMES, 2500.0)
         sidecar.limits.calls.resize(0)
         app = await App.connect(sidecar.address)
         assert (await app.ask()).headers["retry-after"] == "2.500"
