--- a/fordtrestle/forward/client.py
+++ b/fordtrestle/forward/client.py
@@ -1,4 +1,4 @@
-"""Sends requests to servers and says what the outcome proves.
+"""Sends requests to servers and says what the result proves.
 
 aiohttp would send some methods a second time by itself when a kept connection ends without an answer, follow
 redirects, keep cookies, decode bodies and normalise targets: all of that is turned off here.
@@ -8,201 +8,151 @@
 
 import asyncio
 import re
-import socket
-from collections.abc import Mapping
 from dataclasses import dataclass
-from functools import partial
-from typing import Any
 
 import aiohttp
-from aiohttp.client_proto import ResponseHandler
 from multidict import CIMultiDict
 from yarl import URL
 
-from fordtrestle.forward.headers import NOT_EXECUTED, REQUEST_ID
+from fordtrestle.forward.connections import make_connector, set_keep_alive
+from fordtrestle.forward.headers import MISDIRECTED_STATUS, NOT_EXECUTED, REQUEST_ID
+from fordtrestle.forward.results import (
+    Answered,
+    ConnectFailed,
+    ConnectionBroken,
+    DeadlineExceeded,
+    NotSent,
+    RejectedByServer,
+    SendResult,
+)
 
-CONNECT_S = 0.5
-CONNECT_MARGIN_S = 0.01  # before a request's time is up, by which its connection has to be up
-KEEP_ALIVE_S = 2.0  # that an unused connection is kept before any server has told its own time
-KEEP_SHARE = 0.75  # of the time that servers tell: one that is about to be closed may lose a request
-CONNECTIONS_MOST = 1024
-UNACKNOWLEDGED_MS = 1500  # that sent bytes may go unacknowledged: the server's machine is gone or cut off
-PROBE_IDLE_S, PROBES = 1, 1  # of silence before a probe, and probes that may go unanswered
-HEADER_MOST = 64 * 1024
-_TIMEOUT = re.compile(r"timeout=(\d{1,6})")
-_SKIPPED = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")
-_BROKEN = (aiohttp.ClientError, OSError, EOFError, ValueError)
+CONNECT_TIMEOUT_S = 0.5  # a server that is there accepts within one crossing between regions
 
+# Before a request's deadline, by which its connection has to be up: a connection time-out that came together
+# with the deadline would leave open whether the request was sent.
+CONNECT_MARGIN_S = 0.01
+MIN_CONNECT_TIMEOUT_S = 0.001  # aiohttp takes 0 for "without limit"
 
-@dataclass(frozen=True, slots=True)
-class Answered:
-    """The head of the server's answer has come: it took the request."""
-
-    response: aiohttp.ClientResponse
-
-
-@dataclass(frozen=True, slots=True)
-class Rejected:
-    """The server says that it has not run the request and never will."""
-
-    status: int
-
-
-@dataclass(frozen=True, slots=True)
-class Unreachable:
-    """No connection came up: the request was not sent."""
-
-
-@dataclass(frozen=True, slots=True)
-class Unsent:
-    """The time was up before a connection came up: the request was not sent."""
-
+# Of the time for which servers say that they keep unused connections: a request on one that is about to be
+# closed may be lost.
+KEEP_ALIVE_FRACTION = 0.75
+MAX_HEAD_BYTES = 64 * 1024  # of a line and of a field of an answer's head
 
-@dataclass(frozen=True, slots=True)
-class Broken:
-    """The connection ended, or what came was no answer to this request: it may have run."""
+_DEFAULT_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
+_KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d{1,6})")
+_SKIPPED_HEADERS = ("Accept", "Accept-Encoding", "User-Agent", "Content-Type")  # aiohttp would add its own
+_CONNECTION_ERRORS = (aiohttp.ClientError, OSError, EOFError, ValueError)
 
 
 @dataclass(frozen=True, slots=True)
-class Overdue:
-    """The time is up; the server may be at it still."""
-
-
-Outcome = Answered | Rejected | Unreachable | Unsent | Broken | Overdue
-
-
-@dataclass(frozen=True, slots=True)
-class Outbound:
-    """A request as it goes to one server."""
+class OutboundRequest:
+    """A request as it goes to one server.
+
+    Attributes:
+        method: The HTTP method.
+        target: Path and query, as the client wrote them.
+        headers: All headers of it.
+        body: The whole body.
+        request_id: What the answer has to name.
+    """
 
     method: str
-    target: str  # path and query, as the client wrote them
+    target: str
     headers: CIMultiDict[str]
     body: bytes
     request_id: str
 
 
-class _Protocol(ResponseHandler):
-    """A connection whose reset is never taken for the end of an answer.
-
-    aiohttp takes an answer without a length to be complete however its connection ends.
-    """
-
-    def connection_lost(self, exc: BaseException | None) -> None:
-        payload = self._payload
-        if exc is not None and payload is not None and not payload.is_eof():
-            payload.set_exception(aiohttp.ClientPayloadError("the connection was reset"))
-        super().connection_lost(exc)
-
-
-def _open_protocol(loop: asyncio.AbstractEventLoop) -> ResponseHandler:
-    return _Protocol(loop=loop)
-
-
 class Forwarder:
-    """The connections to all servers."""
+    """Sends requests over kept connections to all servers; one a process, made within its loop."""
 
     def __init__(self) -> None:
-        self._told_s = float("inf")  # the shortest time that a server keeps an unused connection
-        self._connector = connector = aiohttp.TCPConnector(
-            limit=CONNECTIONS_MOST,
-            keepalive_timeout=KEEP_ALIVE_S,
-            use_dns_cache=False,
-            family=socket.AF_INET,
-            happy_eyeballs_delay=None,
-            socket_factory=_open_socket,
-        )
-        # aiohttp has no public way to choose the protocol of its connections.
-        connector._factory = partial(_open_protocol, loop=asyncio.get_running_loop())
+        """Make the pool of connections; none is opened yet."""
+        self._shortest_keep_alive_s = float("inf")  # that any server has named
+        self._connector = make_connector()
         self._session = aiohttp.ClientSession(
-            connector=connector,
+            connector=self._connector,
             cookie_jar=aiohttp.DummyCookieJar(),
             auto_decompress=False,
-            skip_auto_headers=_SKIPPED,
-            timeout=_TIMEOUTS,
-            max_line_size=HEADER_MOST,
-            max_field_size=HEADER_MOST,
+            skip_auto_headers=_SKIPPED_HEADERS,
+            timeout=_DEFAULT_TIMEOUT,
+            max_line_size=MAX_HEAD_BYTES,
+            max_field_size=MAX_HEAD_BYTES,
             requote_redirect_url=False,
         )
         # A request must not be sent again unknown to us: whether it may be is a matter of its route.
         self._session._retry_connection = False
 
-    async def send(self, address: str, outbound: Outbound, deadline: float) -> Outcome:
-        """Send a request and wait for the head of its answer; `deadline` in s of the loop's clock."""
+    async def send(self, address: str, outbound: OutboundRequest, deadline: float) -> SendResult:
+        """Send a request and wait for the head of its answer.
+
+        Args:
+            address: The server's, `HOST:PORT`.
+            outbound: The request.
+            deadline: s of the loop's clock.
+
+        Returns:
+            The result. The caller gives the connection of an `Answered` back.
+        """
         url = URL(f"http://{address}{outbound.target}", encoded=True)
         left_s = deadline - asyncio.get_running_loop().time()
-        hurried = left_s <= CONNECT_S + CONNECT_MARGIN_S
+        is_deadline_near = left_s <= CONNECT_TIMEOUT_S + CONNECT_MARGIN_S
+        limits = _connect_limits(left_s) if is_deadline_near else _DEFAULT_TIMEOUT
         try:
             async with asyncio.timeout_at(deadline):
-                response = await self._session.request(
-                    outbound.method,
-                    url,
-                    headers=outbound.headers,
-                    data=outbound.body or None,
-                    allow_redirects=False,
-                    timeout=_hurried(left_s) if hurried else _TIMEOUTS,
-                )
+                response = await self._request(url, outbound, limits)
         except aiohttp.ConnectionTimeoutError:
-            return Unsent() if hurried else Unreachable()
+            return NotSent() if is_deadline_near else ConnectFailed()
         except aiohttp.ClientConnectorError:
-            return Unreachable()
+            return ConnectFailed()
         except TimeoutError:
-            return Overdue()
-        except _BROKEN:
-            return Broken()
-        if response.headers.get(REQUEST_ID) != outbound.request_id:
-            response.close()  # a surplus answer to an earlier request: it proves nothing of this one
-            return Broken()
-        self._learn_keep_alive(response.headers.get("Keep-Alive", ""))
-        if NOT_EXECUTED in response.headers or response.status == 421:
-            response.release()
-            return Rejected(response.status)
-        return Answered(response)
-
-    def _learn_keep_alive(self, told: str) -> None:
-        """Keep unused connections for less than any server does (RFC 2068, section 19.7.1.1)."""
-        found = _TIMEOUT.search(told)
-        if found and int(found.group(1)) < self._told_s:
-            self._told_s = float(found.group(1))
-            # aiohttp takes one time for all connections, and tells of no way to change it.
-            self._connector._keepalive_timeout = KEEP_SHARE * self._told_s
+            return DeadlineExceeded()
+        except _CONNECTION_ERRORS:
+            return ConnectionBroken()
+        return self._evaluate(response, outbound)
 
     async def close(self) -> None:
         """End all connections."""
         await self._session.close()
 
+    async def _request(
+        self, url: URL, outbound: OutboundRequest, limits: aiohttp.ClientTimeout
+    ) -> aiohttp.ClientResponse:
+        return await self._session.request(
+            outbound.method,
+            url,
+            headers=outbound.headers,
+            data=outbound.body or None,
+            allow_redirects=False,
+            timeout=limits,
+        )
 
-_TIMEOUTS = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S)
-
-
-def _hurried(left_s: float) -> aiohttp.ClientTimeout:
-    """A request whose time ends while its connection comes up must be known not to have been sent."""
-    return aiohttp.ClientTimeout(total=None, sock_connect=max(0.001, left_s - CONNECT_MARGIN_S))
+    def _evaluate(self, response: aiohttp.ClientResponse, outbound: OutboundRequest) -> SendResult:
+        """What the head of an answer proves; the connection of one that is not passed on is given back."""
+        if response.headers.get(REQUEST_ID) != outbound.request_id:
+            response.close()  # a surplus answer to an earlier request: it proves nothing of this one
+            return ConnectionBroken()
+        self._learn_keep_alive(response.headers.get("Keep-Alive", ""))
+        if NOT_EXECUTED in response.headers or response.status == MISDIRECTED_STATUS:
+            response.release()
+            return RejectedByServer(response.status)
+        return Answered(response)
 
+    def _learn_keep_alive(self, header: str) -> None:
+        """Keep unused connections for less than any server does (RFC 2068, section 19.7.1.1).
 
-def _open_socket(address: tuple[Any, ...]) -> socket.socket:
-    family, kind, protocol = address[0], address[1], address[2]
-    sock = socket.socket(family=family, type=kind, proto=protocol)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
-    return sock
+        All servers share the shortest time, as aiohttp has one for all connections.
+        """
+        match = _KEEP_ALIVE_TIMEOUT.search(header)
+        if match and int(match.group(1)) < self._shortest_keep_alive_s:
+            self._shortest_keep_alive_s = float(match.group(1))
+            set_keep_alive(self._connector, KEEP_ALIVE_FRACTION * self._shortest_keep_alive_s)
 
 
-def notice_silence(response: aiohttp.ClientResponse, wanted: bool) -> None:
-    """Let the connection of an answer that another server can finish break once its machine is silent.
+def _connect_limits(left_s: float) -> aiohttp.ClientTimeout:
+    """Limits of a request whose deadline may pass while its connection comes up.
 
-    A machine without power, or behind a cut, ends no connection: only probes that go unanswered tell. Where
-    nobody else can finish the answer, it is waited for as long as there is time: a cut may end.
+    Connecting ends a margin before the deadline, so that the request is then known not to have been sent.
     """
-    transport = response.connection.transport if response.connection else None
-    sock = transport.get_extra_info("socket") if transport else None
-    if sock is not None:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, int(wanted))
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_IDLE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_IDLE_S)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES)
-
-
-def has_whole_length(headers: Mapping[str, str], most: int) -> bool:
-    """Whether an answer says that it is short enough to be read whole before it is passed on."""
-    length = headers.get("Content-Length", "")
-    return length.isascii() and length.isdigit() and int(length) <= most
+    connect_s = max(MIN_CONNECT_TIMEOUT_S, left_s - CONNECT_MARGIN_S)
+    return aiohttp.ClientTimeout(total=None, sock_connect=connect_s)
--- a/fordtrestle/forward/headers.py
+++ b/fordtrestle/forward/headers.py
@@ -26,11 +26,21 @@
 NOT_EXECUTED = "X-Not-Executed"
 PRIORITY = "Priority"
 LAST_EVENT_ID = "Last-Event-Id"
+
+MISDIRECTED_STATUS = 421  # another incarnation of the server is at the address (RFC 9110, section 15.5.20)
 MS_PER_S = 1000.0
 
 
 def end_to_end(headers: Mapping[str, str], pairs: Iterable[tuple[str, str]]) -> CIMultiDict[str]:
-    """The headers that do not concern one connection only."""
+    """The headers that do not concern one connection only.
+
+    Args:
+        headers: All headers of the message; its `Connection` names further hop-by-hop ones.
+        pairs: The same as names and values, in their order and with repetitions.
+
+    Returns:
+        The end-to-end headers, in their order.
+    """
     nominated = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
     passed: CIMultiDict[str] = CIMultiDict()
     for name, value in pairs:
@@ -39,10 +49,25 @@
     return passed
 
 
-def for_server(passed: CIMultiDict[str], instance: str, left_s: float) -> CIMultiDict[str]:
-    """A request's headers for one server: whom it is meant for, and the time that is left."""
+def headers_for_server(passed: CIMultiDict[str], instance: str, left_s: float) -> CIMultiDict[str]:
+    """A request's headers for one server.
+
+    Args:
+        passed: The end-to-end headers of the client.
+        instance: The incarnation of the server that the request is meant for.
+        left_s: The time that is left; named only where the client named a deadline, 1 ms at least.
+
+    Returns:
+        A copy with these two.
+    """
     headers = passed.copy()
     headers[EXPECT_INSTANCE] = instance
     if DEADLINE in headers:
         headers[DEADLINE] = str(max(1, int(left_s * MS_PER_S)))
     return headers
+
+
+def has_length_within(headers: Mapping[str, str], max_bytes: int) -> bool:
+    """Whether a message names a length, and one that is not above `max_bytes`."""
+    length = headers.get("Content-Length", "")
+    return length.isascii() and length.isdigit() and int(length) <= max_bytes
--- a/fordtrestle/ingress/exchange.py
+++ b/fordtrestle/ingress/exchange.py
@@ -12,9 +12,15 @@
 from multidict import CIMultiDict
 
 from fordtrestle.admission.urgency import Urgency
-from fordtrestle.forward import client
-from fordtrestle.forward.client import Forwarder, Outbound
-from fordtrestle.forward.headers import DEADLINE, LAST_EVENT_ID, PRIORITY, for_server
+from fordtrestle.forward import connections, results
+from fordtrestle.forward.client import Forwarder, OutboundRequest
+from fordtrestle.forward.headers import (
+    DEADLINE,
+    LAST_EVENT_ID,
+    MISDIRECTED_STATUS,
+    PRIORITY,
+    headers_for_server,
+)
 from fordtrestle.ingress import answers
 from fordtrestle.ingress.relay import OK, End, StreamRelay, give_back, is_short, relay_whole
 from fordtrestle.ingress.waiting import Waiting
@@ -25,7 +31,6 @@
 from fordtrestle.routing.table import Route
 
 FULL_STATUSES = (429, 503)
-MISDIRECTED = 421
 MS_PER_S = 1000.0
 
 
@@ -107,26 +112,26 @@
         outcome = await self._ask(send)
         route, attempts, request_id = send.route, self._attempts, self._inbound.request_id
         match outcome:
-            case client.Answered(response):
+            case results.Answered(response):
                 if response.status in FAILURE_STATUSES and (again := self._again(route)):
                     give_back(response)
                     return await self._send(again)
                 if is_short(response, route):
                     return await self._whole(send, response)
                 return await self._stream(route, response, send.deadline)
-            case client.Rejected():
+            case results.RejectedByServer():
                 if attempts.may_go_on(route):
                     return None
                 return self._refuse(Refuse(route.target_s, "the servers are full"))
-            case client.Unreachable():
+            case results.ConnectFailed():
                 if not attempts.cannot_reach:
                     return None
                 return self._refuse(Refuse(route.target_s, "no server can be reached"))
-            case client.Unsent():
+            case results.NotSent():
                 return self._refuse(Refuse(route.target_s, "the time is up"))
-            case client.Broken():
+            case results.ConnectionBroken():
                 return None if attempts.may_run_again(route) else answers.broken(request_id)
-            case client.Overdue():
+            case results.DeadlineExceeded():
                 return answers.overdue(request_id)
 
     def _again(self, route: Route) -> Send | None:
@@ -154,16 +159,16 @@
         if self._shared.decider.ended(server, failed, asyncio.get_running_loop().time()):
             eliot.log_message("servers:ejected", instance=server.instance)
 
-    async def _ask(self, send: Send, last_event_id: str = "") -> client.Outcome:
+    async def _ask(self, send: Send, last_event_id: str = "") -> results.SendResult:
         """Send to one server, and note what the outcome proves of it and of the service."""
         inbound, server = self._inbound, send.server
         loop = asyncio.get_running_loop()
-        headers = for_server(inbound.headers, server.instance, send.deadline - loop.time())
+        headers = headers_for_server(inbound.headers, server.instance, send.deadline - loop.time())
         if last_event_id:
             headers[LAST_EVENT_ID] = last_event_id
         if self._level is not None:
             headers[PRIORITY] = str(self._level)
-        outbound = Outbound(inbound.method, inbound.target, headers, inbound.body, inbound.request_id)
+        outbound = OutboundRequest(inbound.method, inbound.target, headers, inbound.body, inbound.request_id)
         self._release()
         self._hold(server)
         sent = loop.time()
@@ -176,13 +181,13 @@
         self._note(send, outcome, loop.time() - sent, loop.time())
         return outcome
 
-    def _note(self, send: Send, outcome: client.Outcome, took_s: float, now: float) -> None:
+    def _note(self, send: Send, outcome: results.SendResult, took_s: float, now: float) -> None:
         """What an outcome proves: load, absence, or that the request may have run."""
         server, callee, attempts, decider = send.server, send.callee, self._attempts, self._shared.decider
-        if not isinstance(outcome, client.Unreachable | client.Unsent):
-            attempts.sent(server.instance, rejected=isinstance(outcome, client.Rejected))
+        if not isinstance(outcome, results.ConnectFailed | results.NotSent):
+            attempts.sent(server.instance, rejected=isinstance(outcome, results.RejectedByServer))
         match outcome:
-            case client.Answered(response):
+            case results.Answered(response):
                 server.answered(now)
                 failed = response.status in FAILURE_STATUSES
                 attempts.may_have_run |= failed
@@ -190,20 +195,20 @@
                 decider.admission.accepted(callee, now)
                 target_s = send.route.target_s
                 decider.selection.answered(callee, server, self._inbound.prompt, took_s, target_s, now)
-            case client.Rejected(status):
+            case results.RejectedByServer(status):
                 server.answered(now)
                 if status in FULL_STATUSES:
                     decider.admission.rejected(callee, now)
-                elif status == MISDIRECTED:
+                elif status == MISDIRECTED_STATUS:
                     server.misdirected = True  # another incarnation is at its address
-            case client.Unreachable():
+            case results.ConnectFailed():
                 server.failed(now)
                 attempts.unreachable += 1
-            case client.Broken():
+            case results.ConnectionBroken():
                 server.failed(now)
                 self._ended(server, failed=True)
                 attempts.may_have_run = True
-            case client.Overdue():
+            case results.DeadlineExceeded():
                 if server.is_silent_since(now - took_s):
                     self._ended(server, failed=True)
                 attempts.may_have_run = True
@@ -224,7 +229,7 @@
     ) -> web.StreamResponse:
         await relay.begin()
         while True:
-            client.notice_silence(response, wanted=relay.can_resume)
+            connections.probe_while_silent(response, relay.can_resume)
             end = await relay.feed(response, deadline)
             if end is End.COMPLETE:
                 return await relay.finish()
@@ -242,12 +247,12 @@
         loop = asyncio.get_running_loop()
         while send := self._shared.decider.resume(self._wanted, self._attempts, loop.time(), deadline):
             outcome = await self._ask(send, last_event_id)
-            if isinstance(outcome, client.Answered):
+            if isinstance(outcome, results.Answered):
                 if outcome.response.status == OK:
                     return outcome.response
                 outcome.response.close()
                 return None
-            if isinstance(outcome, client.Overdue | client.Unsent):
+            if isinstance(outcome, results.DeadlineExceeded | results.NotSent):
                 return None
         return None
 
--- a/fordtrestle/ingress/relay.py
+++ b/fordtrestle/ingress/relay.py
@@ -10,20 +10,20 @@
 import aiohttp
 from aiohttp import web
 
-from fordtrestle.forward.client import has_whole_length
-from fordtrestle.forward.events import EventSplitter, EventTooLarge
-from fordtrestle.forward.headers import end_to_end
+from fordtrestle.forward.errors import EventTooLargeError
+from fordtrestle.forward.events import EventSplitter
+from fordtrestle.forward.headers import end_to_end, has_length_within
 from fordtrestle.routing.table import Route, RouteType
 
 WHOLE_MOST = 1024 * 1024  # bytes of an answer that is read whole before it is passed on
 WRITE_S = 10.0  # that a client may leave its connection full once all has come
 OK = 200
-_BROKEN = (aiohttp.ClientError, OSError, EOFError, EventTooLarge)
+_BROKEN = (aiohttp.ClientError, OSError, EOFError, EventTooLargeError)
 
 
 def is_short(response: aiohttp.ClientResponse, route: Route) -> bool:
     """Whether an answer is read whole before any of it is passed on."""
-    return route.type is not RouteType.STREAMING and has_whole_length(response.headers, WHOLE_MOST)
+    return route.type is not RouteType.STREAMING and has_length_within(response.headers, WHOLE_MOST)
 
 
 def give_back(response: aiohttp.ClientResponse) -> None:
@@ -104,7 +104,7 @@
             if self._is_gone():
                 return End.GONE
             if self._splitter:
-                self._splitter.cut()
+                self._splitter.discard_incomplete()
             return End.BROKEN
         finally:
             give_back(response)
@@ -114,7 +114,7 @@
         """End the answer as complete."""
         try:
             async with asyncio.timeout(WRITE_S):
-                await self._write(self._splitter.rest() if self._splitter else b"")
+                await self._write(self._splitter.take_incomplete() if self._splitter else b"")
                 await self.answer.write_eof()
         except (TimeoutError, OSError):
             self.cut()
--- a/tests/forward/test_events.py
+++ b/tests/forward/test_events.py
@@ -1,4 +1,4 @@
-"""Streams of events, split as they come in any pieces."""
+"""The splitter of event streams, fed in any pieces."""
 
 from __future__ import annotations
 
@@ -9,7 +9,8 @@
 from hypothesis import strategies as st
 
 from fordtrestle.forward import events
-from fordtrestle.forward.events import EventSplitter, EventTooLarge
+from fordtrestle.forward.errors import EventTooLargeError
+from fordtrestle.forward.events import EventSplitter
 
 EVENTS = [
     b"id: 1\ndata: a\n\n",
@@ -20,28 +21,28 @@
 
 
 @given(st.lists(st.integers(0, len(b"".join(EVENTS))), max_size=8))
-def test_only_whole_events_come_through_and_all_of_them(cuts):
-    whole = b"".join(EVENTS)
+def test_a_stream_in_any_pieces_gives_all_its_events_and_complete_ones_only(cuts):
+    stream = b"".join(EVENTS)
     splitter, passed = EventSplitter(), b""
-    places = [0, *sorted(cuts), len(whole)]
+    positions = [0, *sorted(cuts), len(stream)]
     ends = [len(b"".join(EVENTS[:count])) for count in range(len(EVENTS) + 1)]
-    for start, end in itertools.pairwise(places):
-        passed += splitter.feed(whole[start:end])
-        assert whole.startswith(passed)
+    for start, end in itertools.pairwise(positions):
+        passed += splitter.feed(stream[start:end])
+        assert stream.startswith(passed)
         assert any(len(passed) in (at, at - 1) for at in ends)
-    assert passed + splitter.rest() == whole
+    assert passed + splitter.take_incomplete() == stream
     assert splitter.last_id == "3"
 
 
-def test_what_was_not_whole_when_the_stream_broke_is_void():
+def test_an_event_that_was_incomplete_as_the_stream_broke_is_discarded():
     splitter = EventSplitter()
     assert splitter.feed(EVENTS[0] + EVENTS[1][:10]) == EVENTS[0]
-    splitter.cut()
+    splitter.discard_incomplete()
     assert splitter.last_id == "1"
     assert splitter.feed(EVENTS[1]) == EVENTS[1]
 
 
-def test_an_event_without_end_is_bounded(monkeypatch):
-    monkeypatch.setattr(events, "EVENT_MOST", 8)
-    with pytest.raises(EventTooLarge):
+def test_an_event_without_end_raises_above_the_limit(monkeypatch):
+    monkeypatch.setattr(events, "MAX_EVENT_BYTES", 8)
+    with pytest.raises(EventTooLargeError):
         EventSplitter().feed(b"data: 123456")
--- a/tests/forward/test_headers.py
+++ b/tests/forward/test_headers.py
@@ -1,37 +1,56 @@
-"""What time and which headers a server is handed, at the first send and at a later one."""
+"""The headers of a request for one server, at the first send and at later ones."""
 
 from __future__ import annotations
 
+import pytest
 from multidict import CIMultiDict
 
-from fordtrestle.forward.headers import DEADLINE, EXPECT_INSTANCE, end_to_end, for_server
+from fordtrestle.forward.headers import (
+    DEADLINE,
+    EXPECT_INSTANCE,
+    end_to_end,
+    has_length_within,
+    headers_for_server,
+)
 
 
-def test_a_later_send_is_handed_the_time_that_is_left_of_the_same_deadline():
+def test_each_send_names_the_time_that_is_left_of_the_same_deadline():
     passed = CIMultiDict({DEADLINE: "5000", "X-Model": "m"})
     deadline = 100.0 + 5.0
-    handed = [
-        int(for_server(passed, "i-1", deadline - now)[DEADLINE]) for now in (100.0, 100.7, 104.9, 106.0)
+    named = [
+        int(headers_for_server(passed, "i-1", deadline - now)[DEADLINE])
+        for now in (100.0, 100.7, 104.9, 106.0)
     ]
-    assert handed[0] == 5000
-    assert 4299 <= handed[1] <= 4300
-    assert 98 <= handed[2] <= 100
-    assert handed[3] == 1
+    assert named[0] == 5000
+    assert 4299 <= named[1] <= 4300
+    assert 98 <= named[2] <= 100
+    assert named[3] == 1
     assert passed[DEADLINE] == "5000"
     assert EXPECT_INSTANCE not in passed
 
 
-def test_no_time_is_named_where_the_client_named_none():
-    assert DEADLINE not in for_server(CIMultiDict(), "i-1", 3.0)
+def test_without_a_deadline_of_the_client_the_server_is_named_none():
+    assert DEADLINE not in headers_for_server(CIMultiDict(), "i-1", 3.0)
 
 
-def test_what_tells_of_the_prompt_passes_as_it_came_and_what_concerns_one_connection_does_not():
-    told = [("X-Model", "m"), ("X-Token-Count", "1460,80"), ("X-Prompt-Prefix", "5c1e:800,91bd:410")]
-    own = [
+def test_headers_of_the_prompt_pass_unchanged_and_hop_by_hop_ones_are_left_out():
+    end_to_end_headers = [
+        ("X-Model", "m"),
+        ("X-Token-Count", "1460,80"),
+        ("X-Prompt-Prefix", "5c1e:800,91bd:410"),
+    ]
+    hop_by_hop = [
         ("Connection", "x-own, close"),
         ("X-Own", "1"),
         ("Transfer-Encoding", "chunked"),
         ("TE", "trailers"),
     ]
-    headers = CIMultiDict(told + own)
-    assert list(end_to_end(headers, headers.items()).items()) == told
+    headers = CIMultiDict(end_to_end_headers + hop_by_hop)
+    assert list(end_to_end(headers, headers.items()).items()) == end_to_end_headers
+
+
+@pytest.mark.parametrize(
+    ("length", "expected"), [("8", True), ("9", False), ("", False), ("-1", False), ("\u0665", False)]
+)
+def test_a_message_is_within_the_limit_only_where_it_names_such_a_length(length, expected):
+    assert has_length_within({"Content-Length": length}, 8) is expected
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -399,7 +399,7 @@
         "        self._session._retry_connection = False\n",
     ),
     "an answer that is reset is not whole": _removal(
-        "forward/client.py",
+        "forward/connections.py",
         ENDS,
         "        if exc is not None and payload is not None and not payload.is_eof():\n",
         "        if False:\n",
@@ -407,8 +407,8 @@
     "a request that was not sent has not run": _removal(
         "forward/client.py",
         ENDS,
-        "            return Unsent() if hurried else Unreachable()\n",
-        "            return Overdue()\n",
+        "            return NotSent() if is_deadline_near else ConnectFailed()\n",
+        "            return DeadlineExceeded()\n",
     ),
     "an answer that breaks off is cut": _removal(
         "ingress/relay.py",
@@ -437,8 +437,8 @@
     "a connection that does not come up tells of absence alone": _removal(
         "ingress/exchange.py",
         "tests/ingress/test_grey.py",
-        "            case client.Unreachable():\n                server.failed(now)\n",
-        "            case client.Unreachable():\n                self._ended(server, failed=True)\n",
+        "            case results.ConnectFailed():\n                server.failed(now)\n",
+        "            case results.ConnectFailed():\n                self._ended(server, failed=True)\n",
     ),
     "a time-out tells of a server only where it is silent": _removal(
         "ingress/exchange.py",
--- a/tests/ingress/test_exchanges.py
+++ b/tests/ingress/test_exchanges.py
@@ -74,8 +74,8 @@
 @loopback
 async def test_the_connection_of_a_stream_that_may_be_resumed_is_probed(monkeypatch):
     probed = []
-    notice = "fordtrestle.forward.client.notice_silence"
-    monkeypatch.setattr(notice, lambda response, wanted: probed.append(wanted))
+    probe = "fordtrestle.forward.connections.probe_while_silent"
+    monkeypatch.setattr(probe, lambda response, is_enabled: probed.append(is_enabled))
     whole = [STREAM % b"s", chunk("id: 1\ndata: a\n\n"), b"0\r\n\r\n"]
     for resumable in (True, False):
         fields = {"route_type": "streaming", "resumable": resumable}
