--- a/tests/proxy/http/test_accept.py
+++ b/tests/proxy/http/test_accept.py
@@ -121,8 +121,9 @@
 @pytest.mark.parametrize("sent", [b"", b"POST /pay HTT", partners.request("POST", "/pay", b"hello")[:-2]])
 @virtual
 async def test_silent_and_half_sent_connections_give_way_to_who_asks(sent):
-    """Guards against a crowd that fills the table three times over: what a connection has sent of its
-    first request does not keep it.
+    """Guards against a crowd that fills the table three times over.
+
+    What a connection has sent of its first request does not keep it.
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 96}}) as sidecar:
--- a/tests/proxy/http/test_client_gone.py
+++ b/tests/proxy/http/test_client_gone.py
@@ -258,10 +258,11 @@
 @pytest.mark.parametrize("how", [shut, close])
 @virtual
 async def test_a_client_that_ends_its_sending_has_gone_as_one_that_closes(how, open_attempt):
-    """The protocol: a client that closes its connection has gone away. On the wire a close and an end of
-    sending are the same segment, and what tells them apart (a reset) comes only once something is written
-    back: too late for a further attempt, which may begin for 0.1 s at the most. So both count as gone, and
-    one that still reads gets an end without an answer.
+    """The protocol: a client that closes its connection has gone away.
+
+    On the wire a close and an end of sending are the same segment, and what tells them apart (a reset) comes
+    only once something is written back: too late for a further attempt, which may begin for 0.1 s at the most.
+    So both count as gone, and one that still reads gets an end without an answer.
     """
     upstream = await Upstream([hang]).start()
     module = Scripted(
--- a/tests/proxy/http/test_dials.py
+++ b/tests/proxy/http/test_dials.py
@@ -186,8 +186,9 @@
 @pytest.mark.parametrize("real", [True, False])
 @virtual
 async def test_an_end_behind_the_look_may_have_let_the_request_run(real, ends_behind_the_look):
-    """The kernel takes the write, and a reset comes back: an unsafe request is failed, neither sent again
-    nor refused.
+    """The kernel takes the write, and a reset comes back.
+
+    An unsafe request is failed then, neither sent again nor refused.
     """
     upstreams = [await Upstream([OK]).start() for _ in range(2 if real else 1)]
     module = None if real else Scripted(outcome=failing)
--- a/tests/proxy/http/test_forms.py
+++ b/tests/proxy/http/test_forms.py
@@ -89,7 +89,8 @@
             pieces = cut(told, sizes[0]) if len(sizes) == 1 else [told[: sizes[0]], told[sizes[0] :]]
             await send_in(app.writer, pieces)
             answer = await app.answer()
-            assert answer is not None and (answer.start[9:12], answer.body) == ("200", b"done"), answer
+            assert answer is not None
+            assert (answer.start[9:12], answer.body) == ("200", b"done"), answer
             seen = upstream.seen[-1]
             assert seen.headers["x-call-id"] == name.decode()
             assert seen.start.encode() == raw.lstrip().partition(b"\r\n")[0]
@@ -138,7 +139,8 @@
         app = await App.connect(sidecar.address)
         for _ in range(3):
             answer = await app.ask()
-            assert answer is not None and (answer.start[9:12], answer.body) == ("200", b"done"), answer
+            assert answer is not None
+            assert (answer.start[9:12], answer.body) == ("200", b"done"), answer
         app.close()
 
 
@@ -181,8 +183,9 @@
 @pytest.mark.parametrize("target", ["/look", "/pay"])
 @virtual
 async def test_a_flood_of_requests_at_once_is_answered_in_order_and_ended_orderly(target):
-    """300 at once: so many as are read get their answers, in order, then an end and no reset; of the others
-    none is sent on, so their client may send them again.
+    """300 at once: so many as are read get their answers, in order, then an end and no reset.
+
+    Of the others none is sent on, so their client may send them again.
     """
     upstream = await Upstream([OK]).start()
     raised = []
--- a/tests/proxy/http/test_hard_cases.py
+++ b/tests/proxy/http/test_hard_cases.py
@@ -234,6 +234,7 @@
 @virtual
 async def test_halves_of_requests_give_way_to_whole_ones_when_bytes_run_short():
     """Guards against bodies that never end and fill the buffers: good requests would be refused for seconds.
+
     What the watch does about full buffers when it looks is another matter.
     """
     upstream = await Upstream([OK]).start()
--- a/tests/proxy/http/test_server.py
+++ b/tests/proxy/http/test_server.py
@@ -283,8 +283,10 @@
 
 @virtual
 async def test_who_asked_once_and_keeps_its_connection_gives_way_to_who_has_not_asked():
-    """Guards against the incident of r0b312c: clients that ask once and keep their connection hold
-    all that clients may, and nobody else asks until the sidecar closes one.
+    """Guards against the incident of r0b312c.
+
+    Clients that ask once and keep their connection hold all that clients may, and nobody else asks until the
+    sidecar closes one.
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -360,8 +362,9 @@
 
 @virtual
 async def test_a_flood_of_silent_connections_does_not_keep_out_who_asks(monkeypatch):
-    """Guards against turning good requests away for connections that never ask, and against
-    accepting more in one turn than can be closed in it.
+    """Guards against turning good requests away for connections that never ask.
+
+    And against accepting more in one turn than can be closed in it.
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 128}}) as sidecar:
--- a/tests/proxy/http/test_upstream.py
+++ b/tests/proxy/http/test_upstream.py
@@ -105,8 +105,9 @@
 @pytest.mark.parametrize("extra", [OK, SECOND, b"\x00 noise\r\n\r\n"])
 @virtual
 async def test_what_comes_behind_an_answer_is_never_the_next_ones(extra, monkeypatch):
-    """Guards against a second copy or noise that is read once the next request is out: until a
-    connection has stood quiet for a moment it carries none.
+    """Guards against a second copy or noise that is read once the next request is out.
+
+    Until a connection has stood quiet for a moment it carries none.
     """
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 60_000.0)
     upstream = await Upstream([OK, OK, SECOND]).start()
