--- a/tests/proxy/daemon/test_reload.py
+++ b/tests/proxy/daemon/test_reload.py
@@ -16,6 +16,7 @@
 from fordtrestle.proxy.daemon.sidecar import Sidecar
 from tests.loopback import SETTINGS, App, Registry, Upstream, entry, listed, loopback, until
 from tests.proxy.daemon.test_process import ROOT, Process, environment
+from tests.virtual import virtual
 
 GOOD = {
     "name": "n0",
@@ -81,7 +82,7 @@
     assert (done.returncode, len(done.stderr.splitlines())) == (2, 1)
 
 
-@loopback
+@virtual
 async def test_reloads_of_spoilt_files_change_nothing_and_a_good_one_still_counts(tmp_path, capfd):
     upstream, old, new = await Upstream().start(), await Registry().start(), await Registry(listed(3)).start()
     path = tmp_path / "config.json"
