--- a/benchmarks/giveway.py
+++ b/benchmarks/giveway.py
@@ -16,10 +16,10 @@
 
 from benchmarks.common import DONE, NOT_MET, figure, make_ready, options, table, write_json
 from fordtrestle.proxy.engine.clock import Clock
-from fordtrestle.proxy.engine.connections import ConnectionTable, TableOptions
-from fordtrestle.proxy.engine.driver import OpenRequest
-from fordtrestle.proxy.engine.lag import LagMeter
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, TableOptions
+from fordtrestle.proxy.engine.lag import LoopLagMeter
 from fordtrestle.proxy.engine.limits import Limits
+from fordtrestle.proxy.engine.open_requests import OpenRequest
 from fordtrestle.proxy.http.accept import queued
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.front import Front, FrontOptions
@@ -51,10 +51,12 @@
     """A front with places for all, or with none, and then room for all at the limit."""
     loop = asyncio.get_running_loop()
     budget = Limits(COUNT if places else 0, 2**24, COUNT).budget("clients")
-    reserve = Limits(0 if places else COUNT, 0, 0).descriptors.part("at the limit")
+    reserve = Limits(0 if places else COUNT, 0, 0).descriptors.add_share("at the limit")
     options = FrontOptions(NAMES, 10 * COUNT)
     clock = Clock(loop)
-    return Front(loop, clock, options, Nobody(), budget, reserve, LagMeter(loop, clock.now, lambda: False))
+    return Front(
+        loop, clock, options, Nobody(), budget, reserve, LoopLagMeter(loop, clock.now, lambda: False)
+    )
 
 
 async def crowd(send: Callable[[int], bytes], places: bool = True) -> tuple[float, float]:
@@ -75,7 +77,7 @@
     lived = time.process_time() - began
     began = time.process_time()
     for entry in front.table:
-        entry.holder.close()
+        entry.owner.close()
     closed = time.process_time() - began
     front.close()
     for client in clients:
@@ -95,17 +97,17 @@
         _asked(made, number, 0.0)
     began = time.process_time()
     for number in range(COUNT):
-        entry = made.victim(500.0, lambda holder: True)
+        entry = made.victim(500.0, lambda owner: True)
         assert entry is not None
-        made.close(entry)
+        made.remove(entry)
         _asked(made, size + number, 500.0)
     return (time.process_time() - began) / COUNT * 1e6
 
 
 def _asked(made: ConnectionTable[int], number: int, now: float) -> None:
-    entry = made.open(number, now)
-    made.ask(entry, now)
-    made.rest(entry, now)
+    entry = made.add(number, now)
+    made.on_request(entry, now)
+    made.on_idle(entry, now)
 
 
 def figures() -> dict[str, float]:
--- a/fordtrestle/cli/check.py
+++ b/fordtrestle/cli/check.py
@@ -8,7 +8,7 @@
 
 from fordtrestle.proxy.config import operator_file
 from fordtrestle.proxy.config.errors import OperatorFileError
-from fordtrestle.proxy.engine.schema import Fault
+from fordtrestle.proxy.engine.schema import SchemaError
 
 TABLES = ("services", "fronts", "sources")
 
@@ -25,7 +25,7 @@
 def run(given: argparse.Namespace) -> int:
     """Check a file; 0 where it is good, 2 where it is not."""
     named: dict[str, list[str]] = {}
-    faults: Sequence[Fault] = ()
+    faults: Sequence[SchemaError] = ()
     try:
         if given.platform:
             operator_file.read_limits(given.file)
@@ -44,6 +44,6 @@
     return 2 if faults else 0
 
 
-def _object(file: str, faults: Sequence[Fault], named: dict[str, list[str]]) -> dict[str, object]:
+def _object(file: str, faults: Sequence[SchemaError], named: dict[str, list[str]]) -> dict[str, object]:
     errors = [{"at": fault.at, "reason": fault.reason} for fault in faults]
     return {"file": file, "good": not faults, "errors": errors, **named}
--- a/fordtrestle/load/spec.py
+++ b/fordtrestle/load/spec.py
@@ -17,7 +17,7 @@
 from fordtrestle.load.arrivals import Piece
 from fordtrestle.load.mix import KEYS_MOST, SIZE_MOST, Kind
 from fordtrestle.proxy.engine.ports import Address
-from fordtrestle.proxy.engine.schema import Faults, Table
+from fordtrestle.proxy.engine.schema import SchemaErrors, TomlTable
 
 HOST = re.compile(r"[A-Za-z0-9.:\[\]_-]{1,255}")
 PATH = re.compile(r"/[!-~]{0,1000}")
@@ -139,38 +139,38 @@
         raw = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
         raise BadSpec([f"{file}: {' '.join(str(error).split())}"]) from None
-    faults = Faults()
-    spec = _spec(Table(raw, "", faults))
+    faults = SchemaErrors()
+    spec = _spec(TomlTable(raw, "", faults))
     if faults.found:
         raise BadSpec([": ".join(part for part in (file, *fault) if part) for fault in faults.found])
     return spec
 
 
-def _number(table: Table, key: str, default: float | None, low: float, high: float) -> float:
+def _number(table: TomlTable, key: str, default: float | None, low: float, high: float) -> float:
     """A figure, needed where it has no default; where it is bad the lowest stands for it."""
-    value = table.figure(key, default, low, high, needed=default is None)
+    value = table.number(key, default, low, high, required=default is None)
     return low if value is None else value
 
 
-def _count(table: Table, key: str, default: int | None, low: int, high: int) -> int:
-    value = table.count(key, default, low, high, needed=default is None)
+def _count(table: TomlTable, key: str, default: int | None, low: int, high: int) -> int:
+    value = table.integer(key, default, low, high, required=default is None)
     return low if value is None else value
 
 
-def _named(whole: Table, key: str) -> Iterator[tuple[str, Table]]:
+def _named(whole: TomlTable, key: str) -> Iterator[tuple[str, TomlTable]]:
     """The tables `[key.NAME]`; a name that begins with - has no place in a trace, where that is none."""
-    for number, (name, table) in enumerate(whole.named(key)):
+    for number, (name, table) in enumerate(whole.named_tables(key)):
         if name.startswith("-") or number >= NAMES_MOST:
-            whole.fault(key, f"{name}: at most {NAMES_MOST} names, and none begins with -")
+            whole.add_error(key, f"{name}: at most {NAMES_MOST} names, and none begins with -")
         yield name, table
 
 
-def _spec(whole: Table) -> Spec:
+def _spec(whole: TomlTable) -> Spec:
     run, target = whole.table("run"), whole.table("target")
     replay = _replay(whole) if whole.has("trace") else None
     length_s = 0.0 if replay else _number(run, "length_s", None, 0.001, DAY_S)
     spec = Spec(
-        target=target.address("address", named=True) or Address("", 0),
+        target=target.address("address", allow_host_name=True) or Address("", 0),
         length_s=length_s,
         seed=_count(run, "seed", 1, 0, 2**63),
         workers=_count(run, "workers", 1, 1, 64),
@@ -190,84 +190,84 @@
         bounds=_bounds(whole.table("bounds")),
     )
     for table in (run, target):
-        table.end()
+        table.reject_unknown_keys()
     _whole(whole, spec)
-    whole.end()
+    whole.reject_unknown_keys()
     return spec
 
 
-def _whole(whole: Table, spec: Spec) -> None:
+def _whole(whole: TomlTable, spec: Spec) -> None:
     """What one table alone can't tell."""
     for key, shares in (("class", [c.share for c in spec.classes]), ("tenant", [s for _, s in spec.tenants])):
         if not shares:
-            whole.fault(key, "at least one is needed")
+            whole.add_error(key, "at least one is needed")
         elif not spec.replay and not sum(shares) > 0.0:
-            whole.fault(key, "at least one share above 0 is needed")
+            whole.add_error(key, "at least one share above 0 is needed")
     if not spec.replay and not spec.arrivals:
-        whole.fault("arrivals", "at least one is needed, or a trace")
+        whole.add_error("arrivals", "at least one is needed, or a trace")
     if spec.replay:
         for key in ("arrivals", "tenant", "keys", "size"):
             if whole.has(key):
-                whole.fault(key, "a trace tells that; leave one of the two out")
+                whole.add_error(key, "a trace tells that; leave one of the two out")
     for name in ("open_most", "connections_most"):
         if getattr(spec, name) < spec.workers:
-            whole.faults.add(f"run.{name}", "each worker needs one at least")
+            whole.errors.add(f"run.{name}", "each worker needs one at least")
 
 
-def _share(table: Table) -> float:
+def _share(table: TomlTable) -> float:
     share = _number(table, "share", 1.0, 0.0, 1e9)
-    table.end()
+    table.reject_unknown_keys()
     return share
 
 
-def _class(name: str, table: Table) -> Class:
+def _class(name: str, table: TomlTable) -> Class:
     budget_ms = _number(table, "budget_ms", None, 0.001, BUDGET_MOST_MS)
     made = Class(
         name=name,
-        semantics=table.one_of("semantics", SEMANTICS),
+        semantics=table.choice("semantics", SEMANTICS),
         share=_number(table, "share", 1.0, 0.0, 1e9),
         budget_ms=budget_ms,
         aim_ms=_number(table, "aim_ms", budget_ms, 0.001, BUDGET_MOST_MS),
         worth=_number(table, "worth", 1.0, 0.0, 1e9),
         path=table.text("path", f"/{name}", PATH, "a path that begins with / and has no spaces"),
     )
-    table.end()
+    table.reject_unknown_keys()
     return made
 
 
-def _sizes(whole: Table) -> tuple[tuple[int, float], ...]:
+def _sizes(whole: TomlTable) -> tuple[tuple[int, float], ...]:
     found = []
-    for table in whole.rows("size")[: NAMES_MOST + 1]:
+    for table in whole.array_of_tables("size")[: NAMES_MOST + 1]:
         found.append((_count(table, "bytes", None, 0, SIZE_MOST), _number(table, "share", 1.0, 0.0, 1e9)))
-        table.end()
+        table.reject_unknown_keys()
     if len(found) > NAMES_MOST or (found and not sum(share for _, share in found) > 0.0):
-        whole.fault("size", f"at most {NAMES_MOST}, and one share above 0")
+        whole.add_error("size", f"at most {NAMES_MOST}, and one share above 0")
     return tuple(found) or ((0, 1.0),)
 
 
-def _keys(table: Table) -> dict[str, Any]:
+def _keys(table: TomlTable) -> dict[str, Any]:
     keys = {
         "keys": _count(table, "count", 0, 0, KEYS_MOST),
         "key_exponent": _number(table, "exponent", 1.0, 0.0, 10.0),
         "keyed_share": _number(table, "share", 1.0, 0.0, 1.0),
     }
-    table.end()
+    table.reject_unknown_keys()
     return keys
 
 
-def _arrivals(name: str, table: Table, length_s: float) -> Arrivals:
-    shape = table.one_of("shape", SHAPES)
-    spacing = table.one_of("spacing", ("poisson", "even"), "poisson")
+def _arrivals(name: str, table: TomlTable, length_s: float) -> Arrivals:
+    shape = table.choice("shape", SHAPES)
+    spacing = table.choice("spacing", ("poisson", "even"), "poisson")
     starts_s = _number(table, "starts_s", 0.0, 0.0, DAY_S)
     if starts_s >= length_s > 0.0:
-        table.fault("starts_s", "it starts after the run has ended")
+        table.add_error("starts_s", "it starts after the run has ended")
     pieces = _pieces(shape, table) if shape else ()
     if shape:  # else it is not known which keys there are
-        table.end()
+        table.reject_unknown_keys()
     return Arrivals(name, spacing == "poisson", starts_s, pieces)
 
 
-def _pieces(shape: str, table: Table) -> tuple[Any, ...]:
+def _pieces(shape: str, table: TomlTable) -> tuple[Any, ...]:
     def rate(key: str) -> float:
         return _number(table, key, None, 0.0, RATE_MOST)
 
@@ -284,12 +284,12 @@
         case "wave":
             mean, swing = rate("mean_per_s"), rate("swing_per_s")
             if swing > mean:
-                table.fault("swing_per_s", "more than mean_per_s")
+                table.add_error("swing_per_s", "more than mean_per_s")
             return (arrivals.wave, mean, swing, length("period_s", 0.01))
-    return (arrivals.steps, table.figures("rates_per_s", 0.0, RATE_MOST, 10_000), length("each_s"))
+    return (arrivals.steps, table.numbers("rates_per_s", 0.0, RATE_MOST, 10_000), length("each_s"))
 
 
-def _replay(whole: Table) -> Replay:
+def _replay(whole: TomlTable) -> Replay:
     table = whole.table("trace")
     to_s = _number(table, "to_s", math.inf, SHORTEST_S, math.inf)
     made = Replay(
@@ -300,38 +300,38 @@
         to_s=to_s if math.isfinite(to_s) else None,
     )
     if made.to_s is not None and made.to_s <= made.from_s:
-        table.fault("to_s", "not after from_s")
-    table.end()
+        table.add_error("to_s", "not after from_s")
+    table.reject_unknown_keys()
     return made
 
 
-def _retries(table: Table) -> Retries:
+def _retries(table: TomlTable) -> Retries:
     plain = Retries()
-    on = table.words("on") if table.has("on") else plain.on
+    on = table.identifiers("on") if table.has("on") else plain.on
     if not all(word in OUTCOMES for word in on):
-        table.fault("on", f"expected some of {', '.join(OUTCOMES)}")
+        table.add_error("on", f"expected some of {', '.join(OUTCOMES)}")
     made = Retries(
         most=_count(table, "most", plain.most, 0, 10),
         on=on,
         wait_ms=_number(table, "wait_ms", plain.wait_ms, 0.0, BUDGET_MOST_MS),
-        doubled=table.flag("doubled", plain.doubled),
+        doubled=table.boolean("doubled", plain.doubled),
         try_share=_number(table, "try_share", plain.try_share, 0.01, 1.0),
-        honour=table.flag("honour_retry_after", plain.honour),
+        honour=table.boolean("honour_retry_after", plain.honour),
         honour_most_ms=_number(table, "honour_most_ms", plain.honour_most_ms, 0.0, BUDGET_MOST_MS),
-        marked=table.flag("marked", plain.marked),
-        listen=table.flag("listen", plain.listen),
+        marked=table.boolean("marked", plain.marked),
+        listen=table.boolean("listen", plain.listen),
     )
-    table.end()
+    table.reject_unknown_keys()
     return made
 
 
-def _bounds(table: Table) -> Bounds:
+def _bounds(table: TomlTable) -> Bounds:
     made = Bounds(
         in_aim_share_least=_number(table, "in_aim_share_least", 0.0, 0.0, 1.0),
         p99_most_ms=_number(table, "p99_most_ms", 0.0, 0.0, BUDGET_MOST_MS),
         not_sent_most=_count(table, "not_sent_most", 0, 0, 2**40),
     )
-    table.end()
+    table.reject_unknown_keys()
     asked = {key: value if table.has(key) else None for key, value in _fields(made).items()}
     return Bounds(**asked)
 
--- a/fordtrestle/proxy/config/errors.py
+++ b/fordtrestle/proxy/config/errors.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 if TYPE_CHECKING:  # the platform's process loads none of the operator file's reader
-    from fordtrestle.proxy.engine.schema import Fault
+    from fordtrestle.proxy.engine.schema import SchemaError
 
 
 class ConfigError(Exception):
@@ -25,7 +25,7 @@
         faults: All that is wrong with it.
     """
 
-    def __init__(self, file: str, faults: Iterable[Fault]) -> None:
+    def __init__(self, file: str, faults: Iterable[SchemaError]) -> None:
         self.file = file
         self.faults = tuple(faults)
         super().__init__("\n".join(self.lines))
--- a/fordtrestle/proxy/config/events.py
+++ b/fordtrestle/proxy/config/events.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from fordtrestle.proxy.engine.schema import Table
+from fordtrestle.proxy.engine.schema import TomlTable
 
 DEFAULT_MAX_MB = 64
 
@@ -22,13 +22,13 @@
     mb_most: int = DEFAULT_MAX_MB
 
 
-def read_events(table: Table) -> EventsSpec:
+def read_events(table: TomlTable) -> EventsSpec:
     """Read the table; faults are recorded in it."""
     if not table.has("file"):
-        table.fault("file", "missing")
+        table.add_error("file", "missing")
     spec = EventsSpec(
         file=table.file("file") or "",
-        mb_most=table.count("mb_most", DEFAULT_MAX_MB, 1, 2**20) or DEFAULT_MAX_MB,
+        mb_most=table.integer("mb_most", DEFAULT_MAX_MB, 1, 2**20) or DEFAULT_MAX_MB,
     )
-    table.end()
+    table.reject_unknown_keys()
     return spec
--- a/fordtrestle/proxy/config/fronts.py
+++ b/fordtrestle/proxy/config/fronts.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from fordtrestle.proxy.engine.ports import Address
-from fordtrestle.proxy.engine.schema import Table, address_text
+from fordtrestle.proxy.engine.schema import TomlTable, address_text
 
 PROTOCOLS = ("http",)
 DEFAULT_TRACE_MB = 64  # before compression
@@ -35,27 +35,27 @@
     trace_mb_most: int = DEFAULT_TRACE_MB
 
 
-def read_fronts(root: Table) -> dict[str, FrontSpec]:
+def read_fronts(root: TomlTable) -> dict[str, FrontSpec]:
     """Read all fronts of a file; faults are recorded in its table."""
-    fronts = {name: _read_front(table) for name, table in root.named("front", needed=True)}
+    fronts = {name: _read_front(table) for name, table in root.named_tables("front", required=True)}
     _check_addresses(root, fronts)
     return fronts
 
 
-def _read_front(table: Table) -> FrontSpec:
+def _read_front(table: TomlTable) -> FrontSpec:
     spec = FrontSpec(
-        protocol=table.one_of("protocol", PROTOCOLS),
+        protocol=table.choice("protocol", PROTOCOLS),
         listen=table.addresses("listen"),
-        service=table.word("service"),
+        service=table.identifier("service"),
         guaranteed_share=table.share("guaranteed_share"),
         trace_file=table.file("trace_file"),
-        trace_mb_most=table.count("trace_mb_most", DEFAULT_TRACE_MB, 1, 2**20) or DEFAULT_TRACE_MB,
+        trace_mb_most=table.integer("trace_mb_most", DEFAULT_TRACE_MB, 1, 2**20) or DEFAULT_TRACE_MB,
     )
-    table.end()
+    table.reject_unknown_keys()
     return spec
 
 
-def _check_addresses(root: Table, fronts: Mapping[str, FrontSpec]) -> None:
+def _check_addresses(root: TomlTable, fronts: Mapping[str, FrontSpec]) -> None:
     """Record a fault for each address that another listener has, however it is written."""
     seen: list[tuple[str, Address]] = []
     for name, front in fronts.items():
@@ -63,7 +63,7 @@
             for other, taken in seen:
                 if _overlap(address, taken):
                     reason = f"{address_text(address)} is taken by front {other}"
-                    root.faults.add(f"front.{name}.listen", reason)
+                    root.errors.add(f"front.{name}.listen", reason)
                     break
             seen.append((name, address))
 
--- a/fordtrestle/proxy/config/limits.py
+++ b/fordtrestle/proxy/config/limits.py
@@ -8,7 +8,7 @@
 import dataclasses
 from dataclasses import dataclass
 
-from fordtrestle.proxy.engine.limits import Budget, Limits, Part
+from fordtrestle.proxy.engine.limits import Budget, Limits, QuotaShare
 
 MAX_OPEN_CALLS = 2**20  # where the file names no limit: in effect none
 MAX_DESCRIPTORS = 2**16  # for connections, where neither the file nor the system names a limit
@@ -86,11 +86,11 @@
     )
 
 
-def make_reserve(limits: Limits) -> Part:
+def make_reserve(limits: Limits) -> QuotaShare:
     """Return the part for connections past the limit; made last, once all budgets have their guarantees."""
     unguaranteed = limits.descriptors.free
     wanted = max(MIN_CONNECTION_DESCRIPTORS, int(limits.descriptors.capacity * RESERVE_SHARE))
-    return limits.descriptors.part("at the limit", min(unguaranteed, wanted), weight=0.0)
+    return limits.descriptors.add_share("at the limit", min(unguaranteed, wanted), weight=0.0)
 
 
 def _buffered_bytes(memory_mb: int | None) -> int:
--- a/fordtrestle/proxy/config/limits_table.py
+++ b/fordtrestle/proxy/config/limits_table.py
@@ -4,32 +4,32 @@
 
 from fordtrestle.proxy.config.limits import DEFAULT_LIMITS, MIN_CONNECTION_DESCRIPTORS, LimitsSpec
 from fordtrestle.proxy.config.services import SHARE_TOLERANCE
-from fordtrestle.proxy.engine.schema import Table, good
+from fordtrestle.proxy.engine.schema import TomlTable, or_nan
 
 
-def read_limits_table(table: Table) -> LimitsSpec:
+def read_limits_table(table: TomlTable) -> LimitsSpec:
     """Read the table; faults are recorded in it."""
     fronts_share = table.share("fronts_guaranteed_share", DEFAULT_LIMITS.fronts_guaranteed_share)
     upstreams_share = table.share("upstreams_guaranteed_share", DEFAULT_LIMITS.upstreams_guaranteed_share)
-    reserved = table.count("reserved_descriptors", DEFAULT_LIMITS.reserved_descriptors)
+    reserved = table.integer("reserved_descriptors", DEFAULT_LIMITS.reserved_descriptors)
     spec = LimitsSpec(
-        descriptors=table.count("descriptors", None, 32, 2**30),
+        descriptors=table.integer("descriptors", None, 32, 2**30),
         reserved_descriptors=reserved or 0,
-        memory_mb=table.count("memory_mb", None, 16),
-        buffered_bytes_most=table.count("buffered_bytes_most", None, 2**17),
-        open_calls_most=table.count("open_calls_most", None, 1),
-        fronts_guaranteed_share=good(fronts_share),
-        upstreams_guaranteed_share=good(upstreams_share),
+        memory_mb=table.integer("memory_mb", None, 16),
+        buffered_bytes_most=table.integer("buffered_bytes_most", None, 2**17),
+        open_calls_most=table.integer("open_calls_most", None, 1),
+        fronts_guaranteed_share=or_nan(fronts_share),
+        upstreams_guaranteed_share=or_nan(upstreams_share),
     )
     if (
         spec.descriptors is not None
         and spec.reserved_descriptors > spec.descriptors - MIN_CONNECTION_DESCRIPTORS
     ):
         reason = f"leaves fewer than {MIN_CONNECTION_DESCRIPTORS} of {spec.descriptors} descriptors"
-        table.fault("reserved_descriptors", reason)
+        table.add_error("reserved_descriptors", reason)
     total = spec.fronts_guaranteed_share + spec.upstreams_guaranteed_share
     if total > 1.0 + SHARE_TOLERANCE:
         reason = f"with fronts_guaranteed_share it makes {total:g}, more than 1"
-        table.fault("upstreams_guaranteed_share", reason)
-    table.end()
+        table.add_error("upstreams_guaranteed_share", reason)
+    table.reject_unknown_keys()
     return spec
--- a/fordtrestle/proxy/config/operator_file.py
+++ b/fordtrestle/proxy/config/operator_file.py
@@ -21,7 +21,7 @@
 from fordtrestle.proxy.config.services import SHARE_TOLERANCE, ServiceSpec, read_services
 from fordtrestle.proxy.config.sources import SourceSpec, StaticSpec, read_sources
 from fordtrestle.proxy.config.state import StateSpec, read_state
-from fordtrestle.proxy.engine.schema import Fault, Faults, Table
+from fordtrestle.proxy.engine.schema import SchemaError, SchemaErrors, TomlTable
 
 MAX_FILE_BYTES = 16 * 1024 * 1024  # a path may lead to something without an end, such as a device
 MAX_SEED = 2**53
@@ -64,8 +64,8 @@
     Raises:
         OperatorFileError: With all that is wrong with the file.
     """
-    faults = Faults()
-    root = Table(_load(file), "", faults)
+    faults = SchemaErrors()
+    root = TomlTable(_load(file), "", faults)
     config = OperatorConfig(
         services=read_services(root),
         fronts=read_fronts(root),
@@ -76,7 +76,7 @@
         events=_read_optional(root, "events", read_events),
         peers=_read_optional(root, "peers", read_peers),
     )
-    root.end()
+    root.reject_unknown_keys()
     _check(config, faults)
     if faults.found:
         raise OperatorFileError(file, faults.found)
@@ -89,13 +89,13 @@
     Raises:
         OperatorFileError: With all that is wrong with the file.
     """
-    faults = Faults()
+    faults = SchemaErrors()
     raw = _load(file)
-    root = Table(raw, "", faults)
+    root = TomlTable(raw, "", faults)
     limits = read_limits_table(root.table("limits"))
     for key in raw:
         if key != "limits":
-            root.fault(key, "only [limits] is read on the platform, which tells the rest")
+            root.add_error(key, "only [limits] is read on the platform, which tells the rest")
     if faults.found:
         raise OperatorFileError(file, faults.found)
     return limits
@@ -111,45 +111,45 @@
         text = data.decode()
         return tomllib.loads(text)
     except OSError as error:
-        fault = Fault("", error.strerror or str(error))
+        fault = SchemaError("", error.strerror or str(error))
     except UnicodeDecodeError as error:
         line = data[: error.start].count(b"\n") + 1
-        fault = Fault(f"line {line}", "not UTF-8")
+        fault = SchemaError(f"line {line}", "not UTF-8")
     except tomllib.TOMLDecodeError as error:
         fault = _syntax_fault(str(error), text)
     except RecursionError:
-        fault = Fault("", "too deeply nested")
+        fault = SchemaError("", "too deeply nested")
     except ValueError as error:  # numbers of too many digits
-        fault = Fault("", " ".join(str(error).split()))
+        fault = SchemaError("", " ".join(str(error).split()))
     raise OperatorFileError(file, [fault])
 
 
-def _syntax_fault(message: str, text: str) -> Fault:
+def _syntax_fault(message: str, text: str) -> SchemaError:
     """Return the parser's message as a fault, with the line as its position as in all other faults."""
     match = ERROR_POSITION.fullmatch(message)
     reason = " ".join((match[1] if match else message).split())
     line = (match and match[2]) or text.rstrip().count("\n") + 1
-    return Fault(f"line {line}", reason)
+    return SchemaError(f"line {line}", reason)
 
 
-def _read_process(table: Table) -> ProcessSpec:
-    spec = ProcessSpec(name=table.word("name", ""), seed=table.count("seed", None, 0, MAX_SEED))
-    table.end()
+def _read_process(table: TomlTable) -> ProcessSpec:
+    spec = ProcessSpec(name=table.identifier("name", ""), seed=table.integer("seed", None, 0, MAX_SEED))
+    table.reject_unknown_keys()
     return spec
 
 
-def _read_optional(root: Table, key: str, read_table: Callable[[Table], T]) -> T | None:
+def _read_optional(root: TomlTable, key: str, read_table: Callable[[TomlTable], T]) -> T | None:
     """Read a table that may be missing; None if it is, or if it is no table."""
-    faults_before = len(root.faults.found)
+    faults_before = len(root.errors.found)
     table = root.table(key)
-    is_table = root.has(key) and len(root.faults.found) == faults_before
+    is_table = root.has(key) and len(root.errors.found) == faults_before
     return read_table(table) if is_table else None
 
 
 # --- what has to hold between tables --------------------------------------------
 
 
-def _check(config: OperatorConfig, faults: Faults) -> None:
+def _check(config: OperatorConfig, faults: SchemaErrors) -> None:
     for name, front in config.fronts.items():
         if front.service and front.service not in config.services:
             faults.add(f"front.{name}.service", f"there is no service {front.service}")
@@ -164,7 +164,7 @@
     _check_shares(config, faults)
 
 
-def _check_shares(config: OperatorConfig, faults: Faults) -> None:
+def _check_shares(config: OperatorConfig, faults: SchemaErrors) -> None:
     """Record guarantees that can't all be kept, and fronts that would get nothing."""
     available = config.limits.fronts_guaranteed_share
     shares = [front.guaranteed_share for front in config.fronts.values()]
@@ -176,7 +176,7 @@
         faults.add("front", "guaranteed_share leaves nothing for the fronts that have none")
 
 
-def _check_localities(name: str, service: ServiceSpec, source: StaticSpec, faults: Faults) -> None:
+def _check_localities(name: str, service: ServiceSpec, source: StaticSpec, faults: SchemaErrors) -> None:
     """Record unknown zones and kinds of servers, which would silently count as the first ones."""
     for i, server in enumerate(source.servers):
         at = f"source.{service.source}.server[{i}]"
--- a/fordtrestle/proxy/config/peers.py
+++ b/fordtrestle/proxy/config/peers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 from fordtrestle.proxy.engine.ports import Address
-from fordtrestle.proxy.engine.schema import Table, address_text
+from fordtrestle.proxy.engine.schema import TomlTable, address_text
 
 MAX_PEERS = 4096  # bounds the datagrams of a message to all of them
 
@@ -25,25 +25,25 @@
     at: tuple[Address, ...]
 
 
-def read_peers(table: Table) -> PeersSpec:
+def read_peers(table: TomlTable) -> PeersSpec:
     """Read the table; faults are recorded in it."""
-    faults_before = len(table.faults.found)
+    faults_before = len(table.errors.found)
     spec = PeersSpec(
         listen=table.address("listen"),
-        me=table.count("me", None, 0, MAX_PEERS - 1, needed=True) or 0,
+        me=table.integer("me", None, 0, MAX_PEERS - 1, required=True) or 0,
         at=table.addresses("at"),
     )
-    if len(table.faults.found) == faults_before:  # otherwise a bad row would make others look wrong
+    if len(table.errors.found) == faults_before:  # otherwise a bad row would make others look wrong
         _check(table, spec)
-    table.end()
+    table.reject_unknown_keys()
     return spec
 
 
-def _check(table: Table, spec: PeersSpec) -> None:
+def _check(table: TomlTable, spec: PeersSpec) -> None:
     if len(spec.at) > MAX_PEERS:
-        table.fault("at", f"{len(spec.at)} addresses, more than {MAX_PEERS}")
+        table.add_error("at", f"{len(spec.at)} addresses, more than {MAX_PEERS}")
     if spec.me >= len(spec.at):
-        table.fault("me", f"{spec.me} is not among at, which has {len(spec.at)}")
+        table.add_error("me", f"{spec.me} is not among at, which has {len(spec.at)}")
     # The sender of a message is recognized by its address, which may belong to one process only.
     for address in sorted(address for address in set(spec.at) if spec.at.count(address) > 1):
-        table.fault("at", f"{address_text(address)} is there more than once")
+        table.add_error("at", f"{address_text(address)} is there more than once")
--- a/fordtrestle/proxy/config/services.py
+++ b/fordtrestle/proxy/config/services.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from fordtrestle.proxy.engine.schema import COUNT_MOST, Table, good
+from fordtrestle.proxy.engine.schema import MAX_COUNT, TomlTable, or_nan
 
 SEMANTICS = ("safe", "keyed", "unsafe")
 GROUPS = ("all", "zone", "cell")
@@ -113,91 +113,91 @@
     load_reports: tuple[str, ...]
 
 
-def read_services(root: Table) -> dict[str, ServiceSpec]:
+def read_services(root: TomlTable) -> dict[str, ServiceSpec]:
     """Read all services of a file; faults are recorded in its table."""
-    return {name: _read_service(table) for name, table in root.named("service", needed=True)}
+    return {name: _read_service(table) for name, table in root.named_tables("service", required=True)}
 
 
-def _read_service(table: Table) -> ServiceSpec:
+def _read_service(table: TomlTable) -> ServiceSpec:
     spec = ServiceSpec(
-        source=table.word("source"),
-        classes={name: _read_class(row) for name, row in table.named("class", needed=True)},
+        source=table.identifier("source"),
+        classes={name: _read_class(row) for name, row in table.named_tables("class", required=True)},
         tenants=_read_tenants(table),
-        attempts_most=table.count("attempts_most", 2, 1, 100) or 0,
-        open_most=table.count("open_most", 4096, 1) or 0,
-        connect_timeout_ms=good(table.figure("connect_timeout_ms", 250.0, 1.0)),
-        idle_close_ms=good(table.figure("idle_close_ms", 15_000.0, 1.0)),
-        retry_after_most_ms=good(table.figure("retry_after_most_ms", 0.0)),
-        zones=table.words("zones"),
-        zone=table.word("zone", ""),
-        kinds=table.words("kinds"),
-        drain_grace_ms=good(table.figure("drain_grace_ms", 500.0)),
-        cold_from_share=good(table.share("cold_from_share", 1.0)),
-        warm_up_ms=good(table.figure("warm_up_ms", 0.0)),
-        fall_multiple=good(table.figure("fall_multiple", 1.0, 0.0, 1000.0)),
-        overload_ms=good(table.figure("overload_ms", 0.0)),
-        release_ms=good(table.figure("release_ms", 0.0)),
-        settle_ms=good(table.figure("settle_ms", 0.0)),
-        probes=table.flag("probes", False),
-        cancel=table.flag("cancel", True),
-        parallel_tries=table.flag("parallel_tries", False),
-        warm_keys=table.flag("warm_keys", False),
-        worth_by=table.one_of("worth_by", WORTH_BY, "request"),
-        over_share_worth=good(table.share("over_share_worth", 1.0)),
-        load_reports=table.words("load_reports"),
+        attempts_most=table.integer("attempts_most", 2, 1, 100) or 0,
+        open_most=table.integer("open_most", 4096, 1) or 0,
+        connect_timeout_ms=or_nan(table.number("connect_timeout_ms", 250.0, 1.0)),
+        idle_close_ms=or_nan(table.number("idle_close_ms", 15_000.0, 1.0)),
+        retry_after_most_ms=or_nan(table.number("retry_after_most_ms", 0.0)),
+        zones=table.identifiers("zones"),
+        zone=table.identifier("zone", ""),
+        kinds=table.identifiers("kinds"),
+        drain_grace_ms=or_nan(table.number("drain_grace_ms", 500.0)),
+        cold_from_share=or_nan(table.share("cold_from_share", 1.0)),
+        warm_up_ms=or_nan(table.number("warm_up_ms", 0.0)),
+        fall_multiple=or_nan(table.number("fall_multiple", 1.0, 0.0, 1000.0)),
+        overload_ms=or_nan(table.number("overload_ms", 0.0)),
+        release_ms=or_nan(table.number("release_ms", 0.0)),
+        settle_ms=or_nan(table.number("settle_ms", 0.0)),
+        probes=table.boolean("probes", False),
+        cancel=table.boolean("cancel", True),
+        parallel_tries=table.boolean("parallel_tries", False),
+        warm_keys=table.boolean("warm_keys", False),
+        worth_by=table.choice("worth_by", WORTH_BY, "request"),
+        over_share_worth=or_nan(table.share("over_share_worth", 1.0)),
+        load_reports=table.identifiers("load_reports"),
     )
     if spec.zones and spec.zone and spec.zone not in spec.zones:
-        table.fault("zone", f"{spec.zone} is not among zones")
+        table.add_error("zone", f"{spec.zone} is not among zones")
     if spec.zone and not table.has("zones"):
-        table.fault("zone", "zones is missing")
-    table.end()
+        table.add_error("zone", "zones is missing")
+    table.reject_unknown_keys()
     return spec
 
 
-def _read_class(table: Table) -> ClassSpec:
-    deadline_ms = table.figure("deadline_ms", low=1.0, needed=True)
-    semantics = table.one_of("semantics", SEMANTICS)
+def _read_class(table: TomlTable) -> ClassSpec:
+    deadline_ms = table.number("deadline_ms", low=1.0, required=True)
+    semantics = table.choice("semantics", SEMANTICS)
     spec = ClassSpec(
-        aim_ms=good(table.figure("aim_ms", deadline_ms, 1.0)),
-        deadline_ms=good(deadline_ms),
+        aim_ms=or_nan(table.number("aim_ms", deadline_ms, 1.0)),
+        deadline_ms=or_nan(deadline_ms),
         semantics=semantics,
-        group=table.one_of("group", GROUPS, "cell"),
-        key_window_ms=good(table.figure("key_window_ms", 0.0, 1.0, needed=semantics == "keyed")),
-        worth=good(table.figure("worth", 1.0, 0.0, 1e6)),
-        late_worth=good(table.share("late_worth", 0.0)),
-        in_turn=table.flag("in_turn", False),
+        group=table.choice("group", GROUPS, "cell"),
+        key_window_ms=or_nan(table.number("key_window_ms", 0.0, 1.0, required=semantics == "keyed")),
+        worth=or_nan(table.number("worth", 1.0, 0.0, 1e6)),
+        late_worth=or_nan(table.share("late_worth", 0.0)),
+        in_turn=table.boolean("in_turn", False),
     )
     if spec.deadline_ms < spec.aim_ms:
-        table.fault("deadline_ms", f"{spec.deadline_ms:g} is less than aim_ms, {spec.aim_ms:g}")
+        table.add_error("deadline_ms", f"{spec.deadline_ms:g} is less than aim_ms, {spec.aim_ms:g}")
     for key in ("group", "key_window_ms"):
         if table.has(key) and semantics in ("safe", "unsafe"):
-            table.fault(key, f"only for keyed classes, and this one is {semantics}")
-    table.end()
+            table.add_error(key, f"only for keyed classes, and this one is {semantics}")
+    table.reject_unknown_keys()
     return spec
 
 
-def _read_tenants(table: Table) -> tuple[TenantSpec, ...]:
-    rows = table.rows("tenants")
+def _read_tenants(table: TomlTable) -> tuple[TenantSpec, ...]:
+    rows = table.array_of_tables("tenants")
     tenants = tuple(_read_tenant(row) for row in rows)
     names = [tenant.name for tenant in tenants]
     for row, name in zip(rows, names, strict=True):
         if name and names.index(name) < rows.index(row):
-            row.fault("name", f"{name} is there more than once")
+            row.add_error("name", f"{name} is there more than once")
     shares = [tenant.share for tenant in tenants if tenant.share is not None]
     if shares and len({tenant.share is None for tenant in tenants}) > 1:
-        table.fault("tenants", "all with share or all with allowance_per_s")
+        table.add_error("tenants", "all with share or all with allowance_per_s")
     if sum(shares) > 1.0 + SHARE_TOLERANCE:
-        table.fault("tenants", f"their shares make {sum(shares):g}, which is more than 1")
+        table.add_error("tenants", f"their shares make {sum(shares):g}, which is more than 1")
     return tenants
 
 
-def _read_tenant(table: Table) -> TenantSpec:
+def _read_tenant(table: TomlTable) -> TenantSpec:
     spec = TenantSpec(
-        name=table.word("name"),
-        share=table.figure("share", None, 1e-6, 1.0),
-        allowance_per_s=table.figure("allowance_per_s", None, 1e-3, COUNT_MOST),
+        name=table.identifier("name"),
+        share=table.number("share", None, 1e-6, 1.0),
+        allowance_per_s=table.number("allowance_per_s", None, 1e-3, MAX_COUNT),
     )
     if table.has("share") == table.has("allowance_per_s"):
-        table.fault("share", "one of share and allowance_per_s is needed, and no more")
-    table.end()
+        table.add_error("share", "one of share and allowance_per_s is needed, and no more")
+    table.reject_unknown_keys()
     return spec
--- a/fordtrestle/proxy/config/sources.py
+++ b/fordtrestle/proxy/config/sources.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from fordtrestle.proxy.engine.ports import Address
-from fordtrestle.proxy.engine.schema import Table, good
+from fordtrestle.proxy.engine.schema import TomlTable, or_nan
 
 DEFAULT_ASK_WITHIN_MS = 10_000.0  # the default of the decision module
 
@@ -49,55 +49,55 @@
 KINDS = ("static", "registry")
 
 
-def read_sources(root: Table) -> dict[str, SourceSpec]:
+def read_sources(root: TomlTable) -> dict[str, SourceSpec]:
     """Read all sources of a file; faults are recorded in its table."""
-    return {name: _read_source(table) for name, table in root.named("source")}
+    return {name: _read_source(table) for name, table in root.named_tables("source")}
 
 
-def _read_source(table: Table) -> SourceSpec:
-    kind = table.one_of("kind", KINDS)
+def _read_source(table: TomlTable) -> SourceSpec:
+    kind = table.choice("kind", KINDS)
     if not kind:  # the fault is recorded; services that name this source are not faulty for that
         return RegistrySpec(None, True, 0.0)
     return _read_static(table) if kind == "static" else _read_registry(table)
 
 
-def _read_static(table: Table) -> StaticSpec:
-    rows = table.rows("server", needed=True)
+def _read_static(table: TomlTable) -> StaticSpec:
+    rows = table.array_of_tables("server", required=True)
     servers = tuple(_read_server(row) for row in rows)
     _check_unique(rows, "name", [server.name or None for server in servers])
     _check_unique(rows, "address", [server.address and str(server.address) for server in servers])
-    table.end()
+    table.reject_unknown_keys()
     return StaticSpec(servers)
 
 
-def _read_server(table: Table) -> ServerSpec:
+def _read_server(table: TomlTable) -> ServerSpec:
     spec = ServerSpec(
-        name=table.word("name"),
+        name=table.identifier("name"),
         address=table.address("address"),
-        zone=table.word("zone", ""),
-        kind=table.word("kind", ""),
-        cell=table.count("cell", 0) or 0,
-        weight=good(table.figure("weight", 1.0, 1e-3, 1000.0)),
+        zone=table.identifier("zone", ""),
+        kind=table.identifier("kind", ""),
+        cell=table.integer("cell", 0) or 0,
+        weight=or_nan(table.number("weight", 1.0, 1e-3, 1000.0)),
     )
-    table.end()
+    table.reject_unknown_keys()
     return spec
 
 
-def _check_unique(rows: Sequence[Table], key: str, values: Sequence[str | None]) -> None:
+def _check_unique(rows: Sequence[TomlTable], key: str, values: Sequence[str | None]) -> None:
     """Record a fault for each row whose value an earlier one has: one of the two servers would be lost."""
     first: dict[str, int] = {}
     for i, value in enumerate(values):
         if value is not None and first.setdefault(value, i) != i:
-            rows[i].fault(key, f"taken by server[{first[value]}]")
+            rows[i].add_error(key, f"taken by server[{first[value]}]")
 
 
-def _read_registry(table: Table) -> RegistrySpec:
+def _read_registry(table: TomlTable) -> RegistrySpec:
     spec = RegistrySpec(
-        address=table.address("address", named=True),
-        pushed=table.flag("pushed", True),
-        ask_within_ms=good(table.figure("ask_within_ms", DEFAULT_ASK_WITHIN_MS, 1.0)),
+        address=table.address("address", allow_host_name=True),
+        pushed=table.boolean("pushed", True),
+        ask_within_ms=or_nan(table.number("ask_within_ms", DEFAULT_ASK_WITHIN_MS, 1.0)),
     )
     if table.has("ask_within_ms") and spec.pushed:
-        table.fault("ask_within_ms", "only where pushed = false")
-    table.end()
+        table.add_error("ask_within_ms", "only where pushed = false")
+    table.reject_unknown_keys()
     return spec
--- a/fordtrestle/proxy/config/state.py
+++ b/fordtrestle/proxy/config/state.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from fordtrestle.proxy.engine.schema import Table
+from fordtrestle.proxy.engine.schema import TomlTable
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,10 +18,10 @@
     folder: str
 
 
-def read_state(table: Table) -> StateSpec:
+def read_state(table: TomlTable) -> StateSpec:
     """Read the table; faults are recorded in it."""
     if not table.has("folder"):
-        table.fault("folder", "missing")
+        table.add_error("folder", "missing")
     spec = StateSpec(table.file("folder") or "")
-    table.end()
+    table.reject_unknown_keys()
     return spec
--- a/fordtrestle/proxy/daemon/overload.py
+++ b/fordtrestle/proxy/daemon/overload.py
@@ -8,11 +8,11 @@
 from collections.abc import Callable, Iterable
 from typing import Protocol
 
-from fordtrestle.proxy.engine.lag import LagMeter
+from fordtrestle.proxy.engine.lag import LoopLagMeter
 from fordtrestle.proxy.engine.limits import Limits
 from fordtrestle.proxy.engine.log import log
-from fordtrestle.proxy.engine.ports import Handle, Scheduler
-from fordtrestle.proxy.engine.pressure import Action, Change, Monitor, Pressure
+from fordtrestle.proxy.engine.ports import Scheduler, TimerHandle
+from fordtrestle.proxy.engine.pressure import Monitor, PressureAction, PressureChange, PressureRules
 
 LOOK_S = 0.2
 POOL_IDLE_MS = 1000.0  # under pressure a connection to a server is idle for no longer
@@ -54,7 +54,7 @@
         self,
         scheduler: Scheduler,
         limits: Limits,
-        lag: LagMeter,
+        lag: LoopLagMeter,
         fronts: Iterable[PressedFront],
         services: Iterable[PressedService],
         memory_mb: int | None = None,
@@ -70,10 +70,10 @@
         self._cores = cores
         self._statm = Resident() if self._memory and resident is None else None
         self._resident = resident or (self._statm.read if self._statm else int)
-        self._next: Handle | None = None
+        self._next: TimerHandle | None = None
         self._looked_at = (0.0, 0.0)  # the time, and the CPU seconds then
         self._told_level = 0.0
-        self.pressure = Pressure()
+        self.pressure = PressureRules()
 
     def wake(self) -> None:
         """Something is held from now on."""
@@ -95,9 +95,9 @@
         since, used_then = self._looked_at
         self._looked_at = (now, used)
         readings = {
-            Monitor.DESCRIPTORS: self._limits.descriptors.pressed,
-            Monitor.BUFFERED: _share(self._limits.buffered.held, self._limits.buffered.capacity),
-            Monitor.CALLS: _share(self._limits.calls.held, self._limits.calls.capacity),
+            Monitor.DESCRIPTORS: self._limits.descriptors.utilization,
+            Monitor.BUFFERED: _share(self._limits.buffered.used, self._limits.buffered.capacity),
+            Monitor.CALLS: _share(self._limits.calls.used, self._limits.calls.capacity),
             Monitor.LAG: self._lag.mean_ms,
             Monitor.BACKLOG: max((front.backlog for front in self._fronts), default=0.0),
         }
@@ -113,41 +113,41 @@
             log(_line(change))
             self._switch(change)
         self._press()
-        self._limits.settle()
-        if self._limits.descriptors.held or self._limits.calls.held or self.pressing:
+        self._limits.reclaim_excess()
+        if self._limits.descriptors.used or self._limits.calls.used or self.pressing:
             self._next = self._scheduler.call_later(LOOK_S, self._look)
 
     @property
     def pressing(self) -> bool:
         """Whether any action is on."""
-        return any(self.pressure.on(action) for action in Action)
+        return any(self.pressure.is_on(action) for action in PressureAction)
 
-    def _switch(self, change: Change) -> None:
-        if change.action is Action.SHORTEN_IDLE:
+    def _switch(self, change: PressureChange) -> None:
+        if change.action is PressureAction.SHORTEN_IDLE:
             for front in self._fronts:
-                front.hurry(change.on)
-        elif change.action is Action.STOP_OPTIONAL:
+                front.hurry(change.is_on)
+        elif change.action is PressureAction.STOP_OPTIONAL:
             for service in self._services:
-                service.optional(not change.on)
+                service.optional(not change.is_on)
 
     def _press(self) -> None:
         """What goes on for as long as an action is on."""
-        if self.pressure.on(Action.SHRINK_POOLS):
+        if self.pressure.is_on(PressureAction.SHRINK_POOLS):
             for service in self._services:
                 service.shrink(POOL_IDLE_MS)
-        if self.pressure.on(Action.PAUSE_ACCEPTING):
+        if self.pressure.is_on(PressureAction.PAUSE_ACCEPTING):
             for front in self._fronts:
                 front.pause()
-        level = self.pressure.level(Action.REFUSE_BY_WORTH)
+        level = self.pressure.level(PressureAction.REFUSE_BY_WORTH)
         if abs(level - self._told_level) >= LEVEL_STEP or (level == 0.0) != (self._told_level == 0.0):
             self._told_level = level
             for service in self._services:
                 service.pressure(level)
 
 
-def _line(change: Change) -> str:
+def _line(change: PressureChange) -> str:
     """What on-call staff read: once when an action goes on, and once when it is over."""
-    if change.on:
+    if change.is_on:
         return f"pressure: {change.action.value}: {change.cause}"
     return (
         f"pressure: no more: {change.action.value}: {change.cause}, after {change.lasted_ms / 1000.0:.1f} s"
--- a/fordtrestle/proxy/daemon/peers.py
+++ b/fordtrestle/proxy/daemon/peers.py
@@ -40,7 +40,7 @@
         if self._bind is not None:
             await loop.create_datagram_endpoint(lambda: self, local_addr=self._bind)
 
-    def tell(self, peer: int | None, data: bytes) -> None:
+    def send(self, peer: int | None, data: bytes) -> None:
         """Send a message to one peer, or to all."""
         if self._transport is None or len(data) > MESSAGE_MOST:
             log(f"a message of {len(data)} bytes to peer {peer} can't be sent")
--- a/fordtrestle/proxy/daemon/process.py
+++ b/fordtrestle/proxy/daemon/process.py
@@ -15,11 +15,11 @@
 from fordtrestle.proxy.daemon.signals import Reloads, Signals
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.driver import Driver, EngineOptions
-from fordtrestle.proxy.engine.lag import LagMeter
+from fordtrestle.proxy.engine.lag import LoopLagMeter
 from fordtrestle.proxy.engine.limits import Budget, Limits
 from fordtrestle.proxy.engine.log import log
+from fordtrestle.proxy.engine.outcome_counters import Counts, format_counts
 from fordtrestle.proxy.engine.ports import Address, Registry
-from fordtrestle.proxy.engine.tally import Counts, lines
 from fordtrestle.proxy.http.front import Front
 from fordtrestle.proxy.http.pool import Pool, PoolOptions
 from fordtrestle.proxy.membership.updates import UpdateListener
@@ -82,7 +82,7 @@
 
     def optional(self, allowed: bool) -> None:
         """Whether work that no request waits for may be done."""
-        self.driver.optional = allowed
+        self.driver.allows_optional_work = allowed
 
     def close(self) -> None:
         """Close what is left."""
@@ -115,7 +115,7 @@
         cores: float = 1.0,
     ) -> None:
         self.limits = limits
-        self.lag = LagMeter(loop, clock.now, lambda: limits.descriptors.held > 0)
+        self.lag = LoopLagMeter(loop, clock.now, lambda: limits.descriptors.used > 0)
         self.memory_mb = memory_mb
         self.cores = cores
 
@@ -166,8 +166,8 @@
         for name, service in self.services.items():
             fronts = (at.front for at in self.fronts.values() if at.front.taker is service.driver)
             classes = {number: kind for front in fronts for number, kind in front.class_names.items()}
-            services[name] = service.driver.tally.counts(classes)
-        by_front = {n: at.front.tally.counts(at.front.class_names) for n, at in self.fronts.items()}
+            services[name] = service.driver.counters.counts(classes)
+        by_front = {n: at.front.counters.counts(at.front.class_names) for n, at in self.fronts.items()}
         return {"service": services, "front": by_front}
 
     def _status(self) -> bytes:
@@ -186,7 +186,9 @@
         last = STILL_TAKE_S + (now - STILL_LISTEN_S if signalled_at is None else signalled_at)
         for front in fronts:
             front.stop_listening(last - now)
-        while self._may_take(fronts, last) or any(service.driver.due for service in self.services.values()):
+        while self._may_take(fronts, last) or any(
+            service.driver.has_due_requests for service in self.services.values()
+        ):
             await self._close_idle(fronts)
         for front in fronts:
             front.fail_waiting()
@@ -197,7 +199,7 @@
             front.close()  # whoever does not end its connection, though it was ended here
         for kind, parts in self.counts().items():
             for name, counts in parts.items():
-                for line in lines(f"{kind} {name}", counts):
+                for line in format_counts(f"{kind} {name}", counts):
                     log(line)
 
     def _may_take(self, fronts: list[Front], last: float) -> bool:
@@ -222,7 +224,7 @@
 
     def unsettled(self) -> list[str]:
         """What the ledgers hold though all is closed: something leaks."""
-        return self._limits.unsettled()
+        return self._limits.unreleased()
 
 
 class Program(Protocol):
--- a/fordtrestle/proxy/daemon/rules.py
+++ b/fordtrestle/proxy/daemon/rules.py
@@ -18,8 +18,8 @@
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.driver import Driver, EngineOptions
 from fordtrestle.proxy.engine.log import log
+from fordtrestle.proxy.engine.observed_driver import ObservedDriver
 from fordtrestle.proxy.engine.ports import ServerList
-from fordtrestle.proxy.engine.watched import WatchedDriver
 from fordtrestle.proxy.membership.endpoint_list import EndpointList
 from fordtrestle.proxy.membership.updates import UpdateForm, UpdateListener
 
@@ -68,7 +68,7 @@
         """The engine of a service that tells what it does; None where there are no events."""
         if self._events is None:
             return None
-        return WatchedDriver(self._loop, clock, engine, self._rules[name].acted)
+        return ObservedDriver(self._loop, clock, engine, self._rules[name].acted)
 
     def first(self, name: str, listener: UpdateListener) -> UpdateListener:
         """Updates of a service's list that are told and kept before `listener` is called with them."""
--- a/fordtrestle/proxy/daemon/standalone.py
+++ b/fordtrestle/proxy/daemon/standalone.py
@@ -18,7 +18,7 @@
 from fordtrestle.proxy.daemon.seams import Seams
 from fordtrestle.proxy.daemon.signals import Signals
 from fordtrestle.proxy.engine.clock import Clock
-from fordtrestle.proxy.engine.limits import Budget, Part
+from fordtrestle.proxy.engine.limits import Budget, QuotaShare
 from fordtrestle.proxy.engine.log import log
 from fordtrestle.proxy.engine.schema import address_text
 from fordtrestle.proxy.http.front import Front
@@ -77,7 +77,7 @@
         peers = peer_options(self._config)
         return Service(self._loop, self._clock, engine, pool, part, self._source(name), peers, driver)
 
-    def _front(self, name: str, part: Budget, at_limit: Part) -> FrontAt:
+    def _front(self, name: str, part: Budget, at_limit: QuotaShare) -> FrontAt:
         spec = self._config.fronts[name]
         front_options = options.front_options(self._config, name, self._start)
         driver = self.services[spec.service].driver
--- a/fordtrestle/proxy/engine/clock.py
+++ b/fordtrestle/proxy/engine/clock.py
@@ -9,24 +9,31 @@
 
 
 class Clock:
-    """Monotonic milliseconds plus one fixed offset to Unix time, so that `since_ms` compares.
+    """Monotonic milliseconds plus a fixed offset to Unix time.
 
-    `wall`: Unix seconds. The offset is read from it once: `now` goes on evenly, however `wall` jumps.
+    The offset is taken once, so that times compare with those that the registry tells (`since_ms`), and
+    `now` goes on evenly however the wall clock jumps.
     """
 
     def __init__(self, loop: Scheduler, wall: Callable[[], float] = time.time) -> None:
+        """Create a clock.
+
+        Args:
+            loop: Tells monotonic time in seconds.
+            wall: Tells Unix time in seconds.
+        """
         self._time = loop.time
         self._wall = wall
         self._offset = wall() * 1000.0 - loop.time() * 1000.0
 
     def now(self) -> float:
-        """The time in milliseconds; it never steps back."""
+        """Return the time in milliseconds; it never steps back."""
         return self._time() * 1000.0 + self._offset
 
     def at(self, now: float) -> float:
-        """The loop's own time for a time of this clock."""
+        """Return the loop's own time, in seconds, for a time of this clock in milliseconds."""
         return (now - self._offset) / 1000.0
 
     def wall(self) -> float:
-        """Unix seconds as the machine tells them now: they may jump, either way."""
+        """Return Unix seconds as the machine tells them now: they may jump, either way."""
         return self._wall()
--- a/fordtrestle/proxy/engine/limits.py
+++ b/fordtrestle/proxy/engine/limits.py
@@ -1,12 +1,13 @@
-"""One budget for what a process may hold, given out in parts. Pure.
+"""Quotas of what one process may hold, divided among its HTTP servers and connection pools. Pure.
 
-A `Ledger` is the accounting of one resource (descriptors, bytes, calls). Each front, pool or other holder
-has a `Part` of it: what it is guaranteed is its own at any time, and is lent to nobody; the rest is
-common, and whoever asks first borrows it. When the common rest is used up, a part that holds less
-than its fair share may ask for one that holds more: that one evicts by its own order, or says no.
-The sum that is held never passes the capacity.
+A `ResourceQuota` accounts for one resource (descriptors, bytes, calls). Each HTTP server, pool or other
+user has a `QuotaShare` of it. What a share is guaranteed is its own at any time and is lent to nobody; the
+rest is common, and whoever asks first borrows it. Once the common rest is used up, a share that uses less
+than its fair share may have one that uses more give back: that one evicts by its own order, or gives
+nothing. The sum that is used never exceeds the capacity.
 
-A step costs the same however much is held; only taking from others looks at each part once.
+Acquiring and releasing cost the same however much is used; only reclaiming from others looks at each share
+once.
 """
 
 from __future__ import annotations
@@ -17,205 +18,251 @@
 Reclaim = Callable[[int], None]
 
 
-class Part:
-    """What one holder has of a ledger.
+class QuotaShare:
+    """What one user has of a quota.
 
-    `guaranteed` is lent to nobody; `weight` is its share of the common rest in times of shortage.
-    `reclaim(n)`, where it is set, is asked to give back at least `n` at once, as far as it can.
+    Attributes:
+        name: The user, for log lines.
+        guaranteed: What is lent to nobody; it shrinks while the capacity is lowered.
+        configured: What is guaranteed while the capacity is enough for all.
+        weight: Its share of the common rest in times of shortage, relative to others' weights.
+        used: What it holds now.
+        peak: The most that it ever held.
+        reclaim: Called with a count where others need it: gives back at least so much at once, as far as it
+            can. None: it gives nothing back.
     """
 
-    __slots__ = ("_ledger", "guaranteed", "held", "held_most", "name", "reclaim", "stated", "weight")
+    __slots__ = ("_quota", "configured", "guaranteed", "name", "peak", "reclaim", "used", "weight")
 
-    def __init__(self, ledger: Ledger, name: str, guaranteed: int, weight: float) -> None:
-        self._ledger = ledger
+    def __init__(self, quota: ResourceQuota, name: str, guaranteed: int, weight: float) -> None:
+        self._quota = quota
         self.name = name
-        self.stated = guaranteed  # what it is guaranteed while the capacity is enough for all
+        self.configured = guaranteed
         self.guaranteed = guaranteed
         self.weight = weight
-        self.held = 0
-        self.held_most = 0  # ever
+        self.used = 0
+        self.peak = 0
         self.reclaim: Reclaim | None = None
 
     @property
-    def fair(self) -> float:
-        """What it may hold while others want more than they have."""
-        return self._ledger.fair(self)
+    def fair_share(self) -> float:
+        """What it may use while others want more than they have."""
+        return self._quota.fair_share(self)
 
     @property
-    def room(self) -> int:
-        """How much more it could take now with nobody evicted."""
-        return max(0, self.guaranteed - self.held) + self._ledger.free
-
-    def take(self, count: int = 1) -> bool:
-        """Hold so much more, if need be of what others hold past their fair share; whether it may."""
-        # In one piece, as `give`: each request takes and gives four times.
-        ledger, held, guaranteed = self._ledger, self.held + count, self.guaranteed
-        grown = 0 if held <= guaranteed else held - max(self.held, guaranteed)
-        if ledger.spoken_for + grown > ledger.capacity and not ledger.find(self, count, grown):
+    def available(self) -> int:
+        """How much more it could acquire now without anybody giving back."""
+        return max(0, self.guaranteed - self.used) + self._quota.free
+
+    def acquire(self, count: int = 1) -> bool:
+        """Use so much more, if need be by reclaiming it from others; return whether it may."""
+        # Written out in one piece, as is `release`: each request acquires and releases four times.
+        quota, used, guaranteed = self._quota, self.used + count, self.guaranteed
+        growth = 0 if used <= guaranteed else used - max(self.used, guaranteed)
+        if quota.committed + growth > quota.capacity and not quota.make_room(self, count, growth):
             return False
-        ledger.spoken_for += grown
-        self.held += count
-        if held > self.held_most:
-            self.held_most = held
+        quota.committed += growth
+        self.used += count
+        if used > self.peak:
+            self.peak = used
         return True
 
-    def take_free(self, count: int = 1) -> bool:
-        """The same, but of nobody: only if there is room."""
-        return self.room >= count and self.take(count)
+    def acquire_free(self, count: int = 1) -> bool:
+        """Use so much more only if nobody has to give back for it; return whether it may."""
+        return self.available >= count and self.acquire(count)
 
-    def give(self, count: int = 1) -> None:
-        """Hold so much less; `ValueError` if it never held that."""
-        held, guaranteed = self.held - count, self.guaranteed
-        if count < 0 or held < 0:
-            raise ValueError(f"{self._ledger.name}: {self.name} gives {count} of {self.held}")
-        if self.held > guaranteed:
-            self._ledger.spoken_for -= self.held - max(held, guaranteed)
-        self.held = held
+    def release(self, count: int = 1) -> None:
+        """Use so much less.
 
-
-class Ledger:
-    """The accounting of one resource."""
+        Raises:
+            ValueError: `count` is negative, or more than is used.
+        """
+        used, guaranteed = self.used - count, self.guaranteed
+        if count < 0 or used < 0:
+            raise ValueError(f"{self._quota.name}: {self.name} gives {count} of {self.used}")
+        if self.used > guaranteed:
+            self._quota.committed -= self.used - max(used, guaranteed)
+        self.used = used
+
+
+class ResourceQuota:
+    """Accounts for one resource of a process.
+
+    Attributes:
+        name: The resource, for log lines.
+        capacity: The most that all shares may use together.
+        shares: Its shares, in the order in which they were added.
+        committed: The sum over all shares of what each uses or is guaranteed, whichever is more; kept up to
+            date by the shares.
+    """
 
     def __init__(self, name: str, capacity: int) -> None:
         self.name = name
         self.capacity = capacity
-        self.parts: list[Part] = []
-        # The sum over all parts of what each holds or is guaranteed, whichever is more. Parts keep it.
-        self.spoken_for = 0
+        self.shares: list[QuotaShare] = []
+        self.committed = 0
 
     @property
-    def held(self) -> int:
-        """What all parts hold together."""
-        return sum(part.held for part in self.parts)
+    def used(self) -> int:
+        """What all shares use together."""
+        return sum(share.used for share in self.shares)
 
     @property
     def free(self) -> int:
-        """What is left of the common rest; 0 also where a lowered capacity is overdrawn."""
-        return max(0, self.capacity - self.spoken_for)
+        """What is left of the common rest; 0 also while a lowered capacity is exceeded."""
+        return max(0, self.capacity - self.committed)
 
     @property
-    def over(self) -> int:
-        """By how much more is held than a lowered capacity allows."""
-        return max(0, self.held - self.capacity)
+    def excess(self) -> int:
+        """By how much more is used than a lowered capacity allows."""
+        return max(0, self.used - self.capacity)
 
     @property
-    def pressed(self) -> float:
-        """How near any part is to having no more: 1 where one can take nothing but what others give up.
+    def utilization(self) -> float:
+        """How near any share is to being exhausted: 1 where one can acquire only what others give back.
 
-        What is guaranteed to others and not held is no room for it, so the sum held does not tell.
+        What is guaranteed to others and unused is not available to a share, so the sum used does not tell.
         """
-        shares = (part.held / (part.held + part.room) for part in self.parts if part.weight and part.held)
-        return max(shares, default=0.0)
-
-    def part(self, name: str, guaranteed: int = 0, weight: float = 1.0) -> Part:
-        """A new part; `ValueError` where so much can't be guaranteed."""
-        if guaranteed < 0 or sum(part.guaranteed for part in self.parts) + guaranteed > self.capacity:
-            raise ValueError(f"{self.name}: {guaranteed} for {name} can't be guaranteed")
-        part = Part(self, name, guaranteed, weight)
-        self.parts.append(part)
-        self.spoken_for += guaranteed
-        return part
-
-    def fair(self, part: Part) -> float:
-        """A part's guarantee and its share by weight of the common rest."""
-        common = max(0, self.capacity - sum(other.guaranteed for other in self.parts))
-        return part.guaranteed + common * part.weight / (sum(other.weight for other in self.parts) or 1.0)
+        parts = (
+            share.used / (share.used + share.available)
+            for share in self.shares
+            if share.weight and share.used
+        )
+        return max(parts, default=0.0)
 
-    def find(self, part: Part, count: int, grown: int) -> bool:
-        """Room for a part that wants so much more, where there seems to be none; whether it was found.
+    def add_share(self, name: str, guaranteed: int = 0, weight: float = 1.0) -> QuotaShare:
+        """Add a share.
 
-        `grown` is by how much that goes past its guarantee.
+        Raises:
+            ValueError: So much can't be guaranteed, since others are guaranteed the rest.
         """
-        if grown:
-            return self._reclaimed(part, count)
-        # Within its guarantee, but others hold still what a lowered capacity denies them.
-        return self.held + count <= self.capacity
+        if guaranteed < 0 or sum(share.guaranteed for share in self.shares) + guaranteed > self.capacity:
+            raise ValueError(f"{self.name}: {guaranteed} for {name} can't be guaranteed")
+        share = QuotaShare(self, name, guaranteed, weight)
+        self.shares.append(share)
+        self.committed += guaranteed
+        return share
+
+    def fair_share(self, share: QuotaShare) -> float:
+        """Return a share's guarantee and its part, by weight, of the common rest."""
+        common = max(0, self.capacity - sum(other.guaranteed for other in self.shares))
+        return share.guaranteed + common * share.weight / (sum(other.weight for other in self.shares) or 1.0)
+
+    def make_room(self, share: QuotaShare, count: int, growth: int) -> bool:
+        """Make room for a share that wants `count` more where `committed` leaves none.
+
+        Args:
+            share: Who wants it.
+            count: How much more it wants.
+            growth: By how much that goes past its guarantee.
+
+        Returns:
+            Whether there is room now.
+        """
+        if growth:
+            return self._reclaim_for(share, count)
+        # Within its guarantee, but others still hold what a lowered capacity denies them.
+        return self.used + count <= self.capacity
 
     def resize(self, capacity: int) -> int:
-        """Another capacity from now on; by how much more is held still, once all gave what they could.
+        """Set another capacity.
 
-        Where it is lowered, guarantees shrink in proportion until it is raised again, and who holds more
-        than is fair is asked to give back first. Nothing is taken until the sum is under the new capacity.
+        If it is lowered, guarantees shrink in proportion until it is raised again, and whoever uses most
+        beyond its fair share is asked to give back first. Nothing can be acquired until the sum is under
+        the new capacity.
+
+        Returns:
+            By how much more than the capacity is still used, once all gave back what they could.
         """
-        whole = sum(part.stated for part in self.parts)
-        for part in self.parts:
-            part.guaranteed = part.stated * min(capacity, whole) // whole if whole else 0
+        configured = sum(share.configured for share in self.shares)
+        for share in self.shares:
+            share.guaranteed = share.configured * min(capacity, configured) // configured if configured else 0
         self.capacity = capacity
-        self.spoken_for = sum(max(part.held, part.guaranteed) for part in self.parts)
-        return self.settle()
-
-    def settle(self) -> int:
-        """While more is held than a lowered capacity allows, ask for it again; by how much it still is."""
-        if self.over:
-            for part in self._past_fair():
-                if self.over and part.reclaim is not None:
-                    part.reclaim(self.over)
-        return self.over
-
-    def _grown(self, part: Part, count: int) -> int:
-        return max(part.held + count, part.guaranteed) - max(part.held, part.guaranteed)
-
-    def _past_fair(self) -> Iterator[Part]:
-        """The parts by how far each is past its fair share, the farthest first."""
-        excess = {id(part): part.held - self.fair(part) for part in self.parts}
-        return iter(sorted(self.parts, key=lambda part: -excess[id(part)]))
-
-    def _reclaimed(self, part: Part, count: int) -> bool:
-        """Have others give back for a part that holds less than its fair share; whether there is room."""
-        if part.held + count > self.fair(part):
+        self.committed = sum(max(share.used, share.guaranteed) for share in self.shares)
+        return self.reclaim_excess()
+
+    def reclaim_excess(self) -> int:
+        """Ask shares to give back what a lowered capacity does not allow; return what is still in excess."""
+        if self.excess:
+            for share in self._by_excess():
+                if self.excess and share.reclaim is not None:
+                    share.reclaim(self.excess)
+        return self.excess
+
+    def _growth(self, share: QuotaShare, count: int) -> int:
+        return max(share.used + count, share.guaranteed) - max(share.used, share.guaranteed)
+
+    def _by_excess(self) -> Iterator[QuotaShare]:
+        """Return the shares by how far each is past its fair share, the farthest first."""
+        excess = {id(share): share.used - self.fair_share(share) for share in self.shares}
+        return iter(sorted(self.shares, key=lambda share: -excess[id(share)]))
+
+    def _reclaim_for(self, share: QuotaShare, count: int) -> bool:
+        """Have others give back for a share below its fair share; return whether there is room now."""
+        if share.used + count > self.fair_share(share):
             return False
-        for other in self._past_fair():
-            missing = self.spoken_for + self._grown(part, count) - self.capacity
+        for other in self._by_excess():
+            missing = self.committed + self._growth(share, count) - self.capacity
             if missing <= 0:
                 break
-            past = int(other.held - self.fair(other))
-            if other is not part and other.reclaim is not None and past > 0:
-                other.reclaim(min(missing, past))
-        return self.spoken_for + self._grown(part, count) <= self.capacity
+            excess = int(other.used - self.fair_share(other))
+            if other is not share and other.reclaim is not None and excess > 0:
+                other.reclaim(min(missing, excess))
+        return self.committed + self._growth(share, count) <= self.capacity
 
 
 @dataclass(frozen=True, slots=True)
 class Budget:
-    """What one front or pool has of each resource of its process."""
+    """The shares that one HTTP server or connection pool has of its process' resources.
 
-    descriptors: Part
-    buffered: Part  # bytes of heads, bodies and answers that are held
-    calls: Part  # taken and not yet answered
+    Attributes:
+        descriptors: Open sockets.
+        buffered: Bytes of heads, bodies and responses that are held.
+        calls: Requests that were accepted and are not answered yet.
+    """
+
+    descriptors: QuotaShare
+    buffered: QuotaShare
+    calls: QuotaShare
 
 
 class Limits:
-    """The accounting of one process: descriptors, bytes held and open calls."""
+    """The quotas of one process: descriptors, buffered bytes and open calls."""
 
     def __init__(self, descriptors: int, buffered_bytes: int, calls: int) -> None:
-        self.descriptors = Ledger("descriptors", descriptors)
-        self.buffered = Ledger("buffered bytes", buffered_bytes)
-        self.calls = Ledger("open calls", calls)
+        self.descriptors = ResourceQuota("descriptors", descriptors)
+        self.buffered = ResourceQuota("buffered bytes", buffered_bytes)
+        self.calls = ResourceQuota("open calls", calls)
 
     def resize(self, descriptors: int, buffered_bytes: int, calls: int) -> None:
-        """Other capacities from now on; see `Ledger.resize`."""
+        """Set other capacities; see `ResourceQuota.resize`."""
         self.descriptors.resize(descriptors)
         self.buffered.resize(buffered_bytes)
         self.calls.resize(calls)
 
-    def unsettled(self) -> list[str]:
-        """What is held still, a text for each part that holds any: none once everything is closed."""
-        ledgers = (self.descriptors, self.buffered, self.calls)
+    def unreleased(self) -> list[str]:
+        """Return a text for each share that is still used: none once everything is closed."""
+        quotas = (self.descriptors, self.buffered, self.calls)
         return [
-            f"{part.held} {ledger.name} of {part.name}"
-            for ledger in ledgers
-            for part in ledger.parts
-            if part.held
+            f"{share.used} {quota.name} of {share.name}"
+            for quota in quotas
+            for share in quota.shares
+            if share.used
         ]
 
-    def settle(self) -> None:
-        """Ask again for what is held over lowered capacities."""
-        self.descriptors.settle()
-        self.buffered.settle()
+    def reclaim_excess(self) -> None:
+        """Ask again for descriptors and bytes that exceed lowered capacities; calls end by themselves."""
+        self.descriptors.reclaim_excess()
+        self.buffered.reclaim_excess()
 
     def budget(self, name: str, descriptors: int = 0, buffered_bytes: int = 0, calls: int = 0) -> Budget:
-        """A holder's parts, with what each is guaranteed; `ValueError` where that can't be."""
+        """Add a user's shares, each with what it is guaranteed.
+
+        Raises:
+            ValueError: So much can't be guaranteed.
+        """
         return Budget(
-            self.descriptors.part(name, descriptors),
-            self.buffered.part(name, buffered_bytes),
-            self.calls.part(name, calls),
+            self.descriptors.add_share(name, descriptors),
+            self.buffered.add_share(name, buffered_bytes),
+            self.calls.add_share(name, calls),
         )
--- a/fordtrestle/proxy/engine/log.py
+++ b/fordtrestle/proxy/engine/log.py
@@ -1,4 +1,4 @@
-"""Lines for on-call staff."""
+"""Log lines for on-call staff."""
 
 from __future__ import annotations
 
@@ -6,5 +6,5 @@
 
 
 def log(text: str) -> None:
-    """A line for on-call staff."""
+    """Write a line to standard error at once, without buffering."""
     print(text.rstrip(), file=sys.stderr, flush=True)
--- a/fordtrestle/proxy/engine/ports.py
+++ b/fordtrestle/proxy/engine/ports.py
@@ -1,4 +1,8 @@
-"""What the engine and its neighbours say to one another: plain values and protocols, no I/O."""
+"""Values and protocols between the engine and its neighbours. No I/O.
+
+The engine (`driver.py`) runs the decision module and knows no sockets. `http`, `membership` and `daemon`
+implement the protocols here and hand them in.
+"""
 
 from __future__ import annotations
 
@@ -9,25 +13,38 @@
 from fordtrestle.balancer import model
 from fordtrestle.balancer.model import Outcome
 
+MAX_PORT = 65535
+
 
 class Address(NamedTuple):
-    """Where to listen or connect."""
+    """Where to listen or connect: the arguments that sockets take."""
 
     host: str
     port: int
 
 
 def parse_address(text: Any) -> Address:
-    """`host:port` to an address; `ValueError` if it is none."""
+    """Parse `host:port`, an IPv6 host in brackets.
+
+    Raises:
+        ValueError: It is no such text.
+    """
     host, found, port = str(text).rpartition(":")
-    if not found or not host or not port.isdigit() or not 0 <= int(port) < 65536:
+    if not found or not host or not port.isdigit() or not 0 <= int(port) <= MAX_PORT:
         raise ValueError(f"{text!r} is not an address")
     return Address(host.strip("[]"), int(port))
 
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
-    """One message of discovery."""
+    """One update of a service's servers.
+
+    Attributes:
+        version: The registry's index of it.
+        is_complete: Whether it lists all servers; otherwise it tells only what changed.
+        entries: The servers, as the decision module takes them.
+        addresses: Where each of them listens, by name.
+    """
 
     version: int
     is_complete: bool
@@ -36,47 +53,65 @@
 
 
 @dataclass(slots=True)
-class Answer:
-    """What a server answered, for the client."""
+class UpstreamResponse:
+    """What a server answered, for the client: the headers that are passed on, and the body."""
 
     headers: list[tuple[bytes, bytes]]
     body: bytes
 
 
 @dataclass(slots=True)
-class Result:
-    """How an attempt or a probe ended."""
+class AttemptResult:
+    """How an attempt or a probe ended.
+
+    Attributes:
+        outcome: The outcome, as the decision module takes it.
+        response: The server's response, where the outcome is OK.
+        report: What the server told of its load, by the fields that are configured.
+    """
 
     outcome: Outcome
-    answer: Answer | None = None
+    response: UpstreamResponse | None = None
     report: dict[str, float] | None = None
 
 
-class Handle(Protocol):
-    """Something that will happen unless it is cancelled."""
+class TimerHandle(Protocol):
+    """A callback that is scheduled, as asyncio has it."""
 
     def cancel(self) -> None:
-        """It is not to happen."""
+        """Cancel the callback; one that has run or was cancelled is passed over."""
 
 
 class Scheduler(Protocol):
-    """What an engine needs of an event loop; times are the scheduler's own seconds."""
+    """What the engine needs of an event loop; times are the loop's own seconds."""
 
     def time(self) -> float:
-        """The time now."""
+        """Return the time now."""
 
-    def call_at(self, when: float, callback: Callable[..., object], *args: Any) -> Handle:
-        """Call at that time."""
+    def call_at(self, when: float, callback: Callable[..., object], *args: Any) -> TimerHandle:
+        """Call back at a time."""
 
-    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> Handle:
-        """Call once so many seconds have passed."""
+    def call_later(self, delay: float, callback: Callable[..., object], *args: Any) -> TimerHandle:
+        """Call back after so many seconds."""
 
-    def call_soon(self, callback: Callable[..., object], *args: Any) -> Handle:
-        """Call in the next turn."""
+    def call_soon(self, callback: Callable[..., object], *args: Any) -> TimerHandle:
+        """Call back in the next turn."""
 
 
 class Call(Protocol):
-    """A request as the application sent it."""
+    """A request as a client sent it, and the way to answer it.
+
+    Exactly one of `served`, `refused` and `failed` is called, unless the client leaves first.
+
+    Attributes:
+        traffic_class: The index of its class in the settings.
+        tenant: The index of its tenant; 0 if it has none.
+        key: Its key, where its class is keyed or has one that is warm.
+        work: How much work it asks for, where that is known.
+        again: Whether its client sent it before, and sends it again.
+        mutates: Whether it changes anything at a server.
+        budget: Milliseconds from its last byte until its client gives up.
+    """
 
     traffic_class: int
     tenant: int
@@ -87,66 +122,81 @@
     budget: float
 
     def wire(self, left: float) -> bytes | None:
-        """The request for a server that has `left` milliseconds; None where its client has left."""
+        """Return the request for a server that has `left` milliseconds; None if its client has left."""
 
-    def served(self, answer: Answer) -> None:
-        """The final answer: a server's."""
+    def served(self, answer: UpstreamResponse) -> None:
+        """Answer it with a server's response."""
 
     def refused(self, retry_after: float) -> None:
-        """The final answer: refused."""
+        """Answer that it is refused, and to come back after so many ms; 0: no time is told."""
 
     def failed(self, late: bool) -> None:
-        """The final answer: failed."""
+        """Answer that it failed; `late`: since its time is over."""
 
-    def over(self) -> None:
-        """Answered or given up, and no attempt is out: nothing of it can come any more."""
+    def on_finished(self) -> None:
+        """It is answered or given up, and no attempt is open: nothing of it can come any more."""
 
 
 class AttemptHandle(Protocol):
-    """One attempt or probe on its way."""
+    """An attempt or probe that is on its way."""
 
     def abandon(self) -> None:
-        """Stop waiting: its connection is closed, and nothing more comes of it."""
+        """Stop waiting: its connection is closed, and its `done` is not called."""
 
 
 class Upstreams(Protocol):
-    """The servers, seen as somewhere to send."""
+    """The servers: where attempts and probes are sent."""
 
     def send(
         self,
         server: str,
         message: Callable[[float], bytes | None],
         expires: float,
-        done: Callable[[Result], None],
+        done: Callable[[AttemptResult], None],
     ) -> AttemptHandle:
-        """Begin an attempt; `done` is called once, later, unless it is abandoned first.
-
-        `message` is asked as the attempt begins and once more where it had to wait for a connection; it is
-        given the milliseconds left, and where it says None nothing is written: the attempt is abandoned.
+        """Begin an attempt.
+
+        Args:
+            server: The server's name.
+            message: Returns the bytes to write, given the milliseconds left. It is called as the attempt
+                begins, and once more if it had to wait for a connection. If it returns None nothing is
+                written and the attempt is abandoned.
+            expires: When its time is over, in the clock's milliseconds.
+            done: Called once with the result, in a later turn of the loop, unless the attempt is abandoned
+                first.
         """
 
-    def probe(self, server: str, done: Callable[[Result], None]) -> AttemptHandle:
-        """Begin a probe, likewise."""
+    def probe(self, server: str, done: Callable[[AttemptResult], None]) -> AttemptHandle:
+        """Begin a health probe; `done` is as for `send`."""
 
     def update(self, now: float, whole: bool, news: ServerList) -> list[str]:
-        """What discovery said of the servers; the names whose address has gone to another."""
+        """Apply an update of the servers.
+
+        Args:
+            now: When it was read, in the clock's milliseconds.
+            whole: Whether it lists all servers.
+            news: The update.
+
+        Returns:
+            The names whose address now belongs to another server.
+        """
 
     def close_idle(self, server: str) -> None:
         """Close the idle connections to a server."""
 
 
 class Registry(Protocol):
-    """Discovery, seen as something to ask."""
+    """The discovery of servers."""
 
     def watch(self, on: bool) -> None:
         """Ask for changes from now on, or stop."""
 
     def fetch(self) -> None:
-        """Ask for the whole list once."""
+        """Ask for the complete list once."""
 
 
 class Gossip(Protocol):
     """The way to other sidecars."""
 
-    def tell(self, peer: int | None, data: bytes) -> None:
-        """Send a message to one peer, or to all."""
+    def send(self, peer: int | None, data: bytes) -> None:
+        """Send a message to one peer, or to all if `peer` is None."""
--- a/fordtrestle/proxy/engine/schema.py
+++ b/fordtrestle/proxy/engine/schema.py
@@ -1,8 +1,8 @@
-"""A strict reader of tables: each key is typed and ranged, and every fault is gathered. Pure.
+"""Strict reading of parsed TOML tables: every key has a type and a range, and all errors are collected. Pure.
 
-A reader asks a `Table` for its keys one by one and closes it with `end`, which refuses what was not
-asked for. Nothing is raised: a bad value is noted in `Faults` and stands as None (or an empty
-text or tuple), so that one pass over a file finds all that is wrong with it.
+The caller reads the keys of a `TomlTable` one by one and then calls `reject_unknown_keys`, which reports each
+key that was not read. Nothing is raised: an invalid value is recorded in `SchemaErrors` and reads as None (or
+an empty text or tuple), so that one pass over a file finds everything that is wrong with it.
 """
 
 from __future__ import annotations
@@ -18,41 +18,48 @@
 
 from fordtrestle.proxy.engine.ports import Address, parse_address
 
-WORD = re.compile(r"[A-Za-z0-9_-]{1,64}")
-DAY_MS = 86_400_000.0
-COUNT_MOST = 2**40  # past any limit of a machine; guards against figures that overflow a float
+IDENTIFIER = re.compile(r"[A-Za-z0-9_-]{1,64}")  # a bare key of TOML, short enough for a log line
+DAY_MS = 86_400_000.0  # the longest time that a file may set
+MAX_COUNT = 2**40  # above any limit of a machine, and still exact as a float
+MAX_DESCRIPTION_CHARS = 60  # of a value in an error: the message stays one line
+SUGGESTION_CUTOFF = 0.6  # similarity (difflib's ratio) from which a known key is suggested
 
 
-class Fault(NamedTuple):
-    """One thing that is wrong: where (`table.key`, or empty for the whole file), and why."""
+class SchemaError(NamedTuple):
+    """One thing that is wrong with a file.
+
+    Attributes:
+        at: The key, as `table.key`; empty for the whole file.
+        reason: What is wrong, as a phrase for the file's author.
+    """
 
     at: str
     reason: str
 
 
 @dataclass(slots=True)
-class Faults:
-    """All that is wrong with one file, in the order in which it was read."""
+class SchemaErrors:
+    """Collects all that is wrong with one file, in the order in which it was read."""
 
-    found: list[Fault] = field(default_factory=list)
+    found: list[SchemaError] = field(default_factory=list)
 
     def add(self, at: str, reason: str) -> None:
-        """Note a fault."""
-        self.found.append(Fault(at, reason))
+        """Record an error of the key `at`."""
+        self.found.append(SchemaError(at, reason))
 
 
 def path(at: str, key: str) -> str:
-    """The full name of a key; what is no plain word is quoted, so that it stays one line."""
-    name = key if WORD.fullmatch(key) else json.dumps(key)
+    """Return the full name of a key; one that is no identifier is quoted, so that it stays on one line."""
+    name = key if IDENTIFIER.fullmatch(key) else json.dumps(key)
     return f"{at}.{name}" if at else name
 
 
-def shown(value: Any) -> str:
-    """A value as an error names it: one line, and not long."""
-    if isinstance(value, int) and abs(value) > COUNT_MOST:
-        return "a number out of all range"  # guards against digits without end, which are no text
+def describe(value: Any) -> str:
+    """Return a value as an error message shows it: one short line."""
+    if isinstance(value, int) and abs(value) > MAX_COUNT:
+        return "a number out of all range"  # converting a huge integer to text is slow, and may raise
     text = json.dumps(value) if isinstance(value, str | bool | int | float) else _kind(value)
-    return text if len(text) <= 60 else f"{text[:57]}..."
+    return text if len(text) <= MAX_DESCRIPTION_CHARS else f"{text[: MAX_DESCRIPTION_CHARS - 3]}..."
 
 
 def _kind(value: Any) -> str:
@@ -62,232 +69,250 @@
 
 
 def address_text(address: Address) -> str:
-    """An address as a file has it."""
+    """Return an address as `host:port`, an IPv6 host in brackets."""
     host = f"[{address.host}]" if ":" in address.host else address.host
     return f"{host}:{address.port}"
 
 
-class Table:
-    """One table of a file, read key by key; `at` is its full name."""
+class TomlTable:
+    """Reads one table of a file, key by key.
+
+    Attributes:
+        at: The table's full name; empty for the whole file.
+        errors: Where errors of this table and of those in it are recorded.
+    """
 
-    def __init__(self, raw: Mapping[str, Any], at: str, faults: Faults) -> None:
+    def __init__(self, raw: Mapping[str, Any], at: str, errors: SchemaErrors) -> None:
         self._raw = raw
-        self._asked: dict[str, None] = {}
+        self._read_keys: dict[str, None] = {}
         self.at = at
-        self.faults = faults
+        self.errors = errors
 
     def has(self, key: str) -> bool:
-        """Whether the key is there, good or not."""
+        """Return whether the key is there, valid or not."""
         return key in self._raw
 
-    def fault(self, key: str, reason: str) -> None:
-        """Note what is wrong with a key."""
-        self.faults.add(path(self.at, key), reason)
+    def add_error(self, key: str, reason: str) -> None:
+        """Record what is wrong with a key of this table."""
+        self.errors.add(path(self.at, key), reason)
 
-    def end(self) -> None:
-        """Refuse every key that was not asked for."""
+    def reject_unknown_keys(self) -> None:
+        """Record an error for each key that was not read."""
         for key in self._raw:
-            if key not in self._asked:
-                near = difflib.get_close_matches(key, self._asked, 1, 0.6)
-                self.fault(key, "no such key" + (f"; did you mean {near[0]}?" if near else ""))
+            if key not in self._read_keys:
+                near = difflib.get_close_matches(key, self._read_keys, 1, SUGGESTION_CUTOFF)
+                self.add_error(key, "no such key" + (f"; did you mean {near[0]}?" if near else ""))
 
-    # --- figures --------------------------------------------------------------
+    # --- numbers --------------------------------------------------------------
 
-    def figure(
+    def number(
         self,
         key: str,
         default: float | None = None,
         low: float = 0.0,
         high: float = DAY_MS,
-        needed: bool = False,
+        required: bool = False,
     ) -> float | None:
-        """A finite number from `low` to `high`; None where it is bad, or missing with no default."""
-        value = self._take(key, needed)
+        """Read a finite number from `low` to `high`; None if it is invalid, or missing without a default."""
+        value = self._take(key, required)
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, int | float):
-            self.fault(key, f"expected a number, not {shown(value)}")
-        elif not low <= value <= high:  # also what is not a number
-            self.fault(key, f"{shown(value)} is not within {low:g} to {high:g}")
+            self.add_error(key, f"expected a number, not {describe(value)}")
+        elif not low <= value <= high:  # NaN fails both comparisons
+            self.add_error(key, f"{describe(value)} is not within {low:g} to {high:g}")
         else:
             return float(value)
         return None
 
-    def figures(self, key: str, low: float, high: float, most: int) -> tuple[float, ...]:
-        """An array of such numbers, at least one and so many at the most; empty where it is bad."""
-        value = self._take(key, needed=True)
+    def numbers(self, key: str, low: float, high: float, max_length: int) -> tuple[float, ...]:
+        """Read an array of 1 to `max_length` numbers from `low` to `high`; empty if it is invalid."""
+        value = self._take(key, required=True)
         if value is None:
             return ()
         rows = value if isinstance(value, list) else []
-        good = all(
+        is_valid = all(
             isinstance(row, int | float) and not isinstance(row, bool) and low <= row <= high for row in rows
         )
-        if not good or not 1 <= len(rows) <= most:
-            self.fault(key, f"expected 1 to {most} numbers within {low:g} to {high:g}, not {shown(value)}")
+        if not is_valid or not 1 <= len(rows) <= max_length:
+            self.add_error(
+                key, f"expected 1 to {max_length} numbers within {low:g} to {high:g}, not {describe(value)}"
+            )
             return ()
         return tuple(map(float, rows))
 
-    def count(
+    def integer(
         self,
         key: str,
         default: int | None = None,
         low: int = 0,
-        high: int = COUNT_MOST,
-        needed: bool = False,
+        high: int = MAX_COUNT,
+        required: bool = False,
     ) -> int | None:
-        """A whole number from `low` to `high`; None where it is bad, or missing with no default."""
-        value = self._take(key, needed)
+        """Read an integer from `low` to `high`; None if it is invalid, or missing without a default."""
+        value = self._take(key, required)
         if value is None:
             return default
         if isinstance(value, bool) or not isinstance(value, int):
-            self.fault(key, f"expected a whole number, not {shown(value)}")
+            self.add_error(key, f"expected a whole number, not {describe(value)}")
         elif not low <= value <= high:
-            self.fault(key, f"{shown(value)} is not within {low} to {high}")
+            self.add_error(key, f"{describe(value)} is not within {low} to {high}")
         else:
             return value
         return None
 
     def share(self, key: str, default: float | None = None) -> float | None:
-        """A number from 0 to 1."""
-        return self.figure(key, default, 0.0, 1.0)
+        """Read a number from 0 to 1; None if it is invalid, or missing without a default."""
+        return self.number(key, default, 0.0, 1.0)
 
-    def flag(self, key: str, default: bool) -> bool:
-        """True or false."""
+    def boolean(self, key: str, default: bool) -> bool:
+        """Read true or false; `default` if it is invalid or missing."""
         value = self._take(key)
         if value is None:
             return default
         if not isinstance(value, bool):
-            self.fault(key, f"expected true or false, not {shown(value)}")
+            self.add_error(key, f"expected true or false, not {describe(value)}")
             return default
         return value
 
     # --- texts ----------------------------------------------------------------
 
-    def one_of(self, key: str, words: Sequence[str], default: str | None = None) -> str:
-        """One of these words; empty where it is bad. It is needed where there is no default."""
-        value = self._take(key, needed=default is None)
+    def choice(self, key: str, choices: Sequence[str], default: str | None = None) -> str:
+        """Read one of `choices`; empty if it is invalid. It is required if there is no default."""
+        value = self._take(key, required=default is None)
         if value is None:
             return default or ""
-        if value not in words:
-            self.fault(key, f"expected one of {', '.join(words)}, not {shown(value)}")
+        if value not in choices:
+            self.add_error(key, f"expected one of {', '.join(choices)}, not {describe(value)}")
             return ""
         return str(value)
 
-    def word(self, key: str, default: str | None = None) -> str:
-        """A plain word; empty where it is bad. It is needed where there is no default."""
-        value = self._take(key, needed=default is None)
+    def identifier(self, key: str, default: str | None = None) -> str:
+        """Read an identifier; empty if it is invalid. It is required if there is no default."""
+        value = self._take(key, required=default is None)
         if value is None:
             return default or ""
-        return value if self._is_word(key, value) else ""
+        return value if self._is_identifier(key, value) else ""
 
     def text(self, key: str, default: str | None, form: re.Pattern[str], what: str) -> str:
-        """A text of this form; empty where it is bad. It is needed where there is no default."""
-        value = self._take(key, needed=default is None)
+        """Read a text that matches `form`; empty if it is invalid. It is required if there is no default.
+
+        Args:
+            key: The key.
+            default: What a missing key reads as; None: it is required.
+            form: The regular expression that the whole text has to match.
+            what: What is expected, as an error says it.
+        """
+        value = self._take(key, required=default is None)
         if value is None:
             return default or ""
         if not isinstance(value, str) or form.fullmatch(value) is None:
-            self.fault(key, f"expected {what}, not {shown(value)}")
+            self.add_error(key, f"expected {what}, not {describe(value)}")
             return ""
         return value
 
     def file(self, key: str) -> str | None:
-        """The path of a file; None where it is missing or bad."""
+        """Read the path of a file; None if it is invalid or missing."""
         value = self._take(key)
         if value is None:
             return None
         if not isinstance(value, str) or not value or not value.isprintable():
-            self.fault(key, f"expected the path of a file, not {shown(value)}")
+            self.add_error(key, f"expected the path of a file, not {describe(value)}")
             return None
         return value
 
-    def words(self, key: str) -> tuple[str, ...]:
-        """An array of plain words, each once; bad ones are left out."""
+    def identifiers(self, key: str) -> tuple[str, ...]:
+        """Read an array of identifiers, each there once; invalid ones are left out."""
         value = self._take(key)
         if value is None:
             return ()
         if not isinstance(value, list):
-            self.fault(key, f"expected an array, not {shown(value)}")
+            self.add_error(key, f"expected an array, not {describe(value)}")
             return ()
-        words = [word for word in value if self._is_word(key, word)]
+        words = [word for word in value if self._is_identifier(key, word)]
         for word in sorted({word for word in words if words.count(word) > 1}):
-            self.fault(key, f"{shown(word)} is there more than once")
+            self.add_error(key, f"{describe(word)} is there more than once")
         return tuple(words)
 
-    def _is_word(self, key: str, value: Any) -> bool:
-        good = isinstance(value, str) and WORD.fullmatch(value) is not None
-        if not good:
-            self.fault(key, f"{shown(value)} is no plain word (letters, digits, _ and -)")
-        return good
+    def _is_identifier(self, key: str, value: Any) -> bool:
+        is_valid = isinstance(value, str) and IDENTIFIER.fullmatch(value) is not None
+        if not is_valid:
+            self.add_error(key, f"{describe(value)} is no plain word (letters, digits, _ and -)")
+        return is_valid
 
-    def address(self, key: str, named: bool = False) -> Address | None:
-        """`IP:port`, with a host's name in place of the IP where `named`; it is needed."""
-        value = self._take(key, needed=True)
-        return None if value is None else self._address(key, value, named)
+    def address(self, key: str, allow_host_name: bool = False) -> Address | None:
+        """Read a required address, `IP:port` or if allowed `host:port`; None if it is invalid."""
+        value = self._take(key, required=True)
+        return None if value is None else self._address(key, value, allow_host_name)
 
     def addresses(self, key: str) -> tuple[Address, ...]:
-        """One `IP:port` or an array of them; at least one is needed."""
-        value = self._take(key, needed=True)
+        """Read one `IP:port` or an array of them; at least one is required, and invalid ones are left out."""
+        value = self._take(key, required=True)
         if value is None:
             return ()
         rows = value if isinstance(value, list) else [value]
         if not rows:
-            self.fault(key, "at least one address is needed")
-        read = [self._address(key, row, named=False) for row in rows]
+            self.add_error(key, "at least one address is needed")
+        read = [self._address(key, row, allow_host_name=False) for row in rows]
         return tuple(address for address in read if address is not None)
 
-    def _address(self, key: str, value: Any, named: bool) -> Address | None:
+    def _address(self, key: str, value: Any, allow_host_name: bool) -> Address | None:
         try:
             address = parse_address(value)
-            if not named or ":" in address.host:
+            if not allow_host_name or ":" in address.host:
                 ipaddress.ip_address(address.host)
             elif re.fullmatch(r"[A-Za-z0-9._-]{1,253}", address.host) is None:
                 raise ValueError
         except ValueError:
-            kind = "host:port" if named else "IP:port"
-            self.fault(key, f"{shown(value)} is not an address ({kind})")
+            kind = "host:port" if allow_host_name else "IP:port"
+            self.add_error(key, f"{describe(value)} is not an address ({kind})")
             return None
         return address
 
     # --- tables ---------------------------------------------------------------
 
-    def table(self, key: str) -> Table:
-        """A table, empty where it is missing."""
+    def table(self, key: str) -> TomlTable:
+        """Read a table; empty if it is missing or invalid."""
         value = self._take(key)
         if value is not None and not isinstance(value, dict):
-            self.fault(key, f"expected a table, not {shown(value)}")
-        return Table(value if isinstance(value, dict) else {}, path(self.at, key), self.faults)
+            self.add_error(key, f"expected a table, not {describe(value)}")
+        return TomlTable(value if isinstance(value, dict) else {}, path(self.at, key), self.errors)
 
-    def named(self, key: str, needed: bool = False) -> Iterator[tuple[str, Table]]:
-        """Tables by their names, as `[key.NAME]`; one whose name is no plain word is refused."""
+    def named_tables(self, key: str, required: bool = False) -> Iterator[tuple[str, TomlTable]]:
+        """Read tables by their names, as `[key.NAME]`; one whose name is no identifier is an error."""
         tables = self.table(key)
-        if needed and not self._raw.get(key):
-            self.fault(key, "at least one is needed")
+        if required and not self._raw.get(key):
+            self.add_error(key, "at least one is needed")
         for name in tables._raw:
-            if WORD.fullmatch(name) is None:
-                tables.fault(name, "a name is a plain word (letters, digits, _ and -)")
+            if IDENTIFIER.fullmatch(name) is None:
+                tables.add_error(name, "a name is a plain word (letters, digits, _ and -)")
             else:
                 yield name, tables.table(name)
 
-    def rows(self, key: str, needed: bool = False) -> list[Table]:
-        """An array of tables, as `[[key]]`."""
+    def array_of_tables(self, key: str, required: bool = False) -> list[TomlTable]:
+        """Read an array of tables, as `[[key]]`; empty if it is missing or invalid."""
         value = self._take(key)
-        if needed and (value is None or value == []):
-            self.fault(key, "at least one is needed")
+        if required and (value is None or value == []):
+            self.add_error(key, "at least one is needed")
         if value is None:
             return []
         if not isinstance(value, list) or not all(isinstance(row, dict) for row in value):
-            self.fault(key, f"expected an array of tables, not {shown(value)}")
+            self.add_error(key, f"expected an array of tables, not {describe(value)}")
             return []
-        return [Table(row, f"{path(self.at, key)}[{i}]", self.faults) for i, row in enumerate(value)]
+        return [TomlTable(row, f"{path(self.at, key)}[{i}]", self.errors) for i, row in enumerate(value)]
 
-    def _take(self, key: str, needed: bool = False) -> Any:
-        """The raw value; None where it is missing, since files of this kind have no such value."""
-        self._asked[key] = None
-        if needed and key not in self._raw:
-            self.fault(key, "missing")
+    def _take(self, key: str, required: bool = False) -> Any:
+        """Return the raw value; None if it is missing: TOML has no null of its own."""
+        self._read_keys[key] = None
+        if required and key not in self._raw:
+            self.add_error(key, "missing")
         return self._raw.get(key)
 
 
-def good(value: float | None) -> float:
-    """A figure to compute on with: what is bad or missing compares as neither more nor less."""
+def or_nan(value: float | None) -> float:
+    """Return a number to compute with.
+
+    An invalid or missing one becomes NaN, which compares as neither more nor less: checks that follow
+    report no second error for it.
+    """
     return math.nan if value is None else value
--- a/fordtrestle/proxy/http/accept.py
+++ b/fordtrestle/proxy/http/accept.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from fordtrestle.proxy.engine.connections import TableEntry
-from fordtrestle.proxy.engine.limits import Part
+from fordtrestle.proxy.engine.connection_table import TableEntry
+from fordtrestle.proxy.engine.limits import QuotaShare
 from fordtrestle.proxy.http import stream
 from fordtrestle.proxy.http.held import HeldConnection
 
@@ -30,14 +30,14 @@
 class Doorkeeper(Protocol):
     """What connections are accepted for, and who finds descriptors for them."""
 
-    def take_descriptor(self, certain: bool, urgent: bool) -> Part | None:
+    def take_descriptor(self, certain: bool, urgent: bool) -> QuotaShare | None:
         """The part that the descriptor of a connection about to be accepted was taken from; None: of none.
 
         Only where it is `certain` that one waits is somebody evicted; where it is `urgent`, anybody may
         be.
         """
 
-    def accepted(self, sock: socket.socket, part: Part, waited_ms: float) -> None:
+    def accepted(self, sock: socket.socket, part: QuotaShare, waited_ms: float) -> None:
         """A connection, which may have waited for so long."""
 
     @property
@@ -146,7 +146,7 @@
         try:
             sock, _ = self.sock.accept()
         except OSError as error:
-            part.give()
+            part.release()
             self._refused(error)
             return False
         self._full_since = None
--- a/fordtrestle/proxy/http/call.py
+++ b/fordtrestle/proxy/http/call.py
@@ -4,8 +4,8 @@
 
 from typing import Protocol
 
-from fordtrestle.proxy.engine.driver import OpenRequest
-from fordtrestle.proxy.engine.ports import Answer
+from fordtrestle.proxy.engine.open_requests import OpenRequest
+from fordtrestle.proxy.engine.ports import UpstreamResponse
 from fordtrestle.proxy.http import requests
 from fordtrestle.proxy.http.held import HeldConnection
 from fordtrestle.proxy.http.requests import BadRequest, Message, RequestNames
@@ -108,7 +108,7 @@
             return None
         return b"%bX-Budget: %du\r\n\r\n%b" % (self._head, max(0.0, left) * 1000.0, self._body)
 
-    def served(self, answer: Answer) -> None:
+    def served(self, answer: UpstreamResponse) -> None:
         """The final answer: a server's, its body unchanged."""
         self._finish(200, answer.headers, answer.body)
 
@@ -121,7 +121,7 @@
         """The final answer: failed."""
         self._finish(504 if late else 502, [], b"")
 
-    def over(self) -> None:
+    def on_finished(self) -> None:
         """No attempt is out any more: its identity may come again."""
         self.request = None
         self.connection.over(self)
--- a/fordtrestle/proxy/http/downstream.py
+++ b/fordtrestle/proxy/http/downstream.py
@@ -7,8 +7,8 @@
 
 import httptools
 
-from fordtrestle.proxy.engine.connections import TableEntry
-from fordtrestle.proxy.engine.tally import OwnCause
+from fordtrestle.proxy.engine.connection_table import TableEntry
+from fordtrestle.proxy.engine.outcome_counters import OwnCause
 from fordtrestle.proxy.http import requests, stream, wire
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.held import HeldConnection
@@ -201,7 +201,7 @@
         self._head_bytes = self._framing = 0
         self._tail = b""
         if not self._waiting:
-            self._front.table.begin(self.entry, self._read_at)
+            self._front.table.on_request_started(self.entry, self._read_at)
 
     def on_url(self, target: bytes) -> None:
         """Called by the parser, once or in parts."""
@@ -260,15 +260,15 @@
         self._stop_clock()
         call.keep_alive = self._parser.should_keep_alive()
         call.whole(message)
-        self._front.table.ask(self.entry, self._read_at, proves=bool(call.call_id))
+        self._front.table.on_request(self.entry, self._read_at, proves_client=bool(call.call_id))
         self._waiting.append(call)
         if len(self._waiting) > PIPELINED_MOST:
             call.keep_alive = False
             self._deaf = True
         # What the client has waited already counts: to be accepted, or for as long as this process may
         # have stood still; but it leaves it half of its time, since its request may have come last.
-        waited_ms = max(self._late_ms, self.entry.waited_ms)
-        self.entry.waited_ms = 0.0
+        waited_ms = max(self._late_ms, self.entry.accept_wait_ms)
+        self.entry.accept_wait_ms = 0.0
         if waited_ms:
             waited_ms = min(waited_ms, call.budget / 2.0)
         read_at = self._read_at - waited_ms
@@ -343,7 +343,7 @@
         if self._message is None:
             self._front.rests(self.entry)
         else:
-            self._front.table.begin(self.entry, self._front.clock.now())
+            self._front.table.on_request_started(self.entry, self._front.clock.now())
 
     def _account(self) -> None:
         """Tell the front how many bytes are held here: unsent, unfinished, untaken, answered too early."""
@@ -370,7 +370,7 @@
         head_only = self._message is not None and self._message.method == "HEAD"
         self._message = self._call = None
         self._deaf = True
-        self._front.table.reject(self.entry, self._front.clock.now())
+        self._front.table.on_rejected(self.entry, self._front.clock.now())
         self._front.rejected(status)
         self._stop_clock()
         self._waiting.append(call)
@@ -389,10 +389,10 @@
                 continue
             request = call.request
             if request is None:
-                self._front.tally.refused(call.traffic_class, OwnCause.CUT_SHORT)
+                self._front.counters.record_refused(call.traffic_class, OwnCause.CUT_SHORT)
                 call.refused(0.0)  # never taken
             else:
-                self._front.tally.failed(call.traffic_class, OwnCause.CUT_SHORT)
+                self._front.counters.record_failed(call.traffic_class, OwnCause.CUT_SHORT)
                 call.failed(False)
                 self._front.taker.client_gone(request)
 
@@ -403,7 +403,7 @@
         Guards against a reset that takes the answer with it, by bytes that come just as it is closed.
         """
         self._deaf = True
-        self._front.table.reject(self.entry, self._front.clock.now())
+        self._front.table.on_rejected(self.entry, self._front.clock.now())
         self._stop_clock()
         self._untaken.clear()
         self._ended = True
--- a/fordtrestle/proxy/http/front.py
+++ b/fordtrestle/proxy/http/front.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 
 from fordtrestle.proxy.engine.clock import Clock
-from fordtrestle.proxy.engine.connections import ConnectionTable, Standing, TableEntry, TableOptions
-from fordtrestle.proxy.engine.lag import LagMeter
-from fordtrestle.proxy.engine.limits import Budget, Part
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, EvictionClass, TableEntry, TableOptions
+from fordtrestle.proxy.engine.lag import LoopLagMeter
+from fordtrestle.proxy.engine.limits import Budget, QuotaShare
 from fordtrestle.proxy.engine.log import log
+from fordtrestle.proxy.engine.outcome_counters import NO_CLASS, OutcomeCounters, OwnCause
 from fordtrestle.proxy.engine.ports import Address
-from fordtrestle.proxy.engine.tally import NO_CLASS, OwnCause, Tally
 from fordtrestle.proxy.http import requests, stream
 from fordtrestle.proxy.http.accept import Acceptor, PendingConnection, queued
 from fordtrestle.proxy.http.call import ClientCall, OpenConnection
@@ -62,8 +62,8 @@
         options: FrontOptions,
         taker: Taker,
         budget: Budget,
-        reserve: Part,
-        lag: LagMeter,
+        reserve: QuotaShare,
+        lag: LoopLagMeter,
     ) -> None:
         self.loop = loop
         self.clock = clock
@@ -73,7 +73,7 @@
         self.lag = lag
         self.wake: Callable[[], object] = lag.wake  # told when a connection comes
         self.note: Callable[[ClientCall], None] | None = None  # told of each whole request
-        self.tally = Tally()  # of what is answered here, and not by an engine
+        self.counters = OutcomeCounters()  # of what is answered here, and not by an engine
         self.status: Callable[[], bytes] = bytes  # the body for who asks for counts, as JSON
         self.budget = budget
         # Descriptors for connections at the limit: each whole request there is answered, with 503.
@@ -82,7 +82,7 @@
         self._retry_after_ms = options.retry_after_ms
         self.table: ConnectionTable[HeldConnection] = ConnectionTable(TableOptions(options.clients_most))
         self._calls: set[str] = set()  # identities of requests of which something is open
-        self._parts: dict[HeldConnection, Part] = {}  # which part its descriptor is taken from
+        self._parts: dict[HeldConnection, QuotaShare] = {}  # which part its descriptor is taken from
         # Whose client does not read, the longest first.
         self._stuck: dict[OpenConnection, Stuck] = {}
         self.unread: dict[OpenConnection, None] = {}  # of whom nothing is read at present
@@ -112,7 +112,7 @@
 
     def hurry(self, on: bool) -> None:
         """Close connections at rest sooner, or as usual."""
-        self.table.hurried = on
+        self.table.shorten_idle = on
 
     def pause(self) -> None:
         """Accept nothing for a moment."""
@@ -140,7 +140,7 @@
         """
         over = self.clock.now() > self._last_ms
         for entry in self.table:
-            connection = entry.holder
+            connection = entry.owner
             if over and isinstance(connection, ClientConnection):
                 connection.refuse_unfinished()
             if connection.idle and (over or not isinstance(connection, PendingConnection)):
@@ -149,8 +149,8 @@
     def fail_waiting(self) -> None:
         """Answer what is not answered in its time, whatever has kept it."""
         for entry in self.table:
-            if isinstance(entry.holder, ClientConnection):
-                entry.holder.fail_waiting()
+            if isinstance(entry.owner, ClientConnection):
+                entry.owner.fail_waiting()
 
     @property
     def accepting(self) -> bool:
@@ -173,23 +173,23 @@
 
     # --- connections ------------------------------------------------------------
 
-    def take_descriptor(self, certain: bool, urgent: bool) -> Part | None:
+    def take_descriptor(self, certain: bool, urgent: bool) -> QuotaShare | None:
         """The part that the descriptor of a connection about to be accepted was taken from: at the most, who
         is worth least is evicted, or it is one that can only be told so, or none is free.
         """
         descriptors = self.budget.descriptors
         if not certain:
-            return descriptors if descriptors.take_free() else None
-        if descriptors.take() or self._make_room(urgent):
+            return descriptors if descriptors.acquire_free() else None
+        if descriptors.acquire() or self._make_room(urgent):
             return descriptors
-        if self.reserve.take_free() or (urgent and self._evict_at_limit() and self.reserve.take_free()):
+        if self.reserve.acquire_free() or (urgent and self._evict_at_limit() and self.reserve.acquire_free()):
             return self.reserve
         return None
 
-    def accepted(self, sock: socket.socket, part: Part, waited_ms: float) -> None:
+    def accepted(self, sock: socket.socket, part: QuotaShare, waited_ms: float) -> None:
         """A new connection, which may have waited for so long."""
         connection = PendingConnection(self.loop, sock, self._first_bytes, self.released)
-        connection.entry = self.table.open(connection, self.clock.now(), waited_ms)
+        connection.entry = self.table.add(connection, self.clock.now(), waited_ms)
         self._parts[connection] = part
         self.wake()
         if self._sweeping is None:
@@ -201,7 +201,7 @@
         """
         early = stream.EarlyTransport(pending.sock)
         connection = ClientConnection(self, pending.entry, early)
-        pending.entry.holder = connection
+        pending.entry.owner = connection
         self._parts[connection] = self._parts.pop(pending)
         connection.data_received(data)
         if self._ended_early(connection, early):
@@ -232,12 +232,12 @@
 
     def _make_room(self, urgent: bool = False) -> bool:
         """Evict another, whose descriptor is taken over; whether there was one."""
-        return self._evict_until(self.budget.descriptors.take, EVICTED_MOST, urgent)
+        return self._evict_until(self.budget.descriptors.acquire, EVICTED_MOST, urgent)
 
     def _reclaim(self, count: int) -> None:
         """Others of the process hold less than is fair: so many here are evicted, as far as they may be."""
-        until = self.budget.descriptors.held - count
-        self._evict_until(lambda: self.budget.descriptors.held <= until, count + EVICTED_MOST)
+        until = self.budget.descriptors.used - count
+        self._evict_until(lambda: self.budget.descriptors.used <= until, count + EVICTED_MOST)
 
     def _evict_until(self, enough: Callable[[], bool], most: int, urgent: bool = False) -> bool:
         """Evict one by one, so many at the most, until there is enough; whether there is. Who lingers
@@ -249,7 +249,10 @@
             if entry is None:
                 looks -= 1
                 continue
-            if entry.standing is not Standing.REJECTED or self._parts.get(entry.holder) is not self.reserve:
+            if (
+                entry.eviction_class is not EvictionClass.REJECTED
+                or self._parts.get(entry.owner) is not self.reserve
+            ):
                 most -= 1
             self._evict(entry)
             if enough():
@@ -282,16 +285,16 @@
 
     def _evict(self, entry: TableEntry[HeldConnection]) -> None:
         """Close a connection; its entry and its descriptor are free at once."""
-        connection = entry.holder
+        connection = entry.owner
         self.released(connection)
         connection.abort()
 
     def released(self, connection: HeldConnection) -> None:
         """Its socket is closed, or about to be."""
-        self.table.close(connection.entry)
+        self.table.remove(connection.entry)
         part = self._parts.pop(connection, None)
         if part is not None:
-            part.give()
+            part.release()
             for acceptor in self._acceptors:
                 acceptor.resume()
         if isinstance(connection, ClientConnection):
@@ -306,10 +309,10 @@
         self._sweeping = self.loop.call_later(SWEEP_S, self._sweep) if len(self.table) else None
         now = self.clock.now()
         for entry in self.table.overdue(now):
-            entry.holder.first_is_overdue()
-        for entry in self.table.rested(now):
-            if entry.holder.idle:
-                entry.holder.close()
+            entry.owner.first_is_overdue()
+        for entry in self.table.expired_idle(now):
+            if entry.owner.idle:
+                entry.owner.close()
         for connection in list(self.unread):
             connection.has_left()
         for connection, stuck in list(self._stuck.items()):
@@ -322,10 +325,10 @@
     def rests(self, entry: TableEntry[HeldConnection]) -> None:
         """All that a connection asked is answered."""
         now = self.clock.now()
-        self.table.rest(entry, now)
-        too_many = self.table.one_too_many(now, _quiet)
+        self.table.on_idle(entry, now)
+        too_many = self.table.excess_victim(now, _quiet)
         if too_many is not None:
-            too_many.holder.close()
+            too_many.owner.close()
 
     # --- bytes ------------------------------------------------------------------
 
@@ -348,7 +351,7 @@
             self._halves.pop(connection, None)
         more = size - connection.held
         if more <= 0:
-            self.budget.buffered.give(-more)
+            self.budget.buffered.release(-more)
         elif not self._take_bytes(more):
             return False
         connection.held += more  # it may have been cut itself: then no more than that is taken
@@ -358,19 +361,19 @@
         """Take them into account; in shortage, cut who has not read for longest, then reject who has
         sent half of a request and no more for longest.
         """
-        if self.budget.buffered.take(count):
+        if self.budget.buffered.acquire(count):
             return True
         for _ in range(CUT_MOST):
             if not self._cut_one():
                 return False
-            if self.budget.buffered.take(count):
+            if self.budget.buffered.acquire(count):
                 return True
         return False
 
     def _cut(self, count: int) -> None:
         """Others of the process hold less than is fair: clients that read nothing are cut for their bytes."""
-        until = self.budget.buffered.held - count
-        while self.budget.buffered.held > until and self._cut_one():
+        until = self.budget.buffered.used - count
+        while self.budget.buffered.used > until and self._cut_one():
             pass
 
     def _cut_one(self) -> bool:
@@ -417,11 +420,11 @@
             if call.names is not self._names and call.names is not None:
                 requests.judge_again(call.traffic_class, call.tenant, call.names, self._names)
         except BadRequest as error:
-            self.tally.rejected(call.traffic_class, OwnCause.BAD_REQUEST)
+            self.counters.record_rejected(call.traffic_class, OwnCause.BAD_REQUEST)
             call.answer = (error.status, [], f"{error}\n".encode())
             return
         if (cause := self._no_room(call)) is not None:
-            self.tally.refused(call.traffic_class, cause)
+            self.counters.record_refused(call.traffic_class, cause)
             call.refused(self._retry_after_ms)
             return
         self._calls.add(call.call_id)
@@ -442,9 +445,11 @@
     def rejected(self, status: int) -> None:
         """A connection is told so, and ends with that: count it."""
         if status == 503:
-            self.tally.refused(NO_CLASS, OwnCause.ENDING if self.draining else OwnCause.NO_ROOM)
+            self.counters.record_refused(NO_CLASS, OwnCause.ENDING if self.draining else OwnCause.NO_ROOM)
         else:
-            self.tally.rejected(NO_CLASS, OwnCause.UNFINISHED if status == 408 else OwnCause.BAD_REQUEST)
+            self.counters.record_rejected(
+                NO_CLASS, OwnCause.UNFINISHED if status == 408 else OwnCause.BAD_REQUEST
+            )
 
     @property
     def class_names(self) -> dict[int, str]:
@@ -460,19 +465,19 @@
         if self._parts.get(connection) is not self.reserve:
             return True
         # It has asked: a pending connection that has not is worth less, however new.
-        if not self.budget.descriptors.take() and not self._make_room(urgent=True):
+        if not self.budget.descriptors.acquire() and not self._make_room(urgent=True):
             connection.end_with_this()
             return False
-        self.reserve.give()
+        self.reserve.release()
         self._parts[connection] = self.budget.descriptors
         return True
 
     def _charge(self, call: ClientCall) -> bool:
         """Account for a call; whether there is room for it."""
-        if not self.budget.calls.take():
+        if not self.budget.calls.acquire():
             return False
         if not self._take_bytes(call.size):
-            self.budget.calls.give()
+            self.budget.calls.release()
             return False
         call.charged = call.size
         return True
@@ -481,8 +486,8 @@
         """Nothing of a request is open any more."""
         self._calls.discard(call.call_id)
         if call.charged:
-            self.budget.calls.give()
-            self.budget.buffered.give(call.charged)
+            self.budget.calls.release()
+            self.budget.buffered.release(call.charged)
             call.charged = 0
 
 
--- a/fordtrestle/proxy/http/listener.py
+++ b/fordtrestle/proxy/http/listener.py
@@ -6,10 +6,10 @@
 from typing import Protocol
 
 from fordtrestle.proxy.engine.clock import Clock
-from fordtrestle.proxy.engine.connections import ConnectionTable, TableEntry
-from fordtrestle.proxy.engine.driver import OpenRequest
-from fordtrestle.proxy.engine.lag import LagMeter
-from fordtrestle.proxy.engine.tally import Tally
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, TableEntry
+from fordtrestle.proxy.engine.lag import LoopLagMeter
+from fordtrestle.proxy.engine.open_requests import OpenRequest
+from fordtrestle.proxy.engine.outcome_counters import OutcomeCounters
 from fordtrestle.proxy.http.call import ClientCall, OpenConnection
 from fordtrestle.proxy.http.held import HeldConnection
 from fordtrestle.proxy.http.requests import Message
@@ -33,8 +33,8 @@
     taker: Taker
     draining: bool
     table: ConnectionTable[HeldConnection]
-    lag: LagMeter
-    tally: Tally  # of what is answered here, and not by an engine
+    lag: LoopLagMeter
+    counters: OutcomeCounters  # of what is answered here, and not by an engine
     unread: dict[OpenConnection, None]  # of whom nothing is read at present
 
     def rests(self, entry: TableEntry[HeldConnection]) -> None:
--- a/fordtrestle/proxy/http/pool.py
+++ b/fordtrestle/proxy/http/pool.py
@@ -16,7 +16,7 @@
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.limits import Budget
 from fordtrestle.proxy.engine.log import log
-from fordtrestle.proxy.engine.ports import Address, Result, ServerList
+from fordtrestle.proxy.engine.ports import Address, AttemptResult, ServerList
 from fordtrestle.proxy.http.upstream import Done, UpstreamConnection, UpstreamExchange, UpstreamServer
 
 # A server closes what has stood idle for the time in the settings at the latest, as it counts:
@@ -215,7 +215,7 @@
 
         All or nothing: guards against answers that each hold a part and wait for one another's rest.
         """
-        if not self._short and self.budget.buffered.take(size):
+        if not self._short and self.budget.buffered.acquire(size):
             connection.held = size
             return True
         if self._looking is None:
@@ -225,7 +225,7 @@
 
     def done(self, connection: UpstreamConnection) -> None:
         """Its answer is held no more."""
-        self.budget.buffered.give(connection.held)
+        self.budget.buffered.release(connection.held)
         connection.held = 0
         self._short.pop(connection, None)
 
@@ -234,7 +234,7 @@
         self._looking = None
         while self._short:
             connection, size = next(iter(self._short.items()))
-            if not self.budget.buffered.take(size):
+            if not self.budget.buffered.acquire(size):
                 self._looking = self._loop.call_later(SHORT_S, self._look_again)
                 return
             del self._short[connection]
@@ -246,12 +246,12 @@
     def _begin(self, name: str, exchange: UpstreamExchange) -> UpstreamExchange:
         server = self._servers.get(name)
         if server is None:
-            self._loop.call_soon(exchange.end, Result(Outcome.CONNECT_FAILED))
+            self._loop.call_soon(exchange.end, AttemptResult(Outcome.CONNECT_FAILED))
             return exchange
         now = self._clock.now()
         message = exchange.message(exchange.expires - now)
         if message is None:  # its client has left
-            self._loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
+            self._loop.call_soon(exchange.end, AttemptResult(Outcome.ABANDONED))
             return exchange
         settling: list[UpstreamConnection] = []
         while server.idle:
@@ -286,14 +286,14 @@
         now = self._clock.now()
         if now >= connection.server.closed_from:
             connection.abort()
-            self._loop.call_soon(exchange.end, Result(Outcome.CONNECT_FAILED))
+            self._loop.call_soon(exchange.end, AttemptResult(Outcome.CONNECT_FAILED))
             return
         connection.begin(exchange, message)
 
     def _open(self, server: UpstreamServer, exchange: UpstreamExchange) -> None:
         if not self._room():
             # Not the server's fault: it was never asked.
-            self._loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
+            self._loop.call_soon(exchange.end, AttemptResult(Outcome.ABANDONED))
             return
         made: list[UpstreamConnection] = []  # once it is there it gives its descriptor back itself
         task = self._loop.create_task(self._connect(server, exchange, made))
@@ -303,7 +303,7 @@
             # Here, since one that is cancelled before its first step never enters its own `finally`.
             self._opening.pop(ended, None)
             if not made:
-                self.budget.descriptors.give()
+                self.budget.descriptors.release()
 
         task.add_done_callback(done)
         exchange.opening(task)
@@ -327,29 +327,29 @@
             short = error.errno in (errno.EMFILE, errno.ENFILE)
             if short:
                 self._close_oldest()  # the next attempt finds a descriptor
-            exchange.end(Result(Outcome.ABANDONED if short else Outcome.CONNECT_FAILED))
+            exchange.end(AttemptResult(Outcome.ABANDONED if short else Outcome.CONNECT_FAILED))
             return
         except Exception as error:  # guards against an exchange that nothing ever ends
             log(f"a connection to {server.name}: {error!r}")
-            exchange.end(Result(Outcome.CONNECT_FAILED))
+            exchange.end(AttemptResult(Outcome.CONNECT_FAILED))
             return
         if exchange.ended or not connection.fresh():
             # A full server may take a connection and close it at once: nothing is written there.
             connection.abort()
-            exchange.end(Result(Outcome.CONNECT_FAILED))
+            exchange.end(AttemptResult(Outcome.CONNECT_FAILED))
             return
         message = exchange.message(exchange.expires - self._clock.now())
         if message is None:  # its client has left meanwhile, or has its answer
             self.free(connection)
-            self._loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
+            self._loop.call_soon(exchange.end, AttemptResult(Outcome.ABANDONED))
         else:
             self._write(connection, exchange, message)
 
     def _room(self) -> bool:
         """Take a descriptor, if need be that of the connection idle for longest; whether there is one."""
-        if self.budget.descriptors.take():
+        if self.budget.descriptors.acquire():
             return True
-        return self._close_oldest() and self.budget.descriptors.take()
+        return self._close_oldest() and self.budget.descriptors.acquire()
 
     def _close_oldest(self) -> bool:
         """Close the connection that has been idle for longest, of whichever server; whether there is one."""
@@ -378,7 +378,7 @@
         if connection in self._connections:
             self._connections.discard(connection)
             self.done(connection)
-            self.budget.descriptors.give()
+            self.budget.descriptors.release()
 
     def _sweep(self) -> None:
         """Retire what has been idle for long, before the server does."""
--- a/fordtrestle/proxy/http/upstream.py
+++ b/fordtrestle/proxy/http/upstream.py
@@ -13,13 +13,13 @@
 from typing import Protocol
 
 from fordtrestle.balancer.model import Outcome
-from fordtrestle.proxy.engine.ports import Address, Answer, Result
+from fordtrestle.proxy.engine.ports import Address, AttemptResult, UpstreamResponse
 from fordtrestle.proxy.http import stream, wire
 
 FIGURE_MOST = 1e9  # of a load report
 NOT_FOR_CLIENTS = frozenset((b"x-load-report", b"x-rejected"))
 
-Done = Callable[[Result], None]
+Done = Callable[[AttemptResult], None]
 
 
 class Keeper(Protocol):
@@ -69,7 +69,7 @@
         """It is on a connection."""
         self._connection, self._opening = connection, None
 
-    def end(self, result: Result) -> None:
+    def end(self, result: AttemptResult) -> None:
         """Report how it ended, once."""
         if not self.ended:
             self.ended = True
@@ -200,7 +200,7 @@
         result = result_of(self._parser, self._pool.report_fields, exchange.probe)
         if result.outcome is Outcome.FULL and self._parser.extra:
             # A rejection that brings more than itself is spoilt, and what is spoilt may have run.
-            result = Result(Outcome.ERROR, None, result.report)
+            result = AttemptResult(Outcome.ERROR, None, result.report)
         if reusable:
             self._pool.free(self)
         else:
@@ -212,7 +212,7 @@
         exchange, self._exchange = self._exchange, None
         self._cut()
         if exchange is not None:
-            exchange.end(Result(outcome))
+            exchange.end(AttemptResult(outcome))
 
     def _cut(self) -> None:
         """Close at once. Guards against another attempt of the request that is written in this turn of the
@@ -222,16 +222,16 @@
         self._transport.abort()
 
 
-def result_of(parser: wire.AnswerParser, fields: tuple[str, ...], probe: bool) -> Result:
+def result_of(parser: wire.AnswerParser, fields: tuple[str, ...], probe: bool) -> AttemptResult:
     """What a whole answer says."""
     report = _report(parser, fields, probe)
     status = parser.status
     if status == 200:
         kept = wire.end_to_end(parser.headers, NOT_FOR_CLIENTS)
-        return Result(Outcome.OK, Answer(kept, bytes(parser.body)), report)
+        return AttemptResult(Outcome.OK, UpstreamResponse(kept, bytes(parser.body)), report)
     if status in (503, 504) and (probe or parser.header(b"x-rejected") == b"1"):
-        return Result(Outcome.FULL, None, report)
-    return Result(Outcome.ERROR, None, report)
+        return AttemptResult(Outcome.FULL, None, report)
+    return AttemptResult(Outcome.ERROR, None, report)
 
 
 def _report(parser: wire.AnswerParser, fields: tuple[str, ...], probe: bool) -> dict[str, float] | None:
--- a/tests/balancer/test_causes.py
+++ b/tests/balancer/test_causes.py
@@ -11,7 +11,7 @@
 
 from fordtrestle.balancer.model import Cause, Fail, Listing, Outcome, Refuse
 from fordtrestle.balancer.shedding import UNANSWERED_SLOWDOWN
-from fordtrestle.proxy.engine.tally import OwnCause
+from fordtrestle.proxy.engine.outcome_counters import OwnCause
 from rig.helper import ROOT
 from tests.balancer.helpers import arrival, balancer, listing
 from tests.balancer.test_rules_property import NEVER_RAN, STEPS, World, play, site
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -13,7 +13,7 @@
 from fordtrestle.proxy.config import platform_config
 from fordtrestle.proxy.config.limits import DEFAULT_LIMITS
 from fordtrestle.proxy.daemon.sidecar import Sidecar
-from fordtrestle.proxy.engine.pressure import RULES, Monitor, Pressure
+from fordtrestle.proxy.engine.pressure import RULES, Monitor, PressureRules
 from rig import balancers
 
 PATIENCE_S = 60.0  # of real time, for what comes at once on an idle machine
@@ -216,7 +216,7 @@
     )
     if balancer is not None:
         made.driver._balancer = balancer
-    made.overload.pressure = Pressure(rules)
+    made.overload.pressure = PressureRules(rules)
     made.address = await made.start()
     try:
         yield made
--- a/tests/proxy/config/test_operator_file.py
+++ b/tests/proxy/config/test_operator_file.py
@@ -414,8 +414,8 @@
     assert guaranteed == {"web": 54, "b": 240, "c": 54, "servers": 350}
     assert limits.descriptors.capacity == 1000
     assert limits.descriptors.free == 302
-    assert parts["web"].calls.take(9)
-    assert not parts["b"].calls.take()
+    assert parts["web"].calls.acquire(9)
+    assert not parts["b"].calls.acquire()
 
 
 def test_the_system_s_limit_bounds_the_operator_s():
--- a/tests/proxy/daemon/test_draining.py
+++ b/tests/proxy/daemon/test_draining.py
@@ -92,7 +92,7 @@
         drain = asyncio.create_task(sidecar.drain())
         await asyncio.sleep(process.STILL_TAKE_S - process.STILL_LISTEN_S + 3 * process.POLL_S)
         app.writer.write(whole[-2:])
-        await until(lambda: any(len(entry.holder._waiting) == 2 for entry in sidecar.front.table))
+        await until(lambda: any(len(entry.owner._waiting) == 2 for entry in sidecar.front.table))
         release.set()
         assert [status_of(await app.answer()) for _ in range(2)] == [200, 503]
         await drain
@@ -164,7 +164,7 @@
         await asyncio.wait_for(sidecar.drain(), PATIENCE_S)
         answer = await app.answer()
         assert (status_of(answer), answer.headers["connection"]) == (502, "close")
-        assert sidecar.driver.idle
+        assert sidecar.driver.is_idle
 
 
 @loopback
@@ -183,7 +183,7 @@
         await until(lambda: sidecar.front._stuck)
         await asyncio.wait_for(sidecar.drain(), PATIENCE_S)
         assert sidecar.front.empty
-        assert sidecar.limits.buffered.held == 0
+        assert sidecar.limits.buffered.used == 0
         sock.close()
 
 
--- a/tests/proxy/daemon/test_long.py
+++ b/tests/proxy/daemon/test_long.py
@@ -5,7 +5,7 @@
 import gc
 
 from fordtrestle.balancer import balancer
-from fordtrestle.proxy.engine.driver import OpenAttempt, OpenRequest
+from fordtrestle.proxy.engine.open_requests import OpenAttempt, OpenRequest
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.downstream import ClientConnection
 from fordtrestle.proxy.http.upstream import UpstreamExchange
@@ -46,7 +46,7 @@
         module, pool = sidecar.driver._balancer, sidecar.pool
         assert len(pool._servers) == len(module._servers) == len(upstreams)
         assert not sidecar.front._calls
-        assert not sidecar.front.table.at_rest
+        assert not sidecar.front.table.idle_count
         await until(lambda: pool._connections == {c for s in pool._servers.values() for c in s.idle})
         assert not pool._opening
         assert not module._requests
--- a/tests/proxy/daemon/test_overload.py
+++ b/tests/proxy/daemon/test_overload.py
@@ -14,8 +14,8 @@
 from fordtrestle.proxy.config import operator_file
 from fordtrestle.proxy.daemon import overload as watch
 from fordtrestle.proxy.daemon.standalone import Standalone
-from fordtrestle.proxy.engine.connections import ConnectionTable, TableOptions
-from fordtrestle.proxy.engine.pressure import RULES, Action, Monitor, Pressure, Rule
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, TableOptions
+from fordtrestle.proxy.engine.pressure import RULES, Monitor, PressureAction, PressureRule, PressureRules
 from tests import loopback as partners
 from tests.loopback import OK, SETTINGS, App, Scripted, Upstream, hang, loopback, request, running, until
 from tests.proxy.http.test_holding import NO_GUARANTEES, narrow
@@ -63,20 +63,20 @@
             app.writer.transport.pause_reading()
             app.writer.write(b"".join(request() for _ in range(8)))
         await until(lambda: len(sidecar.front._stuck) == 25)
-        other = sidecar.limits.buffered.part("another front")
-        assert other.take(sidecar.limits.buffered.capacity // 2)
+        other = sidecar.limits.buffered.add_share("another front")
+        assert other.acquire(sidecar.limits.buffered.capacity // 2)
         resident = 99 * 2**20
         await until(lambda: module._shedder.pressure > 0.8)
-        assert sidecar.overload.pressure.on(Action.PAUSE_ACCEPTING)
-        assert sidecar.driver.optional is False
-        assert sidecar.front.table.hurried
+        assert sidecar.overload.pressure.is_on(PressureAction.PAUSE_ACCEPTING)
+        assert sidecar.driver.allows_optional_work is False
+        assert sidecar.front.table.shorten_idle
         for app in deaf:
             app.close()
-        await until(lambda: sidecar.limits.buffered.held == other.held)
+        await until(lambda: sidecar.limits.buffered.used == other.used)
         assert module._shedder.pressure > 0.8
-        other.give(other.held)  # what is resident stays
+        other.release(other.used)  # what is resident stays
         await until(lambda: module._shedder.pressure == 0.0)
-        await until(lambda: sidecar.driver.optional and not sidecar.front.table.hurried)
+        await until(lambda: sidecar.driver.allows_optional_work and not sidecar.front.table.shorten_idle)
         upstream.replies = [OK]
         good = await App.connect(sidecar.address)
         assert status_of(await good.ask()) == 200
@@ -98,12 +98,12 @@
         (idle,) = sidecar.pool._idle
         idle.idle_since -= 2000.0
         rules = [
-            Rule(Action.SHRINK_POOLS, Monitor.DESCRIPTORS, 1e-9, 0.0),
-            Rule(Action.STOP_OPTIONAL, Monitor.DESCRIPTORS, 1e-9, 0.0),
+            PressureRule(PressureAction.SHRINK_POOLS, Monitor.DESCRIPTORS, 1e-9, 0.0),
+            PressureRule(PressureAction.STOP_OPTIONAL, Monitor.DESCRIPTORS, 1e-9, 0.0),
         ]
-        sidecar.overload.pressure = Pressure(rules)
+        sidecar.overload.pressure = PressureRules(rules)
         await until(lambda: not sidecar.pool._idle)
-        sidecar.driver._act(Probe("s0"))
+        sidecar.driver._perform(Probe("s0"))
         await until(lambda: module.named("probe_result"))
         assert module.named("probe_result")[0][1] == Outcome.ABANDONED
         assert len(upstream.seen) == 1
@@ -217,7 +217,7 @@
     for _ in range(3):
         quiet = await App.connect(two)
         assert status_of(await quiet.ask(**ask())) == 200
-    assert made.limits.descriptors.held <= made.limits.descriptors.capacity
+    assert made.limits.descriptors.used <= made.limits.descriptors.capacity
     for app in busy:
         app.close()
     made.close()
@@ -242,11 +242,11 @@
     busy = [await App.connect(one) for _ in range(10)]
     for app in busy:
         app.send(**ask())
-    await until(lambda: made.limits.calls.held == 10)
+    await until(lambda: made.limits.calls.used == 10)
     file.write_text(file.read_text().replace("descriptors = 200", "descriptors = 50"))
     made.reload()
     assert made.limits.descriptors.capacity == 26
-    await until(lambda: made.limits.descriptors.over == 0)
+    await until(lambda: made.limits.descriptors.excess == 0)
     release.set()
     for app in busy:
         assert status_of(await app.answer()) == 200
@@ -270,16 +270,16 @@
 
 
 def test_under_pressure_who_rests_is_closed_sooner():
-    made = ConnectionTable(TableOptions(100, hurried_rest_ms=500.0, crowded_rest_ms=2000.0))
-    entries = [made.open(name, 0.0) for name in ("once", "often")]
+    made = ConnectionTable(TableOptions(100, pressure_idle_timeout_ms=500.0, crowded_idle_timeout_ms=2000.0))
+    entries = [made.add(name, 0.0) for name in ("once", "often")]
     for entry, asks in zip(entries, (1, 5), strict=True):
         for _ in range(asks):
-            made.ask(entry, 0.0)
-            made.rest(entry, 0.0)
-    assert made.rested(1000.0) == []
-    made.hurried = True
-    assert made.rested(1000.0) == entries[:1]
-    assert made.rested(2000.0) == entries
+            made.on_request(entry, 0.0)
+            made.on_idle(entry, 0.0)
+    assert made.expired_idle(1000.0) == []
+    made.shorten_idle = True
+    assert made.expired_idle(1000.0) == entries[:1]
+    assert made.expired_idle(2000.0) == entries
 
 
 @loopback
--- a/tests/proxy/daemon/test_reload.py
+++ b/tests/proxy/daemon/test_reload.py
@@ -122,7 +122,7 @@
     assert (await app.ask(target="/other")).start.startswith("HTTP/1.1 400 ")
     app.close()
     sidecar.close()
-    await until(lambda: not sidecar.limits.unsettled())
+    await until(lambda: not sidecar.limits.unreleased())
     for partner in (upstream, old, new):
         partner.stop()
 
--- a/tests/proxy/engine/test_connections.py
+++ b/tests/proxy/engine/test_connection_table.py
@@ -8,27 +8,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fordtrestle.proxy.engine.connections import ConnectionTable, Standing, TableOptions
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, EvictionClass, TableOptions
 
 
 def table(**changes):
-    return ConnectionTable(TableOptions(**{"clients_most": 8, **changes}))
+    return ConnectionTable(TableOptions(**{"max_clients": 8, **changes}))
 
 
-def always(holder):
+def always(owner):
     return True
 
 
 def asked(made, name, times, now, rests=True):
     """A connection that has asked so often, and is at rest from `now`, or in a call."""
-    entry = made.open(name, now)
+    entry = made.add(name, now)
     for _ in range(times):
-        made.begin(entry, now)
-        made.ask(entry, now)
-        made.rest(entry, now)
+        made.on_request_started(entry, now)
+        made.on_request(entry, now)
+        made.on_idle(entry, now)
     if not rests:
-        made.begin(entry, now)
-        made.ask(entry, now)
+        made.on_request_started(entry, now)
+        made.on_request(entry, now)
     return entry
 
 
@@ -36,8 +36,8 @@
     """All who are evicted, in their order, until nobody is left to be."""
     order = []
     while (entry := made.victim(now, always, **how)) is not None:
-        order.append(entry.holder)
-        made.close(entry)
+        order.append(entry.owner)
+        made.remove(entry)
     return order
 
 
@@ -47,62 +47,62 @@
     for name, times in (("often", 9), ("a few", 2), ("once", 1)):
         asked(made, name, times, 20_000.0)
     asked(made, "in a call", 5, 20_000.0, rests=False)
-    made.open("silent", 20_000.0)
-    half = made.open("half a request", 20_000.0)
-    made.begin(half, 20_000.0)
-    away = made.open("rejected", 20_010.0)
-    made.reject(away, 20_010.0)
-    made.open("just connected", 20_150.0)
+    made.add("silent", 20_000.0)
+    half = made.add("half a request", 20_000.0)
+    made.on_request_started(half, 20_000.0)
+    away = made.add("rejected", 20_010.0)
+    made.on_rejected(away, 20_010.0)
+    made.add("just connected", 20_150.0)
     order = ["rejected", "silent", "half a request", "left long ago", "once", "a few", "often"]
     assert evicted(made, 20_200.0) == order
-    assert sorted(entry.holder for entry in made) == ["in a call", "just connected"]
+    assert sorted(entry.owner for entry in made) == ["in a call", "just connected"]
 
 
 def test_a_pending_connection_is_evicted_only_when_it_is_urgent_and_the_oldest_first():
     made = table()
-    made.open("first", 0.0)
-    made.open("second", 10.0)
+    made.add("first", 0.0)
+    made.add("second", 10.0)
     assert made.victim(50.0, always) is None
     assert evicted(made, 50.0, urgent=True) == ["first", "second"]
 
 
 def test_a_pending_connection_gets_as_long_to_ask_as_clients_were_seen_to_take_within_bounds():
     made = table()
-    assert made.patience_ms == 100.0
+    assert made.grace_ms == 100.0
 
     def comes_back(name, took):
-        entry = made.open(name, 0.0)
+        entry = made.add(name, 0.0)
         for now in (took, took + 100.0):
-            made.ask(entry, now)
-            made.rest(entry, now)
-        made.close(entry)
+            made.on_request(entry, now)
+            made.on_idle(entry, now)
+        made.remove(entry)
 
     for number in range(50):
-        made.ask(made.open(f"once {number}", 0.0), 900.0)
-    assert made.patience_ms == 100.0  # a crowd does not buy itself time: only who comes back teaches it
+        made.on_request(made.add(f"once {number}", 0.0), 900.0)
+    assert made.grace_ms == 100.0  # a crowd does not buy itself time: only who comes back teaches it
     for entry in made:
-        made.close(entry)
+        made.remove(entry)
     for number in range(50):
         comes_back(f"slow {number}", 300.0 + number % 2)
-    assert 300.0 < made.patience_ms < 330.0
-    entry = made.open("pending", 1000.0)
-    assert made.victim(1250.0, lambda holder: holder == "pending") is None
+    assert 300.0 < made.grace_ms < 330.0
+    entry = made.add("pending", 1000.0)
+    assert made.victim(1250.0, lambda owner: owner == "pending") is None
     assert made.victim(1400.0, always) is entry
     for _ in range(50):
         comes_back("dreadful", 60_000.0)
-    assert made.patience_ms == 1000.0
+    assert made.grace_ms == 1000.0
 
 
 def test_whoever_holds_something_unread_is_not_evicted():
     made = table()
     for name in ("unread", "quiet"):
         asked(made, name, 1, 0.0)
-    assert made.victim(50.0, lambda holder: holder == "quiet").holder == "quiet"
-    assert made.victim(50.0, lambda holder: False) is None
+    assert made.victim(50.0, lambda owner: owner == "quiet").owner == "quiet"
+    assert made.victim(50.0, lambda owner: False) is None
 
 
 def test_no_more_are_looked_at_than_stated():
-    made, looked = table(look_most=8), []
+    made, looked = table(max_examined=8), []
     for number in range(100):
         asked(made, number, 1, 0.0)
     assert made.victim(50.0, looked.append) is None
@@ -112,53 +112,53 @@
 @pytest.mark.parametrize("kind", ["silent", "half of the first", "half of a later one", "rejected"])
 def test_nobody_hides_behind_some_that_always_have_something_unread(kind):
     """Guards against a few that trickle bytes: each look would be spent on them, and others refused."""
-    made = table(look_most=8)
+    made = table(max_examined=8)
     for number in range(20):
         entry = (
             asked(made, f"trickles {number}", 1, 0.0)
             if "later" in kind
-            else made.open(f"trickles {number}", 0.0)
+            else made.add(f"trickles {number}", 0.0)
         )
         if "half" in kind:
-            made.begin(entry, 0.0)
+            made.on_request_started(entry, 0.0)
         if kind == "rejected":
-            made.reject(entry, 0.0)
+            made.on_rejected(entry, 0.0)
     asked(made, "at rest", 1, 15_000.0)
     asked(made, "left long ago", 9, 0.0)
-    found = [made.victim(20_000.0, lambda holder: "trickles" not in holder) for _ in range(4)]
-    assert [entry.holder for entry in found if entry is not None][:1] == ["left long ago"]
+    found = [made.victim(20_000.0, lambda owner: "trickles" not in owner) for _ in range(4)]
+    assert [entry.owner for entry in found if entry is not None][:1] == ["left long ago"]
     for entry in list(made):  # and they are told in time all the same
-        if entry.asks == 0 and entry.standing is not Standing.REJECTED:
+        if entry.request_count == 0 and entry.eviction_class is not EvictionClass.REJECTED:
             assert entry in made.overdue(20_000.0)
 
 
 def test_half_of_a_later_request_keeps_a_place_no_longer_than_half_of_the_first():
     made = table()
     entry = asked(made, "once, and a byte", 1, 0.0)
-    made.begin(entry, 10.0)
+    made.on_request_started(entry, 10.0)
     assert made.victim(50.0, always) is None
     assert made.victim(110.0, always) is entry
 
 
 def test_several_requests_at_once_and_asking_for_readiness_prove_nothing():
     made = table()
-    pipelined = made.open("four at once", 0.0)
-    made.begin(pipelined, 0.0)
+    pipelined = made.add("four at once", 0.0)
+    made.on_request_started(pipelined, 0.0)
     for _ in range(4):
-        made.ask(pipelined, 0.0)
-    made.rest(pipelined, 0.0)
-    prober = made.open("asks whether it is ready", 0.0)
+        made.on_request(pipelined, 0.0)
+    made.on_idle(pipelined, 0.0)
+    prober = made.add("asks whether it is ready", 0.0)
     for _ in range(4):
-        made.ask(prober, 0.0, proves=False)
-        made.rest(prober, 0.0)
+        made.on_request(prober, 0.0, proves_client=False)
+        made.on_idle(prober, 0.0)
     asked(made, "twice", 2, 0.0)
     assert evicted(made, 50.0) == ["four at once", "asks whether it is ready", "twice"]
 
 
 def test_what_is_closed_refers_to_nothing():
     made = table()
-    entry = made.open("gone", 0.0)
-    assert made.close(entry)
+    entry = made.add("gone", 0.0)
+    assert made.remove(entry)
     assert not hasattr(entry, "holder")
 
 
@@ -166,28 +166,28 @@
     made = table()
     for name in range(4):
         asked(made, name, 1, 0.0)
-    assert made.one_too_many(1.0, always) is None
+    assert made.excess_victim(1.0, always) is None
     asked(made, "proven", 2, 1.0)
-    assert made.one_too_many(1.0, always) is None
+    assert made.excess_victim(1.0, always) is None
     asked(made, 4, 1, 1.0)
-    assert made.one_too_many(1.0, always).holder == 0
-    assert made.one_too_many(1.0, lambda holder: holder > 2).holder == 3
+    assert made.excess_victim(1.0, always).owner == 0
+    assert made.excess_victim(1.0, lambda owner: owner > 2).owner == 3
 
 
 def test_who_asked_once_rests_for_a_while_and_others_for_long_unless_there_is_a_crowd():
-    made = table(once_rest_ms=1800.0, crowded_rest_ms=2000.0)
+    made = table(once_idle_timeout_ms=1800.0, crowded_idle_timeout_ms=2000.0)
     once = asked(made, "once", 1, 0.0)
     proven = [asked(made, number, 5, 0.0) for number in range(6)]
-    assert made.rested(1799.0) == []
-    assert made.rested(2500.0) == [once, *proven]  # seven of eight at rest
-    made.close(once)
-    assert made.rested(2500.0) == []
+    assert made.expired_idle(1799.0) == []
+    assert made.expired_idle(2500.0) == [once, *proven]  # seven of eight at rest
+    made.remove(once)
+    assert made.expired_idle(2500.0) == []
 
 
 def test_who_is_overdue_is_told_by_when_it_connected_whatever_it_has_begun():
-    made = table(first_ms=2400.0)
-    early, late = made.open("early", 0.0), made.open("late", 100.0)
-    made.begin(early, 2300.0)
+    made = table(first_request_timeout_ms=2400.0)
+    early, late = made.add("early", 0.0), made.add("late", 100.0)
+    made.on_request_started(early, 2300.0)
     assert made.overdue(2399.0) == []
     assert made.overdue(2400.0) == [early]
     assert made.overdue(2500.0) == [early, late]
@@ -211,50 +211,68 @@
         now += passed
         entry = entries.get(number)
         if step == "open" and (entry is None or entry not in made._entries):
-            entries[number] = made.open(number, now)
+            entries[number] = made.add(number, now)
         elif step in ("victim", "urgent"):
-            found = made.victim(now, lambda holder: holder % 3 > 0, urgent=step == "urgent")
+            found = made.victim(now, lambda owner: owner % 3 > 0, urgent=step == "urgent")
             if found is not None:
-                assert found.standing is not Standing.IN_CALL
-                assert found.holder % 3 > 0
-                if found.asks == 0 and step == "victim" and found.standing is not Standing.REJECTED:
+                assert found.eviction_class is not EvictionClass.IN_CALL
+                assert found.owner % 3 > 0
+                if (
+                    found.request_count == 0
+                    and step == "victim"
+                    and found.eviction_class is not EvictionClass.REJECTED
+                ):
                     assert now - found.opened_ms >= 100.0
-                assert made.close(found)
+                assert made.remove(found)
                 entries = {name: entry for name, entry in entries.items() if entry is not found}
         elif step == "rested":
-            assert all(found.standing is Standing.AT_REST for found in made.rested(now))
+            assert all(found.eviction_class is EvictionClass.IDLE for found in made.expired_idle(now))
         elif entry is not None and step != "open":
-            do = {"begin": made.begin, "ask": made.ask, "rest": made.rest, "reject": made.reject}
+            do = {
+                "begin": made.on_request_started,
+                "ask": made.on_request,
+                "rest": made.on_idle,
+                "reject": made.on_rejected,
+            }
             if step == "close":
-                made.close(entry)
+                made.remove(entry)
                 del entries[number]
             else:
                 do[step](entry, now)
-        met |= {entry.standing for entry in made}
-        queues = [made._rejected, made._unasked, made._half, made._vain, *made._rest]
+        met |= {entry.eviction_class for entry in made}
+        queues = [made._rejected, made._no_request, made._later_request, made._in_vain, *made._idle]
         for entry in made:
             held = [queue for queue in queues if entry in queue]
-            assert len(held) == (entry.standing is not Standing.IN_CALL)
+            assert len(held) == (entry.eviction_class is not EvictionClass.IN_CALL)
         assert sum(map(len, queues)) <= len(made)
-        for queue in made._rest:
+        for queue in made._idle:
             since = [entry.since_ms for entry in queue]
             assert since == sorted(since)
 
 
 def test_every_standing_is_reached_and_left():
     made = table()
-    entry = made.open("one", 0.0)
-    met = [entry.standing]
-    for step in (made.begin, made.ask, made.begin, made.ask, made.rest, made.begin, made.ask, made.reject):
+    entry = made.add("one", 0.0)
+    met = [entry.eviction_class]
+    for step in (
+        made.on_request_started,
+        made.on_request,
+        made.on_request_started,
+        made.on_request,
+        made.on_idle,
+        made.on_request_started,
+        made.on_request,
+        made.on_rejected,
+    ):
         step(entry, 1.0)
-        met.append(entry.standing)
-    assert set(met) == set(Standing)
-    assert met[-1] is Standing.REJECTED
-    made.ask(entry, 2.0)  # what comes after is no request
-    made.rest(entry, 2.0)
-    assert entry.standing is Standing.REJECTED
-    assert made.close(entry)
-    assert not made.close(entry)
+        met.append(entry.eviction_class)
+    assert set(met) == set(EvictionClass)
+    assert met[-1] is EvictionClass.REJECTED
+    made.on_request(entry, 2.0)  # what comes after is no request
+    made.on_idle(entry, 2.0)
+    assert entry.eviction_class is EvictionClass.REJECTED
+    assert made.remove(entry)
+    assert not made.remove(entry)
     assert len(made) == 0
 
 
@@ -263,12 +281,12 @@
     """The same work at 100 and at 10,000 connections: a walk over all would take a hundred times."""
 
     def spent(size):
-        made = table(clients_most=size)
+        made = table(max_clients=size)
         for number in range(size):
             asked(made, number, {"silent": 0, "once": 1, "often": 9}[kind], 0.0)
         began = time.perf_counter()
         for number in range(50):
-            made.close(made.victim(500.0, always))
+            made.remove(made.victim(500.0, always))
             asked(made, size + number, 1, 500.0)
         return time.perf_counter() - began
 
--- a/tests/proxy/engine/test_driver.py
+++ b/tests/proxy/engine/test_driver.py
@@ -8,9 +8,9 @@
 from fordtrestle.balancer.model import CloseIdle, Fail, Outcome, Refuse, Send
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.driver import Driver, EngineOptions
-from fordtrestle.proxy.engine.ports import Answer, Result
+from fordtrestle.proxy.engine.ports import AttemptResult, UpstreamResponse
 from tests.loopback import SETTINGS
-from tests.proxy.engine.test_watched import Call, Loop, Servers, arrive, driver, retried
+from tests.proxy.engine.test_observed_driver import Call, Loop, Servers, arrive, driver, retried
 
 TOLD = model.Settings.parse(SETTINGS)
 
@@ -35,7 +35,7 @@
 def test_settings_reach_the_module_and_what_it_decides_of_them_is_done():
     made = scripted(settle=lambda now, settings: [CloseIdle("s9")])
     other = dataclasses.replace(TOLD, max_attempts=1)
-    assert made.settle(other) is True
+    assert made.update_settings(other) is True
     assert made._balancer.named("settle") == [[other]]
     assert made.servers.closed == ["s9"]
 
@@ -43,21 +43,21 @@
 def test_no_attempt_is_begun_past_the_new_most_and_no_more_calls_are_open():
     made = scripted(outcome=retried)
     arrive(made, Call("c1"))
-    made.settle(dataclasses.replace(TOLD, max_attempts=1), max_open=2)
+    made.update_settings(dataclasses.replace(TOLD, max_attempts=1), max_open=2)
     arrive(made, Call("c2"))
     assert arrive(made, Call("c3")).answers == ["refused"]
     assert len(made.servers.done) == 2
-    made.servers.done[0](Result(Outcome.ERROR))
+    made.servers.done[0](AttemptResult(Outcome.ERROR))
     assert len(made.servers.done) == 2  # the module wanted a retry
 
 
 def test_a_module_that_does_not_take_settings_goes_on_by_those_before(capsys):
     made = scripted(outcome=retried, settle=lambda now, settings: 1 / 0)
     first = arrive(made, Call("c1"))
-    assert made.settle(dataclasses.replace(TOLD, max_attempts=1), max_open=5) is False
+    assert made.update_settings(dataclasses.replace(TOLD, max_attempts=1), max_open=5) is False
     assert "ZeroDivisionError" in capsys.readouterr().err
     assert arrive(made, Call("c2")).answers == ["refused"]
-    made.servers.done[0](Result(Outcome.ERROR))
+    made.servers.done[0](AttemptResult(Outcome.ERROR))
     assert len(made.servers.done) == 2
     assert first.answers == []
 
@@ -66,7 +66,7 @@
     made = scripted(settle=lambda now, settings: [CloseIdle("s9")])
     made._upstreams = None
     other = dataclasses.replace(TOLD, max_attempts=1)
-    assert made.settle(other) is True
+    assert made.update_settings(other) is True
     assert made._settings is other
 
 
@@ -80,17 +80,17 @@
     call.traffic_class = 2
     request = made.arrive(call, made._clock.now())
     gone = tuple(dataclasses.replace(row, gone=number == 2) for number, row in enumerate(TOLD.profiles))
-    assert made.settle(dataclasses.replace(TOLD, profiles=gone))
-    servers.done[0](Result(Outcome.CONNECT_FAILED))
+    assert made.update_settings(dataclasses.replace(TOLD, profiles=gone))
+    servers.done[0](AttemptResult(Outcome.CONNECT_FAILED))
     assert call.answers == ["refused"]
     assert len(servers.done) == 1
-    assert made.idle
+    assert made.is_idle
     assert request.id not in made._requests
 
 
 # --- ends that cross --------------------------------------------------------------------
 
-OK = Result(Outcome.OK, Answer([], b"done"))
+OK = AttemptResult(Outcome.OK, UpstreamResponse([], b"done"))
 
 
 class Served(Call):
@@ -128,11 +128,11 @@
 def test_an_outcome_that_comes_after_its_attempt_was_given_up_is_none():
     made = crossing(outcome=lambda now, number, *rest: [Fail(number)])
     call = arrive(made, Served("c1"))
-    due(made, made._expire)
+    due(made, made._on_attempt_timeout)
     made.servers.done[0](OK)
     assert [status for _, status, _ in made._balancer.outcomes()] == [Outcome.TIMEOUT]
     assert call.answers == ["failed"]
-    assert made.idle
+    assert made.is_idle
     assert not made._requests
 
 
@@ -140,8 +140,8 @@
     made = crossing()
     call = arrive(made, Served("c1"))
     made.servers.done[0](OK)
-    due(made, made._expire)
-    due(made, made._overdue)
+    due(made, made._on_attempt_timeout)
+    due(made, made._on_guard)
     assert [status for _, status, _ in made._balancer.outcomes()] == [Outcome.OK]
     assert made._balancer.named("client_gone") == []
     assert call.answers == [b"done"]
@@ -150,12 +150,12 @@
 def test_an_answer_in_the_turn_of_the_guard_comes_too_late(capsys):
     made = crossing()
     call = arrive(made, Served("c1"))
-    due(made, made._overdue)
+    due(made, made._on_guard)
     made.servers.done[0](OK)
     assert call.answers == ["failed"]
     assert made._balancer.outcomes() == [(0, Outcome.OK, True)]
     assert not made._requests
-    assert made._open == 0
+    assert made._open_count == 0
 
 
 def test_what_is_sent_behind_the_answer_in_one_batch_is_not_sent():
@@ -163,7 +163,7 @@
         request=lambda now, arrival: [Refuse(arrival.request, 0.0), Send(arrival.request, "s0", 0.0)]
     )
     call = arrive(made, Served("c1"))
-    due(made, made._outcome)
+    due(made, made._on_outcome)
     assert made.servers.done == []
     assert made._balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
     assert call.answers == ["refused"]
--- a/tests/proxy/engine/test_lag.py
+++ b/tests/proxy/engine/test_lag.py
@@ -5,7 +5,7 @@
 import heapq
 import itertools
 
-from fordtrestle.proxy.engine.lag import LagMeter
+from fordtrestle.proxy.engine.lag import LoopLagMeter
 
 
 class Virtual:
@@ -50,7 +50,7 @@
 
 def test_in_the_turn_after_a_stall_it_tells_how_late_the_loop_runs():
     loop = Virtual()
-    meter = LagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
+    meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     loop.run(1.0)
     assert meter.now_ms == 0.0
@@ -66,7 +66,7 @@
 
 def test_a_loop_that_always_runs_late_is_told_from_one_that_did_once():
     loop = Virtual()
-    meter = LagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
+    meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     for _ in range(30):
         loop.stall(0.2)
@@ -76,7 +76,7 @@
 
 def test_while_nothing_goes_on_there_is_no_beat():
     loop, busy = Virtual(), True
-    meter = LagMeter(loop, lambda: loop.now * 1000.0, lambda: busy)
+    meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: busy)
     assert loop.pending == 0
     meter.wake()
     meter.wake()
@@ -97,7 +97,7 @@
 def test_what_is_read_in_the_turn_after_a_late_beat_has_waited_too():
     """A process that was stopped in its sleep sees its timers first, and its sockets in the next turn."""
     loop = Virtual()
-    meter = LagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
+    meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     loop.run(0.05)
     loop.stall(0.5)
@@ -115,7 +115,7 @@
 def test_a_stall_in_the_turn_after_a_late_beat_counts_like_any_other():
     """Guards against a second stall that nobody is charged with, since the first is just being counted."""
     loop = Virtual()
-    meter = LagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
+    meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     loop.stall(0.5)
     loop.turn()  # the beat
--- a/tests/proxy/engine/test_watched.py
+++ b/tests/proxy/engine/test_observed_driver.py
@@ -8,8 +8,8 @@
 from fordtrestle.balancer.model import Cause, Fail, Outcome, Refuse, Send
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.driver import EngineOptions
-from fordtrestle.proxy.engine.ports import Result
-from fordtrestle.proxy.engine.watched import WatchedDriver
+from fordtrestle.proxy.engine.observed_driver import ObservedDriver
+from fordtrestle.proxy.engine.ports import AttemptResult
 from tests.loopback import SETTINGS, Scripted
 
 
@@ -55,7 +55,7 @@
     def failed(self, late):
         self.answers.append("failed")
 
-    def over(self):
+    def on_finished(self):
         pass
 
     def abandon(self):
@@ -75,7 +75,7 @@
 
 def driver(most=2, **scripts):
     loop, told = Loop(), []
-    made = WatchedDriver(
+    made = ObservedDriver(
         loop,
         Clock(loop),
         EngineOptions(model.Settings.parse(SETTINGS), 1, most),
@@ -100,7 +100,7 @@
     arrive(made, Call("c1"))
     call = arrive(made, Call("c2", again=True))
     for turn in (1, 2):
-        made.servers.done[turn](Result(Outcome.ERROR))
+        made.servers.done[turn](AttemptResult(Outcome.ERROR))
     assert made.told == [
         ("pick", "c1", "s0", 0, ""),
         ("repeat", "c2", "s0", 0, ""),
--- a/tests/proxy/engine/test_tally.py
+++ b/tests/proxy/engine/test_outcome_counters.py
@@ -7,19 +7,19 @@
 import pytest
 
 from fordtrestle.balancer.model import Cause, Fail, Outcome, Refuse, Send
-from fordtrestle.proxy.engine.ports import Result
-from fordtrestle.proxy.engine.tally import NO_CLASS, OwnCause, Tally, lines
-from tests.proxy.engine.test_watched import Call, driver
+from fordtrestle.proxy.engine.outcome_counters import NO_CLASS, OutcomeCounters, OwnCause, format_counts
+from fordtrestle.proxy.engine.ports import AttemptResult
+from tests.proxy.engine.test_observed_driver import Call, driver
 
 
 def test_counts_are_told_by_class_end_and_cause_the_largest_first():
-    made = Tally()
+    made = OutcomeCounters()
     for cause, times in ((Cause.THROTTLE, 1), (Cause.COLD, 3), (OwnCause.MAX_OPEN, 2)):
         for _ in range(times):
-            made.refused(0, cause)
-    made.failed(0, Cause.MAY_HAVE_RUN)
-    made.refused(NO_CLASS, OwnCause.BAD_REQUEST)
-    made.refused(7, Cause.DRAIN)
+            made.record_refused(0, cause)
+    made.record_failed(0, Cause.MAY_HAVE_RUN)
+    made.record_refused(NO_CLASS, OwnCause.BAD_REQUEST)
+    made.record_refused(7, Cause.DRAIN)
     counts = made.counts({0: "book"})
     assert counts == {
         "book": {"refused": {"cold": 3, "max_open": 2, "throttle": 1}, "failed": {"may_have_run": 1}},
@@ -27,7 +27,7 @@
         "7": {"refused": {"drain": 1}},
     }
     assert list(counts["book"]["refused"]) == ["cold", "max_open", "throttle"]
-    assert list(lines("service shop", counts))[:2] == [
+    assert list(format_counts("service shop", counts))[:2] == [
         "service shop: class book: 6 refused: cold 3, max_open 2, throttle 1",
         "service shop: class book: 1 failed: may_have_run 1",
     ]
@@ -64,15 +64,15 @@
         calls.append(call)
         made.arrive(call, made._clock.now())
         if made.servers.done and rng.random() < 0.7:
-            made.servers.done.pop(0)(Result(rng.choice([Outcome.ERROR, Outcome.FULL, Outcome.RESET])))
+            made.servers.done.pop(0)(AttemptResult(rng.choice([Outcome.ERROR, Outcome.FULL, Outcome.RESET])))
     for callback, *args in list(made.loop.later):
-        if callback == made._overdue:
+        if callback == made._on_guard:
             callback(*args)
     for end in ("refused", "failed"):
         answered = [call for call in calls if call.answers == [end]]
         assert len(answered) > 5
-        assert made.tally.total(end) == len(answered)
+        assert made.counters.total(end) == len(answered)
         for number in range(3):
-            of_class = made.tally.counts({}).get(str(number), {}).get(end, {})
+            of_class = made.counters.counts({}).get(str(number), {}).get(end, {})
             assert sum(of_class.values()) == sum(call.traffic_class == number for call in answered)
     assert all(len(call.answers) <= 1 for call in calls)
--- a/tests/proxy/engine/test_pressure.py
+++ b/tests/proxy/engine/test_pressure.py
@@ -6,51 +6,60 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fordtrestle.proxy.engine.pressure import RULES, Action, Change, Monitor, Pressure, Rule
+from fordtrestle.proxy.engine.pressure import (
+    RULES,
+    Monitor,
+    PressureAction,
+    PressureChange,
+    PressureRule,
+    PressureRules,
+)
 
 CALM = dict.fromkeys(Monitor, 0.0)
 
 
 def test_an_action_goes_on_at_one_reading_and_off_at_a_lower_one_and_each_is_told_once():
-    made = Pressure([Rule(Action.SHORTEN_IDLE, Monitor.DESCRIPTORS, 0.9, 0.75)])
+    made = PressureRules([PressureRule(PressureAction.SHORTEN_IDLE, Monitor.DESCRIPTORS, 0.9, 0.75)])
     told = [made.update(at, {Monitor.DESCRIPTORS: share}) for at, share in enumerate((0.5, 0.9, 0.8, 0.91))]
-    on = Change(Action.SHORTEN_IDLE, True, "descriptors held 0.90")
+    on = PressureChange(PressureAction.SHORTEN_IDLE, True, "descriptors held 0.90")
     assert told == [[], [on], [], []]
-    assert made.on(Action.SHORTEN_IDLE)
-    assert not made.on(Action.SHRINK_POOLS)
-    off = Change(Action.SHORTEN_IDLE, False, "descriptors held 0.74", lasted_ms=499.0)
+    assert made.is_on(PressureAction.SHORTEN_IDLE)
+    assert not made.is_on(PressureAction.SHRINK_POOLS)
+    off = PressureChange(PressureAction.SHORTEN_IDLE, False, "descriptors held 0.74", lasted_ms=499.0)
     assert made.update(500.0, {Monitor.DESCRIPTORS: 0.74}) == [off]
     assert made.update(501.0, {Monitor.DESCRIPTORS: 0.8}) == []
 
 
 def test_a_graded_action_goes_as_far_as_the_worst_of_its_readings():
-    made = Pressure()
+    made = PressureRules()
     made.update(0.0, {**CALM, Monitor.CALLS: 0.9, Monitor.LAG: 180.0})
-    assert made.level(Action.REFUSE_BY_WORTH) == pytest.approx(0.5)
+    assert made.level(PressureAction.REFUSE_BY_WORTH) == pytest.approx(0.5)
     made.update(1.0, {**CALM, Monitor.CALLS: 0.9, Monitor.LAG: 900.0})
-    assert made.level(Action.REFUSE_BY_WORTH) == 1.0
+    assert made.level(PressureAction.REFUSE_BY_WORTH) == 1.0
     made.update(2.0, {**CALM, Monitor.CALLS: 0.7})
-    assert made.on(Action.REFUSE_BY_WORTH)  # between the two figures it stays on, and asks for nothing
-    assert made.level(Action.REFUSE_BY_WORTH) == 0.0
+    assert made.is_on(
+        PressureAction.REFUSE_BY_WORTH
+    )  # between the two figures it stays on, and asks for nothing
+    assert made.level(PressureAction.REFUSE_BY_WORTH) == 0.0
     made.update(3.0, CALM)
-    assert not made.on(Action.REFUSE_BY_WORTH)
+    assert not made.is_on(PressureAction.REFUSE_BY_WORTH)
 
 
 def test_a_reading_that_is_missing_changes_nothing():
-    made = Pressure()
+    made = PressureRules()
     made.update(0.0, {Monitor.DESCRIPTORS: 0.99})
     assert made.update(1.0, {}) == []
-    assert made.on(Action.SHORTEN_IDLE)
+    assert made.is_on(PressureAction.SHORTEN_IDLE)
 
 
 def memory(made, at, resident, buffered):
     made.update(at, {**CALM, Monitor.MEMORY: resident, Monitor.BUFFERED: buffered})
-    return made.level(Action.REFUSE_BY_WORTH)
+    return made.level(PressureAction.REFUSE_BY_WORTH)
 
 
 def test_resident_memory_raises_pressure_and_the_book_releases_it():
     """The interpreter gives little back: without this the process would refuse work for good."""
-    made = Pressure()
+    made = PressureRules()
     assert memory(made, 0.0, 0.95, 0.5) == pytest.approx(0.5)
     assert memory(made, 1.0, 0.95, 0.3) == pytest.approx(0.5)
     assert memory(made, 2.0, 0.95, 0.1) == 0.0  # what was held is gone, what is resident is not
@@ -61,29 +70,29 @@
 @pytest.mark.parametrize("figures", [(0.5, 0.5, 0.0), (0.5, 0.6, 0.0), (0.5, 0.4, 0.5), (0.5, 0.4, 0.3)])
 def test_rules_out_of_order_are_refused(figures):
     with pytest.raises(ValueError, match="out of order"):
-        Pressure([Rule(Action.SHRINK_POOLS, Monitor.LAG, *figures)])
+        PressureRules([PressureRule(PressureAction.SHRINK_POOLS, Monitor.LAG, *figures)])
 
 
 def test_every_action_is_reached_and_left_by_each_of_its_rules():
-    assert {rule.action for rule in RULES} == set(Action)
+    assert {rule.action for rule in RULES} == set(PressureAction)
     for rule in RULES:
-        made = Pressure()
+        made = PressureRules()
         # Memory presses only while bytes are held.
         beside = {Monitor.BUFFERED: 0.3} if rule.monitor is Monitor.MEMORY else {}
-        made.update(0.0, {**CALM, **beside, rule.monitor: rule.on_from})
-        assert made.on(rule.action)
-        made.update(1.0, {**CALM, **beside, rule.monitor: rule.off_under - 0.001})
-        assert not made.on(rule.action)
+        made.update(0.0, {**CALM, **beside, rule.monitor: rule.on_at})
+        assert made.is_on(rule.action)
+        made.update(1.0, {**CALM, **beside, rule.monitor: rule.off_below - 0.001})
+        assert not made.is_on(rule.action)
 
 
 @given(st.lists(st.floats(0.0, 1.2), min_size=1, max_size=60))
 def test_readings_that_stay_between_the_two_figures_never_change_an_action(shares):
-    made = Pressure([Rule(Action.SHRINK_POOLS, Monitor.DESCRIPTORS, 0.9, 0.7)])
+    made = PressureRules([PressureRule(PressureAction.SHRINK_POOLS, Monitor.DESCRIPTORS, 0.9, 0.7)])
     on = False
     for at, share in enumerate(shares):
         changes = made.update(float(at), {Monitor.DESCRIPTORS: share})
         if 0.7 <= share < 0.9:
             assert changes == []
         on = share >= 0.9 or (on and share >= 0.7)
-        assert made.on(Action.SHRINK_POOLS) == on
-        assert made.level(Action.SHRINK_POOLS) == float(on)
+        assert made.is_on(PressureAction.SHRINK_POOLS) == on
+        assert made.level(PressureAction.SHRINK_POOLS) == float(on)
--- a/tests/proxy/http/test_accept.py
+++ b/tests/proxy/http/test_accept.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Send
-from fordtrestle.proxy.engine.connections import ConnectionTable, TableOptions
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, TableOptions
 from fordtrestle.proxy.engine.limits import Limits
 from fordtrestle.proxy.http import accept
 from tests import loopback as partners
@@ -24,7 +24,7 @@
 def tight(sidecar, places, reserve=1):
     """So few places for clients, and so few at the limit, whatever servers have."""
     sidecar.front.budget = Limits(places, 2**20, 1000).budget("clients")
-    sidecar.front.reserve = Limits(reserve, 0, 0).descriptors.part("at the limit")
+    sidecar.front.reserve = Limits(reserve, 0, 0).descriptors.add_share("at the limit")
 
 
 def until_event(event):
@@ -54,7 +54,7 @@
         assert statuses.count(200) > 36
         refused = [answer for answer in await answers if status_of(answer) == 503]
         assert all(0.0 < float(answer.headers["retry-after"]) <= 2.0 for answer in refused)
-        assert sidecar.limits.descriptors.held <= sidecar.limits.descriptors.capacity
+        assert sidecar.limits.descriptors.used <= sidecar.limits.descriptors.capacity
 
 
 @virtual
@@ -83,11 +83,11 @@
         busy.send()
         await until(lambda: upstream.seen)
         late = await App.connect(sidecar.address)
-        await until(lambda: sidecar.front.reserve.held == 1)
+        await until(lambda: sidecar.front.reserve.used == 1)
         release.set()
         assert status_of(await busy.answer()) == 200
         assert status_of(await late.ask()) == 200  # the other is at rest, and is evicted
-        assert sidecar.front.reserve.held == 0
+        assert sidecar.front.reserve.used == 0
 
 
 @virtual
@@ -145,7 +145,7 @@
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         tight(sidecar, places=2, reserve=0)
-        patient = TableOptions(clients_most=9, patience_least_ms=60_000.0, patience_most_ms=60_000.0)
+        patient = TableOptions(max_clients=9, min_grace_ms=60_000.0, max_grace_ms=60_000.0)
         sidecar.front.table = ConnectionTable(patient)
         loop = asyncio.get_running_loop()
         silent = [await App.connect(sidecar.address) for _ in range(2)]
@@ -203,8 +203,8 @@
             app.writer.write(sent)
             app.writer.close()
         await until(lambda: sidecar.front.empty and module.named("request"))
-        await until(lambda: sidecar.limits.descriptors.held == sidecar.pool.budget.descriptors.held)
-        assert sidecar.front.budget.descriptors.held == 0
+        await until(lambda: sidecar.limits.descriptors.used == sidecar.pool.budget.descriptors.used)
+        assert sidecar.front.budget.descriptors.used == 0
         assert not sidecar.front._parts
         assert not sidecar.front._starting
 
@@ -220,12 +220,12 @@
         busy.send()
         await until(lambda: upstream.seen)
         late = [await App.connect(sidecar.address) for _ in range(20)]
-        await until(lambda: sidecar.front.reserve.held == 20)
+        await until(lambda: sidecar.front.reserve.used == 20)
         for app in late:
             app.send(X_Caller="nobody")  # answered and ended here, and none of them ends it
         for app in late:
             assert status_of(await app.answer()) == 400
-        assert sidecar.front.reserve.held == 20
+        assert sidecar.front.reserve.used == 20
         release.set()
         assert status_of(await busy.answer()) == 200
         good = await App.connect(sidecar.address)
@@ -243,18 +243,18 @@
         busy.send()
         await until(lambda: upstream.seen)
         late = [await App.connect(sidecar.address) for _ in range(20)]
-        await until(lambda: sidecar.front.reserve.held == 20)
+        await until(lambda: sidecar.front.reserve.used == 20)
         for app in late:
             app.send(X_Caller="nobody")
         for app in late:
             assert status_of(await app.answer()) == 400
-        assert sidecar.front.reserve.held == 20
+        assert sidecar.front.reserve.used == 20
         release.set()
         assert status_of(await busy.answer()) == 200
-        assert sidecar.front.budget.descriptors.held == 1
-        await until(lambda: all(entry.holder.quiet for entry in sidecar.front.table))  # acknowledged
+        assert sidecar.front.budget.descriptors.used == 1
+        await until(lambda: all(entry.owner.quiet for entry in sidecar.front.table))  # acknowledged
         sidecar.front._reclaim(1)
-        assert sidecar.front.budget.descriptors.held == 0
+        assert sidecar.front.budget.descriptors.used == 0
         assert await busy.answer() is None
 
 
@@ -270,12 +270,12 @@
         busy.send()
         await until(lambda: upstream.seen)
         silent = [await App.connect(sidecar.address) for _ in range(5)]
-        await until(lambda: sidecar.front.reserve.held == 5)
+        await until(lambda: sidecar.front.reserve.used == 5)
         asks = await App.connect(sidecar.address)
-        await until(lambda: sidecar.front.reserve.held == 6)
+        await until(lambda: sidecar.front.reserve.used == 6)
         await asyncio.sleep(waited_s)  # they have had their time to ask, or not
         assert status_of(await asks.ask()) == 503
-        assert sidecar.front.reserve.held == 6  # who was told so lingers
+        assert sidecar.front.reserve.used == 6  # who was told so lingers
         for app in silent:
             assert status_of(await app.ask()) == 503
         release.set()
@@ -292,7 +292,7 @@
         busy.send()
         await until(lambda: upstream.seen)
         silent = [await App.connect(sidecar.address) for _ in range(2)]
-        await until(lambda: sidecar.front.reserve.held == 2)
+        await until(lambda: sidecar.front.reserve.used == 2)
         late = await App.connect(sidecar.address)
         assert status_of(await late.ask()) == 503
         assert await silent[0].answer() is None
--- a/tests/proxy/http/test_bad_clients.py
+++ b/tests/proxy/http/test_bad_clients.py
@@ -84,9 +84,9 @@
         async with beside_a_good_client(sidecar.address):
             yield sidecar
             await until(lambda: len(sidecar.front.table) <= 1)
-        await until(lambda: not len(sidecar.front.table) and sidecar.driver.idle)
+        await until(lambda: not len(sidecar.front.table) and sidecar.driver.is_idle)
         await until(lambda: not sidecar.front._calls)
-    await until(lambda: not sidecar.limits.unsettled())
+    await until(lambda: not sidecar.limits.unreleased())
     assert [told for told in raised if "exception" in told and "StreamReader" not in str(told)] == []
 
 
--- a/tests/proxy/http/test_bad_servers.py
+++ b/tests/proxy/http/test_bad_servers.py
@@ -160,9 +160,9 @@
             # Servers and clients use this core, too, and it would refuse for that.
             sidecar.front.wake = sidecar.front.lag.wake
             yield site, sidecar
-            await until(lambda: sidecar.driver.idle and not sidecar.front._calls)
+            await until(lambda: sidecar.driver.is_idle and not sidecar.front._calls)
             await until(lambda: not len(sidecar.front.table))
-        await until(lambda: not sidecar.limits.unsettled())
+        await until(lambda: not sidecar.limits.unreleased())
     finally:
         watching.cancel()
         site.stop()
--- a/tests/proxy/http/test_client_gone.py
+++ b/tests/proxy/http/test_client_gone.py
@@ -48,7 +48,7 @@
 
 
 def holders(sidecar):
-    return [entry.holder for entry in sidecar.front.table]
+    return [entry.owner for entry in sidecar.front.table]
 
 
 def leave(sidecar, sock, how):
@@ -72,7 +72,7 @@
 
 async def nothing_is_held(sidecar):
     await until(lambda: not holders(sidecar) and not sidecar.driver._requests)
-    assert sidecar.limits.calls.held == 0
+    assert sidecar.limits.calls.used == 0
     assert not sidecar.front.unread
 
 
@@ -176,7 +176,7 @@
                 await asyncio.sleep(0)
             stood.append(isinstance(holders(sidecar)[0]._transport, asyncio.Transport))
             leave(sidecar, sock, how)
-            sidecar.driver._act(Send(number, "s0", 0.0))
+            sidecar.driver._perform(Send(number, "s0", 0.0))
 
         def begin(now, arrival):
             stood.append(asyncio.get_running_loop().create_task(leave_then_send(arrival.request)))
@@ -189,7 +189,7 @@
         assert len(module.named("client_gone")) == 1
         assert upstream.writers == []
         await nothing_is_held(sidecar)
-        assert sidecar.limits.descriptors.held == 0
+        assert sidecar.limits.descriptors.used == 0
         assert not raised
         assert (after, stood[1]) not in ((0, True), (5, False))  # the turns tried span both
 
@@ -248,7 +248,7 @@
         sock.shutdown(socket.SHUT_WR)
         await until(lambda: not holders(sidecar))
         assert len(upstream.seen) - seen < 16
-        assert sidecar.limits.calls.held == 0
+        assert sidecar.limits.calls.used == 0
         assert not sidecar.front.unread
         sock.close()
 
--- a/tests/proxy/http/test_closing.py
+++ b/tests/proxy/http/test_closing.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from fordtrestle.proxy.engine.connections import ConnectionTable, Standing, TableOptions
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, EvictionClass, TableOptions
 from fordtrestle.proxy.http import downstream
 from fordtrestle.proxy.http import front as front_module
 from fordtrestle.proxy.http.downstream import ClientConnection
@@ -67,7 +67,7 @@
 
 
 def standing(front):
-    return [entry.standing for entry in front.table]
+    return [entry.eviction_class for entry in front.table]
 
 
 async def asked(sock, sent):
@@ -89,24 +89,24 @@
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         front, drain = sidecar.front, None
-        front.table = ConnectionTable(TableOptions(100, once_rest_ms=100.0 if why == "rest" else 1e9))
+        front.table = ConnectionTable(TableOptions(100, once_idle_timeout_ms=100.0 if why == "rest" else 1e9))
         sock = await client(sidecar.address)
         if why == "overdue":
             await asyncio.get_running_loop().sock_sendall(sock, b"\r\n")  # no request, and not pending
-            await until(lambda: any(isinstance(entry.holder, ClientConnection) for entry in front.table))
+            await until(lambda: any(isinstance(entry.owner, ClientConnection) for entry in front.table))
             await until(lambda: not front._starting)
         else:
             await asked(sock, request())
-            await until(lambda: front.table.at_rest == 1)
+            await until(lambda: front.table.idle_count == 1)
         crossing = Crossing(monkeypatch, sock, request())
         if why == "drain":
             drain = asyncio.create_task(sidecar.drain())
         elif why == "too many":
-            monkeypatch.setattr(front.table, "_once_most", 0)
+            monkeypatch.setattr(front.table, "_max_once", 0)
             other = await App.connect(sidecar.address)
             await other.ask()
         elif why == "overdue":
-            next(iter(front.table)).holder.first_is_overdue()
+            next(iter(front.table)).owner.first_is_overdue()
         assert await to_the_end(sock) == b""
         assert crossing.crossed == ["shutdown"]
         sock.close()
@@ -114,7 +114,7 @@
             await drain
         await until(lambda: len(front.table) == (why == "too many"))
         assert len(upstream.seen) == {"overdue": 0, "too many": 2}.get(why, 1)
-        assert front.budget.descriptors.held == len(front.table)
+        assert front.budget.descriptors.used == len(front.table)
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,7 @@
         sock.close()
         await until(lambda: sidecar.front.empty)
         assert len(upstream.seen) == (1 if b"/look" in first and status == b"200" else 0)
-        assert sidecar.front.budget.descriptors.held == 0
+        assert sidecar.front.budget.descriptors.used == 0
         assert not sidecar.front._parts
 
 
@@ -169,12 +169,12 @@
     async with running(upstream) as sidecar:
         sock = await client(sidecar.address, kernel=4096)
         await asyncio.get_running_loop().sock_sendall(sock, request(Connection="close"))
-        await until(lambda: standing(sidecar.front) == [Standing.REJECTED])  # ended here, and it lingers
+        await until(lambda: standing(sidecar.front) == [EvictionClass.REJECTED])  # ended here, and it lingers
         (entry,) = sidecar.front.table
-        await until(lambda: not entry.holder.unsent)
-        assert not entry.holder.quiet
+        await until(lambda: not entry.owner.unsent)
+        assert not entry.owner.quiet
         assert (await to_the_end(sock)).count(b"x") == BODY
-        await until(lambda: sidecar.front.empty or entry.holder.quiet)
+        await until(lambda: sidecar.front.empty or entry.owner.quiet)
         sock.close()
 
 
@@ -184,7 +184,7 @@
         socks = [await client(sidecar.address) for _ in range(2)]
         await until(lambda: len(sidecar.front.table) == 2)
         delays = [
-            entry.holder.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
+            entry.owner.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
             for entry in sidecar.front.table
         ]
         assert all(delays)
@@ -231,7 +231,7 @@
         if asked_before:
             await asked(sock, request())
         await until(lambda: len(sidecar.front.table) == 1)
-        await until(lambda: sidecar.front.table.at_rest == asked_before)
+        await until(lambda: sidecar.front.table.idle_count == asked_before)
         crossing = Crossing(monkeypatch, sock, request())
         sidecar.front.out_of_descriptors()
         with contextlib.suppress(ConnectionResetError):
@@ -240,5 +240,5 @@
         assert crossing.crossed == ["close"]
         await until(lambda: sidecar.front.empty)
         assert len(upstream.seen) == asked_before
-        assert sidecar.front.budget.descriptors.held == 0
+        assert sidecar.front.budget.descriptors.used == 0
         assert not sidecar.front._parts
--- a/tests/proxy/http/test_dials.py
+++ b/tests/proxy/http/test_dials.py
@@ -34,7 +34,7 @@
     """No dial and no connection is left but those accounted for."""
     pool = sidecar.pool
     await until(lambda: not pool._opening and not sidecar.driver._requests)
-    await until(lambda: pool.budget.descriptors.held == len(pool._connections))
+    await until(lambda: pool.budget.descriptors.used == len(pool._connections))
     assert pool._connections == set(pool._idle)
 
 
@@ -55,9 +55,9 @@
             for _ in range(after):
                 await asyncio.sleep(0)
             if how == "cancel":
-                sidecar.driver._act(Cancel(number, 0))
+                sidecar.driver._perform(Cancel(number, 0))
             else:
-                sidecar.driver._expire(sidecar.driver._requests[number].attempts[0])
+                sidecar.driver._on_attempt_timeout(sidecar.driver._requests[number].attempts[0])
 
         def begin(now, arrival):
             tasks.append(asyncio.get_running_loop().create_task(give_up(arrival.request)))
@@ -84,7 +84,7 @@
         (request,) = sidecar.driver._requests.values()
         if first == "dial":
             held.gate.set()
-        sidecar.driver._expire(request.attempts[0])
+        sidecar.driver._on_attempt_timeout(request.attempts[0])
         held.gate.set()
         assert (await app.answer()).start.split(" ")[1] == "502"
         assert module.outcomes() == [(0, Outcome.TIMEOUT, False)]
@@ -140,7 +140,7 @@
             app = await App.connect(sidecar.address)
             app.send(X_Budget="300m")
             await until(lambda: sidecar.pool._opening)
-            assert sidecar.pool.budget.descriptors.held == 1
+            assert sidecar.pool.budget.descriptors.used == 1
             assert (await app.answer()).start.split(" ")[1] == "504"
             assert module.outcomes()[0][1] in (Outcome.TIMEOUT, Outcome.CANCELLED)  # if it stood still
             await nothing_leaks(sidecar)
@@ -289,6 +289,6 @@
         await until(lambda: upstream.seen)
         (to_server,) = sidecar.pool._connections
         (entry,) = sidecar.front.table
-        for end in (to_server, entry.holder):
+        for end in (to_server, entry.owner):
             sock = end._transport.get_extra_info("socket")
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/proxy/http/test_front.py
+++ b/tests/proxy/http/test_front.py
@@ -10,7 +10,7 @@
 
 from fordtrestle.balancer.model import Fail, Refuse, Timer
 from fordtrestle.proxy.engine.clock import Clock
-from fordtrestle.proxy.engine.connections import ConnectionTable, TableOptions
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, TableOptions
 from fordtrestle.proxy.engine.limits import Limits
 from fordtrestle.proxy.http import downstream, requests
 from fordtrestle.proxy.membership import list_format
@@ -99,7 +99,7 @@
     async with running(balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         assert status_of(await app.ask(X_Budget="60m")) == 504
-        assert sidecar.driver.idle
+        assert sidecar.driver.is_idle
         assert not sidecar.driver._requests
 
 
@@ -127,7 +127,7 @@
         await until(lambda: upstream.seen)
         app.close()
         await until(lambda: module.named("client_gone"))
-        assert sidecar.driver.idle
+        assert sidecar.driver.is_idle
         await until(lambda: module.outcomes())
         assert [last for _, _, last in module.outcomes()] == [True]
         assert not sidecar.driver._requests
@@ -288,7 +288,7 @@
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(clients_most=8, once_rest_ms=1e9))
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=8, once_idle_timeout_ms=1e9))
         keeping = []
         for _ in range(40):
             if len(keeping) == 8:
@@ -304,7 +304,7 @@
 async def test_who_has_come_back_keeps_its_connection_while_others_ask_once():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(clients_most=8, once_rest_ms=1e9))
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=8, once_idle_timeout_ms=1e9))
         proven = [await App.connect(sidecar.address) for _ in range(4)]
         for app in proven * 2:
             assert status_of(await app.ask()) == 200
@@ -318,7 +318,7 @@
 async def test_who_asked_once_is_closed_after_a_while_even_where_there_is_room():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(clients_most=100, once_rest_ms=100.0))
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=100, once_idle_timeout_ms=100.0))
         once, often = await App.connect(sidecar.address), await App.connect(sidecar.address)
         for app in (often, often, once):
             assert status_of(await app.ask()) == 200
@@ -331,9 +331,7 @@
     upstream = await Upstream([OK, hang]).start()
     async with running(upstream) as sidecar:
         sidecar.front.budget = Limits(3, 2**20, 100).budget("clients")
-        sidecar.front.table = ConnectionTable(
-            TableOptions(clients_most=9, patience_least_ms=0.0, patience_most_ms=0.0)
-        )
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=9, min_grace_ms=0.0, max_grace_ms=0.0))
         resting, waiting, silent = [await App.connect(sidecar.address) for _ in range(3)]
         assert status_of(await resting.ask()) == 200
         waiting.send()
@@ -378,7 +376,7 @@
 async def test_who_never_ends_a_first_request_is_told_so_or_closed(sent, monkeypatch):
     module = Scripted()
     async with running(balancer=module) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(clients_most=100, first_ms=100.0))
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=100, first_request_timeout_ms=100.0))
         app = await App.connect(sidecar.address)
         app.writer.write(sent)
         answer = await app.answer()
