--- a/tests/proxy/http/test_hard_cases.py
+++ b/tests/proxy/http/test_hard_cases.py
@@ -10,7 +10,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Cancel, Outcome, Send
-from fordtrestle.proxy.engine.connections import ConnectionTable, Standing, TableOptions
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, EvictionClass, TableOptions
 from fordtrestle.proxy.engine.limits import Limits
 from fordtrestle.proxy.http import front, pool
 from fordtrestle.proxy.http.downstream import ClientConnection
@@ -58,7 +58,7 @@
             app.send(X_Budget="50m")
             await until(lambda: not sidecar.pool._opening)
         await until(lambda: len(module.outcomes()) == 5)
-        assert sidecar.pool.budget.descriptors.held == len(sidecar.pool._connections) == 0
+        assert sidecar.pool.budget.descriptors.used == len(sidecar.pool._connections) == 0
 
 
 @virtual
@@ -68,7 +68,7 @@
     async with running(upstream) as sidecar:
         limits = Limits(6, 2**20, 1000)
         sidecar.front.budget = limits.budget("clients")
-        sidecar.front.reserve = limits.descriptors.part("at the limit", 2, weight=0.0)
+        sidecar.front.reserve = limits.descriptors.add_share("at the limit", 2, weight=0.0)
         sidecar.front.table = ConnectionTable(TableOptions(100))
         resting = [await App.connect(sidecar.address) for _ in range(4)]
         for app in resting:
@@ -78,9 +78,9 @@
             app.send()
         await until(lambda: len(upstream.seen) == 8)
         silent = await App.connect(sidecar.address)
-        await until(lambda: sidecar.front.reserve.held == 1)
+        await until(lambda: sidecar.front.reserve.used == 1)
         good = await App.connect(sidecar.address)
-        await until(lambda: sidecar.front.reserve.held == 2)
+        await until(lambda: sidecar.front.reserve.used == 2)
         for app in resting:
             await app.answer()
         await asyncio.sleep(0.15)  # the silent one has had its time
@@ -161,9 +161,9 @@
             crowd.append(await App.connect(sidecar.address))
             crowd[-1].writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\nG")
         await asyncio.sleep(0.2)
-        standing = Counter(entry.standing for entry in sidecar.front.table)
-        assert standing[Standing.ASKING]
-        assert not standing[Standing.IN_CALL]
+        standing = Counter(entry.eviction_class for entry in sidecar.front.table)
+        assert standing[EvictionClass.RECEIVING]
+        assert not standing[EvictionClass.IN_CALL]
         for _ in range(10):
             async with asyncio.timeout(1.0):  # halves are only ended after 2 s
                 good = await App.connect(sidecar.address)
@@ -179,7 +179,7 @@
     asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
     async with running(upstream) as sidecar:
         sidecar.front.budget = Limits(1, 2**20, 1000).budget("clients")
-        sidecar.front.reserve = Limits(2, 0, 0).descriptors.part("at the limit")
+        sidecar.front.reserve = Limits(2, 0, 0).descriptors.add_share("at the limit")
         busy = await App.connect(sidecar.address)
         busy.send()
         await until(lambda: upstream.seen)
@@ -200,13 +200,13 @@
     upstream = await Upstream([later]).start()
     async with running(upstream) as sidecar:
         sidecar.front.budget = Limits(2, 2**20, 1000).budget("clients")
-        sidecar.front.reserve = Limits(1, 0, 0).descriptors.part("at the limit")
+        sidecar.front.reserve = Limits(1, 0, 0).descriptors.add_share("at the limit")
         busy = [await App.connect(sidecar.address) for _ in range(2)]
         for app in busy:
             app.send()
         await until(lambda: len(upstream.seen) == 2)
         silent = await App.connect(sidecar.address)
-        await until(lambda: sidecar.front.reserve.held == 1)
+        await until(lambda: sidecar.front.reserve.used == 1)
         queued = await App.connect(sidecar.address)
         queued.send()
         silent.close()
@@ -242,7 +242,7 @@
         for size in [60_000] * 12 + [6000] * 12 + [500] * 60 + [100] * 60:
             halves.append(await App.connect(sidecar.address))
             halves[-1].writer.write(request("POST", "/pay", b"x" * size)[:-1])
-        await until(lambda: sidecar.front.budget.buffered.room < 60_000)
+        await until(lambda: sidecar.front.budget.buffered.available < 60_000)
         for _ in range(12):
             good = await App.connect(sidecar.address)
             assert status_of(await good.ask("POST", "/pay", b"x" * 50_000)) == 200
@@ -264,12 +264,12 @@
         await loop.sock_sendall(sock, request())
         await until(lambda: sidecar.front._stuck)
         (entry,) = sidecar.front.table
-        assert entry.standing is Standing.IN_CALL
-        assert sidecar.front.table.at_rest == 0
+        assert entry.eviction_class is EvictionClass.IN_CALL
+        assert sidecar.front.table.idle_count == 0
         got = 0
         while got < len(LARGE) - 100:
             got += len(await loop.sock_recv(sock, 65536))
-        await until(lambda: entry.standing is Standing.AT_REST)
+        await until(lambda: entry.eviction_class is EvictionClass.IDLE)
         sock.close()
 
 
--- a/tests/proxy/http/test_holding.py
+++ b/tests/proxy/http/test_holding.py
@@ -47,7 +47,7 @@
 
 
 def held(sidecar):
-    return sidecar.limits.buffered.held
+    return sidecar.limits.buffered.used
 
 
 @virtual
@@ -63,14 +63,14 @@
         for _ in range(60):
             assert (await good.ask()).start.split(" ")[1] == "200"
             # The accounting is what the transports really hold.
-            real = sum(getattr(entry.holder, "unsent", 0) for entry in sidecar.front.table)
+            real = sum(getattr(entry.owner, "unsent", 0) for entry in sidecar.front.table)
             most = max(most, real)
             assert real <= held(sidecar) <= 4 * 2**20
         assert most > 2**20
         for app in deaf:
             app.close()
         await until(lambda: held(sidecar) == 0 and len(sidecar.front.table) == 1)
-        assert sidecar.limits.calls.held == 0
+        assert sidecar.limits.calls.used == 0
 
 
 @virtual
@@ -123,7 +123,7 @@
         await until(lambda: sidecar.front._stuck)
         await asyncio.sleep(0.1)
         assert len(upstream.seen) < 16
-        assert sidecar.limits.calls.held == 0  # what was taken is answered
+        assert sidecar.limits.calls.used == 0  # what was taken is answered
         for _ in range(16):
             assert (await app.answer()).body == LARGE[-65536:]
         assert len(upstream.seen) == 16
@@ -180,4 +180,4 @@
         wait.set()
         statuses = [(await app.answer()).start.split(" ")[1] for app in apps[:-1]]
         assert statuses.count("503") == 1
-        assert sidecar.limits.calls.held == 0
+        assert sidecar.limits.calls.used == 0
--- a/tests/proxy/http/test_hostile.py
+++ b/tests/proxy/http/test_hostile.py
@@ -134,9 +134,9 @@
             await asyncio.gather(*(hostile(sidecar.address, data) for data in sent[start : start + 200]))
         await asyncio.gather(*good)
         await until(lambda: not len(sidecar.front.table))
-        assert sidecar.limits.buffered.held == sidecar.limits.calls.held == 0
-        assert sidecar.limits.descriptors.held == len(sidecar.pool._connections)
-        assert sidecar.driver.idle
+        assert sidecar.limits.buffered.used == sidecar.limits.calls.used == 0
+        assert sidecar.limits.descriptors.used == len(sidecar.pool._connections)
+        assert sidecar.driver.is_idle
         assert not sidecar.front._calls
     for message in upstream.seen:
         # What a server reads is a request of a class there is, which was judged, and nothing beside it.
@@ -183,6 +183,6 @@
             rejections = sum(b"503" in data and b"X-Rejected: 1" in data for data in some)
             assert len(names) - len(set(names)) <= 2 * rejections
             assert names
-            await until(lambda: sidecar.limits.calls.held == 0 and not sidecar.driver._requests)
-            assert sidecar.limits.buffered.held == 0
-            assert sidecar.limits.descriptors.held == 1 + len(sidecar.pool._connections)
+            await until(lambda: sidecar.limits.calls.used == 0 and not sidecar.driver._requests)
+            assert sidecar.limits.buffered.used == 0
+            assert sidecar.limits.descriptors.used == 1 + len(sidecar.pool._connections)
--- a/tests/proxy/http/test_restarts.py
+++ b/tests/proxy/http/test_restarts.py
@@ -77,7 +77,7 @@
         assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
         assert old.seen == new.seen == []
         await until(lambda: not sidecar.pool._connections)
-        assert sidecar.pool.budget.descriptors.held == 0
+        assert sidecar.pool.budget.descriptors.used == 0
     new.stop()
 
 
--- a/tests/proxy/http/test_upstream.py
+++ b/tests/proxy/http/test_upstream.py
@@ -316,10 +316,10 @@
         app.send()
         await until(lambda: upstream.seen)
         (number,) = sidecar.driver._requests
-        sidecar.driver._act(Cancel(number, 0))
-        sidecar.driver._act(Cancel(number, 0))
+        sidecar.driver._perform(Cancel(number, 0))
+        sidecar.driver._perform(Cancel(number, 0))
         # Its time runs out, too, before the outcome is told.
-        sidecar.driver._expire(sidecar.driver._requests[number].attempts[0])
+        sidecar.driver._on_attempt_timeout(sidecar.driver._requests[number].attempts[0])
         assert (await app.answer()).body == b"done"
         assert module.outcomes() == [(0, Outcome.TIMEOUT, False), (1, Outcome.OK, True)]
         assert [seen.connection for seen in upstream.seen] == [0, 1]
@@ -441,7 +441,7 @@
         one.send()
         await until(lambda: len(upstream.seen) == 3)
         busy = upstream.seen[2].connection
-        sidecar.driver._act(CloseIdle("s0"))
+        sidecar.driver._perform(CloseIdle("s0"))
         await until(lambda: upstream.writers[1 - busy].is_closing())
         assert not upstream.writers[busy].is_closing()
 
@@ -535,7 +535,7 @@
     async with running(upstream, balancer=module) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         assert module.named("outcome")[0][-1] == {"inflight": 1.0, "queue": 0.0}
-        sidecar.driver._act(Probe("s0"))
+        sidecar.driver._perform(Probe("s0"))
         await until(lambda: module.named("probe_result"))
         ((server, status, spent, report),) = module.named("probe_result")
         assert (server, status, report) == ("s0", Outcome.OK, {"inflight": 3.0})
--- a/tests/proxy/membership/test_discovery_client.py
+++ b/tests/proxy/membership/test_discovery_client.py
@@ -121,7 +121,7 @@
     module = Scripted()
     raw = {"known": listed(41, entry("s0"))}
     async with running(balancer=module, registry=old, raw=raw, Discovery="subscribe") as sidecar:
-        sidecar.driver._act(Fetch())
+        sidecar.driver._perform(Fetch())
         sidecar.discovery.move(parse_address(new.address))
         await until(lambda: len(updates_of(module)) == 2)
         assert updates_of(module)[1:] == [("all", ["s1"])]
@@ -134,14 +134,14 @@
     module = Scripted()
     async with running(balancer=module, registry=registry, Discovery="subscribe") as sidecar:
         assert registry.asked == []
-        sidecar.driver._act(Watch(True))
+        sidecar.driver._perform(Watch(True))
         await until(lambda: registry.watches)
         registry.watches[0].close()
         await until(lambda: len(updates_of(module)) == 2)
-        sidecar.driver._act(Fetch())
+        sidecar.driver._perform(Fetch())
         await until(lambda: len(updates_of(module)) == 3)
         registry.stop()
-        sidecar.driver._act(Fetch())
+        sidecar.driver._perform(Fetch())
         await until(lambda: len(updates_of(module)) == 4)
         assert updates_of(module)[1:] == [("refused", []), ("all", ["s5"]), ("refused", [])]
         assert len(registry.watches) == 1
@@ -168,9 +168,9 @@
         peer.sendto(b"x" * 256, here)
         await until(lambda: module.named("peer_message"))
         assert module.named("peer_message") == [[1, b"x" * 256]]
-        sidecar.driver._act(Tell(1, b"x" * 257))
-        sidecar.driver._act(Tell(1, b"one"))
-        sidecar.driver._act(Tell(None, b"all"))
+        sidecar.driver._perform(Tell(1, b"x" * 257))
+        sidecar.driver._perform(Tell(1, b"one"))
+        sidecar.driver._perform(Tell(None, b"all"))
         loop = asyncio.get_running_loop()
         assert await loop.run_in_executor(None, peer.recv, 999) == b"one"
         assert await loop.run_in_executor(None, everyone.recv, 999) == b"all"
