--- a/fordtrestle/proxy/engine/clock.py
+++ b/fordtrestle/proxy/engine/clock.py
@@ -11,7 +11,7 @@
 class Clock:
     """Monotonic milliseconds plus a fixed offset to Unix time.
 
-    The offset is taken once, so that times compare with those that the registry tells (`since_ms`), and
+    The offset is taken once, so that times compare with the registry's (`since_ms`), and
     `now` goes on evenly however the wall clock jumps.
     """
 
@@ -19,8 +19,8 @@
         """Create a clock.
 
         Args:
-            loop: Tells monotonic time in seconds.
-            wall: Tells Unix time in seconds.
+            loop: Its `time` is monotonic, in seconds.
+            wall: Returns Unix time in seconds.
         """
         self._time = loop.time
         self._wall = wall
@@ -35,5 +35,5 @@
         return (now - self._offset) / 1000.0
 
     def wall(self) -> float:
-        """Return Unix seconds as the machine tells them now: they may jump, either way."""
+        """Return the machine's Unix time in seconds: it may jump, either way."""
         return self._wall()
--- a/fordtrestle/proxy/engine/connection_table.py
+++ b/fordtrestle/proxy/engine/connection_table.py
@@ -1,7 +1,7 @@
 """The client connections of one HTTP server by what they have done, and which is evicted in shortage. Pure.
 
-A healthy client is told from a flood by its connection's past, not by its address: it sends a request soon
-after it connects, and it comes back. So connections are evicted in this order:
+A healthy client is distinguished from a flood by its connection's past, not by its address: it sends a
+request soon after it connects, and it comes back. So connections are evicted in this order:
 
 1. those that were rejected and only linger;
 2. those that never sent a request, once they had longer than clients take from connecting to their first
@@ -43,7 +43,7 @@
 
     Attributes:
         max_clients: Connections that well-behaved clients hold altogether at the most.
-        first_request_timeout_ms: From connecting to the first complete request; clients are told so for
+        first_request_timeout_ms: From connecting to the first complete request; the server has its own for
             later ones.
         min_grace_ms: A pending connection gets at least so long to send a request, whatever was learned.
         max_grace_ms: And at the most so long.
@@ -231,9 +231,9 @@
 
         Args:
             now: The time in milliseconds.
-            quiet: Tells whether no call is open on a connection and nothing is unread on either side. Guards
-                against closing one whose request, or the rest of it, has arrived already, and against
-                cutting an answer.
+            quiet: Returns whether no call is open on a connection and nothing is unread on either side.
+                Guards against closing one whose request, or the rest of it, has arrived already, and
+                against cutting an answer.
             urgent: Whether a pending connection may be evicted, too, the oldest first.
         """
         in_vain: list[TableEntry[Owner]] = []
--- a/fordtrestle/proxy/engine/driver.py
+++ b/fordtrestle/proxy/engine/driver.py
@@ -127,14 +127,14 @@
             call.again,
             call.mutates,
         )
-        self._ask(request, self._balancer.request, arrival)
+        self._dispatch(request, self._balancer.request, arrival)
         return request
 
     def client_gone(self, request: OpenRequest) -> None:
         """The client closed its connection before the answer."""
         if not request.is_ended:
             self._end(request)
-            self._ask(request, self._balancer.client_gone, request.id)
+            self._dispatch(request, self._balancer.client_gone, request.id)
 
     def server_list(self, form: str, update: ServerList | None) -> None:
         """Apply an update of the servers.
@@ -144,19 +144,19 @@
             update: The update; None if the registry could not be asked or gave no valid list.
         """
         if update is None:
-            self._ask(None, self._balancer.server_list, form, ())
+            self._dispatch(None, self._balancer.server_list, form, ())
             return
         replaced = self._upstreams.update(self._clock.now(), form != "changes", update)
         left = [model.Listing(name, state="left") for name in replaced]
-        self._ask(None, self._balancer.server_list, form, left + update.entries)
+        self._dispatch(None, self._balancer.server_list, form, left + update.entries)
 
     def pressure(self, share: float) -> None:
         """Have the module refuse such a share of the work, worth least first: this process is overloaded."""
-        self._ask(None, self._balancer.pressure, share)
+        self._dispatch(None, self._balancer.pressure, share)
 
     def peer_message(self, peer: int, data: bytes) -> None:
         """A message of another sidecar has come."""
-        self._ask(None, self._balancer.peer_message, peer, data)
+        self._dispatch(None, self._balancer.peer_message, peer, data)
 
     def update_settings(self, settings: model.Settings, max_open: int | None = None) -> bool:
         """Replace the settings for all that is done from now on.
@@ -177,7 +177,7 @@
             return False
         self._settings = settings
         self._max_open = self._max_open if max_open is None else max_open
-        self._ask(None, lambda now: actions)
+        self._dispatch(None, lambda now: actions)
         return True
 
     def _on_guard(self, request: OpenRequest) -> None:
@@ -185,7 +185,7 @@
         if self._end(request):
             log(f"request {request.id}: no answer at its deadline")
             self._fail(request, True, OwnCause.UNANSWERED)
-            self._ask(request, self._balancer.client_gone, request.id)
+            self._dispatch(request, self._balancer.client_gone, request.id)
 
     def _on_outcome(self, attempt: OpenAttempt, result: AttemptResult) -> None:
         """Take the one outcome of an attempt; the first OK answers its request."""
@@ -200,7 +200,7 @@
         request.open_attempts -= 1
         if result.outcome == Outcome.OK and result.response is not None and self._end(request):
             request.call.served(result.response)
-        self._ask(
+        self._dispatch(
             request,
             self._balancer.outcome,
             request.id,
@@ -224,14 +224,14 @@
         self._on_outcome(attempt, AttemptResult(Outcome.CANCELLED if was_stalled else Outcome.TIMEOUT))
 
     def _on_timer(self, token: str) -> None:
-        self._ask(None, self._balancer.timer, token)
+        self._dispatch(None, self._balancer.timer, token)
 
     def _on_probe_result(self, server: str, result: AttemptResult, took_ms: float) -> None:
-        self._ask(None, self._balancer.probe_result, server, int(result.outcome), took_ms, result.report)
+        self._dispatch(None, self._balancer.probe_result, server, int(result.outcome), took_ms, result.report)
 
     # --- actions ------------------------------------------------------------
 
-    def _ask(
+    def _dispatch(
         self, request: OpenRequest | None, event: Callable[..., Iterable[model.Action]], *args: Any
     ) -> None:
         """Give the module an event and carry out what it decides on.
@@ -241,7 +241,7 @@
         Args:
             request: The request at hand; None if the event concerns none.
             event: The module's method for the event; it takes the time and `args`.
-            *args: What the event tells.
+            *args: The event's values.
         """
         try:
             for action in event(self._clock.now(), *args):
@@ -250,7 +250,7 @@
             log(traceback.format_exc())
             if request is not None and self._end(request):
                 self._fail(request, False, OwnCause.MODULE_FAULT)
-                self._ask(None, self._balancer.client_gone, request.id)
+                self._dispatch(None, self._balancer.client_gone, request.id)
         if request is not None:
             self._forget_if_done(request)
 
--- a/fordtrestle/proxy/engine/lag.py
+++ b/fordtrestle/proxy/engine/lag.py
@@ -27,8 +27,8 @@
 
         Args:
             scheduler: What the timer is set on.
-            now: Tells the time in milliseconds.
-            busy: Tells whether the process has anything open, that is, whether sampling goes on.
+            now: Returns the time in milliseconds.
+            busy: Returns whether the process has anything open, that is, whether sampling goes on.
         """
         self._scheduler = scheduler
         self._now = now
--- a/fordtrestle/proxy/engine/limits.py
+++ b/fordtrestle/proxy/engine/limits.py
@@ -121,7 +121,8 @@
     def utilization(self) -> float:
         """How near any share is to being exhausted: 1 where one can acquire only what others give back.
 
-        What is guaranteed to others and unused is not available to a share, so the sum used does not tell.
+        What is guaranteed to others and unused is not available to a share, so the sum that is used does
+        not show it.
         """
         parts = (
             share.used / (share.used + share.available)
--- a/fordtrestle/proxy/engine/ports.py
+++ b/fordtrestle/proxy/engine/ports.py
@@ -41,7 +41,7 @@
 
     Attributes:
         version: The registry's index of it.
-        is_complete: Whether it lists all servers; otherwise it tells only what changed.
+        is_complete: Whether it lists all servers; otherwise it has only what changed.
         entries: The servers, as the decision module takes them.
         addresses: Where each of them listens, by name.
     """
@@ -67,7 +67,7 @@
     Attributes:
         outcome: The outcome, as the decision module takes it.
         response: The server's response, where the outcome is OK.
-        report: What the server told of its load, by the fields that are configured.
+        report: The server's load, by the fields that are configured.
     """
 
     outcome: Outcome
@@ -169,13 +169,13 @@
     def probe(self, server: str, done: Callable[[AttemptResult], None]) -> AttemptHandle:
         """Begin a health probe; `done` is as for `send`."""
 
-    def update(self, now: float, whole: bool, news: ServerList) -> list[str]:
+    def update(self, now: float, is_complete: bool, update: ServerList) -> list[str]:
         """Apply an update of the servers.
 
         Args:
             now: When it was read, in the clock's milliseconds.
-            whole: Whether it lists all servers.
-            news: The update.
+            is_complete: Whether it lists all servers.
+            update: The update.
 
         Returns:
             The names whose address now belongs to another server.
--- a/tests/proxy/engine/test_connection_table.py
+++ b/tests/proxy/engine/test_connection_table.py
@@ -1,4 +1,4 @@
-"""Who is evicted when places run short: each connection's past decides, at a cost that does not grow."""
+"""Which connection is evicted when places run short: its past decides, at a cost that does not grow."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def asked(made, name, times, now, rests=True):
-    """A connection that has asked so often, and is at rest from `now`, or in a call."""
+    """Add a connection that sent so many requests and is idle from `now`, or has another one open."""
     entry = made.add(name, now)
     for _ in range(times):
         made.on_request_started(entry, now)
@@ -33,7 +33,7 @@
 
 
 def evicted(made, now, **how):
-    """All who are evicted, in their order, until nobody is left to be."""
+    """Evict until no connection is left that may be; return the owners in order."""
     order = []
     while (entry := made.victim(now, always, **how)) is not None:
         order.append(entry.owner)
@@ -41,7 +41,7 @@
     return order
 
 
-def test_the_stated_order_of_who_gives_way():
+def test_connections_are_evicted_in_the_documented_order():
     made = table()
     asked(made, "left long ago", 9, 0.0)
     for name, times in (("often", 9), ("a few", 2), ("once", 1)):
@@ -66,7 +66,7 @@
     assert evicted(made, 50.0, urgent=True) == ["first", "second"]
 
 
-def test_a_pending_connection_gets_as_long_to_ask_as_clients_were_seen_to_take_within_bounds():
+def test_a_pending_connection_gets_as_long_as_clients_were_seen_to_take_within_bounds():
     made = table()
     assert made.grace_ms == 100.0
 
@@ -93,7 +93,7 @@
     assert made.grace_ms == 1000.0
 
 
-def test_whoever_holds_something_unread_is_not_evicted():
+def test_a_connection_with_something_unread_is_not_evicted():
     made = table()
     for name in ("unread", "quiet"):
         asked(made, name, 1, 0.0)
@@ -101,7 +101,7 @@
     assert made.victim(50.0, lambda owner: False) is None
 
 
-def test_no_more_are_looked_at_than_stated():
+def test_no_more_connections_are_examined_than_configured():
     made, looked = table(max_examined=8), []
     for number in range(100):
         asked(made, number, 1, 0.0)
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize("kind", ["silent", "half of the first", "half of a later one", "rejected"])
-def test_nobody_hides_behind_some_that_always_have_something_unread(kind):
+def test_connections_that_always_have_something_unread_hide_no_others(kind):
     """Guards against a few that trickle bytes: each look would be spent on them, and others refused."""
     made = table(max_examined=8)
     for number in range(20):
@@ -127,12 +127,12 @@
     asked(made, "left long ago", 9, 0.0)
     found = [made.victim(20_000.0, lambda owner: "trickles" not in owner) for _ in range(4)]
     assert [entry.owner for entry in found if entry is not None][:1] == ["left long ago"]
-    for entry in list(made):  # and they are told in time all the same
+    for entry in list(made):  # and they are overdue in time all the same
         if entry.request_count == 0 and entry.eviction_class is not EvictionClass.REJECTED:
             assert entry in made.overdue(20_000.0)
 
 
-def test_half_of_a_later_request_keeps_a_place_no_longer_than_half_of_the_first():
+def test_part_of_a_later_request_keeps_a_place_no_longer_than_part_of_the_first():
     made = table()
     entry = asked(made, "once, and a byte", 1, 0.0)
     made.on_request_started(entry, 10.0)
@@ -140,7 +140,7 @@
     assert made.victim(110.0, always) is entry
 
 
-def test_several_requests_at_once_and_asking_for_readiness_prove_nothing():
+def test_pipelined_requests_and_readiness_checks_do_not_count_as_coming_back():
     made = table()
     pipelined = made.add("four at once", 0.0)
     made.on_request_started(pipelined, 0.0)
@@ -155,14 +155,14 @@
     assert evicted(made, 50.0) == ["four at once", "asks whether it is ready", "twice"]
 
 
-def test_what_is_closed_refers_to_nothing():
+def test_a_removed_entry_refers_to_no_owner():
     made = table()
     entry = made.add("gone", 0.0)
     assert made.remove(entry)
     assert not hasattr(entry, "holder")
 
 
-def test_more_who_asked_once_do_not_rest_than_half_of_what_clients_may_hold():
+def test_idle_connections_with_one_request_hold_at_most_half_of_the_places():
     made = table()
     for name in range(4):
         asked(made, name, 1, 0.0)
@@ -174,7 +174,7 @@
     assert made.excess_victim(1.0, lambda owner: owner > 2).owner == 3
 
 
-def test_who_asked_once_rests_for_a_while_and_others_for_long_unless_there_is_a_crowd():
+def test_idle_connections_expire_early_after_one_request_and_late_after_more_unless_crowded():
     made = table(once_idle_timeout_ms=1800.0, crowded_idle_timeout_ms=2000.0)
     once = asked(made, "once", 1, 0.0)
     proven = [asked(made, number, 5, 0.0) for number in range(6)]
@@ -184,7 +184,7 @@
     assert made.expired_idle(2500.0) == []
 
 
-def test_who_is_overdue_is_told_by_when_it_connected_whatever_it_has_begun():
+def test_a_first_request_is_overdue_by_when_it_connected_whatever_has_begun():
     made = table(first_request_timeout_ms=2400.0)
     early, late = made.add("early", 0.0), made.add("late", 100.0)
     made.on_request_started(early, 2300.0)
@@ -203,54 +203,67 @@
 )
 
 
+def check_victim(found, step, now):
+    """An evicted connection is quiet and has no request open; a pending one had its time, if not urgent."""
+    assert found.eviction_class is not EvictionClass.IN_CALL
+    assert found.owner % 3 > 0
+    is_pending = found.request_count == 0 and found.eviction_class is not EvictionClass.REJECTED
+    if is_pending and step == "victim":
+        assert now - found.opened_ms >= 100.0
+
+
+def check_queues(made):
+    """Each connection without an open request is in one queue, and idle ones are in order of time."""
+    queues = [made._rejected, made._no_request, made._later_request, made._in_vain, *made._idle]
+    for entry in made:
+        held = [queue for queue in queues if entry in queue]
+        assert len(held) == (entry.eviction_class is not EvictionClass.IN_CALL)
+    assert sum(map(len, queues)) <= len(made)
+    for queue in made._idle:
+        since = [entry.since_ms for entry in queue]
+        assert since == sorted(since)
+
+
+def take_step(made, entries, step, number, now):
+    """Take one step that concerns the connection of a number, if there is one."""
+    entry = entries.get(number)
+    if step == "open":
+        if entry is None or entry not in made._entries:
+            entries[number] = made.add(number, now)
+    elif entry is None:
+        return
+    elif step == "close":
+        made.remove(entry)
+        del entries[number]
+    else:
+        handlers = {
+            "begin": made.on_request_started,
+            "ask": made.on_request,
+            "rest": made.on_idle,
+            "reject": made.on_rejected,
+        }
+        handlers[step](entry, now)
+
+
 @given(STEPS)
 def test_over_any_order_of_steps_each_entry_is_in_its_one_queue(steps):
     made, entries, now = table(), {}, 0.0
-    met = set()
     for step, number, passed in steps:
         now += passed
-        entry = entries.get(number)
-        if step == "open" and (entry is None or entry not in made._entries):
-            entries[number] = made.add(number, now)
-        elif step in ("victim", "urgent"):
+        if step in ("victim", "urgent"):
             found = made.victim(now, lambda owner: owner % 3 > 0, urgent=step == "urgent")
             if found is not None:
-                assert found.eviction_class is not EvictionClass.IN_CALL
-                assert found.owner % 3 > 0
-                if (
-                    found.request_count == 0
-                    and step == "victim"
-                    and found.eviction_class is not EvictionClass.REJECTED
-                ):
-                    assert now - found.opened_ms >= 100.0
+                check_victim(found, step, now)
                 assert made.remove(found)
                 entries = {name: entry for name, entry in entries.items() if entry is not found}
         elif step == "rested":
             assert all(found.eviction_class is EvictionClass.IDLE for found in made.expired_idle(now))
-        elif entry is not None and step != "open":
-            do = {
-                "begin": made.on_request_started,
-                "ask": made.on_request,
-                "rest": made.on_idle,
-                "reject": made.on_rejected,
-            }
-            if step == "close":
-                made.remove(entry)
-                del entries[number]
-            else:
-                do[step](entry, now)
-        met |= {entry.eviction_class for entry in made}
-        queues = [made._rejected, made._no_request, made._later_request, made._in_vain, *made._idle]
-        for entry in made:
-            held = [queue for queue in queues if entry in queue]
-            assert len(held) == (entry.eviction_class is not EvictionClass.IN_CALL)
-        assert sum(map(len, queues)) <= len(made)
-        for queue in made._idle:
-            since = [entry.since_ms for entry in queue]
-            assert since == sorted(since)
-
-
-def test_every_standing_is_reached_and_left():
+        else:
+            take_step(made, entries, step, number, now)
+        check_queues(made)
+
+
+def test_every_eviction_class_is_reached_and_left():
     made = table()
     entry = made.add("one", 0.0)
     met = [entry.eviction_class]
@@ -277,7 +290,7 @@
 
 
 @pytest.mark.parametrize("kind", ["silent", "once", "often"])
-def test_the_cost_of_making_room_is_flat_in_the_size_of_the_table(kind):
+def test_the_cost_of_an_eviction_does_not_grow_with_the_table(kind):
     """The same work at 100 and at 10,000 connections: a walk over all would take a hundred times."""
 
     def spent(size):
--- a/tests/proxy/engine/test_lag.py
+++ b/tests/proxy/engine/test_lag.py
@@ -48,7 +48,7 @@
         return len(self._due)
 
 
-def test_in_the_turn_after_a_stall_it_tells_how_late_the_loop_runs():
+def test_in_the_turn_after_a_stall_the_lag_is_the_stall():
     loop = Virtual()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
@@ -58,13 +58,13 @@
     loop.stall(0.5)
     assert 400.0 <= meter.now_ms <= 500.0
     loop.run(loop.now)
-    assert meter.now_ms == 0.0  # the beat has come
-    assert 40.0 <= meter.mean_ms <= 50.0  # one stall in a second of beats
+    assert meter.now_ms == 0.0  # the sample was taken
+    assert 40.0 <= meter.mean_ms <= 50.0  # one stall in a second of samples
     loop.run(loop.now + 1.1)
     assert meter.mean_ms < 1e-6
 
 
-def test_a_loop_that_always_runs_late_is_told_from_one_that_did_once():
+def test_a_loop_that_always_runs_late_has_a_mean_lag_of_its_stalls():
     loop = Virtual()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
@@ -74,7 +74,7 @@
     assert meter.mean_ms >= 100.0
 
 
-def test_while_nothing_goes_on_there_is_no_beat():
+def test_while_the_process_is_idle_no_timer_is_set():
     loop, busy = Virtual(), True
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: busy)
     assert loop.pending == 0
@@ -94,31 +94,31 @@
     assert meter.now_ms == 0.0
 
 
-def test_what_is_read_in_the_turn_after_a_late_beat_has_waited_too():
+def test_what_is_read_in_the_turn_after_a_late_sample_has_waited_too():
     """A process that was stopped in its sleep sees its timers first, and its sockets in the next turn."""
     loop = Virtual()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     loop.run(0.05)
     loop.stall(0.5)
-    loop.turn()  # the beat, and no socket
+    loop.turn()  # the sample, and no socket
     assert meter.now_ms >= 400.0  # what is read now
     loop.turn()
     assert meter.now_ms == 0.0
     assert loop.pending == 1
     loop.run(loop.now + 0.1)
     loop.stall(0.03)
-    loop.turn()  # a beat that is a little late tells of no stop
+    loop.turn()  # a sample that is a little late shows no stop
     assert meter.now_ms == 0.0
 
 
-def test_a_stall_in_the_turn_after_a_late_beat_counts_like_any_other():
+def test_a_stall_in_the_turn_after_a_late_sample_counts_like_any_other():
     """Guards against a second stall that nobody is charged with, since the first is just being counted."""
     loop = Virtual()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     loop.stall(0.5)
-    loop.turn()  # the beat
+    loop.turn()  # the sample
     for _ in range(3):
         loop.stall(0.3)  # before the next turn is over
         loop.turn()
@@ -126,4 +126,4 @@
     loop.turn()
     assert meter.now_ms == 0.0
     assert loop.pending == 1
-    assert 129.0 <= meter.mean_ms <= 131.0  # 400 and three times 300 ms in a second of beats
+    assert 129.0 <= meter.mean_ms <= 131.0  # 400 and three times 300 ms in a second of samples
--- a/tests/proxy/engine/test_observed_driver.py
+++ b/tests/proxy/engine/test_observed_driver.py
@@ -1,4 +1,4 @@
-"""A driver that tells what it does: each attempt that began and each answer of its own, and nothing else."""
+"""An observed driver records each attempt that began and each answer of its own, and nothing else."""
 
 from __future__ import annotations
 
@@ -74,14 +74,14 @@
 
 
 def driver(most=2, **scripts):
-    loop, told = Loop(), []
+    loop, recorded = Loop(), []
     made = ObservedDriver(
         loop,
         Clock(loop),
         EngineOptions(model.Settings.parse(SETTINGS), 1, most),
-        lambda *act: told.append(act),
+        lambda *act: recorded.append(act),
     )
-    made._balancer, made.servers, made.told, made.loop = Scripted(**scripts), Servers(), told, loop
+    made._balancer, made.servers, made.recorded, made.loop = Scripted(**scripts), Servers(), recorded, loop
     made.connect(made.servers, None, None)
     return made
 
@@ -101,7 +101,7 @@
     call = arrive(made, Call("c2", again=True))
     for turn in (1, 2):
         made.servers.done[turn](AttemptResult(Outcome.ERROR))
-    assert made.told == [
+    assert made.recorded == [
         ("pick", "c1", "s0", 0, ""),
         ("repeat", "c2", "s0", 0, ""),
         ("retry", "c2", "s1", 1, ""),
@@ -118,10 +118,10 @@
         (lambda now, arrival: 1 / 0, "failure", "module_fault"),
     ],
 )
-def test_each_answer_is_told_once(script, what, cause, capsys):
+def test_each_answer_is_recorded_once(script, what, cause, capsys):
     made = driver(request=script)
     call = arrive(made, Call("c1"))
-    assert made.told == [(what, "c1", "", 0, cause)]
+    assert made.recorded == [(what, "c1", "", 0, cause)]
     assert len(call.answers) == 1
 
 
@@ -131,13 +131,13 @@
     arrive(made, Call("c2"))
     guard, request = made.loop.later[0]
     guard(request)
-    assert made.told == [("refusal", "c2", "", 0, "max_open"), ("failure", "c1", "", 0, "unanswered")]
+    assert made.recorded == [("refusal", "c2", "", 0, "max_open"), ("failure", "c1", "", 0, "unanswered")]
 
 
-def test_an_attempt_that_never_began_is_no_act():
+def test_an_attempt_that_never_began_is_not_recorded():
     made = driver(request=lambda now, arrival: [Send(arrival.request, "s0", -1.0)])
     arrive(made, Call("c1", budget=500.0))
-    assert made.told == []
+    assert made.recorded == []
     assert made.servers.done == []
 
 
--- a/tests/proxy/engine/test_outcome_counters.py
+++ b/tests/proxy/engine/test_outcome_counters.py
@@ -12,7 +12,7 @@
 from tests.proxy.engine.test_observed_driver import Call, driver
 
 
-def test_counts_are_told_by_class_end_and_cause_the_largest_first():
+def test_counts_are_by_class_kind_and_cause_the_largest_first():
     made = OutcomeCounters()
     for cause, times in ((Cause.THROTTLE, 1), (Cause.COLD, 3), (OwnCause.MAX_OPEN, 2)):
         for _ in range(times):
@@ -34,7 +34,7 @@
     assert (made.total("refused"), made.total("failed")) == (8, 1)
 
 
-def test_no_word_stands_for_two_causes():
+def test_no_two_causes_have_the_same_name():
     words = [cause.name.lower() for kind in (Cause, OwnCause) for cause in kind]
     assert len(words) == len(set(words))
 
--- a/tests/proxy/engine/test_pressure.py
+++ b/tests/proxy/engine/test_pressure.py
@@ -1,4 +1,4 @@
-"""Pressure: on, off with hysteresis, graded, each change told once with its cause."""
+"""Pressure: on, off with hysteresis, graded, each change is reported once with its cause."""
 
 from __future__ import annotations
 
@@ -18,11 +18,13 @@
 CALM = dict.fromkeys(Monitor, 0.0)
 
 
-def test_an_action_goes_on_at_one_reading_and_off_at_a_lower_one_and_each_is_told_once():
+def test_an_action_goes_on_at_one_reading_and_off_at_a_lower_one_and_each_is_reported_once():
     made = PressureRules([PressureRule(PressureAction.SHORTEN_IDLE, Monitor.DESCRIPTORS, 0.9, 0.75)])
-    told = [made.update(at, {Monitor.DESCRIPTORS: share}) for at, share in enumerate((0.5, 0.9, 0.8, 0.91))]
+    changes = [
+        made.update(at, {Monitor.DESCRIPTORS: share}) for at, share in enumerate((0.5, 0.9, 0.8, 0.91))
+    ]
     on = PressureChange(PressureAction.SHORTEN_IDLE, True, "descriptors held 0.90")
-    assert told == [[], [on], [], []]
+    assert changes == [[], [on], [], []]
     assert made.is_on(PressureAction.SHORTEN_IDLE)
     assert not made.is_on(PressureAction.SHRINK_POOLS)
     off = PressureChange(PressureAction.SHORTEN_IDLE, False, "descriptors held 0.74", lasted_ms=499.0)
@@ -57,7 +59,7 @@
     return made.level(PressureAction.REFUSE_BY_WORTH)
 
 
-def test_resident_memory_raises_pressure_and_the_book_releases_it():
+def test_resident_memory_raises_pressure_and_the_quotas_release_it():
     """The interpreter gives little back: without this the process would refuse work for good."""
     made = PressureRules()
     assert memory(made, 0.0, 0.95, 0.5) == pytest.approx(0.5)
