--- a/fordtrestle/proxy/http/client_connection.py
+++ b/fordtrestle/proxy/http/client_connection.py
@@ -7,8 +7,8 @@
 
 import httptools
 
-from fordtrestle.proxy.engine.connections import TableEntry
-from fordtrestle.proxy.engine.tally import OwnCause
+from fordtrestle.proxy.engine.connection_table import TableEntry
+from fordtrestle.proxy.engine.outcome_counters import OwnCause
 from fordtrestle.proxy.http import requests, stream, wire
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.errors import BadRequestError
@@ -208,7 +208,7 @@
         self._head_bytes = self._framing_bytes = 0
         self._target_tail = b""
         if not self._waiting:
-            self._server.table.begin(self.entry, self._read_at)
+            self._server.table.on_request_started(self.entry, self._read_at)
 
     def on_url(self, target: bytes) -> None:
         """Called by the parser, once or in parts."""
@@ -267,15 +267,15 @@
         self._stop_timer()
         call.keep_alive = self._parser.should_keep_alive()
         call.set_body(message)
-        self._server.table.ask(self.entry, self._read_at, proves=bool(call.call_id))
+        self._server.table.on_request(self.entry, self._read_at, proves_client=bool(call.call_id))
         self._waiting.append(call)
         if len(self._waiting) > MAX_PIPELINED_REQUESTS:
             call.keep_alive = False
             self._is_deaf = True
         # What the client has waited already counts: to be accepted, or for as long as this process may
         # have stood still; but it leaves it half of its time, since its request may have come last.
-        waited_ms = max(self._lag_ms, self.entry.waited_ms)
-        self.entry.waited_ms = 0.0
+        waited_ms = max(self._lag_ms, self.entry.accept_wait_ms)
+        self.entry.accept_wait_ms = 0.0
         if waited_ms:
             waited_ms = min(waited_ms, call.budget / 2.0)
         read_at = self._read_at - waited_ms
@@ -350,7 +350,7 @@
         if self._message is None:
             self._server.on_idle(self.entry)
         else:
-            self._server.table.begin(self.entry, self._server.clock.now())
+            self._server.table.on_request_started(self.entry, self._server.clock.now())
 
     def _account_bytes(self) -> None:
         """Tell the front how many bytes are held here: unsent, unfinished, untaken, answered too early."""
@@ -377,7 +377,7 @@
         head_only = self._message is not None and self._message.method == "HEAD"
         self._message = self._call = None
         self._is_deaf = True
-        self._server.table.reject(self.entry, self._server.clock.now())
+        self._server.table.on_rejected(self.entry, self._server.clock.now())
         self._server.record_rejection(status)
         self._stop_timer()
         self._waiting.append(call)
@@ -396,10 +396,10 @@
                 continue
             request = call.request
             if request is None:
-                self._server.tally.refused(call.traffic_class, OwnCause.CUT_SHORT)
+                self._server.counters.record_refused(call.traffic_class, OwnCause.CUT_SHORT)
                 call.refused(0.0)  # never taken
             else:
-                self._server.tally.failed(call.traffic_class, OwnCause.CUT_SHORT)
+                self._server.counters.record_failed(call.traffic_class, OwnCause.CUT_SHORT)
                 call.failed(False)
                 self._server.call_handler.client_gone(request)
 
@@ -410,7 +410,7 @@
         Guards against a reset that takes the answer with it, by bytes that come just as it is closed.
         """
         self._is_deaf = True
-        self._server.table.reject(self.entry, self._server.clock.now())
+        self._server.table.on_rejected(self.entry, self._server.clock.now())
         self._stop_timer()
         self._untaken.clear()
         self._has_ended_writing = True
