--- a/fordtrestle/balancer/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -13,10 +13,10 @@
 from collections import deque
 from collections.abc import Iterable, Mapping
 from dataclasses import dataclass, field
-from hashlib import blake2b
 
 from fordtrestle.balancer import model
 from fordtrestle.balancer.baselines import MAX_SPEED, PACE_MEMORY_MS, ServiceTimes
+from fordtrestle.balancer.endpoints import CLOSE_TIMER, WATCH_TIMER, EndpointList
 from fordtrestle.balancer.model import Cause
 from fordtrestle.balancer.outage import OutageDetector
 from fordtrestle.balancer.outcomes import (
@@ -40,6 +40,7 @@
     UNANSWERED_SLOWDOWN,
     LoadShedder,
 )
+from fordtrestle.balancer.subset import Subset
 from fordtrestle.balancer.throttle import Throttle
 
 Report = Mapping[str, float] | None
@@ -72,12 +73,6 @@
 ROOM_REGAIN_MS = 4000.0  # a server that turned away one too many is tried with one more so often
 EJECT_SHARE = 0.25  # beyond this the fault is not the servers' own, and too few are left to serve
 
-# Subset: each sidecar keeps to a few servers: few connections, and something learned of each.
-SUBSET = 8
-SUBSET_PRICED = 4  # where open connections cost: full tables also slow servers down
-SUBSET_PER_OPEN = 2  # a busy sidecar widens with its own requests in flight
-GOLDEN = (math.sqrt(5.0) - 1.0) / 2.0  # spreads sidecars' starting places evenly
-
 # A zone is doubted once two of its servers owe answers and none has answered since. A crowd looks alike:
 # it is held to be cut off once as many new connections never came up, while another zone answers.
 CUT_OFF_SERVERS = 2
@@ -123,21 +118,15 @@
 FRESH_ILL_HELD = 30.0
 FRESH_CANDIDATES = 12  # at the most, while new connections fail
 
-RELEASES = 2  # closings after the last notice or outcome: a connection may come free late
 # Zones: sends stay near until the near zone misses aims by more than a crossing costs.
 CROSS_PRICE_LEAST = 0.05  # below this the queue that a preference builds costs more
 CROSS_MARGIN = 0.5  # one request moved away also shortens the queue of those that stay
 SPILL_GAIN = 0.15  # per outcome
 MISS_MEMORY = 0.9  # of the far zones' misses, of which few are seen
 
-FORGET_MS = 60000.0  # servers gone for longer are forgotten: sidecars run for months
-ASK_SPREAD_MS = 2500.0
-ASK_AGAIN_MS = 500.0  # after a call that failed; up to three times that, at random
-WATCH = "watch"
 DUE = "due:"
 LATE = "late:"
 TURN = "turn:"
-CLOSE = "close:"
 
 
 @dataclass(slots=True, eq=False)
@@ -186,11 +175,14 @@
         self._rng = random.Random(seed)
         self._throttle = Throttle()
         self._shedder = LoadShedder(settings)
-        self._servers: dict[str, Server] = {}
+        self._actions: list[model.Action] = []
+        self._times = ServiceTimes(settings)
+        self._endpoints = EndpointList(settings, self._actions, self._times, self._rng.random)
+        self._servers = self._endpoints.servers
+        self._subset = Subset(now, settings)
         self._resting: dict[str, Server] = {}
         self._requests: dict[int, Request] = {}
         self._own = OwnLoad(now)
-        self._times = ServiceTimes(settings)
         self._keys: deque[int] = deque()
         self._key_counts: dict[int, int] = {}
         self._spill: list[float] = []  # part of each class that crosses
@@ -204,10 +196,7 @@
         self._outage = OutageDetector(now)
         self._connect_ill = 0.0  # fading share of new connections that fail
         self._turns: dict[int, Turn] = {}
-        self._most_servers, self._most_at = 1.0, now  # of late
         self._to_cold = (now, 0, 0, 0), True  # the last that was worked out: of what, and whether
-        self._ask_pending = False
-        self._out: list[model.Action] = []
         self._go_by(settings)
 
     def _go_by(self, settings: model.Settings) -> None:
@@ -215,7 +204,6 @@
         self._set = settings
         told = {"inflight", "queue"} & set(settings.report_fields)
         self._reports = settings.report_how == "inline" and bool(told)
-        self._subset = SUBSET_PRICED if settings.prices.get("Connection") else SUBSET
         # The worth that a crossing costs, as a share of what a request of each class is worth.
         worths = [profile.worth for profile in settings.profiles]
         price = settings.prices.get("CrossZone", 0.0)
@@ -225,7 +213,8 @@
         self._times.apply_settings(settings)
         self._attempts_most = [settings.max_attempts * (not p.gone) for p in settings.profiles]
         self._wait_most = settings.max_retry_after * settings.retry_after
-        self._rebuild()
+        self._endpoints.apply_settings(settings)
+        self._subset.apply_settings(settings, self._servers.values())
         self._shedder.apply_settings(settings)
 
     # --- events -----------------------------------------------------------
@@ -254,8 +243,8 @@
                 # It runs already, and others may: what comes waits for it, and it is not sent again.
                 request.is_ordered, request.max_attempts = True, 0
                 self._turns.setdefault(request.key, Turn()).line.appendleft(request)
-        for server in self._servers.values() if settings.release_within != before.release_within else ():
-            self._release(server)
+        if settings.release_within != before.release_within:
+            self._endpoints.release_all()
         return self._take()
 
     def request(self, now: float, arrival: model.Arrival) -> list[model.Action]:
@@ -321,7 +310,7 @@
             # It may be running still: the key rests, whatever becomes of the request.
             self._turns[request.key].rest_until = now + self._set.settle_after_doubt
         self._learn(now, request, attempt, status, spent)
-        self._release(attempt.server)
+        self._endpoints.release(attempt.server)
         if last:
             self._close(request)
         elif not request.is_done and request.in_flight == 0:
@@ -338,9 +327,8 @@
 
     def timer(self, now: float, token: str) -> list[model.Action]:
         """A timer of this balancer's own has come due."""
-        if token == WATCH and self._ask_pending:
-            self._ask_pending = False
-            self._out.append(model.Watch(True))
+        if token == WATCH_TIMER:
+            self._endpoints.on_watch_timer()
         elif token.startswith(DUE):
             self._overdue(now, token)
         elif token.startswith(LATE):
@@ -349,37 +337,15 @@
                 self._give_up(now, request, Cause.NO_TIME)
         elif token.startswith(TURN):
             self._advance(now, int(token[len(TURN) :]))
-        elif token.startswith(CLOSE):
-            server = self._servers.get(token[len(CLOSE) :])
-            if server is not None and server.closings_left:
-                closings, server.closings_left = server.closings_left - 1, 0
-                self._release(server, closings)
+        elif token.startswith(CLOSE_TIMER):
+            self._endpoints.on_close_timer(token)
         return self._take()
 
     def server_list(self, now: float, form: str, entries: Iterable[model.Listing]) -> list[model.Action]:
         """What discovery says of the servers."""
-        if form == "refused":
-            # No longer each time: what discovery has to tell counts as told soon after its return.
-            again = min(ASK_AGAIN_MS, self._set.ask_within / 6.0)
-            self._ask(again * (1.0 + 2.0 * self._rng.random()))
-            return self._take()
-        if form == "remembered" and self._set.discovery == "subscribe":
-            spread = min(ASK_SPREAD_MS, self._set.ask_within / 4.0)
-            self._ask(self._rng.random() * spread)
-        if form != "changes":
-            entries = list(entries)
-            named = {entry.server for entry in entries}
-            for name, server in self._servers.items():
-                if name not in named and server.is_usable:
-                    server.is_usable = False
-                    server.gone_at = now
-                    self._release(server)
-        for entry in entries:
-            self._list(now, entry)
-        self._forget_gone(now)
-        self._rebuild()
-        faded = self._most_servers * math.exp((self._most_at - now) / FORGET_MS)
-        self._most_servers, self._most_at = max(1.0, len(self._ring), faded), now
+        if self._endpoints.apply(now, form, entries):
+            self._forget_unknown()
+            self._subset.update(now, self._servers.values())
         return self._take()
 
     def pressure(self, now: float, share: float) -> list[model.Action]:
@@ -436,7 +402,7 @@
 
     def _trial(self, now: float) -> bool:
         """Whether a trial of the outage may be sent."""
-        share = len(self._ring) / self._set.balancers
+        share = len(self._subset.servers) / self._set.balancers
         return self._outage.allows_trial(now, self._own.in_flight, share, self._rng.random())
 
     def _hear_of_zone(self, now: float, attempt: Attempt, status: int, spent: float) -> None:
@@ -477,10 +443,10 @@
         cut_off = {name for name, at in silent.items() if len(at) >= CUT_OFF_SERVERS and min(at) < heard_at}
         failed_by = now - 2.0 * self._set.connect_timeout
         self._doubted = {n for n, zone in self._zones.items() if zone.is_doubted(now, failed_by)}
-        for server in self._ring if cut_off - self._cut_off else ():
+        for server in self._subset.servers if cut_off - self._cut_off else ():
             if server.zone in cut_off - self._cut_off and server.idle_connections:
                 # Its open connections are silent for good, and a request on one is lost.
-                self._out.append(model.CloseIdle(server.name))
+                self._actions.append(model.CloseIdle(server.name))
                 server.idle_connections = 0
         for name in cut_off - self._cut_off:
             self._zones[name].tried_at = now
@@ -498,10 +464,12 @@
             rested = now - zone.tried_at >= CUT_OFF_TRIAL_MS * (CUT_OFF_PATIENCE if hurry else 1.0)
             if rested if name in self._cut_off else zone.wants_trial() and not hurry:
                 zone.tried_at = now
-                there = [s for s in self._ring if s.zone == name]
+                there = [s for s in self._subset.servers if s.zone == name]
                 there = [s for s in there if s.name not in zone.silent] or there
                 server = there[int(self._rng.random() * len(there))] if there else None
-                if server and self._cold_room(now, request, server, self._ring, len(self._ring)):
+                if server and self._cold_room(
+                    now, request, server, self._subset.servers, len(self._subset.servers)
+                ):
                     return [server]
         return []
 
@@ -523,22 +491,23 @@
             drawn = self._draw_for_key(now, request, request.key)
             if drawn:
                 return drawn
-        ring, bound = self._ring, request.binding_attempt()
+        ring, bound = self._subset.servers, request.binding_attempt()
         if bound is not None and request.profile.semantics == "token" and request.profile.group != "all":
             # Only its group may have it again.
-            ring = self._groups.get(bound.server.group(request.profile.group), [])
-        elif self._zoned and self._near and self._far:
-            ring = self._far if self._rng.random() < self._spill[request.traffic_class] else self._near
-        reach = self._subset * (1 + len(request.attempts))
-        if self._subset > SUBSET_PRICED:
-            reach += SUBSET_PER_OPEN * self._own.in_flight
-        reach = min(reach, len(ring))
-        top = self._top_weight * MAX_SPEED
+            ring = self._subset.groups.get(bound.server.group(request.profile.group), [])
+        elif self._zoned and self._subset.local and self._subset.remote:
+            ring = (
+                self._subset.remote
+                if self._rng.random() < self._spill[request.traffic_class]
+                else self._subset.local
+            )
+        reach = self._subset.reach(ring, len(request.attempts), self._own.in_flight)
+        top = self._subset.top_weight * MAX_SPEED
         for draw in range(DRAWS if ring else 0):
             if draw == DRAWS - LAST_DRAWS and bound is None:
                 if drawn:
                     break
-                ring, reach = self._ring, len(self._ring)
+                ring, reach = self._subset.servers, len(self._subset.servers)
             server = ring[int(self._rng.random() * reach)]
             share = self._capacity(now, server) / top
             if share < 1.0 and self._rng.random() >= share:
@@ -576,12 +545,12 @@
         A server that is cold or keeps pace badly passes a part of its keys down the order,
         as it would be drawn less often at random: hashing alone leaves hot servers hot.
         """
-        near = self._within_reach(now) if self._set.prices.get("Handshake") else self._ring
+        near = self._within_reach(now) if self._set.prices.get("Handshake") else self._subset.servers
         share = (self._key_counts.get(key, 1) - 1) / KEY_MEMORY
         width = max(KEY_LEAST, round(KEY_SPREAD * share * len(near)))
         mixed = key * HASH_MULTIPLIER & HASH_MASK
         tried = [attempt.server for attempt in request.attempts]
-        crowd = max(KEY_CROWD_LEAST, KEY_CROWD * self._own.in_flight / max(1, len(self._ring)))
+        crowd = max(KEY_CROWD_LEAST, KEY_CROWD * self._own.in_flight / max(1, len(self._subset.servers)))
         drawn: list[Server] = []
         for server in sorted(near, key=lambda server: server.rank(mixed)):
             warmth = self._warmth(now, server)
@@ -606,15 +575,15 @@
         those in trouble are passed over for the next, so that the others never narrow.
         """
         reach = max(KEY_REACH_LEAST, self._own.rate_per_ms(now) * self._set.idle_close / KEY_USES)
-        if reach >= len(self._ring):
-            return self._ring
+        if reach >= len(self._subset.servers):
+            return self._subset.servers
         near: list[Server] = []
-        for server in self._ring:
+        for server in self._subset.servers:
             if not server.ejections and now >= server.rest_until and not self._is_cut_off(now, server):
                 near.append(server)
                 if len(near) >= reach:
                     return near
-        return self._ring
+        return self._subset.servers
 
     def _capacity(self, now: float, server: Server) -> float:
         capacity = server.capacity()
@@ -662,9 +631,9 @@
         if asked != self._to_cold[0]:
             full = sum(other.capacity() for other in ring[:reach])
             fit = sum(self._capacity(now, other) for other in ring[:reach] if not self._unfit(now, other))
-            left = fit / full * len(self._ring) / self._most_servers
-            if ring is self._near:  # all of this zone keep to it, however few are left there
-                left *= min(1.0, len(ring) * self._set.zones / len(self._ring))
+            left = fit / full * len(self._subset.servers) / self._subset.recent_servers
+            if ring is self._subset.local:  # all of this zone keep to it, however few are left there
+                left *= min(1.0, len(ring) * self._set.zones / len(self._subset.servers))
             # What is turned away is sent again, here or by its client, and counts in the sum too; one
             # that has just started knows little of that.
             left *= (self._throttle.accepts + 1.0) / (self._throttle.requests + 3.0)
@@ -717,7 +686,7 @@
             answers = self._own.rate_per_ms(now) * PACE_MEMORY_MS
             took = max(spent, 0.0 if status == OK else aim)
             self._times.record_answer(
-                server.pace, server.kind_pace, took, request.work, answers, self._most_servers
+                server.pace, server.kind_pace, took, request.work, answers, self._subset.recent_servers
             )
         if self._zoned:
             missed = float(status != OK or late)
@@ -802,7 +771,7 @@
 
     def _ill_gain(self, now: float) -> float:
         """Weight of a server's newest outcome in its share of faults."""
-        outcomes = self._own.rate_per_ms(now) * ILL_MS / self._most_servers
+        outcomes = self._own.rate_per_ms(now) * ILL_MS / self._subset.recent_servers
         return min(1.0 - ILL_MEMORY, 1.0 / max(1.0, outcomes))
 
     def _hear(self, now: float, server: Server, report: Mapping[str, float]) -> None:
@@ -833,7 +802,7 @@
         """Eject a server for a while, unless too many look bad to be believed."""
         self._resting = {name: s for name, s in self._resting.items() if s.rest_until > now}
         if self._outage.is_ongoing or len(self._resting.keys() - {server.name}) >= EJECT_SHARE * len(
-            self._ring
+            self._subset.servers
         ):
             return
         rest = min(REST_MS * 2.0**server.ejections, REST_MAX_MS) * (0.75 + 0.5 * self._rng.random())
@@ -877,7 +846,7 @@
         turn.line.append(request)
         self._advance(now, key)
         if not request.is_done and not request.attempts:
-            self._out.append(model.Timer(max(left, 0.0), f"{LATE}{request.id}"))
+            self._actions.append(model.Timer(max(left, 0.0), f"{LATE}{request.id}"))
 
     def _advance(self, now: float, key: int) -> None:
         """Start whose turn it is: all before it are over, and the key has rested from doubts."""
@@ -894,7 +863,7 @@
             if first.is_done or first.attempts:
                 break
             if now < turn.rest_until:
-                self._out.append(model.Timer(turn.rest_until - now, f"{TURN}{key}"))
+                self._actions.append(model.Timer(turn.rest_until - now, f"{TURN}{key}"))
                 break
             self._try(now, first)
             if not first.is_done:
@@ -902,7 +871,7 @@
         turn.moving = False
         if not line:
             if now < turn.rest_until:
-                self._out.append(model.Timer(turn.rest_until - now, f"{TURN}{key}"))
+                self._actions.append(model.Timer(turn.rest_until - now, f"{TURN}{key}"))
             else:
                 del self._turns[key]
 
@@ -934,7 +903,7 @@
         gap = now - server.last_used_at if server.last_used_at and not server.in_flight else 0.0
         attempt = Attempt(server, now, now + STALL * request.profile.objective, gap)
         if gap > self._idle_safe(now) or server.zone in self._cut_off | self._doubted:
-            self._out.append(model.CloseIdle(server.name))
+            self._actions.append(model.CloseIdle(server.name))
             server.idle_connections = 0
         attempt.is_new_connection = server.idle_connections == 0
         server.idle_connections -= not attempt.is_new_connection
@@ -943,11 +912,11 @@
         server.attempts[attempt] = None
         self._zone(server).out[attempt] = None
         if timeout > (aim := request.profile.objective):
-            self._out.append(model.Timer(aim, f"{DUE}{request.id}:{len(request.attempts) - 1}"))
+            self._actions.append(model.Timer(aim, f"{DUE}{request.id}:{len(request.attempts) - 1}"))
         request.in_flight += 1
         server.in_flight += 1
         self._own.on_send(now)
-        self._out.append(model.Send(request.id, server.name, timeout, within))
+        self._actions.append(model.Send(request.id, server.name, timeout, within))
 
     def _give_up(self, now: float, request: Request, cause: Cause) -> None:
         """The final answer where no attempt has served."""
@@ -958,7 +927,9 @@
         if bound is not None and cause != Cause.NO_TIME:
             cause = self._barred(now, request, bound.server) or cause
         refuse = bound is None or request.profile.harmless
-        self._out.append(model.Refuse(request.id, wait, cause) if refuse else model.Fail(request.id, cause))
+        self._actions.append(
+            model.Refuse(request.id, wait, cause) if refuse else model.Fail(request.id, cause)
+        )
         self._close(request)
         self._forget(now, request)
 
@@ -971,7 +942,7 @@
             open_hops = [
                 hop for hop, attempt in enumerate(request.attempts) if attempt.is_in_flight and hop != kept
             ]
-            self._out += [model.Cancel(request.id, hop) for hop in open_hops]
+            self._actions += [model.Cancel(request.id, hop) for hop in open_hops]
 
     def _forget(self, now: float, request: Request) -> None:
         if request.is_done and request.in_flight == 0:
@@ -979,66 +950,14 @@
             if request.is_ordered and request.key is not None:
                 self._advance(now, request.key)
 
-    # --- the server list ----------------------------------------------------
-
-    def _list(self, now: float, entry: model.Listing) -> None:
-        server = self._servers.get(entry.server)
-        if server is None:
-            kind = self._times.kind_pace(entry.kind)
-            salt = int.from_bytes(blake2b(entry.server.encode(), digest_size=8).digest())
-            server = self._servers[entry.server] = Server(entry.server, salt, kind, now)
-        elif entry.started != server.started_at:
-            server.forget_faults()
-            server.idle_connections = 0
-        if server.is_usable and entry.state != "active":
-            server.gone_at = now
-        server.update(entry)
-        self._release(server)
-
-    def _release(self, server: Server, closings: int = RELEASES) -> None:
-        """Close idle connections to a server that leaves: now, and again before the time is up,
-        since one may come free after a time-out without a word.
-        """
-        if self._set.release_within > 0.0 and not server.is_usable:
-            self._out.append(model.CloseIdle(server.name))
-            if closings and (closings < RELEASES or not server.closings_left):
-                self._out.append(model.Timer(self._set.release_within * 0.4, CLOSE + server.name))
-            server.closings_left = closings
-
-    def _forget_gone(self, now: float) -> None:
-        """Keep no record of servers long gone, or months of churn would fill the memory."""
-        for name, server in list(self._servers.items()):
-            if not server.is_usable and not server.in_flight and now - server.gone_at > FORGET_MS:
-                del self._servers[name]
-                self._resting.pop(name, None)
+    def _forget_unknown(self) -> None:
+        """Keep no record of servers that the endpoint list has forgotten."""
+        self._resting = {name: server for name, server in self._resting.items() if name in self._servers}
         for zone in self._zones.values():
             zone.owing &= self._servers.keys()
             zone.silent = {name: since for name, since in zone.silent.items() if name in self._servers}
 
-    def _rebuild(self) -> None:
-        """The servers to draw from, from this sidecar's place on the ring of known ones.
-
-        Servers that are gone keep their places, so a crash moves few subsets. Zones are
-        mixed unless a crossing is dear: a near zone may have more traffic than its own
-        servers can carry, and a preference for it builds a queue.
-        """
-        ring = sorted(self._servers.values(), key=lambda server: server.name)
-        start = int((self._set.me * GOLDEN) % 1.0 * len(ring))
-        self._ring = [server for server in ring[start:] + ring[:start] if server.is_usable]
-        self._near = [server for server in self._ring if server.zone == self._set.locality]
-        self._far = [server for server in self._ring if server.zone != self._set.locality]
-        self._groups: dict[tuple[str, int], list[Server]] = {}
-        for server in self._ring:
-            for group in ("zone", "cell"):
-                self._groups.setdefault(server.group(group), []).append(server)
-        self._top_weight = max((server.weight for server in self._ring), default=1.0)
-
-    def _ask(self, delay: float) -> None:
-        """Ask discovery again later; jittered, since every sidecar does."""
-        if not self._ask_pending:
-            self._ask_pending = True
-            self._out.append(model.Timer(delay, WATCH))
-
     def _take(self) -> list[model.Action]:
-        out, self._out = self._out, []
-        return out
+        actions = self._actions.copy()
+        self._actions.clear()
+        return actions
--- a/tests/balancer/test_causes.py
+++ b/tests/balancer/test_causes.py
@@ -94,7 +94,7 @@
 def test_only_a_zone_that_is_cut_off_is_left():
     made = balancer(servers=0)
     made.server_list(0.0, "all", [Listing(f"s{n}", zone=n // 2) for n in range(4)])
-    for server in made._ring:
+    for server in made._subset.servers:
         made._zone(server).heard(0.0)
     made._zones[1].silent.update({"s2": 10.0, "s3": 10.0})
     made._zones[0].heard(100.0)
--- a/tests/balancer/test_departures.py
+++ b/tests/balancer/test_departures.py
@@ -464,7 +464,7 @@
 def test_a_sidecar_whose_servers_are_all_in_trouble_reaches_for_others():
     made = warm(servers=60, **PRICED)
     usual = set(sends_for(made, key=1, count=10))
-    arc = made._ring[:16]
+    arc = made._subset.servers[:16]
     assert usual <= {server.name for server in arc}
     for server in arc:
         server.rest_until = 1e9
--- a/tests/balancer/test_failures.py
+++ b/tests/balancer/test_failures.py
@@ -425,7 +425,7 @@
     made = zones_of_servers()
     play_cut(made, set(), 30)
     play_cut(made, {0, 1, 2}, 4, now=3600.0)
-    assert not any(made._is_cut_off(5000.0, server) for server in made._ring)
+    assert not any(made._is_cut_off(5000.0, server) for server in made._subset.servers)
 
 
 def test_a_keyed_repeat_has_to_begin_while_its_key_is_remembered():
--- a/tests/balancer/test_settle.py
+++ b/tests/balancer/test_settle.py
@@ -206,9 +206,9 @@
     made.server_list(5.0, "changes", [Listing("s1", state="leaving")])
     actions = made.settle(10.0, told("safe", Me=3, Locality=1, Rules={"ReleaseWithin": 100.0}))
     assert actions == [CloseIdle("s1"), Timer(40.0, "close:s1")]
-    assert made._ring[0].name != "s0"
-    assert len(made._ring) == 7
-    assert made._near == []
+    assert made._subset.servers[0].name != "s0"
+    assert len(made._subset.servers) == 7
+    assert made._subset.local == []
 
 
 BY_CLASS_OR_TENANT = {"_spill", "baselines", "_arrivals_by_tenant"}  # compared as far as the first two
