--- a/fordtrestle/balancer/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -16,6 +16,7 @@
 
 from fordtrestle.balancer import model
 from fordtrestle.balancer.baselines import MAX_SPEED, PACE_MEMORY_MS, ServiceTimes
+from fordtrestle.balancer.ejection import OutlierEjection, allowed_in_flight
 from fordtrestle.balancer.endpoints import CLOSE_TIMER, WATCH_TIMER, EndpointList
 from fordtrestle.balancer.model import Cause
 from fordtrestle.balancer.outage import OutageDetector
@@ -53,8 +54,6 @@
 PATIENT = 3.0
 
 REFUSED = 0.5  # of the connect time-out: a sooner end is a refusal, which cost the server nothing
-DOWN_MS = 250.0  # until a server that refused a connection is tried again; doubles
-DOWN_MOST = 3
 
 STOOD_STILL_MS = 100.0  # a timer later than this shows a stall of one's own; a tick is far less
 
@@ -66,12 +65,6 @@
 CANDIDATES = 3
 DRAWS, LAST_DRAWS = 16, 4  # bounds the work; the last go beyond the subset
 
-REST_MS = 2000.0  # first ejection; doubles with each further strike
-REST_MAX_MS = 16000.0
-FULL_REST_MS = 100.0  # doubles while a server turns all away, as one that drains unseen does
-FULL_REST_MAX = 5
-ROOM_REGAIN_MS = 4000.0  # a server that turned away one too many is tried with one more so often
-EJECT_SHARE = 0.25  # beyond this the fault is not the servers' own, and too few are left to serve
 
 # A zone is doubted once two of its servers owe answers and none has answered since. A crowd looks alike:
 # it is held to be cut off once as many new connections never came up, while another zone answers.
@@ -90,11 +83,6 @@
 
 OWN_HELD = 4.0  # own requests count as a crowd: other sidecars act alike
 
-# A fault is held to be the server's own where its faults exceed the service's this far.
-ILL_MEMORY = 0.7  # where outcomes are few
-ILL_MS = 500.0  # where they are many the share is of so long: one fault in twenty tells nothing
-ILL_OVER = 1.5  # times the service's share of faults
-ILL_LEAST = 0.25  # less costs less than the server's share of the capacity
 ILL_HELD = 8.0  # what a server that fails always counts as held: breaks ties at none in flight
 
 TRIAL_USUAL = 3.0  # a first attempt that may be repeated gets at least so many usual answers' time
@@ -114,6 +102,7 @@
 IDLE_REGAIN_MS = 30000.0
 
 # Where new connections fail, a server without an open one counts as so much more held.
+CONNECT_ERROR_GAIN = 1.0 - 0.7  # weight of the newest connection
 FRESH_ILL = 0.3  # a crash alone makes so many fail
 FRESH_ILL_HELD = 30.0
 FRESH_CANDIDATES = 12  # at the most, while new connections fail
@@ -180,7 +169,6 @@
         self._endpoints = EndpointList(settings, self._actions, self._times, self._rng.random)
         self._servers = self._endpoints.servers
         self._subset = Subset(now, settings)
-        self._resting: dict[str, Server] = {}
         self._requests: dict[int, Request] = {}
         self._own = OwnLoad(now)
         self._keys: deque[int] = deque()
@@ -191,9 +179,11 @@
         self._cut_off: set[int] = set()
         self._doubted: set[int] = set()
         self._cut_off_at = -math.inf
-        self._silent_at = -math.inf  # when a server was last ejected for silence
         self._idle_learned, self._idle_at = settings.idle_close, now
         self._outage = OutageDetector(now)
+        self._ejection = OutlierEjection(
+            self._throttle, self._outage, self._own, self._subset, self._rng.random
+        )
         self._connect_ill = 0.0  # fading share of new connections that fail
         self._turns: dict[int, Turn] = {}
         self._to_cold = (now, 0, 0, 0), True  # the last that was worked out: of what, and whether
@@ -299,7 +289,7 @@
         elif status == RESET:
             attempt.server.idle_connections = 0
         if attempt.is_new_connection and status not in OWN_ENDS and not self._is_cut_off(now, attempt.server):
-            self._connect_ill += (1.0 - ILL_MEMORY) * ((status == CONNECT_FAILED) - self._connect_ill)
+            self._connect_ill += CONNECT_ERROR_GAIN * ((status == CONNECT_FAILED) - self._connect_ill)
         attempt.server.attempts.pop(attempt, None)
         self._hear_of_zone(now, attempt, status, spent)
         self._own.on_end()
@@ -396,8 +386,7 @@
     def _is_out(self, now: float) -> bool:
         """Whether an outage is on; as one begins, all servers may be the first that is back."""
         if self._outage.begins(now):
-            for server in self._resting.values():
-                server.rest_until, server.ejections = 0.0, 0
+            self._ejection.end_all()
         return self._outage.is_ongoing
 
     def _trial(self, now: float) -> bool:
@@ -656,7 +645,7 @@
             return Cause.RESTING
         if self._is_cut_off(now, server):
             return Cause.CUT_OFF
-        if server.in_flight >= server.max_in_flight + (now - server.max_in_flight_at) / ROOM_REGAIN_MS:
+        if server.in_flight >= allowed_in_flight(now, server):
             return Cause.FULL_ROOM
         return Cause.RESTING if server.ejections and server.in_flight else None
 
@@ -700,19 +689,13 @@
         else:
             self._outage.record_failure(now)
         if status == OK:
-            server.ejections = server.rejections = server.refused_connections = 0
-            server.error_weight *= 1.0 - self._ill_gain(now)
+            self._ejection.record_success(now, server)
         elif status == FULL:
-            if server.in_flight:
-                # It works on others: it takes so many, and rests would leave that unused.
-                server.max_in_flight, server.max_in_flight_at = server.in_flight, now
-            else:
-                server.rest_until = max(server.rest_until, now + FULL_REST_MS * 2.0**server.rejections)
-                server.rejections = min(server.rejections + 1, FULL_REST_MAX)
+            self._ejection.record_rejection(now, server)
         elif status == CONNECT_FAILED and spent < REFUSED * self._set.connect_timeout:
-            self._refused(now, server)
+            self._ejection.record_refused_connection(now, server)
         else:
-            self._blame(now, server, status == TIMEOUT, attempt.sent_at)
+            self._ejection.record_fault(now, server, status == TIMEOUT, attempt.sent_at)
         self._throttle.add(now, 0.0 if status != OK else LATE_ACCEPT if late else 1.0)
 
     def _taken(self, now: float) -> None:
@@ -722,19 +705,6 @@
             self._throttle.clear()
             self._own.skip(lasted_ms)
 
-    def _refused(self, now: float, server: Server) -> None:
-        """No process listens there: it is tried again soon, by one request, and all but it go elsewhere.
-
-        Guards against full tables, which refuse connections while those that are open serve.
-        """
-        if server.idle_connections or server.in_flight:
-            return
-        if not self._outage.is_ongoing:
-            server.rest_until = now + DOWN_MS * 2.0**server.refused_connections * (
-                0.75 + 0.5 * self._rng.random()
-            )
-        server.refused_connections = min(server.refused_connections + 1, DOWN_MOST)
-
     def _idle_safe(self, now: float) -> float:
         """How long a connection may lie unused and still be trusted."""
         regained = math.exp(min(10.0, (now - self._idle_at) / IDLE_REGAIN_MS))
@@ -757,23 +727,6 @@
             self._idle_learned, self._idle_at = max(IDLE_LEAST_MS, IDLE_KEEP * attempt.unused_ms), now
         return True
 
-    def _blame(self, now: float, server: Server, silent: bool, sent: float) -> None:
-        """Count a fault; a server at fault far more than the service is ejected.
-
-        What was out already when it was ejected belongs to the same event: it strikes no more.
-        """
-        server.error_weight += self._ill_gain(now) * (1.0 - server.error_weight)
-        if server.error_weight > ILL_LEAST + ILL_OVER * self._throttle.failure_share():
-            if sent > server.ejected_at:
-                self._strike(now, server)
-            if silent and server.ejections > 1:
-                self._silent_at = now
-
-    def _ill_gain(self, now: float) -> float:
-        """Weight of a server's newest outcome in its share of faults."""
-        outcomes = self._own.rate_per_ms(now) * ILL_MS / self._subset.recent_servers
-        return min(1.0 - ILL_MEMORY, 1.0 / max(1.0, outcomes))
-
     def _hear(self, now: float, server: Server, report: Mapping[str, float]) -> None:
         """Take in what an answer reports; what is not a number is not believed."""
         waiting = report.get("queue", math.nan) + BUSY_HELD * report.get("util", 0.0)
@@ -796,19 +749,7 @@
             return
         self._shedder.record_unanswered(now)
         if self._shedder.slowdown(now) < MIN_OVERLOAD_SLOWDOWN:
-            self._blame(now, attempt.server, True, attempt.sent_at)
-
-    def _strike(self, now: float, server: Server) -> None:
-        """Eject a server for a while, unless too many look bad to be believed."""
-        self._resting = {name: s for name, s in self._resting.items() if s.rest_until > now}
-        if self._outage.is_ongoing or len(self._resting.keys() - {server.name}) >= EJECT_SHARE * len(
-            self._subset.servers
-        ):
-            return
-        rest = min(REST_MS * 2.0**server.ejections, REST_MAX_MS) * (0.75 + 0.5 * self._rng.random())
-        server.rest_until, server.ejected_at = now + rest, now
-        server.ejections += 1
-        self._resting[server.name] = server
+            self._ejection.record_fault(now, attempt.server, True, attempt.sent_at)
 
     # --- further attempts and ends ----------------------------------------
 
@@ -823,7 +764,7 @@
         """How long to wait for an attempt before it is better spent elsewhere."""
         useful, profile = request.useful_until(), request.profile
         whole = max(0.0, (useful if useful > now else request.give_up_at) - now)
-        quick = self._shedder.slowdown(now) < MIN_OVERLOAD_SLOWDOWN and now - self._silent_at < REST_MAX_MS
+        quick = self._shedder.slowdown(now) < MIN_OVERLOAD_SLOWDOWN and self._ejection.was_silent_lately(now)
         if profile.harmless and quick and len(request.attempts) + 1 < request.max_attempts:
             # Guards against hung and silent servers, also where they hold up a key's line. Only
             # after one was met and while answers are quick: in a crowd repeats would add to it.
@@ -952,7 +893,7 @@
 
     def _forget_unknown(self) -> None:
         """Keep no record of servers that the endpoint list has forgotten."""
-        self._resting = {name: server for name, server in self._resting.items() if name in self._servers}
+        self._ejection.forget_unknown(self._servers)
         for zone in self._zones.values():
             zone.owing &= self._servers.keys()
             zone.silent = {name: since for name, since in zone.silent.items() if name in self._servers}
--- a/tests/balancer/test_departures.py
+++ b/tests/balancer/test_departures.py
@@ -371,7 +371,7 @@
     serve(made, 5, lambda server: (Outcome.OK, 20.0))
     made._shedder.record_outcome(1e9, UNANSWERED_SLOWDOWN)
     assert made._shedder.level(1e9) > 0.0
-    assert made._ill_gain(1e9) > 0.0
+    assert made._ejection._error_gain(1e9) > 0.0
 
 
 def test_many_faulty_servers_are_not_all_ejected_since_the_rest_would_be_pushed_over():
--- a/tests/balancer/test_endurance.py
+++ b/tests/balancer/test_endurance.py
@@ -88,7 +88,7 @@
             made.outcome(now + 7.0, wave, hop, Outcome.CANCELLED, 2.0, True)
         made.server_list(now + 10.0, "changes", [Listing(f"n{wave}", state="left")])
     assert len(made._servers) < 40
-    assert len(made._resting) < 40
+    assert len(made._ejection._resting) < 40
     assert not made._requests
 
 
--- a/tests/balancer/test_failures.py
+++ b/tests/balancer/test_failures.py
@@ -178,7 +178,7 @@
     (once,) = of_type(made.request(1300.0, arrival(51, 1300.0)), Send)
     assert once.timeout == 1000.0, "a single silence may be a burst of one's own"
     made.outcome(1330.0, 51, 0, Outcome.OK, 30.0, last=True)
-    made._blame(1400.0, made._servers[silent.server], True, 1400.0)
+    made._ejection.record_fault(1400.0, made._servers[silent.server], True, 1400.0)
     (after,) = of_type(made.request(1500.0, arrival(2, 1500.0)), Send)
     assert after.timeout < 300.0
 
--- a/tests/proxy/daemon/test_long.py
+++ b/tests/proxy/daemon/test_long.py
@@ -51,5 +51,5 @@
         assert not pool._opening
         assert not module._requests
         assert len(module._key_counts) <= len(module._keys) <= balancer.KEY_MEMORY
-        assert module._resting.keys() <= module._servers.keys()
+        assert module._ejection._resting.keys() <= module._servers.keys()
         assert alive() <= before
