--- a/fordtrestle/balancer/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -16,6 +16,12 @@
 
 from fordtrestle.balancer import model
 from fordtrestle.balancer.baselines import MAX_SPEED, PACE_MEMORY_MS, ServiceTimes
+from fordtrestle.balancer.connections import (
+    CONNECT_ERRORS_IN_FLIGHT,
+    MORE_CANDIDATES,
+    REFUSED_SHARE,
+    ConnectionHealth,
+)
 from fordtrestle.balancer.ejection import OutlierEjection, allowed_in_flight
 from fordtrestle.balancer.endpoints import CLOSE_TIMER, WATCH_TIMER, EndpointList
 from fordtrestle.balancer.model import Cause
@@ -43,6 +49,7 @@
 )
 from fordtrestle.balancer.subset import Subset
 from fordtrestle.balancer.throttle import Throttle
+from fordtrestle.balancer.zones import ZoneFailover
 
 Report = Mapping[str, float] | None
 
@@ -53,7 +60,6 @@
 # sooner its client gave up, whatever the service did.
 PATIENT = 3.0
 
-REFUSED = 0.5  # of the connect time-out: a sooner end is a refusal, which cost the server nothing
 
 STOOD_STILL_MS = 100.0  # a timer later than this shows a stall of one's own; a tick is far less
 
@@ -66,12 +72,6 @@
 DRAWS, LAST_DRAWS = 16, 4  # bounds the work; the last go beyond the subset
 
 
-# A zone is doubted once two of its servers owe answers and none has answered since. A crowd looks alike:
-# it is held to be cut off once as many new connections never came up, while another zone answers.
-CUT_OFF_SERVERS = 2
-CUT_OFF_TRIAL_MS = 500.0  # between single trials of such a zone
-CUT_OFF_PATIENCE = 4.0  # times that, where requests have no time for a trial
-
 # Warm keys: rendezvous hashing draws the same few candidates for a key at all sidecars.
 KEY_SPREAD = 3.0  # servers for a key, as a multiple of its share of the whole ring
 KEY_LEAST = 2
@@ -94,19 +94,6 @@
 COME_BACK = 0.1  # of the aim: soon enough that a client's retry may still be served in time
 COLD_SHARE = 0.5  # of what topples a cold server, were all warm ones fully loaded
 
-# Connections dropped unseen while idle: those unused for so much of the time at which one failed
-# are closed; this is forgotten again.
-IDLE_KEEP = 0.7
-IDLE_LEAST_MS = 200.0
-IDLE_RESET_SHARE = 0.2  # a dropped connection answers at once
-IDLE_REGAIN_MS = 30000.0
-
-# Where new connections fail, a server without an open one counts as so much more held.
-CONNECT_ERROR_GAIN = 1.0 - 0.7  # weight of the newest connection
-FRESH_ILL = 0.3  # a crash alone makes so many fail
-FRESH_ILL_HELD = 30.0
-FRESH_CANDIDATES = 12  # at the most, while new connections fail
-
 # Zones: sends stay near until the near zone misses aims by more than a crossing costs.
 CROSS_PRICE_LEAST = 0.05  # below this the queue that a preference builds costs more
 CROSS_MARGIN = 0.5  # one request moved away also shortens the queue of those that stay
@@ -127,36 +114,6 @@
     moving: bool = False
 
 
-@dataclass(slots=True, eq=False)
-class Zone:
-    """Whether the servers of one zone can be reached at all."""
-
-    heard_at: float = -math.inf  # when one of them last answered, or took a new connection
-    out: dict[Attempt, None] = field(default_factory=dict)  # oldest first
-    owing: set[str] = field(default_factory=set)  # servers that never answered
-    silent: dict[str, float] = field(default_factory=dict)  # where no new connection came up, by when asked
-    tried_at: float = -math.inf
-
-    def heard(self, now: float) -> None:
-        self.heard_at, self.silent, self.owing = now, {}, set()
-
-    def is_doubted(self, now: float, failed_by: float) -> bool:
-        """Whether several servers owe answers, with no sign of life since; a new connection that was
-        begun before `failed_by`, and would have failed by now if it had not come up, is one.
-        """
-        since = [attempt for attempt in self.out if attempt.sent_at >= self.heard_at]
-        if any(attempt.is_new_connection and attempt.sent_at < failed_by for attempt in since):
-            self.heard(now)
-            return False
-        owing = {attempt.server.name for attempt in since if now >= attempt.stalls_at}
-        return len(owing | self.owing | self.silent.keys()) >= CUT_OFF_SERVERS
-
-    def wants_trial(self) -> bool:
-        """Whether too few new connections are on their way to tell."""
-        trying = {a.server.name for a in self.out if a.is_new_connection and a.sent_at >= self.heard_at}
-        return len(trying | self.silent.keys()) < CUT_OFF_SERVERS
-
-
 class Balancer:
     """The decisions of one sidecar: events in, actions out."""
 
@@ -175,16 +132,12 @@
         self._key_counts: dict[int, int] = {}
         self._spill: list[float] = []  # part of each class that crosses
         self._far_miss = 0.0
-        self._zones: dict[int, Zone] = {}
-        self._cut_off: set[int] = set()
-        self._doubted: set[int] = set()
-        self._cut_off_at = -math.inf
-        self._idle_learned, self._idle_at = settings.idle_close, now
+        self._connections = ConnectionHealth(now, settings)
+        self._zones = ZoneFailover(settings, self._actions, self._subset, self._connections)
         self._outage = OutageDetector(now)
         self._ejection = OutlierEjection(
             self._throttle, self._outage, self._own, self._subset, self._rng.random
         )
-        self._connect_ill = 0.0  # fading share of new connections that fail
         self._turns: dict[int, Turn] = {}
         self._to_cold = (now, 0, 0, 0), True  # the last that was worked out: of what, and whether
         self._go_by(settings)
@@ -203,6 +156,8 @@
         self._times.apply_settings(settings)
         self._attempts_most = [settings.max_attempts * (not p.gone) for p in settings.profiles]
         self._wait_most = settings.max_retry_after * settings.retry_after
+        self._connections.apply_settings(settings)
+        self._zones.apply_settings(settings)
         self._endpoints.apply_settings(settings)
         self._subset.apply_settings(settings, self._servers.values())
         self._shedder.apply_settings(settings)
@@ -288,10 +243,14 @@
             attempt.server.idle_connections += 1
         elif status == RESET:
             attempt.server.idle_connections = 0
-        if attempt.is_new_connection and status not in OWN_ENDS and not self._is_cut_off(now, attempt.server):
-            self._connect_ill += CONNECT_ERROR_GAIN * ((status == CONNECT_FAILED) - self._connect_ill)
+        if (
+            attempt.is_new_connection
+            and status not in OWN_ENDS
+            and not self._zones.is_partitioned(now, attempt.server)
+        ):
+            self._connections.record_connect(status == CONNECT_FAILED)
         attempt.server.attempts.pop(attempt, None)
-        self._hear_of_zone(now, attempt, status, spent)
+        self._zones.on_outcome(now, attempt, status, spent, self._servers)
         self._own.on_end()
         request.in_flight -= 1
         if report and self._reports:
@@ -394,72 +353,18 @@
         share = len(self._subset.servers) / self._set.balancers
         return self._outage.allows_trial(now, self._own.in_flight, share, self._rng.random())
 
-    def _hear_of_zone(self, now: float, attempt: Attempt, status: int, spent: float) -> None:
-        """Whether an outcome shows that the server's zone can be reached, or is a sign that it can't."""
-        zone = self._zone(attempt.server)
-        zone.out.pop(attempt, None)
-        if status in ANSWERS:
-            for name in zone.silent if attempt.server.zone in self._cut_off else ():
-                if name in self._servers:  # the way to it was at fault
-                    server = self._servers[name]
-                    server.forget_faults()
-            zone.heard(now)
-        elif attempt.sent_at >= zone.heard_at and self._was_silent(status, spent):
-            if status == CONNECT_FAILED:
-                zone.silent.setdefault(attempt.server.name, attempt.sent_at)
-            else:
-                zone.owing.add(attempt.server.name)
-
-    def _was_silent(self, status: int, spent: float) -> bool:
-        """Whether an attempt met no sign of life; a refused connection is one."""
-        never_up = status == CONNECT_FAILED and spent >= REFUSED * self._set.connect_timeout
-        return never_up or status == TIMEOUT
-
-    def _zone(self, server: Server) -> Zone:
-        return self._zones.setdefault(server.zone, Zone())
-
-    def _is_cut_off(self, now: float, server: Server) -> bool:
-        """Whether a server's zone is silent while another is not."""
-        if now != self._cut_off_at:
-            self._look_at_zones(now)
-        return server.zone in self._cut_off
-
-    def _look_at_zones(self, now: float) -> None:
-        self._cut_off_at = now
-        # Where none has answered since, this sidecar itself may be cut off: that tells nothing of a zone.
-        heard_at = max((zone.heard_at for zone in self._zones.values()), default=-math.inf)
-        silent = {name: zone.silent.values() for name, zone in self._zones.items()}
-        cut_off = {name for name, at in silent.items() if len(at) >= CUT_OFF_SERVERS and min(at) < heard_at}
-        failed_by = now - 2.0 * self._set.connect_timeout
-        self._doubted = {n for n, zone in self._zones.items() if zone.is_doubted(now, failed_by)}
-        for server in self._subset.servers if cut_off - self._cut_off else ():
-            if server.zone in cut_off - self._cut_off and server.idle_connections:
-                # Its open connections are silent for good, and a request on one is lost.
-                self._actions.append(model.CloseIdle(server.name))
-                server.idle_connections = 0
-        for name in cut_off - self._cut_off:
-            self._zones[name].tried_at = now
-            self._connect_ill = 0.0  # connections failed for that, and fail there no more
-        self._cut_off = cut_off
-
     def _zone_trial(self, now: float, request: Request) -> list[Server]:
         """A server of a zone that is doubted or cut off, if a trial is due and there is time for others."""
         if request.attempts or not request.max_attempts:
             return []
-        # Guards against a crowd elsewhere, in which no request has the time, that bars the zone for good.
-        hurry = request.useful_until() - now < self._times.typical_ms() + self._set.connect_timeout
-        for name in sorted(self._cut_off | self._doubted):
-            zone = self._zones[name]
-            rested = now - zone.tried_at >= CUT_OFF_TRIAL_MS * (CUT_OFF_PATIENCE if hurry else 1.0)
-            if rested if name in self._cut_off else zone.wants_trial() and not hurry:
-                zone.tried_at = now
-                there = [s for s in self._subset.servers if s.zone == name]
-                there = [s for s in there if s.name not in zone.silent] or there
-                server = there[int(self._rng.random() * len(there))] if there else None
-                if server and self._cold_room(
-                    now, request, server, self._subset.servers, len(self._subset.servers)
-                ):
-                    return [server]
+        is_hurried = request.useful_until() - now < self._times.typical_ms() + self._set.connect_timeout
+        for name, zone in self._zones.due_for_trial(now, is_hurried):
+            there = [server for server in self._subset.servers if server.zone == name]
+            there = [server for server in there if server.name not in zone.silent] or there
+            chosen = there[int(self._rng.random() * len(there))] if there else None
+            ring = self._subset.servers
+            if chosen and self._cold_room(now, request, chosen, ring, len(ring)):
+                return [chosen]
         return []
 
     def _too_heavy(self, now: float, request: Request) -> bool:
@@ -470,9 +375,7 @@
 
     def _draw(self, now: float, request: Request) -> list[Server]:
         """A few random servers, each as likely as its share of the capacity."""
-        if now != self._cut_off_at:
-            self._look_at_zones(now)
-        if (self._cut_off or self._doubted) and (drawn := self._zone_trial(now, request)):
+        if self._zones.any_in_trouble(now) and (drawn := self._zone_trial(now, request)):
             return drawn
         drawn, request.undrawn_cause = [], Cause.ATTEMPTS if request.attempts else Cause.DRAIN
         tried = [attempt.server for attempt in request.attempts if not attempt.met_dropped_connection]
@@ -504,7 +407,7 @@
             if server in tried or server in drawn or not self._may_draw(now, request, server, ring, reach):
                 continue
             drawn.append(server)
-            if len(drawn) >= CANDIDATES + FRESH_CANDIDATES * max(0.0, self._connect_ill - FRESH_ILL):
+            if len(drawn) >= CANDIDATES + MORE_CANDIDATES * self._connections.excess_errors():
                 break
         return drawn or self._look_for_one(now, request, ring, tried)
 
@@ -568,7 +471,11 @@
             return self._subset.servers
         near: list[Server] = []
         for server in self._subset.servers:
-            if not server.ejections and now >= server.rest_until and not self._is_cut_off(now, server):
+            if (
+                not server.ejections
+                and now >= server.rest_until
+                and not self._zones.is_partitioned(now, server)
+            ):
                 near.append(server)
                 if len(near) >= reach:
                     return near
@@ -589,7 +496,7 @@
         if server.attempts and now >= next(iter(server.attempts)).stalls_at:
             held += STALL_HELD
         if not server.idle_connections:
-            held += FRESH_ILL_HELD * max(0.0, self._connect_ill - FRESH_ILL)
+            held += CONNECT_ERRORS_IN_FLIGHT * self._connections.excess_errors()
         # Warmth is kept by draws and budget; counted here too it left cold servers idle.
         return held / server.capacity()
 
@@ -643,7 +550,7 @@
         """Why a server may not be drawn, if so; one that struck gets a single trial."""
         if now < server.rest_until or not server.is_usable:
             return Cause.RESTING
-        if self._is_cut_off(now, server):
+        if self._zones.is_partitioned(now, server):
             return Cause.CUT_OFF
         if server.in_flight >= allowed_in_flight(now, server):
             return Cause.FULL_ROOM
@@ -652,7 +559,7 @@
     def _learn(self, now: float, request: Request, attempt: Attempt, status: int, spent: float) -> None:
         """Charge an outcome to the server's own health or to the service."""
         server, aim, traffic_class = attempt.server, request.profile.objective, request.traffic_class
-        if status in OWN_ENDS or self._stale(now, attempt, status, spent):
+        if status in OWN_ENDS or self._connections.met_dropped(now, attempt, status, spent):
             return  # its client went, or it was spoilt on our side: that tells nothing of the service
         baseline = self._times.baselines[request.traffic_class]
         if status == OK:
@@ -662,7 +569,7 @@
         times = baseline.slowdown(spent, request.work)
         if status == TIMEOUT and spent < aim and times < PATIENT:
             return  # its client waits for less than answers take
-        if self._was_silent(status, spent) and self._is_cut_off(now, server):
+        if self._zones.was_silent(status, spent) and self._zones.is_partitioned(now, server):
             return  # nobody there was asked: no crowd, and no fault of this one
         late = spent > aim
         if status in (OK, FULL, TIMEOUT):
@@ -692,7 +599,7 @@
             self._ejection.record_success(now, server)
         elif status == FULL:
             self._ejection.record_rejection(now, server)
-        elif status == CONNECT_FAILED and spent < REFUSED * self._set.connect_timeout:
+        elif status == CONNECT_FAILED and spent < REFUSED_SHARE * self._set.connect_timeout:
             self._ejection.record_refused_connection(now, server)
         else:
             self._ejection.record_fault(now, server, status == TIMEOUT, attempt.sent_at)
@@ -705,28 +612,6 @@
             self._throttle.clear()
             self._own.skip(lasted_ms)
 
-    def _idle_safe(self, now: float) -> float:
-        """How long a connection may lie unused and still be trusted."""
-        regained = math.exp(min(10.0, (now - self._idle_at) / IDLE_REGAIN_MS))
-        return min(self._set.idle_close, self._idle_learned * regained)
-
-    def _stale(self, now: float, attempt: Attempt, status: int, spent: float) -> bool:
-        """Whether an attempt met a connection dropped unseen while unused: no fault of the server.
-
-        Guards against middle boxes and servers that reap idle connections. A server that dies
-        just as it is sent to looks alike, and is blamed at the next try.
-        """
-        if (
-            status != RESET
-            or attempt.unused_ms < IDLE_LEAST_MS
-            or spent > IDLE_RESET_SHARE * attempt.unused_ms
-        ):
-            return False
-        attempt.met_dropped_connection = True
-        if attempt.unused_ms <= self._idle_safe(now):
-            self._idle_learned, self._idle_at = max(IDLE_LEAST_MS, IDLE_KEEP * attempt.unused_ms), now
-        return True
-
     def _hear(self, now: float, server: Server, report: Mapping[str, float]) -> None:
         """Take in what an answer reports; what is not a number is not believed."""
         waiting = report.get("queue", math.nan) + BUSY_HELD * report.get("util", 0.0)
@@ -745,7 +630,7 @@
         aim = request.profile.objective
         usual = self._times.baselines[request.traffic_class].slowdown(aim, request.work) < OVERLOAD_SLOWDOWN
         stood_still = now - attempt.sent_at - aim > STOOD_STILL_MS  # this sidecar itself: it tells nothing
-        if usual or stood_still or self._is_cut_off(now, attempt.server):
+        if usual or stood_still or self._zones.is_partitioned(now, attempt.server):
             return
         self._shedder.record_unanswered(now)
         if self._shedder.slowdown(now) < MIN_OVERLOAD_SLOWDOWN:
@@ -843,7 +728,7 @@
             within = bound.sent_at + request.profile.key_ttl - now
         gap = now - server.last_used_at if server.last_used_at and not server.in_flight else 0.0
         attempt = Attempt(server, now, now + STALL * request.profile.objective, gap)
-        if gap > self._idle_safe(now) or server.zone in self._cut_off | self._doubted:
+        if gap > self._connections.trusted_idle_ms(now) or self._zones.is_in_trouble(server):
             self._actions.append(model.CloseIdle(server.name))
             server.idle_connections = 0
         attempt.is_new_connection = server.idle_connections == 0
@@ -851,7 +736,7 @@
         server.last_used_at = now
         request.attempts.append(attempt)
         server.attempts[attempt] = None
-        self._zone(server).out[attempt] = None
+        self._zones.on_send(attempt)
         if timeout > (aim := request.profile.objective):
             self._actions.append(model.Timer(aim, f"{DUE}{request.id}:{len(request.attempts) - 1}"))
         request.in_flight += 1
@@ -894,9 +779,7 @@
     def _forget_unknown(self) -> None:
         """Keep no record of servers that the endpoint list has forgotten."""
         self._ejection.forget_unknown(self._servers)
-        for zone in self._zones.values():
-            zone.owing &= self._servers.keys()
-            zone.silent = {name: since for name, since in zone.silent.items() if name in self._servers}
+        self._zones.forget_unknown(self._servers)
 
     def _take(self) -> list[model.Action]:
         actions = self._actions.copy()
--- a/tests/balancer/test_failures.py
+++ b/tests/balancer/test_failures.py
@@ -231,7 +231,7 @@
         (send,) = of_type(made.request(500.0 * number, arrival(number, 500.0 * number)), Send)
         known.add(send.server)
         made.outcome(500.0 * number + 20.0, number, 0, Outcome.OK, 20.0, last=True)
-    made._connect_ill = 0.9
+    made._connections.error_weight = 0.9
     sends = [of_type(made.request(3000.0 + n, arrival(50 + n, 3000.0)), Send)[0].server for n in range(2)]
     assert set(sends) <= known
 
@@ -403,8 +403,8 @@
     made = zones_of_servers()
     play_crowd(made, set(), 60)
     for _ in range(20):
-        play_crowd(made, {0, 1}, 5, now=made._cut_off_at)
-        assert not made._cut_off
+        play_crowd(made, {0, 1}, 5, now=made._zones._checked_at)
+        assert not made._zones._partitioned
 
 
 def test_a_zone_is_tried_again_though_the_others_are_crowded():
@@ -412,7 +412,7 @@
     made = zones_of_servers()
     play_cut(made, set(), 60)
     play_cut(made, {1}, 60, now=7200.0)
-    assert made._cut_off == {1}
+    assert made._zones._partitioned == {1}
     made._times.service.add(
         700.0, 1.0, 50.0
     )  # what an answer usually takes, of the 900 ms that a request has
@@ -425,7 +425,7 @@
     made = zones_of_servers()
     play_cut(made, set(), 30)
     play_cut(made, {0, 1, 2}, 4, now=3600.0)
-    assert not any(made._is_cut_off(5000.0, server) for server in made._subset.servers)
+    assert not any(made._zones.is_partitioned(5000.0, server) for server in made._subset.servers)
 
 
 def test_a_keyed_repeat_has_to_begin_while_its_key_is_remembered():
--- a/tests/balancer/test_settle.py
+++ b/tests/balancer/test_settle.py
@@ -10,8 +10,8 @@
 from hypothesis import strategies as st
 
 from fordtrestle.balancer import Balancer, Settings
-from fordtrestle.balancer.balancer import Zone
 from fordtrestle.balancer.model import Arrival, Cause, CloseIdle, Fail, Listing, Outcome, Refuse, Send, Timer
+from fordtrestle.balancer.zones import Zone
 from tests.balancer.helpers import arrival, balancer, of_type, raw_settings
 from tests.balancer.test_rules_property import NEVER_RAN, STEPS, World, play, site
 
@@ -117,7 +117,7 @@
     limits = {"PolicyLimits": {"MaxAttempts": 4, "ConnectTimeout": 50.0}}
     for gone, sent in (([], 1), ([0], 0)):
         made = changed(["safe"], told("safe", gone=gone, **limits), **limits)
-        made._cut_off, made._cut_off_at, made._zones[1] = {1}, 2000.0, Zone()
+        made._zones._partitioned, made._zones._checked_at, made._zones._zones[1] = {1}, 2000.0, Zone()
         assert len(of_type(made.request(2000.0, arrival(2, 2000.0)), Send)) == sent
 
 
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -30,8 +30,8 @@
 
 # The modules of the decision module: each may import those after it, and no other module of the program.
 PARTS = (
-    "balancer", "shedding", "ejection", "outage", "own_load", "throttle", "subset", "endpoints",
-    "requests", "servers", "baselines", "outcomes", "model",
+    "balancer", "shedding", "ejection", "zones", "connections", "outage", "own_load", "throttle",
+    "subset", "endpoints", "requests", "servers", "baselines", "outcomes", "model",
 )  # fmt: skip
 
 
@@ -73,6 +73,7 @@
     "admission/window.py",
     "balancer/balancer.py",
     "balancer/baselines.py",
+    "balancer/connections.py",
     "balancer/ejection.py",
     "balancer/endpoints.py",
     "balancer/model.py",
@@ -84,6 +85,7 @@
     "balancer/shedding.py",
     "balancer/subset.py",
     "balancer/throttle.py",
+    "balancer/zones.py",
     "control_api/listings.py",
     "dissemination/broadcast.py",
     "dissemination/catalog.py",
