--- a/tests/balancer/test_cold_sum.py
+++ b/tests/balancer/test_cold_sum.py
@@ -36,8 +36,9 @@
 
 def test_the_oracle_of_the_fleets_sum_can_fail():
     class Careless(Balancer):
-        def _cold_room(self, *_):
-            return True
+        def __init__(self, *made):
+            super().__init__(*made)
+            self._slow_start.admits = lambda *_: True
 
         def outcome(self, *told, **more):
             self._shedder.record_outcome = lambda *_: None  # shedding alone holds this fleet back in time
--- a/tests/balancer/test_departures.py
+++ b/tests/balancer/test_departures.py
@@ -78,7 +78,7 @@
         picks[send.server] += 1
         made.outcome(now, number, 0, Outcome.OK, 0.1, last=True)
     assert 0 < picks["s0"] < 0.4 * 2000 / 10
-    assert made._warmth(3000.0, made._servers["s0"]) == 1.0
+    assert made._slow_start.warmth(3000.0, made._servers["s0"]) == 1.0
 
 
 def test_no_probe_is_sent_before_a_request():
@@ -230,8 +230,8 @@
         made.outcome(10.0 * number + 5.0, number, 0, Outcome.OK, 5.0, True, report)
     fresh = {of_type(made.request(70.0, arrival(100 + i, 70.0)), Send)[0].server for i in range(2)}
     assert fresh == {"s1"}
-    aged = made._load(10_000.0, made._servers["s0"])
-    assert aged < made._load(70.0, made._servers["s0"])
+    aged = made._load.of(10_000.0, made._servers["s0"])
+    assert aged < made._load.of(70.0, made._servers["s0"])
 
 
 def test_a_report_that_is_not_a_number_is_not_believed():
--- a/tests/balancer/test_endurance.py
+++ b/tests/balancer/test_endurance.py
@@ -30,8 +30,8 @@
         one = Balancer(0.0, Settings.parse(raw), me)
         one.server_list(0.0, "remembered", listing(servers))
         if break_it:
-            one._warmth = lambda now, server: 4.0
-            one._load = lambda now, server: 0.0 if server.name == "s0" else 1.0
+            one._slow_start.warmth = lambda now, server: 4.0
+            one._load.of = lambda now, server: 0.0 if server.name == "s0" else 1.0
         made.append(one)
     now, number, hits = 0.0, 0, []
     pending = []
--- a/tests/proxy/daemon/test_long.py
+++ b/tests/proxy/daemon/test_long.py
@@ -4,7 +4,7 @@
 
 import gc
 
-from fordtrestle.balancer import balancer
+from fordtrestle.balancer import affinity, endpoints
 from fordtrestle.proxy.engine.driver import OpenAttempt, OpenRequest
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.downstream import ClientConnection
@@ -26,7 +26,7 @@
     """Guards against what grows by the id: each turn all servers are new, at the old addresses and
     with no word of those that are gone, and so are clients, keys and identities.
     """
-    monkeypatch.setattr(balancer, "FORGET_MS", -1.0)
+    monkeypatch.setattr(endpoints, "FORGET_MS", -1.0)
     upstreams = [await Upstream([OK]).start() for _ in range(3)]
     async with running(*upstreams, Domain={"WarmKeys": True}) as sidecar:
         before = alive()
@@ -50,6 +50,6 @@
         await until(lambda: pool._connections == {c for s in pool._servers.values() for c in s.idle})
         assert not pool._opening
         assert not module._requests
-        assert len(module._key_counts) <= len(module._keys) <= balancer.KEY_MEMORY
+        assert len(module._affinity._key_counts) <= len(module._affinity._keys) <= affinity.KEY_MEMORY
         assert module._ejection._resting.keys() <= module._servers.keys()
         assert alive() <= before
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -30,8 +30,10 @@
 
 # The modules of the decision module: each may import those after it, and no other module of the program.
 PARTS = (
-    "balancer", "shedding", "ejection", "zones", "connections", "outage", "own_load", "throttle",
-    "subset", "endpoints", "requests", "servers", "baselines", "outcomes", "model",
+    "balancer", "evidence", "candidates", "affinity", "slow_start", "locality", "server_load",
+    "eligibility", "shedding", "ejection", "key_order", "zones", "connections", "outage",
+    "own_load", "throttle", "subset", "endpoints", "requests", "servers", "baselines", "outcomes",
+    "model",
 )  # fmt: skip
 
 
@@ -71,18 +73,26 @@
     "admission/spill.py",
     "admission/urgency.py",
     "admission/window.py",
+    "balancer/affinity.py",
     "balancer/balancer.py",
     "balancer/baselines.py",
+    "balancer/candidates.py",
     "balancer/connections.py",
     "balancer/ejection.py",
+    "balancer/eligibility.py",
     "balancer/endpoints.py",
+    "balancer/evidence.py",
+    "balancer/key_order.py",
+    "balancer/locality.py",
     "balancer/model.py",
     "balancer/outage.py",
     "balancer/outcomes.py",
     "balancer/own_load.py",
     "balancer/requests.py",
+    "balancer/server_load.py",
     "balancer/servers.py",
     "balancer/shedding.py",
+    "balancer/slow_start.py",
     "balancer/subset.py",
     "balancer/throttle.py",
     "balancer/zones.py",
