--- a/fordtrestle/replication/messages.py
+++ b/fordtrestle/replication/messages.py
@@ -1,124 +1,136 @@
-"""What control processes tell each other about epochs and writes, and what they put on disk."""
+"""Messages that stores exchange about epochs and writes, and the records that they put on disk. Pure.
+
+The protocol is primary-backup replication whose reconfigurations a majority of witnesses agrees on (Vertical
+Paxos, Lamport, Malkhi and Zhou 2009). How a message or record may change: `docs/design/versions.md`.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
+from typing import NamedTuple
 
-from fordtrestle.replication.epochs import UNKNOWN_CORE, Ballot, Epoch, Store
+from fordtrestle.replication.epochs import UNKNOWN_CORE, Epoch, Store, Term
 from fordtrestle.replication.state import Change, ControlState
 
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """A store is up. `counts`: whether its machine counts for the quorum; `leaving`: whether it is about to
-    end and waits for others to take its place; `core`: the identity of the core that it belongs to, empty
-    while it knows of no epoch; `founder`: whether it was told to found the core, and has not voted yet.
+    """A store is up: sent to all stores at a fixed interval.
+
+    Attributes:
+        store: The sender.
+        counts_for_quorum: Whether its machine may become a witness.
+        is_leaving: Whether it shuts down and waits for others to take its slot.
+        core: Identity of the core that it belongs to; empty while it knows of no epoch.
+        is_founder: Whether it was told to bootstrap the core, and has not voted yet.
     """
 
     store: Store
-    counts: bool
-    leaving: bool
+    counts_for_quorum: bool
+    is_leaving: bool
     core: str = UNKNOWN_CORE
-    founder: bool = False
+    is_founder: bool = False
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """From the primary: its epoch is open."""
+    """From the primary to all stores: its epoch is open. `number` rises with each heartbeat."""
 
     epoch: Epoch
-    round: int
+    number: int
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatAck:
-    """The witness has promised nothing newer than this ballot; `installed` and `sequence` tell its state as
-    in `Promised`.
+    """The witness has prepared nothing newer than this term.
+
+    `installed_term` and `sequence` tell which state it holds, as in `Prepared`.
     """
 
-    ballot: Ballot
-    round: int
-    installed: Ballot
+    term: Term
+    number: int
+    installed_term: Term
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Resign:
-    """The primary of this ballot is one no more: nobody need wait until it is missed."""
+    """The primary of this term has stepped down: nobody has to wait for its election time-out."""
 
-    ballot: Ballot
+    term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class PreVote:
-    """A replica misses its primary: would a prepare be heeded?"""
+    """A store suspects its primary: would a `Prepare` be granted (Raft dissertation, 9.6)?"""
 
-    round: int
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class PreVoteGrant:
-    """The witness misses the primary as well; `promised` is the ballot to exceed."""
+    """The witness suspects the primary as well; `prepared_term` is the term to exceed."""
 
-    round: int
-    promised: Ballot
-    accepted: Epoch | None
+    attempt: int
+    prepared_term: Term
+    accepted_epoch: Epoch | None
 
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks a witness to promise that it takes no part in any older ballot."""
+    """Asks a witness to promise that it takes no part in any older term (Paxos' phase 1)."""
 
-    ballot: Ballot
+    term: Term
 
 
 @dataclass(frozen=True, slots=True)
-class Promised:
+class Prepared:
     """The promise, the newest epoch that the witness has accepted, and which state it holds.
 
-    A state is told by the ballot that it was installed under and its sequence: what both have alike is alike.
+    A state is identified by the term that it was installed under and its sequence: two stores that have both
+    alike hold the same state.
     """
 
-    ballot: Ballot
-    accepted: Epoch | None
-    installed: Ballot
+    term: Term
+    accepted_epoch: Epoch | None
+    installed_term: Term
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """The whole state, for a replica of the epoch that a candidate opens, or for a store that is behind."""
+    """The whole state, for a replica of the epoch that a candidate opens, or for a store that lags."""
 
-    ballot: Ballot
+    term: Term
     state: ControlState
 
 
 @dataclass(frozen=True, slots=True)
 class Installed:
-    """That state is on disk."""
+    """The state of that `Install` is on disk."""
 
-    ballot: Ballot
+    term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Asks a witness to hold this epoch as the newest."""
+    """Asks a witness to hold this epoch as the newest (Paxos' phase 2)."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """It is on disk."""
+    """The epoch of that `Accept` is on disk."""
 
-    ballot: Ballot
+    term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """One write of the epoch of that ballot, for its replicas and for all that follow."""
+    """One write of the epoch of that term, for its replicas and for the witnesses that follow."""
 
-    ballot: Ballot
+    term: Term
     sequence: int
     change: Change
 
@@ -127,66 +139,64 @@
 class Appended:
     """All writes up to `sequence` are on disk."""
 
-    ballot: Ballot
+    term: Term
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The witness has promised a newer ballot than the one it was asked about."""
+    """The witness has prepared a newer term than the one that it was asked about."""
+
+    term: Term
+    prepared_term: Term
+
+
+VoteRequest = Prepare | Install | Accept | Append
+VoteResponse = Prepared | Installed | Accepted | Appended
+
+# By the part of a store that handles them.
+ToWitness = Heartbeat | Resign | PreVote | VoteRequest
+ToPrimary = HeartbeatAck | Appended
+ToCandidate = PreVoteGrant | Rejected | Prepared | Installed | Accepted
+Message = Announce | ToWitness | ToPrimary | ToCandidate
 
-    ballot: Ballot
-    promised: Ballot
 
+class Outgoing(NamedTuple):
+    """A message, and the id of the store that it goes to."""
 
-Message = (
-    Announce
-    | Heartbeat
-    | HeartbeatAck
-    | Resign
-    | PreVote
-    | PreVoteGrant
-    | Prepare
-    | Promised
-    | Install
-    | Installed
-    | Accept
-    | Accepted
-    | Append
-    | Appended
-    | Rejected
-)
+    receiver: str
+    message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """On disk: what this store has promised and accepted as a witness."""
+    """On disk: the term that this store has prepared and the epoch that it has accepted as a witness."""
 
     store: str
-    promised: Ballot
-    accepted: Epoch | None
+    prepared_term: Term
+    accepted_epoch: Epoch | None
 
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """On disk: the whole state, as of the ballot under which it was installed."""
+    """On disk: the whole state, as of the term under which it was installed."""
 
-    ballot: Ballot
+    term: Term
     state: ControlState
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """On disk: one write behind the snapshot or entry before it."""
+    """On disk: one write, which follows the snapshot or entry before it."""
 
-    ballot: Ballot
+    term: Term
     sequence: int
     change: Change
 
 
 @dataclass(frozen=True, slots=True)
 class Founder:
-    """On disk: this store was told to found the core (`bootstrap`). Void once it has voted for an epoch."""
+    """On disk: this store was told to bootstrap the core. Void once it has accepted an epoch."""
 
     store: str
 
--- a/fordtrestle/replication/state.py
+++ b/fordtrestle/replication/state.py
@@ -1,17 +1,19 @@
-"""The state that survives: the configuration, the evacuated zones, the calls that were taken."""
+"""The state that survives: the configuration, the evacuated zones, the calls that were applied. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 
-TAKEN_MOST = 2048  # calls remembered, so that one sent again is acknowledged again
-PRINT_BYTES = 4  # of the digest of a call from before those: who has another print was never taken
-PRINTS_MOST = 1_000_000  # three years at 900 changes a day; then they begin anew
+MAX_APPLIED_CALLS = 2048  # calls remembered, so that one sent again is acknowledged again
+DIGEST_PREFIX_BYTES = (
+    4  # of the digest of a call from before those: one with another prefix was never applied
+)
+MAX_DIGEST_PREFIXES = 1_000_000  # three years at 900 changes a day; then they begin anew
 
 
 @dataclass(frozen=True, slots=True)
-class TakenCall:
-    """A call that changed the configuration, and the generation that it built on."""
+class AppliedCall:
+    """A call that changed the configuration, by its digest, and the generation that it built on."""
 
     digest: bytes
     base: int
@@ -19,16 +21,22 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigChange:
-    """A new configuration; `document` is the whole of it, as JSON, also after a patch."""
+    """A new configuration.
 
-    digest: bytes  # of the call that brought it
+    Attributes:
+        digest: Digest of the call that brought it.
+        generation: Its generation.
+        document: The whole configuration as JSON, also after a patch.
+    """
+
+    digest: bytes
     generation: int
     document: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """A zone is emptied (`active`) or taken back."""
+    """A zone is evacuated (`active`) or taken back into service."""
 
     zone: str
     active: bool
@@ -37,52 +45,76 @@
 Change = ConfigChange | Evacuation
 
 
-def _stands_in(prints: bytes, wanted: bytes) -> bool:
-    """Whether a print is among others, which stand one behind the other."""
-    at = prints.find(wanted)
-    while at >= 0 and at % PRINT_BYTES:
-        at = prints.find(wanted, at + 1)
+def _holds_prefix(prefixes: bytes, wanted: bytes) -> bool:
+    """Whether a digest's prefix is among others, which stand one behind the other."""
+    at = prefixes.find(wanted)
+    while at >= 0 and at % DIGEST_PREFIX_BYTES:
+        at = prefixes.find(wanted, at + 1)
     return at >= 0
 
 
 @dataclass(frozen=True, slots=True)
 class ControlState:
-    """Everything that was decided, in the order of `sequence`."""
+    """Everything that was decided, in the order of `sequence`.
+
+    Attributes:
+        sequence: The number of writes up to here.
+        generation: The generation of the configuration.
+        document: The configuration as JSON.
+        evacuated: The evacuated zones, the newest last.
+        applied_calls: The newest calls, in their order.
+        forgotten_base: The newest generation that a call built on of which nothing is known any more.
+        digest_prefixes: First bytes of the digests of the calls before `applied_calls`, in their order.
+    """
 
     sequence: int = 0
     generation: int = 0
     document: bytes = b""
     evacuated: tuple[str, ...] = ()
-    taken: tuple[TakenCall, ...] = ()  # the newest calls, in their order
-    forgotten_base: int = -1  # the newest generation that a call built on of which nothing is known any more
-    prints: bytes = b""  # of the calls from before `taken`, in their order
+    applied_calls: tuple[AppliedCall, ...] = ()
+    forgotten_base: int = -1
+    digest_prefixes: bytes = b""
+
+    def has_applied(self, digest: bytes) -> bool:
+        """Whether this very call is known to have been applied."""
+        return any(call.digest == digest for call in self.applied_calls)
 
-    def has_taken(self, digest: bytes) -> bool:
-        """Whether this very call is known to have been taken."""
-        return any(call.digest == digest for call in self.taken)
+    def may_have_applied(self, digest: bytes, base: int) -> bool:
+        """Whether a call may have been applied before those that are known by their digests.
 
-    def may_have_taken(self, digest: bytes, base: int) -> bool:
-        """Whether a call on that generation may have been taken before those that are known by their digests.
+        Guards against refusing a call that was applied long ago, and is sent again after an outage. One of
+        `MAX_DIGEST_PREFIXES` / 2 ** 32, 0.02%, of those that were not applied is held to be.
 
-        One of `PRINTS_MOST` / 2 ** 32, 0.02%, of those that were not is held to be.
+        Args:
+            digest: The call's digest.
+            base: The generation that it builds on.
         """
-        return base <= self.forgotten_base or _stands_in(self.prints, digest[:PRINT_BYTES])
+        prefix = digest[:DIGEST_PREFIX_BYTES]
+        return base <= self.forgotten_base or _holds_prefix(self.digest_prefixes, prefix)
 
     def apply(self, change: Change) -> ControlState:
         """The state after one more change."""
         after = replace(self, sequence=self.sequence + 1)
         if isinstance(change, ConfigChange):
-            taken = (*self.taken, TakenCall(change.digest, self.generation))
-            prints = self.prints + b"".join(call.digest[:PRINT_BYTES] for call in taken[:-TAKEN_MOST])
-            is_full = len(prints) > PRINTS_MOST * PRINT_BYTES
-            kept = taken[-TAKEN_MOST:]
-            return replace(
-                after,
-                generation=change.generation,
-                document=change.document,
-                taken=kept,
-                forgotten_base=kept[0].base - 1 if is_full else self.forgotten_base,
-                prints=b"" if is_full else prints,
-            )
+            return after._with_configuration(change)
         others = tuple(zone for zone in self.evacuated if zone != change.zone)
         return replace(after, evacuated=(*others, change.zone) if change.active else others)
+
+    def _with_configuration(self, change: ConfigChange) -> ControlState:
+        """This state with another configuration, and its call remembered.
+
+        The oldest calls are cut to prefixes of their digests; once there are too many of these, they are
+        forgotten, and calls that build on generations from before are of unknown outcome.
+        """
+        calls = (*self.applied_calls, AppliedCall(change.digest, self.generation))
+        applied_calls, older = calls[-MAX_APPLIED_CALLS:], calls[:-MAX_APPLIED_CALLS]
+        digest_prefixes = self.digest_prefixes + b"".join(call.digest[:DIGEST_PREFIX_BYTES] for call in older)
+        is_full = len(digest_prefixes) > MAX_DIGEST_PREFIXES * DIGEST_PREFIX_BYTES
+        return replace(
+            self,
+            generation=change.generation,
+            document=change.document,
+            applied_calls=applied_calls,
+            forgotten_base=applied_calls[0].base - 1 if is_full else self.forgotten_base,
+            digest_prefixes=b"" if is_full else digest_prefixes,
+        )
--- a/fordtrestle/replication/voting.py
+++ b/fordtrestle/replication/voting.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import Ballot
+from fordtrestle.replication.epochs import Term
 from fordtrestle.replication.messages import (
     Accept,
     Accepted,
@@ -15,41 +15,52 @@
     Install,
     Installed,
     Prepare,
-    Promised,
+    Prepared,
     Record,
     Rejected,
+    VoteRequest,
+    VoteResponse,
 )
 
-Question = Prepare | Install | Accept | Append
-Answer = Promised | Installed | Accepted | Appended
-
 
 @dataclass(frozen=True, slots=True)
-class Given:
-    """The question was taken: `records` have to be synced before the answer is told."""
+class GrantedVote:
+    """The request was granted: `records` have to be synced before the response is sent."""
 
-    ballot: Ballot
+    term: Term
     records: Sequence[Record]
-    answer: Answer
-
-
-def vote(durable: Durable, question: Question) -> Given | Rejected | None:
-    """The answer to a question; nothing where it does not fit what this store holds, which is no fault."""
-    answer: Answer
-    match question:
-        case Prepare(ballot):
-            records = durable.promise(ballot)
-            answer = Promised(ballot, durable.accepted, durable.installed, durable.state.sequence)
-        case Install(ballot, state):
-            records = durable.install(ballot, state)
-            answer = Installed(ballot)
+    response: VoteResponse
+
+
+def cast_vote(durable: Durable, request: VoteRequest) -> GrantedVote | Rejected | None:
+    """Vote on a request of a candidate or primary.
+
+    Guards against the race of two candidates, or of a candidate and an older primary: once a newer term was
+    prepared, whatever an older one asks for is rejected, also where it was sent earlier and comes late.
+
+    Args:
+        durable: What this store holds; changed where the vote is granted.
+        request: What it is asked for.
+
+    Returns:
+        The vote with its records, the rejection for a newer term, or None where the request does not fit
+        what this store holds (a write that is ahead of its state): that is no fault, and is not answered.
+    """
+    response: VoteResponse
+    match request:
+        case Prepare(term):
+            records = durable.prepare(term)
+            response = Prepared(term, durable.accepted_epoch, durable.installed_term, durable.state.sequence)
+        case Install(term, state):
+            records = durable.install(term, state)
+            response = Installed(term)
         case Accept(epoch):
-            ballot = epoch.ballot
+            term = epoch.term
             records = durable.accept(epoch)
-            answer = Accepted(ballot)
-        case Append(ballot, sequence, change):
-            records = durable.append(ballot, sequence, change)
-            answer = Appended(ballot, durable.state.sequence)
+            response = Accepted(term)
+        case Append(term, sequence, change):
+            records = durable.append(term, sequence, change)
+            response = Appended(term, durable.state.sequence)
     if records is not None:
-        return Given(ballot, records, answer)
-    return Rejected(ballot, durable.promised) if durable.promised > ballot else None
+        return GrantedVote(term, records, response)
+    return Rejected(term, durable.prepared_term) if durable.prepared_term > term else None
--- a/tests/control_api/test_exchanges.py
+++ b/tests/control_api/test_exchanges.py
@@ -1,5 +1,6 @@
-"""Whole exchanges of operators and servers with a control process that stands alone (none is tolerated to be
-lost).
+"""Complete exchanges of operators and servers with a control process that stands alone.
+
+No loss is tolerated, so it is the only witness. Stored transcripts are found by the names of their tests.
 """
 
 from __future__ import annotations
@@ -9,21 +10,22 @@
 import json
 import random
 
-from fordtrestle.control_api.heartbeats import Heartbeats
+from fordtrestle.control_api.commands import CommandHandler
+from fordtrestle.control_api.heartbeats import HeartbeatMonitor
 from fordtrestle.control_api.http import ControlApi
-from fordtrestle.control_api.orders import Orders
-from fordtrestle.control_api.withdrawals import Withdrawals
+from fordtrestle.control_api.withdrawals import WithdrawalConfirmer
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import Availability, MemberRecord, Phase
-from fordtrestle.peer.codec import Hello
+from fordtrestle.peer.codec import decode
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.mesh import Mesh
+from fordtrestle.peer.messages import Hello
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import Ballot, Epoch, Store
+from fordtrestle.replication.epochs import Epoch, Store, Term
+from fordtrestle.replication.failure_detector import ELECTION_TIMEOUT_S
 from fordtrestle.replication.messages import Heartbeat, Resign
 from fordtrestle.replication.node import Node
-from fordtrestle.replication.primary_watch import ELECTION_S
 from fordtrestle.storage.log import RecordLog
 from tests.exchanges import Client, approved, loopback, request, serve
 
@@ -37,7 +39,7 @@
     "max_attempts": 2,
 }
 CONFIG = {"generation": 3, "routes": [ROUTE], "services": [{"name": "pool", "new_field": 1}], "limits": {}}
-BEAT = {
+HEARTBEAT = {
     "backend": "pool",
     "address": "10.0.0.9:8080",
     "zone": "z-1",
@@ -51,15 +53,15 @@
 class Stage:
     """One control process: its disk, its replication and its endpoint."""
 
-    def __init__(self, folder, founded=True):
+    def __init__(self, folder, is_founder=True):
         self.log = RecordLog(folder)
         self.log.open()
         store = Store("s1", "127.0.0.1:1", "127.0.0.1:2", "z-1")
         self.node = Node(
             store,
-            Durable("s1", told_to_found=founded),
-            machines=0,
-            counts=True,
+            Durable("s1", must_bootstrap=is_founder),
+            tolerated_failures=0,
+            counts_for_quorum=True,
             draw=random.Random(1).random,
             now=asyncio.get_running_loop().time(),
         )
@@ -71,11 +73,11 @@
     async def __aenter__(self):
         self._running = asyncio.create_task(self.replicator.run())
         if self.node.durable.is_founder:
-            assert await self.replicator.until(lambda: self.node.is_ready, 5.0)
+            assert await self.replicator.wait_until(lambda: self.node.is_ready, 5.0)
         api = ControlApi(
-            Orders(self.replicator),
-            Heartbeats("core-1", 1.0),
-            Withdrawals(self.node.me, self.mesh, self.gossip, lambda: self.node.newest_epoch),
+            CommandHandler(self.replicator),
+            HeartbeatMonitor("core-1", 1.0),
+            WithdrawalConfirmer(self.node.me, self.mesh, self.gossip, lambda: self.node.newest_epoch),
             self.gossip,
             frozenset(("z-1", "z-2")),
             self.node,
@@ -108,9 +110,8 @@
         }
         await client.exchange(put(patch, base=3, kind="patch"))
         await client.exchange(request("GET", "/v1/config/get"))
-        await client.exchange(
-            put(CONFIG)
-        )  # its acknowledgement was lost: acknowledged again, after newer ones
+        # Its acknowledgement was lost: it is acknowledged again, after newer ones.
+        await client.exchange(put(CONFIG))
         assert approved(client) == snapshot
 
 
@@ -128,16 +129,15 @@
     async with Stage(tmp_path) as stage, Client(stage.port) as client:
         await client.exchange(put(CONFIG))
         await client.exchange(put({**CONFIG, "generation": 4}, base=1))
-        await client.exchange(
-            put(CONFIG | {"limits": {"max_body_bytes": 1}}, base=3)
-        )  # the same number again
+        same_generation = CONFIG | {"limits": {"max_body_bytes": 1}}
+        await client.exchange(put(same_generation, base=3))
         await client.exchange(put(wrong, base=3))
         two = {**CONFIG, "generation": 9, "routes": [ROUTE, {**ROUTE, "name": "r-2"}]}
         await client.exchange(put(two, base=3))
         unknown = {**CONFIG, "generation": 9, "routes": [{**ROUTE, "backend": "nowhere"}]}
         await client.exchange(put(unknown, base=3))
-        cut_short = json.dumps(CONFIG)[:40]
-        await client.exchange(request("POST", "/v1/config/put", cut_short, X_Base_Version="3"))
+        truncated = json.dumps(CONFIG)[:40]
+        await client.exchange(request("POST", "/v1/config/put", truncated, X_Base_Version="3"))
         await client.exchange(request("POST", "/v1/config/put", "{}", X_Base_Version="-1"))
         await client.exchange(request("POST", "/v1/config/patch", "[]", X_Base_Version="3"))
         await client.exchange(request("POST", "/v1/config/burn", "{}"))
@@ -158,30 +158,32 @@
 @loopback
 async def test_heartbeats_are_taken_and_bad_ones_told_why(tmp_path, snapshot):
     async with Stage(tmp_path) as stage, Client(stage.port) as client:
-        beat = "/v1/instances/i-1/heartbeat"
-        await client.exchange(request("POST", beat, json.dumps(BEAT)))
-        await client.exchange(request("POST", beat, json.dumps({**BEAT, "state": "draining", "sequence": 5})))
-        late = {**BEAT, "sequence": 3}
-        await client.exchange(request("POST", beat, json.dumps(late)))
-        await client.exchange(request("POST", beat, json.dumps({"state": "asleep", "address": "nowhere"})))
-        await client.exchange(request("POST", beat, "{"))
-        await client.exchange(request("POST", beat, "x" * 5000))
+        path = "/v1/instances/i-1/heartbeat"
+        await client.exchange(request("POST", path, json.dumps(HEARTBEAT)))
+        await client.exchange(
+            request("POST", path, json.dumps({**HEARTBEAT, "state": "draining", "sequence": 5}))
+        )
+        late = {**HEARTBEAT, "sequence": 3}
+        await client.exchange(request("POST", path, json.dumps(late)))
+        await client.exchange(request("POST", path, json.dumps({"state": "asleep", "address": "nowhere"})))
+        await client.exchange(request("POST", path, "{"))
+        await client.exchange(request("POST", path, "x" * 5000))
         record, _ = next(stage.gossip.catalog.servers())
         assert record.phase is Phase.DRAINING
         await client.exchange(request("POST", "/v1/instances/i-1/deregister"))
         await client.exchange(request("POST", "/v1/instances/never-heard-of/deregister"))
         record, _ = next(stage.gossip.catalog.servers())
-        assert record.phase is Phase.GONE
+        assert record.phase is Phase.DEPARTED
         assert approved(client) == snapshot
 
 
 OTHER = Store("s2", "127.0.0.2:1", "127.0.0.2:8146", "z-2")
-THEIRS = Epoch(Ballot(4, "s2"), "s2", ("s2",), (OTHER,))
+THEIRS = Epoch(Term(4, "s2"), "s2", ("s2",), (OTHER,))
 
 
 @loopback
 async def test_who_is_not_primary_sends_callers_there_or_away(tmp_path, snapshot):
-    async with Stage(tmp_path, founded=False) as stage, Client(stage.port) as client:
+    async with Stage(tmp_path, is_founder=False) as stage, Client(stage.port) as client:
         await client.exchange(put(CONFIG))
         stage.node.receive("s2", Heartbeat(THEIRS, 1), stage.replicator.now())
         await client.exchange(put(CONFIG))
@@ -191,19 +193,19 @@
 
 
 @loopback
-async def test_nobody_is_sent_on_to_a_primary_that_was_not_heard_lately_or_that_ends(tmp_path):
-    async with Stage(tmp_path, founded=False) as stage, Client(stage.port) as client:
+async def test_nobody_is_redirected_to_a_primary_that_was_not_heard_lately_or_that_resigned(tmp_path):
+    async with Stage(tmp_path, is_founder=False) as stage, Client(stage.port) as client:
         now = stage.replicator.now()
-        stage.node.receive("s2", Heartbeat(THEIRS, 1), now - ELECTION_S - 0.1)
+        stage.node.receive("s2", Heartbeat(THEIRS, 1), now - ELECTION_TIMEOUT_S - 0.1)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 503")
         stage.node.receive("s2", Heartbeat(THEIRS, 2), now + 60.0)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 307")
-        stage.node.receive("s2", Resign(THEIRS.ballot), now + 60.0)
+        stage.node.receive("s2", Resign(THEIRS.term), now + 60.0)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 503")
 
 
 @loopback
-async def test_one_that_is_primary_no_more_sends_nobody_to_itself(tmp_path):
+async def test_a_primary_that_resigned_redirects_nobody_to_itself(tmp_path):
     async with Stage(tmp_path) as stage, Client(stage.port) as client:
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 200")
         stage.node.leave(stage.replicator.now())
@@ -214,12 +216,10 @@
 
 
 @loopback
-async def test_what_was_acknowledged_is_on_disk(tmp_path):
+async def test_an_acknowledged_configuration_is_on_disk(tmp_path):
     async with Stage(tmp_path) as stage, Client(stage.port) as client:
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 200")
     log = RecordLog(tmp_path)
-    from fordtrestle.peer.codec import decode
-
     restored = Durable.restore(map(decode, log.open()))
     assert json.loads(restored.state.document) == CONFIG
     log.close()
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -31,18 +31,21 @@
 
 
 LOG, LOG_TESTS = "storage/log.py", "tests/storage"
-ORDERS, ORDER_TESTS = "control_api/orders.py", "tests/control_api"
+COMMANDS, CONTROL_API_TESTS = "control_api/commands.py", "tests/control_api"
+EVALUATION = "control_api/evaluation.py"
 ENDS = "tests/ingress/test_ends.py"
 FRONT, CLOSING = "ingress/server.py", "tests/ingress/test_closing.py"
 DIRECTORY = "tests/ingress/test_directory.py"
 SIGNALS = "tests/roles/test_signals.py"
 LEAVING = "tests/roles/test_leaving.py"
+MISSING_ITEMS = "dissemination/missing_items.py"
 BROADCAST, BROADCAST_TESTS = "dissemination/broadcast.py", "tests/dissemination/test_broadcast.py"
 DELTA, DELTA_TESTS = "dissemination/delta.py", "tests/dissemination/test_delta.py"
 FRONTS, FRONTS_TESTS = "routing/fronts.py", "tests/routing/test_fronts.py"
-NODE, HARD_CASES = "replication/node.py", "tests/replication/test_hard_cases.py"
-FOUNDING, FOUNDING_TESTS = "replication/founding.py", "tests/replication/test_founding.py"
-OPENING = "replication/opening.py"
+HARD_CASES = "tests/replication/test_hard_cases.py"
+MEMBERSHIP, PRIMARY, WITNESS = (f"replication/{name}.py" for name in ("membership", "primary", "witness"))
+BOOTSTRAP, BOOTSTRAP_TESTS = "replication/bootstrap.py", "tests/replication/test_bootstrap.py"
+EPOCH_CHANGE = "replication/epoch_change.py"
 OUTLIERS, OUTLIERS_TESTS = "routing/outliers.py", "tests/routing/test_outliers.py"
 EVIDENCE, EVIDENCE_TESTS = "routing/evidence.py", "tests/routing/test_evidence.py"
 
@@ -57,36 +60,36 @@
         "            os.fsync(self._file)\n",
     ),
     "an append is synced": _removal(LOG, LOG_TESTS, "            os.fdatasync(self._file)\n"),
-    "a rewritten file is synced before its name": _removal(LOG, LOG_TESTS, "                os.fsync(new)\n"),
+    "a rewritten file is synced before its name": _removal(LOG, LOG_TESTS, "            os.fsync(new)\n"),
     "a rewritten file's name is synced before an append": _removal(
-        LOG, LOG_TESTS, "            if not self._folder_synced:\n", "            if False:\n"
+        LOG, LOG_TESTS, "            if not self._is_folder_synced:\n", "            if False:\n"
     ),
-    "a torn tail is cut off": _removal(LOG, LOG_TESTS, "            os.ftruncate(self._file, self.size)\n"),
-    "a refused append is cut off before the next": _removal(
-        LOG, LOG_TESTS, "            if self._tail_refused:\n", "            if False:\n"
+    "a torn tail is truncated": _removal(LOG, LOG_TESTS, "            os.ftruncate(self._file, self.size)\n"),
+    "a refused append is truncated before the next": _removal(
+        LOG, LOG_TESTS, "            if self._has_refused_tail:\n", "            if False:\n"
     ),
     "a record's checksum is compared": _removal(
         "storage/records.py",
         LOG_TESTS,
-        '        if zlib.crc32(payload, zlib.crc32(struct.pack(">I", length))) != checksum:\n',
+        "        if checksum != _checksum(payload):\n",
         "        if False:\n",
     ),
-    "entries of another ballot are void": _removal(
+    "entries of another term are void": _removal(
         "replication/durable.py",
         "tests/replication/test_durable.py",
-        "entry.ballot == self.installed and entry",
+        "entry.term == self.installed_term and entry",
         "entry",
     ),
     "what a disk refused is not told": _removal(
-        "peer/replicator.py",
+        "peer/record_writer.py",
         "tests/peer",
         "                snapshot = True\n",
         "                break\n",
     ),
     "the file is rewritten once it is long": _removal(
-        "peer/replicator.py",
+        "peer/record_writer.py",
         "tests/peer",
-        "        snapshot = self._log.size > self._rewrite_above\n",
+        "        snapshot = self._log.size > self._rewrite_above_bytes\n",
         "        snapshot = False\n",
     ),
     "a message to an earlier store is not taken": _removal(
@@ -98,65 +101,73 @@
     "a frame is given up once its peer is silent": _removal(
         "peer/connection.py",
         "tests/peer",
-        "            async with asyncio.timeout(SILENCE_MOST_S):\n                part",
-        "            async with asyncio.timeout(None):\n                part",
+        "        async with asyncio.timeout(PEER_TIMEOUT_S):\n",
+        "        async with asyncio.timeout(None):\n",
     ),
     "a long frame may take its time": _removal(
         "peer/connection.py",
         "tests/peer",
-        "                part = await self._reader.read(length - len(data))\n",
-        "                part = await self._reader.readexactly(length - len(data))\n",
+        "                    on_message(await self.receive())\n",
+        "                    async with asyncio.timeout(PEER_TIMEOUT_S):\n"
+        "                        message = await self.receive()\n"
+        "                    on_message(message)\n",
     ),
     "reads are confirmed by a majority": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "        if not await self._newest():\n            return self._unable()\n        state = ",
-        "        state = ",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if not await self._confirm_leadership():\n"
+        "            return self._not_done()\n        state = await",
+        "        state = await",
     ),
     "refusals are confirmed by a majority": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "            return judged if await self._newest() else self._unable()\n",
-        "            return judged\n",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        return evaluated if await self._confirm_leadership() else self._not_done()\n",
+        "        return evaluated\n",
     ),
     "evacuations are confirmed by a majority": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "                return self._unable()\n            if (zone",
-        "                pass\n            if (zone",
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "            return self._not_done()\n        if (request.zone",
+        "            pass\n        if (request.zone",
     ),
-    "a call that was taken is acknowledged again": _removal(
-        ORDERS, ORDER_TESTS, "    if state.has_taken(digest):\n", "    if False:\n"
+    "an applied call is acknowledged again": _removal(
+        EVALUATION, CONTROL_API_TESTS, "    if state.has_applied(digest):\n", "    if False:\n"
     ),
-    "a call that may have been taken is not refused": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "Verdict.UNCLEAR if state.may_have_taken(digest, base) else Verdict.STALE",
-        "Verdict.STALE",
+    "a call that may have been applied is not refused": _removal(
+        EVALUATION,
+        CONTROL_API_TESTS,
+        "CommandStatus.UNKNOWN if may_be_applied else CommandStatus.STALE",
+        "CommandStatus.STALE",
     ),
-    "a call whose print is known may have been taken": _removal(
-        "replication/state.py", ORDER_TESTS, " or _stands_in(self.prints, digest[:PRINT_BYTES])"
+    "a call whose digest prefix is known may have been applied": _removal(
+        "replication/state.py",
+        CONTROL_API_TESTS,
+        " or _holds_prefix(self.digest_prefixes, prefix)",
     ),
-    "a call whose print is not known is refused": _removal(
+    "a call whose digest prefix is not known is refused": _removal(
         "replication/state.py",
-        ORDER_TESTS,
-        "base <= self.forgotten_base or _stands_in(self.prints, digest[:PRINT_BYTES])",
-        "base < self.taken[0].base",
+        CONTROL_API_TESTS,
+        "base <= self.forgotten_base or _holds_prefix(self.digest_prefixes, prefix)",
+        "base < self.applied_calls[0].base",
     ),
-    "prints are bounded": _removal(
-        "replication/state.py", ORDER_TESTS, 'prints=b"" if is_full else prints', "prints=prints"
+    "digest prefixes are bounded": _removal(
+        "replication/state.py",
+        CONTROL_API_TESTS,
+        'digest_prefixes=b"" if is_full else digest_prefixes',
+        "digest_prefixes=digest_prefixes",
     ),
     "a row that has changed is checked": _removal(
         "control_api/configuration.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "by_name.get(name) == row",
         "name in by_name",
     ),
     "how rows name one another is checked whole": _removal(
         "control_api/configuration.py",
-        ORDER_TESTS,
-        "    if wrong := _reference_faults(raw):\n",
-        "    if wrong := _reference_faults(partial):\n",
+        CONTROL_API_TESTS,
+        "    if reference_faults := _reference_faults(document):\n",
+        "    if reference_faults := _reference_faults(partial):\n",
     ),
     "a long configuration is read in steps": _removal(
         "routing/view.py",
@@ -169,202 +180,211 @@
         "tests/routing/test_long_configurations.py",
         "        self._unread = self._reading = None  # what is read is older\n",
     ),
-    "a wait is told at growing pauses": _removal(
+    "a wait is reported at growing intervals": _removal(
         "replication/events.py",
         "tests/replication/test_events.py",
-        "        self._pause_s = min(PAUSE_MOST_S, 2 * self._pause_s)\n",
+        "        self._backoff_s = min(MAX_WAIT_REPORT_BACKOFF_S, 2 * self._backoff_s)\n",
     ),
-    "events that nobody takes are bounded": _removal(
+    "events that nobody drains are bounded": _removal(
         "replication/events.py",
         "tests/replication/test_events.py",
-        "        del self._waiting[:-EVENTS_MOST]\n",
+        "        del self._pending[:-MAX_PENDING_EVENTS]\n",
     ),
-    "a late write is told of once": _removal(
+    "a late write is reported once": _removal(
         "replication/leadership.py",
         "tests/replication/test_events.py",
-        "        return told != self.append_since\n",
+        "        return reported != self.append_since\n",
         "        return True\n",
     ),
-    "calls are remembered": _removal(
-        "replication/state.py", ORDER_TESTS, "TAKEN_MOST = 2048", "TAKEN_MOST = 4"
+    "applied calls are remembered": _removal(
+        "replication/state.py", CONTROL_API_TESTS, "MAX_APPLIED_CALLS = 2048", "MAX_APPLIED_CALLS = 4"
     ),
     "the base of a change is the current version": _removal(
-        ORDERS, ORDER_TESTS, "    if base != state.generation:\n", "    if False:\n"
+        EVALUATION, CONTROL_API_TESTS, "    if request.base != state.generation:\n", "    if False:\n"
     ),
     "numbers rise": _removal(
         "control_api/configuration.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "    if generation <= current:\n",
         "    if False:\n",
     ),
     "a write is done once it is on all replicas": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "            return state is not None and state.sequence >= ticket.sequence\n",
-        "            return node.durable.state.sequence >= ticket.sequence\n",
-    ),
-    "a change whose caller has left does not act": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "return await self._write(judged, state) if is_waiting() else self._unable()",
-        "return await self._write(judged, state)",
-    ),
-    "an evacuation whose caller has left does not act": _removal(
-        ORDERS,
-        ORDER_TESTS,
-        "            if not is_waiting() or self._replicator.now() > last:\n",
-        "            if False:\n",
-    ),
-    "a change is written on the state that it was judged on": _removal(
-        ORDERS, ORDER_TESTS, "        if node.committed_state is not judged_on:\n", "        if False:\n"
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        return state is not None and state.sequence >= sequence\n",
+        "        return self._node.durable.state.sequence >= sequence\n",
+    ),
+    "a change whose caller has left is not written": _removal(
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "return await self._write(evaluated, state) if request.is_caller_waiting() else self._not_done()",
+        "return await self._write(evaluated, state)",
+    ),
+    "an evacuation whose caller has left is not written": _removal(
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if not request.is_caller_waiting() or self._replicator.now() > deadline:\n",
+        "        if False:\n",
+    ),
+    "a change is written on the state that it was evaluated on": _removal(
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if node.committed_state is not evaluated_on:\n",
+        "        if False:\n",
     ),
     "a configuration fits into a message": _removal(
-        ORDERS, ORDER_TESTS, "            if len(document) > DOCUMENT_MOST:\n", "            if False:\n"
+        EVALUATION, CONTROL_API_TESTS, "    if len(encoded) > MAX_DOCUMENT_BYTES:\n", "    if False:\n"
     ),
-    "orders that wait are bounded": _removal(
-        ORDERS, ORDER_TESTS, "        if self._waiting >= WAITING_MOST:\n", "        if False:\n"
+    "commands that wait are bounded": _removal(
+        COMMANDS,
+        CONTROL_API_TESTS,
+        "        if self._waiting >= MAX_WAITING_COMMANDS:\n",
+        "        if False:\n",
     ),
-    "callers are sent on to a primary that was heard lately alone": _removal(
-        "replication/primary_watch.py",
-        ORDER_TESTS,
-        " or now - self.heard_at > ELECTION_S:\n            return None",
+    "callers are redirected only to a primary that was heard lately": _removal(
+        "replication/failure_detector.py",
+        CONTROL_API_TESTS,
+        " or now - self.heard_at > ELECTION_TIMEOUT_S:\n            return None",
         ":\n            return None",
     ),
-    "nobody is sent on to a primary that has said that it ends": _removal(
-        "replication/primary_watch.py", ORDER_TESTS, " or primary.id == self._lost or now", " or now"
+    "nobody is redirected to a primary that resigned": _removal(
+        "replication/failure_detector.py", CONTROL_API_TESTS, " or primary.id == self._lost or now", " or now"
     ),
     "a withdrawal is acknowledged once a majority holds it": _removal(
         "control_api/withdrawals.py",
-        ORDER_TESTS,
-        "                while not majority(held_at, witnesses):\n",
-        "                while False:\n",
+        CONTROL_API_TESTS,
+        "            while not majority(pending.holders, witnesses):\n",
+        "            while False:\n",
     ),
     "another process confirms only what it holds": _removal(
         "control_api/withdrawals.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "        if held and held.version >= message.item.version:\n",
         "        if True:\n",
     ),
     "a withdrawal that is confirmed is passed on": _removal(
         "control_api/withdrawals.py",
-        ORDER_TESTS,
+        CONTROL_API_TESTS,
         "        self._gossip.publish([message.item], source=link)\n",
     ),
     "an incarnation that was never heard of here may be gone": _removal(
         "control_api/heartbeats.py",
-        ORDER_TESTS,
-        "            return server_item(_nameless(instance, self._node), 0)\n",
-        "            return server_item(replace(_nameless(instance, self._node), phase=Phase.SERVING), 0)\n",
+        CONTROL_API_TESTS,
+        "server_item(_unknown_server(instance, self._node), 0)",
+        "server_item(replace(_unknown_server(instance, self._node), phase=Phase.SERVING), 0)",
     ),
-    "an heir watches the servers of a process that is gone": _removal(
+    "a successor watches the servers of a process that is down": _removal(
         "control_api/heartbeats.py",
-        ORDER_TESTS,
-        "            if record.heard_by == self._node or inherits(record.heard_by):\n",
+        CONTROL_API_TESTS,
+        "            if record.heard_by == self._node or is_successor_of(record.heard_by):\n",
         "            if record.heard_by == self._node:\n",
     ),
-    "an ended link's store is not live": _removal(
-        "replication/contacts.py",
+    "a disconnected store is not live": _removal(
+        "replication/peer_table.py",
         "tests/replication/test_control_times.py",
-        "        return heard - self._unlinked\n",
+        "        return heard - self._disconnected\n",
         "        return heard\n",
     ),
-    "a primary out of touch says that it resigns": _removal(
-        NODE,
+    "a primary that no majority answers announces that it resigns": _removal(
+        PRIMARY,
         "tests/replication/test_control_times.py",
-        "            self._resign(leadership, Why.OUT_OF_TOUCH, now)",
-        "            self._step_down(Why.OUT_OF_TOUCH, now)",
+        "            self.resign(Reason.OUT_OF_TOUCH, now)",
+        "            self.step_down(Reason.OUT_OF_TOUCH, now)",
     ),
-    "a store that leaves stays until it is needed no more": _removal(
-        NODE, HARD_CASES, "        return self.me.id not in needed\n", "        return True\n"
+    "a store that shuts down stays until it is needed no more": _removal(
+        MEMBERSHIP, HARD_CASES, "        return context.me.id not in needed\n", "        return True\n"
     ),
-    "replicas that leave are replaced": _removal(
+    "replicas that shut down are replaced": _removal(
         "replication/reconfiguration.py",
         HARD_CASES,
-        "        return Why.REPLICA_LEAVES\n",
+        "        return Reason.REPLICA_LEAVES\n",
         "        return None\n",
     ),
-    "a store that leaves gives up its place": _removal(
-        "replication/contacts.py",
+    "a store that shuts down gives up its slot": _removal(
+        "replication/peer_table.py",
         HARD_CASES,
-        " if store_id in leaving and store_id not in first)\n",
-        " if False)\n",
+        " if store_id in leaving and store_id not in first\n",
+        " if False\n",
     ),
-    "stores that leave are replicas last": _removal(
+    "stores that shut down are replicas last": _removal(
         "replication/epochs.py", HARD_CASES, "store.id in leaving, store.id not in", "store.id not in"
     ),
-    "a store that is behind is sent the state": _removal(
-        NODE,
+    "a store that lags is sent the state": _removal(
+        PRIMARY,
         HARD_CASES,
         "        if follows and leadership",
         "        if False and leadership",
     ),
-    "stores that are no replicas follow": _removal(
-        NODE,
+    "witnesses that are no replicas follow": _removal(
+        PRIMARY,
         HARD_CASES,
         "        for store_id in leadership.epoch.witness_ids:  # those",
         "        for store_id in leadership.epoch.replicas:  # those",
     ),
-    "who founds votes first": _removal(
-        OPENING,
-        FOUNDING_TESTS,
-        "        if self.is_founding and self.me.id in asked:\n",
+    "the founder votes first": _removal(
+        EPOCH_CHANGE,
+        BOOTSTRAP_TESTS,
+        "        if self.is_bootstrap and self.me.id in asked:\n",
         "        if False:\n",
     ),
-    "all of a core promise before it begins anew": _removal(
-        OPENING, FOUNDING_TESTS, " and self.unanimous.issubset(self.promised)"
+    "all of a core prepare before it bootstraps without a founder": _removal(
+        EPOCH_CHANGE, BOOTSTRAP_TESTS, " and self.unanimous.issubset(self.prepared)"
     ),
-    "a core does not begin anew while a seed is missing": _removal(
-        FOUNDING, FOUNDING_TESTS, " or self.missing(heard, seeds):", ":"
+    "a core does not bootstrap without a founder while a seed is missing": _removal(
+        BOOTSTRAP, BOOTSTRAP_TESTS, " or self.missing_seeds(heard, seeds):", ":"
     ),
-    "a core does not begin anew while its founder is there": _removal(
-        FOUNDING, FOUNDING_TESTS, "if is_told or not self._counts", "if not self._counts"
+    "a core does not bootstrap without its founder while it is there": _removal(
+        BOOTSTRAP,
+        BOOTSTRAP_TESTS,
+        "if has_founder or not self._counts_for_quorum",
+        "if not self._counts_for_quorum",
     ),
-    "no core is founded beside one that is heard": _removal(
-        FOUNDING, FOUNDING_TESTS, " or any(other.core for other in heard):", ":"
+    "no core is bootstrapped beside one that is heard": _removal(
+        BOOTSTRAP, BOOTSTRAP_TESTS, " or any(other.core for other in heard):", ":"
     ),
-    "no core is founded with fewer stores than a whole one has": _removal(
-        FOUNDING, FOUNDING_TESTS, "if not is_whole or any(", "if any("
+    "no core is bootstrapped with fewer stores than a complete one has": _removal(
+        BOOTSTRAP, BOOTSTRAP_TESTS, "if not is_complete or any(", "if any("
     ),
-    "that a store is to found is on disk before anything else": _removal(
+    "that a store is the founder is on disk before anything else": _removal(
         "replication/durable.py",
-        FOUNDING_TESTS,
-        "[*wish, self._vote(), Snapshot(self.installed, self.state)]",
-        "[self._vote(), Snapshot(self.installed, self.state), *wish]",
+        BOOTSTRAP_TESTS,
+        "[*founder, self._vote(), Snapshot(self.installed_term, self.state)]",
+        "[self._vote(), Snapshot(self.installed_term, self.state), *founder]",
     ),
     "stores of another core are not taken in": _removal(
-        NODE,
-        FOUNDING_TESTS,
-        "        if self._contacts.is_stranger(message, core):\n",
+        MEMBERSHIP,
+        BOOTSTRAP_TESTS,
+        "        if context.peers.is_foreign(message, core):\n",
         "        if False:\n",
     ),
     "a primary of another core is not followed": _removal(
-        NODE,
-        FOUNDING_TESTS,
+        WITNESS,
+        BOOTSTRAP_TESTS,
         "        if core and not is_same_core(core, epoch.core):\n",
         "        if False:\n",
     ),
     "a message of another version is skipped": _removal(
-        "peer/connection.py",
+        "peer/protocol.py",
         "tests/peer",
-        "                except UnknownMessage as error:\n",
-        "                except MemoryError as error:\n",
+        "        except UnknownMessageError as error:\n",
+        "        except MemoryError as error:\n",
     ),
     "a value that is not known is of another version": _removal(
         "peer/codec.py",
         "tests/peer",
-        "        raise UnknownMessage(str(error)) from error\n",
+        "        raise UnknownMessageError(str(error)) from error\n",
         "        raise\n",
     ),
     "fields of a later version are left out": _removal(
-        "peer/codec.py", "tests/peer", "list(values[: len(names)])", "list(values)"
+        "peer/codec.py", "tests/peer", "list(values[: len(wire_type.fields)])", "list(values)"
     ),
     "no link is up without a version that both sides speak": _removal(
-        "peer/mesh.py", "tests/peer", "        if version is None:\n", "        if version == -1:\n"
+        "peer/handshake.py", "tests/peer", "    if version is None:\n", "    if version == -1:\n"
     ),
     "a file of an unknown format is left as it is": _removal(
         LOG,
         LOG_TESTS,
-        "        if told != FORMAT:\n",
+        "        if found != FORMAT:\n",
         "        if False:\n",
     ),
     "a request's answer has its id": _removal(
@@ -379,7 +399,7 @@
         "        self._session._retry_connection = False\n",
     ),
     "an answer that is reset is not whole": _removal(
-        "forward/client.py",
+        "forward/connections.py",
         ENDS,
         "        if exc is not None and payload is not None and not payload.is_eof():\n",
         "        if False:\n",
@@ -387,8 +407,8 @@
     "a request that was not sent has not run": _removal(
         "forward/client.py",
         ENDS,
-        "            return Unsent() if hurried else Unreachable()\n",
-        "            return Overdue()\n",
+        "            return NotSent() if is_deadline_near else ConnectFailed()\n",
+        "            return DeadlineExceeded()\n",
     ),
     "an answer that breaks off is cut": _removal(
         "ingress/relay.py",
@@ -417,8 +437,8 @@
     "a connection that does not come up tells of absence alone": _removal(
         "ingress/exchange.py",
         "tests/ingress/test_grey.py",
-        "            case client.Unreachable():\n                server.failed(now)\n",
-        "            case client.Unreachable():\n                self._ended(server, failed=True)\n",
+        "            case results.ConnectFailed():\n                server.failed(now)\n",
+        "            case results.ConnectFailed():\n                self._ended(server, failed=True)\n",
     ),
     "a time-out tells of a server only where it is silent": _removal(
         "ingress/exchange.py",
@@ -426,16 +446,16 @@
         "                if server.is_silent_since(now - took_s):\n",
         "                if True:\n",
     ),
-    "servers whose heartbeats went to an earlier life or to one that is gone are watched": _removal(
+    "servers whose heartbeats went to an earlier incarnation or to one that is down are watched": _removal(
         "control_api/heartbeats.py",
         "tests/dissemination/test_forgetting.py",
-        "        self._adopt(catalog, now, inherits)\n",
+        "        self._adopt_servers(catalog, now, is_successor_of)\n",
     ),
     "a final phase outdoes all heartbeats": _removal(
         "dissemination/items.py",
         "tests/dissemination/test_forgetting.py",
-        "    version = (int(record.phase), sequence, int(record.silent))\n",
-        "    version = (sequence, int(record.phase), int(record.silent))\n",
+        "    version = (int(record.phase), sequence, int(record.is_unresponsive))\n",
+        "    version = (sequence, int(record.phase), int(record.is_unresponsive))\n",
     ),
     "what befalls all servers ejects none": _removal(
         OUTLIERS, OUTLIERS_TESTS, "max(SHARE_LEAST, TIMES_OTHERS * median(shares))", "SHARE_LEAST"
@@ -479,25 +499,25 @@
     "what is gone stays gone as long as an old word may travel": _removal(
         "dissemination/catalog.py",
         "tests/dissemination/test_catalog.py",
-        "            self._ends_at[item.key] = now + lasts\n",
-        "            self._ends_at[item.key] = now\n",
+        "            self._expires_at[item.key] = now + retention\n",
+        "            self._expires_at[item.key] = now\n",
     ),
     "what was forgotten is not taken back": _removal(
         "dissemination/catalog.py",
         "tests/dissemination/test_catalog.py",
-        "        return key not in self._forgotten or version > self._forgotten[key][0]\n",
+        "        return key not in self._forgotten or version > self._forgotten[key].version\n",
         "        return True\n",
     ),
-    "a store that is cut off waits for the others": _removal(
-        NODE,
+    "a partitioned store that shuts down waits for the others": _removal(
+        MEMBERSHIP,
         HARD_CASES,
-        "        staying = self._contacts.ids() - self",
-        "        staying = self._contacts.live(now) - self",
+        "        staying = context.peers.ids() - context",
+        "        staying = context.peers.live(now) - context",
     ),
     "a member is down only once others were asked": _removal(
         "dissemination/suspicion.py",
         "tests/dissemination/test_suspicion.py",
-        "        if node in self._watches:\n",
+        "        if node in self._suspects:\n",
         "        if False:\n",
     ),
     "a front that ends waits for no connection that rests": _removal(
@@ -549,12 +569,12 @@
         "roles/ending.py", "tests/roles/test_ending.py", "        last_resort.start()\n"
     ),
     "a link that is cancelled at the end is no fault": _removal(
-        "peer/mesh.py", "tests/peer", "(*_FAILED, asyncio.CancelledError)", "_FAILED"
+        "peer/mesh.py", "tests/peer", "(*_CONNECTION_ERRORS, asyncio.CancelledError)", "_CONNECTION_ERRORS"
     ),
     "a control process that ends waits until it is not needed": _removal(
-        "roles/control.py",
+        "roles/control_process.py",
         "tests/roles/test_control_leaving.py",
-        "        while not self.node.may_leave(loop.time()):\n",
+        "        while not self.node.can_leave(loop.time()):\n",
         "        while False:\n",
     ),
     "a sidecar that leaves waits for clients to go": _removal(
@@ -586,8 +606,8 @@
     "what was offered and does not come is asked for": _removal(
         BROADCAST,
         BROADCAST_TESTS,
-        "        sendings = self._ask(now)\n",
-        "        sendings: list[Sending] = []\n",
+        "        outgoing = self._request_missing(now)\n",
+        "        outgoing: list[OutgoingMessage] = []\n",
     ),
     "a link that brings what was had before leaves the tree": _removal(
         BROADCAST, BROADCAST_TESTS, "        elif source not in self._pruned:\n", "        elif False:\n"
@@ -602,7 +622,7 @@
         DELTA, DELTA_TESTS, "    if old.sequence != delta.base:\n", "    if False:\n"
     ),
     "a change that leads to too large a document is refused": _removal(
-        DELTA, DELTA_TESTS, "    if sum(map(_length, delta.parts)) > DOCUMENT_MOST:\n", "    if False:\n"
+        DELTA, DELTA_TESTS, "    if sum(map(_length, delta.parts)) > MAX_DOCUMENT_BYTES:\n", "    if False:\n"
     ),
     "what was forgotten is asked for from nobody": _removal(
         BROADCAST,
@@ -611,7 +631,7 @@
         "            if True:\n",
     ),
     "the whole is asked for from one at a time": _removal(
-        BROADCAST, DELTA_TESTS, "        if not missing.asked:\n", "        if True:\n"
+        MISSING_ITEMS, DELTA_TESTS, "        if not missing.asked:\n", "        if True:\n"
     ),
     "a connection that cannot be taken over is done without": _removal(
         FRONT,
--- a/tests/ingress/stage.py
+++ b/tests/ingress/stage.py
@@ -21,7 +21,7 @@
 from fordtrestle.routing.decision import Decider
 from fordtrestle.routing.selection import Selection
 from fordtrestle.routing.view import View
-from fordtrestle.settings.boot import Address
+from fordtrestle.settings.records import Address
 
 ZONES = {"z-1": "r-1", "z-2": "r-2"}
 HOST = "ficu95.example"
@@ -164,8 +164,8 @@
         told = {
             "slots": 4,
             "phase": Phase.SERVING,
-            "silent": False,
-            "cold_ms": 0.0,
+            "is_unresponsive": False,
+            "warm_up_ms": 0.0,
             "remaining_ms": None,
             "models": (),
             "heard_by": "core-1",
--- a/tests/proxy/daemon/test_long.py
+++ b/tests/proxy/daemon/test_long.py
@@ -7,10 +7,10 @@
 from fordtrestle.balancer import affinity, endpoints
 from fordtrestle.proxy.engine.driver import OpenAttempt, OpenRequest
 from fordtrestle.proxy.http.call import ClientCall
-from fordtrestle.proxy.http.downstream import ClientConnection
-from fordtrestle.proxy.http.upstream import UpstreamExchange
-from fordtrestle.proxy.membership.lists import parse_list
-from tests.loopback import OK, App, Upstream, entry, listed, loopback, platform_config, running, until
+from fordtrestle.proxy.http.client_connection import ClientConnection
+from fordtrestle.proxy.http.upstream_connection import UpstreamExchange
+from fordtrestle.proxy.membership.list_format import parse_list
+from tests.loopback import OK, App, Upstream, entry, listed, loopback, make_platform_config, running, until
 
 TURNS, CLIENTS = 60, 20
 HELD = (OpenRequest, OpenAttempt, ClientConnection, ClientCall, UpstreamExchange)
@@ -33,7 +33,7 @@
         served = 0
         for turn in range(TURNS):
             rows = [entry(f"s{turn}-{i}", upstream.address) for i, upstream in enumerate(upstreams)]
-            news = parse_list(listed(42 + turn, *rows, snapshot=False), platform_config().indices)
+            news = parse_list(listed(42 + turn, *rows, snapshot=False), make_platform_config().name_indices)
             sidecar.driver.server_list("changes", news)
             apps = [await App.connect(sidecar.address) for _ in range(CLIENTS)]
             for number, app in enumerate(apps):
@@ -42,13 +42,13 @@
                 served += (await app.answer()).body == b"done"
                 app.close()
         assert served > 0.9 * TURNS * CLIENTS
-        await until(lambda: sidecar.front.empty and not sidecar.driver._requests)
+        await until(lambda: sidecar.front.is_empty and not sidecar.driver._requests)
         module, pool = sidecar.driver._balancer, sidecar.pool
         assert len(pool._servers) == len(module._servers) == len(upstreams)
         assert not sidecar.front._calls
         assert not sidecar.front.table.at_rest
         await until(lambda: pool._connections == {c for s in pool._servers.values() for c in s.idle})
-        assert not pool._opening
+        assert not pool._dialer.connecting
         assert not module._requests
         assert len(module._affinity._key_counts) <= len(module._affinity._keys) <= affinity.KEY_MEMORY
         assert module._ejection._resting.keys() <= module._servers.keys()
--- a/tests/proxy/daemon/test_overload.py
+++ b/tests/proxy/daemon/test_overload.py
@@ -11,7 +11,7 @@
 import pytest
 
 from fordtrestle.balancer.model import Fail, Outcome, Probe, Send
-from fordtrestle.proxy.config import operator
+from fordtrestle.proxy.config import operator_file
 from fordtrestle.proxy.daemon import overload as watch
 from fordtrestle.proxy.daemon.standalone import Standalone
 from fordtrestle.proxy.engine.connections import ConnectionTable, TableOptions
@@ -62,7 +62,7 @@
         for app in deaf:
             app.writer.transport.pause_reading()
             app.writer.write(b"".join(request() for _ in range(8)))
-        await until(lambda: len(sidecar.front._stuck) == 25)
+        await until(lambda: len(sidecar.front._stalled) == 25)
         other = sidecar.limits.buffered.part("another front")
         assert other.take(sidecar.limits.buffered.capacity // 2)
         resident = 99 * 2**20
@@ -96,7 +96,7 @@
         app = await App.connect(sidecar.address)
         assert status_of(await app.ask()) == 200
         (idle,) = sidecar.pool._idle
-        idle.idle_since -= 2000.0
+        idle.idle_since_ms -= 2000.0
         rules = [
             Rule(Action.SHRINK_POOLS, Monitor.DESCRIPTORS, 1e-9, 0.0),
             Rule(Action.STOP_OPTIONAL, Monitor.DESCRIPTORS, 1e-9, 0.0),
@@ -199,7 +199,7 @@
     """A process of two fronts, and where they listen."""
     file = tmp_path / "operator.toml"
     file.write_text(OPERATOR.format(server=upstream.address, descriptors=descriptors))
-    made = Standalone(asyncio.get_running_loop(), str(file), operator.read(str(file)))
+    made = Standalone(asyncio.get_running_loop(), str(file), operator_file.read(str(file)))
     bound = await made._process.start()
     return made, file, bound["one"][0], bound["two"][0]
 
--- a/tests/proxy/daemon/test_rules.py
+++ b/tests/proxy/daemon/test_rules.py
@@ -12,11 +12,11 @@
 import pytest
 
 from fordtrestle.balancer.model import Send
-from fordtrestle.proxy.config import operator
+from fordtrestle.proxy.config import operator_file
 from fordtrestle.proxy.daemon import rules
 from fordtrestle.proxy.daemon.seams import Seams
 from fordtrestle.proxy.daemon.standalone import Standalone
-from fordtrestle.proxy.state.files import Files
+from fordtrestle.proxy.state.posix_file_store import PosixFileStore
 from rig.registry import Registry, entry
 from tests.loopback import App, Scripted, loopback, until
 from tests.proxy.daemon.test_standalone import (
@@ -121,7 +121,10 @@
 async def test_a_folder_that_another_process_holds_is_one_line_and_no_start(tmp_path):
     path = tmp_path / "operator.toml"
     path.write_text(text(tmp_path, "127.0.0.1:9"))
-    with contextlib.closing(Files(str(tmp_path / "state"))), pytest.raises(AssertionError):  # it ended
+    with (
+        contextlib.closing(PosixFileStore(str(tmp_path / "state"))),
+        pytest.raises(AssertionError),
+    ):  # it ended
         await Serving.start(path)
     said = path.with_suffix(".log").read_text()
     assert "can't start" in said
@@ -157,7 +160,7 @@
     (tmp_path / "state").write_text("a file")
     path = tmp_path / "operator.toml"
     path.write_text(text(tmp_path, registry.address))
-    made = Standalone(asyncio.get_running_loop(), str(path), operator.read(str(path)))
+    made = Standalone(asyncio.get_running_loop(), str(path), operator_file.read(str(path)))
     await made.start()
     said = capfd.readouterr().err
     assert len(said.splitlines()) == 2
@@ -171,7 +174,7 @@
     await registry.stop()
 
 
-class Failing(Files):
+class Failing(PosixFileStore):
     """A disk that takes no list, and is asked once."""
 
     asked = 0
@@ -195,7 +198,7 @@
         return disks[0]
 
     seams = Seams(store=store, stamp=lambda: 7.0, wall=lambda: 1e9)
-    made = Standalone(asyncio.get_running_loop(), str(path), operator.read(str(path)), seams)
+    made = Standalone(asyncio.get_running_loop(), str(path), operator_file.read(str(path)), seams)
     await made.start()
     fronts = listening(capfd.readouterr().err)
     await until(lambda: told(tmp_path, "unstored"))
@@ -278,12 +281,15 @@
 
     def store(folder):
         opens.wait(20.0)
-        return Files(folder)
+        return PosixFileStore(folder)
 
     path = tmp_path / "operator.toml"
     path.write_text(SERVICE.format(name="a") + servers("a", one) + TABLES.format(at=tmp_path))
     made = Standalone(
-        asyncio.get_running_loop(), str(path), operator.read(str(path)), Seams(store=store, stamp=lambda: 7.0)
+        asyncio.get_running_loop(),
+        str(path),
+        operator_file.read(str(path)),
+        Seams(store=store, stamp=lambda: 7.0),
     )
     waited = not opens.is_set()
     opens.set()
--- a/tests/proxy/http/test_front.py
+++ b/tests/proxy/http/test_server.py
@@ -12,10 +12,21 @@
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.connections import ConnectionTable, TableOptions
 from fordtrestle.proxy.engine.limits import Limits
-from fordtrestle.proxy.http import downstream, requests
-from fordtrestle.proxy.membership import lists
+from fordtrestle.proxy.http import client_connection, requests
+from fordtrestle.proxy.membership import list_format
 from tests import loopback as partners
-from tests.loopback import OK, App, Scripted, Upstream, entry, hang, listed, platform_config, running, until
+from tests.loopback import (
+    OK,
+    App,
+    Scripted,
+    Upstream,
+    entry,
+    hang,
+    listed,
+    make_platform_config,
+    running,
+    until,
+)
 from tests.virtual import virtual
 
 
@@ -31,7 +42,7 @@
     clock = Clock(asyncio.get_running_loop())
     assert abs(clock.now() - time.time() * 1000.0) < 1000.0
     rows = listed(1, entry("old"), entry("new", since_ms=1_790_000_000_000))
-    news = lists.parse_list(rows, platform_config().indices)
+    news = list_format.parse_list(rows, make_platform_config().name_indices)
     assert [row.started for row in news.entries] == [0.0, 1_790_000_000_000.0]
 
 
@@ -226,7 +237,7 @@
 
 @virtual
 async def test_a_half_sent_request_does_not_stay_for_ever(monkeypatch):
-    monkeypatch.setattr(downstream, "HALF_SENT_S", 0.05)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.05)
     module = Scripted()
     async with running(balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
@@ -372,7 +383,7 @@
         app.writer.write(sent)
         answer = await app.answer()
         assert answer is None if not sent else status_of(answer) == 408
-        await until(lambda: sidecar.front.empty)
+        await until(lambda: sidecar.front.is_empty)
         assert module.named("request") == []
 
 
@@ -403,7 +414,7 @@
 @virtual
 async def test_what_is_turned_away_does_not_wait_for_long_behind_an_open_request(raw, monkeypatch):
     """Each request gets its one answer, in order; the open one fails, since its client sends rubbish."""
-    monkeypatch.setattr(downstream, "OWED_S", 0.05)
+    monkeypatch.setattr(client_connection, "REJECTION_TIMEOUT_S", 0.05)
     upstream = await Upstream([hang]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -496,4 +507,4 @@
         answer = await busy.answer()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
         await drain
-        assert sidecar.front.empty
+        assert sidecar.front.is_empty
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -1,6 +1,4 @@
-"""Guards of the replication, each with a way to take it out: the search has to find the breach that
-follows.
-"""
+"""Guards of the replication, each with a way to take it out: the search has to find what breaks then."""
 
 from __future__ import annotations
 
@@ -9,102 +7,106 @@
 
 import pytest
 
-from fordtrestle.replication import candidacy as candidacy_module
+from fordtrestle.replication import epoch_change as epoch_change_module
 from fordtrestle.replication import messages as wire
-from fordtrestle.replication import opening as opening_module
+from fordtrestle.replication import pre_vote as pre_vote_module
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import NO_BALLOT, Epoch, majority
+from fordtrestle.replication.epoch_change import EpochChange
+from fordtrestle.replication.epochs import NO_TERM, Epoch, majority
 from fordtrestle.replication.node import Node
-from fordtrestle.replication.opening import Opening
-from tests.replication.world import Machine, World
+from fordtrestle.replication.primary import Primary
+from tests.replication.deployment import Machine
+from tests.replication.world import World
 
 Removal = Callable[[pytest.MonkeyPatch], None]
 
 
 def _promises_are_forgotten(patch: pytest.MonkeyPatch) -> None:
-    whole = Durable.promise
-    patch.setattr(Durable, "promise", lambda self, ballot: None if whole(self, ballot) is None else [])
+    original = Durable.prepare
+    patch.setattr(Durable, "prepare", lambda self, term: None if original(self, term) is None else [])
 
 
-def _older_ballots_are_promised(patch: pytest.MonkeyPatch) -> None:
-    def promise(self, ballot):
-        self.promised = ballot
+def _older_terms_are_prepared(patch: pytest.MonkeyPatch) -> None:
+    def prepare(self, term):
+        self.prepared_term = term
         return [self._vote()]
 
-    patch.setattr(Durable, "promise", promise)
+    patch.setattr(Durable, "prepare", prepare)
 
 
 def _older_epochs_are_accepted(patch: pytest.MonkeyPatch) -> None:
     def accept(self, epoch):
-        self.promised, self.accepted = epoch.ballot, epoch
+        self.prepared_term, self.accepted_epoch = epoch.term, epoch
         return self._adopt(epoch)
 
     patch.setattr(Durable, "accept", accept)
 
 
 def _appends_pass_the_fence(patch: pytest.MonkeyPatch) -> None:
-    def append(self, ballot, sequence, change):
+    def append(self, term, sequence, change):
         if sequence > self.state.sequence + 1:
             return None
         if sequence <= self.state.sequence:
             return []
         self.state = self.state.apply(change)
-        return [wire.Entry(ballot, sequence, change)]
+        return [wire.Entry(term, sequence, change)]
 
     patch.setattr(Durable, "append", append)
 
 
 def _appends_may_leave_gaps(patch: pytest.MonkeyPatch) -> None:
-    whole = Durable.append
+    original = Durable.append
 
-    def append(self, ballot, sequence, change):
-        if ballot == self.installed and ballot >= self.promised and sequence > self.state.sequence + 1:
+    def append(self, term, sequence, change):
+        if term == self.installed_term and term >= self.prepared_term and sequence > self.state.sequence + 1:
             self.state = replace(self.state.apply(change), sequence=sequence)
-            return [wire.Entry(ballot, sequence, change)]
-        return whole(self, ballot, sequence, change)
+            return [wire.Entry(term, sequence, change)]
+        return original(self, term, sequence, change)
 
     patch.setattr(Durable, "append", append)
 
 
 def _earlier_witnesses_are_not_asked(patch: pytest.MonkeyPatch) -> None:
     patch.setattr(Epoch, "quorums", property(lambda self: (self.witness_ids,)))
-    patch.setattr(Opening, "quorums", property(lambda self: (tuple(store.id for store in self.witnesses),)))
+    patch.setattr(
+        EpochChange, "quorums", property(lambda self: (tuple(store.id for store in self.witnesses),))
+    )
 
 
 def _any_candidate_may_open(patch: pytest.MonkeyPatch) -> None:
     def take(self, sender, message, state):
-        self.promised[sender] = (message.installed, message.sequence)
-        return self._begin_installing(state, patient=True)
+        self.prepared[sender] = (message.installed_term, message.sequence)
+        return self._begin_installing(state, is_patient=True)
 
-    patch.setattr(Opening, "_take_promise", take)
+    patch.setattr(EpochChange, "_on_prepared", take)
 
 
 def _state_is_not_installed_first(patch: pytest.MonkeyPatch) -> None:
-    whole = Opening._propose
+    original = EpochChange._propose
 
-    def propose(self, kept=None):
+    def propose(self, base_state=None):
         self.installed.update(self.installing)
-        return whole(self, kept)
+        return original(self, base_state)
 
-    patch.setattr(Opening, "_propose", propose)
+    patch.setattr(EpochChange, "_propose", propose)
 
 
 def _one_replica_is_enough(patch: pytest.MonkeyPatch) -> None:
-    whole = Node._take_appended
+    original = Primary.on_appended
 
     def take(self, sender, message):
-        if self._leadership and message.ballot == self._leadership.epoch.ballot:
-            for replica in self._leadership.epoch.replicas:
-                whole(self, replica, message)
+        if self.leadership and message.term == self.leadership.epoch.term:
+            for replica in self.leadership.epoch.replicas:
+                original(self, replica, message)
 
-    patch.setattr(Node, "_take_appended", take)
+    patch.setattr(Primary, "on_appended", take)
 
 
 def _messages_overtake_the_disk(patch: pytest.MonkeyPatch) -> None:
-    whole = World.pump
+    original = World.pump
 
     def pump(self, machine: Machine) -> None:
-        whole(self, machine)
+        original(self, machine)
         if machine.queue and machine.queue[-1].messages:
             effects = machine.queue[-1]
             own = [pair for pair in effects.messages if pair[0] == machine.node.me.id]
@@ -117,11 +119,11 @@
 
 
 def _one_vote_opens(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(opening_module, "supported", lambda voted, quorums: bool(voted))
+    patch.setattr(epoch_change_module, "supported", lambda voted, quorums: bool(voted))
 
 
 def _reads_are_not_confirmed(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(Node, "confirmed", lambda self, round_number: self.is_primary)
+    patch.setattr(Node, "is_confirmed", lambda self, number: self.is_primary)
 
 
 def _a_wiped_disk_keeps_its_name(patch: pytest.MonkeyPatch) -> None:
@@ -129,22 +131,22 @@
 
 
 def _votes_are_lost_at_a_restart(patch: pytest.MonkeyPatch) -> None:
-    whole = Durable.restore.__func__
+    original = Durable.restore.__func__
 
     def restore(cls, records):
-        found = whole(cls, records)
-        if found and found.accepted:
-            found.promised = found.accepted.ballot
+        found = original(cls, records)
+        if found and found.accepted_epoch:
+            found.prepared_term = found.accepted_epoch.term
         elif found:
-            found.promised = NO_BALLOT
+            found.prepared_term = NO_TERM
         return found
 
     patch.setattr(Durable, "restore", classmethod(restore))
 
 
-def _new_epochs_are_acknowledged_in_before_they_are_known(patch: pytest.MonkeyPatch) -> None:
+def _writes_are_acknowledged_before_the_epoch_is_committed(patch: pytest.MonkeyPatch) -> None:
     def is_ready(self) -> bool:
-        return self.is_primary and not self._candidacy.opening
+        return self.is_primary and not self.candidate.epoch_change
 
     patch.setattr(Node, "is_ready", property(is_ready))
 
@@ -153,8 +155,10 @@
     def half(voted, witnesses):
         return 2 * sum(witness in voted for witness in witnesses) >= len(witnesses) - 1
 
-    patch.setattr(opening_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums))
-    patch.setattr(candidacy_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums))
+    patch.setattr(
+        epoch_change_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums)
+    )
+    patch.setattr(pre_vote_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums))
     assert majority(("a",), ("a",))
 
 
@@ -166,15 +170,15 @@
     "a wiped disk is another store": _a_wiped_disk_keeps_its_name,
 }
 FOUND_BY_SCHEDULE: dict[str, Removal] = {
-    "earlier witnesses vote until the epoch is known": _earlier_witnesses_are_not_asked,
+    "earlier witnesses vote until the epoch is committed": _earlier_witnesses_are_not_asked,
     "the state is on all replicas before the epoch": _state_is_not_installed_first,
-    "a promise is on disk before it is told": _promises_are_forgotten,
+    "a promise is synced before it is sent": _promises_are_forgotten,
     "promises outlive a restart": _votes_are_lost_at_a_restart,
-    "no older ballot is promised": _older_ballots_are_promised,
+    "no older term is prepared": _older_terms_are_prepared,
     "no older epoch is accepted": _older_epochs_are_accepted,
-    "a replica refuses writes of older epochs": _appends_pass_the_fence,
+    "a replica rejects writes of older epochs": _appends_pass_the_fence,
     "only a replica of the newest epoch opens the next": _any_candidate_may_open,
     "a read is confirmed after it was asked": _reads_are_not_confirmed,
-    "nothing is told before it is synced": _messages_overtake_the_disk,
-    "nothing is acknowledged with too few replicas": _new_epochs_are_acknowledged_in_before_they_are_known,
+    "nothing is sent before it is synced": _messages_overtake_the_disk,
+    "nothing is acknowledged with too few replicas": _writes_are_acknowledged_before_the_epoch_is_committed,
 }
--- a/tests/stored/test_files.py
+++ b/tests/stored/test_files.py
@@ -16,10 +16,10 @@
 from fordtrestle.peer import codec
 from fordtrestle.proxy.daemon.events import Events
 from fordtrestle.proxy.engine.ports import Address, ServerList
-from fordtrestle.proxy.state.files import Files
-from fordtrestle.proxy.state.lists import ListKeeper
+from fordtrestle.proxy.state.endpoint_list_store import EndpointListStore
+from fordtrestle.proxy.state.posix_file_store import PosixFileStore
 from fordtrestle.replication.durable import Durable
-from fordtrestle.replication.epochs import Ballot, Epoch, Store
+from fordtrestle.replication.epochs import Epoch, Store, Term
 from fordtrestle.replication.state import ConfigChange, Evacuation
 from fordtrestle.storage.log import NAME, RecordLog
 from rig.cluster.history import gaps, parse
@@ -28,7 +28,7 @@
 
 DATA = Path(__file__).parent / "data"
 STORE = Store("s1", "10.0.0.1:7000", "10.0.0.1:7001", "z-1")
-BALLOT = Ballot(1, "s1")
+TERM = Term(1, "s1")
 LATER = b'{"generation": 8, "routes": [], "services": [{"name": "pool"}]}'
 
 
@@ -38,18 +38,18 @@
     """
     log = RecordLog(folder)
     log.open()
-    durable = Durable("s1", told_to_found=True)
+    durable = Durable("s1", must_bootstrap=True)
     log.append(map(codec.encode, durable.snapshot()))
-    log.append(map(codec.encode, durable.promise(BALLOT) or ()))
-    log.append(map(codec.encode, durable.install(BALLOT, durable.state) or ()))
-    epoch = Epoch(BALLOT, "s1", ("s1",), (STORE,), core="s1")
+    log.append(map(codec.encode, durable.prepare(TERM) or ()))
+    log.append(map(codec.encode, durable.install(TERM, durable.state) or ()))
+    epoch = Epoch(TERM, "s1", ("s1",), (STORE,), core="s1")
     log.append(map(codec.encode, durable.accept(epoch) or ()))
-    log.append(map(codec.encode, durable.append(BALLOT, 1, ConfigChange(b"d" * 32, 7, DOCUMENT)) or ()))
-    log.append(map(codec.encode, durable.append(BALLOT, 2, Evacuation("z-1", True)) or ()))
+    log.append(map(codec.encode, durable.append(TERM, 1, ConfigChange(b"d" * 32, 7, DOCUMENT)) or ()))
+    log.append(map(codec.encode, durable.append(TERM, 2, Evacuation("z-1", True)) or ()))
     shutil.copy(folder / NAME, folder / "before-rewrite.log")
     log.rewrite(map(codec.encode, durable.snapshot()))
-    log.append(map(codec.encode, durable.append(BALLOT, 3, Evacuation("z-1", False)) or ()))
-    log.append(map(codec.encode, durable.append(BALLOT, 4, ConfigChange(b"e" * 32, 8, LATER)) or ()))
+    log.append(map(codec.encode, durable.append(TERM, 3, Evacuation("z-1", False)) or ()))
+    log.append(map(codec.encode, durable.append(TERM, 4, ConfigChange(b"e" * 32, 8, LATER)) or ()))
     return log
 
 
@@ -85,12 +85,12 @@
 )
 
 
-def keeper(folder: Path) -> tuple[ListKeeper, list[tuple[object, ...]]]:
+def keeper(folder: Path) -> tuple[EndpointListStore, list[tuple[object, ...]]]:
     """A keeper of lists in a folder, and what it has told."""
     told: list[tuple[object, ...]] = []
     loop = asyncio.get_running_loop()
-    return ListKeeper(
-        loop, Files(str(folder)), lambda *row: told.append(row), lambda *row: None, {"a": "b"}
+    return EndpointListStore(
+        loop, PosixFileStore(str(folder)), lambda *row: told.append(row), lambda *row: None, {"a": "b"}
     ), told
 
 
@@ -100,7 +100,7 @@
     kept, _ = keeper(tmp_path / "lists")
     found = kept.load(["a"])
     kept.close()
-    assert found.life == 2
+    assert found.incarnation == 2
     assert found.lists == {"a": LISTED}
     assert found.log_lines == []
 
@@ -109,7 +109,7 @@
 async def test_lists_and_the_number_of_starts_are_written_as_they_were_then(tmp_path):
     kept, told = keeper(tmp_path / "lists")
     kept.load(["a"])
-    kept.keep("a", LISTED, "digest")
+    kept.save("a", LISTED, "digest")
     await until(lambda: told)
     kept.close()
     written = {path.name: path.read_bytes() for path in (tmp_path / "lists").iterdir()}
