--- a/fordtrestle/balancer/model.py
+++ b/fordtrestle/balancer/model.py
@@ -47,8 +47,10 @@
 
 
 class Send(NamedTuple):
-    """Start an attempt; it times out after `timeout` milliseconds. One whose first byte is not written
-    `begin_within` milliseconds from now must not begin any more: its outcome is ABANDONED.
+    """Start an attempt; it times out after `timeout` milliseconds.
+
+    One whose first byte is not written `begin_within` milliseconds from now must not begin any more: its
+    outcome is ABANDONED.
     """
 
     request: int
--- a/fordtrestle/balancer/wirehost.py
+++ b/fordtrestle/balancer/wirehost.py
@@ -16,11 +16,15 @@
 STATES = ("active", "leaving", "left")
 
 
-class WireError(Exception):
+class BalancerError(Exception):
+    """What ends the adapter."""
+
+
+class WireError(BalancerError):
     """A line that is not wire."""
 
 
-class ModuleError(Exception):
+class ModuleError(BalancerError):
     """The decision module raised."""
 
 
--- a/tests/balancer/test_rules_property.py
+++ b/tests/balancer/test_rules_property.py
@@ -161,17 +161,7 @@
         assert target.state == "active", "a send to a server known to be leaving"
         if not self.raw["PolicyLimits"]["ParallelTries"]:
             assert all(not a["out"] for a in attempts), "two attempts out at once"
-        for earlier in attempts:
-            if not earlier["out"] and earlier["status"] in NEVER_RAN:
-                continue
-            assert profile["Semantics"] != "side_effect", "an unsafe request sent again"
-            if profile["Semantics"] == "token":
-                assert self.now - earlier["sent"] <= profile["KeyTtl"]
-                place = earlier["entry"]
-                if profile["Group"] == "zone":
-                    assert place.zone == target.zone
-                elif profile["Group"] == "cell":
-                    assert place.cell == target.cell
+        self.keep_repeats(attempts, profile, target)
         self.keep_order(action.request, request, profile)
         if action.server in self.touched:
             self.touched[action.server] = self.now
@@ -189,6 +179,20 @@
             end = self.rng.choice(ENDS)
             self.at(took, "outcome", action.request, hop, end)
 
+    def keep_repeats(self, attempts, profile, target):
+        """The rule of what may be sent again, and where, by the oracle's own books."""
+        for earlier in attempts:
+            if not earlier["out"] and earlier["status"] in NEVER_RAN:
+                continue
+            assert profile["Semantics"] != "side_effect", "an unsafe request sent again"
+            if profile["Semantics"] == "token":
+                assert self.now - earlier["sent"] <= profile["KeyTtl"]
+                place = earlier["entry"]
+                if profile["Group"] == "zone":
+                    assert place.zone == target.zone
+                elif profile["Group"] == "cell":
+                    assert place.cell == target.cell
+
     def keep_order(self, number, request, profile):
         """The rule of order per key, by the oracle's own books."""
         key = request["key"]
@@ -342,34 +346,39 @@
 )  # fmt: skip
 
 
+def take_step(world, raw, step):
+    """One step of a random day."""
+    if step in ("arrive", "short"):
+        world.arrive(TICK if step == "short" else 400.0)
+    elif step == "burst":
+        for _ in range(8):
+            world.arrive(300.0)
+    elif step in ("wait", "long"):
+        world.advance(world.now + (40.0 if step == "wait" else 600.0))
+    elif step == "peer" and raw["PolicyLimits"]["PeerMessages"]:
+        world.apply(world.balancer.peer_message(world.now, 1, b"\x00hello"))
+    elif step == "stray":
+        stray(world)
+    elif step == "restart":
+        world.born()
+    elif step == "refused" and raw["Discovery"] == "subscribe":
+        world.listed_answer(False)
+    elif step in ("gone", "change", "whole"):
+        getattr(world, step)()
+
+
+def stray(world):
+    """Words of requests and servers that the balancer does not know."""
+    world.apply(world.balancer.outcome(world.now, 999_999, 0, Outcome.OK))
+    for token in ("due:999999:0", "late:999999", "turn:999999", "close:nobody", "unknown"):
+        world.apply(world.balancer.timer(world.now, token))
+
+
 def play(world, steps):
     """One random day from its first step to its last answer."""
     raw = world.raw
     for step in steps:
-        if step == "arrive":
-            world.arrive(400.0)
-        elif step == "short":
-            world.arrive(TICK)
-        elif step == "burst":
-            for _ in range(8):
-                world.arrive(300.0)
-        elif step == "wait":
-            world.advance(world.now + 40.0)
-        elif step == "long":
-            world.advance(world.now + 600.0)
-        elif step == "peer" and raw["PolicyLimits"]["PeerMessages"]:
-            world.apply(world.balancer.peer_message(world.now, 1, b"\x00hello"))
-        elif step == "stray":
-            world.apply(world.balancer.outcome(world.now, 999_999, 0, Outcome.OK))
-            for token in ("due:999999:0", "late:999999", "turn:999999", "close:nobody", "unknown"):
-                world.apply(world.balancer.timer(world.now, token))
-        elif step == "restart":
-            world.born()
-        elif step == "refused":
-            if raw["Discovery"] == "subscribe":
-                world.listed_answer(False)
-        elif step in ("gone", "change", "whole"):
-            getattr(world, step)()
+        take_step(world, raw, step)
         world.advance(world.now + TICK)
     world.advance(world.now + 3000.0)
     assert all(request["ended"] for request in world.requests.values())
@@ -412,8 +421,11 @@
     else:
         del told["Rules"]["SettleAfterDoubt" if part == "rest" else "ReleaseWithin"]
     steps = ["arrive", "burst", "change", "wait", "arrive", "long"] * 8
-    for seed in range(5):
-        play(World(raw, seed), steps)
+    play_seeds(raw, raw, steps)
     with pytest.raises(AssertionError, match=breach):
-        for seed in range(5):
-            play(World(raw, seed, told), steps)
+        play_seeds(raw, told, steps)
+
+
+def play_seeds(raw, told, steps):
+    for seed in range(5):
+        play(World(raw, seed, told), steps)
--- a/tests/balancer/test_turned_away.py
+++ b/tests/balancer/test_turned_away.py
@@ -29,11 +29,21 @@
 CLASSES = {"safe": ("safe",), "unsafe": ("unsafe",), "three": ("safe", "keyed", "unsafe")}
 
 
+def end_of(now, send, gives_up_at, trouble, ill):
+    """How long an attempt takes, and how it ends; `ill` servers are in trouble up to the last quarter."""
+    status, after = trouble
+    is_bad = now < WELL_FROM_MS and send.server in ill
+    spent, outcome = (after, status) if is_bad else (30.0, Outcome.OK)
+    most = min(send.timeout or 1e9, gives_up_at - now)
+    return (most, Outcome.TIMEOUT) if spent >= most else (spent, outcome)
+
+
 def play(made, classes, rate, trouble, ill, seed_ms):
-    """A day on which `ill` of all servers are in trouble up to its last quarter, and clients come again after
-    a refusal as it tells: when requests came, when each of them was refused, and when attempts began.
+    """A day on which `ill` of all servers are in trouble up to its last quarter.
+
+    Clients come again after a refusal as it tells. Gives when requests came, when each of them was refused,
+    and when attempts began.
     """
-    status, after = trouble
     came, refused, began = [], [], []
     due = [(seed_ms + number / rate * 1000.0, number, "request", None) for number in range(int(rate * 40))]
     heapq.heapify(due)
@@ -43,15 +53,11 @@
     def act(now, actions):
         for action in actions:
             match action:
-                case Send(number, server, timeout):
+                case Send(number):
                     began.append(now)
                     hop = limits[number][1]
                     limits[number][1] += 1
-                    bad = now < WELL_FROM_MS and server in ill
-                    spent, outcome = (after, status) if bad else (30.0, Outcome.OK)
-                    most = min(timeout or 1e9, limits[number][0] - now)
-                    if spent >= most:
-                        spent, outcome = most, Outcome.TIMEOUT
+                    spent, outcome = end_of(now, action, limits[number][0], trouble, ill)
                     heapq.heappush(due, (now + spent, next(order), "outcome", (number, hop, outcome, spent)))
                 case Timer(delay, token):
                     heapq.heappush(due, (now + delay, next(order), "timer", token))
