--- a/fordtrestle/proxy/http/accept.py
+++ b/fordtrestle/proxy/http/accept.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from fordtrestle.proxy.engine.connections import TableEntry
-from fordtrestle.proxy.engine.limits import Part
+from fordtrestle.proxy.engine.connection_table import TableEntry
+from fordtrestle.proxy.engine.limits import QuotaShare
 from fordtrestle.proxy.http import stream
 from fordtrestle.proxy.http.tracked_connection import TrackedConnection
 
@@ -31,7 +31,7 @@
 class AcceptPolicy(Protocol):
     """What connections are accepted for, and who finds descriptors for them."""
 
-    def take_descriptor(self, certain: bool, urgent: bool) -> Part | None:
+    def take_descriptor(self, certain: bool, urgent: bool) -> QuotaShare | None:
         """Take the descriptor of a connection about to be accepted.
 
         Only where it is `certain` that one waits is somebody evicted; where it is `urgent`, anybody may be.
@@ -40,7 +40,7 @@
             The part that it was taken from; None if there is none.
         """
 
-    def on_accepted(self, sock: socket.socket, part: Part, waited_ms: float) -> None:
+    def on_accepted(self, sock: socket.socket, part: QuotaShare, waited_ms: float) -> None:
         """A connection was accepted; it may have waited for so long."""
 
     @property
@@ -161,7 +161,7 @@
         try:
             sock, _ = self.sock.accept()
         except OSError as error:
-            part.give()
+            part.release()
             self._on_accept_error(error)
             return False
         self._full_since_s = None
--- a/fordtrestle/proxy/http/client_buffers.py
+++ b/fordtrestle/proxy/http/client_buffers.py
@@ -86,7 +86,7 @@
             self.unfinished.pop(connection, None)
         more = size_bytes - connection.buffered_bytes
         if more <= 0:
-            self._server.budget.buffered.give(-more)
+            self._server.budget.buffered.release(-more)
         elif not self.take(more):
             return False
         # It may have been let go of itself meanwhile: then no more than that is taken.
@@ -99,19 +99,19 @@
         In shortage, who has not read for longest is aborted, then who has sent half of a request and no more
         for longest is rejected.
         """
-        if self._server.budget.buffered.take(count):
+        if self._server.budget.buffered.acquire(count):
             return True
         for _ in range(MAX_ABORTS):
             if not self._release_one():
                 return False
-            if self._server.budget.buffered.take(count):
+            if self._server.budget.buffered.acquire(count):
                 return True
         return False
 
     def _reclaim(self, count: int) -> None:
         """Let go of so many bytes, as far as there are: others of the process hold less than is fair."""
-        until = self._server.budget.buffered.held - count
-        while self._server.budget.buffered.held > until and self._release_one():
+        until = self._server.budget.buffered.used - count
+        while self._server.budget.buffered.used > until and self._release_one():
             pass
 
     def _release_one(self) -> bool:
--- a/fordtrestle/proxy/http/client_connection.py
+++ b/fordtrestle/proxy/http/client_connection.py
@@ -4,8 +4,8 @@
 
 from collections import deque
 
-from fordtrestle.proxy.engine.connections import TableEntry
-from fordtrestle.proxy.engine.tally import OwnCause
+from fordtrestle.proxy.engine.connection_table import TableEntry
+from fordtrestle.proxy.engine.outcome_counters import OwnCause
 from fordtrestle.proxy.http import stream, wire
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.client_stream import CLOSED, ENDING, LINGERING, READING, ClientStream
@@ -156,7 +156,7 @@
         if self.state is not READING:
             return False
         if not self._waiting:
-            self._server.table.begin(self.entry, self._read_at_ms)
+            self._server.table.on_request_started(self.entry, self._read_at_ms)
         return True
 
     def on_head(self, message: Message) -> None:
@@ -178,15 +178,15 @@
         self._stop_timer()
         call.keep_alive = keep_alive
         call.set_body(message)
-        self._server.table.ask(self.entry, self._read_at_ms, proves=bool(call.call_id))
+        self._server.table.on_request(self.entry, self._read_at_ms, proves_client=bool(call.call_id))
         self._waiting.append(call)
         if len(self._waiting) > MAX_PIPELINED_REQUESTS:
             call.keep_alive = False
             self.state = ENDING
         # What the client has waited already counts: to be accepted, or for as long as this process may
         # have stood still; but it leaves it half of its time, since its request may have come last.
-        waited_ms = max(self._lag_ms, self.entry.waited_ms)
-        self.entry.waited_ms = 0.0
+        waited_ms = max(self._lag_ms, self.entry.accept_wait_ms)
+        self.entry.accept_wait_ms = 0.0
         if waited_ms:
             waited_ms = min(waited_ms, call.budget / 2.0)
         read_at_ms = self._read_at_ms - waited_ms
@@ -257,7 +257,7 @@
         if self._parser.message is None:
             self._server.on_idle(self.entry)
         else:
-            self._server.table.begin(self.entry, self._server.clock.now())
+            self._server.table.on_request_started(self.entry, self._server.clock.now())
 
     def _account_bytes(self) -> None:
         """Report how many bytes are held here: unsent, unfinished, not served, answered too early.
@@ -294,7 +294,7 @@
         self._parser.drop_message()
         self._call = None
         self.state = ENDING
-        self._server.table.reject(self.entry, self._server.clock.now())
+        self._server.table.on_rejected(self.entry, self._server.clock.now())
         self._server.intake.record_rejection(status)
         self._stop_timer()
         self._waiting.append(call)
@@ -315,10 +315,10 @@
                 continue
             request = call.request
             if request is None:
-                self._server.tally.refused(call.traffic_class, OwnCause.CUT_SHORT)
+                self._server.counters.record_refused(call.traffic_class, OwnCause.CUT_SHORT)
                 call.refused(0.0)  # never served
             else:
-                self._server.tally.failed(call.traffic_class, OwnCause.CUT_SHORT)
+                self._server.counters.record_failed(call.traffic_class, OwnCause.CUT_SHORT)
                 call.failed(False)
                 self._server.call_handler.client_gone(request)
 
--- a/fordtrestle/proxy/http/client_stream.py
+++ b/fordtrestle/proxy/http/client_stream.py
@@ -5,7 +5,7 @@
 import asyncio
 from enum import Enum
 
-from fordtrestle.proxy.engine.connections import TableEntry
+from fordtrestle.proxy.engine.connection_table import TableEntry
 from fordtrestle.proxy.http import stream
 from fordtrestle.proxy.http.listener import Listener
 from fordtrestle.proxy.http.tracked_connection import TrackedConnection
@@ -114,7 +114,7 @@
         is closed.
         """
         self.state = LINGERING
-        self._server.table.reject(self.entry, self._server.clock.now())
+        self._server.table.on_rejected(self.entry, self._server.clock.now())
         self._stop_timer()
         if not self._is_stalled:  # else behind its last byte
             stream.end_writing(self._transport)
--- a/fordtrestle/proxy/http/connection_pool.py
+++ b/fordtrestle/proxy/http/connection_pool.py
@@ -14,7 +14,7 @@
 from fordtrestle.balancer.model import Outcome
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.limits import Budget
-from fordtrestle.proxy.engine.ports import Result, ServerList
+from fordtrestle.proxy.engine.ports import AttemptResult, ServerList
 from fordtrestle.proxy.http.dialer import Dialer
 from fordtrestle.proxy.http.idle_connections import IdleConnections
 from fordtrestle.proxy.http.response_buffers import ResponseBuffers
@@ -177,7 +177,7 @@
         message = exchange.message(exchange.expires_ms - self._clock.now())
         if message is None:  # its client has left meanwhile, or has its answer
             self.on_idle(connection)
-            self._loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
+            self._loop.call_soon(exchange.end, AttemptResult(Outcome.ABANDONED))
         else:
             self._send_on(connection, exchange, message)
 
@@ -195,12 +195,12 @@
         """
         server = self._servers.get(name)
         if server is None:
-            self._loop.call_soon(exchange.end, Result(Outcome.CONNECT_FAILED))
+            self._loop.call_soon(exchange.end, AttemptResult(Outcome.CONNECT_FAILED))
             return exchange
         now_ms = self._clock.now()
         message = exchange.message(exchange.expires_ms - now_ms)
         if message is None:  # its client has left
-            self._loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
+            self._loop.call_soon(exchange.end, AttemptResult(Outcome.ABANDONED))
             return exchange
         connection = self._idle.take_newest(server, now_ms, self._max_idle_ms)
         if connection is None:
@@ -217,7 +217,7 @@
         now_ms = self._clock.now()
         if now_ms >= connection.server.closed_from_ms:
             connection.abort()
-            self._loop.call_soon(exchange.end, Result(Outcome.CONNECT_FAILED))
+            self._loop.call_soon(exchange.end, AttemptResult(Outcome.CONNECT_FAILED))
             return
         connection.send_request(exchange, message)
 
@@ -233,7 +233,7 @@
         if connection in self._connections:
             self._connections.discard(connection)
             self._buffers.release(connection)
-            self.budget.descriptors.give()
+            self.budget.descriptors.release()
 
     def _sweep(self) -> None:
         """Close what has been idle for long, before the server does."""
--- a/fordtrestle/proxy/http/dialer.py
+++ b/fordtrestle/proxy/http/dialer.py
@@ -7,9 +7,9 @@
 from typing import Protocol
 
 from fordtrestle.balancer.model import Outcome
-from fordtrestle.proxy.engine.limits import Part
+from fordtrestle.proxy.engine.limits import QuotaShare
 from fordtrestle.proxy.engine.log import log
-from fordtrestle.proxy.engine.ports import Result
+from fordtrestle.proxy.engine.ports import AttemptResult
 from fordtrestle.proxy.http.upstream_connection import UpstreamConnection, UpstreamExchange, UpstreamServer
 
 
@@ -34,7 +34,7 @@
         connecting: The server that each running connect is for.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: Part, owner: DialOwner) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, descriptors: QuotaShare, owner: DialOwner) -> None:
         """Open nothing yet.
 
         Args:
@@ -52,7 +52,7 @@
         """Open a connection for an exchange; the exchange ends if that fails."""
         if not self._take_descriptor():
             # Not the server's fault: it was never asked.
-            self._loop.call_soon(exchange.end, Result(Outcome.ABANDONED))
+            self._loop.call_soon(exchange.end, AttemptResult(Outcome.ABANDONED))
             return
         made: list[UpstreamConnection] = []  # once it is there it gives its descriptor back itself
         task = self._loop.create_task(self._connect(server, exchange, made))
@@ -62,7 +62,7 @@
             # Here, since a task that is cancelled before its first step never enters its own `finally`.
             self.connecting.pop(ended, None)
             if not made:
-                self._descriptors.give()
+                self._descriptors.release()
 
         task.add_done_callback(on_ended)
         exchange.on_connecting(task)
@@ -74,9 +74,9 @@
 
     def _take_descriptor(self) -> bool:
         """Take a descriptor, if need be that of the connection idle for longest; whether there is one."""
-        if self._descriptors.take():
+        if self._descriptors.acquire():
             return True
-        return self._owner.close_oldest() and self._descriptors.take()
+        return self._owner.close_oldest() and self._descriptors.acquire()
 
     async def _connect(
         self, server: UpstreamServer, exchange: UpstreamExchange, made: list[UpstreamConnection]
@@ -96,15 +96,15 @@
             is_short = error.errno in (errno.EMFILE, errno.ENFILE)
             if is_short:
                 self._owner.close_oldest()  # the next attempt finds a descriptor
-            exchange.end(Result(Outcome.ABANDONED if is_short else Outcome.CONNECT_FAILED))
+            exchange.end(AttemptResult(Outcome.ABANDONED if is_short else Outcome.CONNECT_FAILED))
             return
         except Exception as error:  # guards against an exchange that nothing ever ends
             log(f"a connection to {server.name}: {error!r}")
-            exchange.end(Result(Outcome.CONNECT_FAILED))
+            exchange.end(AttemptResult(Outcome.CONNECT_FAILED))
             return
         if exchange.ended or not connection.is_available():
             # A full server may accept a connection and close it at once: nothing is written there.
             connection.abort()
-            exchange.end(Result(Outcome.CONNECT_FAILED))
+            exchange.end(AttemptResult(Outcome.CONNECT_FAILED))
             return
         self._owner.on_connected(connection, exchange)
--- a/fordtrestle/proxy/http/eviction.py
+++ b/fordtrestle/proxy/http/eviction.py
@@ -1,6 +1,6 @@
 """Descriptors of clients' connections: where each is taken from, and which connection is evicted for one.
 
-Which connection is worth least is decided by `engine/connections.py`; the reasons are in
+Which connection is worth least is decided by `engine/connection_table.py`; the reasons are in
 `docs/design/limits.md`.
 """
 
@@ -8,8 +8,8 @@
 
 from collections.abc import Callable
 
-from fordtrestle.proxy.engine.connections import Standing, TableEntry
-from fordtrestle.proxy.engine.limits import Part
+from fordtrestle.proxy.engine.connection_table import EvictionClass, TableEntry
+from fordtrestle.proxy.engine.limits import QuotaShare
 from fordtrestle.proxy.http.accept import PendingConnection
 from fordtrestle.proxy.http.server_resources import ServerResources
 from fordtrestle.proxy.http.tracked_connection import TrackedConnection
@@ -30,10 +30,10 @@
     def __init__(self, server: ServerResources) -> None:
         """Start without connections; from now on others of the process may reclaim descriptors here."""
         self._server = server
-        self.shares: dict[TrackedConnection, Part] = {}
+        self.shares: dict[TrackedConnection, QuotaShare] = {}
         server.budget.descriptors.reclaim = self._reclaim
 
-    def take_descriptor(self, certain: bool, urgent: bool) -> Part | None:
+    def take_descriptor(self, certain: bool, urgent: bool) -> QuotaShare | None:
         """Take the descriptor of a connection about to be accepted.
 
         Args:
@@ -46,10 +46,10 @@
         """
         descriptors, reserve = self._server.budget.descriptors, self._server.reserve
         if not certain:
-            return descriptors if descriptors.take_free() else None
-        if descriptors.take() or self._evict_one(urgent):
+            return descriptors if descriptors.acquire_free() else None
+        if descriptors.acquire() or self._evict_one(urgent):
             return descriptors
-        if reserve.take_free() or (urgent and self._evict_at_limit() and reserve.take_free()):
+        if reserve.acquire_free() or (urgent and self._evict_at_limit() and reserve.acquire_free()):
             return reserve
         return None
 
@@ -63,9 +63,9 @@
         """
         if self.shares.get(connection) is not self._server.reserve:
             return True
-        if not self._server.budget.descriptors.take() and not self._evict_one(urgent=True):
+        if not self._server.budget.descriptors.acquire() and not self._evict_one(urgent=True):
             return False
-        self._server.reserve.give()
+        self._server.reserve.release()
         self.shares[connection] = self._server.budget.descriptors
         return True
 
@@ -74,12 +74,12 @@
         part = self.shares.pop(connection, None)
         if part is None:
             return False
-        part.give()
+        part.release()
         return True
 
     def evict(self, entry: TableEntry[TrackedConnection]) -> None:
         """Close a connection; its entry and its descriptor are free at once."""
-        connection = entry.holder
+        connection = entry.owner
         self._server.on_closed(connection)
         connection.abort()
 
@@ -91,13 +91,13 @@
 
     def _evict_one(self, urgent: bool = False) -> bool:
         """Evict another, whose descriptor is taken over; whether there was one."""
-        return self._evict_until(self._server.budget.descriptors.take, MAX_EVICTIONS, urgent)
+        return self._evict_until(self._server.budget.descriptors.acquire, MAX_EVICTIONS, urgent)
 
     def _reclaim(self, count: int) -> None:
         """Evict so many, as far as they may be: others of the process hold less than is fair."""
         descriptors = self._server.budget.descriptors
-        until = descriptors.held - count
-        self._evict_until(lambda: descriptors.held <= until, count + MAX_EVICTIONS)
+        until = descriptors.used - count
+        self._evict_until(lambda: descriptors.used <= until, count + MAX_EVICTIONS)
 
     def _evict_until(self, is_enough: Callable[[], bool], most: int, urgent: bool = False) -> bool:
         """Evict one by one, so many at the most, until there is enough; whether there is.
@@ -112,7 +112,10 @@
             if entry is None:
                 looks -= 1
                 continue
-            if entry.standing is not Standing.REJECTED or self.shares.get(entry.holder) is not server.reserve:
+            if (
+                entry.eviction_class is not EvictionClass.REJECTED
+                or self.shares.get(entry.owner) is not server.reserve
+            ):
                 most -= 1
             self.evict(entry)
             if is_enough():
--- a/fordtrestle/proxy/http/listener.py
+++ b/fordtrestle/proxy/http/listener.py
@@ -5,8 +5,8 @@
 import asyncio
 from typing import Protocol
 
-from fordtrestle.proxy.engine.connections import TableEntry
-from fordtrestle.proxy.engine.lag import LagMeter
+from fordtrestle.proxy.engine.connection_table import TableEntry
+from fordtrestle.proxy.engine.lag import LoopLagMeter
 from fordtrestle.proxy.http.client_buffers import ClientBuffers
 from fordtrestle.proxy.http.request_intake import RequestIntake
 from fordtrestle.proxy.http.server_resources import ServerResources
@@ -32,7 +32,7 @@
     """
 
     loop: asyncio.AbstractEventLoop
-    lag: LagMeter
+    lag: LoopLagMeter
     intake: RequestIntake
     buffers: ClientBuffers
     reading_paused: dict[PausedConnection, None]
--- a/fordtrestle/proxy/http/request_intake.py
+++ b/fordtrestle/proxy/http/request_intake.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Callable
 
-from fordtrestle.proxy.engine.tally import NO_CLASS, OwnCause
+from fordtrestle.proxy.engine.outcome_counters import NO_CLASS, OwnCause
 from fordtrestle.proxy.http import requests
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.client_buffers import ClientBuffers
@@ -90,11 +90,11 @@
             if call.names is not self._names and call.names is not None:
                 requests.recheck_names(call.traffic_class, call.tenant, call.names, self._names)
         except BadRequestError as error:
-            server.tally.rejected(call.traffic_class, OwnCause.BAD_REQUEST)
+            server.counters.record_rejected(call.traffic_class, OwnCause.BAD_REQUEST)
             call.response = (error.status, [], f"{error}\n".encode())
             return
         if (cause := self._reason_to_refuse(call)) is not None:
-            server.tally.refused(call.traffic_class, cause)
+            server.counters.record_refused(call.traffic_class, cause)
             call.refused(self._retry_after_ms)
             return
         self.open_calls.add(call.call_id)
@@ -108,17 +108,21 @@
         """Nothing of a request is open any more."""
         self.open_calls.discard(call.call_id)
         if call.charged_bytes:
-            self._server.budget.calls.give()
-            self._server.budget.buffered.give(call.charged_bytes)
+            self._server.budget.calls.release()
+            self._server.budget.buffered.release(call.charged_bytes)
             call.charged_bytes = 0
 
     def record_rejection(self, status: int) -> None:
         """Count a connection that ends with an answer of this status."""
         server = self._server
         if status == 503:
-            server.tally.refused(NO_CLASS, OwnCause.ENDING if server.is_draining else OwnCause.NO_ROOM)
+            server.counters.record_refused(
+                NO_CLASS, OwnCause.ENDING if server.is_draining else OwnCause.NO_ROOM
+            )
         else:
-            server.tally.rejected(NO_CLASS, OwnCause.UNFINISHED if status == 408 else OwnCause.BAD_REQUEST)
+            server.counters.record_rejected(
+                NO_CLASS, OwnCause.UNFINISHED if status == 408 else OwnCause.BAD_REQUEST
+            )
 
     def _check_not_open(self, call: ClientCall) -> None:
         if call.call_id in self.open_calls:
@@ -139,10 +143,10 @@
 
     def _charge(self, call: ClientCall) -> bool:
         """Account for a call; whether there is capacity for it."""
-        if not self._server.budget.calls.take():
+        if not self._server.budget.calls.acquire():
             return False
         if not self._buffers.take(call.size_bytes):
-            self._server.budget.calls.give()
+            self._server.budget.calls.release()
             return False
         call.charged_bytes = call.size_bytes
         return True
--- a/fordtrestle/proxy/http/response_buffers.py
+++ b/fordtrestle/proxy/http/response_buffers.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from fordtrestle.proxy.engine.limits import Part
+from fordtrestle.proxy.engine.limits import QuotaShare
 from fordtrestle.proxy.http.upstream_connection import UpstreamConnection
 
 # Until responses that wait for memory are looked at again: memory is given back by other connections, and
@@ -18,7 +18,7 @@
     All or nothing: guards against responses that each hold a part and wait for one another's rest.
     """
 
-    def __init__(self, loop: asyncio.AbstractEventLoop, buffered: Part) -> None:
+    def __init__(self, loop: asyncio.AbstractEventLoop, buffered: QuotaShare) -> None:
         """Hold nothing yet.
 
         Args:
@@ -36,7 +36,7 @@
         Returns:
             Whether there is enough now; if not, the connection's `resume_reading` is called once there is.
         """
-        if not self._waiting and self._buffered.take(size_bytes):
+        if not self._waiting and self._buffered.acquire(size_bytes):
             connection.buffered_bytes = size_bytes
             return True
         if self._retry is None:
@@ -46,7 +46,7 @@
 
     def release(self, connection: UpstreamConnection) -> None:
         """Give back the memory of a response, or its place among those that wait."""
-        self._buffered.give(connection.buffered_bytes)
+        self._buffered.release(connection.buffered_bytes)
         connection.buffered_bytes = 0
         self._waiting.pop(connection, None)
 
@@ -55,7 +55,7 @@
         self._retry = None
         while self._waiting:
             connection, size_bytes = next(iter(self._waiting.items()))
-            if not self._buffered.take(size_bytes):
+            if not self._buffered.acquire(size_bytes):
                 self._retry = self._loop.call_later(BUFFER_RETRY_S, self._retry_buffers)
                 return
             del self._waiting[connection]
--- a/fordtrestle/proxy/http/server.py
+++ b/fordtrestle/proxy/http/server.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 
 from fordtrestle.proxy.engine.clock import Clock
-from fordtrestle.proxy.engine.connections import ConnectionTable, TableEntry, TableOptions
-from fordtrestle.proxy.engine.lag import LagMeter
-from fordtrestle.proxy.engine.limits import Budget, Part
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, TableEntry, TableOptions
+from fordtrestle.proxy.engine.lag import LoopLagMeter
+from fordtrestle.proxy.engine.limits import Budget, QuotaShare
 from fordtrestle.proxy.engine.log import log
+from fordtrestle.proxy.engine.outcome_counters import OutcomeCounters
 from fordtrestle.proxy.engine.ports import Address
-from fordtrestle.proxy.engine.tally import Tally
 from fordtrestle.proxy.http import stream
 from fordtrestle.proxy.http.accept import Acceptor, PendingConnection, accept_queue
 from fordtrestle.proxy.http.client_buffers import ClientBuffers
@@ -65,8 +65,8 @@
         options: HttpServerOptions,
         call_handler: CallHandler,
         budget: Budget,
-        reserve: Part,
-        lag: LagMeter,
+        reserve: QuotaShare,
+        lag: LoopLagMeter,
     ) -> None:
         """Start without sockets.
 
@@ -85,7 +85,7 @@
         self.is_draining = False
         self.lag = lag
         self.wake: Callable[[], object] = lag.wake
-        self.tally = Tally()
+        self.counters = OutcomeCounters()
         self.budget = budget
         self.reserve = reserve
         self.table: ConnectionTable[TrackedConnection] = ConnectionTable(TableOptions(options.clients_most))
@@ -126,7 +126,7 @@
 
     def hurry(self, on: bool) -> None:
         """Close connections at rest sooner, or as usual."""
-        self.table.hurried = on
+        self.table.shorten_idle = on
 
     def pause(self) -> None:
         """Accept nothing for a moment."""
@@ -155,7 +155,7 @@
         """
         is_over = self.clock.now() > self.intake.ends_ms
         for entry in self.table:
-            connection = entry.holder
+            connection = entry.owner
             if is_over and isinstance(connection, ClientConnection):
                 connection.reject_unfinished()
             if connection.is_idle and (is_over or not isinstance(connection, PendingConnection)):
@@ -164,8 +164,8 @@
     def fail_waiting(self) -> None:
         """Answer what is not answered in its time, whatever has kept it."""
         for entry in self.table:
-            if isinstance(entry.holder, ClientConnection):
-                entry.holder.fail_waiting()
+            if isinstance(entry.owner, ClientConnection):
+                entry.owner.fail_waiting()
 
     def close(self) -> None:
         """Close all at the end."""
@@ -183,7 +183,7 @@
         """How late the loop runs at this moment."""
         return self.lag.now_ms
 
-    def take_descriptor(self, certain: bool, urgent: bool) -> Part | None:
+    def take_descriptor(self, certain: bool, urgent: bool) -> QuotaShare | None:
         """Take the descriptor of a connection about to be accepted; see `Evictor.take_descriptor`."""
         return self.evictor.take_descriptor(certain, urgent)
 
@@ -191,10 +191,10 @@
         """The system grants no descriptor, whatever the accounting says."""
         self.evictor.on_descriptors_exhausted()
 
-    def on_accepted(self, sock: socket.socket, part: Part, waited_ms: float) -> None:
+    def on_accepted(self, sock: socket.socket, part: QuotaShare, waited_ms: float) -> None:
         """Hold a new connection, which may have waited for so long."""
         connection = PendingConnection(self.loop, sock, self._on_first_bytes, self.on_closed)
-        connection.entry = self.table.open(connection, self.clock.now(), waited_ms)
+        connection.entry = self.table.add(connection, self.clock.now(), waited_ms)
         self.evictor.shares[connection] = part
         self.wake()
         if self._sweeping is None:
@@ -208,7 +208,7 @@
         """
         early = stream.EarlyTransport(pending.sock)
         connection = ClientConnection(self, pending.entry, early)
-        pending.entry.holder = connection
+        pending.entry.owner = connection
         shares = self.evictor.shares
         shares[connection] = shares.pop(pending)
         connection.data_received(data)
@@ -244,14 +244,14 @@
     def on_idle(self, entry: TableEntry[TrackedConnection]) -> None:
         """All that a connection asked is answered: it is at rest, and another one may be closed for that."""
         now_ms = self.clock.now()
-        self.table.rest(entry, now_ms)
-        too_many = self.table.one_too_many(now_ms, is_evictable)
+        self.table.on_idle(entry, now_ms)
+        too_many = self.table.excess_victim(now_ms, is_evictable)
         if too_many is not None:
-            too_many.holder.close()
+            too_many.owner.close()
 
     def on_closed(self, connection: TrackedConnection) -> None:
         """The connection's socket is closed, or about to be: all that it held is free."""
-        self.table.close(connection.entry)
+        self.table.remove(connection.entry)
         if self.evictor.release(connection):
             for acceptor in self._acceptors:
                 acceptor.resume()
@@ -270,10 +270,10 @@
         self._sweeping = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep) if len(self.table) else None
         now_ms = self.clock.now()
         for entry in self.table.overdue(now_ms):
-            entry.holder.on_request_overdue()
-        for entry in self.table.rested(now_ms):
-            if entry.holder.is_idle:
-                entry.holder.close()
+            entry.owner.on_request_overdue()
+        for entry in self.table.expired_idle(now_ms):
+            if entry.owner.is_idle:
+                entry.owner.close()
         for connection in list(self.reading_paused):
             connection.has_disconnected()
         self.buffers.abort_stalled(now_ms)
--- a/fordtrestle/proxy/http/server_resources.py
+++ b/fordtrestle/proxy/http/server_resources.py
@@ -5,10 +5,10 @@
 from typing import Protocol
 
 from fordtrestle.proxy.engine.clock import Clock
-from fordtrestle.proxy.engine.connections import ConnectionTable
-from fordtrestle.proxy.engine.driver import OpenRequest
-from fordtrestle.proxy.engine.limits import Budget, Part
-from fordtrestle.proxy.engine.tally import Tally
+from fordtrestle.proxy.engine.connection_table import ConnectionTable
+from fordtrestle.proxy.engine.limits import Budget, QuotaShare
+from fordtrestle.proxy.engine.open_requests import OpenRequest
+from fordtrestle.proxy.engine.outcome_counters import OutcomeCounters
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.tracked_connection import TrackedConnection
 
@@ -33,16 +33,16 @@
         budget: The descriptors, bytes and calls that the server may hold.
         reserve: Descriptors for connections at the limit; each complete request there is answered with 503.
         table: All connections, by what they have done.
-        tally: Counts what is answered here, and not by an engine.
+        counters: Counts what is answered here, and not by an engine.
     """
 
     clock: Clock
     call_handler: CallHandler
     is_draining: bool
     budget: Budget
-    reserve: Part
+    reserve: QuotaShare
     table: ConnectionTable[TrackedConnection]
-    tally: Tally
+    counters: OutcomeCounters
 
     def on_closed(self, connection: TrackedConnection) -> None:
         """The connection's socket is closed, or about to be: all that it held is free."""
--- a/fordtrestle/proxy/http/upstream_connection.py
+++ b/fordtrestle/proxy/http/upstream_connection.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from fordtrestle.balancer.model import Outcome
-from fordtrestle.proxy.engine.ports import Address, Answer, Result
+from fordtrestle.proxy.engine.ports import Address, AttemptResult, UpstreamResponse
 from fordtrestle.proxy.http import stream, wire
 from fordtrestle.proxy.http.errors import RemoteProtocolError
 
@@ -23,7 +23,7 @@
 # Fields that servers write for the sidecar.
 NOT_FOR_CLIENTS = frozenset((b"x-load-report", b"x-rejected"))
 
-Done = Callable[[Result], None]
+Done = Callable[[AttemptResult], None]
 
 
 class UpstreamConnectionState(Enum):
@@ -96,7 +96,7 @@
         """It is on a connection."""
         self._connection, self._connecting = connection, None
 
-    def end(self, result: Result) -> None:
+    def end(self, result: AttemptResult) -> None:
         """Report how it ended, once."""
         if not self.ended:
             self.ended = True
@@ -250,7 +250,7 @@
         result = interpret_response(self._parser, self._owner.report_fields, exchange.probe)
         if result.outcome is Outcome.FULL and self._parser.has_extra_bytes:
             # A rejection with bytes behind it is malformed, and what was answered so may have run.
-            result = Result(Outcome.ERROR, None, result.report)
+            result = AttemptResult(Outcome.ERROR, None, result.report)
         if reusable:
             self._owner.on_idle(self)
         else:
@@ -262,7 +262,7 @@
         exchange, self._exchange = self._exchange, None
         self._close_at_once()
         if exchange is not None:
-            exchange.end(Result(outcome))
+            exchange.end(AttemptResult(outcome))
 
     def _close_at_once(self) -> None:
         """Close at once, in this turn of the loop.
@@ -274,16 +274,16 @@
         self._transport.abort()
 
 
-def interpret_response(parser: wire.ResponseParser, fields: tuple[str, ...], probe: bool) -> Result:
+def interpret_response(parser: wire.ResponseParser, fields: tuple[str, ...], probe: bool) -> AttemptResult:
     """Interpret a complete response to an attempt or a probe."""
     report = _report(parser, fields, probe)
     status = parser.status
     if status == 200:
         kept = wire.end_to_end(parser.headers, NOT_FOR_CLIENTS)
-        return Result(Outcome.OK, Answer(kept, bytes(parser.body)), report)
+        return AttemptResult(Outcome.OK, UpstreamResponse(kept, bytes(parser.body)), report)
     if status in (503, 504) and (probe or parser.header(b"x-rejected") == b"1"):
-        return Result(Outcome.FULL, None, report)
-    return Result(Outcome.ERROR, None, report)
+        return AttemptResult(Outcome.FULL, None, report)
+    return AttemptResult(Outcome.ERROR, None, report)
 
 
 def _report(parser: wire.ResponseParser, fields: tuple[str, ...], probe: bool) -> dict[str, float] | None:
