--- a/fordtrestle/balancer/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -13,6 +13,7 @@
 
 from fordtrestle.balancer import model
 from fordtrestle.balancer.affinity import KeyAffinity
+from fordtrestle.balancer.attempts import DUE_TIMER, AttemptSender
 from fordtrestle.balancer.baselines import ServiceTimes
 from fordtrestle.balancer.candidates import CandidateSelection
 from fordtrestle.balancer.connections import ConnectionHealth
@@ -24,12 +25,11 @@
 from fordtrestle.balancer.locality import LocalPreference
 from fordtrestle.balancer.model import Cause
 from fordtrestle.balancer.outage import OutageDetector
-from fordtrestle.balancer.outcomes import ANSWERS, CONNECT_FAILED, MAY_RUN_STILL, NEVER_RAN, OWN_ENDS, RESET
+from fordtrestle.balancer.outcomes import MAY_RUN_STILL
 from fordtrestle.balancer.own_load import OwnLoad
 from fordtrestle.balancer.requests import Request, stricter_profile
 from fordtrestle.balancer.server_load import ServerLoad
-from fordtrestle.balancer.servers import Attempt, Server
-from fordtrestle.balancer.shedding import MIN_OVERLOAD_SLOWDOWN, MIN_SHED_SHARE, LoadShedder
+from fordtrestle.balancer.shedding import MIN_SHED_SHARE, LoadShedder
 from fordtrestle.balancer.slow_start import SlowStart
 from fordtrestle.balancer.subset import Subset
 from fordtrestle.balancer.throttle import Throttle
@@ -39,12 +39,9 @@
 
 UNHEARD_MS = 2000.0  # with nothing sent for longer, one goes to see: refusals tell nothing of the service
 HOPELESS_TARGETS = 1.25  # under strain, work of so many latency targets is not begun where late earns nothing
-STALL_SHARE = 0.5  # of the latency target: a server with an attempt out for longer may be hung
-TRIAL_ANSWERS = 3.0  # a first attempt that may be repeated gets at least so many usual answers' time
 RETRY_AFTER_SHARE = 0.1  # of the latency target: a client's retry may still be served in time
 MIN_SPENT_MS = 1e-3  # that an attempt takes: times are divided by
 
-DUE_TIMER = "due:"  # an attempt reaches its latency target
 LATE_TIMER = "late:"  # a request that waits for its turn can't be served in time any more
 
 
@@ -70,6 +67,15 @@
         self._connections = ConnectionHealth(now, settings)
         self._zones = ZoneFailover(settings, self._actions, self._subset, self._connections)
         self._ejection = OutlierEjection(self._throttle, self._outage, self._own, self._subset, draw)
+        self._attempts = AttemptSender(
+            self._actions,
+            own=self._own,
+            times=self._times,
+            shedder=self._shedder,
+            ejection=self._ejection,
+            zones=self._zones,
+            connections=self._connections,
+        )
         self._order = KeyOrder(self._actions, self._try)
         self._eligibility = Eligibility(settings, self._zones, self._order)
         self._slow_start = SlowStart(
@@ -221,7 +227,7 @@
         if not attempt.is_in_flight:
             return []
         spent = max(spent if math.isfinite(spent) else now - attempt.sent_at, MIN_SPENT_MS)
-        self._end_attempt(now, request, attempt, status, spent)
+        self._attempts.on_outcome(now, request, attempt, status, spent, self._servers)
         if report and self._load.is_reported:
             self._load.record_report(now, attempt.server, report)
         if request.is_ordered and request.key is not None and status in MAY_RUN_STILL:
@@ -293,14 +299,14 @@
             self._forget(now, request)
         return self._take()
 
-    # --- the ordinary path ------------------------------------------------
+    # --- the way of a request ---------------------------------------------
 
     def _try(self, now: float, request: Request) -> None:
         """Throttle, draw, then send to the drawn with least load."""
         cause = self._refusal_cause(now, request)
         if cause is None:
             if drawn := self._candidates.draw(now, request):
-                self._send(now, request, min(drawn, key=lambda server: self._load.of(now, server)))
+                self._attempts.send(now, request, min(drawn, key=lambda server: self._load.of(now, server)))
                 return
             cause = request.undrawn_cause
         self._give_up(now, request, cause)
@@ -342,70 +348,6 @@
         if not request.is_done and not request.attempts:
             self._actions.append(model.Timer(max(left_ms, 0.0), f"{LATE_TIMER}{request.id}"))
 
-    # --- attempts -----------------------------------------------------------
-
-    def _send(self, now: float, request: Request, server: Server) -> None:
-        timeout, begin_within, bound = self._timeout(now, request), math.inf, request.binding_attempt()
-        if bound and request.profile.semantics == "token":  # it may wait for its connection
-            begin_within = bound.sent_at + request.profile.key_ttl - now
-        unused_ms = now - server.last_used_at if server.last_used_at and not server.in_flight else 0.0
-        target_ms = request.profile.objective
-        attempt = Attempt(server, now, now + STALL_SHARE * target_ms, unused_ms)
-        if unused_ms > self._connections.trusted_idle_ms(now) or self._zones.is_in_trouble(server):
-            self._actions.append(model.CloseIdle(server.name))
-            server.idle_connections = 0
-        attempt.is_new_connection = server.idle_connections == 0
-        server.idle_connections -= not attempt.is_new_connection
-        server.last_used_at = now
-        request.attempts.append(attempt)
-        request.in_flight += 1
-        server.attempts[attempt] = None
-        server.in_flight += 1
-        self._zones.on_send(attempt)
-        self._own.on_send(now)
-        if timeout > target_ms:
-            token = f"{DUE_TIMER}{request.id}:{len(request.attempts) - 1}"
-            self._actions.append(model.Timer(target_ms, token))
-        self._actions.append(model.Send(request.id, server.name, timeout, begin_within))
-
-    def _timeout(self, now: float, request: Request) -> float:
-        """How long to wait for an attempt, in ms, before it is better spent elsewhere."""
-        useful, profile = request.useful_until(), request.profile
-        whole = max(0.0, (useful if useful > now else request.give_up_at) - now)
-        quick = self._shedder.slowdown(now) < MIN_OVERLOAD_SLOWDOWN and self._ejection.was_silent_lately(now)
-        if profile.harmless and quick and len(request.attempts) + 1 < request.max_attempts:
-            # Guards against hung and silent servers, also where they hold up a key's queue. Only after one
-            # was met and while answers are quick: in an overload repeats would add to it.
-            typical_ms = self._times.typical_ms()
-            trial = max(STALL_SHARE * profile.objective, TRIAL_ANSWERS * typical_ms)
-            repeat_ends = trial + typical_ms
-            if repeat_ends < whole and (profile.semantics == "pure" or repeat_ends < profile.key_ttl):
-                return trial
-        return whole
-
-    def _end_attempt(
-        self, now: float, request: Request, attempt: Attempt, status: int, spent_ms: float
-    ) -> None:
-        """Count an attempt as ended, and what it tells of connections and zones."""
-        server = attempt.server
-        attempt.is_in_flight, attempt.may_have_run = False, status not in NEVER_RAN
-        server.in_flight -= 1
-        server.last_used_at = now
-        if status in ANSWERS:
-            server.idle_connections += 1
-        elif status == RESET:
-            server.idle_connections = 0
-        if (
-            attempt.is_new_connection
-            and status not in OWN_ENDS
-            and not self._zones.is_partitioned(now, server)
-        ):
-            self._connections.record_connect(status == CONNECT_FAILED)
-        server.attempts.pop(attempt, None)
-        self._zones.on_outcome(now, attempt, status, spent_ms, self._servers)
-        self._own.on_end()
-        request.in_flight -= 1
-
     def _after_failure(self, now: float, request: Request) -> None:
         """No attempt is out: resend as far as class, time and throttle allow."""
         is_useful = now < request.useful_until()
@@ -414,8 +356,6 @@
         else:
             self._give_up(now, request, Cause.ATTEMPTS if is_useful else Cause.NO_TIME)
 
-    # --- ends ---------------------------------------------------------------
-
     def _give_up(self, now: float, request: Request, cause: Cause) -> None:
         """The final answer where no attempt has served."""
         if request.is_done or request.in_flight:
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -30,10 +30,10 @@
 
 # The modules of the decision module: each may import those after it, and no other module of the program.
 PARTS = (
-    "balancer", "evidence", "candidates", "affinity", "slow_start", "locality", "server_load",
-    "eligibility", "shedding", "ejection", "key_order", "zones", "connections", "outage",
-    "own_load", "throttle", "subset", "endpoints", "requests", "servers", "baselines", "outcomes",
-    "model",
+    "balancer", "evidence", "candidates", "affinity", "slow_start", "attempts", "locality",
+    "server_load", "eligibility", "shedding", "ejection", "key_order", "zones", "connections",
+    "outage", "own_load", "throttle", "subset", "endpoints", "requests", "servers", "baselines",
+    "outcomes", "model",
 )  # fmt: skip
 
 
@@ -74,6 +74,7 @@
     "admission/urgency.py",
     "admission/window.py",
     "balancer/affinity.py",
+    "balancer/attempts.py",
     "balancer/balancer.py",
     "balancer/baselines.py",
     "balancer/candidates.py",
@@ -96,7 +97,6 @@
     "balancer/subset.py",
     "balancer/throttle.py",
     "balancer/zones.py",
-    "control_api/errors.py",
     "control_api/listings.py",
     "control_api/requests.py",
     "dissemination/broadcast.py",
