--- a/fordtrestle/proxy/http/server.py
+++ b/fordtrestle/proxy/http/server.py
@@ -9,12 +9,12 @@
 from dataclasses import dataclass
 
 from fordtrestle.proxy.engine.clock import Clock
-from fordtrestle.proxy.engine.connections import ConnectionTable, Standing, TableEntry, TableOptions
-from fordtrestle.proxy.engine.lag import LagMeter
-from fordtrestle.proxy.engine.limits import Budget, Part
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, EvictionClass, TableEntry, TableOptions
+from fordtrestle.proxy.engine.lag import LoopLagMeter
+from fordtrestle.proxy.engine.limits import Budget, QuotaShare
 from fordtrestle.proxy.engine.log import log
+from fordtrestle.proxy.engine.outcome_counters import NO_CLASS, OutcomeCounters, OwnCause
 from fordtrestle.proxy.engine.ports import Address
-from fordtrestle.proxy.engine.tally import NO_CLASS, OwnCause, Tally
 from fordtrestle.proxy.http import requests, stream
 from fordtrestle.proxy.http.accept import Acceptor, PendingConnection, accept_queue
 from fordtrestle.proxy.http.call import ClientCall, OpenConnection
@@ -63,8 +63,8 @@
         options: HttpServerOptions,
         call_handler: CallHandler,
         budget: Budget,
-        reserve: Part,
-        lag: LagMeter,
+        reserve: QuotaShare,
+        lag: LoopLagMeter,
     ) -> None:
         self.loop = loop
         self.clock = clock
@@ -74,7 +74,7 @@
         self.lag = lag
         self.wake: Callable[[], object] = lag.wake  # told when a connection comes
         self.record: Callable[[ClientCall], None] | None = None  # told of each whole request
-        self.tally = Tally()  # of what is answered here, and not by an engine
+        self.counters = OutcomeCounters()  # of what is answered here, and not by an engine
         self.status_body: Callable[[], bytes] = bytes  # the body for who asks for counts, as JSON
         self.budget = budget
         # Descriptors for connections at the limit: each whole request there is answered, with 503.
@@ -83,7 +83,7 @@
         self._retry_after_ms = options.retry_after_ms
         self.table: ConnectionTable[TrackedConnection] = ConnectionTable(TableOptions(options.clients_most))
         self._calls: set[str] = set()  # identities of requests of which something is open
-        self._shares: dict[TrackedConnection, Part] = {}  # which part its descriptor is taken from
+        self._shares: dict[TrackedConnection, QuotaShare] = {}  # which part its descriptor is taken from
         # Whose client does not read, the longest first.
         self._stalled: dict[OpenConnection, StalledClient] = {}
         self.reading_paused: dict[OpenConnection, None] = {}  # of whom nothing is read at present
@@ -115,7 +115,7 @@
 
     def hurry(self, on: bool) -> None:
         """Close connections at rest sooner, or as usual."""
-        self.table.hurried = on
+        self.table.shorten_idle = on
 
     def pause(self) -> None:
         """Accept nothing for a moment."""
@@ -143,7 +143,7 @@
         """
         over = self.clock.now() > self._intake_ends_ms
         for entry in self.table:
-            connection = entry.holder
+            connection = entry.owner
             if over and isinstance(connection, ClientConnection):
                 connection.reject_unfinished()
             if connection.is_idle and (over or not isinstance(connection, PendingConnection)):
@@ -152,8 +152,8 @@
     def fail_waiting(self) -> None:
         """Answer what is not answered in its time, whatever has kept it."""
         for entry in self.table:
-            if isinstance(entry.holder, ClientConnection):
-                entry.holder.fail_waiting()
+            if isinstance(entry.owner, ClientConnection):
+                entry.owner.fail_waiting()
 
     @property
     def is_accepting(self) -> bool:
@@ -176,23 +176,23 @@
 
     # --- connections ------------------------------------------------------------
 
-    def take_descriptor(self, certain: bool, urgent: bool) -> Part | None:
+    def take_descriptor(self, certain: bool, urgent: bool) -> QuotaShare | None:
         """The part that the descriptor of a connection about to be accepted was taken from: at the most, who
         is worth least is evicted, or it is one that can only be told so, or none is free.
         """
         descriptors = self.budget.descriptors
         if not certain:
-            return descriptors if descriptors.take_free() else None
-        if descriptors.take() or self._make_room(urgent):
+            return descriptors if descriptors.acquire_free() else None
+        if descriptors.acquire() or self._make_room(urgent):
             return descriptors
-        if self.reserve.take_free() or (urgent and self._evict_at_limit() and self.reserve.take_free()):
+        if self.reserve.acquire_free() or (urgent and self._evict_at_limit() and self.reserve.acquire_free()):
             return self.reserve
         return None
 
-    def on_accepted(self, sock: socket.socket, part: Part, waited_ms: float) -> None:
+    def on_accepted(self, sock: socket.socket, part: QuotaShare, waited_ms: float) -> None:
         """A new connection, which may have waited for so long."""
         connection = PendingConnection(self.loop, sock, self._on_first_bytes, self.on_closed)
-        connection.entry = self.table.open(connection, self.clock.now(), waited_ms)
+        connection.entry = self.table.add(connection, self.clock.now(), waited_ms)
         self._shares[connection] = part
         self.wake()
         if self._sweeping is None:
@@ -204,7 +204,7 @@
         """
         early = stream.EarlyTransport(pending.sock)
         connection = ClientConnection(self, pending.entry, early)
-        pending.entry.holder = connection
+        pending.entry.owner = connection
         self._shares[connection] = self._shares.pop(pending)
         connection.data_received(data)
         if self._ended_early(connection, early):
@@ -235,12 +235,12 @@
 
     def _make_room(self, urgent: bool = False) -> bool:
         """Evict another, whose descriptor is taken over; whether there was one."""
-        return self._evict_until(self.budget.descriptors.take, MAX_EVICTIONS, urgent)
+        return self._evict_until(self.budget.descriptors.acquire, MAX_EVICTIONS, urgent)
 
     def _reclaim(self, count: int) -> None:
         """Others of the process hold less than is fair: so many here are evicted, as far as they may be."""
-        until = self.budget.descriptors.held - count
-        self._evict_until(lambda: self.budget.descriptors.held <= until, count + MAX_EVICTIONS)
+        until = self.budget.descriptors.used - count
+        self._evict_until(lambda: self.budget.descriptors.used <= until, count + MAX_EVICTIONS)
 
     def _evict_until(self, enough: Callable[[], bool], most: int, urgent: bool = False) -> bool:
         """Evict one by one, so many at the most, until there is enough; whether there is. Who lingers
@@ -252,7 +252,10 @@
             if entry is None:
                 looks -= 1
                 continue
-            if entry.standing is not Standing.REJECTED or self._shares.get(entry.holder) is not self.reserve:
+            if (
+                entry.eviction_class is not EvictionClass.REJECTED
+                or self._shares.get(entry.owner) is not self.reserve
+            ):
                 most -= 1
             self._evict(entry)
             if enough():
@@ -285,16 +288,16 @@
 
     def _evict(self, entry: TableEntry[TrackedConnection]) -> None:
         """Close a connection; its entry and its descriptor are free at once."""
-        connection = entry.holder
+        connection = entry.owner
         self.on_closed(connection)
         connection.abort()
 
     def on_closed(self, connection: TrackedConnection) -> None:
         """Its socket is closed, or about to be."""
-        self.table.close(connection.entry)
+        self.table.remove(connection.entry)
         part = self._shares.pop(connection, None)
         if part is not None:
-            part.give()
+            part.release()
             for acceptor in self._acceptors:
                 acceptor.resume()
         if isinstance(connection, ClientConnection):
@@ -309,10 +312,10 @@
         self._sweeping = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep) if len(self.table) else None
         now = self.clock.now()
         for entry in self.table.overdue(now):
-            entry.holder.on_request_overdue()
-        for entry in self.table.rested(now):
-            if entry.holder.is_idle:
-                entry.holder.close()
+            entry.owner.on_request_overdue()
+        for entry in self.table.expired_idle(now):
+            if entry.owner.is_idle:
+                entry.owner.close()
         for connection in list(self.reading_paused):
             connection.has_disconnected()
         for connection, stalled in list(self._stalled.items()):
@@ -325,10 +328,10 @@
     def on_idle(self, entry: TableEntry[TrackedConnection]) -> None:
         """All that a connection asked is answered."""
         now = self.clock.now()
-        self.table.rest(entry, now)
-        too_many = self.table.one_too_many(now, _is_evictable)
+        self.table.on_idle(entry, now)
+        too_many = self.table.excess_victim(now, _is_evictable)
         if too_many is not None:
-            too_many.holder.close()
+            too_many.owner.close()
 
     # --- bytes ------------------------------------------------------------------
 
@@ -351,7 +354,7 @@
             self._unfinished.pop(connection, None)
         more = size - connection.buffered_bytes
         if more <= 0:
-            self.budget.buffered.give(-more)
+            self.budget.buffered.release(-more)
         elif not self._take_bytes(more):
             return False
         connection.buffered_bytes += more  # it may have been cut itself: then no more than that is taken
@@ -361,19 +364,19 @@
         """Take them into account; in shortage, cut who has not read for longest, then reject who has
         sent half of a request and no more for longest.
         """
-        if self.budget.buffered.take(count):
+        if self.budget.buffered.acquire(count):
             return True
         for _ in range(MAX_ABORTS):
             if not self._release_one():
                 return False
-            if self.budget.buffered.take(count):
+            if self.budget.buffered.acquire(count):
                 return True
         return False
 
     def _release_bytes(self, count: int) -> None:
         """Others of the process hold less than is fair: clients that read nothing are cut for their bytes."""
-        until = self.budget.buffered.held - count
-        while self.budget.buffered.held > until and self._release_one():
+        until = self.budget.buffered.used - count
+        while self.budget.buffered.used > until and self._release_one():
             pass
 
     def _release_one(self) -> bool:
@@ -424,11 +427,11 @@
             if call.names is not self._names and call.names is not None:
                 requests.recheck_names(call.traffic_class, call.tenant, call.names, self._names)
         except BadRequestError as error:
-            self.tally.rejected(call.traffic_class, OwnCause.BAD_REQUEST)
+            self.counters.record_rejected(call.traffic_class, OwnCause.BAD_REQUEST)
             call.response = (error.status, [], f"{error}\n".encode())
             return
         if (cause := self._reason_to_refuse(call)) is not None:
-            self.tally.refused(call.traffic_class, cause)
+            self.counters.record_refused(call.traffic_class, cause)
             call.refused(self._retry_after_ms)
             return
         self._calls.add(call.call_id)
@@ -449,9 +452,11 @@
     def record_rejection(self, status: int) -> None:
         """A connection is told so, and ends with that: count it."""
         if status == 503:
-            self.tally.refused(NO_CLASS, OwnCause.ENDING if self.draining else OwnCause.NO_ROOM)
+            self.counters.record_refused(NO_CLASS, OwnCause.ENDING if self.draining else OwnCause.NO_ROOM)
         else:
-            self.tally.rejected(NO_CLASS, OwnCause.UNFINISHED if status == 408 else OwnCause.BAD_REQUEST)
+            self.counters.record_rejected(
+                NO_CLASS, OwnCause.UNFINISHED if status == 408 else OwnCause.BAD_REQUEST
+            )
 
     @property
     def class_names(self) -> dict[int, str]:
@@ -467,19 +472,19 @@
         if self._shares.get(connection) is not self.reserve:
             return True
         # It has asked: a pending connection that has not is worth less, however new.
-        if not self.budget.descriptors.take() and not self._make_room(urgent=True):
+        if not self.budget.descriptors.acquire() and not self._make_room(urgent=True):
             connection.end_after_last()
             return False
-        self.reserve.give()
+        self.reserve.release()
         self._shares[connection] = self.budget.descriptors
         return True
 
     def _charge(self, call: ClientCall) -> bool:
         """Account for a call; whether there is room for it."""
-        if not self.budget.calls.take():
+        if not self.budget.calls.acquire():
             return False
         if not self._take_bytes(call.size_bytes):
-            self.budget.calls.give()
+            self.budget.calls.release()
             return False
         call.charged_bytes = call.size_bytes
         return True
@@ -488,8 +493,8 @@
         """Nothing of a request is open any more."""
         self._calls.discard(call.call_id)
         if call.charged_bytes:
-            self.budget.calls.give()
-            self.budget.buffered.give(call.charged_bytes)
+            self.budget.calls.release()
+            self.budget.buffered.release(call.charged_bytes)
             call.charged_bytes = 0
 
 
--- a/fordtrestle/proxy/http/upstream_connection.py
+++ b/fordtrestle/proxy/http/upstream_connection.py
@@ -13,14 +13,14 @@
 from typing import Protocol
 
 from fordtrestle.balancer.model import Outcome
-from fordtrestle.proxy.engine.ports import Address, Answer, Result
+from fordtrestle.proxy.engine.ports import Address, AttemptResult, UpstreamResponse
 from fordtrestle.proxy.http import stream, wire
 from fordtrestle.proxy.http.errors import RemoteProtocolError
 
 MAX_REPORT_VALUE = 1e9  # of a load report
 NOT_FOR_CLIENTS = frozenset((b"x-load-report", b"x-rejected"))
 
-Done = Callable[[Result], None]
+Done = Callable[[AttemptResult], None]
 
 
 class ConnectionOwner(Protocol):
@@ -70,7 +70,7 @@
         """It is on a connection."""
         self._connection, self._opening = connection, None
 
-    def end(self, result: Result) -> None:
+    def end(self, result: AttemptResult) -> None:
         """Report how it ended, once."""
         if not self.ended:
             self.ended = True
@@ -207,7 +207,7 @@
         result = interpret_response(self._parser, self._owner.report_fields, exchange.probe)
         if result.outcome is Outcome.FULL and self._parser.has_extra_bytes:
             # A rejection that brings more than itself is spoilt, and what is spoilt may have run.
-            result = Result(Outcome.ERROR, None, result.report)
+            result = AttemptResult(Outcome.ERROR, None, result.report)
         if reusable:
             self._owner.on_idle(self)
         else:
@@ -219,7 +219,7 @@
         exchange, self._exchange = self._exchange, None
         self._close_at_once()
         if exchange is not None:
-            exchange.end(Result(outcome))
+            exchange.end(AttemptResult(outcome))
 
     def _close_at_once(self) -> None:
         """Close at once. Guards against another attempt of the request that is written in this turn of the
@@ -229,16 +229,16 @@
         self._transport.abort()
 
 
-def interpret_response(parser: wire.ResponseParser, fields: tuple[str, ...], probe: bool) -> Result:
+def interpret_response(parser: wire.ResponseParser, fields: tuple[str, ...], probe: bool) -> AttemptResult:
     """What a whole answer says."""
     report = _report(parser, fields, probe)
     status = parser.status
     if status == 200:
         kept = wire.end_to_end(parser.headers, NOT_FOR_CLIENTS)
-        return Result(Outcome.OK, Answer(kept, bytes(parser.body)), report)
+        return AttemptResult(Outcome.OK, UpstreamResponse(kept, bytes(parser.body)), report)
     if status in (503, 504) and (probe or parser.header(b"x-rejected") == b"1"):
-        return Result(Outcome.FULL, None, report)
-    return Result(Outcome.ERROR, None, report)
+        return AttemptResult(Outcome.FULL, None, report)
+    return AttemptResult(Outcome.ERROR, None, report)
 
 
 def _report(parser: wire.ResponseParser, fields: tuple[str, ...], probe: bool) -> dict[str, float] | None:
