--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -97,6 +97,7 @@
     "balancer/subset.py",
     "balancer/throttle.py",
     "balancer/zones.py",
+    "control_api/errors.py",
     "control_api/listings.py",
     "control_api/requests.py",
     "dissemination/broadcast.py",
