--- a/fordtrestle/balancer/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -19,9 +19,9 @@
 from fordtrestle.balancer.connections import ConnectionHealth
 from fordtrestle.balancer.ejection import OutlierEjection
 from fordtrestle.balancer.eligibility import Eligibility
-from fordtrestle.balancer.endpoints import CLOSE_TIMER, WATCH_TIMER, EndpointList
 from fordtrestle.balancer.evidence import Evidence
 from fordtrestle.balancer.key_order import TURN_TIMER, KeyOrder
+from fordtrestle.balancer.known_servers import CLOSE_TIMER, WATCH_TIMER, KnownServers
 from fordtrestle.balancer.locality import LocalPreference
 from fordtrestle.balancer.model import Cause
 from fordtrestle.balancer.outage import OutageDetector
@@ -60,8 +60,8 @@
         self._shedder = LoadShedder(settings)
         self._own = OwnLoad(now)
         self._times = ServiceTimes(settings)
-        self._endpoints = EndpointList(settings, self._actions, self._times, draw)
-        self._servers = self._endpoints.servers
+        self._known = KnownServers(settings, self._actions, self._times, draw)
+        self._servers = self._known.servers
         self._subset = Subset(now, settings)
         self._outage = OutageDetector(now)
         self._connections = ConnectionHealth(now, settings)
@@ -129,7 +129,7 @@
         self._affinity.apply_settings(settings)
         self._candidates.apply_settings(settings)
         self._evidence.apply_settings(settings)
-        self._endpoints.apply_settings(settings)
+        self._known.apply_settings(settings)
         self._subset.apply_settings(settings, self._servers.values())
         self._shedder.apply_settings(settings)
 
@@ -164,7 +164,7 @@
                 request.is_ordered, request.max_attempts = True, 0
                 self._order.queue(request.key).waiting.appendleft(request)
         if settings.release_within != before.release_within:
-            self._endpoints.release_all()
+            self._known.release_all()
         return self._take()
 
     def request(self, now: float, arrival: model.Arrival) -> list[model.Action]:
@@ -234,7 +234,7 @@
             # It may be running still: the key rests, whatever becomes of the request.
             self._order.rest(request.key, now + self._settings.settle_after_doubt)
         self._evidence.record_outcome(now, request, attempt, status, spent)
-        self._endpoints.release(attempt.server)
+        self._known.release(attempt.server)
         if last:
             self._close(request)
         elif not request.is_done and request.in_flight == 0:
@@ -257,7 +257,7 @@
             if request is not None and (attempt := request.attempts[int(hop)]).is_in_flight:
                 self._evidence.record_overdue(now, request, attempt)
         elif token == WATCH_TIMER:
-            self._endpoints.on_watch_timer()
+            self._known.on_watch_timer()
         elif token.startswith(LATE_TIMER):
             request = self._requests.get(int(token[len(LATE_TIMER) :]))
             if request is not None and not request.attempts:
@@ -265,12 +265,12 @@
         elif token.startswith(TURN_TIMER):
             self._order.on_turn_timer(now, token)
         elif token.startswith(CLOSE_TIMER):
-            self._endpoints.on_close_timer(token)
+            self._known.on_close_timer(token)
         return self._take()
 
     def server_list(self, now: float, form: str, entries: Iterable[model.Listing]) -> list[model.Action]:
-        """What discovery says of the servers; for `form` see `EndpointList.apply`."""
-        if self._endpoints.apply(now, form, entries):
+        """What discovery says of the servers; for `form` see `KnownServers.apply`."""
+        if self._known.apply(now, form, entries):
             self._ejection.forget_unknown(self._servers)
             self._zones.forget_unknown(self._servers)
             self._subset.update(now, self._servers.values())
--- a/fordtrestle/balancer/endpoints.py
+++ b/fordtrestle/balancer/known_servers.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which servers there are by discovery, and when that is asked again. Pure."""
+"""Known servers: which there are by the endpoint list, and when discovery is asked again. Pure."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 CLOSE_TIMER = "close:"
 
 
-class EndpointList:
+class KnownServers:
     """Holds all known servers, those that left a while ago among them.
 
     Attributes:
--- a/tests/proxy/daemon/test_long.py
+++ b/tests/proxy/daemon/test_long.py
@@ -4,7 +4,7 @@
 
 import gc
 
-from fordtrestle.balancer import affinity, endpoints
+from fordtrestle.balancer import affinity, known_servers
 from fordtrestle.proxy.engine.open_requests import OpenAttempt, OpenRequest
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.client_connection import ClientConnection
@@ -26,7 +26,7 @@
     """Guards against what grows by the id: each turn all servers are new, at the old addresses and
     with no word of those that are gone, and so are clients, keys and identities.
     """
-    monkeypatch.setattr(endpoints, "FORGET_MS", -1.0)
+    monkeypatch.setattr(known_servers, "FORGET_MS", -1.0)
     upstreams = [await Upstream([OK]).start() for _ in range(3)]
     async with running(*upstreams, Domain={"WarmKeys": True}) as sidecar:
         before = alive()
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -32,7 +32,7 @@
 PARTS = (
     "balancer", "evidence", "candidates", "affinity", "slow_start", "attempts", "locality",
     "server_load", "eligibility", "shedding", "ejection", "key_order", "zones", "connections",
-    "outage", "own_load", "throttle", "subset", "endpoints", "requests", "servers", "baselines",
+    "outage", "own_load", "throttle", "subset", "known_servers", "requests", "servers", "baselines",
     "outcomes", "model",
 )  # fmt: skip
 
@@ -81,9 +81,9 @@
     "balancer/connections.py",
     "balancer/ejection.py",
     "balancer/eligibility.py",
-    "balancer/endpoints.py",
     "balancer/evidence.py",
     "balancer/key_order.py",
+    "balancer/known_servers.py",
     "balancer/locality.py",
     "balancer/model.py",
     "balancer/outage.py",
