--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -30,10 +30,10 @@
 
 # The modules of the decision module: each may import those after it, and no other module of the program.
 PARTS = (
-    "balancer", "evidence", "candidates", "affinity", "slow_start", "locality", "server_load",
-    "eligibility", "shedding", "ejection", "key_order", "zones", "connections", "outage",
-    "own_load", "throttle", "subset", "endpoints", "requests", "servers", "baselines", "outcomes",
-    "model",
+    "balancer", "evidence", "candidates", "affinity", "slow_start", "attempts", "locality",
+    "server_load", "eligibility", "shedding", "ejection", "key_order", "zones", "connections",
+    "outage", "own_load", "throttle", "subset", "known_servers", "requests", "servers", "baselines",
+    "outcomes", "model",
 )  # fmt: skip
 
 
@@ -74,15 +74,16 @@
     "admission/urgency.py",
     "admission/window.py",
     "balancer/affinity.py",
+    "balancer/attempts.py",
     "balancer/balancer.py",
     "balancer/baselines.py",
     "balancer/candidates.py",
     "balancer/connections.py",
     "balancer/ejection.py",
     "balancer/eligibility.py",
-    "balancer/endpoints.py",
     "balancer/evidence.py",
     "balancer/key_order.py",
+    "balancer/known_servers.py",
     "balancer/locality.py",
     "balancer/model.py",
     "balancer/outage.py",
