--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -44,49 +44,51 @@
 
 MECHANISMS = {
     "local refusal by the window": Mechanism(
-        "fordtrestle/admission/window.py",
-        "        if self._draw() >= window.drop_chance(now * MS_PER_S):\n",
+        "fordtrestle/admission/admission_control.py",
+        "        if self._draw() >= throttle.drop_chance(now * MS_PER_S):\n",
         "        if True:\n",
     ),
     "fewest own in flight": Mechanism(
-        "fordtrestle/routing/pick.py",
-        "    return server.in_flight + READING_HELD * server.reading / mean_tokens + late\n",
-        "    return READING_HELD * server.reading / mean_tokens + late\n",
+        "fordtrestle/routing/pick_server.py",
+        "    return server.in_flight + PREFILL_LOAD * server.prefill_tokens / mean_tokens + late\n",
+        "    return PREFILL_LOAD * server.prefill_tokens / mean_tokens + late\n",
     ),
     "prompts still to be read count as load": Mechanism(
-        "fordtrestle/routing/pick.py", "READING_HELD = 2.0", "READING_HELD = 0.0"
+        "fordtrestle/routing/pick_server.py", "PREFILL_LOAD = 2.0", "PREFILL_LOAD = 0.0"
     ),
     "late answers count as load": Mechanism(
-        "fordtrestle/routing/pick.py",
-        "    late = LATE_HELD * max(0.0, server.lateness(now) - LATE)\n",
+        "fordtrestle/routing/pick_server.py",
+        "    late = LATENCY_LOAD * max(0.0, server.latency_penalty(now) - LATE_DELAY)\n",
         "    late = 0.0\n",
     ),
     "holders of shared parts": Mechanism(
-        "fordtrestle/routing/pick.py", "    if prompt.shared:\n", "    if False:\n"
+        "fordtrestle/routing/pick_server.py", "    if prompt.shared_prefix:\n", "    if False:\n"
     ),
     "crossing to the holder of long parts": Mechanism(
-        "fordtrestle/routing/selection.py",
-        "        return [server for server in far if server.region in near_enough]\n",
+        "fordtrestle/routing/server_selector.py",
+        "        return [server for server in remote if server.region in close_regions]\n",
         "        return []\n",
     ),
     "spilling over by lateness": Mechanism(
-        "fordtrestle/admission/spill.py",
-        "        slower = self._near > SLOW and self._near > self._far + MARGIN\n",
-        "        slower = False\n",
+        "fordtrestle/admission/cross_region_share.py",
+        "        is_slow = self._local_delay > SLOW_DELAY\n",
+        "        is_slow = False\n",
     ),
     "urgency of short prompts": Mechanism(
-        "fordtrestle/admission/urgency.py", "        if len(self._sizes) < LEAST:\n", "        if True:\n"
+        "fordtrestle/admission/priority_assigner.py",
+        "        if len(self._sizes) < MIN_REMEMBERED:\n",
+        "        if True:\n",
     ),
     "waiting for a server or a configuration": Mechanism(
-        "fordtrestle/routing/decision.py", "WAIT_MOST_S = 1.5", "WAIT_MOST_S = 0.0"
+        "fordtrestle/routing/router.py", "MAX_WAIT_S = 1.5", "MAX_WAIT_S = 0.0"
     ),
     "resuming streams": Mechanism(
-        "fordtrestle/routing/decision.py",
-        "        if route is None or not route.resumable or attempts.runs >= route.max_attempts:\n",
+        "fordtrestle/routing/router.py",
+        "        if route is None or not route.is_resumable or attempts.runs >= route.max_attempts:\n",
         "        if True:\n",
     ),
     "another server after a rejection": Mechanism(
-        "fordtrestle/routing/decision.py", "SENDS_MOST = 4", "SENDS_MOST = 1"
+        "fordtrestle/routing/request_attempts.py", "MAX_SENDS = 4", "MAX_SENDS = 1"
     ),
     "news along a tree": Mechanism(
         "fordtrestle/dissemination/broadcast.py",
--- a/fordtrestle/control_api/outliers.py
+++ b/fordtrestle/control_api/outliers.py
@@ -7,7 +7,7 @@
 from fordtrestle.dissemination.items import EJECTION_PREFIX, MEMBER_PREFIX, MemberRecord, ejection_item
 from fordtrestle.dissemination.messages import OutcomeReport
 from fordtrestle.peer.gossip import Gossip
-from fordtrestle.routing.evidence import Evidence
+from fordtrestle.routing.fleet_outliers import FleetOutliers
 
 
 class OutlierDetector:
@@ -21,7 +21,7 @@
             regions: The region of each zone.
         """
         self._gossip = gossip
-        self._evidence = Evidence(regions)
+        self._outliers = FleetOutliers(regions)
 
     def on_report(self, node: str, report: OutcomeReport, now: float) -> None:
         """Weigh a report. One of a process that is no member counts for nothing.
@@ -44,7 +44,7 @@
             if record.service == report.service
         }
         items = []
-        for ejection in self._evidence.take(report, reporter.value.zone, zones, now):
+        for ejection in self._outliers.on_report(report, reporter.value.zone, zones, now):
             eliot.log_message(
                 "servers:ejected-by-control", instance=ejection.instance, lasts_s=ejection.lasts_s
             )
@@ -55,4 +55,4 @@
 
     def expire(self, now: float) -> None:
         """Drop evidence that is too old to count; `now` in seconds of a monotonic clock."""
-        self._evidence.forget(now)
+        self._outliers.expire(now)
--- a/fordtrestle/ingress/directory.py
+++ b/fordtrestle/ingress/directory.py
@@ -11,8 +11,14 @@
 
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import ControlView, MemberRecord
-from fordtrestle.routing.fronts import SETTLED_S, Asker, Fronts, Reach, reach_of
-from fordtrestle.routing.homes import Homes, read_homes
+from fordtrestle.routing.home_regions import HomeRegions, parse_home_regions
+from fordtrestle.routing.sidecar_selector import (
+    STARTUP_SETTLE_S,
+    ClientLocation,
+    Reach,
+    SidecarSelector,
+    reach_of,
+)
 
 ADDRESSES_MOST = 64
 TTL_S = 1.0
@@ -34,9 +40,9 @@
         self._in_touch = in_touch
         self._regions = frozenset(regions)
         self._ttl_s = min(TTL_S, ttl_most_s)
-        self._settled_at = asyncio.get_running_loop().time() + SETTLED_S
+        self._settled_at = asyncio.get_running_loop().time() + STARTUP_SETTLE_S
         self._rng = rng
-        self._homes: Homes | None = None
+        self._homes: HomeRegions | None = None
         self._sequence = -1  # of what was decided, as the homes were read
         self._reading: asyncio.Task[None] | None = None
         self._reaches: dict[str, Reach] = {}  # by region of clients, as last answered
@@ -59,10 +65,10 @@
     async def _resolve(self, request: web.Request) -> web.StreamResponse:
         query = request.query
         homes = await self._homes_of(query.get("name", ""))
-        asker = Asker(query.get("region", ""), query.get("zone", ""), homes)
+        asker = ClientLocation(query.get("region", ""), query.get("zone", ""), homes)
         members = [member for member, _ in self._catalog.members()]
         settled = asyncio.get_running_loop().time() >= self._settled_at
-        fronts = Fronts(members, self._in_touch()).choose(asker, settled)
+        fronts = SidecarSelector(members, self._in_touch()).select(asker, settled)
         self._note(asker, reach_of(fronts, asker), members)
         if not fronts:
             return web.json_response({"errors": ["no sidecar is ready"]}, status=503)
@@ -80,16 +86,16 @@
             self._reading = asyncio.create_task(self._read(control))
         if self._reading and self._homes is None:
             await asyncio.wait([self._reading], timeout=FIRST_READ_S)
-        return self._homes.of(host) if self._homes else None
+        return self._homes.of_host(host) if self._homes else None
 
     async def _read(self, control: ControlView) -> None:
         try:
-            self._homes = await asyncio.to_thread(read_homes, control.document)
+            self._homes = await asyncio.to_thread(parse_home_regions, control.document)
             self._sequence = control.sequence
         finally:
             self._reading = None
 
-    def _note(self, asker: Asker, reach: Reach, members: list[MemberRecord]) -> None:
+    def _note(self, asker: ClientLocation, reach: Reach, members: list[MemberRecord]) -> None:
         """Count the answer, and log it where a region's clients are sent farther or nearer than before."""
         self._answers[reach] += 1
         region = asker.region
--- a/fordtrestle/ingress/exchange.py
+++ b/fordtrestle/ingress/exchange.py
@@ -11,18 +11,20 @@
 from aiohttp import web
 from multidict import CIMultiDict
 
-from fordtrestle.admission.urgency import Urgency
+from fordtrestle.admission.priority_assigner import PriorityAssigner
 from fordtrestle.forward import client
 from fordtrestle.forward.client import Forwarder, Outbound
 from fordtrestle.forward.headers import DEADLINE, LAST_EVENT_ID, PRIORITY, for_server
 from fordtrestle.ingress import answers
 from fordtrestle.ingress.relay import OK, End, StreamRelay, give_back, is_short, relay_whole
 from fordtrestle.ingress.waiting import Waiting
-from fordtrestle.routing.decision import Attempts, Decider, NoRoute, Refuse, Send, Wait, Wanted
-from fordtrestle.routing.outliers import FAILURE_STATUSES
-from fordtrestle.routing.pick import Prompt
-from fordtrestle.routing.servers import Server
-from fordtrestle.routing.table import Route
+from fordtrestle.routing.common import Prompt, RequestMetadata
+from fordtrestle.routing.decisions import Reject, SendTo, UnknownRoute, WaitFor
+from fordtrestle.routing.outlier_detection import FAILURE_STATUSES
+from fordtrestle.routing.request_attempts import RequestAttempts
+from fordtrestle.routing.route import Route
+from fordtrestle.routing.router import Router
+from fordtrestle.routing.server import Server
 
 FULL_STATUSES = (429, 503)
 MISDIRECTED = 421
@@ -43,12 +45,12 @@
     arrived: float  # s, loop clock
 
     @property
-    def wanted(self) -> Wanted:
+    def metadata(self) -> RequestMetadata:
         """What is decided by."""
         path = self.target.partition("?")[0]
-        return Wanted(self.host, path, self.prompt, self.arrived, self._given_s())
+        return RequestMetadata(self.host, path, self.prompt, self.arrived, self._client_timeout_s())
 
-    def _given_s(self) -> float | None:
+    def _client_timeout_s(self) -> float | None:
         try:
             return float(self.headers.get(DEADLINE, "")) / MS_PER_S
         except ValueError:
@@ -59,8 +61,8 @@
 class Shared:
     """What all requests of a sidecar share."""
 
-    decider: Decider
-    urgency: Urgency
+    router: Router
+    priority_assigner: PriorityAssigner
     waiting: Waiting
     forwarder: Forwarder
     rng: random.Random
@@ -72,10 +74,10 @@
     def __init__(self, shared: Shared, inbound: Inbound, request: web.BaseRequest) -> None:
         self._shared = shared
         self._inbound = inbound
-        self._wanted = inbound.wanted
+        self._metadata = inbound.metadata
         self._request = request
-        self._attempts = Attempts()
-        self._level = shared.urgency.level(inbound.prompt.own)
+        self._attempts = RequestAttempts()
+        self._level = shared.priority_assigner.assign(inbound.prompt.own_tokens)
         self._held: list[Server] = []  # servers that are at work on it
 
     async def run(self) -> web.StreamResponse:
@@ -91,19 +93,19 @@
     async def _step(self) -> web.StreamResponse | None:
         """Do what is decided now; nothing where another look is worth it."""
         now = asyncio.get_running_loop().time()
-        match self._shared.decider.next(self._wanted, self._attempts, now):
-            case Send() as send:
+        match self._shared.router.next_step(self._metadata, self._attempts, now):
+            case SendTo() as send:
                 return await self._send(send)
-            case Wait(until, refusal):
+            case WaitFor(until, refusal):
                 if now < until and await self._shared.waiting.wait():
                     return None
                 return self._refuse(refusal)
-            case Refuse() as refusal:
+            case Reject() as refusal:
                 return self._refuse(refusal)
-            case NoRoute():
+            case UnknownRoute():
                 return self._give_up(answers.unknown_route(self._inbound.request_id))
 
-    async def _send(self, send: Send) -> web.StreamResponse | None:
+    async def _send(self, send: SendTo) -> web.StreamResponse | None:
         outcome = await self._ask(send)
         route, attempts, request_id = send.route, self._attempts, self._inbound.request_id
         match outcome:
@@ -115,29 +117,29 @@
                     return await self._whole(send, response)
                 return await self._stream(route, response, send.deadline)
             case client.Rejected():
-                if attempts.may_go_on(route):
+                if attempts.can_retry_rejected(route):
                     return None
-                return self._refuse(Refuse(route.target_s, "the servers are full"))
+                return self._refuse(Reject(route.latency_target_s, "the servers are full"))
             case client.Unreachable():
-                if not attempts.cannot_reach:
+                if not attempts.has_exhausted_connects():
                     return None
-                return self._refuse(Refuse(route.target_s, "no server can be reached"))
+                return self._refuse(Reject(route.latency_target_s, "no server can be reached"))
             case client.Unsent():
-                return self._refuse(Refuse(route.target_s, "the time is up"))
+                return self._refuse(Reject(route.latency_target_s, "the time is up"))
             case client.Broken():
-                return None if attempts.may_run_again(route) else answers.broken(request_id)
+                return None if attempts.can_run_again(route) else answers.broken(request_id)
             case client.Overdue():
                 return answers.overdue(request_id)
 
-    def _again(self, route: Route) -> Send | None:
+    def _again(self, route: Route) -> SendTo | None:
         """Where a request goes that a server ran and failed, if it may be run once more."""
-        if not self._attempts.may_run_again(route):
+        if not self._attempts.can_run_again(route):
             return None
         now = asyncio.get_running_loop().time()
-        decision = self._shared.decider.next(self._wanted, self._attempts, now)
-        return decision if isinstance(decision, Send) else None
+        decision = self._shared.router.next_step(self._metadata, self._attempts, now)
+        return decision if isinstance(decision, SendTo) else None
 
-    async def _whole(self, send: Send, response: aiohttp.ClientResponse) -> web.StreamResponse | None:
+    async def _whole(self, send: SendTo, response: aiohttp.ClientResponse) -> web.StreamResponse | None:
         """A short answer, read whole; nothing where it broke off and another server may be asked."""
         attempts, request_id = self._attempts, self._inbound.request_id
         whole = await relay_whole(response, send.deadline)
@@ -147,14 +149,14 @@
             return answers.overdue(request_id)
         self._ended(send.server, failed=True)
         attempts.may_have_run = True
-        return None if attempts.may_run_again(send.route) else answers.broken(request_id)
+        return None if attempts.can_run_again(send.route) else answers.broken(request_id)
 
     def _ended(self, server: Server, failed: bool) -> None:
         """A request ended at a server, well or not."""
-        if self._shared.decider.ended(server, failed, asyncio.get_running_loop().time()):
+        if self._shared.router.record_outcome(server, failed, asyncio.get_running_loop().time()):
             eliot.log_message("servers:ejected", instance=server.instance)
 
-    async def _ask(self, send: Send, last_event_id: str = "") -> client.Outcome:
+    async def _ask(self, send: SendTo, last_event_id: str = "") -> client.Outcome:
         """Send to one server, and note what the outcome proves of it and of the service."""
         inbound, server = self._inbound, send.server
         loop = asyncio.get_running_loop()
@@ -167,44 +169,44 @@
         self._release()
         self._hold(server)
         sent = loop.time()
-        tokens = inbound.prompt.own or 0
-        server.reading += tokens
+        tokens = inbound.prompt.own_tokens or 0
+        server.prefill_tokens += tokens
         try:
             outcome = await self._shared.forwarder.send(server.record.address, outbound, send.deadline)
         finally:
-            server.reading -= tokens
+            server.prefill_tokens -= tokens
         self._note(send, outcome, loop.time() - sent, loop.time())
         return outcome
 
-    def _note(self, send: Send, outcome: client.Outcome, took_s: float, now: float) -> None:
+    def _note(self, send: SendTo, outcome: client.Outcome, took_s: float, now: float) -> None:
         """What an outcome proves: load, absence, or that the request may have run."""
-        server, callee, attempts, decider = send.server, send.callee, self._attempts, self._shared.decider
+        server, callee, attempts, router = send.server, send.callee, self._attempts, self._shared.router
         if not isinstance(outcome, client.Unreachable | client.Unsent):
-            attempts.sent(server.instance, rejected=isinstance(outcome, client.Rejected))
+            attempts.record_send(server.instance, rejected=isinstance(outcome, client.Rejected))
         match outcome:
             case client.Answered(response):
-                server.answered(now)
+                server.on_answer(now)
                 failed = response.status in FAILURE_STATUSES
                 attempts.may_have_run |= failed
                 self._ended(server, failed)
-                decider.admission.accepted(callee, now)
-                target_s = send.route.target_s
-                decider.selection.answered(callee, server, self._inbound.prompt, took_s, target_s, now)
+                router.admission.record_accepted(callee, now)
+                target_s = send.route.latency_target_s
+                router.selector.on_answer(callee, server, self._inbound.prompt, took_s, target_s, now)
             case client.Rejected(status):
-                server.answered(now)
+                server.on_answer(now)
                 if status in FULL_STATUSES:
-                    decider.admission.rejected(callee, now)
+                    router.admission.record_rejected(callee, now)
                 elif status == MISDIRECTED:
-                    server.misdirected = True  # another incarnation is at its address
+                    server.is_misdirected = True  # another incarnation is at its address
             case client.Unreachable():
-                server.failed(now)
-                attempts.unreachable += 1
+                server.on_connection_failure(now)
+                attempts.connect_failures += 1
             case client.Broken():
-                server.failed(now)
+                server.on_connection_failure(now)
                 self._ended(server, failed=True)
                 attempts.may_have_run = True
             case client.Overdue():
-                if server.is_silent_since(now - took_s):
+                if server.has_answered_nothing_since(now - took_s):
                     self._ended(server, failed=True)
                 attempts.may_have_run = True
 
@@ -212,7 +214,7 @@
         self, route: Route, response: aiohttp.ClientResponse, deadline: float
     ) -> web.StreamResponse:
         """Pass a stream on; where it breaks off and may be resumed, another server goes on with it."""
-        relay = StreamRelay(self._request, response, route.resumable)
+        relay = StreamRelay(self._request, response, route.is_resumable)
         try:
             return await self._relay(relay, response, deadline)
         except asyncio.CancelledError:
@@ -240,7 +242,7 @@
     async def _resume(self, last_event_id: str, deadline: float) -> aiohttp.ClientResponse | None:
         """The rest of a stream from another server; nothing where none may or can give it."""
         loop = asyncio.get_running_loop()
-        while send := self._shared.decider.resume(self._wanted, self._attempts, loop.time(), deadline):
+        while send := self._shared.router.resume(self._metadata, self._attempts, loop.time(), deadline):
             outcome = await self._ask(send, last_event_id)
             if isinstance(outcome, client.Answered):
                 if outcome.response.status == OK:
@@ -261,9 +263,9 @@
             server.in_flight -= 1
         self._held.clear()
 
-    def _refuse(self, refusal: Refuse) -> web.StreamResponse:
+    def _refuse(self, refusal: Reject) -> web.StreamResponse:
         request_id, rng = self._inbound.request_id, self._shared.rng
-        return self._give_up(answers.refused(request_id, refusal.target_s, rng, refusal.reason))
+        return self._give_up(answers.refused(request_id, refusal.retry_scale_s, rng, refusal.reason))
 
     def _give_up(self, promise: web.Response) -> web.StreamResponse:
         """The answer that promises that nothing has run, or another one where something may have."""
--- a/fordtrestle/ingress/relay.py
+++ b/fordtrestle/ingress/relay.py
@@ -13,7 +13,7 @@
 from fordtrestle.forward.client import has_whole_length
 from fordtrestle.forward.events import EventSplitter, EventTooLarge
 from fordtrestle.forward.headers import end_to_end
-from fordtrestle.routing.table import Route, RouteType
+from fordtrestle.routing.route import Route, RouteType
 
 WHOLE_MOST = 1024 * 1024  # bytes of an answer that is read whole before it is passed on
 WRITE_S = 10.0  # that a client may leave its connection full once all has come
@@ -23,7 +23,7 @@
 
 def is_short(response: aiohttp.ClientResponse, route: Route) -> bool:
     """Whether an answer is read whole before any of it is passed on."""
-    return route.type is not RouteType.STREAMING and has_whole_length(response.headers, WHOLE_MOST)
+    return route.route_type is not RouteType.STREAMING and has_whole_length(response.headers, WHOLE_MOST)
 
 
 def give_back(response: aiohttp.ClientResponse) -> None:
--- a/fordtrestle/ingress/server.py
+++ b/fordtrestle/ingress/server.py
@@ -18,9 +18,9 @@
 from fordtrestle.ingress import answers
 from fordtrestle.ingress.early_listener import EarlyListener
 from fordtrestle.ingress.exchange import Exchange, Inbound, Shared
-from fordtrestle.routing.intake import Intake
-from fordtrestle.routing.pick import read_prompt
-from fordtrestle.routing.table import Limits
+from fordtrestle.routing.drain_policy import DrainPolicy
+from fordtrestle.routing.prompt_headers import read_prompt
+from fordtrestle.routing.route import Limits
 from fordtrestle.settings.records import Address
 
 HEAD_MOST = 64 * 1024  # bytes of a line or field; what the configuration allows lies below
@@ -138,14 +138,14 @@
         return self._phase is Phase.LEFT
 
     @property
-    def intake(self) -> Intake:
+    def drain_policy(self) -> DrainPolicy:
         """Which requests are taken."""
-        return self._shared.decider.intake
+        return self._shared.router.drain_policy
 
     def cut_at(self, at: float, began: float) -> None:
         """Give up at that time (s, loop clock) what is open then, and take what can be finished by then."""
         self._cut_at = at
-        self._shared.decider.intake = Intake.ending(began, at)
+        self._shared.router.drain_policy = DrainPolicy.draining(began, at)
         for bound in self._open:
             bound.reschedule(at)
 
@@ -216,7 +216,7 @@
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         arrived = self._arrival(request)
         request_id = request.headers.get(REQUEST_ID, "")
-        table = self._shared.decider.view.table
+        table = self._shared.router.view.table
         limits = table.limits if table else Limits()
         if self.has_left:
             return answers.ending(request_id, self._shared.rng)
--- a/fordtrestle/roles/leaving.py
+++ b/fordtrestle/roles/leaving.py
@@ -11,7 +11,7 @@
 from fordtrestle.ingress.server import Front
 from fordtrestle.roles.ending import Ending
 from fordtrestle.roles.process import Process
-from fordtrestle.routing.fronts import may_close
+from fordtrestle.routing.sidecar_selector import can_close
 
 LEAVE_TTLS = 3.0  # lives of a directory's answer that some clients keep it for
 NOTICED_S = 0.3  # for word of others that are told to end at the same time
@@ -26,7 +26,8 @@
     eliot.log_message("sidecar:leaving", open_requests=front.open_requests)
     if process.gossip.me.availability is Availability.READY:
         process.announce(Availability.LEAVING)
-        stay_s = front.intake.streams_until - ending.began  # then other regions serve streams better
+        # After that other regions serve streams better.
+        stay_s = front.drain_policy.all_streams_until - ending.began
         await ending.step("serve on for the region", _region_is_served(process), stay_s)
         process.announce(Availability.CLOSING)
         front.send_away()
@@ -39,5 +40,5 @@
 async def _region_is_served(process: Process) -> None:
     """Wait until clients of this region have others to go to, or nobody else is to come."""
     await asyncio.sleep(NOTICED_S)
-    while not may_close(process.gossip.me, [member for member, _ in process.gossip.catalog.members()]):
+    while not can_close(process.gossip.me, [member for member, _ in process.gossip.catalog.members()]):
         await asyncio.sleep(LOOK_S)
--- a/fordtrestle/roles/sidecar.py
+++ b/fordtrestle/roles/sidecar.py
@@ -8,9 +8,10 @@
 
 import eliot
 
-from fordtrestle.admission.budgets import ColdBudget, RetryBudget
-from fordtrestle.admission.urgency import Urgency
-from fordtrestle.admission.window import Admission
+from fordtrestle.admission.admission_control import AdmissionControl
+from fordtrestle.admission.priority_assigner import PriorityAssigner
+from fordtrestle.admission.retry_budget import RetryBudget
+from fordtrestle.admission.warm_up_budget import WarmUpBudget
 from fordtrestle.dissemination.items import Availability, Item
 from fordtrestle.forward.client import Forwarder
 from fordtrestle.ingress.early_listener import EarlyListener
@@ -28,9 +29,9 @@
     serve_metrics,
 )
 from fordtrestle.roles.process import main as run_role
-from fordtrestle.routing.decision import Decider
-from fordtrestle.routing.evidence import REPORT_S, Reporter
-from fordtrestle.routing.selection import Selection
+from fordtrestle.routing.outcome_reporter import REPORT_INTERVAL_S, OutcomeReporter
+from fordtrestle.routing.router import Router
+from fordtrestle.routing.server_selector import ServerSelector
 from fordtrestle.routing.view import View
 from fordtrestle.settings.records import BootSettings
 
@@ -44,15 +45,15 @@
     loop = asyncio.get_running_loop()
     view = View(boot.zones, boot.heartbeat_s, loop.time())
     bounds = boot.bounds
-    cold = ColdBudget(bounds.cold_overshoot, bounds.cold_slack, boot.node_name)
-    decider = Decider(
+    cold = WarmUpBudget(bounds.cold_overshoot, bounds.cold_slack, boot.node_name)
+    router = Router(
         view=view,
-        admission=Admission(process.rng.random),
+        admission=AdmissionControl(process.rng.random),
         retries=RetryBudget(bounds.retry_budget_ratio, bounds.retry_allowance, bounds.budget_window_s),
-        selection=Selection(view, cold, boot.zone, boot.region, process.rng.random, process.crossing_s),
+        selector=ServerSelector(view, cold, boot.zone, boot.region, process.rng.random, process.crossing_s),
         draw=process.rng.random,
     )
-    shared = Shared(decider, Urgency(), Waiting(), Forwarder(), process.rng)
+    shared = Shared(router, PriorityAssigner(), Waiting(), Forwarder(), process.rng)
     front = Front(shared, Bounds.of(boot.max_fds, boot.memory_mb))
 
     reading: asyncio.Task[None] | None = None
@@ -60,7 +61,7 @@
     def changed(items: list[Item]) -> None:
         nonlocal reading
         view.apply(items, loop.time())
-        if view.has_unread and (reading is None or reading.done()):
+        if view.has_unparsed and (reading is None or reading.done()):
             reading = asyncio.create_task(_read_on(view, told))
         told()
 
@@ -79,9 +80,9 @@
     def figures() -> metrics.Figures:
         return {
             **metrics.of_catalog(process.gossip.catalog),
-            **decider.admission.figures(),
+            **router.admission.figures(),
             "open_requests": front.open_requests,
-            "servers_ejected": view.servers.ejected(loop.time()),
+            "servers_ejected": view.servers.ejected_count(loop.time()),
             "links": len(process.mesh.links()),
         }
 
@@ -91,7 +92,7 @@
             tasks.create_task(process.keep_dialling()),
             tasks.create_task(process.gossip.run(process.rng)),
             tasks.create_task(_forget(view, cold)),
-            tasks.create_task(report_failures(process, decider.reporter)),
+            tasks.create_task(report_failures(process, router.reporter)),
         ]
         await process.stopping.wait()
         ending = process.begin_to_end()
@@ -108,26 +109,26 @@
 
 async def _read_on(view: View, done: Callable[[], None]) -> None:
     """Read long configurations beside all else that the loop has to do."""
-    while view.has_unread:
+    while view.has_unparsed:
         generation = view.generation
-        view.read_on()
+        view.parse_step()
         if view.generation != generation:
             done()
         await asyncio.sleep(0)
 
 
-async def _forget(view: View, cold: ColdBudget) -> None:
+async def _forget(view: View, cold: WarmUpBudget) -> None:
     while True:
         await asyncio.sleep(FORGET_S)
-        view.forget(asyncio.get_running_loop().time())
-        cold.forget(view.servers.instances())
+        view.expire(asyncio.get_running_loop().time())
+        cold.retain(view.servers.instances())
 
 
-async def report_failures(process: Process, reporter: Reporter) -> None:
+async def report_failures(process: Process, reporter: OutcomeReporter) -> None:
     """Tell the owners of services of the requests that failed there, until cancelled."""
     while True:
-        await asyncio.sleep(REPORT_S)
-        for report in reporter.take(asyncio.get_running_loop().time()):
+        await asyncio.sleep(REPORT_INTERVAL_S)
+        for report in reporter.take_reports(asyncio.get_running_loop().time()):
             link = process.owner_link(report.service)
             if link:
                 link.send(report)
--- a/fordtrestle/routing/__init__.py
+++ b/fordtrestle/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which route a request takes and which servers may get it. Pure."""
+"""Which route a request takes and which server gets it. Pure."""
--- /dev/null
+++ b/fordtrestle/routing/home_regions.py
@@ -0,0 +1,46 @@
+"""The home regions of a host's routes, for processes that do not route requests (RULES: HOME). Pure."""
+
+from __future__ import annotations
+
+import json
+from collections.abc import Mapping
+
+from fordtrestle.routing.common import RegionName
+
+
+class HomeRegions:
+    """The home regions of each host, as one configuration has them."""
+
+    def __init__(self, by_host: Mapping[str, frozenset[RegionName]]) -> None:
+        """Begin with the regions by host; hosts in lower case."""
+        self._by_host = by_host
+
+    def of_host(self, host: str) -> frozenset[RegionName] | None:
+        """Return the regions that are home to each route of a host.
+
+        Routes without home regions are left out of account.
+
+        Args:
+            host: The host, with or without a port.
+
+        Returns:
+            The regions; `None` where no route of the host has home regions.
+        """
+        found = self._by_host.get(host.lower())
+        if found is None and ":" in host:
+            found = self._by_host.get(host.rpartition(":")[0].lower())
+        return found
+
+
+def parse_home_regions(document: bytes) -> HomeRegions:
+    """Parse a configuration that was validated when it was put in force.
+
+    A long one takes long: this is no work for the loop's thread.
+    """
+    by_host: dict[str, frozenset[RegionName]] = {}
+    for row in json.loads(document).get("routes", ()):
+        homes = frozenset(row.get("home_regions") or ())
+        if homes:
+            host = row["authority"].lower()
+            by_host[host] = by_host.get(host, homes) & homes
+    return HomeRegions(by_host)
--- a/fordtrestle/routing/json_members.py
+++ b/fordtrestle/routing/json_members.py
@@ -1,69 +1,82 @@
-"""Reads a JSON object member by member, and lists in it row by row, so that a long one can be read in steps.
-Pure.
+"""Reads a JSON object member by member, and its lists row by row. Pure.
+
+So a long document can be read in steps, with other work between them; the library reads it at once only.
 """
 
 from __future__ import annotations
 
 import json
 import re
-from collections.abc import Iterator
+from collections.abc import Generator, Iterator
 from typing import Any
 
+from fordtrestle.routing.errors import JsonSyntaxError
+
 _DECODER = json.JSONDecoder()
-_SPACE = re.compile(r"[ \t\r\n]*")
+_BLANKS = re.compile(r"[ \t\r\n]*")
+
+
+def iter_members(text: str) -> Iterator[tuple[str, Any]]:
+    """Iterate over the members of the object that a text holds.
+
+    Args:
+        text: A JSON object.
 
+    Yields:
+        The name and value of each member; of a list the list's name and a row, once for each row.
 
-def members(text: str) -> Iterator[tuple[str, Any]]:
-    """Each member of the object that a text is, with its name; of a list its rows, each with the list's name.
-    `ValueError` where the text is none.
+    Raises:
+        JsonSyntaxError: The text is no JSON object. Members before the error have been yielded.
     """
-    at = _expect(text, 0, "{")
-    if text[at] == "}":
+    position = _expect(text, 0, "{")
+    if text[position] == "}":
         return
     while True:
-        name, at = _DECODER.raw_decode(text, at)
-        at = _expect(text, at, ":")
-        if text[at] == "[":
-            for row, behind in _rows(text, at):
-                if row is not _END:
-                    yield name, row
-                at = behind
+        name, position = _decode(text, position)
+        position = _expect(text, position, ":")
+        if text[position] == "[":
+            position = yield from _iter_rows(text, position, name)
         else:
-            value, at = _DECODER.raw_decode(text, at)
+            value, position = _decode(text, position)
             yield name, value
-        at = _skip(text, at)
-        if text[at] == "}":
+        position = _skip_blanks(text, position)
+        if text[position] == "}":
             return
-        at = _expect(text, at, ",")
+        position = _expect(text, position, ",")
 
 
-_END = object()
+def _iter_rows(text: str, position: int, name: str) -> Generator[tuple[str, Any], None, int]:
+    """Iterate over the rows of the list that begins at a position; return the position after the list."""
+    position = _expect(text, position, "[")
+    while text[position] != "]":
+        row, position = _decode(text, position)
+        yield name, row
+        position = _skip_blanks(text, position)
+        if text[position] != "]":
+            position = _expect(text, position, ",")
+    return position + 1
 
 
-def _rows(text: str, at: int) -> Iterator[tuple[Any, int]]:
-    """The rows of the list that begins there, each with the place behind it; last `_END`, behind the list."""
-    at = _expect(text, at, "[")
-    while text[at] != "]":
-        row, at = _DECODER.raw_decode(text, at)
-        yield row, at
-        at = _skip(text, at)
-        if text[at] != "]":
-            at = _expect(text, at, ",")
-    yield _END, at + 1
+def _decode(text: str, position: int) -> tuple[Any, int]:
+    """Decode the value that begins at a position; return it and the position after it."""
+    try:
+        return _DECODER.raw_decode(text, position)
+    except json.JSONDecodeError as error:
+        raise JsonSyntaxError(str(error)) from error
 
 
-def _skip(text: str, at: int) -> int:
-    """The place of the next character that is no blank. `ValueError` where there is none."""
-    match = _SPACE.match(text, at)
-    behind = match.end() if match else at
-    if behind == len(text):
-        raise ValueError("the text ends too early")
-    return behind
+def _skip_blanks(text: str, position: int) -> int:
+    """Return the position of the next character that is no blank."""
+    match = _BLANKS.match(text, position)
+    end = match.end() if match else position
+    if end == len(text):
+        raise JsonSyntaxError(f"the text ends too early, at {end}")
+    return end
 
 
-def _expect(text: str, at: int, sign: str) -> int:
-    """The place behind a sign and the blanks around it. `ValueError` where another one stands there."""
-    at = _skip(text, at)
-    if text[at] != sign:
-        raise ValueError(f"{text[at]!r} stands in the place of {sign!r}")
-    return _skip(text, at + 1)
+def _expect(text: str, position: int, character: str) -> int:
+    """Return the position after a character and the blanks around it."""
+    position = _skip_blanks(text, position)
+    if text[position] != character:
+        raise JsonSyntaxError(f"{text[position]!r} in place of {character!r}, at {position}")
+    return _skip_blanks(text, position + 1)
--- /dev/null
+++ b/fordtrestle/routing/router.py
@@ -0,0 +1,151 @@
+"""Decides what is done next with a request. Pure.
+
+Route, home regions, admission, servers and budgets are looked at anew for each step, so that a request that
+has waited goes by what is in force at that moment.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass, field
+
+from fordtrestle.admission.admission_control import AdmissionControl
+from fordtrestle.admission.retry_budget import RetryBudget
+from fordtrestle.routing.common import Draw, RequestMetadata, ServiceName
+from fordtrestle.routing.decisions import Decision, Reject, SendTo, UnknownRoute, WaitFor
+from fordtrestle.routing.drain_policy import DrainPolicy
+from fordtrestle.routing.outcome_reporter import OutcomeReporter
+from fordtrestle.routing.request_attempts import RequestAttempts
+from fordtrestle.routing.route import Route
+from fordtrestle.routing.server import Server
+from fordtrestle.routing.server_selector import ServerSelector
+from fordtrestle.routing.view import View
+
+# Sidecars that are taken to share a budget while it is not known how many do: more than any site has, so that
+# one that has just started spends next to nothing of the fleet's allowance.
+UNKNOWN_SIDECAR_COUNT = 1000
+NO_CONFIGURATION_TIMEOUT_S = 5.0  # taken for the route's time-out while no configuration is known
+NO_CONFIGURATION_RETRY_SCALE_S = 1.0  # taken for the route's latency target, likewise
+# In which this sidecar is back, or another one of its region is ready: a restart takes some three seconds.
+DRAINING_RETRY_SCALE_S = 4.0
+MAX_WAIT_SHARE = 0.3  # of a request's time that it may wait before its first send: the rest is for the answer
+MAX_WAIT_S = 1.5  # that a request may wait: longer than an election of a primary (1.2 s)
+
+
+@dataclass(slots=True)
+class Router:
+    """Decides for all requests of one sidecar.
+
+    Attributes:
+        view: The newest state that this sidecar knows.
+        admission: Load shedding by callee.
+        retries: This sidecar's part of the fleet's retry budget.
+        selector: Chooses the server of one send.
+        draw: The random source for weighted backends.
+        drain_policy: Which requests are still accepted.
+        reporter: Collects outcomes for the control process that judges them.
+    """
+
+    view: View
+    admission: AdmissionControl
+    retries: RetryBudget
+    selector: ServerSelector
+    draw: Draw
+    drain_policy: DrainPolicy = field(default_factory=DrainPolicy)
+    reporter: OutcomeReporter = field(default_factory=OutcomeReporter)
+
+    def next_step(self, request: RequestMetadata, attempts: RequestAttempts, now: float) -> Decision:
+        """Decide what is done now with a request.
+
+        Args:
+            request: The request.
+            attempts: Its attempts so far; its admission is noted there.
+            now: Seconds of the loop's clock.
+        """
+        table = self.view.table
+        if table is None:
+            rejection = Reject(NO_CONFIGURATION_RETRY_SCALE_S, "no configuration yet")
+            return self._wait_or_reject(request, attempts, NO_CONFIGURATION_TIMEOUT_S, rejection)
+        route = table.match(request.host, request.path)
+        if route is None:
+            return UnknownRoute()
+        if not self.drain_policy.accepts(route.route_type, request.prompt.tokens_out, request.arrived_at):
+            return Reject(DRAINING_RETRY_SCALE_S, "this sidecar ends")
+        deadline = request.arrived_at + request.timeout_s(route.timeout_s)
+        if now >= deadline:
+            return Reject(route.latency_target_s, "the time is up")
+        return self._next_send(route, request, attempts, now, deadline)
+
+    def resume(
+        self, request: RequestMetadata, attempts: RequestAttempts, now: float, deadline: float
+    ) -> SendTo | None:
+        """Decide which server goes on with a stream that broke off.
+
+        Args:
+            request: The request.
+            attempts: Its attempts so far.
+            now: Seconds of the loop's clock.
+            deadline: When the stream has to be complete, in seconds of the loop's clock.
+
+        Returns:
+            The send; `None` where the stream may not be resumed or no server can take it.
+        """
+        table = self.view.table
+        route = table.match(request.host, request.path) if table else None
+        if route is None or not route.is_resumable or attempts.runs >= route.max_attempts:
+            return None
+        if attempts.has_exhausted_connects() or now >= deadline:
+            return None
+        callee = route.draw_backend(self.draw)
+        server = self.selector.select(route, callee, request.prompt, attempts.tried, now)
+        if server is None or not self._try_acquire_retry(callee, now):
+            return None
+        return SendTo(route, callee, server, deadline)
+
+    def record_outcome(self, server: Server, failed: bool, now: float) -> bool:
+        """Count how a request ended at a server, as evidence for outlier ejection.
+
+        Returns:
+            Whether this ejects the server at this sidecar.
+        """
+        self.reporter.record(server.record.service, server.instance, failed, now)
+        return self.view.servers.record_outcome(server, failed, now)
+
+    def _next_send(
+        self,
+        route: Route,
+        request: RequestMetadata,
+        attempts: RequestAttempts,
+        now: float,
+        deadline: float,
+    ) -> Decision:
+        callee = route.draw_backend(self.draw)
+        if not self._admit(callee, attempts, now):
+            return Reject(route.latency_target_s, "too many requests are turned away")
+        server = self.selector.select(route, callee, request.prompt, attempts.tried, now)
+        if server is None:
+            rejection = Reject(route.latency_target_s, "no server may take it")
+            return self._wait_or_reject(request, attempts, route.timeout_s, rejection)
+        if attempts.sends and not self._try_acquire_retry(callee, now):
+            return Reject(route.latency_target_s, "the budget of second sends is used up")
+        return SendTo(route, callee, server, deadline)
+
+    def _wait_or_reject(
+        self, request: RequestMetadata, attempts: RequestAttempts, route_timeout_s: float, rejection: Reject
+    ) -> WaitFor | Reject:
+        """Let a request wait for a part of its time, but only before its first send."""
+        if attempts.sends:
+            return rejection
+        longest_s = min(MAX_WAIT_S, MAX_WAIT_SHARE * request.timeout_s(route_timeout_s))
+        return WaitFor(request.arrived_at + longest_s, rejection)
+
+    def _admit(self, callee: ServiceName, attempts: RequestAttempts, now: float) -> bool:
+        """Ask admission control, before any send and no more once it has admitted the request."""
+        if not attempts.is_admitted:
+            self.retries.record_request(callee, now)
+            attempts.is_admitted = self.admission.admit(callee, now)
+        return attempts.is_admitted
+
+    def _try_acquire_retry(self, callee: ServiceName, now: float) -> bool:
+        """Take a retry out of this sidecar's part of the budget, if it has room."""
+        sidecars = len(self.view.sidecars) if self.view.knows_peers(now) else UNKNOWN_SIDECAR_COUNT
+        return self.retries.try_acquire(callee, sidecars, now)
--- a/fordtrestle/routing/view.py
+++ b/fordtrestle/routing/view.py
@@ -1,12 +1,12 @@
-"""What one sidecar decides by: routes, servers, evacuated zones, its fellow sidecars. Pure.
+"""What one sidecar decides by: routes, servers, evacuated zones, the other sidecars. Pure.
 
-It follows the catalog, of which every item only moves forward, so that nothing here goes back within one
-life of the process. A request looks here anew before each send.
+It follows the catalog, whose items only move forward, so that nothing here goes back while the process lives.
+Each decision looks here anew.
 """
 
 from __future__ import annotations
 
-from collections.abc import Generator, Iterable
+from collections.abc import Generator, Iterable, Mapping
 
 from fordtrestle.dissemination.items import (
     Availability,
@@ -16,105 +16,132 @@
     MemberRecord,
     ServerRecord,
 )
-from fordtrestle.routing.servers import Servers
-from fordtrestle.routing.table import RouteTable, parse_table, read_table
+from fordtrestle.routing.common import NodeName, RegionName, ZoneName
+from fordtrestle.routing.route_table import RouteTable, parse_table, parse_table_in_steps
+from fordtrestle.routing.server_table import ServerTable
 
 SIDECAR_ROLE = "sidecar"
-DOWN_S = 120.0
-PEERS_KNOWN_S = 2.0
-HEARTBEATS_OF_DOUBT = 1.5  # for which servers that were out of use are held to be cold
-AT_ONCE_MOST = 64 * 1024  # bytes of a configuration that is read at once; a longer one is read in steps
+DOWN_RETENTION_S = 120.0  # that a sidecar which is down counts as sharing budgets: it may be partitioned
+PEERS_KNOWN_S = 2.0  # after the start, until all other sidecars are known from the catalog
+# Heartbeat intervals for which the servers of a zone that is taken back count as warming up: their next
+# heartbeats tell whether they do.
+WARM_UP_GUESS_HEARTBEATS = 1.5
+MAX_IMMEDIATE_PARSE_BYTES = 64 * 1024  # of a configuration: parsing a longer one at once would stall the loop
 
 
-class _Reading:
-    """A long configuration that is being read."""
+class _ParseInProgress:
+    """A long configuration that is being parsed."""
 
     def __init__(self, control: ControlView) -> None:
+        """Begin to parse."""
         self.control = control
-        self.steps: Generator[None, None, RouteTable] = read_table(control.document)
+        self.steps: Generator[None, None, RouteTable] = parse_table_in_steps(control.document)
 
 
 class View:
-    """The newest state that has come to this process."""
-
-    def __init__(self, zones: dict[str, str], heartbeat_s: float, born: float) -> None:
+    """The newest state that has come to this process.
+
+    Attributes:
+        table: The routes in force; `None` before the first configuration.
+        generation: The generation of the configuration in force.
+        evacuated_zones: Zones whose servers take no requests.
+        servers: All servers.
+        sidecars: The names of all sidecars that share the fleet's budgets, among them those that have been
+            down for less than `DOWN_RETENTION_S`.
+    """
+
+    def __init__(self, zones: Mapping[ZoneName, RegionName], heartbeat_s: float, started_at: float) -> None:
+        """Begin without any state.
+
+        Args:
+            zones: The region of each zone.
+            heartbeat_s: The interval of servers' heartbeats, in seconds.
+            started_at: When this process started, in seconds of the loop's clock.
+        """
         self._heartbeat_s = heartbeat_s
-        self._born = born  # s, steady clock
+        self._started_at = started_at
         self.table: RouteTable | None = None
         self.generation = 0
-        self.evacuated: frozenset[str] = frozenset()
-        self.servers = Servers(zones)
-        self.sidecars: set[str] = set()  # that share the fleet's budgets, those lately told to be down too
-        self._down_since: dict[str, float] = {}
-        self._unread: ControlView | None = None  # the newest long one
-        self._reading: _Reading | None = None
+        self.evacuated_zones: frozenset[ZoneName] = frozenset()
+        self.servers = ServerTable(zones)
+        self.sidecars: set[NodeName] = set()
+        self._down_since: dict[NodeName, float] = {}
+        self._unparsed: ControlView | None = None  # the newest long configuration
+        self._parse: _ParseInProgress | None = None
 
     def apply(self, items: Iterable[Item], now: float) -> None:
-        """Follow items that are new to the catalog."""
+        """Follow items that are new to the catalog; `now` in seconds of the loop's clock."""
         for item in items:
             match item.value:
                 case ControlView() as control:
-                    self._follow(control, now)
+                    self._apply_control(control, now)
                 case ServerRecord() as record:
-                    self.servers.take(record, item.version, now)
+                    self.servers.update(record, item.version, now)
                 case EjectionRecord() as record if self.knows_peers(now):
-                    self.servers.eject(record, now)  # what is told at the start may be long over
-                case MemberRecord(role=role, node=node, availability=availability) if role == SIDECAR_ROLE:
-                    self.sidecars.add(node)
-                    if availability is Availability.DOWN:
-                        self._down_since.setdefault(node, now)
-                    else:
-                        self._down_since.pop(node, None)
-
-    def forget(self, now: float) -> None:
-        """Drop servers that are gone, and sidecars that have been down for long.
-
-        Those behind a cut are told to be down too, and go on spending their part: it stays theirs a while.
+                    self.servers.eject(record, now)  # those that come at the start may be long over
+                case MemberRecord() as record if record.role == SIDECAR_ROLE:
+                    self._apply_sidecar(record, now)
+
+    def expire(self, now: float) -> None:
+        """Drop servers that have departed, and sidecars that have been down for long.
+
+        A sidecar behind a partition is reported to be down, too, and goes on spending its part of the fleet's
+        budgets: so the part stays reserved for a while.
         """
-        self.servers.forget(now)
+        self.servers.expire(now)
         for node, since in list(self._down_since.items()):
-            if now - since > DOWN_S:
+            if now - since > DOWN_RETENTION_S:
                 del self._down_since[node]
                 self.sidecars.discard(node)
 
     def knows_peers(self, now: float) -> bool:
-        """Whether this process has been there for long enough to know who shares the fleet's budgets."""
-        return now - self._born >= PEERS_KNOWN_S
-
-    def _follow(self, control: ControlView, now: float) -> None:
-        taken_back = self.evacuated.difference(control.evacuated)
-        self.evacuated = frozenset(control.evacuated)
-        if taken_back:
-            # They may have turned cold shortly before; their next heartbeats tell.
-            self.servers.mark_cold(taken_back, now + HEARTBEATS_OF_DOUBT * self._heartbeat_s)
-        if not control.document or control.generation == self.generation:
-            return
-        if len(control.document) > AT_ONCE_MOST:
-            self._unread = control
-            return
-        self._unread = self._reading = None  # what is read is older
-        self._take(control, parse_table(control.document))
+        """Return whether this process runs for long enough to know who shares the fleet's budgets."""
+        return now - self._started_at >= PEERS_KNOWN_S
 
     @property
-    def has_unread(self) -> bool:
-        """Whether a long configuration has come that is not in force yet: `read_on` until it is."""
-        return self._reading is not None or self._unread is not None
+    def has_unparsed(self) -> bool:
+        """Whether a long configuration has come that is not in force yet: call `parse_step` until it is."""
+        return self._parse is not None or self._unparsed is not None
 
-    def read_on(self) -> None:
-        """Read some more of a long configuration. One that is begun is finished first: where they come faster
-        than they are read, none would ever be.
+    def parse_step(self) -> None:
+        """Parse some more rows of a long configuration, and put it in force after the last one.
+
+        One that is begun is finished first: where newer ones come faster than they are parsed, none would
+        ever be in force otherwise.
         """
-        if self._reading is None:
-            if self._unread is None:
+        if self._parse is None:
+            if self._unparsed is None:
                 return
-            self._reading, self._unread = _Reading(self._unread), None
-        reading = self._reading
+            self._parse, self._unparsed = _ParseInProgress(self._unparsed), None
+        parse = self._parse
         try:
-            next(reading.steps)
+            next(parse.steps)
         except StopIteration as done:
-            self._reading = None
-            self._take(reading.control, done.value)
+            self._parse = None
+            self._put_in_force(parse.control, done.value)
+
+    def _apply_sidecar(self, record: MemberRecord, now: float) -> None:
+        self.sidecars.add(record.node)
+        if record.availability is Availability.DOWN:
+            self._down_since.setdefault(record.node, now)
+        else:
+            self._down_since.pop(record.node, None)
+
+    def _apply_control(self, control: ControlView, now: float) -> None:
+        """Follow the committed state: evacuations at once, a long configuration once it is parsed."""
+        taken_back = self.evacuated_zones.difference(control.evacuated)
+        self.evacuated_zones = frozenset(control.evacuated)
+        if taken_back:
+            guess_until = now + WARM_UP_GUESS_HEARTBEATS * self._heartbeat_s
+            self.servers.mark_warming_up(taken_back, guess_until)
+        if not control.document or control.generation == self.generation:
+            return
+        if len(control.document) > MAX_IMMEDIATE_PARSE_BYTES:
+            self._unparsed = control
+            return
+        self._unparsed = self._parse = None  # whatever is being parsed is older
+        self._put_in_force(control, parse_table(control.document))
 
-    def _take(self, control: ControlView, table: RouteTable) -> None:
+    def _put_in_force(self, control: ControlView, table: RouteTable) -> None:
         self.table = table
         self.generation = control.generation
--- a/tests/admission/test_budgets.py
+++ b/tests/admission/test_budgets.py
@@ -7,19 +7,20 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fordtrestle.admission.budgets import ColdBudget, RetryBudget
-from fordtrestle.admission.window import Admission
+from fordtrestle.admission.admission_control import AdmissionControl
+from fordtrestle.admission.retry_budget import RetryBudget
+from fordtrestle.admission.warm_up_budget import WarmUpBudget
 
 
 @given(st.integers(1, 60), st.floats(0.5, 40.0), st.floats(0.0, 10.0), st.integers(1, 400))
 def test_a_cold_server_gets_no_more_than_it_bears_in_any_second(sidecars, rate, slack, requests):
     names = [f"front-{n}" for n in range(sidecars)]
-    budgets = [ColdBudget(1.5, slack, name) for name in names]
+    budgets = [WarmUpBudget(1.5, slack, name) for name in names]
     bound = rate * 1.5 + slack
     sent = []
     for step in range(requests):
         now = step * 0.01
-        sent += [now for budget in budgets if budget.allows("i-1", rate, names, now)]
+        sent += [now for budget in budgets if budget.try_acquire("i-1", rate, names, now)]
     for at in sent:
         inside = sum(at <= other < at + 1.0 for other in sent)
         assert inside <= max(1.0, bound)
@@ -27,14 +28,14 @@
 
 def test_a_cold_server_gets_something_from_a_large_fleet():
     names = [f"front-{n}" for n in range(380)]
-    senders = [name for name in names if ColdBudget(1.5, 5.0, name).allows("i-1", 9.9, names, 0.0)]
+    senders = [name for name in names if WarmUpBudget(1.5, 5.0, name).try_acquire("i-1", 9.9, names, 0.0)]
     assert 1 <= len(senders) <= 19
 
 
 def test_cold_counts_of_servers_that_are_forgotten_are_dropped():
-    budget = ColdBudget(1.5, 5.0, "front-1")
-    assert budget.allows("i-1", 9.9, ["front-1"], 0.0)
-    budget.forget(["i-2"])
+    budget = WarmUpBudget(1.5, 5.0, "front-1")
+    assert budget.try_acquire("i-1", 9.9, ["front-1"], 0.0)
+    budget.retain(["i-2"])
     assert not budget._sent
 
 
@@ -44,33 +45,33 @@
     for step in range(1000):
         now = step * 0.01
         for budget in budgets:
-            budget.request("pool", now)
+            budget.record_request("pool", now)
             requests += 1
-            repeats += budget.allows("pool", 6, now)
+            repeats += budget.try_acquire("pool", 6, now)
     assert 0 < repeats <= 0.2 * requests + 52.0
 
 
 def test_the_budget_comes_back_with_time_and_is_kept_by_callee():
     budget = RetryBudget(0.0, 2.0, 10.0)
-    assert budget.allows("pool", 1, 0.0)
-    assert not budget.allows("pool", 1, 1.0)
-    assert budget.allows("other", 1, 1.0)
-    assert budget.allows("pool", 1, 10.1)
+    assert budget.try_acquire("pool", 1, 0.0)
+    assert not budget.try_acquire("pool", 1, 1.0)
+    assert budget.try_acquire("other", 1, 1.0)
+    assert budget.try_acquire("pool", 1, 10.1)
 
 
 def test_refusals_grow_with_what_is_turned_away_and_each_counts_as_a_request():
-    admission = Admission(lambda: 0.0)
+    admission = AdmissionControl(lambda: 0.0)
     for step in range(40):
-        admission.rejected("pool", step * 0.1)
-    assert not admission.admits("pool", 4.0)
-    window = admission._windows["pool"]
+        admission.record_rejected("pool", step * 0.1)
+    assert not admission.admit("pool", 4.0)
+    window = admission._throttles["pool"]
     assert window.requests == 41
     assert window.accepts == 0
-    assert admission.admits("other", 4.0)
+    assert admission.admit("other", 4.0)
 
 
 def test_a_service_that_takes_requests_is_refused_nothing():
-    admission = Admission(lambda: 0.0)
+    admission = AdmissionControl(lambda: 0.0)
     for step in range(100):
-        admission.accepted("pool", step * 0.1)
-    assert all(admission.admits("pool", 10.0 + step) for step in range(3))
+        admission.record_accepted("pool", step * 0.1)
+    assert all(admission.admit("pool", 10.0 + step) for step in range(3))
--- a/tests/control_api/test_outliers.py
+++ b/tests/control_api/test_outliers.py
@@ -15,7 +15,7 @@
     server_item,
 )
 from fordtrestle.dissemination.messages import OutcomeReport, Outcomes
-from fordtrestle.routing.outliers import EJECTION_S
+from fordtrestle.routing.outlier_ejection import BASE_EJECTION_S
 
 REGIONS = {"z-1": "r-1", "z-2": "r-1"}
 
@@ -59,16 +59,16 @@
     for node in ("s-1", "s-2", "s-1"):
         detector.on_report(node, report(), 1.0)
     assert [(item.key, item.value) for item in gossip.published] == [
-        (EJECTION_PREFIX + "bad", EjectionRecord("bad", EJECTION_S))
+        (EJECTION_PREFIX + "bad", EjectionRecord("bad", BASE_EJECTION_S))
     ]
 
 
 def test_the_next_ejection_of_a_server_is_spread_too():
     detector, gossip = detector_and_gossip()
-    for now in (1.0, 1.0 + EJECTION_S):
+    for now in (1.0, 1.0 + BASE_EJECTION_S):
         for node in ("s-1", "s-2"):
             detector.on_report(node, report(), now)
-    assert [item.value.lasts_s for item in gossip.published] == [EJECTION_S, 2 * EJECTION_S]
+    assert [item.value.lasts_s for item in gossip.published] == [BASE_EJECTION_S, 2 * BASE_EJECTION_S]
 
 
 def test_another_owner_continues_from_the_known_version():
--- a/tests/dissemination/test_forgetting.py
+++ b/tests/dissemination/test_forgetting.py
@@ -141,7 +141,7 @@
             control.take(silent, self.now)
         for process in self.processes.values():
             process.catalog.expire(self.now)
-            process.view.forget(self.now)
+            process.view.expire(self.now)
 
     def step(self) -> None:
         kinds = (self.tick, self.exchange, self.drain, self.deregister, self.restart)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -41,13 +41,20 @@
 MISSING_ITEMS = "dissemination/missing_items.py"
 BROADCAST, BROADCAST_TESTS = "dissemination/broadcast.py", "tests/dissemination/test_broadcast.py"
 DELTA, DELTA_TESTS = "dissemination/delta.py", "tests/dissemination/test_delta.py"
-FRONTS, FRONTS_TESTS = "routing/fronts.py", "tests/routing/test_fronts.py"
+SIDECAR_SELECTOR, SIDECAR_SELECTOR_TESTS = (
+    "routing/sidecar_selector.py",
+    "tests/routing/test_sidecar_selector.py",
+)
 HARD_CASES = "tests/replication/test_hard_cases.py"
 MEMBERSHIP, PRIMARY, WITNESS = (f"replication/{name}.py" for name in ("membership", "primary", "witness"))
 BOOTSTRAP, BOOTSTRAP_TESTS = "replication/bootstrap.py", "tests/replication/test_bootstrap.py"
 EPOCH_CHANGE = "replication/epoch_change.py"
-OUTLIERS, OUTLIERS_TESTS = "routing/outliers.py", "tests/routing/test_outliers.py"
-EVIDENCE, EVIDENCE_TESTS = "routing/evidence.py", "tests/routing/test_evidence.py"
+OUTLIERS, EJECTION = "routing/outlier_detection.py", "routing/outlier_ejection.py"
+OUTLIERS_TESTS = "tests/routing/test_outliers.py"
+FLEET_OUTLIERS, FLEET_OUTLIERS_TESTS = (
+    "routing/fleet_outliers.py",
+    "tests/routing/test_fleet_outliers.py",
+)
 
 GUARDS: dict[str, Guard] = {
     "the file is synced before what it holds is read": _removal(
@@ -172,13 +179,13 @@
     "a long configuration is read in steps": _removal(
         "routing/view.py",
         "tests/routing/test_long_configurations.py",
-        "        if len(control.document) > AT_ONCE_MOST:\n",
+        "        if len(control.document) > MAX_IMMEDIATE_PARSE_BYTES:\n",
         "        if False:\n",
     ),
     "what is read is dropped for what is newer": _removal(
         "routing/view.py",
         "tests/routing/test_long_configurations.py",
-        "        self._unread = self._reading = None  # what is read is older\n",
+        "        self._unparsed = self._parse = None  # whatever is being parsed is older\n",
     ),
     "a wait is told at growing pauses": _removal(
         "replication/events.py",
@@ -417,9 +424,9 @@
         "            pass\n",
     ),
     "only what may be repeated is sent again": _removal(
-        "routing/decision.py",
+        "routing/request_attempts.py",
         ENDS,
-        "        return route.repeatable and self.runs",
+        "        return route.is_idempotent and self.runs",
         "        return self.runs",
     ),
     "an answer that broke off is no success of its server": _removal(
@@ -437,13 +444,13 @@
     "a connection that does not come up tells of absence alone": _removal(
         "ingress/exchange.py",
         "tests/ingress/test_grey.py",
-        "            case client.Unreachable():\n                server.failed(now)\n",
+        "            case client.Unreachable():\n                server.on_connection_failure(now)\n",
         "            case client.Unreachable():\n                self._ended(server, failed=True)\n",
     ),
     "a time-out tells of a server only where it is silent": _removal(
         "ingress/exchange.py",
         "tests/ingress/test_grey.py",
-        "                if server.is_silent_since(now - took_s):\n",
+        "                if server.has_answered_nothing_since(now - took_s):\n",
         "                if True:\n",
     ),
     "servers whose heartbeats went to an earlier incarnation or to one that is down are watched": _removal(
@@ -458,37 +465,39 @@
         "    version = (sequence, int(record.phase), int(record.is_unresponsive))\n",
     ),
     "what befalls all servers ejects none": _removal(
-        OUTLIERS, OUTLIERS_TESTS, "max(SHARE_LEAST, TIMES_OTHERS * median(shares))", "SHARE_LEAST"
+        OUTLIERS, OUTLIERS_TESTS, "max(MIN_FAILURE_SHARE, TIMES_OTHERS * median(shares))", "MIN_FAILURE_SHARE"
     ),
     "one failure ejects no server": _removal(
-        OUTLIERS, OUTLIERS_TESTS, "    if server.recent(now).bad < FAILURES_LEAST:\n        return False\n"
+        OUTLIERS, OUTLIERS_TESTS, "    if server.decayed(now).bad < MIN_FAILURES:\n        return False\n"
     ),
     "the greater part of a region's servers stays in use": _removal(
-        OUTLIERS, OUTLIERS_TESTS, "    return ranked[: int(EJECTED_MOST * of)]\n", "    return ranked\n"
+        EJECTION,
+        OUTLIERS_TESTS,
+        "    return ranked[: int(MAX_EJECTED_SHARE * region_size)]\n",
+        "    return ranked\n",
     ),
     "own evidence goes before what was told": _removal(
-        OUTLIERS,
+        EJECTION,
         OUTLIERS_TESTS,
-        "        return now < self.own.until, max(",
+        "        return now < self.own_ejection.until, max(",
         "        return False, max(",
     ),
     "a sidecar that has just started takes up no old ejections": _removal(
         "routing/view.py", OUTLIERS_TESTS, "as record if self.knows_peers(now):", "as record:"
     ),
     "one zone alone ejects no server for all": _removal(
-        EVIDENCE, EVIDENCE_TESTS, " or len(seen_from) < ZONES_LEAST:", ":"
+        FLEET_OUTLIERS, FLEET_OUTLIERS_TESTS, " or len(zones) < MIN_ZONES:", ":"
     ),
     "other regions alone eject no server for all": _removal(
-        EVIDENCE,
-        EVIDENCE_TESTS,
-        "        if region not in {self._regions.get(zone) for zone in seen_from}:\n"
-        "            return False\n",
+        FLEET_OUTLIERS,
+        FLEET_OUTLIERS_TESTS,
+        "        if region not in {self._regions.get(zone) for zone in zones}:\n            return False\n",
     ),
     "no request is sent to more servers than allowed": _removal(
-        "routing/decision.py",
+        "routing/request_attempts.py",
         "tests/ingress",
-        "return route.repeatable and self.runs < route.max_attempts",
-        "return route.repeatable",
+        "return route.is_idempotent and self.runs < route.max_attempts",
+        "return route.is_idempotent",
     ),
     "a version of the catalog never goes back": _removal(
         "dissemination/catalog.py",
@@ -554,9 +563,10 @@
         "            # the client has gone",
     ),
     "streams are taken only while they can be finished": _removal(
-        "routing/decision.py",
+        "routing/router.py",
         CLOSING,
-        "        if not self.intake.takes(route.type, wanted.prompt.tokens_out, wanted.arrived):\n",
+        "        if not self.drain_policy.accepts("
+        "route.route_type, request.prompt.tokens_out, request.arrived_at):\n",
         "        if False:\n",
     ),
     "a step that hangs is cut": _removal(
@@ -660,27 +670,31 @@
         "    early = None\n",
     ),
     "who leaves is named while its region has nobody else": _removal(
-        FRONTS, FRONTS_TESTS, "            or _nearest(self._heard(Availability.LEAVING), asker)\n"
+        SIDECAR_SELECTOR,
+        SIDECAR_SELECTOR_TESTS,
+        "            or _nearest(self._linked_with(Availability.LEAVING), client)\n",
     ),
     "a closing sidecar is its region's last resort": _removal(
-        FRONTS, FRONTS_TESTS, "            or _within(self._heard(Availability.CLOSING), {region})\n"
+        SIDECAR_SELECTOR,
+        SIDECAR_SELECTOR_TESTS,
+        "            or _within(self._linked_with(Availability.CLOSING), {client.region})\n",
     ),
     "a host with homes is not led elsewhere": _removal(
-        FRONTS,
-        FRONTS_TESTS,
-        "            or (settled and _within(heard, asker.bound))\n",
-        "            or (settled and heard)\n",
+        SIDECAR_SELECTOR,
+        SIDECAR_SELECTOR_TESTS,
+        "            or (is_settled and _within(linked_ready, allowed))\n",
+        "            or (is_settled and linked_ready)\n",
     ),
     "homes may be left once all are down": _removal(
-        FRONTS,
-        FRONTS_TESTS,
-        "            or (settled and self._all_down(asker.bound) and (heard or ready))\n",
+        SIDECAR_SELECTOR,
+        SIDECAR_SELECTOR_TESTS,
+        "            or (is_settled and self._are_all_down(allowed) and (linked_ready or ready))\n",
     ),
     "only one of those that end together goes at once": _removal(
-        FRONTS, FRONTS_TESTS, " and other.node > me.node", ""
+        SIDECAR_SELECTOR, SIDECAR_SELECTOR_TESTS, " and other.node > me.node", ""
     ),
     "a host's homes are those of all its routes": _removal(
-        "routing/homes.py",
+        "routing/home_regions.py",
         DIRECTORY,
         "by_host.get(host, homes) & homes",
         "by_host.get(host, homes) | homes",
@@ -688,8 +702,8 @@
     "the directory reads long configurations beside the loop": _removal(
         "ingress/directory.py",
         DIRECTORY,
-        "await asyncio.to_thread(read_homes, control.document)",
-        "read_homes(control.document)",
+        "await asyncio.to_thread(parse_home_regions, control.document)",
+        "parse_home_regions(control.document)",
     ),
     "the directory goes by the newest configuration": _removal(
         "ingress/directory.py",
--- a/tests/ingress/stage.py
+++ b/tests/ingress/stage.py
@@ -10,16 +10,17 @@
 import struct
 from enum import Enum, auto
 
-from fordtrestle.admission.budgets import ColdBudget, RetryBudget
-from fordtrestle.admission.urgency import Urgency
-from fordtrestle.admission.window import Admission
+from fordtrestle.admission.admission_control import AdmissionControl
+from fordtrestle.admission.priority_assigner import PriorityAssigner
+from fordtrestle.admission.retry_budget import RetryBudget
+from fordtrestle.admission.warm_up_budget import WarmUpBudget
 from fordtrestle.dissemination.items import ControlView, Phase, ServerRecord, control_item, server_item
 from fordtrestle.forward.client import Forwarder
 from fordtrestle.ingress.exchange import Shared
 from fordtrestle.ingress.server import Bounds, Front
 from fordtrestle.ingress.waiting import Waiting
-from fordtrestle.routing.decision import Decider
-from fordtrestle.routing.selection import Selection
+from fordtrestle.routing.router import Router
+from fordtrestle.routing.server_selector import ServerSelector
 from fordtrestle.routing.view import View
 from fordtrestle.settings.records import Address
 
@@ -124,16 +125,16 @@
     """A front that serves, and the view that it decides by."""
 
     def __init__(self, *routes: dict[str, object], services: list[dict[str, object]] | None = None) -> None:
-        self.view = View(ZONES, heartbeat_s=1.0, born=0.0)
+        self.view = View(ZONES, heartbeat_s=1.0, started_at=0.0)
         self.sequence = 0
         self.configure(*routes, services=services)
-        self.decider = Decider(
+        self.router = Router(
             view=self.view,
-            admission=Admission(random.Random(1).random),
+            admission=AdmissionControl(random.Random(1).random),
             retries=RetryBudget(0.2, 50.0, 10.0),
-            selection=Selection(
+            selector=ServerSelector(
                 self.view,
-                ColdBudget(1.5, 5.0, "front-1"),
+                WarmUpBudget(1.5, 5.0, "front-1"),
                 "z-1",
                 "r-1",
                 random.Random(1).random,
@@ -141,7 +142,7 @@
             ),
             draw=random.Random(1).random,
         )
-        self.shared = Shared(self.decider, Urgency(), Waiting(), Forwarder(), random.Random(1))
+        self.shared = Shared(self.router, PriorityAssigner(), Waiting(), Forwarder(), random.Random(1))
         self.front = Front(self.shared, Bounds(requests=100, body_bytes=1_000_000))
 
     def configure(self, *routes, services=None, evacuated=()):
--- a/tests/ingress/test_directory.py
+++ b/tests/ingress/test_directory.py
@@ -11,7 +11,7 @@
 from fordtrestle.dissemination.items import Availability, ControlView, MemberRecord, control_item, member_item
 from fordtrestle.ingress import directory as directory_module
 from fordtrestle.ingress.directory import Directory
-from fordtrestle.routing.homes import read_homes
+from fordtrestle.routing.home_regions import parse_home_regions
 from tests.exchanges import Client, loopback, request, serve, until
 from tests.ingress.stage import HOST, route
 
@@ -88,9 +88,9 @@
 
     def read(document):
         threads.append(threading.get_ident())
-        return read_homes(document)
+        return parse_home_regions(document)
 
-    monkeypatch.setattr(directory_module, "read_homes", read)
+    monkeypatch.setattr(directory_module, "parse_home_regions", read)
     directory = Directory(catalog, set, REGIONS, 5.0, random.Random(1))
     assert await directory._homes_of(HOST) is None, "nothing is known"
     catalog.merge([control_item(configuration(1, route(home_regions=["r-2"])))], 0.0)
--- a/tests/ingress/test_ends.py
+++ b/tests/ingress/test_ends.py
@@ -128,8 +128,8 @@
         if kept:
             await client.exchange(call("q1"))
         stage.add(second, "i-2", zone="z-2")
-        stage.view.servers._servers["i-2"].cold_until = float("inf")  # taken where nothing else is left
-        stage.decider.selection._view._born = -10.0
+        stage.view.servers._servers["i-2"].warming_up_until = float("inf")  # taken where nothing else is left
+        stage.router.selector._view._started_at = -10.0
         answer = await client.exchange(call("q2", deadline_ms))
         assert told(answer) == expected.told[kind]
         assert "surplus" not in answer
@@ -137,7 +137,7 @@
         assert arrivals(first, "q2") == 1, first.requests
         assert arrivals(second, "q2") == (kind in expected.again)
         if expected.told[kind] == "200" and not expected.again:
-            stage.view.servers._servers["i-1"].rest_until = 0.0
+            stage.view.servers._servers["i-1"].backoff_until = 0.0
             async with Client(stage.port) as next_client:
                 assert told(await next_client.exchange(call("q3"))) == "200"
             assert first.connections == 2 - expected.lives
@@ -186,7 +186,7 @@
         answer = await client.exchange(late)
         assert told(answer) == "503"
         assert "Retry-After" in answer
-        assert stage.view.servers._servers["i-1"].failures == 0
+        assert stage.view.servers._servers["i-1"].connection_failures == 0
 
 
 @loopback
--- a/tests/ingress/test_exchanges.py
+++ b/tests/ingress/test_exchanges.py
@@ -133,10 +133,10 @@
             answer = await client.exchange(call())
             assert answer.startswith("HTTP/1.1 503")
             assert "Retry-After" in answer
-            window = stage.decider.admission._windows["pool"]
+            window = stage.router.admission._throttles["pool"]
             assert (window.requests, window.accepts) == (1, 0)
             stage.add(port, "i-gone")
-            stage.view.servers._servers["i-1"].rest_until = float("inf")
+            stage.view.servers._servers["i-1"].backoff_until = float("inf")
             answer = await client.exchange(call())
             assert answer.startswith("HTTP/1.1 503")
             assert (window.requests, window.accepts) == (1, 0)
@@ -172,7 +172,7 @@
         assert len(reused.requests) == 1, "a newer word of that incarnation alone brings it back"
         stage.sequence += 1
         stage.add(reused, "i-old")
-        assert any(server.is_usable(float("inf")) for server in stage.view.servers.of("pool"))
+        assert any(server.is_usable(float("inf")) for server in stage.view.servers.of_service("pool"))
 
 
 @loopback
@@ -244,7 +244,7 @@
         assert [events_passed.count(f"part {number}") for number in range(1, 5)] == [1, 1, 1, 1]
         assert "X-Response-Stamp: first" in answer
         assert "second" not in answer
-        await until(lambda: not any(server.in_flight for server in stage.view.servers.of("pool")))
+        await until(lambda: not any(server.in_flight for server in stage.view.servers.of_service("pool")))
 
 
 @pytest.mark.parametrize(
@@ -291,7 +291,7 @@
             await client.send(call())
             await until(lambda: server.requests)
         await until(lambda: not stage.front.open_requests)
-        assert not any(known.in_flight for known in stage.view.servers.of("pool"))
+        assert not any(known.in_flight for known in stage.view.servers.of_service("pool"))
 
 
 @loopback
--- a/tests/ingress/test_grey.py
+++ b/tests/ingress/test_grey.py
@@ -39,12 +39,13 @@
         for instance in SERVERS:
             stage.add(grey if instance == "i-grey" else good, instance)
         for _ in range(40):
-            stage.view.servers._servers["i-grey"].rest_until = 0.0  # what failed connections alone would do
+            # No back-off, which failed connections alone would cause.
+            stage.view.servers._servers["i-grey"].backoff_until = 0.0
             async with Client(stage.port) as client:
                 await client.exchange(call())
         assert len(grey.requests) <= 4
         assert len(good.requests) >= 36
-        assert health(stage, "i-grey").own.count >= 1
+        assert health(stage, "i-grey").own_ejection.count >= 1
 
 
 @loopback
@@ -55,7 +56,7 @@
         for _ in range(20):
             async with Client(stage.port) as client:
                 assert (await client.exchange(call())).startswith("HTTP/1.1 500")
-        assert not any(health(stage, instance).own.count for instance in SERVERS)
+        assert not any(health(stage, instance).own_ejection.count for instance in SERVERS)
 
 
 @loopback
@@ -99,7 +100,7 @@
         async with Client(stage.port) as client:
             assert (await client.exchange(call("300"))).startswith("HTTP/1.1 503")
         server = stage.view.servers._servers["i-1"]
-        assert server.failures
+        assert server.connection_failures
         assert server.health.outcomes.total == 0
 
 
@@ -110,7 +111,7 @@
         for _ in range(3):
             async with Client(stage.port) as client:
                 await client.exchange(call())
-        [report] = stage.decider.reporter.take(asyncio.get_running_loop().time())
+        [report] = stage.router.reporter.take_reports(asyncio.get_running_loop().time())
         assert [(o.instance, o.good, o.bad) for o in report.outcomes] == [("i-1", 2, 1)]
 
 
--- a/tests/rig/test_ablation.py
+++ b/tests/rig/test_ablation.py
@@ -22,7 +22,7 @@
     mechanism = MECHANISMS["urgency of short prompts"]
     copy_without(mechanism, tmp_path)
     assert (tmp_path / mechanism.file).read_text() != (ROOT / mechanism.file).read_text()
-    other = "fordtrestle/routing/pick.py"
+    other = "fordtrestle/routing/pick_server.py"
     assert (tmp_path / other).read_text() == (ROOT / other).read_text()
 
 
--- a/tests/roles/test_reports.py
+++ b/tests/roles/test_reports.py
@@ -10,7 +10,7 @@
 from fordtrestle.roles.control import Control
 from fordtrestle.roles.process import Process
 from fordtrestle.roles.sidecar import report_failures
-from fordtrestle.routing.evidence import REPORT_S, Reporter
+from fordtrestle.routing.outcome_reporter import REPORT_INTERVAL_S, OutcomeReporter
 from fordtrestle.settings.boot import parse_settings
 from tests.settings.test_boot import BOOT
 from tests.virtual import virtual
@@ -54,13 +54,13 @@
 @virtual
 async def test_one_control_process_has_all_reports_of_a_service_and_its_heir_those_after_it(monkeypatch):
     process, posts = process_among(["c-1", "c-2", "c-3"], monkeypatch)
-    reporter = Reporter()
+    reporter = OutcomeReporter()
     task = asyncio.create_task(report_failures(process, reporter))
     owners = []
     for _ in range(2):
         for _ in range(2):
-            reporter.note("pool", "i-1", True, now())
-            await asyncio.sleep(1.5 * REPORT_S)
+            reporter.record("pool", "i-1", True, now())
+            await asyncio.sleep(1.5 * REPORT_INTERVAL_S)
         owners += [node for node, post in posts.items() if len(post.sent) == 2]
         lose(process, owners[-1])
         for post in posts.values():
@@ -74,12 +74,12 @@
 async def test_without_a_link_to_the_owner_or_an_owner_the_report_is_dropped(monkeypatch):
     process, _ = process_among([], monkeypatch)
     assert process.owner_link("pool") is None
-    reporter = Reporter()
-    reporter.note("pool", "i-1", True, now())
+    reporter = OutcomeReporter()
+    reporter.record("pool", "i-1", True, now())
     task = asyncio.create_task(report_failures(process, reporter))
-    await asyncio.sleep(1.5 * REPORT_S)
+    await asyncio.sleep(1.5 * REPORT_INTERVAL_S)
     assert not task.done()
-    assert reporter.take(now()) == []
+    assert reporter.take_reports(now()) == []
     task.cancel()
 
 
--- a/tests/routing/test_intake.py
+++ b/tests/routing/test_drain_policy.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from fordtrestle.routing.intake import Intake
-from fordtrestle.routing.table import RouteType
+from fordtrestle.routing.drain_policy import DrainPolicy
+from fordtrestle.routing.route import RouteType
 
 STREAM, OTHER = RouteType.STREAMING, RouteType.UNSAFE
 
@@ -24,13 +24,13 @@
     ],
 )
 def test_what_can_be_finished_is_taken(kind, tokens_out, arrived, taken):
-    assert Intake.ending(100.0, 107.0).takes(kind, tokens_out, arrived) is taken
+    assert DrainPolicy.draining(100.0, 107.0).accepts(kind, tokens_out, arrived) is taken
 
 
 @pytest.mark.parametrize("kind", RouteType)
 def test_a_sidecar_that_stays_takes_all(kind):
-    assert Intake().takes(kind, 0, 1e9)
+    assert DrainPolicy().accepts(kind, 0, 1e9)
 
 
 def test_with_a_long_grace_streams_are_taken_for_three_seconds_only():
-    assert not Intake.ending(100.0, 160.0).takes(STREAM, 0, 103.1), "how long they last is not known"
+    assert not DrainPolicy.draining(100.0, 160.0).accepts(STREAM, 0, 103.1), "how long they last is not known"
--- a/tests/routing/test_json_members.py
+++ b/tests/routing/test_json_members.py
@@ -8,7 +8,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fordtrestle.routing.json_members import members
+from fordtrestle.routing.errors import JsonSyntaxError
+from fordtrestle.routing.json_members import iter_members
 
 VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats(allow_nan=False) | st.text(max_size=8),
@@ -21,7 +22,7 @@
 def put_together(text: str) -> dict:
     """The object that the members come to; lists without rows are not told of."""
     whole: dict = {}
-    for name, value in members(text):
+    for name, value in iter_members(text):
         whole.setdefault(name, []).append(value)
     return whole
 
@@ -35,5 +36,5 @@
 
 @pytest.mark.parametrize("text", ["", "[]", "7", '{"a" 1}', '{"a":1', '{"a":[1 2]}', '{"a":[1', '{"a":}'])
 def test_what_is_no_object_is_refused(text):
-    with pytest.raises(ValueError):
-        dict(members(text))
+    with pytest.raises(JsonSyntaxError):
+        dict(iter_members(text))
--- a/tests/routing/test_long_configurations.py
+++ b/tests/routing/test_long_configurations.py
@@ -5,9 +5,9 @@
 import json
 
 from fordtrestle.dissemination.items import ControlView, control_item
-from fordtrestle.routing import table as table_module
-from fordtrestle.routing.table import ROWS_A_STEP, parse_table, read_table
-from fordtrestle.routing.view import AT_ONCE_MOST, View
+from fordtrestle.routing import route_table as table_module
+from fordtrestle.routing.route_table import ROWS_PER_STEP, parse_table, parse_table_in_steps
+from fordtrestle.routing.view import MAX_IMMEDIATE_PARSE_BYTES, View
 
 ROUTE = {"authority": "a.example", "route_type": "safe", "timeout_ms": 3000, "backend": "pool"}
 MANY = 1000
@@ -24,15 +24,15 @@
 
 def tell(view: View, generation: int, routes: int, evacuated: tuple[str, ...] = ()) -> None:
     body = document(generation, routes)
-    assert (len(body) > AT_ONCE_MOST) == (routes == MANY)
+    assert (len(body) > MAX_IMMEDIATE_PARSE_BYTES) == (routes == MANY)
     view.apply([control_item(ControlView(generation, generation, body, evacuated))], 0.0)
 
 
 def read(view: View) -> int:
     """Read on until nothing is left; in how many steps."""
     steps = 0
-    while view.has_unread:
-        view.read_on()
+    while view.has_unparsed:
+        view.parse_step()
         steps += 1
     return steps
 
@@ -41,8 +41,8 @@
     seen = view()
     tell(seen, 1, 10)
     assert seen.generation == 1
-    assert not seen.has_unread
-    seen.read_on()
+    assert not seen.has_unparsed
+    seen.parse_step()
     assert seen.table.match("a.example", "/1/7/x").name == "r-7"
 
 
@@ -50,9 +50,9 @@
     seen = view()
     tell(seen, 1, 10)
     tell(seen, 2, MANY, evacuated=("z",))
-    assert seen.evacuated == {"z"}, "an evacuation waits for nothing"
-    for _ in range(MANY // ROWS_A_STEP - 1):
-        seen.read_on()
+    assert seen.evacuated_zones == {"z"}, "an evacuation waits for nothing"
+    for _ in range(MANY // ROWS_PER_STEP - 1):
+        seen.parse_step()
         assert seen.generation == 1
         assert seen.table.match("a.example", "/1/7/")
     read(seen)
@@ -64,12 +64,12 @@
 def test_one_that_is_begun_is_finished_and_then_the_newest_is_read():
     seen = view()
     tell(seen, 1, MANY)
-    seen.read_on()
+    seen.parse_step()
     tell(seen, 2, MANY)
     tell(seen, 3, MANY)
     generations = set()
-    while seen.has_unread:
-        seen.read_on()
+    while seen.has_unparsed:
+        seen.parse_step()
         generations.add(seen.generation)
     assert generations == {0, 1, 3}
 
@@ -77,21 +77,21 @@
 def test_a_short_one_that_comes_meanwhile_is_newer():
     seen = view()
     tell(seen, 1, MANY)
-    seen.read_on()
+    seen.parse_step()
     tell(seen, 2, MANY)
     tell(seen, 3, 10)
     assert seen.generation == 3
-    assert not seen.has_unread
+    assert not seen.has_unparsed
 
 
 def test_a_step_reads_no_more_rows_than_told(monkeypatch):
     rows = []
-    whole = table_module._route
-    monkeypatch.setattr(table_module, "_route", lambda row: rows.append(row) or whole(row))
-    steps = read_table(document(1, MANY))
+    whole = table_module._parse_route
+    monkeypatch.setattr(table_module, "_parse_route", lambda row: rows.append(row) or whole(row))
+    steps = parse_table_in_steps(document(1, MANY))
     before = 0
     for _ in steps:
-        assert len(rows) - before <= ROWS_A_STEP
+        assert len(rows) - before <= ROWS_PER_STEP
         before = len(rows)
     assert len(rows) == MANY
 
--- a/tests/routing/test_outliers.py
+++ b/tests/routing/test_outliers.py
@@ -7,14 +7,13 @@
 import pytest
 
 from fordtrestle.dissemination.items import EjectionRecord, Phase, ServerRecord, ejection_item, server_item
-from fordtrestle.routing.outliers import (
-    EJECTION_S,
-    FORGIVEN_S,
-    HALF_LIFE_S,
+from fordtrestle.routing.outcome_counts import HALF_LIFE_S, OutcomeCounts
+from fordtrestle.routing.outlier_detection import is_outlier
+from fordtrestle.routing.outlier_ejection import (
+    BASE_EJECTION_S,
+    FLAP_WINDOW_S,
     Ejection,
-    Health,
-    Tally,
-    is_outlier,
+    ServerHealth,
     without_ejected,
 )
 from fordtrestle.routing.view import PEERS_KNOWN_S, View
@@ -26,7 +25,7 @@
 
     name: str
     region: str = "r-1"
-    health: Health = field(default_factory=Health)
+    health: ServerHealth = field(default_factory=ServerHealth)
 
 
 @pytest.mark.parametrize(
@@ -46,54 +45,54 @@
     ],
 )
 def test_a_server_is_an_outlier_where_it_fails_far_more_than_most_others(server, others, expected):
-    assert is_outlier(Tally(*server), [Tally(*other) for other in others], 0.0) is expected
+    assert is_outlier(OutcomeCounts(*server), [OutcomeCounts(*other) for other in others], 0.0) is expected
 
 
 def test_outcomes_count_less_as_time_goes_by_and_a_clock_that_stands_changes_nothing():
-    tally = Tally()
+    tally = OutcomeCounts()
     tally.add(0.0, 4.0, 10.0)
-    assert tally.recent(10.0).bad == 4.0
-    assert tally.recent(10.0 + HALF_LIFE_S).bad == pytest.approx(2.0)
-    assert tally.recent(10.0).bad == pytest.approx(2.0)
+    assert tally.decayed(10.0).bad == 4.0
+    assert tally.decayed(10.0 + HALF_LIFE_S).bad == pytest.approx(2.0)
+    assert tally.decayed(10.0).bad == pytest.approx(2.0)
 
 
 def test_ejections_that_follow_soon_last_twice_as_long_each_up_to_a_bound():
     ejection, now, lasted = Ejection(), 100.0, []
     for _ in range(7):
-        lasted.append(ejection.begin(now))
+        lasted.append(ejection.start(now))
         now = ejection.until + 1.0
-    assert lasted == [EJECTION_S * times for times in (1, 2, 4, 8, 16, 16, 16)]
+    assert lasted == [BASE_EJECTION_S * times for times in (1, 2, 4, 8, 16, 16, 16)]
 
 
 def test_an_ejection_long_after_the_last_one_is_a_first_one():
     ejection = Ejection()
-    ejection.begin(0.0)
-    ejection.begin(3.0)
-    assert ejection.begin(ejection.until + FORGIVEN_S) == EJECTION_S
+    ejection.start(0.0)
+    ejection.start(3.0)
+    assert ejection.start(ejection.until + FLAP_WINDOW_S) == BASE_EJECTION_S
 
 
 def test_two_failures_beside_others_that_do_well_eject_a_server_and_the_time_ends_by_itself():
-    bad, good = Health(), Health()
-    assert not good.note(False, [bad.outcomes], 0.0)
-    assert not bad.note(True, [good.outcomes], 0.0)
-    assert bad.note(True, [good.outcomes], 0.1)
+    bad, good = ServerHealth(), ServerHealth()
+    assert not good.record_outcome(False, [bad.outcomes], 0.0)
+    assert not bad.record_outcome(True, [good.outcomes], 0.0)
+    assert bad.record_outcome(True, [good.outcomes], 0.1)
     assert bad.is_ejected(0.2)
     assert not good.is_ejected(0.2)
-    assert not bad.is_ejected(0.1 + EJECTION_S)
+    assert not bad.is_ejected(0.1 + BASE_EJECTION_S)
 
 
 def test_a_failure_while_it_is_ejected_does_not_make_that_longer():
-    others, bad = [Tally(9.0, 0.0)], Health()
-    bad.note(True, others, 0.0)
-    bad.note(True, others, 0.1)
-    until = bad.own.until
-    assert not bad.note(True, others, 0.2)
-    assert bad.own.until == until
+    others, bad = [OutcomeCounts(9.0, 0.0)], ServerHealth()
+    bad.record_outcome(True, others, 0.0)
+    bad.record_outcome(True, others, 0.1)
+    until = bad.own_ejection.until
+    assert not bad.record_outcome(True, others, 0.2)
+    assert bad.own_ejection.until == until
 
 
 def eject(servers, now=0.0):
     for server in servers:
-        server.health.told_until = now + 5.0
+        server.health.fleet_ejected_until = now + 5.0
 
 
 @pytest.mark.parametrize(("servers", "left"), [(1, 1), (2, 2), (3, 2), (6, 4), (30, 20)])
@@ -115,7 +114,7 @@
 def test_own_evidence_goes_before_what_was_told():
     here = [Stub(str(number)) for number in range(3)]
     eject(here)
-    here[1].health.own.begin(0.0)
+    here[1].health.own_ejection.start(0.0)
     assert [server.name for server in without_ejected(here, 1.0)] == ["0", "2"]
 
 
@@ -125,11 +124,11 @@
     )
 
 
-def view_of(*instances, born=0.0):
-    view = View({"z-1": "r-1"}, 1.0, born)
+def view_of(*instances, started_at=0.0):
+    view = View({"z-1": "r-1"}, 1.0, started_at)
     for instance in instances:
         item = server_item(record(instance), 1)
-        view.servers.take(item.value, item.version, born)
+        view.servers.update(item.value, item.version, started_at)
     return view
 
 
--- a/tests/routing/test_fronts.py
+++ b/tests/routing/test_sidecar_selector.py
@@ -7,7 +7,7 @@
 import pytest
 
 from fordtrestle.dissemination.items import Availability, MemberRecord
-from fordtrestle.routing.fronts import Asker, Fronts, Reach, may_close, reach_of
+from fordtrestle.routing.sidecar_selector import ClientLocation, Reach, SidecarSelector, can_close, reach_of
 
 READY, LEAVING, CLOSING = Availability.READY, Availability.LEAVING, Availability.CLOSING
 STARTING, DOWN = Availability.STARTING, Availability.DOWN
@@ -84,19 +84,22 @@
         member("home", "z-3", "r-2", row.home),
         member("far", "z-4", "r-3", row.far),
     ]
-    asker = Asker("r-1", "z-1", {"free": FREE, "bound": HOMES, "alone": OWN_ONLY}[kind])
-    named = Fronts(members, set(row.linked.split())).choose(asker, row.settled)
+    asker = ClientLocation("r-1", "z-1", {"free": FREE, "bound": HOMES, "alone": OWN_ONLY}[kind])
+    named = SidecarSelector(members, set(row.linked.split())).select(asker, row.settled)
     assert " ".join(one.node for one in named) == getattr(row, kind)
 
 
 def test_a_client_s_region_serves_it_also_where_it_is_no_home():
     members = [member("near", "z-1", "r-1"), member("home", "z-3", "r-2")]
-    assert Fronts(members, {"near", "home"}).choose(Asker("r-1", "z-1", ELSEWHERE), True) == members[:1]
+    assert (
+        SidecarSelector(members, {"near", "home"}).select(ClientLocation("r-1", "z-1", ELSEWHERE), True)
+        == members[:1]
+    )
 
 
 def test_a_process_that_serves_no_clients_is_never_named():
     control = MemberRecord("c", "control", "z-1", "r-1", "c:1", "", READY)
-    assert Fronts([control], {"c"}).choose(Asker("r-1", "z-1", FREE), True) == []
+    assert SidecarSelector([control], {"c"}).select(ClientLocation("r-1", "z-1", FREE), True) == []
 
 
 @pytest.mark.parametrize(
@@ -114,17 +117,17 @@
 def test_a_leaving_sidecar_closes_once_its_region_is_served_without_it_or_nobody_is_to_come(others, may):
     me = member("b", "z-1", "r-1", LEAVING)
     of_region = [member(f"c{number}", "z-2", "r-1", one) for number, one in enumerate(others)]
-    assert may_close(me, [me, member("far", "z-4", "r-3"), *of_region]) is may
+    assert can_close(me, [me, member("far", "z-4", "r-3"), *of_region]) is may
 
 
 def test_of_those_that_are_told_to_end_together_the_first_by_name_goes_first():
     leaving = [member(name, "z-1", "r-1", LEAVING) for name in "abc"]
-    assert [may_close(me, leaving) for me in leaving] == [True, True, False], "the last one serves on"
+    assert [can_close(me, leaving) for me in leaving] == [True, True, False], "the last one serves on"
 
 
 def test_how_far_a_client_is_sent():
     near, beside = member("near", "z-1", "r-1"), member("beside", "z-2", "r-1")
-    asker = Asker("r-1", "z-1", FREE)
+    asker = ClientLocation("r-1", "z-1", FREE)
     assert reach_of([], asker) is Reach.NOBODY
     assert reach_of([near], asker) is Reach.ZONE
     assert reach_of([near, beside], asker) is Reach.REGION
