--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -96,7 +96,7 @@
         "        elif False:\n",
     ),
     "configurations as their change": Mechanism(
-        "fordtrestle/dissemination/delta.py", "SHARE_MOST = 0.5", "SHARE_MOST = -1.0"
+        "fordtrestle/dissemination/delta.py", "MAX_LITERAL_RATIO = 0.5", "MAX_LITERAL_RATIO = -1.0"
     ),
 }
 
--- a/tests/control_api/test_commands.py
+++ b/tests/control_api/test_commands.py
@@ -29,8 +29,8 @@
 from fordtrestle.replication.state import ConfigChange, ControlState
 from tests.control_api.world import VirtualReplicator
 from tests.exchanges import loopback
-from tests.replication.test_hard_cases import Script
-from tests.replication.world import Machine
+from tests.replication.deployment import Machine
+from tests.replication.serving_core import ServingCore
 
 
 def document(generation: int, name: str = "pool") -> bytes:
@@ -57,7 +57,7 @@
     return EvacuationRequest("z-1", active, is_caller_waiting)
 
 
-class Core(Script):
+class Core(ServingCore):
     """Three stores that serve, and the command handler of each."""
 
     def __init__(self) -> None:
@@ -78,7 +78,7 @@
         await asyncio.sleep(0)
         between()
         while not task.done():
-            self.flow(*among)
+            self.exchange_all(*among)
             for machine in among:
                 self.tick(machine, 0.05)
             await asyncio.sleep(0)
@@ -90,7 +90,7 @@
 
     def depose(self) -> None:
         """A is cut off from the others, and has not noticed yet that B is primary."""
-        self.candidate(self.b, self.c)
+        self.run_candidate(self.b, self.c)
         assert self.a.node.is_primary
         assert self.b.node.is_primary
 
@@ -166,10 +166,10 @@
 
 async def lead_meanwhile(core: Core, command: Coroutine[None, None, CommandResult]) -> None:
     """B is primary for a while, carries out a command, and A is primary again with what came of it."""
-    core.candidate(core.b, core.a)
+    core.run_candidate(core.b, core.a)
     assert not core.a.node.is_primary
     assert (await core.run(command, core.a, core.b)).status is CommandStatus.DONE
-    core.candidate(core.a, core.b, core.c)
+    core.run_candidate(core.a, core.b, core.c)
     assert core.a.node.is_primary
 
 
--- a/tests/control_api/world.py
+++ b/tests/control_api/world.py
@@ -23,7 +23,8 @@
 )
 from fordtrestle.replication.node import Node
 from fordtrestle.replication.state import ControlState
-from tests.replication.world import Breach, Machine, World
+from tests.replication.deployment import Machine
+from tests.replication.world import InvariantError, World
 
 CALLER_TIMEOUT_S = 1.0  # then a caller tries another machine
 MAX_ATTEMPTS = 12  # of a call, each at a machine drawn anew
@@ -180,7 +181,7 @@
         if result.status is CommandStatus.DONE:
             generation = json.loads(result.document)["generation"] if result.document else 0
             if generation < newest:
-                raise Breach(f"a read gave {generation} after {newest} was acknowledged")
+                raise InvariantError(f"a read gave {generation} after {newest} was acknowledged")
 
     async def _send_until_clear(
         self,
@@ -229,25 +230,25 @@
                 self._acknowledge(change)
             elif result.status in (CommandStatus.STALE, CommandStatus.INVALID):
                 if change.acknowledged:
-                    raise Breach(f"{change.digest.hex()[:6]} was acknowledged and is refused")
+                    raise InvariantError(f"{change.digest.hex()[:6]} was acknowledged and is refused")
                 rivals = [c for c in self.answered.changes if c is not change and c.base >= change.base]
                 if change.alone and change.is_valid and not any(rival.is_valid for rival in rivals):
-                    raise Breach("a proper change on the newest version is refused")
+                    raise InvariantError("a proper change on the newest version is refused")
                 change.refused = True
 
         return check
 
     def _acknowledge(self, change: Change) -> None:
         if change.refused:
-            raise Breach("a change is acknowledged that was refused")
+            raise InvariantError("a change is acknowledged that was refused")
         if not change.is_valid:
-            raise Breach("an invalid change is acknowledged")
+            raise InvariantError("an invalid change is acknowledged")
         for other in self.answered.changes:
             if other is not change and other.acknowledged:
                 if other.base == change.base:
-                    raise Breach("two changes on one version are acknowledged")
+                    raise InvariantError("two changes on one version are acknowledged")
                 if other.generation == change.generation:
-                    raise Breach("two changes are acknowledged under one number")
+                    raise InvariantError("two changes are acknowledged under one number")
         change.acknowledged = True
 
     # the run
@@ -262,13 +263,13 @@
         await asyncio.gather(*self.calls, return_exceptions=True)
         state = self.heal().durable.state
         if state.generation < self.answered.newest:
-            raise Breach(f"{state.generation} is left of {self.answered.newest}")
+            raise InvariantError(f"{state.generation} is left of {self.answered.newest}")
         for change in self.answered.changes:
             if change.refused and state.has_applied(change.digest):
-                raise Breach("a change is in force that was refused")
+                raise InvariantError("a change is in force that was refused")
         busy, active = self.answered.zone_busy, self.answered.zone_active
         if active is not None and not busy and (ZONE in state.evacuated) != active:
-            raise Breach("an evacuation is in force that was overtaken")
+            raise InvariantError("an evacuation is in force that was overtaken")
         return state
 
     async def _progress(self) -> None:
@@ -280,7 +281,7 @@
 
 
 def play(seed: int, machines: int, steps: int) -> CommandWorld:
-    """Play one seed. Raises `Breach`."""
+    """Play one seed. Raises `InvariantError`."""
 
     async def run() -> CommandWorld:
         world = CommandWorld(seed, machines)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -67,18 +67,18 @@
         "            os.fsync(self._file)\n",
     ),
     "an append is synced": _removal(LOG, LOG_TESTS, "            os.fdatasync(self._file)\n"),
-    "a rewritten file is synced before its name": _removal(LOG, LOG_TESTS, "                os.fsync(new)\n"),
+    "a rewritten file is synced before its name": _removal(LOG, LOG_TESTS, "            os.fsync(new)\n"),
     "a rewritten file's name is synced before an append": _removal(
-        LOG, LOG_TESTS, "            if not self._folder_synced:\n", "            if False:\n"
+        LOG, LOG_TESTS, "            if not self._is_folder_synced:\n", "            if False:\n"
     ),
-    "a torn tail is cut off": _removal(LOG, LOG_TESTS, "            os.ftruncate(self._file, self.size)\n"),
-    "a refused append is cut off before the next": _removal(
-        LOG, LOG_TESTS, "            if self._tail_refused:\n", "            if False:\n"
+    "a torn tail is truncated": _removal(LOG, LOG_TESTS, "            os.ftruncate(self._file, self.size)\n"),
+    "a refused append is truncated before the next": _removal(
+        LOG, LOG_TESTS, "            if self._has_refused_tail:\n", "            if False:\n"
     ),
     "a record's checksum is compared": _removal(
         "storage/records.py",
         LOG_TESTS,
-        '        if zlib.crc32(payload, zlib.crc32(struct.pack(">I", length))) != checksum:\n',
+        "        if checksum != _checksum(payload):\n",
         "        if False:\n",
     ),
     "entries of another term are void": _removal(
@@ -88,15 +88,15 @@
         "entry",
     ),
     "what a disk refused is not told": _removal(
-        "peer/replicator.py",
+        "peer/record_writer.py",
         "tests/peer",
         "                snapshot = True\n",
         "                break\n",
     ),
     "the file is rewritten once it is long": _removal(
-        "peer/replicator.py",
+        "peer/record_writer.py",
         "tests/peer",
-        "        snapshot = self._log.size > self._rewrite_above\n",
+        "        snapshot = self._log.size > self._rewrite_above_bytes\n",
         "        snapshot = False\n",
     ),
     "a message to an earlier store is not taken": _removal(
@@ -138,27 +138,27 @@
         "            return self._not_done()\n        if (request.zone",
         "            pass\n        if (request.zone",
     ),
-    "a call that was taken is acknowledged again": _removal(
+    "an applied call is acknowledged again": _removal(
         EVALUATION, CONTROL_API_TESTS, "    if state.has_applied(digest):\n", "    if False:\n"
     ),
-    "a call that may have been taken is not refused": _removal(
+    "a call that may have been applied is not refused": _removal(
         EVALUATION,
         CONTROL_API_TESTS,
         "CommandStatus.UNKNOWN if may_be_applied else CommandStatus.STALE",
         "CommandStatus.STALE",
     ),
-    "a call whose print is known may have been taken": _removal(
+    "a call whose digest prefix is known may have been applied": _removal(
         "replication/state.py",
         CONTROL_API_TESTS,
         " or _holds_prefix(self.digest_prefixes, prefix)",
     ),
-    "a call whose print is not known is refused": _removal(
+    "a call whose digest prefix is not known is refused": _removal(
         "replication/state.py",
         CONTROL_API_TESTS,
         "base <= self.forgotten_base or _holds_prefix(self.digest_prefixes, prefix)",
         "base < self.applied_calls[0].base",
     ),
-    "prints are bounded": _removal(
+    "digest prefixes are bounded": _removal(
         "replication/state.py",
         CONTROL_API_TESTS,
         'digest_prefixes=b"" if is_full else digest_prefixes',
@@ -187,23 +187,23 @@
         "tests/routing/test_long_configurations.py",
         "        self._unparsed = self._parse = None  # whatever is being parsed is older\n",
     ),
-    "a wait is told at growing pauses": _removal(
+    "a wait is reported at growing intervals": _removal(
         "replication/events.py",
         "tests/replication/test_events.py",
         "        self._backoff_s = min(MAX_WAIT_REPORT_BACKOFF_S, 2 * self._backoff_s)\n",
     ),
-    "events that nobody takes are bounded": _removal(
+    "events that nobody drains are bounded": _removal(
         "replication/events.py",
         "tests/replication/test_events.py",
         "        del self._pending[:-MAX_PENDING_EVENTS]\n",
     ),
-    "a late write is told of once": _removal(
+    "a late write is reported once": _removal(
         "replication/leadership.py",
         "tests/replication/test_events.py",
         "        return reported != self.append_since\n",
         "        return True\n",
     ),
-    "calls are remembered": _removal(
+    "applied calls are remembered": _removal(
         "replication/state.py", CONTROL_API_TESTS, "MAX_APPLIED_CALLS = 2048", "MAX_APPLIED_CALLS = 4"
     ),
     "the base of a change is the current version": _removal(
@@ -221,19 +221,19 @@
         "        return state is not None and state.sequence >= sequence\n",
         "        return self._node.durable.state.sequence >= sequence\n",
     ),
-    "a change whose caller has left does not act": _removal(
+    "a change whose caller has left is not written": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "return await self._write(evaluated, state) if request.is_caller_waiting() else self._not_done()",
         "return await self._write(evaluated, state)",
     ),
-    "an evacuation whose caller has left does not act": _removal(
+    "an evacuation whose caller has left is not written": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "        if not request.is_caller_waiting() or self._replicator.now() > deadline:\n",
         "        if False:\n",
     ),
-    "a change is written on the state that it was judged on": _removal(
+    "a change is written on the state that it was evaluated on": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "        if node.committed_state is not evaluated_on:\n",
@@ -248,13 +248,13 @@
         "        if self._waiting >= MAX_WAITING_COMMANDS:\n",
         "        if False:\n",
     ),
-    "callers are sent on to a primary that was heard lately alone": _removal(
+    "callers are redirected only to a primary that was heard lately": _removal(
         "replication/failure_detector.py",
         CONTROL_API_TESTS,
         " or now - self.heard_at > ELECTION_TIMEOUT_S:\n            return None",
         ":\n            return None",
     ),
-    "nobody is sent on to a primary that has said that it ends": _removal(
+    "nobody is redirected to a primary that resigned": _removal(
         "replication/failure_detector.py", CONTROL_API_TESTS, " or primary.id == self._lost or now", " or now"
     ),
     "a withdrawal is acknowledged once a majority holds it": _removal(
@@ -286,73 +286,73 @@
         "            if record.heard_by == self._node or is_successor_of(record.heard_by):\n",
         "            if record.heard_by == self._node:\n",
     ),
-    "an ended link's store is not live": _removal(
+    "a disconnected store is not live": _removal(
         "replication/peer_table.py",
         "tests/replication/test_control_times.py",
         "        return heard - self._disconnected\n",
         "        return heard\n",
     ),
-    "a primary out of touch says that it resigns": _removal(
+    "a primary that no majority answers announces that it resigns": _removal(
         PRIMARY,
         "tests/replication/test_control_times.py",
         "            self.resign(Reason.OUT_OF_TOUCH, now)",
         "            self.step_down(Reason.OUT_OF_TOUCH, now)",
     ),
-    "a store that leaves stays until it is needed no more": _removal(
+    "a store that shuts down stays until it is needed no more": _removal(
         MEMBERSHIP, HARD_CASES, "        return context.me.id not in needed\n", "        return True\n"
     ),
-    "replicas that leave are replaced": _removal(
+    "replicas that shut down are replaced": _removal(
         "replication/reconfiguration.py",
         HARD_CASES,
         "        return Reason.REPLICA_LEAVES\n",
         "        return None\n",
     ),
-    "a store that leaves gives up its place": _removal(
+    "a store that shuts down gives up its slot": _removal(
         "replication/peer_table.py",
         HARD_CASES,
         " if store_id in leaving and store_id not in first\n",
         " if False\n",
     ),
-    "stores that leave are replicas last": _removal(
+    "stores that shut down are replicas last": _removal(
         "replication/epochs.py", HARD_CASES, "store.id in leaving, store.id not in", "store.id not in"
     ),
-    "a store that is behind is sent the state": _removal(
+    "a store that lags is sent the state": _removal(
         PRIMARY,
         HARD_CASES,
         "        if follows and leadership",
         "        if False and leadership",
     ),
-    "stores that are no replicas follow": _removal(
+    "witnesses that are no replicas follow": _removal(
         PRIMARY,
         HARD_CASES,
         "        for store_id in leadership.epoch.witness_ids:  # those",
         "        for store_id in leadership.epoch.replicas:  # those",
     ),
-    "who founds votes first": _removal(
+    "the founder votes first": _removal(
         EPOCH_CHANGE,
         BOOTSTRAP_TESTS,
         "        if self.is_bootstrap and self.me.id in asked:\n",
         "        if False:\n",
     ),
-    "all of a core promise before it begins anew": _removal(
+    "all of a core prepare before it bootstraps without a founder": _removal(
         EPOCH_CHANGE, BOOTSTRAP_TESTS, " and self.unanimous.issubset(self.prepared)"
     ),
-    "a core does not begin anew while a seed is missing": _removal(
+    "a core does not bootstrap without a founder while a seed is missing": _removal(
         BOOTSTRAP, BOOTSTRAP_TESTS, " or self.missing_seeds(heard, seeds):", ":"
     ),
-    "a core does not begin anew while its founder is there": _removal(
+    "a core does not bootstrap without its founder while it is there": _removal(
         BOOTSTRAP,
         BOOTSTRAP_TESTS,
         "if has_founder or not self._counts_for_quorum",
         "if not self._counts_for_quorum",
     ),
-    "no core is founded beside one that is heard": _removal(
+    "no core is bootstrapped beside one that is heard": _removal(
         BOOTSTRAP, BOOTSTRAP_TESTS, " or any(other.core for other in heard):", ":"
     ),
-    "no core is founded with fewer stores than a whole one has": _removal(
+    "no core is bootstrapped with fewer stores than a complete one has": _removal(
         BOOTSTRAP, BOOTSTRAP_TESTS, "if not is_complete or any(", "if any("
     ),
-    "that a store is to found is on disk before anything else": _removal(
+    "that a store is the founder is on disk before anything else": _removal(
         "replication/durable.py",
         BOOTSTRAP_TESTS,
         "[*founder, self._vote(), Snapshot(self.installed_term, self.state)]",
@@ -391,7 +391,7 @@
     "a file of an unknown format is left as it is": _removal(
         LOG,
         LOG_TESTS,
-        "        if told != FORMAT:\n",
+        "        if found != FORMAT:\n",
         "        if False:\n",
     ),
     "a request's answer has its id": _removal(
@@ -517,7 +517,7 @@
         "        return key not in self._forgotten or version > self._forgotten[key].version\n",
         "        return True\n",
     ),
-    "a store that is cut off waits for the others": _removal(
+    "a partitioned store that shuts down waits for the others": _removal(
         MEMBERSHIP,
         HARD_CASES,
         "        staying = context.peers.ids() - context",
@@ -582,7 +582,7 @@
         "peer/mesh.py", "tests/peer", "(*_CONNECTION_ERRORS, asyncio.CancelledError)", "_CONNECTION_ERRORS"
     ),
     "a control process that ends waits until it is not needed": _removal(
-        "roles/control.py",
+        "roles/control_process.py",
         "tests/roles/test_control_leaving.py",
         "        while not self.node.can_leave(loop.time()):\n",
         "        while False:\n",
