--- a/fordtrestle/proxy/daemon/seams.py
+++ b/fordtrestle/proxy/daemon/seams.py
@@ -1,6 +1,7 @@
-"""What a process is handed in place of the machine's own: wall clock, store, and the stamp of its events.
+"""Parts that can be substituted for the machine's own: wall clock, file store and the clock of events.
 
-Nothing here is read on the platform. The fault rig hands in clocks that jump and disks that lie.
+Nothing here is read on the platform. The fault rig hands in clocks that jump and disks that lose what was
+written.
 """
 
 from __future__ import annotations
@@ -16,8 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Seams:
-    """`wall`: Unix seconds, which may jump. `stamp`: seconds of the clock that events are told on; the
-    machine's Unix time if None. `store`: opens the folder that `[state]` names; the real one if None.
+    """What a process uses of its machine.
+
+    Attributes:
+        wall: Returns Unix seconds, which may jump.
+        stamp: Returns the seconds by which events are stamped; None: the machine's Unix time.
+        store: Opens the folder that `[state]` names; None: as files of the machine.
     """
 
     wall: Callable[[], float] = time.time
--- a/fordtrestle/proxy/daemon/sidecar.py
+++ b/fordtrestle/proxy/daemon/sidecar.py
@@ -1,4 +1,4 @@
-"""The platform's sidecar: one service and one front, as `NODE_CONFIG` tells."""
+"""The platform's sidecar: one service and one HTTP server, configured by `NODE_CONFIG`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,9 @@
 from fordtrestle.proxy.config.limits import DEFAULT_LIMITS, LimitsSpec, make_budget, make_reserve
 from fordtrestle.proxy.config.platform_config import PlatformConfig
 from fordtrestle.proxy.daemon.peers import PeerOptions
-from fordtrestle.proxy.daemon.process import FrontAt, Machine, Process, Service, run
+from fordtrestle.proxy.daemon.process import FrontBinding, MachineResources, Process
+from fordtrestle.proxy.daemon.runner import run
+from fordtrestle.proxy.daemon.service import Service
 from fordtrestle.proxy.daemon.signals import Signals
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.log import log
@@ -20,11 +22,21 @@
 from fordtrestle.proxy.membership.discovery_client import DiscoveryClient
 from fordtrestle.proxy.membership.updates import UpdateListener
 
-ONLY = "sidecar"  # the name of its one service, and of its one front
+SIDECAR = "sidecar"  # the name of its one service, and of its one HTTP server
 
 
 class Sidecar:
-    """All parts of one sidecar, wired together; `environment` names the file that a reload reads."""
+    """One sidecar, wired together; a `Program` of the runner.
+
+    Attributes:
+        limits: The quotas of the process.
+        driver: The engine.
+        pool: The connections to servers.
+        peers: The other sidecars.
+        front: The HTTP server.
+        discovery: The client of the registry.
+        overload: Watches the process.
+    """
 
     def __init__(
         self,
@@ -32,9 +44,16 @@
         config: PlatformConfig,
         environment: Mapping[str, str] | None = None,
     ) -> None:
+        """Create a sidecar that is not started.
+
+        Args:
+            loop: The event loop.
+            config: The platform's configuration.
+            environment: Names the file that a reload reads; None: a reload finds none.
+        """
         self._environment = environment or {}
 
-        def discovery(on_update: UpdateListener) -> DiscoveryClient:
+        def make_discovery(on_update: UpdateListener) -> DiscoveryClient:
             self.discovery = DiscoveryClient(loop, platform_config.discovery_options(config), on_update)
             return self.discovery
 
@@ -44,24 +63,28 @@
         self.limits = limits.make_limits(config.max_descriptors)
         to_servers = make_budget(self.limits, "servers", limits.upstreams_guaranteed_share)
         to_clients = make_budget(self.limits, "clients", limits.fronts_guaranteed_share)
-        service = Service(loop, clock, engine, pool, to_servers, discovery, peer_options(config))
+        service = Service(loop, clock, engine, pool, to_servers, make_discovery, peer_options(config))
         self.driver, self.pool, self.peers = service.driver, service.pool, service.peers
-        machine = Machine(loop, clock, self.limits, limits.memory_mb, config.cores)
+        machine = MachineResources(loop, clock, self.limits, limits.memory_mb, config.cores)
         front, at_limit = platform_config.front_options(config), make_reserve(self.limits)
         self.front = HttpServer(loop, clock, front, self.driver, to_clients, at_limit, machine.lag)
-        fronts = {ONLY: FrontAt(self.front, [config.listen])}
-        self._process = Process(loop, machine, {ONLY: service}, fronts)
+        fronts = {SIDECAR: FrontBinding(self.front, [config.listen])}
+        self._process = Process(loop, machine, {SIDECAR: service}, fronts)
         self.overload = self._process.overload
 
     async def start(self) -> Address:
-        """Be ready: the known list is taken in before the first request; where it listens."""
+        """Start, with the known list applied before the first request; return where it listens.
+
+        Raises:
+            OSError: It can't listen.
+        """
         bound = await self._process.start()
-        return bound[ONLY][0]
+        return bound[SIDECAR][0]
 
     def reload(self) -> None:
-        """Read the configuration anew; only discovery may move, all else stays as it started.
+        """Read the configuration again; only discovery may move, all else stays as it started.
 
-        Guards against a file that can't be read at that moment: the old state is kept.
+        Guards against a file that can't be read at that moment: nothing changes then.
         """
         try:
             config = platform_config.reload(self._environment)
@@ -71,26 +94,26 @@
         self.discovery.move(config.discovery)
 
     async def drain(self, signalled_at: float | None = None) -> None:
-        """Stop listening, finish what was taken, close connections between requests."""
+        """Stop listening, finish what was accepted, close connections between requests."""
         await self._process.drain(signalled_at)
 
     def close(self) -> None:
         """Close what is left."""
         self._process.close()
 
-    def unsettled(self) -> list[str]:
-        """What the ledgers hold though all is closed."""
-        return self._process.unsettled()
+    def unreleased(self) -> list[str]:
+        """Return what is still used of quotas though everything is closed."""
+        return self._process.unreleased()
 
 
 def peer_options(config: PlatformConfig) -> PeerOptions:
-    """Where other sidecars are, if the settings allow messages."""
+    """Return where other sidecars are; messages arrive only if the settings allow them."""
     bind = config.peer_listen if config.settings.peer_messages else None
     return PeerOptions(bind, config.settings.me, config.peers, config.peers_all)
 
 
 def main(signals: Signals, limits: LimitsSpec = DEFAULT_LIMITS) -> int:
-    """Run as the environment tells; the exit code."""
+    """Run as the environment configures it; return the exit code."""
     try:
         config = platform_config.load(os.environ, limits)
     except PlatformConfigError as error:
--- a/fordtrestle/proxy/daemon/sockets.py
+++ b/fordtrestle/proxy/daemon/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets: made here, handed to fronts."""
+"""Listening sockets: made here, handed to HTTP servers."""
 
 from __future__ import annotations
 
@@ -9,12 +9,17 @@
 from fordtrestle.proxy.http.server import BACKLOG
 
 
-def listening(addresses: Iterable[Address]) -> list[socket.socket]:
-    """Sockets that listen, one at each address; `OSError` if one can't, and then none does."""
+def listen_all(addresses: Iterable[Address]) -> list[socket.socket]:
+    """Return sockets that listen, one at each address.
+
+    Raises:
+        OSError: One of them can't listen; then none does.
+    """
     made: list[socket.socket] = []
     try:
+        # Appended one by one: those made before one that fails have to be closed.
         for address in addresses:
-            made.append(_listening(address))
+            made.append(_listen(address))  # noqa: PERF401
     except OSError:
         for sock in made:
             sock.close()
@@ -22,7 +27,7 @@
     return made
 
 
-def _listening(address: Address) -> socket.socket:
+def _listen(address: Address) -> socket.socket:
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     sock = socket.create_server(address, family=family, backlog=BACKLOG)
     # Accepted connections inherit it (tcp(7)). Guards against an answer that the kernel holds back behind
--- a/fordtrestle/proxy/daemon/standalone.py
+++ b/fordtrestle/proxy/daemon/standalone.py
@@ -1,4 +1,4 @@
-"""A process as an operator file alone tells: any number of services and fronts."""
+"""A process that an operator file alone configures: any number of services and HTTP servers."""
 
 from __future__ import annotations
 
@@ -14,8 +14,10 @@
 from fordtrestle.proxy.config.operator_file import OperatorConfig
 from fordtrestle.proxy.config.sources import StaticSpec
 from fordtrestle.proxy.daemon.peers import PeerOptions
-from fordtrestle.proxy.daemon.process import FrontAt, Machine, Process, Service, Source, run
+from fordtrestle.proxy.daemon.process import FrontBinding, MachineResources, Process
+from fordtrestle.proxy.daemon.runner import run
 from fordtrestle.proxy.daemon.seams import Seams
+from fordtrestle.proxy.daemon.service import Service, Source
 from fordtrestle.proxy.daemon.signals import Signals
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.limits import Budget, QuotaShare
@@ -27,92 +29,111 @@
 from fordtrestle.proxy.membership.updates import UpdateListener
 
 if TYPE_CHECKING:  # each is loaded only where it is on
-    from fordtrestle.proxy.daemon.recording import Recording
-    from fordtrestle.proxy.daemon.rules import Rulebook
+    from fordtrestle.proxy.daemon.trace_recorder import TraceRecorder
+    from fordtrestle.proxy.daemon.versions_in_force import VersionsInForce
 
-USUAL = Seams()
+DEFAULT_SEAMS = Seams()
 
 
 class Standalone:
-    """The services and fronts of an operator file, wired together; `seams` stand for the machine's own parts.
+    """The services and HTTP servers of an operator file, wired together; a `Program` of the runner.
 
-    `OSError` where another process holds its state, or its events or traces can't be written.
+    Attributes:
+        limits: The quotas of the process.
+        services: The services by their names.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, file: str, config: OperatorConfig, seams: Seams = USUAL
+        self, loop: asyncio.AbstractEventLoop, file: str, config: OperatorConfig, seams: Seams = DEFAULT_SEAMS
     ) -> None:
+        """Create a process that is not started.
+
+        Args:
+            loop: The event loop.
+            file: The operator file, which a reload reads again.
+            config: What it says.
+            seams: What stands for the machine's own parts.
+
+        Raises:
+            OSError: Another process holds its state, or its events or traces can't be written.
+        """
         self._loop = loop
         self._file = file
         self._config = config
         self._start = options.start_options(config)
         self.limits = config.limits.make_limits(self._start.granted_descriptors)
         self._clock = Clock(loop, seams.wall)
-        self._machine = Machine(loop, self._clock, self.limits, config.limits.memory_mb)
-        self._recordings: list[Recording] = []
-        self._version = 0  # of static lists
-        self._rules = self._rulebook(seams)
+        self._machine = MachineResources(loop, self._clock, self.limits, config.limits.memory_mb)
+        self._trace_recorders: list[TraceRecorder] = []
+        self._version = 0  # of static lists: counts reloads
+        self._versions = self._make_versions(seams)
         self.services = {name: self._service(name) for name in config.services}
-        parts = {
+        budgets = {
             name: make_budget(self.limits, f"front.{name}", options.front_share(config, name))
             for name in config.fronts
         }
-        at_limit = make_reserve(self.limits)
-        fronts = {name: self._front(name, part, at_limit) for name, part in parts.items()}
+        reserve = make_reserve(self.limits)
+        fronts = {name: self._front(name, budget, reserve) for name, budget in budgets.items()}
         self._process = Process(loop, self._machine, self.services, fronts)
 
-    def _rulebook(self, seams: Seams) -> Rulebook | None:
-        """What tells and keeps the rules in force, if the file asks for it."""
+    def _make_versions(self, seams: Seams) -> VersionsInForce | None:
+        """Return what records and stores the versions in force, if the file asks for either."""
         if self._config.state is None and self._config.events is None:
             return None
-        from fordtrestle.proxy.daemon.rules import Rulebook
+        from fordtrestle.proxy.daemon.versions_in_force import VersionsInForce
 
-        return Rulebook(self._loop, self._config, seams)
+        return VersionsInForce(self._loop, self._config, seams)
 
     def _service(self, name: str) -> Service:
         engine = options.engine_options(self._config, name, self._start)
         pool = options.pool_options(self._config, name)
-        part = make_budget(self.limits, f"service.{name}", options.upstream_share(self._config))
-        driver = None if self._rules is None else self._rules.driver(name, self._clock, engine)
+        budget = make_budget(self.limits, f"service.{name}", options.upstream_share(self._config))
+        versions = self._versions
+        driver = None if versions is None else versions.make_driver(name, self._clock, engine)
         peers = peer_options(self._config)
-        return Service(self._loop, self._clock, engine, pool, part, self._source(name), peers, driver)
+        return Service(self._loop, self._clock, engine, pool, budget, self._source(name), peers, driver)
 
-    def _front(self, name: str, part: Budget, at_limit: QuotaShare) -> FrontAt:
+    def _front(self, name: str, budget: Budget, reserve: QuotaShare) -> FrontBinding:
         spec = self._config.fronts[name]
         front_options = options.front_options(self._config, name, self._start)
         driver = self.services[spec.service].driver
-        front = HttpServer(self._loop, self._clock, front_options, driver, part, at_limit, self._machine.lag)
+        front = HttpServer(self._loop, self._clock, front_options, driver, budget, reserve, self._machine.lag)
         if spec.trace_file is not None:
-            from fordtrestle.proxy.daemon.recording import Recording  # loaded only where it is on
+            from fordtrestle.proxy.daemon.trace_recorder import TraceRecorder  # loaded only where it is on
 
-            bytes_most = spec.trace_mb_most * 2**20
-            recording = Recording(Path(spec.trace_file), bytes_most, front_options.names, self._clock.now)
-            self._recordings.append(recording)
-            front.record = recording.note
-        return FrontAt(front, spec.listen)
+            path, max_bytes = Path(spec.trace_file), spec.trace_mb_most * 2**20
+            recorder = TraceRecorder(path, max_bytes, front_options.names, self._clock.now)
+            self._trace_recorders.append(recorder)
+            front.record = recorder.record
+        return FrontBinding(front, spec.listen)
 
     def _source(self, name: str) -> Callable[[UpdateListener], Source]:
         service = self._config.services[name]
         spec = self._config.sources[service.source]
 
         def make(listener: UpdateListener) -> Source:
-            on_update = listener if self._rules is None else self._rules.first(name, listener)
+            versions = self._versions
+            on_update = listener if versions is None else versions.recording_listener(name, listener)
             if isinstance(spec, StaticSpec):
                 return StaticEndpointList(self._loop, options.server_list(spec, service, 0), on_update)
-            known = None if self._rules is None else self._rules.known.get(name)
+            known = None if versions is None else versions.known_lists.get(name)
             discovery_options = options.discovery_options(spec, service, self._start.seed, known)
             return DiscoveryClient(self._loop, discovery_options, on_update)
 
         return make
 
     async def start(self) -> None:
-        """Be ready, and say where each front listens."""
+        """Start, and log where each HTTP server listens.
+
+        Raises:
+            OSError: One can't listen.
+        """
         for name, addresses in (await self._process.start()).items():
             for address in addresses:
                 log(f"front {name}: listens at {address_text(address)}")
 
     def reload(self) -> None:
-        """Read the file anew: what it says takes effect whole, or nothing does."""
+        """Read the file again: all that it says takes effect, or nothing does."""
         try:
             config = operator_file.read(self._file)
         except OperatorFileError as error:
@@ -127,53 +148,53 @@
             return
         self._version += 1
         self._config = config
-        if self._rules is not None:
-            self._rules.settle(config)
+        if self._versions is not None:
+            self._versions.apply_config(config)
         if any(key.startswith("limits.") for key in keys):
             self.limits.resize(*config.limits.capacities(self._start.granted_descriptors))
         for name, service in config.services.items():
-            self._change(name, service.source, keys)
+            self._update_source(name, service.source, keys)
         log(f"reload: {', '.join(keys) or 'nothing'} changed")
 
-    def _change(self, name: str, source: str, keys: list[str]) -> None:
-        """Tell one service of what is new in its source."""
-        spec, holder = self._config.sources[source], self.services[name].source
+    def _update_source(self, name: str, source_name: str, keys: list[str]) -> None:
+        """Apply to one service what has changed of its source."""
+        spec, source = self._config.sources[source_name], self.services[name].source
         if isinstance(spec, StaticSpec):
-            if f"source.{source}.server" in keys and isinstance(holder, StaticEndpointList):
-                holder.replace(options.server_list(spec, self._config.services[name], self._version))
-        elif spec.address is not None and isinstance(holder, DiscoveryClient):
-            holder.move(spec.address)
+            if f"source.{source_name}.server" in keys and isinstance(source, StaticEndpointList):
+                source.replace(options.server_list(spec, self._config.services[name], self._version))
+        elif spec.address is not None and isinstance(source, DiscoveryClient):
+            source.move(spec.address)
 
-    def ending(self) -> None:
-        """Told to end: it goes on listening for a moment."""
-        if self._rules is not None:
-            self._rules.ending()
+    def on_draining(self) -> None:
+        """Record that it was signalled to end; it goes on listening for a moment."""
+        if self._versions is not None:
+            self._versions.on_draining()
 
     async def drain(self, signalled_at: float | None = None) -> None:
-        """Stop listening, finish what was taken, close connections between requests."""
+        """Stop listening, finish what was accepted, close connections between requests."""
         await self._process.drain(signalled_at)
 
     def close(self) -> None:
         """Close what is left."""
         self._process.close()
-        for recording in self._recordings:
-            recording.close()
-        if self._rules is not None:
-            self._rules.close()
+        for recorder in self._trace_recorders:
+            recorder.close()
+        if self._versions is not None:
+            self._versions.close()
 
-    def unsettled(self) -> list[str]:
-        """What the ledgers hold though all is closed."""
-        return self._process.unsettled()
+    def unreleased(self) -> list[str]:
+        """Return what is still used of quotas though everything is closed."""
+        return self._process.unreleased()
 
 
 def peer_options(config: OperatorConfig) -> PeerOptions | None:
-    """Where the other processes of the fleet are, if the file says so."""
+    """Return where the other processes of the fleet are, if the file says so."""
     spec = config.peers
     return None if spec is None else PeerOptions(spec.listen, spec.me, spec.at)
 
 
-def main(file: str, signals: Signals, seams: Seams = USUAL) -> int:
-    """Run as an operator file tells; the exit code."""
+def main(file: str, signals: Signals, seams: Seams = DEFAULT_SEAMS) -> int:
+    """Run as an operator file configures it; return the exit code."""
     try:
         config = operator_file.read(file)
     except OperatorFileError as error:
@@ -181,7 +202,7 @@
             log(line)
         return 2
     try:
-        asyncio.run(run(lambda loop: Standalone(loop, file, config, seams), signals, Standalone.ending))
+        asyncio.run(run(lambda loop: Standalone(loop, file, config, seams), signals, Standalone.on_draining))
     except OSError as error:
         log(f"can't start: {error}")
         return 1
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -117,10 +117,10 @@
 LOADED = """
 import sys
 from fordtrestle import __main__
-from fordtrestle.proxy.daemon import process
+from fordtrestle.proxy.daemon import runner
 async def run(make, signals):
     print(*sorted(sys.modules))
-process.run = run
+runner.run = run
 sys.exit(__main__.main([]))
 """
 
@@ -150,11 +150,11 @@
 SERVES = """
 import asyncio, sys
 from fordtrestle import __main__
-from fordtrestle.proxy.daemon import process
+from fordtrestle.proxy.daemon import runner
 async def run(make, signals, ending=None):
     make(asyncio.get_running_loop())
     print(*sorted(sys.modules))
-process.run = run
+runner.run = run
 sys.exit(__main__.main(sys.argv[1:]))
 """
 
--- a/tests/proxy/daemon/test_draining.py
+++ b/tests/proxy/daemon/test_draining.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from fordtrestle.proxy.daemon import process
+from fordtrestle.proxy.daemon import process, runner
 from fordtrestle.proxy.daemon.signals import Signals
 from fordtrestle.proxy.http import server as server_module
 from tests.loopback import OK, PATIENCE_S, App, Scripted, Upstream, loopback, request, running, until
@@ -90,7 +90,8 @@
         app.writer.write(request() + (whole := request())[:-2])
         await until(lambda: upstream.seen)
         drain = asyncio.create_task(sidecar.drain())
-        await asyncio.sleep(process.STILL_TAKE_S - process.STILL_LISTEN_S + 3 * process.POLL_S)
+        late_s = process.ACCEPT_AFTER_SIGNAL_S - process.LISTEN_AFTER_SIGNAL_S
+        await asyncio.sleep(late_s + 3 * process.DRAIN_POLL_S)
         app.writer.write(whole[-2:])
         await until(lambda: any(len(entry.owner._waiting) == 2 for entry in sidecar.front.table))
         release.set()
@@ -102,10 +103,11 @@
 @pytest.mark.parametrize("before", [0, 20])
 @loopback
 async def test_what_is_whole_in_time_gets_its_answer_however_long_the_server_takes(before, monkeypatch):
-    """Guards against an end that follows the last answer before it by LAST_BYTES_S: a newcomer whose first
-    bytes come as the drain has begun, and half of a request that becomes whole then.
+    """A newcomer whose first bytes come as the drain has begun, and half a request that is complete then.
+
+    Guards against an end that follows the last answer before it by LAST_BYTES_TIMEOUT_S.
     """
-    monkeypatch.setattr(process, "STILL_TAKE_S", PATIENCE_S)
+    monkeypatch.setattr(process, "ACCEPT_AFTER_SIGNAL_S", PATIENCE_S)
     release = asyncio.Event()
     upstream = await Upstream([held_until(release)]).start()
     async with running(upstream) as sidecar:
@@ -117,7 +119,7 @@
         await asyncio.sleep(0)  # it stands in its first wait
         app.writer.write(whole[before:])
         await until(lambda: upstream.seen)
-        await asyncio.sleep(2 * process.LAST_BYTES_S)
+        await asyncio.sleep(2 * process.LAST_BYTES_TIMEOUT_S)
         assert not drain.done()
         release.set()
         assert status_of(await app.answer()) == 200
@@ -142,7 +144,7 @@
     async with running(upstream) as sidecar:
         socks = queued(sidecar.address, 60, request)
         now = asyncio.get_running_loop().time()
-        drain = asyncio.create_task(sidecar.drain(now - process.STILL_TAKE_S))
+        drain = asyncio.create_task(sidecar.drain(now - process.ACCEPT_AFTER_SIGNAL_S))
         assert await statuses(socks) == [[503]] * 60
         await drain
         assert not upstream.seen
@@ -169,7 +171,7 @@
 
 @loopback
 async def test_a_client_that_does_not_read_its_answer_does_not_keep_a_process_from_ending(monkeypatch):
-    """What it has not taken LAST_BYTES_S past the last answer is cut, and nothing stays in the ledgers."""
+    """What it has not read LAST_BYTES_TIMEOUT_S past the last answer is cut, and no quota stays in use."""
     monkeypatch.setattr(server_module, "SEND_BUFFER_BYTES", 4096)
     large = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536
     upstream = await Upstream([large]).start()
@@ -191,10 +193,10 @@
 
 
 class Counting:
-    """A program that notes what it is told, and tells the signals that come as it starts."""
+    """A program that records its calls, and raises signals as it starts."""
 
     def __init__(self, signals, *numbers, late_s=0.0):
-        self.told = []
+        self.calls = []
         self._signals = signals
         self._numbers = numbers
         self._late_s = late_s
@@ -205,15 +207,15 @@
         self._signals.signalled_at -= self._late_s  # as if the start took so long
 
     def reload(self):
-        self.told.append("reload")
+        self.calls.append("reload")
 
     async def drain(self, signalled_at=None):
-        self.told.append(signalled_at)
+        self.calls.append(signalled_at)
 
     def close(self):
-        self.told.append("close")
+        self.calls.append("close")
 
-    def unsettled(self):
+    def unreleased(self):
         return []
 
 
@@ -223,14 +225,14 @@
     monkeypatch,
 ):
     """Guards against listening on for a time that was over before it listened: SIGKILL comes by then."""
-    monkeypatch.setattr(process, "STILL_LISTEN_S", 3600.0)
+    monkeypatch.setattr(runner, "LISTEN_AFTER_SIGNAL_S", 3600.0)
     signals = Signals()
     signals.install()
     numbers = (signal.SIGHUP, signal.SIGTERM, signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
     program = Counting(signals, *numbers, late_s=3600.0)
     before = time.monotonic()
-    await asyncio.wait_for(process.run(lambda loop: program, signals), PATIENCE_S)
-    told, signalled_at, closed = program.told
+    await asyncio.wait_for(runner.run(lambda loop: program, signals), PATIENCE_S)
+    told, signalled_at, closed = program.calls
     assert (told, closed) == ("reload", "close")
     assert before - 3600.0 <= signalled_at <= time.monotonic() - 3600.0
 
--- a/tests/proxy/daemon/test_events.py
+++ b/tests/proxy/daemon/test_events.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from fordtrestle.proxy.daemon import append_file
 from fordtrestle.proxy.daemon import events as module
 from fordtrestle.proxy.daemon.events import Events
 from rig.cluster.history import gaps, parse
@@ -71,14 +72,14 @@
     events = opened(path, 2**20)
     act(events)
     await until(lambda: path.read_text().endswith("\n"))
-    monkeypatch.setattr(module, "FLUSH_S", 3600.0)
+    monkeypatch.setattr(module, "FLUSH_INTERVAL_S", 3600.0)
     act(events, "late")
     events.draining()
     await until(lambda: path.read_text().count("\n") == 3)
-    for _ in range(2 * module.BUFFERED_MOST // 100):
+    for _ in range(2 * module.MAX_BUFFERED_BYTES // 100):
         act(events)
-    await until(lambda: path.stat().st_size > module.BUFFERED_MOST // 2)
-    assert len(events._buffer) <= module.BUFFERED_MOST
+    await until(lambda: path.stat().st_size > module.MAX_BUFFERED_BYTES // 2)
+    assert len(events._buffer) <= module.MAX_BUFFERED_BYTES
     events.ended()
 
 
@@ -123,13 +124,13 @@
 @loopback
 async def test_a_disk_that_stands_holds_up_nobody_and_ends_the_events(tmp_path, monkeypatch, capsys):
     stands = threading.Event()
-    real = module._File._append
-    monkeypatch.setattr(module._File, "_append", lambda *args: (stands.wait(), real(*args)))
-    monkeypatch.setattr(module, "WAITING_MOST", 1000)
+    real = append_file.AppendFile._append
+    monkeypatch.setattr(append_file.AppendFile, "_append", lambda *args: (stands.wait(), real(*args)))
+    monkeypatch.setattr(append_file, "MAX_WAITING_BYTES", 1000)
     events = opened(tmp_path / "e")
     for _ in range(20):
         events.draining()
-    assert events._file._bytes <= 1000
+    assert events._file._waiting_bytes <= 1000
     assert events.dropped
     stands.set()
     events.ended()
--- a/tests/proxy/daemon/test_long.py
+++ b/tests/proxy/daemon/test_long.py
@@ -23,8 +23,10 @@
 
 @loopback
 async def test_sizes_are_back_to_bounds_after_a_day_of_ever_new_ids(monkeypatch):
-    """Guards against what grows by the id: each turn all servers are new, at the old addresses and
-    with no word of those that are gone, and so are clients, keys and identities.
+    """Guards against what grows by the id.
+
+    Each turn all servers are new, at the old addresses and with no update of those that left, and so are
+    clients, keys and identities.
     """
     monkeypatch.setattr(balancer, "FORGET_MS", -1.0)
     upstreams = [await Upstream([OK]).start() for _ in range(3)]
--- a/tests/proxy/daemon/test_overload.py
+++ b/tests/proxy/daemon/test_overload_monitor.py
@@ -1,4 +1,4 @@
-"""The watch over a process: pressure on real fronts and services, stalls, limits that move, two fronts."""
+"""The overload monitor: pressure on real HTTP servers and services, stalls, limits that move, two servers."""
 
 from __future__ import annotations
 
@@ -12,7 +12,8 @@
 
 from fordtrestle.balancer.model import Fail, Outcome, Probe, Send
 from fordtrestle.proxy.config import operator_file
-from fordtrestle.proxy.daemon import overload as watch
+from fordtrestle.proxy.daemon import overload_monitor
+from fordtrestle.proxy.daemon.resident_memory import ResidentMemory
 from fordtrestle.proxy.daemon.standalone import Standalone
 from fordtrestle.proxy.engine.connection_table import ConnectionTable, TableOptions
 from fordtrestle.proxy.engine.pressure import RULES, Monitor, PressureAction, PressureRule, PressureRules
@@ -29,22 +30,22 @@
 
 @pytest.fixture
 def quick(monkeypatch):
-    """Looks every 20 ms."""
-    monkeypatch.setattr(watch, "LOOK_S", 0.02)
+    """Checks every 20 ms."""
+    monkeypatch.setattr(overload_monitor, "CHECK_INTERVAL_S", 0.02)
 
 
 @pytest.mark.usefixtures("quick")
 @loopback
-async def test_while_nothing_is_held_nothing_is_looked_at():
+async def test_while_nothing_is_open_no_check_is_scheduled():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        assert sidecar.overload._next is None
+        assert sidecar.overload._timer is None
         app = await App.connect(sidecar.address)
         await app.ask()
-        assert sidecar.overload._next is not None
+        assert sidecar.overload._timer is not None
         app.close()
         sidecar.pool.shrink(-1.0)
-        await until(lambda: sidecar.overload._next is None)
+        await until(lambda: sidecar.overload._timer is None)
 
 
 @pytest.mark.usefixtures("quick")
@@ -209,7 +210,7 @@
 
 
 @loopback
-async def test_a_front_that_was_idle_gets_its_part_at_once_though_the_other_has_borrowed_all(tmp_path):
+async def test_a_server_that_was_idle_gets_its_share_at_once_though_the_other_has_borrowed_all(tmp_path):
     upstream = await Upstream([OK]).start()
     made, _, one, two = await standalone(tmp_path, upstream, 64)
     busy = [await App.connect(one) for _ in range(60)]
@@ -258,18 +259,18 @@
 
 
 def test_resident_memory_is_that_of_this_process_and_nothing_where_it_can_not_be_read(tmp_path, capsys):
-    resident = watch.Resident()
+    resident = ResidentMemory()
     before = resident.read()
     ballast = bytearray(b"x") * (32 * 2**20)
     assert before + 24 * 2**20 < resident.read() < before + 64 * 2**20
     del ballast
     resident.close()
     assert resident.read() == 0
-    assert watch.Resident(str(tmp_path / "missing")).read() == 0
+    assert ResidentMemory(str(tmp_path / "missing")).read() == 0
     assert "resident memory is not watched" in capsys.readouterr().err
 
 
-def test_under_pressure_who_rests_is_closed_sooner():
+def test_under_pressure_idle_connections_expire_sooner():
     made = ConnectionTable(TableOptions(100, pressure_idle_timeout_ms=500.0, crowded_idle_timeout_ms=2000.0))
     entries = [made.add(name, 0.0) for name in ("once", "often")]
     for entry, asks in zip(entries, (1, 5), strict=True):
--- a/tests/proxy/daemon/test_signals.py
+++ b/tests/proxy/daemon/test_signals.py
@@ -21,9 +21,7 @@
 
 
 async def started(tmp_path, servers=0, wait=True):
-    """The sidecar in a process of its own, once it takes connections unless told not to wait for that; its
-    log goes to a file.
-    """
+    """The sidecar in a process of its own, by default once it accepts connections; it logs to a file."""
     port = free_port()
     rows = [entry(f"s{i}", f"127.{i // 200 % 200}.{i % 200}.1:9") for i in range(servers)]
     env = environment(tmp_path, listen=f"127.0.0.1:{port}", known=listed(1, *rows))
@@ -133,7 +131,7 @@
     reloads = Reloads(loop, reload)
     for asked in (0.0, 0.01, 0.05, 0.1, 0.19, 0.21, 5.0):
         loop.run_until(asked)
-        reloads.ask()
+        reloads.request()
     loop.run_until(9.0)
     assert runs == [0.0, 0.2, 0.4, 5.0]
 
--- a/tests/proxy/daemon/test_standalone.py
+++ b/tests/proxy/daemon/test_standalone.py
@@ -135,7 +135,7 @@
 @loopback
 async def test_a_drain_waits_for_what_any_service_has_taken(tmp_path, capfd, monkeypatch):
     """Guards against a process that ends when its first service is idle."""
-    monkeypatch.setattr(process, "LAST_BYTES_S", 0.0)
+    monkeypatch.setattr(process, "LAST_BYTES_TIMEOUT_S", 0.0)
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -148,7 +148,7 @@
         app.send()
         await until(lambda: pears.seen)
         drained = asyncio.ensure_future(made.drain())
-        await asyncio.sleep(5 * process.POLL_S)
+        await asyncio.sleep(5 * process.DRAIN_POLL_S)
         assert not drained.done()
         release.set()
         assert (await app.answer()).body == b"pears"
@@ -374,8 +374,9 @@
 
 @loopback
 async def test_the_platforms_sidecar_keeps_within_an_operators_limits(tmp_path):
-    """Of the operator's 64 descriptors 24 are reserved, and clients may have 26 of the others, since 14 are
-    guaranteed to servers, though the platform grants 1,024.
+    """Though the platform grants 1,024 descriptors, the operator's 64 count.
+
+    Of these 24 are reserved, and clients may have 26 of the others, since 14 are guaranteed to servers.
     """
     operator_file.read_limits(str(ROOT / "deploy/platform-limits.toml"))
     text = (ROOT / "deploy/platform-limits.toml").read_text()
--- a/tests/proxy/daemon/test_told.py
+++ b/tests/proxy/daemon/test_told.py
@@ -1,5 +1,6 @@
-"""When a server drains: nothing new reaches it from half a second after the change counts as told, whatever
-of discovery fails just then.
+"""When a server drains, nothing new reaches it from half a second after the change counts as reported.
+
+That holds whatever of discovery fails just then.
 
 The whole sidecar with the real module, in virtual time over real sockets: what is measured is the same on any
 machine.
@@ -47,9 +48,11 @@
 
 @dataclass
 class Place:
-    """Discovery at one address. `how` is what it does with a call: "well", "ends" (a watch ends and has told
-    nothing, a list call ends unanswered), "resets", "mute". `whole`: a watch begins with the whole list, in
-    pieces and over several lines, and else with what changed.
+    """Discovery at one address.
+
+    `how` is what it does with a call: "well", "ends" (a watch ends and has told nothing, a list call ends
+    unanswered), "resets", "mute". `whole`: a watch begins with the complete list, in pieces and over
+    several lines, and else with what changed.
     """
 
     rows: list[dict]
@@ -208,8 +211,9 @@
 async def test_a_drain_behind_a_watch_that_fails_is_kept_to_in_time(
     fault, after_s, told_as, pushed, tmp_path
 ):
-    """The watch falls silent, ends or is reset, soon or late; a server drains right after, and stays up. The
-    next watch begins with the whole list or with what changed.
+    """The watch falls silent, ends or is reset, soon or late; a server drains right after, and stays up.
+
+    The next watch begins with the complete list or with what changed.
     """
     servers, rows = await partners()
     place = await Place(rows, whole=told_as == "left out").start()
@@ -278,8 +282,10 @@
 @pytest.mark.parametrize("old", ["well", "silent", "closed"])
 @virtual
 async def test_a_reload_and_a_drain_at_the_same_time_are_both_kept_to(old, pushed, tmp_path):
-    """A new configuration moves discovery; one server begins to drain just before, told by the old place
-    alone, one just then and one 0.3 s later, told by the new place.
+    """A new configuration moves discovery as servers begin to drain.
+
+    One does just before, reported by the old place alone, one just then and one 0.3 s later, reported by
+    the new place.
     """
     servers, rows = await partners()
     servers.append(await Timed().start())
--- a/tests/proxy/daemon/test_recording.py
+++ b/tests/proxy/daemon/test_trace_recorder.py
@@ -1,4 +1,4 @@
-"""What a front is asked, recorded as a trace: off by default, bounded, and in nobody's way."""
+"""An HTTP server's requests, recorded as a trace: off by default, bounded, and in nobody's way."""
 
 from __future__ import annotations
 
@@ -12,12 +12,12 @@
 from fordtrestle.load import trace
 from fordtrestle.proxy.config import operator_file
 from fordtrestle.proxy.config.errors import OperatorFileError
-from fordtrestle.proxy.daemon import recording
-from fordtrestle.proxy.daemon.recording import Recording
+from fordtrestle.proxy.daemon import trace_recorder
 from fordtrestle.proxy.daemon.standalone import Standalone
+from fordtrestle.proxy.daemon.trace_recorder import TraceRecorder
 from fordtrestle.proxy.http.requests import RequestClass, RequestNames
 from tests.loopback import OK, App, Upstream, loopback, until
-from tests.proxy.daemon.test_overload import OPERATOR, ask
+from tests.proxy.daemon.test_overload_monitor import OPERATOR, ask
 
 NAMES = RequestNames({"look": RequestClass(0, "GET", False)}, {"acme": 0})
 
@@ -83,9 +83,9 @@
 
 def test_a_trace_ends_at_its_bound_and_is_whole(tmp_path, capsys):
     path, now = tmp_path / "a.trace", iter(range(10**6))
-    made = Recording(path, 2000, NAMES, lambda: float(next(now)))
+    made = TraceRecorder(path, 2000, NAMES, lambda: float(next(now)))
     for _ in range(1000):
-        made.note(Asked())
+        made.record(Asked())
     made.close()
     told = trace.inspect(path)
     assert 20 < told.requests < 100
@@ -95,8 +95,8 @@
 
 def test_a_disk_that_stands_still_holds_nobody_up(tmp_path, monkeypatch):
     """Guards against a request that waits for a write: past what is queued they are not recorded."""
-    monkeypatch.setattr(recording, "WAITING_MOST", 100)
-    monkeypatch.setattr(recording, "WRITE_S", 0.01)
+    monkeypatch.setattr(trace_recorder, "MAX_WAITING_REQUESTS", 100)
+    monkeypatch.setattr(trace_recorder, "WRITE_INTERVAL_S", 0.01)
     stands_still, goes_on = threading.Event(), threading.Event()
 
     def add(self, request):
@@ -104,11 +104,11 @@
         goes_on.wait(10.0)
 
     monkeypatch.setattr(trace.Writer, "add", add)
-    made = Recording(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
-    made.note(Asked())
+    made = TraceRecorder(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
+    made.record(Asked())
     assert stands_still.wait(10.0)
     for _ in range(500):
-        made.note(Asked())
+        made.record(Asked())
     assert len(made._waiting) == 100
     assert made._missed == 400
     goes_on.set()
@@ -116,16 +116,16 @@
 
 
 def test_a_disk_that_is_full_ends_the_trace_and_nothing_else(tmp_path, monkeypatch, capsys):
-    monkeypatch.setattr(recording, "WRITE_S", 0.01)
+    monkeypatch.setattr(trace_recorder, "WRITE_INTERVAL_S", 0.01)
 
     def add(self, request):
         raise OSError(28, "No space left on device")
 
     monkeypatch.setattr(trace.Writer, "add", add)
-    made = Recording(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
-    made.note(Asked())
+    made = TraceRecorder(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
+    made.record(Asked())
     made._thread.join(10.0)
-    made.note(Asked())
+    made.record(Asked())
     made.close()
     assert "No space left on device; no more is recorded" in capsys.readouterr().err
 
@@ -134,16 +134,16 @@
     class Hour(Asked):
         budget = 3_600_000.0
 
-    made = Recording(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
-    made.note(Hour())
-    made.note(Asked())
+    made = TraceRecorder(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
+    made.record(Hour())
+    made.record(Asked())
     made.close()
     assert trace.inspect(tmp_path / "a.trace").requests == 1
     assert "1 requests were not recorded" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("value", ['""', "7", '"a\\nb"'])
-def test_a_path_that_is_none_is_told(tmp_path, value):
+def test_a_path_that_is_none_is_an_error(tmp_path, value):
     upstream = Upstream(address="127.0.0.1:9")
     file = traced(tmp_path, upstream)
     file.write_text(file.read_text().replace(f'"{tmp_path}/asked.trace.gz"', value))
@@ -153,7 +153,7 @@
 
 
 @loopback
-async def test_a_file_that_can_not_be_made_is_told_at_the_start(tmp_path):
+async def test_a_file_that_can_not_be_made_is_an_error_at_the_start(tmp_path):
     upstream = await Upstream([OK]).start()
     file = traced(tmp_path, upstream, name="missing/asked.trace")
     with pytest.raises(OSError, match="No such file"):
--- a/tests/proxy/daemon/test_rules.py
+++ b/tests/proxy/daemon/test_versions_in_force.py
@@ -1,4 +1,4 @@
-"""Rules in force: told before they are acted on, stored, and there again after a kill without a registry."""
+"""Versions in force: recorded before they are acted on, stored, and restored without a registry."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from fordtrestle.balancer.model import Send
 from fordtrestle.proxy.config import operator_file
-from fordtrestle.proxy.daemon import rules
+from fordtrestle.proxy.daemon import versions_in_force
 from fordtrestle.proxy.daemon.seams import Seams
 from fordtrestle.proxy.daemon.standalone import Standalone
 from fordtrestle.proxy.state.posix_file_store import PosixFileStore
@@ -217,7 +217,7 @@
 
 
 @loopback
-async def test_what_a_list_brings_about_is_an_act_on_that_list(tmp_path, capfd):
+async def test_what_a_list_causes_is_recorded_as_done_by_that_list(tmp_path, capfd):
     """Guards against an act on a list that is not told yet, or is told as an act on the one before."""
     one, two = await answering("one"), await answering("two")
     held = []
@@ -245,13 +245,13 @@
     one = await answering("one")
     both = SERVICE.format(name="a") + servers("a", one) + '[events]\nfile = "/dev/full"\n'
     async with standing(tmp_path, both, capfd) as made:
-        await until(lambda: made._rules._events._file.failed)
+        await until(lambda: made._versions._events._file.failed)
         assert await asked(made.fronts["a"]) == "one"
     assert capfd.readouterr().err.endswith("were not written\n")
 
 
 @loopback
-async def test_a_files_lists_have_no_version_and_a_reload_tells_what_is_new_only(tmp_path, capfd):
+async def test_lists_of_a_file_have_no_version_and_a_reload_records_only_what_is_new(tmp_path, capfd):
     one, two = await answering("one"), await answering("two")
     tables = TABLES.format(at=tmp_path)
     async with standing(tmp_path, SERVICE.format(name="a") + servers("a", one) + tables, capfd) as made:
@@ -276,7 +276,7 @@
 @loopback
 async def test_a_folder_that_does_not_open_holds_no_start(tmp_path, capfd, monkeypatch):
     """Guards against a mount that hangs: the process starts and stores nothing."""
-    monkeypatch.setattr(rules, "OPEN_S", 0.05)
+    monkeypatch.setattr(versions_in_force, "OPEN_TIMEOUT_S", 0.05)
     one, opens = await answering("one"), threading.Event()
 
     def store(folder):
--- a/tests/proxy/daemon/test_where_it_runs.py
+++ b/tests/proxy/daemon/test_where_it_runs.py
@@ -1,5 +1,6 @@
-"""What the place where it runs forbids: other programs, forks, splice, sendfile, io_uring. It is one process,
-linked dynamically against the C library.
+"""What the place where it runs forbids: other programs, forks, splice, sendfile, io_uring.
+
+It is one process, linked dynamically against the C library.
 """
 
 from __future__ import annotations
@@ -33,7 +34,8 @@
 def test_the_deploy_files_run_lines_end_in_one_process():
     told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     for name in ("run", "sim"):
-        assert told[name].startswith("exec ") and not set("&;|\n") & set(told[name]), name
+        assert told[name].startswith("exec "), name
+        assert not set("&;|\n") & set(told[name]), name
 
 
 def test_nothing_forbidden_is_named_in_the_program():
