--- a/fordtrestle/cli/__init__.py
+++ b/fordtrestle/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: a table of words, each in a file of its own that is loaded when it is called.
+"""The command line: a table of commands, each in a module that is imported when the command is called.
 
-A word's file has `add(parser)`, which declares its arguments, and `run(given)`, which does the work
-and returns the exit code: 0 done, 1 failed or a bound not met, 2 bad input.
+A command's module has `add_arguments(parser)`, which declares its arguments, and `run(arguments)`, which does
+the work and returns the exit code (`exit_codes.py`).
 """
 
 from __future__ import annotations
@@ -10,8 +10,10 @@
 import sys
 from importlib import import_module
 
-# One line a word: its file is `cli/WORD.py`.
-WORDS = {
+from fordtrestle.cli.exit_codes import EXIT_BAD_INPUT
+
+# One line a command: its module is `cli/COMMAND.py`.
+COMMANDS = {
     "sidecar": "serve clients of the system, as the file that FORDTRESTLE_CONFIG names tells",
     "control": "keep the system's control state, as that file tells",
     "ctl": "ask and order the control processes, as an operator",
@@ -19,34 +21,54 @@
     "check": "read an operator file and tell all that is wrong with it",
     "load": "send a load at the times it states, whatever is still open, and report what came of it",
 }
-PLATFORM = "--operator"
+OPERATOR_OPTION = "--operator"  # the only option without a command
+
 
+def main(arguments: list[str]) -> int:
+    """Run the command that the arguments name.
 
-def main(words: list[str]) -> int:
-    """Do what the words ask; the exit code."""
-    first, rest = words[0], words[1:]
+    Args:
+        arguments: The command line without the program's name; at least one.
+
+    Returns:
+        The exit code.
+    """
+    first, rest = arguments[0], arguments[1:]
     try:
-        if first in WORDS:
-            return _run(first, rest)
+        if first in COMMANDS:
+            return _run_command(first, rest)
         if first.startswith("-"):
-            return _platform(words)
-    except SystemExit as end:  # how argparse ends, having said why
-        return end.code if isinstance(end.code, int) else 2
-    print(f"fordtrestle: no such word as {first!r}; there are {', '.join(WORDS)}", file=sys.stderr)
-    return 2
+            return _run_on_platform(arguments)
+    except SystemExit as end:  # argparse ends so, after it has printed why
+        return end.code if isinstance(end.code, int) else EXIT_BAD_INPUT
+    print(f"fordtrestle: no such word as {first!r}; there are {', '.join(COMMANDS)}", file=sys.stderr)
+    return EXIT_BAD_INPUT
 
 
-def _run(word: str, rest: list[str]) -> int:
-    module = import_module(f"fordtrestle.cli.{word}")
-    parser = argparse.ArgumentParser(prog=f"fordtrestle {word}", description=WORDS[word])
-    module.add(parser)
+def _run_command(command: str, rest: list[str]) -> int:
+    """Run one command with the arguments that follow it and return the exit code."""
+    module = import_module(f"fordtrestle.cli.{command}")
+    parser = argparse.ArgumentParser(prog=f"fordtrestle {command}", description=COMMANDS[command])
+    module.add_arguments(parser)
     code: int = module.run(parser.parse_args(rest))
     return code
 
 
-def _platform(words: list[str]) -> int:
-    """The daemon on the platform, with an operator's limits."""
-    lines = [f"  {word:<10} {text}" for word, text in WORDS.items()]
+def _run_on_platform(arguments: list[str]) -> int:
+    """Run the platform's sidecar with an operator's limits and return the exit code."""
+    operator_file = _platform_parser().parse_args(arguments).operator
+    from fordtrestle.proxy.daemon.signals import Signals
+
+    signals = Signals()
+    signals.install()  # before the rest is loaded, which takes a while
+    from fordtrestle.cli import platform
+
+    return platform.run(operator_file, signals)
+
+
+def _platform_parser() -> argparse.ArgumentParser:
+    """The parser of a command line that begins with an option; its help lists all commands."""
+    lines = [f"  {command:<10} {text}" for command, text in COMMANDS.items()]
     parser = argparse.ArgumentParser(
         prog="fordtrestle",
         description="The platform's sidecar, as NODE_CONFIG tells, or one of these words:",
@@ -54,12 +76,5 @@
         formatter_class=argparse.RawDescriptionHelpFormatter,
         allow_abbrev=False,
     )
-    parser.add_argument(PLATFORM, metavar="FILE", required=True, help="an operator file with [limits]")
-    given = parser.parse_args(words)
-    from fordtrestle.proxy.daemon.signals import Signals
-
-    signals = Signals()
-    signals.install()
-    from fordtrestle.cli import platform
-
-    return platform.run(given.operator, signals)
+    parser.add_argument(OPERATOR_OPTION, metavar="FILE", required=True, help="an operator file with [limits]")
+    return parser
--- a/fordtrestle/cli/check.py
+++ b/fordtrestle/cli/check.py
@@ -1,4 +1,4 @@
-"""`fordtrestle check FILE`: all that is wrong with an operator file, at once."""
+"""`fordtrestle check FILE`: prints all errors of an operator file at once."""
 
 from __future__ import annotations
 
@@ -6,15 +6,16 @@
 import json
 from collections.abc import Sequence
 
+from fordtrestle.cli.exit_codes import EXIT_BAD_INPUT, EXIT_DONE
 from fordtrestle.proxy.config import operator_file
 from fordtrestle.proxy.config.errors import OperatorFileError
 from fordtrestle.proxy.engine.schema import SchemaError
 
-TABLES = ("services", "fronts", "sources")
+LISTED_TABLES = ("services", "fronts", "sources")  # whose names are printed for a valid file
 
 
-def add(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Declare the arguments of the command."""
     parser.add_argument("file", metavar="FILE", help="the operator file")
     parser.add_argument("--json", action="store_true", help="one JSON object for programs to read")
     parser.add_argument(
@@ -22,28 +23,38 @@
     )
 
 
-def run(given: argparse.Namespace) -> int:
-    """Check a file; 0 where it is good, 2 where it is not."""
-    named: dict[str, list[str]] = {}
-    faults: Sequence[SchemaError] = ()
+def run(arguments: argparse.Namespace) -> int:
+    """Check a file and return `EXIT_DONE` where it is valid, else `EXIT_BAD_INPUT`."""
+    names: dict[str, list[str]] = {}
+    errors: Sequence[SchemaError] = ()
     try:
-        if given.platform:
-            operator_file.read_limits(given.file)
-        else:
-            config = operator_file.read(given.file)
-            named = {table: list(getattr(config, table)) for table in TABLES}
+        names = _names_by_table(arguments.file, arguments.platform)
     except OperatorFileError as error:
-        faults = error.faults
-        if not given.json:
+        errors = error.faults
+        if not arguments.json:
             print(error)
-    if given.json:
-        print(json.dumps(_object(given.file, faults, named), indent=2))
-    elif not faults:
-        parts = [f"{table} {', '.join(names)}" for table, names in named.items() if names]
-        print(f"{given.file}: good" + (f": {'; '.join(parts)}" if parts else ""))
-    return 2 if faults else 0
-
-
-def _object(file: str, faults: Sequence[SchemaError], named: dict[str, list[str]]) -> dict[str, object]:
-    errors = [{"at": fault.at, "reason": fault.reason} for fault in faults]
-    return {"file": file, "good": not faults, "errors": errors, **named}
+    if arguments.json:
+        print(json.dumps(_json_report(arguments.file, errors, names), indent=2))
+    elif not errors:
+        parts = [f"{table} {', '.join(listed)}" for table, listed in names.items() if listed]
+        print(f"{arguments.file}: good" + (f": {'; '.join(parts)}" if parts else ""))
+    return EXIT_BAD_INPUT if errors else EXIT_DONE
+
+
+def _names_by_table(file: str, is_for_platform: bool) -> dict[str, list[str]]:
+    """Read a file and return the names in each of `LISTED_TABLES`; none for the platform.
+
+    Raises:
+        OperatorFileError: The file is not valid; it holds all errors.
+    """
+    if is_for_platform:
+        operator_file.read_limits(file)
+        return {}
+    config = operator_file.read(file)
+    return {table: list(getattr(config, table)) for table in LISTED_TABLES}
+
+
+def _json_report(file: str, errors: Sequence[SchemaError], names: dict[str, list[str]]) -> dict[str, object]:
+    """The JSON object of `--json`; its keys are shown to users and stay."""
+    shown = [{"at": error.at, "reason": error.reason} for error in errors]
+    return {"file": file, "good": not errors, "errors": shown, **names}
--- a/fordtrestle/cli/ctl.py
+++ b/fordtrestle/cli/ctl.py
@@ -15,12 +15,31 @@
 if TYPE_CHECKING:  # as commands run, it is imported only where a process is asked
     from fordtrestle.control_api.client import ControlClient, ControlResponse
 
-DONE, REFUSED, BAD_INPUT, UNREACHABLE = 0, 1, 2, 3
-DEFAULT_TIMEOUT_S = 15.0
-
-
-def add(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+DONE = 0
+REFUSED = 1  # a control process answered, and did not do it
+BAD_INPUT = 2
+UNREACHABLE = 3  # no control process answered within the time-out
+DEFAULT_TIMEOUT_S = 15.0  # for how long unclear answers are asked for again (docs/operate/control.md)
+
+HTTP_OK = 200
+NO_GENERATION = 0  # what the first configuration builds on
+
+LISTINGS = {
+    "epoch": "who is primary, with replicas and witnesses",
+    "members": "the processes of the system",
+    "servers": "the servers, and why some are not usable",
+}
+FILE_ACTIONS = {
+    "put": "put a whole one in force",
+    "patch": "change named items of it",
+    "diff": "what a file would change",
+    "check": "say all that is wrong with a file, without asking anyone",
+}
+WRITE_ACTIONS = ("put", "patch")
+
+
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Declare the arguments of the command."""
     parser.add_argument(
         "--control", action="append", metavar="HOST:PORT", help="a control process; may be repeated"
     )
@@ -28,40 +47,45 @@
         "--timeout", type=float, default=DEFAULT_TIMEOUT_S, help="seconds to go on trying for"
     )
     parser.add_argument("--json", action="store_true", help="print JSON where a table is printed")
-    words = parser.add_subparsers(dest="word", required=True, metavar="WORD")
-    config = words.add_parser("config", help="the configuration").add_subparsers(dest="act", required=True)
-    config.add_parser("get", help="print the newest one")
-    for act, text in (
-        ("put", "put a whole one in force"),
-        ("patch", "change named items of it"),
-        ("diff", "what a file would change"),
-        ("check", "say all that is wrong with a file, without asking anyone"),
-    ):
-        word = config.add_parser(act, help=text)
-        word.add_argument("file", type=Path)
-        if act in ("put", "patch"):
-            word.add_argument(
-                "--base", type=int, help="the generation that it builds on; the newest by default"
-            )
-    evacuate = words.add_parser("evacuate", help="empty a zone or take it back")
+    commands = parser.add_subparsers(dest="word", required=True, metavar="WORD")
+    _add_config_arguments(commands.add_parser("config", help="the configuration"))
+    evacuate = commands.add_parser("evacuate", help="empty a zone or take it back")
     evacuate.add_argument("step", choices=("start", "finish"))
     evacuate.add_argument("zone")
-    words.add_parser("epoch", help="who is primary, with replicas and witnesses")
-    words.add_parser("members", help="the processes of the system")
-    words.add_parser("servers", help="the servers, and why some are not usable")
+    for name, text in LISTINGS.items():
+        commands.add_parser(name, help=text)
+
+
+def _add_config_arguments(parser: argparse.ArgumentParser) -> None:
+    """Declare the arguments of `ctl config`."""
+    actions = parser.add_subparsers(dest="act", required=True)
+    actions.add_parser("get", help="print the newest one")
+    for name, text in FILE_ACTIONS.items():
+        action = actions.add_parser(name, help=text)
+        action.add_argument("file", type=Path)
+        if name in WRITE_ACTIONS:
+            action.add_argument(
+                "--base", type=int, help="the generation that it builds on; the newest by default"
+            )
 
 
-def run(given: argparse.Namespace) -> int:
-    """Do what the words ask; the exit code."""
-    if given.word == "config" and given.act == "check":
-        return _check(given.file)
-    if not given.control:
-        print("fordtrestle ctl: --control HOST:PORT is needed", file=sys.stderr)
-        return BAD_INPUT
-    return asyncio.run(_ask(given))
+def run(arguments: argparse.Namespace) -> int:
+    """Run the operator's command and return the exit code."""
+    if arguments.word == "config" and arguments.act == "check":
+        return _check_file(arguments.file)
+    if not arguments.control:
+        return _print_bad_input("--control HOST:PORT is needed")
+    return asyncio.run(_call_control(arguments))
 
 
-def _check(file: Path) -> int:
+def _print_bad_input(reason: object) -> int:
+    """Print why the command can't be run and return the exit code."""
+    print(f"fordtrestle ctl: {reason}", file=sys.stderr)
+    return BAD_INPUT
+
+
+def _check_file(file: Path) -> int:
+    """Print all errors of a configuration file and return the exit code; no process is asked."""
     from returns.result import Failure
 
     from fordtrestle.control_api.configuration import read_put
@@ -69,8 +93,7 @@
     try:
         body = file.read_bytes()
     except OSError as error:
-        print(f"fordtrestle ctl: {error}", file=sys.stderr)
-        return BAD_INPUT
+        return _print_bad_input(error)
     match read_put(body):
         case Failure(invalid):
             for line in invalid.faults:
@@ -79,55 +102,73 @@
     return DONE
 
 
-async def _ask(given: argparse.Namespace) -> int:
+async def _call_control(arguments: argparse.Namespace) -> int:
+    """Send the command to the control processes and return the exit code."""
     from fordtrestle.control_api.client import ControlClient
     from fordtrestle.control_api.errors import UnreachableError
 
     body = b""
-    if given.word == "config" and given.act != "get":
+    if arguments.word == "config" and arguments.act != "get":
         try:
-            body = given.file.read_bytes()
+            body = arguments.file.read_bytes()
         except OSError as error:
-            print(f"fordtrestle ctl: {error}", file=sys.stderr)
-            return BAD_INPUT
+            return _print_bad_input(error)
     try:
-        async with ControlClient(given.control, given.timeout) as client:
-            return await _answer(given, client, body)
+        async with ControlClient(arguments.control, arguments.timeout) as client:
+            return await _send_command(arguments, client, body)
     except ValueError as error:
-        print(f"fordtrestle ctl: {error}", file=sys.stderr)
-        return BAD_INPUT
+        return _print_bad_input(error)
     except UnreachableError as error:
         print(f"fordtrestle ctl: {error}", file=sys.stderr)
         return UNREACHABLE
 
 
-async def _answer(given: argparse.Namespace, client: ControlClient, body: bytes) -> int:
-    if given.word == "evacuate":
-        return _print_faults(await client.send("POST", f"/v1/evacuations/{given.zone}/{given.step}"))
-    if given.word in ("epoch", "members", "servers"):
-        return _print_rows(await client.send("GET", f"/v1/{given.word}"), given.json)
-    if given.act in ("put", "patch"):
-        base = given.base if given.base is not None else await _generation(client)
-        return _print_faults(
-            await client.send("POST", f"/v1/config/{given.act}", body, {"X-Base-Version": str(base)})
-        )
+async def _send_command(arguments: argparse.Namespace, client: ControlClient, body: bytes) -> int:
+    """Send one command, print what came of it and return the exit code.
+
+    Raises:
+        UnreachableError: No control process answered in time.
+        ValueError: An address is malformed, or a document is no JSON.
+    """
+    if arguments.word == "evacuate":
+        response = await client.send("POST", f"/v1/evacuations/{arguments.zone}/{arguments.step}")
+        return _print_faults(response)
+    if arguments.word in LISTINGS:
+        return _print_rows(await client.send("GET", f"/v1/{arguments.word}"), arguments.json)
+    if arguments.act in WRITE_ACTIONS:
+        return await _write_configuration(arguments, client, body)
+    return await _read_configuration(arguments, client, body)
+
+
+async def _write_configuration(arguments: argparse.Namespace, client: ControlClient, body: bytes) -> int:
+    """Send `config put` or `config patch`, print why it was refused, if it was, and return the exit code."""
+    base = arguments.base if arguments.base is not None else await _newest_generation(client)
+    headers = {"X-Base-Version": str(base)}
+    return _print_faults(await client.send("POST", f"/v1/config/{arguments.act}", body, headers))
+
+
+async def _read_configuration(arguments: argparse.Namespace, client: ControlClient, body: bytes) -> int:
+    """Print the newest configuration, or how the document `body` differs, and return the exit code."""
     response = await client.send("GET", "/v1/config/get")
-    if response.status != 200:
+    if response.status != HTTP_OK:
         return _print_faults(response)
-    if given.act == "diff":
+    if arguments.act == "diff":
         return _print_differences(json.loads(response.body), json.loads(body))
     print(json.dumps(json.loads(response.body), indent=2))
     return DONE
 
 
-async def _generation(client: ControlClient) -> int:
+async def _newest_generation(client: ControlClient) -> int:
+    """The generation in force, or `NO_GENERATION` where none can be read."""
     response = await client.send("GET", "/v1/config/get")
-    return int(json.loads(response.body)["generation"]) if response.status == 200 else 0
+    if response.status != HTTP_OK:
+        return NO_GENERATION
+    return int(json.loads(response.body)["generation"])
 
 
 def _print_faults(response: ControlResponse) -> int:
-    """Print why a command was refused, if it was; the exit code."""
-    if response.status == 200:
+    """Print why a command was refused, if it was, and return the exit code."""
+    if response.status == HTTP_OK:
         return DONE
     faults = json.loads(response.body or b"{}").get("errors") or [f"status {response.status}"]
     for line in faults:
@@ -136,22 +177,28 @@
 
 
 def _print_rows(response: ControlResponse, as_json: bool) -> int:
-    """Print a listing as a table or as JSON; the exit code."""
-    if response.status != 200:
+    """Print a listing as a table or as JSON and return the exit code."""
+    if response.status != HTTP_OK:
         return _print_faults(response)
     rows = json.loads(response.body)["rows"]
     if as_json:
         print(json.dumps(rows, indent=2))
-        return DONE
-    columns = list(rows[0]) if rows else []
+    elif rows:
+        _print_table(rows)
+    return DONE
+
+
+def _print_table(rows: list[dict[str, Any]]) -> None:
+    """Print rows below their column names, each column as wide as its widest value."""
+    columns = list(rows[0])
     widths = {name: max(len(name), *(len(str(row[name])) for row in rows)) for name in columns}
-    for row in [dict(zip(columns, columns, strict=True)), *rows] if rows else []:
+    heading = dict(zip(columns, columns, strict=True))
+    for row in [heading, *rows]:
         print("  ".join(str(row[name]).ljust(widths[name]) for name in columns).rstrip())
-    return DONE
 
 
 def _print_differences(current: dict[str, Any], other: dict[str, Any]) -> int:
-    """Print what a document would change, item by item."""
+    """Print what a document would change, item by item, and return the exit code."""
     for kind in ("routes", "services"):
         before = {row["name"]: row for row in current.get(kind) or ()}
         after = {row["name"]: row for row in other.get(kind) or ()}
--- a/fordtrestle/cli/load.py
+++ b/fordtrestle/cli/load.py
@@ -7,24 +7,41 @@
 import signal
 import sys
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from pathlib import Path
 from types import FrameType
 from typing import Any
 
+from fordtrestle.cli.exit_codes import EXIT_BAD_INPUT, EXIT_DONE, EXIT_FAILED
 from fordtrestle.load import plot, report, trace
 from fordtrestle.load.arrivals import US
-from fordtrestle.load.generator import CannotRun, Generator, Run
-from fordtrestle.load.recorder import NoLibrary, library
+from fordtrestle.load.errors import GeneratorError, LoadError, SpecError
+from fordtrestle.load.generator import Generator, Run
+from fordtrestle.load.recorder import library
 from fordtrestle.load.schedule import Schedule, made
-from fordtrestle.load.spec import BadSpec, Spec, parse
+from fordtrestle.load.spec import Spec, parse
 from fordtrestle.proxy.engine.ports import parse_address
 
-DONE, NOT_MET, BAD_INPUT = 0, 1, 2
+ON_STANDARD_OUTPUT = "-"  # value of --json where it names no file
+CLEAR_LINE = "\r\x1b[K"  # back to the line's begin, then erase it (ECMA-48)
+MAX_SEED = 2**63  # as in the load file
+MAX_WORKERS = 64  # as in the load file
 
 
-def add(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+class OptionError(LoadError):
+    """An option whose value can't be used; the text names the option."""
+
+
+@dataclass(frozen=True, slots=True)
+class _Subcommand:
+    """What is done with the files that are named, and how many it takes (None: one or more)."""
+
+    run: Callable[[argparse.Namespace, list[str]], int]
+    file_count: int | None
+
+
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Declare the arguments of the command."""
     parser.formatter_class = argparse.RawDescriptionHelpFormatter
     parser.usage = (
         "fordtrestle load SPEC [--to HOST:PORT] [--seed N] [--workers N] [--json FILE] [--plot FILE]\n"
@@ -41,166 +58,214 @@
         "--workers", type=int, metavar="N", help="processes that send, in place of the file's"
     )
     parser.add_argument(
-        "--json", nargs="?", const="-", metavar="FILE", help="the report, there or on the output"
+        "--json",
+        nargs="?",
+        const=ON_STANDARD_OUTPUT,
+        metavar="FILE",
+        help="the report, there or on the output",
     )
     parser.add_argument("--plot", metavar="FILE", help="the report as a picture, .svg or .png")
 
 
-def run(given: argparse.Namespace) -> int:
-    """Do what was asked; the exit code."""
-    word, *rest = given.what
-    todo: dict[str, tuple[int | None, Callable[[argparse.Namespace, list[str]], int]]] = {
-        "check": (1, _check),
-        "trace": (None, _trace),
-        "write": (2, _write),
+def run(arguments: argparse.Namespace) -> int:
+    """Run the subcommand, `load SPEC` where none is named, and return the exit code."""
+    subcommands = {
+        "check": _Subcommand(_check, 1),
+        "trace": _Subcommand(_print_traces, None),
+        "write": _Subcommand(_write_trace, 2),
     }
-    count, do = todo.get(word, (1, _load))
-    named = rest if word in todo else given.what
-    if not named or (count is not None and len(named) != count):
-        return _bad(f"load {word}: expected {count or 'some'} files, not {len(named)}")
+    word, *files = arguments.what
+    subcommand = subcommands.get(word)
+    if subcommand is None:
+        subcommand, files = _Subcommand(_send, 1), arguments.what
+    count = subcommand.file_count
+    if not files or (count is not None and len(files) != count):
+        return _print_bad_input(f"load {word}: expected {count or 'some'} files, not {len(files)}")
     try:
-        return do(given, named)
-    except BadSpec as error:
-        return _bad(*error.lines)
-    except (trace.BadTrace, CannotRun, NoLibrary, _BadOption) as error:
-        return _bad(str(error))
-
+        return subcommand.run(arguments, files)
+    except SpecError as error:
+        return _print_bad_input(*error.lines)
+    except LoadError as error:
+        return _print_bad_input(str(error))
 
-class _BadOption(Exception):
-    pass
 
-
-def _bad(*lines: str) -> int:
+def _print_bad_input(*lines: str) -> int:
+    """Print what is wrong, a line each, and return the exit code."""
     for line in lines:
         print(line, file=sys.stderr)
-    return BAD_INPUT
+    return EXIT_BAD_INPUT
+
+
+# --- options --------------------------------------------------------------------
 
 
-def _spec(given: argparse.Namespace, file: str) -> Spec:
+def _read_spec(arguments: argparse.Namespace, file: str) -> Spec:
+    """Read a load file; options take the place of what it says.
+
+    Raises:
+        SpecError: The file can't be read or is not valid.
+        OptionError: The value of an option can't be used.
+    """
     try:
         text = Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise BadSpec([f"{file}: {getattr(error, 'strerror', None) or 'not UTF-8'}"]) from None
+        raise SpecError([f"{file}: {getattr(error, 'strerror', None) or 'not UTF-8'}"]) from None
     spec = parse(text, file)
-    if given.to is not None:
+    if arguments.to is not None:
         try:
-            spec = replace(spec, target=parse_address(given.to))
+            spec = replace(spec, target=parse_address(arguments.to))
         except ValueError:
-            raise _BadOption(f"--to: {given.to!r} is not HOST:PORT") from None
-    if given.seed is not None:
-        spec = replace(spec, seed=_within("--seed", given.seed, 0, 2**63))
-    if given.workers is not None:
-        most = min(64, spec.open_most, spec.connections_most)
-        spec = replace(spec, workers=_within("--workers", given.workers, 1, most))
+            raise OptionError(f"--to: {arguments.to!r} is not HOST:PORT") from None
+    if arguments.seed is not None:
+        spec = replace(spec, seed=_check_range("--seed", arguments.seed, 0, MAX_SEED))
+    if arguments.workers is not None:
+        # Each worker needs one request and one connection at least.
+        max_workers = min(MAX_WORKERS, spec.open_most, spec.connections_most)
+        spec = replace(spec, workers=_check_range("--workers", arguments.workers, 1, max_workers))
     return spec
 
 
-def _within(option: str, value: int, low: int, high: int) -> int:
+def _check_range(option: str, value: int, low: int, high: int) -> int:
+    """Return a value that lies within `low` to `high`; `OptionError` for any other."""
     if not low <= value <= high:
-        raise _BadOption(f"{option}: {value} is not within {low} to {high}")
+        raise OptionError(f"{option}: {value} is not within {low} to {high}")
     return value
 
 
-def _schedule(given: argparse.Namespace, file: str) -> Schedule:
-    return made(_spec(given, file), Path(file).parent)
+def _read_schedule(arguments: argparse.Namespace, file: str) -> Schedule:
+    """Read a load file and the trace that it may name.
+
+    Raises:
+        LoadError: One of them is not valid, or an option is not.
+    """
+    return made(_read_spec(arguments, file), Path(file).parent)
 
 
-def _writable(option: str, file: str) -> Path:
-    """Guards against a run whose figures can't be written at its end."""
+def _check_writable(option: str, file: str) -> Path:
+    """Return a path whose folder exists; `OptionError` for any other.
+
+    Checked before a load is sent, so that no run is lost because its report can't be written.
+    """
     path = Path(file)
     if path.is_dir() or not path.parent.is_dir():
-        raise _BadOption(f"{option}: {file}: can't be written")
+        raise OptionError(f"{option}: {file}: can't be written")
+    return path
+
+
+def _plot_path(arguments: argparse.Namespace) -> Path | None:
+    """Where the plot goes, None where none is asked for.
+
+    Raises:
+        OptionError: It can't be written there, or its suffix names no format.
+        MissingLibraryError: matplotlib is not installed.
+    """
+    if arguments.plot is None:
+        return None
+    path = _check_writable("--plot", arguments.plot)
+    if path.suffix not in plot.SUFFIXES:
+        raise OptionError(f"--plot: {path}: a plot ends with {' or '.join(plot.SUFFIXES)}")
+    library("matplotlib", "plot")
     return path
 
 
-# --- the words ------------------------------------------------------------------
+# --- subcommands ----------------------------------------------------------------
 
 
-def _check(given: argparse.Namespace, files: list[str]) -> int:
-    schedule = _schedule(given, files[0])
+def _check(arguments: argparse.Namespace, files: list[str]) -> int:
+    """`load check SPEC`: print how many requests a load has, without sending any."""
+    schedule = _read_schedule(arguments, files[0])
     count = sum(1 for _ in schedule.requests())
     length_s = schedule.length_us / US
-    if given.json:
+    if arguments.json:
         print(json.dumps({"file": files[0], "good": True, "requests": count, "length_s": length_s}))
     else:
         print(f"{files[0]}: good: {count} requests in {length_s:g} s, {count / length_s:.1f} a second")
-    return DONE
-
-
-def _trace(given: argparse.Namespace, files: list[str]) -> int:
-    rows: list[dict[str, Any]] = []
-    for file in files:
-        summary = trace.inspect(Path(file))
-        rows.append(
-            {
-                "file": file,
-                "requests": summary.requests,
-                "length_s": summary.length_us / US,
-                "most_in_a_second": summary.most_in_a_second,
-                "classes": summary.kinds,
-                "tenants": summary.tenants,
-            }
-        )
-    if given.json:
+    return EXIT_DONE
+
+
+def _print_traces(arguments: argparse.Namespace, files: list[str]) -> int:
+    """`load trace FILE...`: print what traces hold."""
+    rows = [_trace_row(file, trace.inspect(Path(file))) for file in files]
+    if arguments.json:
         print(json.dumps(rows))
-        return DONE
+        return EXIT_DONE
     for row in rows:
-        kinds = ", ".join(f"{name} {count}" for name, count in row["classes"].items())
+        classes = ", ".join(f"{name} {count}" for name, count in row["classes"].items())
         print(
             f"{row['file']}: good: {row['requests']} requests in {row['length_s']:g} s, "
-            f"at most {row['most_in_a_second']} in one; {kinds}"
+            f"at most {row['most_in_a_second']} in one; {classes}"
         )
-    return DONE
+    return EXIT_DONE
+
+
+def _trace_row(file: str, summary: trace.Summary) -> dict[str, Any]:
+    """The JSON object of one trace; its keys are shown to users and stay."""
+    return {
+        "file": file,
+        "requests": summary.requests,
+        "length_s": summary.length_us / US,
+        "most_in_a_second": summary.most_in_a_second,
+        "classes": summary.kinds,
+        "tenants": summary.tenants,
+    }
 
 
-def _write(given: argparse.Namespace, files: list[str]) -> int:
-    schedule = _schedule(given, files[0])
-    path = _writable("write", files[1])
+def _write_trace(arguments: argparse.Namespace, files: list[str]) -> int:
+    """`load write SPEC FILE`: write the requests of a load as a trace."""
+    schedule = _read_schedule(arguments, files[0])
+    path = _check_writable("write", files[1])
     try:
         count = trace.write(path, schedule.requests(), schedule.length_us)
     except (OSError, ValueError) as error:
-        raise CannotRun(f"{path}: {error}") from None
+        raise GeneratorError(f"{path}: {error}") from None
     print(f"{path}: {count} requests written")
-    return DONE
+    return EXIT_DONE
 
 
-def _load(given: argparse.Namespace, files: list[str]) -> int:
+def _send(arguments: argparse.Namespace, files: list[str]) -> int:
+    """`load SPEC`: send a load and report it; `EXIT_FAILED` where a bound was not met."""
     library("hdrh.histogram", "load")
-    as_json = _writable("--json", given.json) if given.json not in (None, "-") else None
-    as_plot = _writable("--plot", given.plot) if given.plot is not None else None
-    if as_plot is not None:
-        if as_plot.suffix not in plot.SUFFIXES:
-            raise _BadOption(f"--plot: {as_plot}: a plot ends with {' or '.join(plot.SUFFIXES)}")
-        library("matplotlib", "plot")
-    schedule = _schedule(given, files[0])
+    json_path = None
+    if arguments.json not in (None, ON_STANDARD_OUTPUT):
+        json_path = _check_writable("--json", arguments.json)
+    plot_path = _plot_path(arguments)
+    schedule = _read_schedule(arguments, files[0])
     summary = report.report(_run(schedule), schedule, files[0])
     text = json.dumps(summary, indent=1, allow_nan=False)
-    print(text if given.json == "-" else report.table(summary))
-    if as_json is not None:
-        as_json.write_text(text + "\n", encoding="utf-8")
-    if as_plot is not None:
-        plot.plot(summary, as_plot)
-    return DONE if report.met(summary) else NOT_MET
+    print(text if arguments.json == ON_STANDARD_OUTPUT else report.table(summary))
+    if json_path is not None:
+        json_path.write_text(text + "\n", encoding="utf-8")
+    if plot_path is not None:
+        plot.plot(summary, plot_path)
+    return EXIT_DONE if report.met(summary) else EXIT_FAILED
 
 
 def _run(schedule: Schedule) -> Run:
-    """Send it; the first SIGINT or SIGTERM cuts it, and what was measured until then is reported."""
-    met: list[int] = []
+    """Send a load.
+
+    The first SIGINT or SIGTERM ends it early; what was measured until then is returned.
+    """
+    signals_received: list[int] = []
 
-    def stop(number: int, frame: FrameType | None) -> None:
-        met.append(number)
+    def on_signal(number: int, frame: FrameType | None) -> None:
+        signals_received.append(number)
 
-    def watch(run: Run, now_s: float) -> None:
-        sys.stderr.write(f"\r\x1b[K{report.live(run, now_s, schedule.spec)}")
+    def show_progress(run: Run, now_s: float) -> None:
+        sys.stderr.write(f"{CLEAR_LINE}{report.live(run, now_s, schedule.spec)}")
         sys.stderr.flush()
 
-    before: list[tuple[int, Any]] = [(n, signal.signal(n, stop)) for n in (signal.SIGINT, signal.SIGTERM)]
-    terminal = sys.stderr.isatty()
+    handlers_before: list[tuple[int, Any]] = [
+        (number, signal.signal(number, on_signal)) for number in (signal.SIGINT, signal.SIGTERM)
+    ]
+    is_terminal = sys.stderr.isatty()
     try:
-        made = Generator(schedule, stopping=lambda: bool(met), watch=watch if terminal else None).run()
+        return Generator(
+            schedule,
+            stopping=lambda: bool(signals_received),
+            watch=show_progress if is_terminal else None,
+        ).run()
     finally:
-        for number, handler in before:
+        for number, handler in handlers_before:
             signal.signal(number, handler)
-        if terminal:
-            sys.stderr.write("\r\x1b[K")
-    return made
+        if is_terminal:
+            sys.stderr.write(CLEAR_LINE)
--- a/fordtrestle/cli/platform.py
+++ b/fordtrestle/cli/platform.py
@@ -1,9 +1,10 @@
-"""The daemon on the platform with `--operator FILE`."""
+"""`fordtrestle --operator FILE`: runs the platform's sidecar with an operator's limits."""
 
 from __future__ import annotations
 
 import sys
 
+from fordtrestle.cli.exit_codes import EXIT_BAD_INPUT
 from fordtrestle.proxy.config import operator_file
 from fordtrestle.proxy.config.errors import OperatorFileError
 from fordtrestle.proxy.daemon import sidecar
@@ -11,10 +12,18 @@
 
 
 def run(file: str, signals: Signals) -> int:
-    """Run with an operator's limits, within the platform's; the exit code."""
+    """Serve until SIGTERM and return the exit code.
+
+    Args:
+        file: The operator file; its limits apply within the platform's.
+        signals: The handlers that are installed already.
+
+    Returns:
+        The sidecar's exit code, or `EXIT_BAD_INPUT` where the file is not valid.
+    """
     try:
         limits = operator_file.read_limits(file)
     except OperatorFileError as error:
         print(error, file=sys.stderr)
-        return 2
+        return EXIT_BAD_INPUT
     return sidecar.main(signals, limits)
--- a/fordtrestle/cli/serve.py
+++ b/fordtrestle/cli/serve.py
@@ -1,4 +1,4 @@
-"""`fordtrestle serve FILE`: one process, as an operator file tells."""
+"""`fordtrestle serve FILE`: runs the services and listeners of an operator file in one process."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from fordtrestle.proxy.daemon.signals import Signals
 
 
-def add(parser: argparse.ArgumentParser) -> None:
-    """Declare the arguments."""
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Declare the arguments of the command."""
     parser.add_argument("file", metavar="FILE", help="the operator file; SIGHUP reads it anew")
 
 
-def run(given: argparse.Namespace) -> int:
-    """Run until SIGTERM; the exit code."""
+def run(arguments: argparse.Namespace) -> int:
+    """Serve until SIGTERM and return the exit code."""
     signals = Signals()
     signals.install()  # before the rest is loaded, which takes a while
     from fordtrestle.proxy.daemon import standalone
 
-    return standalone.main(given.file, signals)
+    return standalone.main(arguments.file, signals)
--- a/fordtrestle/cli/sidecar.py
+++ b/fordtrestle/cli/sidecar.py
@@ -1,21 +1,21 @@
-"""`fordtrestle sidecar`: the process that serves clients, as its settings file tells."""
+"""`fordtrestle sidecar`: runs the process that serves clients, as its settings file says."""
 
 from __future__ import annotations
 
 import argparse
 
-from fordtrestle.cli.start import do_without_tls, take_signals
+from fordtrestle.cli.start import disable_tls, install_early_signal_handlers
 from fordtrestle.ingress.early_listener import listen_early
 
 
-def add(parser: argparse.ArgumentParser) -> None:
-    """It takes no arguments: its settings stand in the file that FORDTRESTLE_CONFIG names."""
+def add_arguments(parser: argparse.ArgumentParser) -> None:
+    """Declare no arguments: the settings are in the file that FORDTRESTLE_CONFIG names."""
 
 
-def run(given: argparse.Namespace) -> int:
-    """Serve until SIGTERM; the exit code."""
-    take_signals()
-    do_without_tls()
+def run(arguments: argparse.Namespace) -> int:
+    """Serve until SIGTERM and return the exit code."""
+    install_early_signal_handlers()
+    disable_tls()
     early = listen_early("front")
     from fordtrestle.roles import sidecar
 
--- a/fordtrestle/cli/start.py
+++ b/fordtrestle/cli/start.py
@@ -1,4 +1,4 @@
-"""The first moments of a role's process, before its libraries are loaded."""
+"""Start-up steps of a process of the system that come before its libraries are loaded."""
 
 from __future__ import annotations
 
@@ -6,22 +6,23 @@
 import signal
 import sys
 
-EXIT_DONE = 0
+EXIT_DONE = 0  # a process that is stopped while it starts has not failed
 
 
-def take_signals() -> None:
-    """Let SIGTERM end the process with code 0 while it starts, and SIGHUP do nothing: all is read anyway.
+def install_early_signal_handlers() -> None:
+    """Let SIGTERM end the process with code 0 while it starts, and ignore SIGHUP.
 
-    Left to itself, either would end it as if it had failed. The role's own handlers follow.
+    By default either would end the process as if it had failed. SIGHUP asks for the settings to be read
+    again, and a process that starts reads them anyway. The role replaces these handlers by its own.
     """
     signal.signal(signal.SIGTERM, lambda *_: os._exit(EXIT_DONE))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 
-def do_without_tls() -> None:
-    """Let what is imported from here on find no `ssl`: the roles speak plain HTTP.
+def disable_tls() -> None:
+    """Make later imports of `ssl` fail, since the processes of the system speak plain HTTP.
 
-    asyncio and aiohttp do without it. With it they read the system's certificates as they are loaded, which
-    was the largest step of a sidecar's start (`benchmarks.restart`).
+    asyncio and aiohttp work without it. With it they read the system's certificates on import, which was
+    the longest step of a sidecar's start (`benchmarks.restart`).
     """
     sys.modules["ssl"] = None  # type: ignore[assignment]
--- a/fordtrestle/load/generator.py
+++ b/fordtrestle/load/generator.py
@@ -16,6 +16,7 @@
 from multiprocessing.connection import Connection as Pipe
 from typing import Any
 
+from fordtrestle.load.errors import GeneratorError
 from fordtrestle.load.recorder import Recorder
 from fordtrestle.load.samples import FAILURE, READY, SAMPLES, SUMMARY, Frames, Sample, samples
 from fordtrestle.load.schedule import Schedule
@@ -30,10 +31,6 @@
 END_S = 5.0  # for a worker that was told to stop
 
 
-class CannotRun(Exception):
-    """Nothing was sent; the text says why."""
-
-
 @dataclass(slots=True)
 class Run:
     """What a run came to. `start_ns` is the first moment of its schedule on the monotonic clock."""
@@ -99,7 +96,7 @@
         self._open_s = schedule.budget_most_us / 1e6 + spec.grace_ms / 1e3 + 2.0
 
     def run(self) -> Run:
-        """Send everything and wait for all answers; `CannotRun` where it can't begin."""
+        """Send everything and wait for all answers; `GeneratorError` where it can't begin."""
         selector = selectors.DefaultSelector()
         try:
             with _no_interrupts():
@@ -136,9 +133,9 @@
         while not all(worker.ready for worker in self._workers):
             self._read(selector, TURN_S)
             if self._run.problems or time.monotonic() > until:
-                raise CannotRun("; ".join(self._run.problems) or "workers were not ready in time")
+                raise GeneratorError("; ".join(self._run.problems) or "workers were not ready in time")
             if self._stopping():
-                raise CannotRun("stopped before the start")
+                raise GeneratorError("stopped before the start")
 
     def _go(self) -> None:
         self._run.start_ns = time.monotonic_ns() + round(LEAD_S * 1e9)
@@ -219,11 +216,15 @@
 
 
 def resolved(host: str, port: int) -> tuple[int, tuple[Any, ...]]:
-    """The address family and the address of a target, looked up once; `CannotRun` where there is none."""
+    """The address family and the address of a target, looked up once.
+
+    Raises:
+        GeneratorError: There is none.
+    """
     try:
         rows = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)
     except (OSError, UnicodeError) as error:
-        raise CannotRun(f"{host}: {error}") from None
+        raise GeneratorError(f"{host}: {error}") from None
     return int(rows[0][0]), rows[0][4]
 
 
--- a/fordtrestle/load/plot.py
+++ b/fordtrestle/load/plot.py
@@ -14,7 +14,12 @@
 
 
 def plot(summary: dict[str, Any], path: Path) -> None:
-    """Draw a report. `NoLibrary` without matplotlib; `ValueError` for a suffix that is none of `SUFFIXES`."""
+    """Draw a report.
+
+    Raises:
+        MissingLibraryError: matplotlib is not installed.
+        ValueError: The suffix is none of `SUFFIXES`.
+    """
     if path.suffix not in SUFFIXES:
         raise ValueError(f"{path}: a plot ends with {' or '.join(SUFFIXES)}")
     library("matplotlib", "plot").use("Agg")
--- a/fordtrestle/load/recorder.py
+++ b/fordtrestle/load/recorder.py
@@ -13,6 +13,7 @@
 from typing import Any
 
 from fordtrestle.load.arrivals import US
+from fordtrestle.load.errors import MissingLibraryError
 from fordtrestle.load.samples import NOT_SENT, TIMED, Outcome, Sample
 from fordtrestle.load.spec import Class
 
@@ -22,17 +23,13 @@
 CURVE = (0.0, 10.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.5, 99.9, 99.95, 99.99, 99.999, 100.0)
 
 
-class NoLibrary(Exception):
-    """A library of an extra is not installed; the text says which and how to get it."""
-
-
 def library(module: str, extra: str) -> Any:
-    """A module of an extra; `NoLibrary` where it is missing."""
+    """A module of an extra; `MissingLibraryError` where it is missing."""
     try:
         return import_module(module)
     except ImportError:
         name = module.partition(".")[0]
-        raise NoLibrary(f"{name} is missing: pip install 'fordtrestle[{extra}]'") from None
+        raise MissingLibraryError(f"{name} is missing: pip install 'fordtrestle[{extra}]'") from None
 
 
 class Histogram:
--- a/fordtrestle/load/schedule.py
+++ b/fordtrestle/load/schedule.py
@@ -9,6 +9,7 @@
 
 from fordtrestle.load import trace
 from fordtrestle.load.arrivals import US, added, evenly, poisson, times
+from fordtrestle.load.errors import TraceError
 from fordtrestle.load.mix import Mix, Request, zipf
 from fordtrestle.load.spec import Spec
 
@@ -25,7 +26,7 @@
     trace_us: int = 0  # how long the file lasts
 
     def requests(self) -> Iterator[Request]:
-        """The requests, lazily; `BadTrace` where the file has changed since it was inspected."""
+        """The requests, lazily; `TraceError` where the file has changed since it was inspected."""
         if self.trace is not None:
             return trace.replay(self.trace, _cut(self.spec), self.trace_us)
         spec = self.spec
@@ -50,7 +51,7 @@
 def made(spec: Spec, beside: Path) -> Schedule:
     """The schedule of a spec that lies in the directory `beside`; a trace is read to its end.
 
-    Raises `BadTrace` where that is no whole trace, or has classes that the spec does not tell.
+    Raises `TraceError` where that is no whole trace, or has classes that the spec does not tell.
     """
     if spec.replay is None:
         budget_us = max(c.kind().budget_us for c in spec.classes)
@@ -59,11 +60,11 @@
     summary = trace.inspect(path)
     unknown = sorted(summary.kinds.keys() - {c.name for c in spec.classes})
     if unknown:
-        raise trace.BadTrace(f"{path}: class: the load has no [class.{unknown[0]}]")
+        raise TraceError(f"{path}: class: the load has no [class.{unknown[0]}]")
     cut = _cut(spec)
     to_us = summary.length_us if cut.to_us is None else min(cut.to_us, summary.length_us)
     if to_us <= cut.from_us:
-        raise trace.BadTrace(f"{path}: from_s: nothing is left of {summary.length_us / US:g} s")
+        raise TraceError(f"{path}: from_s: nothing is left of {summary.length_us / US:g} s")
     length_us = round((to_us - cut.from_us) / cut.speed * cut.loop)
     tenants = tuple(sorted(summary.tenants))
     return Schedule(spec, length_us, tenants, summary.budget_most_us, path, summary.length_us)
--- a/fordtrestle/load/spec.py
+++ b/fordtrestle/load/spec.py
@@ -9,12 +9,13 @@
 import math
 import re
 import tomllib
-from collections.abc import Iterator, Sequence
+from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import Any
 
 from fordtrestle.load import arrivals
 from fordtrestle.load.arrivals import Piece
+from fordtrestle.load.errors import SpecError
 from fordtrestle.load.mix import KEYS_MOST, SIZE_MOST, Kind
 from fordtrestle.proxy.engine.ports import Address
 from fordtrestle.proxy.engine.schema import SchemaErrors, TomlTable
@@ -32,14 +33,6 @@
 OUTCOMES = ("refused", "failed", "unanswered")
 
 
-class BadSpec(Exception):
-    """A file that is no load; `lines` name all that is wrong, one each."""
-
-    def __init__(self, lines: Sequence[str]) -> None:
-        super().__init__("\n".join(lines))
-        self.lines = list(lines)
-
-
 @dataclass(frozen=True, slots=True)
 class Class:
     """What clients ask: `pure` is a GET, `keyed` a POST with a key, `unsafe` a POST without."""
@@ -134,15 +127,15 @@
 
 
 def parse(text: str, file: str) -> Spec:
-    """The load that a file's text tells; `BadSpec` with all that is wrong."""
+    """The load that a file's text tells; `SpecError` with all that is wrong."""
     try:
         raw = tomllib.loads(text)
     except (tomllib.TOMLDecodeError, RecursionError) as error:
-        raise BadSpec([f"{file}: {' '.join(str(error).split())}"]) from None
+        raise SpecError([f"{file}: {' '.join(str(error).split())}"]) from None
     faults = SchemaErrors()
     spec = _spec(TomlTable(raw, "", faults))
     if faults.found:
-        raise BadSpec([": ".join(part for part in (file, *fault) if part) for fault in faults.found])
+        raise SpecError([": ".join(part for part in (file, *fault) if part) for fault in faults.found])
     return spec
 
 
--- a/fordtrestle/load/trace.py
+++ b/fordtrestle/load/trace.py
@@ -16,6 +16,7 @@
 from typing import IO
 
 from fordtrestle.load.arrivals import US
+from fordtrestle.load.errors import TraceError
 from fordtrestle.load.mix import SIZE_MOST, Request
 
 VERSION = 1
@@ -31,10 +32,6 @@
 FIELDS = ("offset_us", "class", "tenant", "key", "budget_us", "size")
 
 
-class BadTrace(Exception):
-    """A file that is no whole trace; the text is one line that names file, line and field."""
-
-
 @dataclass(slots=True)
 class Summary:
     """What a whole trace holds."""
@@ -164,11 +161,11 @@
         self.length_us = 0
 
     def __iter__(self) -> Iterator[Request]:
-        """Raises `BadTrace` at what is wrong, also where the file can't be read."""
+        """Raises `TraceError` at what is wrong, also where the file can't be read."""
         try:
             file = _open(self._path, "rb")
         except OSError as error:
-            raise BadTrace(f"{self._path}: {error.strerror}") from error
+            raise TraceError(f"{self._path}: {error.strerror}") from error
         raw = getattr(file, "fileobj", None)
         try:
             yield from self._requests(file)
@@ -179,9 +176,9 @@
             if raw is not None:
                 raw.close()
 
-    def wrong(self, reason: str) -> BadTrace:
+    def wrong(self, reason: str) -> TraceError:
         """An error that names the line at hand."""
-        return BadTrace(f"{self._path}:{self._number}: {reason}")
+        return TraceError(f"{self._path}:{self._number}: {reason}")
 
     def _requests(self, file: IO[bytes]) -> Iterator[Request]:
         head = self._line(file)
@@ -227,7 +224,7 @@
 
 
 def inspect(path: Path) -> Summary:
-    """Read the whole of a file; `BadTrace` at the first thing that is wrong with it."""
+    """Read the whole of a file; `TraceError` at the first thing that is wrong with it."""
     summary = Summary()
     reader = Reader(path)
     second, in_second = 0, 0
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -1,4 +1,4 @@
-"""The command line: words, exit codes, and what is not loaded without it."""
+"""The command line: commands, exit codes, and which modules each one imports."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import pytest
 
 from fordtrestle import cli
-from fordtrestle.cli import WORDS
+from fordtrestle.cli import COMMANDS
 from tests.proxy.config.test_operator_file import GOOD
 from tests.proxy.daemon.test_process import ROOT, environment
 
@@ -42,12 +42,12 @@
     return path
 
 
-def test_check_says_that_a_file_is_good(good, capsys):
+def test_check_prints_the_names_in_a_valid_file(good, capsys):
     assert cli.main(["check", str(good)]) == 0
     assert capsys.readouterr().out == f"{good}: good: services shop; fronts web; sources fleet\n"
 
 
-def test_check_tells_all_that_is_wrong_one_line_each(bad, capsys):
+def test_check_prints_all_errors_one_line_each(bad, capsys):
     assert cli.main(["check", str(bad)]) == 2
     rows = capsys.readouterr().out.splitlines()
     assert [row.split(": ")[:2] for row in rows] == [
@@ -56,7 +56,7 @@
     ]
 
 
-def test_check_tells_the_same_as_json(good, bad, capsys):
+def test_check_prints_the_same_as_json(good, bad, capsys):
     assert cli.main(["check", "--json", str(bad)]) == 2
     told = json.loads(capsys.readouterr().out)
     assert (told["file"], told["good"]) == (str(bad), False)
@@ -69,7 +69,7 @@
     assert (told["good"], told["errors"], told["services"]) == (True, [], ["shop"])
 
 
-def test_check_judges_a_file_for_the_platform_by_what_the_platform_takes(good, tmp_path, capsys):
+def test_check_for_the_platform_accepts_only_limits(good, tmp_path, capsys):
     assert cli.main(["check", "--platform", str(good)]) == 2
     limits = tmp_path / "limits.toml"
     limits.write_text("[limits]\ndescriptors = 512\n")
@@ -78,26 +78,26 @@
 
 
 @pytest.mark.parametrize(
-    "words",
+    "arguments",
     [["no-such-word"], ["check"], ["check", "a", "b"], ["check", "--yaml", "a"], ["serve"], ["--operator"]],
 )
-def test_words_that_ask_for_nothing_known_are_bad_input(words, capsys):
-    assert cli.main(words) == 2
+def test_unknown_commands_and_bad_usage_are_bad_input(arguments, capsys):
+    assert cli.main(arguments) == 2
     said = capsys.readouterr()
     assert said.err
     assert not said.out
 
 
-def test_help_names_every_word(capsys):
+def test_help_names_every_command(capsys):
     assert cli.main(["--help"]) == 0
     told = capsys.readouterr().out
-    assert all(word in told for word in WORDS)
-    for word in WORDS:
-        assert cli.main([word, "--help"]) == 0
-        assert WORDS[word] in capsys.readouterr().out
+    assert all(command in told for command in COMMANDS)
+    for command in COMMANDS:
+        assert cli.main([command, "--help"]) == 0
+        assert COMMANDS[command] in capsys.readouterr().out
 
 
-def test_serve_does_not_start_from_a_bad_file_nor_where_it_cannot_listen(good, bad):
+def test_serve_does_not_start_from_an_invalid_file_nor_where_it_cannot_listen(good, bad):
     done = run("serve", str(bad))
     assert (done.returncode, len(done.stderr.splitlines())) == (2, 2)
     good.write_text(GOOD.replace("127.0.0.1:8080", "192.0.2.1:8080"))  # of no machine (RFC 5737)
@@ -106,7 +106,7 @@
     assert "can't start" in done.stderr
 
 
-def test_on_the_platform_an_operator_file_holds_only_limits(good, tmp_path):
+def test_on_the_platform_an_operator_file_may_hold_only_limits(good, tmp_path):
     done = run("--operator", str(good), env=environment(tmp_path))
     assert done.returncode == 2
     rows = done.stderr.splitlines()
@@ -125,7 +125,7 @@
 """
 
 
-def test_without_words_nothing_of_the_command_line_or_of_operator_files_is_loaded(tmp_path):
+def test_without_arguments_no_module_of_the_command_line_or_of_operator_files_is_loaded(tmp_path):
     """Guards against memory that each of many sidecars would pay for what none of them uses."""
     done = subprocess.run(
         [sys.executable, "-c", LOADED],
@@ -166,11 +166,12 @@
     return set(done.stdout.split()), done
 
 
-def test_events_and_state_are_loaded_where_they_are_asked_for_and_nowhere_else(good, tmp_path):
+def test_modules_of_events_and_state_are_loaded_only_where_they_are_configured(good, tmp_path):
     """Guards against memory for what is off, and against libraries that are an extra."""
     extra = {"structlog", "msgspec", "crc32c"}
     for loaded, done in (serving(env=environment(tmp_path)), serving("serve", str(good))):
-        assert done.returncode == 0 and "fordtrestle.proxy.daemon.process" in loaded, done.stderr
+        assert done.returncode == 0, done.stderr
+        assert "fordtrestle.proxy.daemon.process" in loaded, done.stderr
         state = {name for name in loaded if name.startswith("fordtrestle.proxy.state")}
         assert not state
         assert not loaded & {
@@ -183,17 +184,18 @@
         key = "folder" if table == "state" else "file"
         good.write_text(f'{GOOD}[{table}]\n{key} = "{tmp_path}/{table}"\n')
         loaded, done = serving("serve", str(good))
-        assert loaded & extra == wanted and done.returncode == 0, done.stderr
+        assert loaded & extra == wanted, done.stderr
+        assert done.returncode == 0, done.stderr
 
 
-def test_a_library_that_is_missing_is_one_line(good, tmp_path):
+def test_a_missing_library_is_reported_in_one_line(good, tmp_path):
     good.write_text(f'{GOOD}[events]\nfile = "{tmp_path}/events"\n')
     _, done = serving("serve", str(good), code="import sys; sys.modules['structlog'] = None" + SERVES)
     line = "can't start: structlog is missing: pip install 'fordtrestle[cluster]'\n"
     assert (done.returncode, done.stderr) == (1, line)
 
 
-def test_a_word_loads_only_its_own_file(good):
+def test_a_command_loads_only_its_own_module(good):
     code = "import sys; from fordtrestle import cli; cli.main(['check', sys.argv[1]]); print(*sys.modules)"
     done = subprocess.run(
         [sys.executable, "-c", code, str(good)], cwd=ROOT, capture_output=True, text=True, timeout=60
--- a/tests/cli/test_ctl.py
+++ b/tests/cli/test_ctl.py
@@ -1,4 +1,4 @@
-"""The operator's client before a control process that stands alone: what it prints, and its exit codes."""
+"""The operator's client against a single control process: what it prints, and its exit codes."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 from tests.exchanges import Client, loopback, request
 
 
-async def called(*words):
-    """Call the command line beside the loop that serves; the exit code."""
-    return await asyncio.to_thread(cli.main, ["ctl", *words])
+async def run_ctl(*arguments):
+    """Run the command line in a thread beside the loop that serves and return the exit code."""
+    return await asyncio.to_thread(cli.main, ["ctl", *arguments])
 
 
 @loopback
@@ -25,25 +25,25 @@
     patch.write_text(json.dumps({"generation": 5, "upsert": {"services": [{"name": "other"}]}}))
     async with Stage(tmp_path / "data") as stage:
         at = ("--control", f"127.0.0.1:{stage.port}")
-        codes = [await called(*at, "config", "get")]
+        codes = [await run_ctl(*at, "config", "get")]
         file.write_text(json.dumps(CONFIG))
-        codes.append(await called("config", "check", str(file)))
-        codes.append(await called(*at, "config", "put", str(file)))
-        codes.append(await called(*at, "config", "patch", str(patch)))
-        codes.append(await called(*at, "config", "diff", str(file)))
-        codes.append(await called(*at, "config", "get"))
-        codes.append(await called(*at, "config", "put", str(file), "--base", "4"))
+        codes.append(await run_ctl("config", "check", str(file)))
+        codes.append(await run_ctl(*at, "config", "put", str(file)))
+        codes.append(await run_ctl(*at, "config", "patch", str(patch)))
+        codes.append(await run_ctl(*at, "config", "diff", str(file)))
+        codes.append(await run_ctl(*at, "config", "get"))
+        codes.append(await run_ctl(*at, "config", "put", str(file), "--base", "4"))
         async with Client(stage.port) as server:
             await server.exchange(request("POST", "/v1/instances/i-1/heartbeat", json.dumps(HEARTBEAT)))
-        codes.append(await called(*at, "servers"))
-        codes.append(await called(*at, "evacuate", "start", "z-1"))
-        codes.append(await called(*at, "--json", "epoch"))
-        codes.append(await called(*at, "members"))
-    told = capsys.readouterr()
-    assert "\n".join([str(codes), told.out, told.err]) == snapshot
+        codes.append(await run_ctl(*at, "servers"))
+        codes.append(await run_ctl(*at, "evacuate", "start", "z-1"))
+        codes.append(await run_ctl(*at, "--json", "epoch"))
+        codes.append(await run_ctl(*at, "members"))
+    printed = capsys.readouterr()
+    assert "\n".join([str(codes), printed.out, printed.err]) == snapshot
 
 
-def test_all_that_is_wrong_with_a_file_is_said_without_asking_anyone(tmp_path, capsys):
+def test_config_check_prints_all_errors_without_a_control_process(tmp_path, capsys):
     file = tmp_path / "config.json"
     wrong = {**CONFIG, "routes": [{**CONFIG["routes"][0], "timeout_ms": 0, "backend": None}]}
     file.write_text(json.dumps(wrong))
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "code"),
+    ("arguments", "code"),
     [
         (["config", "get"], ctl.BAD_INPUT),
         (["--control", "nowhere", "config", "get"], ctl.BAD_INPUT),
@@ -61,6 +61,6 @@
         (["config", "burn"], ctl.BAD_INPUT),
     ],
 )
-def test_bad_usage_and_nobody_there_have_codes_of_their_own(words, code, capsys):
-    assert cli.main(["ctl", *words]) == code
+def test_bad_usage_and_unreachable_processes_have_exit_codes_of_their_own(arguments, code, capsys):
+    assert cli.main(["ctl", *arguments]) == code
     assert capsys.readouterr().err
--- a/tests/load/test_generator.py
+++ b/tests/load/test_generator.py
@@ -10,7 +10,8 @@
 import pytest
 
 from fordtrestle.load import schedule, spec
-from fordtrestle.load.generator import CannotRun, Generator, resolved
+from fordtrestle.load.errors import GeneratorError
+from fordtrestle.load.generator import Generator, resolved
 from fordtrestle.load.samples import Outcome
 from tests.load.standin import CLOSE, RESET, StandIn, answer, field, load, sent
 
@@ -230,7 +231,7 @@
 
 
 def test_a_target_that_is_no_host_is_told_before_anything_runs():
-    with pytest.raises(CannotRun, match=r"no-such-host\.invalid: "):
+    with pytest.raises(GeneratorError, match=r"no-such-host\.invalid: "):
         resolved("no-such-host.invalid", 80)
 
 
--- a/tests/load/test_recorder.py
+++ b/tests/load/test_recorder.py
@@ -11,7 +11,8 @@
 from hdrh.histogram import HdrHistogram
 
 from fordtrestle.load import recorder
-from fordtrestle.load.recorder import Histogram, NoLibrary, Recorder
+from fordtrestle.load.errors import MissingLibraryError
+from fordtrestle.load.recorder import Histogram, Recorder
 from fordtrestle.load.samples import FRAME, RECORD, SAMPLES, SUMMARY, Frames, Outcome, Sample, samples
 from fordtrestle.load.spec import Class
 
@@ -143,7 +144,7 @@
 
 def test_without_the_library_the_extra_is_named(monkeypatch):
     monkeypatch.setitem(sys.modules, "hdrh.histogram", None)
-    with pytest.raises(NoLibrary, match=r"hdrh is missing: pip install 'fordtrestle\[load\]'"):
+    with pytest.raises(MissingLibraryError, match=r"hdrh is missing: pip install 'fordtrestle\[load\]'"):
         recorder.Histogram()
 
 
--- a/tests/load/test_spec.py
+++ b/tests/load/test_spec.py
@@ -9,8 +9,8 @@
 import pytest
 
 from fordtrestle.load import schedule, spec, trace
+from fordtrestle.load.errors import SpecError, TraceError
 from fordtrestle.load.mix import Request
-from fordtrestle.load.spec import BadSpec
 
 GOOD = """
 [target]
@@ -71,7 +71,7 @@
 
 
 def faults(text):
-    with pytest.raises(BadSpec) as caught:
+    with pytest.raises(SpecError) as caught:
         spec.parse(text, "f.toml")
     return caught.value.lines
 
@@ -200,7 +200,7 @@
 def test_a_trace_that_does_not_fit_is_refused_before_anything_is_sent(tmp_path, kind, more, said):
     write(tmp_path / "t.trace", [Request(0, kind, "", "", 1, 0)])
     made = spec.parse(TRACE.replace('"t.trace"', f'"t.trace"{more}'), "f")
-    with pytest.raises(trace.BadTrace, match=said):
+    with pytest.raises(TraceError, match=said):
         schedule.made(made, tmp_path)
 
 
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -9,8 +9,9 @@
 from hypothesis import strategies as st
 
 from fordtrestle.load import trace
+from fordtrestle.load.errors import TraceError
 from fordtrestle.load.mix import Request
-from fordtrestle.load.trace import BadTrace, Cut, Reader, inspect, replay
+from fordtrestle.load.trace import Cut, Reader, inspect, replay
 
 ROWS = [
     Request(0, "look", "acme", "00ff", 500_000, 0),
@@ -82,7 +83,7 @@
 )
 def test_what_is_damaged_is_named_by_its_line(path, old, new, line, said):
     put(path, GOOD.replace(old, new, 1))
-    with pytest.raises(BadTrace) as caught:
+    with pytest.raises(TraceError) as caught:
         inspect(path)
     text = str(caught.value)
     assert text.startswith(f"{path}:{line}: ")
@@ -94,15 +95,15 @@
     path = tmp_path / "x.gz"
     trace.write(path, ROWS)
     path.write_bytes(path.read_bytes()[:-12])
-    with pytest.raises(BadTrace, match=r"x\.gz:\d+: "):
+    with pytest.raises(TraceError, match=r"x\.gz:\d+: "):
         inspect(path)
     path.write_bytes(b"not compressed")
-    with pytest.raises(BadTrace, match=r"x\.gz:1: can't be read"):
+    with pytest.raises(TraceError, match=r"x\.gz:1: can't be read"):
         inspect(path)
 
 
 def test_a_file_that_is_not_there_is_named(tmp_path):
-    with pytest.raises(BadTrace, match=r"no\.trace: No such file"):
+    with pytest.raises(TraceError, match=r"no\.trace: No such file"):
         inspect(tmp_path / "no.trace")
 
 
--- a/tests/roles/test_signals.py
+++ b/tests/roles/test_signals.py
@@ -14,8 +14,8 @@
 BEGIN = "from tests.guards import take_out; take_out()\n"
 STARTS = f"""{BEGIN}
 import time
-from fordtrestle.cli.start import take_signals
-take_signals()
+from fordtrestle.cli.start import install_early_signal_handlers
+install_early_signal_handlers()
 print("started", flush=True)
 time.sleep({PATIENCE_S})
 """
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -198,6 +198,8 @@
     "proxy/http/requests.py",
     "proxy/http/wire.py",
     "load/arrivals.py",
+    "cli/exit_codes.py",
+    "load/errors.py",
     "load/mix.py",
     "load/samples.py",
     "load/spec.py",
