--- a/fordtrestle/proxy/daemon/process.py
+++ b/fordtrestle/proxy/daemon/process.py
@@ -27,10 +27,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FrontBinding:
+class ServerBinding:
     """An HTTP server, and where it is to listen."""
 
-    front: HttpServer
+    server: HttpServer
     listen: Sequence[Address]
 
 
@@ -72,7 +72,7 @@
         loop: asyncio.AbstractEventLoop,
         machine: MachineResources,
         services: Mapping[str, Service],
-        fronts: Mapping[str, FrontBinding],
+        fronts: Mapping[str, ServerBinding],
     ) -> None:
         self._loop = loop
         self._limits = machine.limits
@@ -93,7 +93,7 @@
             front.status_body = self._status
 
     def _servers(self) -> list[HttpServer]:
-        return [binding.front for binding in self.fronts.values()]
+        return [binding.server for binding in self.fronts.values()]
 
     async def start(self) -> dict[str, list[Address]]:
         """Start the services, then listen.
@@ -109,7 +109,7 @@
         bound: dict[str, list[Address]] = {}
         for name, binding in self.fronts.items():
             made = sockets.listen_all(binding.listen)
-            bound[name] = [await binding.front.listen(sock) for sock in made]
+            bound[name] = [await binding.server.listen(sock) for sock in made]
         return bound
 
     def counts(self) -> dict[str, dict[str, Counts]]:
@@ -122,7 +122,7 @@
             fronts = (front for front in self._servers() if front.call_handler is service.driver)
             classes = {number: kind for front in fronts for number, kind in front.class_names.items()}
             services[name] = service.driver.counters.counts(classes)
-        by_front = {n: at.front.counters.counts(at.front.class_names) for n, at in self.fronts.items()}
+        by_front = {n: at.server.counters.counts(at.server.class_names) for n, at in self.fronts.items()}
         return {"service": services, "front": by_front}
 
     def _status(self) -> bytes:
--- a/fordtrestle/proxy/daemon/sidecar.py
+++ b/fordtrestle/proxy/daemon/sidecar.py
@@ -11,7 +11,7 @@
 from fordtrestle.proxy.config.limits import DEFAULT_LIMITS, LimitsSpec, make_budget, make_reserve
 from fordtrestle.proxy.config.platform_config import PlatformConfig
 from fordtrestle.proxy.daemon.peers import PeerOptions
-from fordtrestle.proxy.daemon.process import FrontBinding, MachineResources, Process
+from fordtrestle.proxy.daemon.process import MachineResources, Process, ServerBinding
 from fordtrestle.proxy.daemon.runner import run
 from fordtrestle.proxy.daemon.service import Service
 from fordtrestle.proxy.daemon.signals import Signals
@@ -68,7 +68,7 @@
         machine = MachineResources(loop, clock, self.limits, limits.memory_mb, config.cores)
         front, at_limit = platform_config.front_options(config), make_reserve(self.limits)
         self.front = HttpServer(loop, clock, front, self.driver, to_clients, at_limit, machine.lag)
-        fronts = {SIDECAR: FrontBinding(self.front, [config.listen])}
+        fronts = {SIDECAR: ServerBinding(self.front, [config.listen])}
         self._process = Process(loop, machine, {SIDECAR: service}, fronts)
         self.overload = self._process.overload
 
--- a/fordtrestle/proxy/daemon/standalone.py
+++ b/fordtrestle/proxy/daemon/standalone.py
@@ -14,7 +14,7 @@
 from fordtrestle.proxy.config.operator_file import OperatorConfig
 from fordtrestle.proxy.config.sources import StaticSpec
 from fordtrestle.proxy.daemon.peers import PeerOptions
-from fordtrestle.proxy.daemon.process import FrontBinding, MachineResources, Process
+from fordtrestle.proxy.daemon.process import MachineResources, Process, ServerBinding
 from fordtrestle.proxy.daemon.runner import run
 from fordtrestle.proxy.daemon.seams import Seams
 from fordtrestle.proxy.daemon.service import Service, Source
@@ -93,7 +93,7 @@
         peers = peer_options(self._config)
         return Service(self._loop, self._clock, engine, pool, budget, self._source(name), peers, driver)
 
-    def _front(self, name: str, budget: Budget, reserve: QuotaShare) -> FrontBinding:
+    def _front(self, name: str, budget: Budget, reserve: QuotaShare) -> ServerBinding:
         spec = self._config.fronts[name]
         front_options = options.front_options(self._config, name, self._start)
         driver = self.services[spec.service].driver
@@ -105,7 +105,7 @@
             recorder = TraceRecorder(path, max_bytes, front_options.names, self._clock.now)
             self._trace_recorders.append(recorder)
             front.record = recorder.record
-        return FrontBinding(front, spec.listen)
+        return ServerBinding(front, spec.listen)
 
     def _source(self, name: str) -> Callable[[UpdateListener], Source]:
         service = self._config.services[name]
--- a/tests/proxy/daemon/test_descriptors.py
+++ b/tests/proxy/daemon/test_descriptors.py
@@ -10,6 +10,7 @@
 import pytest
 
 from tests.loopback import App, Upstream, entry, listed, loopback, until
+from tests.proxy.daemon.polling import poll
 from tests.proxy.daemon.test_process import Process
 from tests.proxy.membership.stand_ins import Outage
 
@@ -59,8 +60,7 @@
         client.close()
         return answer is not None and answer.body == b"done"
 
-    while not await served():
-        await asyncio.sleep(0.05)
+    await poll(served, interval_s=0.05)
     # A file that can be read moves it, with all places taken still.
     second = await Outage("mute").start()
     path.write_text(json.dumps({**json.loads(told), "discovery": second.address}))
--- a/tests/proxy/daemon/test_overload_monitor.py
+++ b/tests/proxy/daemon/test_overload_monitor.py
@@ -24,6 +24,11 @@
 LARGE = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536
 
 
+def stall(seconds):
+    """Block the event loop."""
+    time.sleep(seconds)
+
+
 def status_of(answer):
     return int(answer.start.split(" ")[1])
 
@@ -149,7 +154,7 @@
 
         thread = threading.Thread(target=connect)
         thread.start()
-        time.sleep(5.2)  # the loop stands still; all that happens meanwhile waits in the kernel
+        stall(5.2)  # all that happens meanwhile waits in the kernel
         thread.join()
         upstream.replies = [OK]
         await until(lambda: len(module.named("request")) == 240)
--- a/tests/proxy/daemon/test_process.py
+++ b/tests/proxy/daemon/test_process.py
@@ -15,6 +15,7 @@
 
 from fordtrestle.proxy.engine.ports import Address
 from tests.loopback import SETTINGS, App, Registry, Upstream, entry, hang, listed, loopback, until
+from tests.proxy.daemon.polling import poll
 
 ROOT = Path(__file__).resolve().parents[3]
 
@@ -195,8 +196,7 @@
         app.close()
         return answer is not None and answer.body == b"done"
 
-    while not await serves():
-        await asyncio.sleep(0.05)
+    await poll(serves, interval_s=0.05)
     made.process.terminate()
     assert await made.process.wait() == 0
     upstream.stop()
--- a/tests/proxy/daemon/test_told.py
+++ b/tests/proxy/daemon/test_server_drains.py
@@ -19,6 +19,7 @@
 from fordtrestle.proxy.daemon.sidecar import Sidecar
 from fordtrestle.proxy.engine.pressure import PressureRules
 from tests.loopback import BY_LEDGERS, OK, SETTINGS, App, Upstream, entry, listed, read_message
+from tests.proxy.daemon.polling import poll
 from tests.proxy.membership.stand_ins import HEAD, chunk
 from tests.virtual import virtual
 
@@ -64,6 +65,10 @@
     silent: set[asyncio.StreamWriter] = field(default_factory=set)
     changed: list[dict] = field(default_factory=list)
 
+    async def was_asked(self):
+        """Whether anything was asked for."""
+        return bool(self.asked)
+
     async def start(self):
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
@@ -219,8 +224,7 @@
     place = await Place(rows, whole=told_as == "left out").start()
     loop = asyncio.get_running_loop()
     async with Load(place, servers, tmp_path / "config.json", pushed).running() as load:
-        while not place.asked:
-            await asyncio.sleep(0.05)
+        await poll(place.was_asked, interval_s=0.05)
         await asyncio.sleep(after_s)
         load.pause_s = PAUSE_S
         if fault == "falls silent":
--- a/tests/proxy/daemon/test_signals.py
+++ b/tests/proxy/daemon/test_signals.py
@@ -20,15 +20,30 @@
 MANY = 6000  # servers in the file: reading it anew takes long enough to be signalled meanwhile
 
 
+def spawn(log_path, env):
+    """Start the sidecar. Not by asyncio, which would reap it: only `poll` of the test may."""
+    with log_path.open("w") as log:
+        return subprocess.Popen(
+            [sys.executable, "-m", "fordtrestle"], env=env, cwd=ROOT, stderr=log, start_new_session=True
+        )
+
+
+def send_later(number, after_s):
+    """Have another process send this one a signal."""
+    return subprocess.Popen(["/bin/sh", "-c", f"sleep {after_s}; kill -{number} {os.getpid()}"])
+
+
+def pause(seconds):
+    """Wait with the test's loop standing still: it has nothing to do meanwhile."""
+    time.sleep(seconds)
+
+
 async def started(tmp_path, servers=0, wait=True):
     """The sidecar in a process of its own, by default once it accepts connections; it logs to a file."""
     port = free_port()
     rows = [entry(f"s{i}", f"127.{i // 200 % 200}.{i % 200}.1:9") for i in range(servers)]
     env = environment(tmp_path, listen=f"127.0.0.1:{port}", known=listed(1, *rows))
-    with (tmp_path / "log").open("w") as log:
-        process = subprocess.Popen(
-            [sys.executable, "-m", "fordtrestle"], env=env, cwd=ROOT, stderr=log, start_new_session=True
-        )
+    process = spawn(tmp_path / "log", env)
 
     async def answers():
         try:
@@ -113,7 +128,7 @@
     signals = Signals()
     signals.install()
     signals.attach(loop, stop.set, lambda: None)
-    sender = subprocess.Popen(["/bin/sh", "-c", f"sleep 0.2; kill -TERM {os.getpid()}"])
+    sender = send_later("TERM", 0.2)
     await asyncio.wait_for(stop.wait(), PATIENCE_S)
     assert sender.wait() == 0
     signals.finish()
@@ -143,7 +158,7 @@
     reaped.append(process)
     for _ in range(BURST):
         process.send_signal(signal.SIGHUP)
-        time.sleep(0.0001)  # one that is still pending would swallow the next
+        pause(0.0001)  # one that is still pending would swallow the next
     process.send_signal(signal.SIGTERM)
     await until(lambda: process.poll() is not None)
     assert process.returncode == 0
@@ -159,7 +174,7 @@
         assert time.monotonic() < until_s
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             process.send_signal(number)
-        time.sleep(0.0005)
+        pause(0.0005)
     assert process.returncode == 0
 
 
@@ -178,7 +193,7 @@
         if number == BURST // 2:
             path.write_text("{")  # each reload from here on is a line in the log
         process.send_signal(signal.SIGHUP)
-        time.sleep(0.0001)
+        pause(0.0001)
     await until(lambda: "nothing changes" in log())
     assert log().count("nothing changes") < BURST // 20
     path.write_text(json.dumps({**told, "discovery": "127.0.0.1:10"}))
--- a/tests/proxy/daemon/test_standalone.py
+++ b/tests/proxy/daemon/test_standalone.py
@@ -17,6 +17,7 @@
 from fordtrestle.proxy.daemon.standalone import Standalone
 from fordtrestle.proxy.engine.ports import parse_address
 from tests.loopback import App, Registry, Scripted, Upstream, entry, hang, loopback, until
+from tests.proxy.daemon.polling import poll
 from tests.proxy.daemon.test_process import ROOT, Process
 
 SERVED = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
@@ -362,8 +363,11 @@
     made = await Serving.start(example(tmp_path, "example-cluster.toml", moved))
     await until(lambda: registry.watches)
     registry.tell(1, entry("s0", ordered.address), snapshot=True)
-    while await asked(made.fronts["orders"], "POST", "/order") != "ordered":
-        await asyncio.sleep(0.01)
+
+    async def has_ordered():
+        return await asked(made.fronts["orders"], "POST", "/order") == "ordered"
+
+    await poll(has_ordered)
     assert await made.stop() == 0
     events = (tmp_path / "events").read_text()
     assert all(f'"event":"{kind}"' in events for kind in ("started", "learned", "acted", "stored", "ended"))
--- a/tests/proxy/daemon/test_versions_in_force.py
+++ b/tests/proxy/daemon/test_versions_in_force.py
@@ -19,6 +19,7 @@
 from fordtrestle.proxy.state.posix_file_store import PosixFileStore
 from rig.registry import Registry, entry
 from tests.loopback import App, Scripted, loopback, until
+from tests.proxy.daemon.polling import poll
 from tests.proxy.daemon.test_standalone import (
     SERVICE,
     Serving,
@@ -44,7 +45,7 @@
     return SERVICE.format(name="a") + SOURCE.format(address) + TABLES.format(at=at)
 
 
-def told(at, kind="", life=None):
+def recorded(at, kind="", life=None):
     """The events of the file, of one kind and of one life."""
     rows, now = [], 0
     if (at / "events").exists():
@@ -61,14 +62,17 @@
 
 
 def stored(at, version):
-    return any(row["version"] == version for row in told(at, "stored"))
+    return any(row["version"] == version for row in recorded(at, "stored"))
 
 
 async def served(fronts, answer):
     """Ask until the answer is this one: before the list is there calls are refused."""
+
+    async def is_served():
+        return await asked(fronts["a"]) == answer
+
     async with asyncio.timeout(10.0):
-        while await asked(fronts["a"]) != answer:
-            await asyncio.sleep(0.01)
+        await poll(is_served)
 
 
 # --- the program --------------------------------------------------------------------------
@@ -92,24 +96,24 @@
 
     made = await Serving.start(path)
     assert await asked(made.fronts["a"], X_Call_Id="abc") == "one"
-    await until(lambda: told(tmp_path, "acted", 2))
-    known, act = told(tmp_path, "learned", 2)[1], told(tmp_path, "acted", 2)[0]
+    await until(lambda: recorded(tmp_path, "acted", 2))
+    known, act = recorded(tmp_path, "learned", 2)[1], recorded(tmp_path, "acted", 2)[0]
     assert known["form"] == "remembered"
-    assert rule(known) == rule(told(tmp_path, "stored", 1)[-1])
+    assert rule(known) == rule(recorded(tmp_path, "stored", 1)[-1])
     assert known["entries"].keys() == {"s0"}
     assert known["entries"]["s0"].startswith("active/")
     assert (rule(act), act["what"], act["call"], act["server"]) == (rule(known), "pick", "abc", "s0")
-    assert act["settings"] == told(tmp_path, "learned", 2)[0]["digest"]
+    assert act["settings"] == recorded(tmp_path, "learned", 2)[0]["digest"]
 
     path.write_text(text(tmp_path, second.address))
     made.process.send_signal(signal.SIGHUP)
     await served(made.fronts, "two")
     await until(lambda: stored(tmp_path, 50))
-    assert told(tmp_path, "learned", 2)[-1]["form"] == "all"
+    assert recorded(tmp_path, "learned", 2)[-1]["form"] == "all"
     assert await made.stop() == 0
     # Guards against storing what was remembered: after a damaged file, that would be an empty list.
-    assert {row["version"] for row in told(tmp_path, "stored", 2)} == {50}
-    rows = told(tmp_path, life=2)
+    assert {row["version"] for row in recorded(tmp_path, "stored", 2)} == {50}
+    rows = recorded(tmp_path, life=2)
     assert [row["number"] for row in rows] == list(range(1, len(rows) + 1))
     assert [row["event"] for row in rows if row["event"] in ("draining", "ended")] == ["draining", "ended"]
     assert rows[-1]["event"] == "ended"
@@ -130,7 +134,7 @@
     assert "can't start" in said
     assert "another process holds" in said
     assert said.count("\n") == 1
-    assert not told(tmp_path)
+    assert not recorded(tmp_path)
 
 
 # --- in one process -----------------------------------------------------------------------
@@ -146,8 +150,8 @@
     kept.write_bytes(kept.read_bytes()[:-1] + b"!")
     async with standing(tmp_path, text(tmp_path, registry.address), capfd) as made:
         await served(made.fronts, "one")
-        await until(lambda: len(told(tmp_path, "stored")) == 2)
-    start = told(tmp_path, "learned", 2)[1]
+        await until(lambda: len(recorded(tmp_path, "stored")) == 2)
+    start = recorded(tmp_path, "learned", 2)[1]
     assert (start["form"], start["version"], start["entries"]) == ("remembered", 0, {})
     assert (tmp_path / "state" / "list-a.damaged").exists()
     await registry.stop()
@@ -168,9 +172,9 @@
     await served(listening(said), "one")
     await made.drain()
     made.close()
-    assert told(tmp_path)[0]["life"] == 0
-    assert not told(tmp_path, "stored")
-    assert [row["rule"] for row in told(tmp_path, "unstored")] == ["list:a"]
+    assert recorded(tmp_path)[0]["life"] == 0
+    assert not recorded(tmp_path, "stored")
+    assert [row["rule"] for row in recorded(tmp_path, "unstored")] == ["list:a"]
     await registry.stop()
 
 
@@ -201,17 +205,17 @@
     made = Standalone(asyncio.get_running_loop(), str(path), operator_file.read(str(path)), seams)
     await made.start()
     fronts = listening(capfd.readouterr().err)
-    await until(lambda: told(tmp_path, "unstored"))
+    await until(lambda: recorded(tmp_path, "unstored"))
     registry.change(entry("s1", two.address), entry("s0", one.address, status="left"))
     await served(fronts, "two")
     await made.drain()
     made.close()
     assert capfd.readouterr().err.count("nothing is stored until a restart") == 1
     assert disks[0].asked == 1
-    assert not told(tmp_path, "stored")
-    last = told(tmp_path, "learned")[-1]
+    assert not recorded(tmp_path, "stored")
+    last = recorded(tmp_path, "learned")[-1]
     assert (last["form"], last["version"], list(last["entries"])) == ("changes", 42, ["s1"])
-    assert {row["at_ms"] for row in told(tmp_path)} == {7000.0}
+    assert {row["at_ms"] for row in recorded(tmp_path)} == {7000.0}
     assert 1e12 <= made._clock.now() < 1e12 + 6e4
     await registry.stop()
 
@@ -236,7 +240,7 @@
         made.path.write_text(SERVICE.format(name="a") + servers("a", two) + tables)
         made.reload()
         assert (await app.answer()).body == b"two"
-    last, act = told(tmp_path, "learned")[-1], told(tmp_path, "acted")[0]
+    last, act = recorded(tmp_path, "learned")[-1], recorded(tmp_path, "acted")[0]
     assert (last["form"], last["digest"], last["number"] + 1) == ("reload", act["digest"], act["number"])
 
 
@@ -261,7 +265,7 @@
         more = "[limits]\nopen_calls_most = 9\n"
         made.path.write_text(SERVICE.format(name="a") + servers("a", two) + tables + more)
         made.reload()
-    rows = told(tmp_path, "learned")
+    rows = recorded(tmp_path, "learned")
     assert [(row["rule"][:4], row["form"]) for row in rows] == [
         ("sett", "file"),
         ("list", "file"),
@@ -299,4 +303,4 @@
     made.close()
     assert waited
     assert "did not answer in time; nothing is stored until a restart" in said
-    assert told(tmp_path)[0]["life"] == 0
+    assert recorded(tmp_path)[0]["life"] == 0
--- a/tests/proxy/daemon/test_where_it_runs.py
+++ b/tests/proxy/daemon/test_where_it_runs.py
@@ -44,6 +44,16 @@
     assert named == []
 
 
+def children_of(pid):
+    """The processes that a process of one thread has started (proc(5))."""
+    return Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
+
+
+def mappings_of(pid):
+    """What a process has mapped, the libraries among it."""
+    return Path(f"/proc/{pid}/maps").read_text()
+
+
 @loopback
 async def test_from_start_to_end_it_starts_nothing_and_is_one_process(tmp_path):
     """Through requests, a reload that moves discovery, and a drain."""
@@ -67,8 +77,8 @@
         made.send_signal(signal.SIGHUP)
         await until(lambda: second.watches)
         assert (await app.ask()).body == b"done"
-        assert Path(f"/proc/{made.pid}/task/{made.pid}/children").read_text().split() == []
-        assert "libc.so" in Path(f"/proc/{made.pid}/maps").read_text()
+        assert children_of(made.pid) == []
+        assert "libc.so" in mappings_of(made.pid)
         app.close()
         made.terminate()
         assert await made.wait() == 0
