--- a/fordtrestle/proxy/daemon/process.py
+++ b/fordtrestle/proxy/daemon/process.py
@@ -90,7 +90,7 @@
         )
         for front in servers:
             front.wake = self.overload.wake
-            front.status_body = self._status
+            front.intake.status_body = self._status
 
     def _servers(self) -> list[HttpServer]:
         return [binding.server for binding in self.fronts.values()]
--- a/fordtrestle/proxy/daemon/standalone.py
+++ b/fordtrestle/proxy/daemon/standalone.py
@@ -104,7 +104,7 @@
             path, max_bytes = Path(spec.trace_file), spec.trace_mb_most * 2**20
             recorder = TraceRecorder(path, max_bytes, front_options.names, self._clock.now)
             self._trace_recorders.append(recorder)
-            front.record = recorder.record
+            front.intake.record = recorder.record
         return ServerBinding(front, spec.listen)
 
     def _source(self, name: str) -> Callable[[UpdateListener], Source]:
--- a/tests/proxy/daemon/test_memory_bounds.py
+++ b/tests/proxy/daemon/test_memory_bounds.py
@@ -4,7 +4,7 @@
 
 import gc
 
-from fordtrestle.balancer import affinity, endpoints
+from fordtrestle.balancer import affinity, known_servers
 from fordtrestle.proxy.engine.open_requests import OpenAttempt, OpenRequest
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.client_connection import ClientConnection
@@ -28,7 +28,7 @@
     Each turn all servers are new, at the old addresses and with no update of those that left, and so are
     clients, keys and identities.
     """
-    monkeypatch.setattr(endpoints, "FORGET_MS", -1.0)
+    monkeypatch.setattr(known_servers, "FORGET_MS", -1.0)
     upstreams = [await Upstream([OK]).start() for _ in range(3)]
     async with running(*upstreams, Domain={"WarmKeys": True}) as sidecar:
         before = alive()
@@ -47,7 +47,7 @@
         await until(lambda: sidecar.front.is_empty and not sidecar.driver._requests)
         module, pool = sidecar.driver._balancer, sidecar.pool
         assert len(pool._servers) == len(module._servers) == len(upstreams)
-        assert not sidecar.front._calls
+        assert not sidecar.front.intake.open_calls
         assert not sidecar.front.table.idle_count
         await until(lambda: pool._connections == {c for s in pool._servers.values() for c in s.idle})
         assert not pool._dialer.connecting
--- a/tests/proxy/http/test_hard_cases.py
+++ b/tests/proxy/http/test_hard_cases.py
@@ -234,6 +234,7 @@
 @virtual
 async def test_halves_of_requests_give_way_to_whole_ones_when_bytes_run_short():
     """Guards against bodies that never end and fill the buffers: good requests would be refused for seconds.
+
     What the watch does about full buffers when it looks is another matter.
     """
     upstream = await Upstream([OK]).start()
@@ -263,7 +264,7 @@
         loop = asyncio.get_running_loop()
         await loop.sock_connect(sock, sidecar.address)
         await loop.sock_sendall(sock, request())
-        await until(lambda: sidecar.front._stalled)
+        await until(lambda: sidecar.front.buffers.stalled)
         (entry,) = sidecar.front.table
         assert entry.eviction_class is EvictionClass.IN_CALL
         assert sidecar.front.table.idle_count == 0
