--- a/fordtrestle/proxy/http/held.py
+++ b/fordtrestle/proxy/http/tracked_connection.py
@@ -1,23 +1,27 @@
-"""A client's connection as a front's table holds it, whether or not it has said anything."""
+"""A client's connection as a server's table holds it, before or after its first byte."""
 
 from __future__ import annotations
 
 from typing import Protocol
 
-from fordtrestle.proxy.engine.connections import TableEntry
+from fordtrestle.proxy.engine.connection_table import TableEntry
 
 
-class HeldConnection(Protocol):
-    """A client's connection, before or after its first byte."""
+class TrackedConnection(Protocol):
+    """What a server asks of each of its connections.
 
-    entry: TableEntry[HeldConnection]
+    Attributes:
+        entry: Its place in the server's table.
+    """
+
+    entry: TableEntry[TrackedConnection]
 
     @property
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether it stands between requests, with nothing unread on either side."""
 
     @property
-    def quiet(self) -> bool:
+    def is_evictable(self) -> bool:
         """Whether it may be closed for another's sake."""
 
     def close(self) -> None:
@@ -26,5 +30,5 @@
     def abort(self) -> None:
         """Close it whatever it holds."""
 
-    def first_is_overdue(self) -> None:
+    def on_request_overdue(self) -> None:
         """It has not sent a whole request for longer than any healthy client takes."""
--- a/tests/proxy/http/test_dials.py
+++ b/tests/proxy/http/test_dials.py
@@ -12,8 +12,8 @@
 import pytest
 
 from fordtrestle.balancer.model import Cancel, Outcome, Send
-from fordtrestle.proxy.http import pool as pools
-from fordtrestle.proxy.http.upstream import UpstreamConnection
+from fordtrestle.proxy.http import idle_connections
+from fordtrestle.proxy.http.upstream_connection import UpstreamConnection
 from tests.loopback import (
     OK,
     PATIENCE_S,
@@ -33,8 +33,8 @@
 async def nothing_leaks(sidecar):
     """No dial and no connection is left but those accounted for."""
     pool = sidecar.pool
-    await until(lambda: not pool._opening and not sidecar.driver._requests)
-    await until(lambda: pool.budget.descriptors.held == len(pool._connections))
+    await until(lambda: not pool._dialer.connecting and not sidecar.driver._requests)
+    await until(lambda: pool.budget.descriptors.used == len(pool._connections))
     assert pool._connections == set(pool._idle)
 
 
@@ -55,9 +55,9 @@
             for _ in range(after):
                 await asyncio.sleep(0)
             if how == "cancel":
-                sidecar.driver._act(Cancel(number, 0))
+                sidecar.driver._perform(Cancel(number, 0))
             else:
-                sidecar.driver._expire(sidecar.driver._requests[number].attempts[0])
+                sidecar.driver._on_attempt_timeout(sidecar.driver._requests[number].attempts[0])
 
         def begin(now, arrival):
             tasks.append(asyncio.get_running_loop().create_task(give_up(arrival.request)))
@@ -84,12 +84,12 @@
         (request,) = sidecar.driver._requests.values()
         if first == "dial":
             held.gate.set()
-        sidecar.driver._expire(request.attempts[0])
+        sidecar.driver._on_attempt_timeout(request.attempts[0])
         held.gate.set()
         assert (await app.answer()).start.split(" ")[1] == "502"
         assert module.outcomes() == [(0, Outcome.TIMEOUT, False)]
         # What had come up by then is closed by the one who made it.
-        await until(lambda: not sidecar.pool._opening)
+        await until(lambda: not sidecar.pool._dialer.connecting)
         assert upstream.seen == []
 
 
@@ -100,7 +100,7 @@
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
-        sidecar.pool._connect_timeout = 0.05
+        sidecar.pool._dialer.connect_timeout_s = 0.05
         loop = asyncio.get_running_loop()
         real = loop.sock_connect
 
@@ -139,8 +139,8 @@
         async with running(upstream, balancer=module, PolicyLimits=limits) as sidecar:
             app = await App.connect(sidecar.address)
             app.send(X_Budget="300m")
-            await until(lambda: sidecar.pool._opening)
-            assert sidecar.pool.budget.descriptors.held == 1
+            await until(lambda: sidecar.pool._dialer.connecting)
+            assert sidecar.pool.budget.descriptors.used == 1
             assert (await app.answer()).start.split(" ")[1] == "504"
             assert module.outcomes()[0][1] in (Outcome.TIMEOUT, Outcome.CANCELLED)  # if it stood still
             await nothing_leaks(sidecar)
@@ -154,7 +154,7 @@
     with silent() as (host, port):
         upstream.address = f"{host}:{port}"
         async with running(upstream, balancer=module) as sidecar:
-            sidecar.pool._connect_timeout = 0.05
+            sidecar.pool._dialer.connect_timeout_s = 0.05
             app = await App.connect(sidecar.address)
             assert (await app.ask()).start.split(" ")[1] == "502"
             assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
@@ -167,27 +167,28 @@
 @pytest.fixture
 def ends_behind_the_look(monkeypatch):
     """A server ends a kept connection between the look at it and the write: `ends.append(how to)`."""
-    monkeypatch.setattr(pools, "SETTLE_MS", 0.0)
-    ends, real = [], UpstreamConnection.fresh
+    monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
+    ends, real = [], UpstreamConnection.is_available
 
-    def fresh(connection):
+    def is_available(connection):
         was = real(connection)
-        if ends and connection.idle_since:
+        if ends and connection.idle_since_ms:
             poll = select.poll()
             poll.register(connection._transport.get_extra_info("socket").fileno(), select.POLLRDHUP)
             ends.pop()()
             assert poll.poll(PATIENCE_S * 1000.0)
         return was
 
-    monkeypatch.setattr(UpstreamConnection, "fresh", fresh)
+    monkeypatch.setattr(UpstreamConnection, "is_available", is_available)
     return ends
 
 
 @pytest.mark.parametrize("real", [True, False])
 @virtual
 async def test_an_end_behind_the_look_may_have_let_the_request_run(real, ends_behind_the_look):
-    """The kernel takes the write, and a reset comes back: an unsafe request is failed, neither sent again
-    nor refused.
+    """The kernel takes the write, and a reset comes back.
+
+    An unsafe request is failed then, neither sent again nor refused.
     """
     upstreams = [await Upstream([OK]).start() for _ in range(2 if real else 1)]
     module = None if real else Scripted(outcome=failing)
@@ -232,7 +233,7 @@
 
 @virtual
 async def test_a_reset_behind_the_write_fails_an_unsafe_request(monkeypatch):
-    monkeypatch.setattr(pools, "SETTLE_MS", 0.0)
+    monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
     upstream = await Upstream([OK, break_off, OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -289,6 +290,6 @@
         await until(lambda: upstream.seen)
         (to_server,) = sidecar.pool._connections
         (entry,) = sidecar.front.table
-        for end in (to_server, entry.holder):
+        for end in (to_server, entry.owner):
             sock = end._transport.get_extra_info("socket")
             assert sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
--- a/tests/proxy/http/test_hard_cases.py
+++ b/tests/proxy/http/test_hard_cases.py
@@ -10,10 +10,11 @@
 import pytest
 
 from fordtrestle.balancer.model import Cancel, Outcome, Send
-from fordtrestle.proxy.engine.connections import ConnectionTable, Standing, TableOptions
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, EvictionClass, TableOptions
 from fordtrestle.proxy.engine.limits import Limits
-from fordtrestle.proxy.http import front, pool
-from fordtrestle.proxy.http.downstream import ClientConnection
+from fordtrestle.proxy.http import idle_connections
+from fordtrestle.proxy.http import server as server_module
+from fordtrestle.proxy.http.client_connection import ClientConnection
 from tests.loopback import OK, App, Scripted, Upstream, hang, request, running, until
 from tests.virtual import virtual
 
@@ -56,9 +57,9 @@
         for _ in range(5):
             app = await App.connect(sidecar.address)
             app.send(X_Budget="50m")
-            await until(lambda: not sidecar.pool._opening)
+            await until(lambda: not sidecar.pool._dialer.connecting)
         await until(lambda: len(module.outcomes()) == 5)
-        assert sidecar.pool.budget.descriptors.held == len(sidecar.pool._connections) == 0
+        assert sidecar.pool.budget.descriptors.used == len(sidecar.pool._connections) == 0
 
 
 @virtual
@@ -68,7 +69,7 @@
     async with running(upstream) as sidecar:
         limits = Limits(6, 2**20, 1000)
         sidecar.front.budget = limits.budget("clients")
-        sidecar.front.reserve = limits.descriptors.part("at the limit", 2, weight=0.0)
+        sidecar.front.reserve = limits.descriptors.add_share("at the limit", 2, weight=0.0)
         sidecar.front.table = ConnectionTable(TableOptions(100))
         resting = [await App.connect(sidecar.address) for _ in range(4)]
         for app in resting:
@@ -78,9 +79,9 @@
             app.send()
         await until(lambda: len(upstream.seen) == 8)
         silent = await App.connect(sidecar.address)
-        await until(lambda: sidecar.front.reserve.held == 1)
+        await until(lambda: sidecar.front.reserve.used == 1)
         good = await App.connect(sidecar.address)
-        await until(lambda: sidecar.front.reserve.held == 2)
+        await until(lambda: sidecar.front.reserve.used == 2)
         for app in resting:
             await app.answer()
         await asyncio.sleep(0.15)  # the silent one has had its time
@@ -144,7 +145,7 @@
             statuses.append(status_of(await good.ask(X_Budget="1000m")))
             good.close()
             (acceptor,) = sidecar.front._acceptors
-            assert acceptor._full_since is None or loop.time() - acceptor._full_since < 0.15
+            assert acceptor._full_since_s is None or loop.time() - acceptor._full_since < 0.15
         task.cancel()
         assert statuses == [200] * 10
         for app in crowd:
@@ -161,9 +162,9 @@
             crowd.append(await App.connect(sidecar.address))
             crowd[-1].writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\nG")
         await asyncio.sleep(0.2)
-        standing = Counter(entry.standing for entry in sidecar.front.table)
-        assert standing[Standing.ASKING]
-        assert not standing[Standing.IN_CALL]
+        standing = Counter(entry.eviction_class for entry in sidecar.front.table)
+        assert standing[EvictionClass.RECEIVING]
+        assert not standing[EvictionClass.IN_CALL]
         for _ in range(10):
             async with asyncio.timeout(1.0):  # halves are only ended after 2 s
                 good = await App.connect(sidecar.address)
@@ -179,7 +180,7 @@
     asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
     async with running(upstream) as sidecar:
         sidecar.front.budget = Limits(1, 2**20, 1000).budget("clients")
-        sidecar.front.reserve = Limits(2, 0, 0).descriptors.part("at the limit")
+        sidecar.front.reserve = Limits(2, 0, 0).descriptors.add_share("at the limit")
         busy = await App.connect(sidecar.address)
         busy.send()
         await until(lambda: upstream.seen)
@@ -200,13 +201,13 @@
     upstream = await Upstream([later]).start()
     async with running(upstream) as sidecar:
         sidecar.front.budget = Limits(2, 2**20, 1000).budget("clients")
-        sidecar.front.reserve = Limits(1, 0, 0).descriptors.part("at the limit")
+        sidecar.front.reserve = Limits(1, 0, 0).descriptors.add_share("at the limit")
         busy = [await App.connect(sidecar.address) for _ in range(2)]
         for app in busy:
             app.send()
         await until(lambda: len(upstream.seen) == 2)
         silent = await App.connect(sidecar.address)
-        await until(lambda: sidecar.front.reserve.held == 1)
+        await until(lambda: sidecar.front.reserve.used == 1)
         queued = await App.connect(sidecar.address)
         queued.send()
         silent.close()
@@ -233,6 +234,7 @@
 @virtual
 async def test_halves_of_requests_give_way_to_whole_ones_when_bytes_run_short():
     """Guards against bodies that never end and fill the buffers: good requests would be refused for seconds.
+
     What the watch does about full buffers when it looks is another matter.
     """
     upstream = await Upstream([OK]).start()
@@ -242,7 +244,7 @@
         for size in [60_000] * 12 + [6000] * 12 + [500] * 60 + [100] * 60:
             halves.append(await App.connect(sidecar.address))
             halves[-1].writer.write(request("POST", "/pay", b"x" * size)[:-1])
-        await until(lambda: sidecar.front.budget.buffered.room < 60_000)
+        await until(lambda: sidecar.front.budget.buffered.available < 60_000)
         for _ in range(12):
             good = await App.connect(sidecar.address)
             assert status_of(await good.ask("POST", "/pay", b"x" * 50_000)) == 200
@@ -253,7 +255,7 @@
 @virtual
 async def test_a_slow_reader_stands_in_no_queue_of_who_is_at_rest(monkeypatch):
     """Guards against looks that are spent on clients that read a little now and then."""
-    monkeypatch.setattr(front, "SEND_BUFFER", 4096)
+    monkeypatch.setattr(server_module, "SEND_BUFFER_BYTES", 4096)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
         sock = socket.socket()
@@ -262,14 +264,14 @@
         loop = asyncio.get_running_loop()
         await loop.sock_connect(sock, sidecar.address)
         await loop.sock_sendall(sock, request())
-        await until(lambda: sidecar.front._stuck)
+        await until(lambda: sidecar.front.buffers.stalled)
         (entry,) = sidecar.front.table
-        assert entry.standing is Standing.IN_CALL
-        assert sidecar.front.table.at_rest == 0
+        assert entry.eviction_class is EvictionClass.IN_CALL
+        assert sidecar.front.table.idle_count == 0
         got = 0
         while got < len(LARGE) - 100:
             got += len(await loop.sock_recv(sock, 65536))
-        await until(lambda: entry.standing is Standing.AT_REST)
+        await until(lambda: entry.eviction_class is EvictionClass.IDLE)
         sock.close()
 
 
@@ -301,9 +303,10 @@
         (connection,) = sidecar.pool._connections
         sidecar.limits.buffered.resize(100)
         for _ in range(100):
-            assert not sidecar.pool.expect(connection, 1000)
-            sidecar.pool.done(connection)
-        pending = [timer for timer in asyncio.get_running_loop()._scheduled if "_look_again" in repr(timer)]
+            assert not sidecar.pool.reserve_buffer(connection, 1000)
+            sidecar.pool.release_buffer(connection)
+        scheduled = asyncio.get_running_loop()._scheduled
+        pending = [timer for timer in scheduled if "_retry_buffers" in repr(timer)]
         assert len(pending) == 1
 
 
@@ -321,13 +324,13 @@
         app = await App.connect(sidecar.address)
         assert (await app.ask()).body == b"done"
         (server,) = sidecar.pool._servers.values()
-        await until(lambda: server.clean_from > 0.0)
+        await until(lambda: server.reuse_from_ms > 0.0)
         for _ in range(5):
             assert (await app.ask()).body == b"done"
             assert not server.idle
         assert len(upstream.writers) == 6
         assert {status for _, status, _ in module.outcomes()} == {Outcome.OK}
-        server.clean_from = 0.0
+        server.reuse_from_ms = 0.0
         upstream.replies = [OK]
         for _ in range(3):
             assert (await app.ask()).body == b"done"
@@ -337,7 +340,7 @@
 
 @virtual
 async def test_a_second_answer_that_comes_before_the_connection_is_used_again_marks_nothing(monkeypatch):
-    monkeypatch.setattr(pool, "SETTLE_MS", 60_000.0)
+    monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 60_000.0)
 
     async def twice(reader, writer):
         asyncio.get_running_loop().call_later(0.005, writer.write, OK)
@@ -350,6 +353,6 @@
             assert (await app.ask()).body == b"done"
             await asyncio.sleep(0.02)
         (server,) = sidecar.pool._servers.values()
-        assert server.clean_from == 0.0
+        assert server.reuse_from_ms == 0.0
         assert len(server.idle) == 1
         assert len(upstream.writers) == 3
