--- a/tests/ingress/test_ends.py
+++ b/tests/ingress/test_ends.py
@@ -32,7 +32,7 @@
 }
 SILENT_MS = 300  # that a request has whose server falls silent
 DEADLINE_MS = 15_000
-ABORTED = "aborted"  # a success whose connection ends before it is whole
+ABORTED = "aborted"  # a success whose connection ends before it is complete
 DEADLINE_EXCEEDED = "504"
 
 
@@ -89,14 +89,14 @@
         [CHUNKED + EVENT_CHUNK[:9], None], same(ABORTED) | {"resumable": "200"}, ("resumable",)
     ),
     "silent between chunks": Row([CHUNKED + EVENT_CHUNK, ConnectionEnd.SILENT], same(ABORTED)),
-    "whole, and kept": Row(ok("q2"), same("200"), is_kept=True),
-    "whole, and closed": Row(ok("q2", head="Connection: close\r\n"), same("200")),
-    "whole, with bytes behind it that are no answer": Row(ok("q2") + b"more", REPEATED, MAY_REPEAT),
-    "whole, with another answer behind it": Row(ok("q2") + ok("q0", b"surplus"), same("200")),
-    "whole, a failure of the server's own": Row(
+    "complete, and kept": Row(ok("q2"), same("200"), is_kept=True),
+    "complete, and closed": Row(ok("q2", head="Connection: close\r\n"), same("200")),
+    "complete, with bytes behind it that are no answer": Row(ok("q2") + b"more", REPEATED, MAY_REPEAT),
+    "complete, with another answer behind it": Row(ok("q2") + ok("q0", b"surplus"), same("200")),
+    "complete, a failure of the server's own": Row(
         FAILED, REPEATED | dict.fromkeys(("unsafe", "stream"), "500"), MAY_REPEAT
     ),
-    "whole in chunks, and kept": Row([CHUNKED + EVENT_CHUNK + b"0\r\n\r\n"], same("200"), is_kept=True),
+    "complete in chunks, and kept": Row([CHUNKED + EVENT_CHUNK + b"0\r\n\r\n"], same("200"), is_kept=True),
 }
 
 
@@ -163,13 +163,9 @@
 
 
 @loopback
-async def test_a_server_that_cannot_be_reached_was_not_sent_the_request():
-    gone = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
-    port = gone.sockets[0].getsockname()[1]
-    gone.close()
-    await gone.wait_closed()
+async def test_a_server_that_cannot_be_reached_was_not_sent_the_request(unreachable_port):
     async with StandIn(ok("q2")) as second, Stage(route()) as stage, Client(stage.port) as client:
-        stage.add(port, "i-gone")
+        stage.add(unreachable_port, "i-gone")
         stage.add(second, "i-2", zone="z-2")
         assert status_of(await client.exchange(call("q2"))) == "200"
         assert arrivals(second, "q2") == 1
@@ -206,24 +202,15 @@
         assert arrivals(server, "q1") == 1
 
 
-class EarlyServer:
+class EarlyServer(StandIn):
     """Answers once it has read the head, reads the body after its answer, and keeps the connection."""
 
     def __init__(self, answer: bytes) -> None:
-        self.answer = answer
+        super().__init__(answer)
         self.bodies: list[bytes] = []
-        self.connections = 0
         self.may_read = asyncio.Event()
         self.ended = 0
 
-    async def __aenter__(self) -> EarlyServer:
-        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
-        self.port = self._server.sockets[0].getsockname()[1]
-        return self
-
-    async def __aexit__(self, *_: object) -> None:
-        self._server.close()
-
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         try:
@@ -233,7 +220,7 @@
                 request_id = re.search(r"(?i)x-request-id: (\S+)", head)
                 assert found
                 assert request_id
-                writer.write(self.answer.replace(b"ID", request_id.group(1).encode()))
+                writer.write(self.answers[0].replace(b"ID", request_id.group(1).encode()))
                 await self.may_read.wait()
                 self.bodies.append(await reader.readexactly(int(found.group(1))))
         except (asyncio.IncompleteReadError, ConnectionError):
--- a/tests/ingress/test_exchanges.py
+++ b/tests/ingress/test_exchanges.py
@@ -39,7 +39,7 @@
 
 
 @loopback
-async def test_before_there_is_a_configuration_or_a_server_clients_are_told_to_come_back(snapshot):
+async def test_before_there_is_a_configuration_or_a_server_clients_get_503_with_retry_after(snapshot):
     async with Stage() as stage, Client(stage.port) as client:
         await client.exchange(call())
         stage.configure(route())
@@ -122,20 +122,16 @@
 
 
 @loopback
-async def test_full_servers_are_a_rejection_and_an_absent_server_no_load():
+async def test_full_servers_are_a_rejection_and_an_absent_server_no_load(unreachable_port):
     async with StandIn(failure(503)) as full, Stage(route(max_attempts=3)) as stage:
         stage.add(full)
-        gone = await asyncio.start_server(lambda *_: None, "127.0.0.1", 0)
-        port = gone.sockets[0].getsockname()[1]
-        gone.close()
-        await gone.wait_closed()
         async with Client(stage.port) as client:
             answer = await client.exchange(call())
             assert answer.startswith("HTTP/1.1 503")
             assert "Retry-After" in answer
             window = stage.router.admission._throttles["pool"]
             assert (window.requests, window.accepts) == (1, 0)
-            stage.add(port, "i-gone")
+            stage.add(unreachable_port, "i-gone")
             stage.view.servers._servers["i-1"].backoff_until = float("inf")
             answer = await client.exchange(call())
             assert answer.startswith("HTTP/1.1 503")
@@ -143,7 +139,7 @@
 
 
 @loopback
-async def test_an_address_used_again_by_another_server_is_told_and_left():
+async def test_a_server_at_a_reused_address_gets_the_expected_instance_and_no_further_request():
     async with StandIn(failure(421, head="")) as reused, StandIn(ok()) as right:
         async with Stage(route(max_attempts=2)) as stage:
             stage.add(reused, "i-old")
--- a/tests/ingress/test_grey.py
+++ b/tests/ingress/test_grey.py
@@ -3,7 +3,6 @@
 from __future__ import annotations
 
 import asyncio
-import socket
 
 import pytest
 
@@ -92,11 +91,9 @@
 
 
 @loopback
-async def test_a_connection_that_does_not_come_up_counts_as_absence_alone():
+async def test_a_connection_that_does_not_come_up_counts_as_absence_alone(unreachable_port):
     async with Stage(route()) as stage:
-        with socket.create_server(("127.0.0.1", 0)) as taken:
-            port = taken.getsockname()[1]
-        stage.add(port, "i-1")
+        stage.add(unreachable_port, "i-1")
         async with Client(stage.port) as client:
             assert (await client.exchange(call("300"))).startswith("HTTP/1.1 503")
         server = stage.view.servers._servers["i-1"]
@@ -132,7 +129,7 @@
     [pytest.param({1}, 1, id="it says nothing at all"), pytest.param(set(), 0, id="it answers")],
 )
 @loopback
-async def test_a_request_whose_time_ends_counts_against_a_server_that_is_silent(hangs, failures):
+async def test_a_passed_deadline_counts_against_a_server_that_answers_nothing(hangs, failures):
     async with Hanging(ok("q"), hangs=hangs) as server, Stage(route()) as stage:
         stage.add(server, "i-1")
         async with Client(stage.port) as client:
@@ -141,7 +138,7 @@
 
 
 @loopback
-async def test_a_request_whose_time_ends_tells_nothing_of_a_server_that_answers_others_meanwhile():
+async def test_a_passed_deadline_counts_nothing_against_a_server_that_answers_others():
     async with Hanging(ok("q"), hangs={1}) as server, Stage(route()) as stage:
         stage.add(server, "i-1")
         async with Client(stage.port) as slow, Client(stage.port) as quick:
--- a/tests/roles/test_drain.py
+++ b/tests/roles/test_drain.py
@@ -26,8 +26,8 @@
 class RecordingServer(IngressServer):
     """An ingress server that records what is asked of it."""
 
-    def __init__(self, context, bounds, record):
-        super().__init__(context, bounds)
+    def __init__(self, context, limits, record):
+        super().__init__(context, limits)
         self._record = record
 
     def begin_closing(self):
@@ -77,15 +77,15 @@
     return events
 
 
-def transcript(closing_s, away=3.0, leaves=None):
+def transcript(closing_s, away_s=3.0):
     """The events where clients are sent away that late, and have so long to go."""
-    end = closing_s + away if leaves is None else leaves
+    drained_s = closing_s + away_s
     return [
         "0.0 announces LEAVING",
         f"{closing_s:.1f} announces CLOSING",
         f"{closing_s:.1f} answers end connections",
-        f"{end:.1f} takes no request",
-        f"{end:.1f} drained",
+        f"{drained_s:.1f} takes no request",
+        f"{drained_s:.1f} drained",
     ]
 
 
