--- a/tests/proxy/http/test_accept.py
+++ b/tests/proxy/http/test_accept.py
@@ -114,15 +114,16 @@
         ((arrival,),) = module.named("request")[-1:]
         left = arrival.give_up_at - sidecar.driver._clock.now()
         assert left < 2000.0 - 100.0
-        assert sidecar.front._shares
+        assert sidecar.front.evictor.shares
         assert acceptor._pause is None
 
 
 @pytest.mark.parametrize("sent", [b"", b"POST /pay HTT", partners.request("POST", "/pay", b"hello")[:-2]])
 @virtual
 async def test_silent_and_half_sent_connections_give_way_to_who_asks(sent):
-    """Guards against a crowd that fills the table three times over: what a connection has sent of its
-    first request does not keep it.
+    """Guards against a crowd that fills the table three times over.
+
+    What a connection has sent of its first request does not keep it.
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 96}}) as sidecar:
@@ -205,7 +206,7 @@
         await until(lambda: sidecar.front.is_empty and module.named("request"))
         await until(lambda: sidecar.limits.descriptors.used == sidecar.pool.budget.descriptors.used)
         assert sidecar.front.budget.descriptors.used == 0
-        assert not sidecar.front._shares
+        assert not sidecar.front.evictor.shares
         assert not sidecar.front._starting
 
 
@@ -253,7 +254,7 @@
         assert status_of(await busy.answer()) == 200
         assert sidecar.front.budget.descriptors.used == 1
         await until(lambda: all(entry.owner.is_evictable for entry in sidecar.front.table))  # acknowledged
-        sidecar.front._reclaim(1)
+        sidecar.front.evictor._reclaim(1)
         assert sidecar.front.budget.descriptors.used == 0
         assert await busy.answer() is None
 
