--- a/tests/balancer/recording.py
+++ b/tests/balancer/recording.py
@@ -215,6 +215,13 @@
             day.world.at(8000.0, lambda h=host: _leave_room(h, h.make.slots, h.make.queue))
 
 
+def _errors(day: Day) -> None:
+    """For 4 s most answers of all servers are errors, given at once."""
+    for host in day.world.hosts.values():
+        day.world.at(3000.0, lambda host=host: setattr(host, "error_share", 0.8))
+        day.world.at(7000.0, lambda host=host: setattr(host, "error_share", 0.0))
+
+
 # By day: what happens, what its site differs in, and what its events tell besides.
 SITES: dict[str, tuple[Any, dict[str, Any], dict[str, Any]]] = {
     "roll": (
@@ -256,6 +263,11 @@
         },
         {},
     ),
+    "errors": (
+        _errors,
+        {"Domain": {"WarmKeys": False}, "Profiles": [{"Semantics": "pure"}, {}]},
+        {},
+    ),
 }
 
 
