--- a/fordtrestle/balancer/attempts.py
+++ b/fordtrestle/balancer/attempts.py
@@ -52,7 +52,9 @@
         unused_ms = now - server.last_used_at if server.last_used_at and not server.in_flight else 0.0
         target_ms = request.profile.objective
         attempt = Attempt(server, now, now + STALL_SHARE * target_ms, unused_ms)
-        if unused_ms > self._connections.trusted_idle_ms(now) or self._zones.is_in_trouble(server):
+        if unused_ms > self._connections.trusted_idle_ms(now) or self._zones.is_suspected_or_partitioned(
+            server
+        ):
             self._actions.append(model.CloseIdle(server.name))
             server.idle_connections = 0
         attempt.is_new_connection = server.idle_connections == 0
@@ -110,7 +112,7 @@
         whole = max(0.0, (useful if useful > now else request.give_up_at) - now)
         is_quick = self._shedder.slowdown(now) < MIN_OVERLOAD_SLOWDOWN
         may_repeat = profile.harmless and len(request.attempts) + 1 < request.max_attempts
-        if may_repeat and is_quick and self._ejection.was_silent_lately(now):
+        if may_repeat and is_quick and self._ejection.had_unresponsive_server(now):
             # Guards against hung and silent servers, also where they hold up a key's queue. Only after one
             # was met and while answers are quick: in an overload repeats would add to it.
             typical_ms = self._times.typical_ms()
--- a/fordtrestle/balancer/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -37,7 +37,7 @@
 
 Report = Mapping[str, float] | None
 
-UNHEARD_MS = 2000.0  # with nothing sent for longer, one goes to see: refusals tell nothing of the service
+UNHEARD_MS = 2000.0  # with nothing sent for longer, one goes to see: refusals are no evidence of the service
 HOPELESS_TARGETS = 1.25  # under strain, work of so many latency targets is not begun where late earns nothing
 RETRY_AFTER_SHARE = 0.1  # of the latency target: a client's retry may still be served in time
 MIN_SPENT_MS = 1e-3  # that an attempt takes: times are divided by
@@ -325,7 +325,7 @@
         if not is_heard or chance <= 0.0 or self._rng.random() >= chance:
             return None
         cause = self._shedder.cause(drop)
-        if cause is Cause.THROTTLE:  # what others refuse tells nothing of the service
+        if cause is Cause.THROTTLE:  # what others refuse is no evidence of the service
             self._throttle.add(now, 0.0)
         return cause
 
--- a/fordtrestle/balancer/candidates.py
+++ b/fordtrestle/balancer/candidates.py
@@ -76,7 +76,7 @@
 
     def draw(self, now: float, request: Request) -> list[Server]:
         """A few random servers; none where none may be sent to, with the cause noted in the request."""
-        if self._zones.any_in_trouble(now) and (trial := self._zone_trial(now, request)):
+        if self._zones.any_suspected_or_partitioned(now) and (trial := self._zone_trial(now, request)):
             return trial
         request.undrawn_cause = Cause.ATTEMPTS if request.attempts else Cause.DRAIN
         if self._affinity.is_on and request.key is not None:
@@ -137,7 +137,7 @@
         is_hurried = request.useful_until() - now < trial_ms
         for name, zone in self._zones.due_for_trial(now, is_hurried):
             there = [server for server in ring if server.zone == name]
-            there = [server for server in there if server.name not in zone.silent] or there
+            there = [server for server in there if server.name not in zone.unresponsive] or there
             server = there[int(self._draw() * len(there))] if there else None
             if server and self._slow_start.admits(now, request, server, ring, len(ring)):
                 return [server]
--- a/fordtrestle/balancer/ejection.py
+++ b/fordtrestle/balancer/ejection.py
@@ -21,7 +21,7 @@
 
 # A fault is held to be the server's own where its faults exceed the service's this far.
 MAX_ERROR_GAIN = 1.0 - 0.7  # weight of the newest outcome, where outcomes are few
-ERROR_MEMORY_MS = 500.0  # where they are many the share is of so long: one fault in twenty tells nothing
+ERROR_MEMORY_MS = 500.0  # where they are many the share is of so long: one fault in twenty is no evidence
 ERRORS_OVER_SERVICE = 1.5  # times the service's share of faults
 MIN_ERRORS = 0.25  # less costs less than the server's share of the capacity
 
@@ -63,7 +63,7 @@
         self._subset = subset
         self._draw = draw
         self._resting: dict[str, Server] = {}
-        self._silent_at = -math.inf  # when a server was last ejected for silence
+        self._unresponsive_at = -math.inf  # when a server was last ejected for silence
 
     def end_all(self) -> None:
         """End all rests: in an outage any server may be the first that is back."""
@@ -74,9 +74,9 @@
         """Keep no record of servers that the endpoint list has forgotten."""
         self._resting = {name: server for name, server in self._resting.items() if name in known}
 
-    def was_silent_lately(self, now: float) -> bool:
+    def had_unresponsive_server(self, now: float) -> bool:
         """Whether a server was ejected of late for silence, more than once."""
-        return now - self._silent_at < MAX_EJECTION_MS
+        return now - self._unresponsive_at < MAX_EJECTION_MS
 
     def record_success(self, now: float, server: Server) -> None:
         """A server answered well."""
@@ -105,7 +105,7 @@
             server.rest_until = now + rest_ms * (JITTER_FROM + JITTER_SPAN * self._draw())
         server.refused_connections = min(server.refused_connections + 1, MAX_REFUSED_DOUBLINGS)
 
-    def record_fault(self, now: float, server: Server, is_silent: bool, sent_at: float) -> None:
+    def record_fault(self, now: float, server: Server, is_unresponsive: bool, sent_at: float) -> None:
         """Count a fault; a server at fault far more than the service is ejected.
 
         What was out already when it was ejected belongs to the same event: it ejects no more.
@@ -113,15 +113,15 @@
         Args:
             now: The time in ms.
             server: The server at fault.
-            is_silent: Whether it said nothing at all.
+            is_unresponsive: Whether it said nothing at all.
             sent_at: When the attempt was sent.
         """
         server.error_weight += self._error_gain(now) * (1.0 - server.error_weight)
         if server.error_weight > MIN_ERRORS + ERRORS_OVER_SERVICE * self._throttle.failure_share():
             if sent_at > server.ejected_at:
                 self._eject(now, server)
-            if is_silent and server.ejections > 1:
-                self._silent_at = now
+            if is_unresponsive and server.ejections > 1:
+                self._unresponsive_at = now
 
     def _error_gain(self, now: float) -> float:
         """Weight of a server's newest outcome in its share of faults."""
--- a/fordtrestle/balancer/evidence.py
+++ b/fordtrestle/balancer/evidence.py
@@ -70,11 +70,11 @@
         """Take in how an attempt ended, after `spent_ms`."""
         server, target_ms = attempt.server, request.profile.objective
         if status in OWN_ENDS or self._connections.met_dropped(now, attempt, status, spent_ms):
-            return  # its client went, or it was spoilt on our side: that tells nothing of the service
+            return  # its client went, or it was spoilt on our side: that is no evidence of the service
         slowdown = self._learn_baseline(now, request, status, spent_ms)
         if status == TIMEOUT and spent_ms < target_ms and slowdown < PATIENT_SLOWDOWN:
             return  # its client waits for less than answers take
-        if self._zones.was_silent(status, spent_ms) and self._zones.is_partitioned(now, server):
+        if self._zones.is_unresponsive(status, spent_ms) and self._zones.is_partitioned(now, server):
             return  # nobody there was asked: no overload, and no fault of this one
         is_late = spent_ms > target_ms
         self._learn_load(now, request, attempt, status, spent_ms, slowdown)
@@ -96,7 +96,7 @@
         if baseline.slowdown(target_ms, request.work) < OVERLOAD_SLOWDOWN:
             return  # answers usually take about so long
         if now - attempt.sent_at - target_ms > STOOD_STILL_MS:
-            return  # this sidecar itself stood still: that tells nothing
+            return  # this sidecar itself stood still: that is no evidence
         if self._zones.is_partitioned(now, attempt.server):
             return
         self._shedder.record_unanswered(now)
--- a/fordtrestle/balancer/known_servers.py
+++ b/fordtrestle/balancer/known_servers.py
@@ -128,7 +128,7 @@
         for name, server in self.servers.items():
             if name not in listed and server.is_usable:
                 server.is_usable = False
-                server.gone_at = now
+                server.departed_at = now
                 self.release(server)
 
     def _update(self, now: float, entry: model.Listing) -> None:
@@ -141,12 +141,12 @@
             server.forget_faults()
             server.idle_connections = 0
         if server.is_usable and entry.state != "active":
-            server.gone_at = now
+            server.departed_at = now
         server.update(entry)
         self.release(server)
 
     def _forget_gone(self, now: float) -> None:
         """Keep no record of servers long gone, or months of churn would fill the memory."""
         for name, server in list(self.servers.items()):
-            if not server.is_usable and not server.in_flight and now - server.gone_at > FORGET_MS:
+            if not server.is_usable and not server.in_flight and now - server.departed_at > FORGET_MS:
                 del self.servers[name]
--- a/fordtrestle/balancer/outage.py
+++ b/fordtrestle/balancer/outage.py
@@ -8,7 +8,9 @@
 
 OUTAGE_MS = 300.0  # without an accept: shorter is a blip that the ordinary path rides out
 OUTAGE_FAILURES = 5  # and so many failures meanwhile: a quiet sidecar's next one may be served
-MAX_SILENT_TRIALS = 4.0  # that a server may hold from all sidecars together: more would fell it on return,
+MAX_UNANSWERED_TRIALS = (
+    4.0  # that a server may hold from all sidecars together: more would fell it on return,
+)
 TRIALS_PER_S = 2.0  # and new ones that it may get besides, or servers that hang would never be tried
 
 
@@ -42,7 +44,7 @@
             luck: A random number from 0 to 1, for the part of a trial that is this sidecar's.
         """
         gained = (now - self._trial_at) * TRIALS_PER_S / 1000.0 * servers_share
-        is_full = in_flight >= MAX_SILENT_TRIALS * servers_share + luck
+        is_full = in_flight >= MAX_UNANSWERED_TRIALS * servers_share + luck
         if is_full and gained >= 1.0:
             self._trial_at = now
         return not is_full or gained >= 1.0
--- a/fordtrestle/balancer/outcomes.py
+++ b/fordtrestle/balancer/outcomes.py
@@ -10,6 +10,6 @@
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = map(int, model.Outcome)
 
 NEVER_RAN = frozenset((FULL, CONNECT_FAILED, ABANDONED))
-OWN_ENDS = frozenset((CANCELLED, ABANDONED))  # ended on our side: they tell nothing of the service
+OWN_ENDS = frozenset((CANCELLED, ABANDONED))  # ended on our side: they are no evidence of the service
 MAY_RUN_STILL = frozenset((TIMEOUT, RESET, CANCELLED))  # the server may be at it still
 ANSWERS = frozenset((OK, ERROR, FULL))  # a whole answer came, and the connection can be used again
--- a/fordtrestle/balancer/requests.py
+++ b/fordtrestle/balancer/requests.py
@@ -24,7 +24,7 @@
     max_retry_after: float  # ms to come back after, as a refusal says
     work: float = 1.0
     is_over_share: bool = False  # past its tenant's
-    cold_luck: float = 0.0  # its one coin for cold servers, once it has met one
+    slow_start_draw: float = 0.0  # its one coin for cold servers, once it has met one
     is_ordered: bool = False  # it waits for those of its key that came before it
     attempts: list[Attempt] = field(default_factory=list)
     in_flight: int = 0
@@ -42,12 +42,12 @@
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
-def stricter_profile(taken: model.Profile, told: model.Profile) -> model.Profile:
+def stricter_profile(taken: model.Profile, current: model.Profile) -> model.Profile:
     """By what a request taken by one profile may be sent again once another holds: what both allow."""
-    if told.semantics == "pure" or taken.semantics == "side_effect":
+    if current.semantics == "pure" or taken.semantics == "side_effect":
         return taken
-    groups = {taken.group, told.group} - {"all"}
-    if taken.semantics != told.semantics or len(groups) > 1:
+    groups = {taken.group, current.group} - {"all"}
+    if taken.semantics != current.semantics or len(groups) > 1:
         return replace(taken, semantics="side_effect")  # one taken as pure has no key to go by
     group = groups.pop() if groups else "all"
-    return replace(taken, group=group, key_ttl=min(taken.key_ttl, told.key_ttl))
+    return replace(taken, group=group, key_ttl=min(taken.key_ttl, current.key_ttl))
--- a/fordtrestle/balancer/server_load.py
+++ b/fordtrestle/balancer/server_load.py
@@ -29,8 +29,8 @@
 
     def apply_settings(self, settings: model.Settings) -> None:
         """Go by these settings."""
-        tells_load = bool(REPORTED_FIELDS & set(settings.report_fields))
-        self.is_reported = settings.report_how == "inline" and tells_load
+        has_load_field = bool(REPORTED_FIELDS & set(settings.report_fields))
+        self.is_reported = settings.report_how == "inline" and has_load_field
 
     def record_report(self, now: float, server: Server, report: Mapping[str, float]) -> None:
         """Take in what an answer reports; what is not a number is not believed."""
--- a/fordtrestle/balancer/servers.py
+++ b/fordtrestle/balancer/servers.py
@@ -19,7 +19,7 @@
     name: str
     salt: int  # of its name, for the order of a key's servers
     kind_pace: Pace
-    gone_at: float
+    departed_at: float
     zone: int = 0
     kind: int = 0
     cell: int = 0
--- a/fordtrestle/balancer/shedding.py
+++ b/fordtrestle/balancer/shedding.py
@@ -25,11 +25,11 @@
 
 SLOWDOWN_GAIN = 0.1  # weight of the newest outcome in the mean
 SLOWDOWN_MEMORY_MS = 2000.0  # where outcomes are few they weigh more: what was is forgotten in so long
-SILENCE_MS = 500.0  # with no outcome for longer, an overload is doubted: a refusal tells nothing
+NO_OUTCOME_MS = 500.0  # with no outcome for longer, an overload is doubted: a refusal is no evidence
 MIN_SHED_SHARE = 0.1  # a smaller share of the work is chance trouble and sheds nothing
 
 MIX_MEMORY = 0.98  # kept of the mix at each arrival: it is that of about the last fifty
-MIN_ARRIVALS = 10.0  # fewer tell nothing of a tenant's share
+MIN_ARRIVALS = 10.0  # fewer are no evidence of a tenant's share
 
 
 @dataclass(slots=True)
@@ -130,7 +130,7 @@
 
     def slowdown(self, now: float) -> float:
         """How many times longer than their baseline answers take."""
-        trust = math.exp(min(0.0, (self._slowdown_at + SILENCE_MS - now) / SLOWDOWN_MEMORY_MS))
+        trust = math.exp(min(0.0, (self._slowdown_at + NO_OUTCOME_MS - now) / SLOWDOWN_MEMORY_MS))
         return 1.0 + (self._slowdown - 1.0) * trust
 
     def level(self, now: float) -> float:
--- a/fordtrestle/balancer/slow_start.py
+++ b/fordtrestle/balancer/slow_start.py
@@ -97,9 +97,9 @@
             # What is turned away is sent again, here or by its client, and counts in the sum too.
             accepts = self._throttle.accepts + PRIOR_ACCEPTS
             left *= accepts / (self._throttle.requests + PRIOR_REQUESTS)
-            request.cold_luck = request.cold_luck or self._draw()
+            request.slow_start_draw = request.slow_start_draw or self._draw()
             self._asked = asked
-            self._is_admitted = request.cold_luck < self._fall_multiple * COLD_SHARE * left
+            self._is_admitted = request.slow_start_draw < self._fall_multiple * COLD_SHARE * left
         return self._is_admitted
 
     def _fit_share(self, now: float, ring: list[Server], reach: int) -> float:
--- a/fordtrestle/balancer/throttle.py
+++ b/fordtrestle/balancer/throttle.py
@@ -39,13 +39,13 @@
         self.trim(now)
 
     def clear(self) -> None:
-        """Forget all: what was counted tells nothing any more."""
+        """Forget all: what was counted is no evidence any more."""
         self._entries.clear()
         self.requests = 0
         self.accepts = 0.0
 
     def failure_share(self) -> float:
-        """The share of requests that were not accepted; a lone one tells nothing."""
+        """The share of requests that were not accepted; a lone one is no evidence."""
         return max(0.0, self.requests - self.accepts - 1.0) / max(1, self.requests)
 
     def trim(self, now: float) -> None:
--- a/fordtrestle/balancer/zones.py
+++ b/fordtrestle/balancer/zones.py
@@ -16,7 +16,7 @@
 from fordtrestle.balancer.servers import Attempt, Server
 from fordtrestle.balancer.subset import Subset
 
-SILENT_SERVERS = 2  # one may be down by itself
+UNRESPONSIVE_SERVERS = 2  # one may be down by itself
 TRIAL_INTERVAL_MS = 500.0  # between single trials of a partitioned zone
 HURRIED_INTERVALS = 4.0  # so many of them, where requests have no time for a trial
 FAILED_CONNECT_TIMEOUTS = 2.0  # after so many a new connection would have failed if it had not come up
@@ -29,30 +29,32 @@
     heard_at: float = -math.inf  # when one of them last answered, or took a new connection
     attempts: dict[Attempt, None] = field(default_factory=dict)  # those in flight, oldest first
     owing: set[str] = field(default_factory=set)  # servers that never answered
-    silent: dict[str, float] = field(default_factory=dict)  # where no new connection came up, by when asked
+    unresponsive: dict[str, float] = field(
+        default_factory=dict
+    )  # where no new connection came up, by when asked
     tried_at: float = -math.inf
 
-    def record_life(self, now: float) -> None:
-        """One of its servers gave a sign of life."""
-        self.heard_at, self.silent, self.owing = now, {}, set()
+    def record_response(self, now: float) -> None:
+        """One of its servers responded, or took a new connection."""
+        self.heard_at, self.unresponsive, self.owing = now, {}, set()
 
     def is_suspected(self, now: float, failed_by: float) -> bool:
-        """Whether several servers owe answers, with no sign of life since.
+        """Whether several servers owe answers, with no response since.
 
         A new connection that was begun before `failed_by`, and would have failed by now if it had not come
-        up, is a sign of life.
+        up, counts as one.
         """
         since = [attempt for attempt in self.attempts if attempt.sent_at >= self.heard_at]
         if any(attempt.is_new_connection and attempt.sent_at < failed_by for attempt in since):
-            self.record_life(now)
+            self.record_response(now)
             return False
         owing = {attempt.server.name for attempt in since if now >= attempt.stalls_at}
-        return len(owing | self.owing | self.silent.keys()) >= SILENT_SERVERS
+        return len(owing | self.owing | self.unresponsive.keys()) >= UNRESPONSIVE_SERVERS
 
     def wants_trial(self) -> bool:
-        """Whether too few new connections are on their way to tell."""
+        """Whether too few new connections are under way."""
         trying = {a.server.name for a in self.attempts if a.is_new_connection and a.sent_at >= self.heard_at}
-        return len(trying | self.silent.keys()) < SILENT_SERVERS
+        return len(trying | self.unresponsive.keys()) < UNRESPONSIVE_SERVERS
 
 
 class ZoneFailover:
@@ -90,7 +92,7 @@
         """Keep no record of servers that the endpoint list has forgotten."""
         for zone in self._zones.values():
             zone.owing = {name for name in zone.owing if name in known}
-            zone.silent = {name: since for name, since in zone.silent.items() if name in known}
+            zone.unresponsive = {name: since for name, since in zone.unresponsive.items() if name in known}
 
     def on_send(self, attempt: Attempt) -> None:
         """An attempt is sent."""
@@ -106,23 +108,23 @@
             attempt: Which one.
             status: How it ended.
             spent_ms: How long it took.
-            servers: All known servers; where a partition ends, nothing of it is held against them.
+            servers: All known servers; where a partition ends, it counts as no fault of theirs.
         """
         zone = self._zone(attempt.server)
         zone.attempts.pop(attempt, None)
         if status in ANSWERS:
-            for name in zone.silent if attempt.server.zone in self._partitioned else ():
+            for name in zone.unresponsive if attempt.server.zone in self._partitioned else ():
                 if name in servers:  # the way to it was at fault
                     servers[name].forget_faults()
-            zone.record_life(now)
-        elif attempt.sent_at >= zone.heard_at and self.was_silent(status, spent_ms):
+            zone.record_response(now)
+        elif attempt.sent_at >= zone.heard_at and self.is_unresponsive(status, spent_ms):
             if status == CONNECT_FAILED:
-                zone.silent.setdefault(attempt.server.name, attempt.sent_at)
+                zone.unresponsive.setdefault(attempt.server.name, attempt.sent_at)
             else:
                 zone.owing.add(attempt.server.name)
 
-    def was_silent(self, status: int, spent_ms: float) -> bool:
-        """Whether an attempt met no sign of life; a refused connection is one."""
+    def is_unresponsive(self, status: int, spent_ms: float) -> bool:
+        """Whether an attempt got no response; a refused connection is one."""
         never_up = status == CONNECT_FAILED and spent_ms >= REFUSED_SHARE * self._connect_timeout
         return never_up or status == TIMEOUT
 
@@ -132,11 +134,11 @@
             self.check(now)
         return server.zone in self._partitioned
 
-    def is_in_trouble(self, server: Server) -> bool:
+    def is_suspected_or_partitioned(self, server: Server) -> bool:
         """Whether a server's zone was suspected or partitioned as zones were last checked."""
         return server.zone in self._partitioned or server.zone in self._suspected
 
-    def any_in_trouble(self, now: float) -> bool:
+    def any_suspected_or_partitioned(self, now: float) -> bool:
         """Whether any zone is suspected or partitioned."""
         if now != self._checked_at:
             self.check(now)
@@ -146,11 +148,13 @@
         """Judge all zones anew."""
         self._checked_at = now
         zones = self._zones
-        # Where none has answered since, this sidecar itself may be cut off: that tells nothing of a zone.
+        # Where none has answered since, this sidecar itself may be cut off: that is no evidence of a zone.
         heard_at = max((zone.heard_at for zone in zones.values()), default=-math.inf)
-        silent = {name: zone.silent.values() for name, zone in zones.items()}
+        silent = {name: zone.unresponsive.values() for name, zone in zones.items()}
         partitioned = {
-            name for name, since in silent.items() if len(since) >= SILENT_SERVERS and min(since) < heard_at
+            name
+            for name, since in silent.items()
+            if len(since) >= UNRESPONSIVE_SERVERS and min(since) < heard_at
         }
         failed_by = now - FAILED_CONNECT_TIMEOUTS * self._connect_timeout
         self._suspected = {name for name, zone in zones.items() if zone.is_suspected(now, failed_by)}
--- a/tests/balancer/test_causes.py
+++ b/tests/balancer/test_causes.py
@@ -95,9 +95,9 @@
     made = balancer(servers=0)
     made.server_list(0.0, "all", [Listing(f"s{n}", zone=n // 2) for n in range(4)])
     for server in made._subset.servers:
-        made._zones._zone(server).record_life(0.0)
-    made._zones._zones[1].silent.update({"s2": 10.0, "s3": 10.0})
-    made._zones._zones[0].record_life(100.0)
+        made._zones._zone(server).record_response(0.0)
+    made._zones._zones[1].unresponsive.update({"s2": 10.0, "s3": 10.0})
+    made._zones._zones[0].record_response(100.0)
     made.server_list(200.0, "changes", [Listing("s0", state="leaving"), Listing("s1", state="leaving")])
     assert causes(made, 3, 200.0) == {Cause.CUT_OFF: 3}
 
--- a/tests/balancer/test_endurance.py
+++ b/tests/balancer/test_endurance.py
@@ -110,7 +110,7 @@
         made.server_list(now + 100.0, "changes", [Listing(f"n{wave}", zone=1, state="left")])
     assert tried >= 20
     assert len(made._servers) < 10
-    assert sum(len(zone.silent) for zone in made._zones._zones.values()) < 10
+    assert sum(len(zone.unresponsive) for zone in made._zones._zones.values()) < 10
 
 
 def test_a_gone_server_with_work_out_is_still_accounted_for():
