--- a/tests/admission/test_budgets.py
+++ b/tests/admission/test_budgets.py
@@ -1,6 +1,4 @@
-"""Budgets of the fleet: whatever the views of its sidecars, what they send adds up to no more than
-allowed.
-"""
+"""What the sidecars of a fleet send adds up to no more than its budgets, and rejections follow the callee."""
 
 from __future__ import annotations
 
@@ -13,7 +11,7 @@
 
 
 @given(st.integers(1, 60), st.floats(0.5, 40.0), st.floats(0.0, 10.0), st.integers(1, 400))
-def test_a_cold_server_gets_no_more_than_it_bears_in_any_second(sidecars, rate, slack, requests):
+def test_a_warming_server_gets_no_more_than_its_rate_in_any_second(sidecars, rate, slack, requests):
     names = [f"front-{n}" for n in range(sidecars)]
     budgets = [WarmUpBudget(1.5, slack, name) for name in names]
     bound = rate * 1.5 + slack
@@ -26,20 +24,20 @@
         assert inside <= max(1.0, bound)
 
 
-def test_a_cold_server_gets_something_from_a_large_fleet():
+def test_a_warming_server_gets_some_requests_of_a_large_fleet():
     names = [f"front-{n}" for n in range(380)]
     senders = [name for name in names if WarmUpBudget(1.5, 5.0, name).try_acquire("i-1", 9.9, names, 0.0)]
     assert 1 <= len(senders) <= 19
 
 
-def test_cold_counts_of_servers_that_are_forgotten_are_dropped():
+def test_counts_of_servers_that_are_not_retained_are_dropped():
     budget = WarmUpBudget(1.5, 5.0, "front-1")
     assert budget.try_acquire("i-1", 9.9, ["front-1"], 0.0)
     budget.retain(["i-2"])
     assert not budget._sent
 
 
-def test_second_sends_stay_within_ratio_and_allowance_of_the_window():
+def test_retries_stay_within_ratio_and_allowance_of_the_window():
     budgets = [RetryBudget(0.2, 52.0, 10.0) for _ in range(6)]
     repeats = requests = 0
     for step in range(1000):
@@ -51,7 +49,7 @@
     assert 0 < repeats <= 0.2 * requests + 52.0
 
 
-def test_the_budget_comes_back_with_time_and_is_kept_by_callee():
+def test_the_retry_budget_refills_with_time_and_is_counted_by_callee():
     budget = RetryBudget(0.0, 2.0, 10.0)
     assert budget.try_acquire("pool", 1, 0.0)
     assert not budget.try_acquire("pool", 1, 1.0)
@@ -59,7 +57,7 @@
     assert budget.try_acquire("pool", 1, 10.1)
 
 
-def test_refusals_grow_with_what_is_turned_away_and_each_counts_as_a_request():
+def test_a_callee_that_rejects_is_sent_less_and_each_local_rejection_counts_as_a_request():
     admission = AdmissionControl(lambda: 0.0)
     for step in range(40):
         admission.record_rejected("pool", step * 0.1)
@@ -70,7 +68,7 @@
     assert admission.admit("other", 4.0)
 
 
-def test_a_service_that_takes_requests_is_refused_nothing():
+def test_all_requests_to_a_callee_that_accepts_are_admitted():
     admission = AdmissionControl(lambda: 0.0)
     for step in range(100):
         admission.record_accepted("pool", step * 0.1)
--- a/tests/admission/test_priority_assigner.py
+++ b/tests/admission/test_priority_assigner.py
@@ -1,4 +1,4 @@
-"""Short prompts are told to be more urgent than long ones, as they stand among those of late."""
+"""Short prompts get higher priorities than long ones, by their rank among recent ones."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 )
 
 
-def test_nothing_is_said_of_requests_without_a_prompt_or_before_there_are_some_to_compare_with():
-    urgency = PriorityAssigner()
-    assert urgency.assign(None) is None
-    assert [urgency.assign(10) for _ in range(MIN_REMEMBERED - 1)] == [None] * (MIN_REMEMBERED - 1)
+def test_requests_without_a_prompt_and_the_first_ones_get_no_priority():
+    assigner = PriorityAssigner()
+    assert assigner.assign(None) is None
+    assert [assigner.assign(10) for _ in range(MIN_REMEMBERED - 1)] == [None] * (MIN_REMEMBERED - 1)
 
 
-def test_levels_follow_the_sizes_of_late_whatever_their_scale():
+def test_priorities_follow_the_rank_of_a_size_among_recent_ones_whatever_their_scale():
     for scale in (1, 1000):
-        urgency, rng = PriorityAssigner(), random.Random(1)
+        assigner, rng = PriorityAssigner(), random.Random(1)
         for _ in range(MAX_REMEMBERED):
-            urgency.assign(int(scale * rng.uniform(100, 1000)))
-        levels = [urgency.assign(scale * size) for size in (150, 550, 950)]
+            assigner.assign(int(scale * rng.uniform(100, 1000)))
+        levels = [assigner.assign(scale * size) for size in (150, 550, 950)]
         assert levels == [HIGHEST_LEVEL, HIGHEST_LEVEL + 1, HIGHEST_LEVEL + LEVELS - 1]
--- a/tests/routing/test_drain_policy.py
+++ b/tests/routing/test_drain_policy.py
@@ -23,14 +23,14 @@
         (OTHER, 0, 105.6, False),
     ],
 )
-def test_what_can_be_finished_is_taken(kind, tokens_out, arrived, taken):
+def test_requests_that_can_be_finished_are_accepted(kind, tokens_out, arrived, taken):
     assert DrainPolicy.draining(100.0, 107.0).accepts(kind, tokens_out, arrived) is taken
 
 
 @pytest.mark.parametrize("kind", RouteType)
-def test_a_sidecar_that_stays_takes_all(kind):
+def test_a_sidecar_that_does_not_drain_accepts_all(kind):
     assert DrainPolicy().accepts(kind, 0, 1e9)
 
 
-def test_with_a_long_grace_streams_are_taken_for_three_seconds_only():
+def test_with_a_long_grace_period_streams_of_unknown_length_are_accepted_for_three_seconds():
     assert not DrainPolicy.draining(100.0, 160.0).accepts(STREAM, 0, 103.1), "how long they last is not known"
--- a/tests/routing/test_json_members.py
+++ b/tests/routing/test_json_members.py
@@ -35,6 +35,6 @@
 
 
 @pytest.mark.parametrize("text", ["", "[]", "7", '{"a" 1}', '{"a":1', '{"a":[1 2]}', '{"a":[1', '{"a":}'])
-def test_what_is_no_object_is_refused(text):
+def test_a_text_that_is_no_object_raises(text):
     with pytest.raises(JsonSyntaxError):
         dict(iter_members(text))
--- a/tests/routing/test_long_configurations.py
+++ b/tests/routing/test_long_configurations.py
@@ -22,7 +22,7 @@
     return View({"z": "r"}, 1.0, 0.0)
 
 
-def tell(view: View, generation: int, routes: int, evacuated: tuple[str, ...] = ()) -> None:
+def configure(view: View, generation: int, routes: int, evacuated: tuple[str, ...] = ()) -> None:
     body = document(generation, routes)
     assert (len(body) > MAX_IMMEDIATE_PARSE_BYTES) == (routes == MANY)
     view.apply([control_item(ControlView(generation, generation, body, evacuated))], 0.0)
@@ -39,7 +39,7 @@
 
 def test_a_short_one_is_in_force_at_once():
     seen = view()
-    tell(seen, 1, 10)
+    configure(seen, 1, 10)
     assert seen.generation == 1
     assert not seen.has_unparsed
     seen.parse_step()
@@ -48,8 +48,8 @@
 
 def test_a_long_one_is_read_in_steps_and_the_one_before_holds_until_then():
     seen = view()
-    tell(seen, 1, 10)
-    tell(seen, 2, MANY, evacuated=("z",))
+    configure(seen, 1, 10)
+    configure(seen, 2, MANY, evacuated=("z",))
     assert seen.evacuated_zones == {"z"}, "an evacuation waits for nothing"
     for _ in range(MANY // ROWS_PER_STEP - 1):
         seen.parse_step()
@@ -63,10 +63,10 @@
 
 def test_one_that_is_begun_is_finished_and_then_the_newest_is_read():
     seen = view()
-    tell(seen, 1, MANY)
+    configure(seen, 1, MANY)
     seen.parse_step()
-    tell(seen, 2, MANY)
-    tell(seen, 3, MANY)
+    configure(seen, 2, MANY)
+    configure(seen, 3, MANY)
     generations = set()
     while seen.has_unparsed:
         seen.parse_step()
@@ -76,15 +76,15 @@
 
 def test_a_short_one_that_comes_meanwhile_is_newer():
     seen = view()
-    tell(seen, 1, MANY)
+    configure(seen, 1, MANY)
     seen.parse_step()
-    tell(seen, 2, MANY)
-    tell(seen, 3, 10)
+    configure(seen, 2, MANY)
+    configure(seen, 3, 10)
     assert seen.generation == 3
     assert not seen.has_unparsed
 
 
-def test_a_step_reads_no_more_rows_than_told(monkeypatch):
+def test_a_step_parses_no_more_rows_than_the_bound(monkeypatch):
     rows = []
     whole = table_module._parse_route
     monkeypatch.setattr(table_module, "_parse_route", lambda row: rows.append(row) or whole(row))
@@ -96,7 +96,7 @@
     assert len(rows) == MANY
 
 
-def test_both_ways_read_the_same():
+def test_parsing_at_once_and_in_steps_gives_the_same_routes():
     body = document(1, 10)
     table = parse_table(body)
     assert [table.match("a.example", f"/1/{n}/").name for n in range(10)] == [f"r-{n}" for n in range(10)]
--- a/tests/routing/test_outliers.py
+++ b/tests/routing/test_outliers.py
@@ -48,7 +48,7 @@
     assert is_outlier(OutcomeCounts(*server), [OutcomeCounts(*other) for other in others], 0.0) is expected
 
 
-def test_outcomes_count_less_as_time_goes_by_and_a_clock_that_stands_changes_nothing():
+def test_outcomes_decay_with_time_and_an_earlier_moment_changes_nothing():
     tally = OutcomeCounts()
     tally.add(0.0, 4.0, 10.0)
     assert tally.decayed(10.0).bad == 4.0
@@ -71,7 +71,7 @@
     assert ejection.start(ejection.until + FLAP_WINDOW_S) == BASE_EJECTION_S
 
 
-def test_two_failures_beside_others_that_do_well_eject_a_server_and_the_time_ends_by_itself():
+def test_two_failures_beside_healthy_servers_eject_a_server_until_its_time_is_over():
     bad, good = ServerHealth(), ServerHealth()
     assert not good.record_outcome(False, [bad.outcomes], 0.0)
     assert not bad.record_outcome(True, [good.outcomes], 0.0)
@@ -111,7 +111,7 @@
     assert left == sorted(left, key=lambda server: int(server.name))
 
 
-def test_own_evidence_goes_before_what_was_told():
+def test_where_not_all_may_be_left_out_own_evidence_goes_before_that_of_the_fleet():
     here = [Stub(str(number)) for number in range(3)]
     eject(here)
     here[1].health.own_ejection.start(0.0)
@@ -140,26 +140,26 @@
     return ejection_item(EjectionRecord(instance, lasts_s), None)
 
 
-def test_a_server_that_others_have_ejected_is_not_used_until_that_is_over():
+def test_a_server_that_the_fleet_has_ejected_is_not_usable_until_its_time_is_over():
     view, now = view_of("1", "2", "3"), PEERS_KNOWN_S
     view.apply([ejection("2")], now)
     assert usable(view, now) == {"1", "3"}
     assert usable(view, now + 5.0) == {"1", "2", "3"}
 
 
-def test_a_sidecar_that_has_just_started_does_not_take_up_what_may_be_long_over():
+def test_a_sidecar_that_has_just_started_follows_no_ejections():
     view = view_of("1", "2", "3")
     view.apply([ejection("2")], PEERS_KNOWN_S / 2)
     assert usable(view, PEERS_KNOWN_S / 2) == {"1", "2", "3"}
 
 
-def test_what_is_told_of_a_server_that_is_not_known_changes_nothing():
+def test_an_ejection_of_an_unknown_server_changes_nothing():
     view = view_of("1")
     view.apply([ejection("9")], PEERS_KNOWN_S)
     assert usable(view, PEERS_KNOWN_S) == {"1"}
 
 
-def test_the_last_servers_of_a_service_are_used_whatever_they_do():
+def test_the_last_two_servers_of_a_service_are_used_even_if_ejected():
     view, now = view_of("1", "2"), PEERS_KNOWN_S
     view.apply([ejection("1"), ejection("2")], now)
     assert usable(view, now) == {"1", "2"}
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""What is done next with a request, case by case, and what its earlier sends leave open."""
+"""What is decided next for a request, case by case, and what its earlier attempts leave open."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 NO_PROMPT = Prompt()
 HOST = "a.example"
 NOW = 100.0
-WANTED = RequestMetadata(HOST, "/a/x", NO_PROMPT, NOW, client_timeout_s=None)
+REQUEST = RequestMetadata(HOST, "/a/x", NO_PROMPT, NOW, client_timeout_s=None)
 ROUTE = {
     "name": "r",
     "authority": HOST,
@@ -37,7 +37,7 @@
 NO_SERVER = Reject(0.4, "no server may take it")
 
 
-def decider(servers=("i-1",), route=ROUTE, allowance=50.0, draw=0.5, **fields):
+def make_router(servers=("i-1",), route=ROUTE, allowance=50.0, draw=0.5, **fields):
     view = View({"z": "r"}, heartbeat_s=1.0, started_at=0.0)
     if route:
         document = {"generation": 1, "routes": [route], "services": [{"name": "pool"}]}
@@ -50,77 +50,77 @@
     return Router(view, AdmissionControl(lambda: draw), retries, selection, lambda: draw, **fields)
 
 
-def next_step(given, wanted=WANTED, attempts=None, now=NOW):
-    return given.next_step(wanted, attempts or RequestAttempts(), now)
+def next_step(router, request=REQUEST, attempts=None, now=NOW):
+    return router.next_step(request, attempts or RequestAttempts(), now)
 
 
-def test_a_request_is_sent_with_the_time_that_its_route_and_its_client_leave():
-    sent = next_step(decider())
+def test_a_request_is_sent_with_the_shorter_time_out_of_its_route_and_its_client():
+    sent = next_step(make_router())
     assert isinstance(sent, SendTo)
     assert (sent.callee, sent.server.instance, sent.deadline) == ("pool", "i-1", NOW + 4.0)
-    hurried = next_step(decider(), replace(WANTED, client_timeout_s=1.5))
+    hurried = next_step(make_router(), replace(REQUEST, client_timeout_s=1.5))
     assert isinstance(hurried, SendTo)
     assert hurried.deadline == NOW + 1.5
 
 
 @pytest.mark.parametrize(
-    ("given", "wanted", "step"),
+    ("router", "metadata", "step"),
     [
-        (decider(route=None), WANTED, WaitFor(NOW + 1.5, Reject(1.0, "no configuration yet"))),
-        (decider(), replace(WANTED, path="/b/"), UnknownRoute()),
-        (decider(), replace(WANTED, client_timeout_s=0.0), Reject(0.4, "the time is up")),
-        (decider(servers=()), WANTED, WaitFor(NOW + 1.2, NO_SERVER)),
-        (decider(servers=()), replace(WANTED, client_timeout_s=1.0), WaitFor(NOW + 0.3, NO_SERVER)),
+        (make_router(route=None), REQUEST, WaitFor(NOW + 1.5, Reject(1.0, "no configuration yet"))),
+        (make_router(), replace(REQUEST, path="/b/"), UnknownRoute()),
+        (make_router(), replace(REQUEST, client_timeout_s=0.0), Reject(0.4, "the time is up")),
+        (make_router(servers=()), REQUEST, WaitFor(NOW + 1.2, NO_SERVER)),
+        (make_router(servers=()), replace(REQUEST, client_timeout_s=1.0), WaitFor(NOW + 0.3, NO_SERVER)),
         (
-            decider(drain_policy=DrainPolicy.draining(NOW - 5.0, NOW)),
-            WANTED,
+            make_router(drain_policy=DrainPolicy.draining(NOW - 5.0, NOW)),
+            REQUEST,
             Reject(4.0, "this sidecar ends"),
         ),
     ],
     ids=["no configuration", "no route", "no time", "no server", "no server, short time", "it ends"],
 )
-def test_what_is_not_sent_waits_or_is_told_why(given, wanted, step):
-    assert next_step(given, wanted) == step
+def test_a_request_that_cannot_be_sent_waits_or_is_rejected_with_a_reason(router, metadata, step):
+    assert next_step(router, metadata) == step
 
 
-def test_the_window_refuses_before_any_send_and_is_asked_once():
-    given = decider(draw=0.0)
+def test_admission_control_rejects_before_the_first_send_and_is_asked_once():
+    router = make_router(draw=0.0)
     attempts = RequestAttempts(is_admitted=True)
     for _ in range(50):
-        given.admission.record_rejected("pool", NOW)
-    assert next_step(given) == Reject(0.4, "too many requests are turned away")
-    assert isinstance(next_step(given, attempts=attempts), SendTo)
+        router.admission.record_rejected("pool", NOW)
+    assert next_step(router) == Reject(0.4, "too many requests are turned away")
+    assert isinstance(next_step(router, attempts=attempts), SendTo)
 
 
-def test_a_second_send_goes_to_another_server_within_the_budget_and_does_not_wait():
+def test_a_retry_goes_to_another_server_within_the_budget_and_does_not_wait():
     attempts = RequestAttempts(is_admitted=True)
     attempts.record_send("i-1", rejected=True)
-    again = next_step(decider(("i-1", "i-2")), attempts=attempts)
+    again = next_step(make_router(("i-1", "i-2")), attempts=attempts)
     assert isinstance(again, SendTo)
     assert again.server.instance == "i-2"
-    spent = next_step(decider(("i-1", "i-2"), allowance=0.0), attempts=attempts)
+    spent = next_step(make_router(("i-1", "i-2"), allowance=0.0), attempts=attempts)
     assert spent == Reject(0.4, "the budget of second sends is used up")
-    assert next_step(decider(), attempts=attempts) == NO_SERVER
+    assert next_step(make_router(), attempts=attempts) == NO_SERVER
 
 
 def test_a_stream_is_resumed_elsewhere_as_far_as_its_route_and_its_time_allow():
     attempts = RequestAttempts(is_admitted=True)
     attempts.record_send("i-1", rejected=False)
     both, deadline = ("i-1", "i-2"), NOW + 4.0
-    resumed = decider(both).resume(WANTED, attempts, NOW, deadline)
+    resumed = make_router(both).resume(REQUEST, attempts, NOW, deadline)
     assert resumed is not None
     assert (resumed.server.instance, resumed.deadline) == ("i-2", deadline)
-    assert decider(both, {**ROUTE, "resumable": False}).resume(WANTED, attempts, NOW, deadline) is None
-    assert decider(both, {**ROUTE, "max_attempts": 1}).resume(WANTED, attempts, NOW, deadline) is None
-    assert decider(both, allowance=0.0).resume(WANTED, attempts, NOW, deadline) is None
-    assert decider().resume(WANTED, attempts, NOW, deadline) is None
-    assert decider(both).resume(WANTED, attempts, deadline, deadline) is None
+    assert make_router(both, {**ROUTE, "resumable": False}).resume(REQUEST, attempts, NOW, deadline) is None
+    assert make_router(both, {**ROUTE, "max_attempts": 1}).resume(REQUEST, attempts, NOW, deadline) is None
+    assert make_router(both, allowance=0.0).resume(REQUEST, attempts, NOW, deadline) is None
+    assert make_router().resume(REQUEST, attempts, NOW, deadline) is None
+    assert make_router(both).resume(REQUEST, attempts, deadline, deadline) is None
     attempts.connect_failures = 4
-    assert decider(both).resume(WANTED, attempts, NOW, deadline) is None
+    assert make_router(both).resume(REQUEST, attempts, NOW, deadline) is None
 
 
-def test_rejections_leave_more_open_than_runs():
-    route = decider().view.table.match(HOST, "/a/")
+def test_more_attempts_follow_rejections_than_runs():
+    route = make_router().view.table.match(HOST, "/a/")
     attempts = RequestAttempts()
     for number in range(3):
         attempts.record_send(f"i-{number}", rejected=True)
--- a/tests/routing/test_sidecar_selector.py
+++ b/tests/routing/test_sidecar_selector.py
@@ -76,7 +76,7 @@
 
 @pytest.mark.parametrize("kind", ["free", "bound", "alone"])
 @pytest.mark.parametrize("situation", ROWS)
-def test_who_is_named(situation, kind):
+def test_the_named_sidecars_follow_the_table_of_situations(situation, kind):
     row = ROWS[situation]
     members = [
         member("near", "z-1", "r-1", row.near),
@@ -84,12 +84,12 @@
         member("home", "z-3", "r-2", row.home),
         member("far", "z-4", "r-3", row.far),
     ]
-    asker = ClientLocation("r-1", "z-1", {"free": FREE, "bound": HOMES, "alone": OWN_ONLY}[kind])
-    named = SidecarSelector(members, set(row.linked.split())).select(asker, row.settled)
+    client = ClientLocation("r-1", "z-1", {"free": FREE, "bound": HOMES, "alone": OWN_ONLY}[kind])
+    named = SidecarSelector(members, set(row.linked.split())).select(client, row.settled)
     assert " ".join(one.node for one in named) == getattr(row, kind)
 
 
-def test_a_client_s_region_serves_it_also_where_it_is_no_home():
+def test_a_client_is_served_by_its_own_region_even_if_that_is_no_home():
     members = [member("near", "z-1", "r-1"), member("home", "z-3", "r-2")]
     assert (
         SidecarSelector(members, {"near", "home"}).select(ClientLocation("r-1", "z-1", ELSEWHERE), True)
@@ -120,15 +120,15 @@
     assert can_close(me, [me, member("far", "z-4", "r-3"), *of_region]) is may
 
 
-def test_of_those_that_are_told_to_end_together_the_first_by_name_goes_first():
+def test_sidecars_that_shut_down_together_close_in_the_order_of_their_names():
     leaving = [member(name, "z-1", "r-1", LEAVING) for name in "abc"]
     assert [can_close(me, leaving) for me in leaving] == [True, True, False], "the last one serves on"
 
 
-def test_how_far_a_client_is_sent():
+def test_reach_tells_how_far_the_named_sidecars_are():
     near, beside = member("near", "z-1", "r-1"), member("beside", "z-2", "r-1")
-    asker = ClientLocation("r-1", "z-1", FREE)
-    assert reach_of([], asker) is Reach.NOBODY
-    assert reach_of([near], asker) is Reach.ZONE
-    assert reach_of([near, beside], asker) is Reach.REGION
-    assert reach_of([near, member("far", "z-4", "r-3")], asker) is Reach.ELSEWHERE
+    client = ClientLocation("r-1", "z-1", FREE)
+    assert reach_of([], client) is Reach.NOBODY
+    assert reach_of([near], client) is Reach.ZONE
+    assert reach_of([near, beside], client) is Reach.REGION
+    assert reach_of([near, member("far", "z-4", "r-3")], client) is Reach.ELSEWHERE
