--- a/fordtrestle/proxy/http/call.py
+++ b/fordtrestle/proxy/http/call.py
@@ -4,98 +4,142 @@
 
 from typing import Protocol
 
-from fordtrestle.proxy.engine.driver import OpenRequest
-from fordtrestle.proxy.engine.ports import Answer
+from fordtrestle.proxy.engine.open_requests import OpenRequest
+from fordtrestle.proxy.engine.ports import UpstreamResponse
 from fordtrestle.proxy.http import requests
-from fordtrestle.proxy.http.held import HeldConnection
-from fordtrestle.proxy.http.requests import BadRequest, Message, RequestNames
+from fordtrestle.proxy.http.errors import BadRequestError
+from fordtrestle.proxy.http.requests import Message, RequestNames
+from fordtrestle.proxy.http.tracked_connection import TrackedConnection
 from fordtrestle.proxy.http.wire import Headers
 
 
-class OpenConnection(HeldConnection, Protocol):
-    """A connection whose client has said something, as its calls and the front see it."""
+class OpenConnection(TrackedConnection, Protocol):
+    """A connection whose client has said something, as its calls and the server see it.
 
-    held: int  # bytes in the front's accounting
+    Attributes:
+        buffered_bytes: What it holds, by the server's accounting.
+    """
+
+    buffered_bytes: int
 
     @property
-    def taken(self) -> int:
-        """Bytes of answers that its client's kernel has."""
+    def acknowledged_bytes(self) -> int:
+        """Bytes of responses that its client's kernel has."""
 
-    def has_left(self) -> bool:
+    def has_disconnected(self) -> bool:
         """Whether its client has closed or reset it."""
 
-    def answered(self) -> None:
-        """A call has its answer."""
+    def on_response(self) -> None:
+        """A call has its response."""
 
-    def over(self, call: ClientCall) -> None:
+    def on_call_over(self, call: ClientCall) -> None:
         """Nothing of a request is out any more."""
 
     def reject(self, status: int, text: str = "") -> None:
         """Answer what can't be read on from, once requests before it are answered."""
 
-    def end_with_this(self) -> None:
-        """Read no more requests: it ends with the answer to the last one read."""
+    def end_after_last(self) -> None:
+        """Read no more requests: it ends with the response to the last one read."""
 
 
 class ClientCall:
-    """One request on a connection, and its answer once there is one."""
+    """One request on a connection, and its response once there is one.
+
+    Attributes:
+        connection: Which it came on.
+        keep_alive: Whether the connection is kept behind its response.
+        request: What the engine knows it as, while it is open there.
+        response: Status, fields and body, once they are final.
+        traffic_class: Its class, by the index in the settings; also `tenant`.
+        key: A number that requests of the same user have in common.
+        work: What it is expected to cost, in seconds of a server's work.
+        again: Whether its client sends it again.
+        mutates: Whether its client says that it changes something.
+        budget: Milliseconds until its deadline, from its last byte.
+        names: By which its head was judged.
+        call_id: Its identity; empty if it is not for servers.
+        asks_for_counts: Whether it asks for this process's counts.
+        size_bytes: What it holds for as long as it may be sent.
+        charged_bytes: In the server's accounting, from taking it until nothing of it is out.
+    """
 
     __slots__ = (
-        *("_body", "_head", "again", "answer", "traffic_class", "budget", "call_id", "charged", "connection"),
-        *("counts", "keep_alive", "key", "mutates", "names", "request", "size", "tenant", "work"),
+        "_body",
+        "_head",
+        "again",
+        "asks_for_counts",
+        "budget",
+        "call_id",
+        "charged_bytes",
+        "connection",
+        "keep_alive",
+        "key",
+        "mutates",
+        "names",
+        "request",
+        "response",
+        "size_bytes",
+        "tenant",
+        "traffic_class",
+        "work",
     )
 
     def __init__(self, connection: OpenConnection) -> None:
+        """Begin with a request of which nothing is known yet."""
         self.connection = connection
         self.keep_alive = True
         self.request: OpenRequest | None = None
-        self.answer: tuple[int, Headers, bytes] | None = None
+        self.response: tuple[int, Headers, bytes] | None = None
         self.traffic_class = self.tenant = 0
         self.key: int | None = None
         self.work: float | None = None
         self.again = self.mutates = False
         self.budget = 0.0
-        self.names: RequestNames | None = None  # by which its head was judged
+        self.names: RequestNames | None = None
         self.call_id = ""
-        self.counts = False  # it asks whether this process is ready, and for its counts
-        self.size = 0  # bytes that it holds for as long as it may be sent
-        self.charged = 0  # bytes in the front's accounting, from taking it until nothing of it is out
+        self.asks_for_counts = False
+        self.size_bytes = 0
+        self.charged_bytes = 0
         self._head = b""
         self._body = b""
 
-    def read(self, message: Message, names: RequestNames) -> None:
-        """Take in the head of a request for servers; `BadRequest` says what is wrong with it."""
-        kind = requests.class_of(message, names)
+    def read_head(self, message: Message, names: RequestNames) -> None:
+        """Take in the head of a request for servers.
+
+        Raises:
+            BadRequestError: A field is missing, can't be read, or names what is not in `names`.
+        """
+        kind = requests.resolve_class(message, names)
         self.names = names
         self.traffic_class = kind.traffic_class
-        self.budget = requests.budget_of(message.needed("x-budget"))
-        self.call_id = message.needed("x-call-id")
+        self.budget = requests.parse_budget(message.require("x-budget"))
+        self.call_id = message.require("x-call-id")
         if requests.IDENTITY.fullmatch(self.call_id) is None:
-            raise BadRequest(400, "X-Call-Id: not an identity")
+            raise BadRequestError(400, "X-Call-Id: not an identity")
         if names.tenants:
-            tenant = names.tenants.get(message.needed("x-caller"))
+            tenant = names.tenants.get(message.require("x-caller"))
             if tenant is None:
-                raise BadRequest(400, "X-Caller: not known")
+                raise BadRequestError(400, "X-Caller: not known")
             self.tenant = tenant
-        user = requests.cookie(message.text("cookie") or "", "user")
+        user = requests.find_cookie(message.text("cookie") or "", "user")
         self.key = None if user is None else requests.stable_number(user)
         cost = message.text("x-call-cost")
-        self.work = None if cost is None else requests.cost_of(cost)
+        self.work = None if cost is None else requests.parse_cost(cost)
         self.again = message.text("x-again") == "1"
         self.mutates = "Mutates=1" in (message.text("x-call-info") or "").split(",")
         self._head = b"%b %b HTTP/1.1\r\n%b" % (
             message.method.encode(),
             message.target,
-            message.passed_on(),
+            message.encode_forwarded_fields(),
         )
 
-    def whole(self, message: Message) -> None:
+    def set_body(self, message: Message) -> None:
         """Take in the body."""
         self._body = bytes(message.body)
-        # Guards against a body without a length, which a server would read as the next request.
+        # Guards against a body without a length (RFC 9112, 6.3): a server would read it as the next request.
         if message.method != "GET" or self._body:
             self._head += b"Content-Length: %d\r\n" % len(self._body)
-        self.size = len(self._head) + len(self._body)
+        self.size_bytes = len(self._head) + len(self._body)
 
     @property
     def body_size(self) -> int:
@@ -103,30 +147,30 @@
         return len(self._body)
 
     def wire(self, left: float) -> bytes | None:
-        """The request for a server that has `left` milliseconds; None where its client has left."""
-        if self.connection.has_left():
+        """Encode the request for a server that has `left` milliseconds; None where its client has left."""
+        if self.connection.has_disconnected():
             return None
         return b"%bX-Budget: %du\r\n\r\n%b" % (self._head, max(0.0, left) * 1000.0, self._body)
 
-    def served(self, answer: Answer) -> None:
-        """The final answer: a server's, its body unchanged."""
+    def served(self, answer: UpstreamResponse) -> None:
+        """Respond with a server's answer, its body unchanged."""
         self._finish(200, answer.headers, answer.body)
 
     def refused(self, retry_after: float) -> None:
-        """The final answer: refused, with when to come back if that was said."""
+        """Respond 503, with when to come back if `retry_after` says so (ms; RFC 9110, 10.2.3)."""
         wait = [(b"Retry-After", b"%.3f" % (retry_after / 1000.0))] if retry_after > 0.0 else []
         self._finish(503, wait, b"")
 
     def failed(self, late: bool) -> None:
-        """The final answer: failed."""
+        """Respond 504 if it is too late for another attempt, else 502."""
         self._finish(504 if late else 502, [], b"")
 
-    def over(self) -> None:
+    def on_finished(self) -> None:
         """No attempt is out any more: its identity may come again."""
         self.request = None
-        self.connection.over(self)
+        self.connection.on_call_over(self)
 
     def _finish(self, status: int, headers: Headers, body: bytes) -> None:
-        if self.answer is None:
-            self.answer = (status, headers, body)
-            self.connection.answered()
+        if self.response is None:
+            self.response = (status, headers, body)
+            self.connection.on_response()
--- a/tests/proxy/daemon/test_long.py
+++ b/tests/proxy/daemon/test_long.py
@@ -4,11 +4,11 @@
 
 import gc
 
-from fordtrestle.balancer import balancer
-from fordtrestle.proxy.engine.driver import OpenAttempt, OpenRequest
+from fordtrestle.balancer import affinity, known_servers
+from fordtrestle.proxy.engine.open_requests import OpenAttempt, OpenRequest
 from fordtrestle.proxy.http.call import ClientCall
-from fordtrestle.proxy.http.downstream import ClientConnection
-from fordtrestle.proxy.http.upstream import UpstreamExchange
+from fordtrestle.proxy.http.client_connection import ClientConnection
+from fordtrestle.proxy.http.upstream_connection import UpstreamExchange
 from fordtrestle.proxy.membership.list_format import parse_list
 from tests.loopback import OK, App, Upstream, entry, listed, loopback, make_platform_config, running, until
 
@@ -23,10 +23,12 @@
 
 @loopback
 async def test_sizes_are_back_to_bounds_after_a_day_of_ever_new_ids(monkeypatch):
-    """Guards against what grows by the id: each turn all servers are new, at the old addresses and
-    with no word of those that are gone, and so are clients, keys and identities.
+    """Guards against what grows by the id.
+
+    Each turn all servers are new, at the old addresses and with no update of those that left, and so are
+    clients, keys and identities.
     """
-    monkeypatch.setattr(balancer, "FORGET_MS", -1.0)
+    monkeypatch.setattr(known_servers, "FORGET_MS", -1.0)
     upstreams = [await Upstream([OK]).start() for _ in range(3)]
     async with running(*upstreams, Domain={"WarmKeys": True}) as sidecar:
         before = alive()
@@ -42,14 +44,14 @@
                 served += (await app.answer()).body == b"done"
                 app.close()
         assert served > 0.9 * TURNS * CLIENTS
-        await until(lambda: sidecar.front.empty and not sidecar.driver._requests)
+        await until(lambda: sidecar.front.is_empty and not sidecar.driver._requests)
         module, pool = sidecar.driver._balancer, sidecar.pool
         assert len(pool._servers) == len(module._servers) == len(upstreams)
-        assert not sidecar.front._calls
-        assert not sidecar.front.table.at_rest
+        assert not sidecar.front.intake.open_calls
+        assert not sidecar.front.table.idle_count
         await until(lambda: pool._connections == {c for s in pool._servers.values() for c in s.idle})
-        assert not pool._opening
+        assert not pool._dialer.connecting
         assert not module._requests
-        assert len(module._key_counts) <= len(module._keys) <= balancer.KEY_MEMORY
-        assert module._resting.keys() <= module._servers.keys()
+        assert len(module._affinity._key_counts) <= len(module._affinity._keys) <= affinity.KEY_MEMORY
+        assert module._ejection._resting.keys() <= module._servers.keys()
         assert alive() <= before
--- a/tests/proxy/daemon/test_overload.py
+++ b/tests/proxy/daemon/test_overload_monitor.py
@@ -1,4 +1,4 @@
-"""The watch over a process: pressure on real fronts and services, stalls, limits that move, two fronts."""
+"""The overload monitor: pressure on real HTTP servers and services, stalls, limits that move, two servers."""
 
 from __future__ import annotations
 
@@ -12,10 +12,11 @@
 
 from fordtrestle.balancer.model import Fail, Outcome, Probe, Send
 from fordtrestle.proxy.config import operator_file
-from fordtrestle.proxy.daemon import overload as watch
+from fordtrestle.proxy.daemon import overload_monitor
+from fordtrestle.proxy.daemon.resident_memory import ResidentMemory
 from fordtrestle.proxy.daemon.standalone import Standalone
-from fordtrestle.proxy.engine.connections import ConnectionTable, TableOptions
-from fordtrestle.proxy.engine.pressure import RULES, Action, Monitor, Pressure, Rule
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, TableOptions
+from fordtrestle.proxy.engine.pressure import RULES, Monitor, PressureAction, PressureRule, PressureRules
 from tests import loopback as partners
 from tests.loopback import OK, SETTINGS, App, Scripted, Upstream, hang, loopback, request, running, until
 from tests.proxy.http.test_holding import NO_GUARANTEES, narrow
@@ -29,22 +30,22 @@
 
 @pytest.fixture
 def quick(monkeypatch):
-    """Looks every 20 ms."""
-    monkeypatch.setattr(watch, "LOOK_S", 0.02)
+    """Checks every 20 ms."""
+    monkeypatch.setattr(overload_monitor, "CHECK_INTERVAL_S", 0.02)
 
 
 @pytest.mark.usefixtures("quick")
 @loopback
-async def test_while_nothing_is_held_nothing_is_looked_at():
+async def test_while_nothing_is_open_no_check_is_scheduled():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        assert sidecar.overload._next is None
+        assert sidecar.overload._timer is None
         app = await App.connect(sidecar.address)
         await app.ask()
-        assert sidecar.overload._next is not None
+        assert sidecar.overload._timer is not None
         app.close()
         sidecar.pool.shrink(-1.0)
-        await until(lambda: sidecar.overload._next is None)
+        await until(lambda: sidecar.overload._timer is None)
 
 
 @pytest.mark.usefixtures("quick")
@@ -62,21 +63,21 @@
         for app in deaf:
             app.writer.transport.pause_reading()
             app.writer.write(b"".join(request() for _ in range(8)))
-        await until(lambda: len(sidecar.front._stuck) == 25)
-        other = sidecar.limits.buffered.part("another front")
-        assert other.take(sidecar.limits.buffered.capacity // 2)
+        await until(lambda: len(sidecar.front.buffers.stalled) == 25)
+        other = sidecar.limits.buffered.add_share("another front")
+        assert other.acquire(sidecar.limits.buffered.capacity // 2)
         resident = 99 * 2**20
         await until(lambda: module._shedder.pressure > 0.8)
-        assert sidecar.overload.pressure.on(Action.PAUSE_ACCEPTING)
-        assert sidecar.driver.optional is False
-        assert sidecar.front.table.hurried
+        assert sidecar.overload.pressure.is_on(PressureAction.PAUSE_ACCEPTING)
+        assert sidecar.driver.allows_optional_work is False
+        assert sidecar.front.table.shorten_idle
         for app in deaf:
             app.close()
-        await until(lambda: sidecar.limits.buffered.held == other.held)
+        await until(lambda: sidecar.limits.buffered.used == other.used)
         assert module._shedder.pressure > 0.8
-        other.give(other.held)  # what is resident stays
+        other.release(other.used)  # what is resident stays
         await until(lambda: module._shedder.pressure == 0.0)
-        await until(lambda: sidecar.driver.optional and not sidecar.front.table.hurried)
+        await until(lambda: sidecar.driver.allows_optional_work and not sidecar.front.table.shorten_idle)
         upstream.replies = [OK]
         good = await App.connect(sidecar.address)
         assert status_of(await good.ask()) == 200
@@ -96,14 +97,14 @@
         app = await App.connect(sidecar.address)
         assert status_of(await app.ask()) == 200
         (idle,) = sidecar.pool._idle
-        idle.idle_since -= 2000.0
+        idle.idle_since_ms -= 2000.0
         rules = [
-            Rule(Action.SHRINK_POOLS, Monitor.DESCRIPTORS, 1e-9, 0.0),
-            Rule(Action.STOP_OPTIONAL, Monitor.DESCRIPTORS, 1e-9, 0.0),
+            PressureRule(PressureAction.SHRINK_POOLS, Monitor.DESCRIPTORS, 1e-9, 0.0),
+            PressureRule(PressureAction.STOP_OPTIONAL, Monitor.DESCRIPTORS, 1e-9, 0.0),
         ]
-        sidecar.overload.pressure = Pressure(rules)
+        sidecar.overload.pressure = PressureRules(rules)
         await until(lambda: not sidecar.pool._idle)
-        sidecar.driver._act(Probe("s0"))
+        sidecar.driver._perform(Probe("s0"))
         await until(lambda: module.named("probe_result"))
         assert module.named("probe_result")[0][1] == Outcome.ABANDONED
         assert len(upstream.seen) == 1
@@ -209,7 +210,7 @@
 
 
 @loopback
-async def test_a_front_that_was_idle_gets_its_part_at_once_though_the_other_has_borrowed_all(tmp_path):
+async def test_a_server_that_was_idle_gets_its_share_at_once_though_the_other_has_borrowed_all(tmp_path):
     upstream = await Upstream([OK]).start()
     made, _, one, two = await standalone(tmp_path, upstream, 64)
     busy = [await App.connect(one) for _ in range(60)]
@@ -217,7 +218,7 @@
     for _ in range(3):
         quiet = await App.connect(two)
         assert status_of(await quiet.ask(**ask())) == 200
-    assert made.limits.descriptors.held <= made.limits.descriptors.capacity
+    assert made.limits.descriptors.used <= made.limits.descriptors.capacity
     for app in busy:
         app.close()
     made.close()
@@ -242,11 +243,11 @@
     busy = [await App.connect(one) for _ in range(10)]
     for app in busy:
         app.send(**ask())
-    await until(lambda: made.limits.calls.held == 10)
+    await until(lambda: made.limits.calls.used == 10)
     file.write_text(file.read_text().replace("descriptors = 200", "descriptors = 50"))
     made.reload()
     assert made.limits.descriptors.capacity == 26
-    await until(lambda: made.limits.descriptors.over == 0)
+    await until(lambda: made.limits.descriptors.excess == 0)
     release.set()
     for app in busy:
         assert status_of(await app.answer()) == 200
@@ -258,28 +259,28 @@
 
 
 def test_resident_memory_is_that_of_this_process_and_nothing_where_it_can_not_be_read(tmp_path, capsys):
-    resident = watch.Resident()
+    resident = ResidentMemory()
     before = resident.read()
     ballast = bytearray(b"x") * (32 * 2**20)
     assert before + 24 * 2**20 < resident.read() < before + 64 * 2**20
     del ballast
     resident.close()
     assert resident.read() == 0
-    assert watch.Resident(str(tmp_path / "missing")).read() == 0
+    assert ResidentMemory(str(tmp_path / "missing")).read() == 0
     assert "resident memory is not watched" in capsys.readouterr().err
 
 
-def test_under_pressure_who_rests_is_closed_sooner():
-    made = ConnectionTable(TableOptions(100, hurried_rest_ms=500.0, crowded_rest_ms=2000.0))
-    entries = [made.open(name, 0.0) for name in ("once", "often")]
+def test_under_pressure_idle_connections_expire_sooner():
+    made = ConnectionTable(TableOptions(100, pressure_idle_timeout_ms=500.0, crowded_idle_timeout_ms=2000.0))
+    entries = [made.add(name, 0.0) for name in ("once", "often")]
     for entry, asks in zip(entries, (1, 5), strict=True):
         for _ in range(asks):
-            made.ask(entry, 0.0)
-            made.rest(entry, 0.0)
-    assert made.rested(1000.0) == []
-    made.hurried = True
-    assert made.rested(1000.0) == entries[:1]
-    assert made.rested(2000.0) == entries
+            made.on_request(entry, 0.0)
+            made.on_idle(entry, 0.0)
+    assert made.expired_idle(1000.0) == []
+    made.shorten_idle = True
+    assert made.expired_idle(1000.0) == entries[:1]
+    assert made.expired_idle(2000.0) == entries
 
 
 @loopback
--- a/tests/proxy/http/test_front.py
+++ b/tests/proxy/http/test_server.py
@@ -10,9 +10,9 @@
 
 from fordtrestle.balancer.model import Fail, Refuse, Timer
 from fordtrestle.proxy.engine.clock import Clock
-from fordtrestle.proxy.engine.connections import ConnectionTable, TableOptions
+from fordtrestle.proxy.engine.connection_table import ConnectionTable, TableOptions
 from fordtrestle.proxy.engine.limits import Limits
-from fordtrestle.proxy.http import downstream, requests
+from fordtrestle.proxy.http import client_connection, requests
 from fordtrestle.proxy.membership import list_format
 from tests import loopback as partners
 from tests.loopback import (
@@ -99,7 +99,7 @@
     async with running(balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         assert status_of(await app.ask(X_Budget="60m")) == 504
-        assert sidecar.driver.idle
+        assert sidecar.driver.is_idle
         assert not sidecar.driver._requests
 
 
@@ -127,7 +127,7 @@
         await until(lambda: upstream.seen)
         app.close()
         await until(lambda: module.named("client_gone"))
-        assert sidecar.driver.idle
+        assert sidecar.driver.is_idle
         await until(lambda: module.outcomes())
         assert [last for _, _, last in module.outcomes()] == [True]
         assert not sidecar.driver._requests
@@ -237,7 +237,7 @@
 
 @virtual
 async def test_a_half_sent_request_does_not_stay_for_ever(monkeypatch):
-    monkeypatch.setattr(downstream, "HALF_SENT_S", 0.05)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.05)
     module = Scripted()
     async with running(balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
@@ -283,12 +283,14 @@
 
 @virtual
 async def test_who_asked_once_and_keeps_its_connection_gives_way_to_who_has_not_asked():
-    """Guards against the incident of r0b312c: clients that ask once and keep their connection hold
-    all that clients may, and nobody else asks until the sidecar closes one.
+    """Guards against the incident of r0b312c.
+
+    Clients that ask once and keep their connection hold all that clients may, and nobody else asks until the
+    sidecar closes one.
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(clients_most=8, once_rest_ms=1e9))
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=8, once_idle_timeout_ms=1e9))
         keeping = []
         for _ in range(40):
             if len(keeping) == 8:
@@ -304,7 +306,7 @@
 async def test_who_has_come_back_keeps_its_connection_while_others_ask_once():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(clients_most=8, once_rest_ms=1e9))
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=8, once_idle_timeout_ms=1e9))
         proven = [await App.connect(sidecar.address) for _ in range(4)]
         for app in proven * 2:
             assert status_of(await app.ask()) == 200
@@ -318,7 +320,7 @@
 async def test_who_asked_once_is_closed_after_a_while_even_where_there_is_room():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(clients_most=100, once_rest_ms=100.0))
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=100, once_idle_timeout_ms=100.0))
         once, often = await App.connect(sidecar.address), await App.connect(sidecar.address)
         for app in (often, often, once):
             assert status_of(await app.ask()) == 200
@@ -331,9 +333,7 @@
     upstream = await Upstream([OK, hang]).start()
     async with running(upstream) as sidecar:
         sidecar.front.budget = Limits(3, 2**20, 100).budget("clients")
-        sidecar.front.table = ConnectionTable(
-            TableOptions(clients_most=9, patience_least_ms=0.0, patience_most_ms=0.0)
-        )
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=9, min_grace_ms=0.0, max_grace_ms=0.0))
         resting, waiting, silent = [await App.connect(sidecar.address) for _ in range(3)]
         assert status_of(await resting.ask()) == 200
         waiting.send()
@@ -360,8 +360,9 @@
 
 @virtual
 async def test_a_flood_of_silent_connections_does_not_keep_out_who_asks(monkeypatch):
-    """Guards against turning good requests away for connections that never ask, and against
-    accepting more in one turn than can be closed in it.
+    """Guards against turning good requests away for connections that never ask.
+
+    And against accepting more in one turn than can be closed in it.
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 128}}) as sidecar:
@@ -378,12 +379,12 @@
 async def test_who_never_ends_a_first_request_is_told_so_or_closed(sent, monkeypatch):
     module = Scripted()
     async with running(balancer=module) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(clients_most=100, first_ms=100.0))
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=100, first_request_timeout_ms=100.0))
         app = await App.connect(sidecar.address)
         app.writer.write(sent)
         answer = await app.answer()
         assert answer is None if not sent else status_of(answer) == 408
-        await until(lambda: sidecar.front.empty)
+        await until(lambda: sidecar.front.is_empty)
         assert module.named("request") == []
 
 
@@ -403,18 +404,18 @@
         second = await App.connect(sidecar.address)
         assert status_of(await second.ask(X_Call_Id="abc")) == 409
         upstream.writers[0].transport.abort()
-        await until(lambda: not sidecar.front._calls)
+        await until(lambda: not sidecar.front.intake.open_calls)
         second = await App.connect(sidecar.address)
         assert status_of(await second.ask(X_Call_Id="abc")) == 200
         assert len(upstream.seen) == 2
-        await until(lambda: not sidecar.front._calls)
+        await until(lambda: not sidecar.front.intake.open_calls)
 
 
 @pytest.mark.parametrize("raw", [b"\x00\x01\r\n\r\n", partners.request("GET", "/look", X_Caller="nobody")])
 @virtual
 async def test_what_is_turned_away_does_not_wait_for_long_behind_an_open_request(raw, monkeypatch):
     """Each request gets its one answer, in order; the open one fails, since its client sends rubbish."""
-    monkeypatch.setattr(downstream, "OWED_S", 0.05)
+    monkeypatch.setattr(client_connection, "REJECTION_TIMEOUT_S", 0.05)
     upstream = await Upstream([hang]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -507,4 +508,4 @@
         answer = await busy.answer()
         assert (answer.body, answer.headers["connection"]) == (b"done", "close")
         await drain
-        assert sidecar.front.empty
+        assert sidecar.front.is_empty
