--- a/benchmarks/load_accuracy.py
+++ b/benchmarks/load_accuracy.py
@@ -124,7 +124,7 @@
 def _send_once(
     truth: Truth, text: str, beside: Path, plan: Plan, stall_s: tuple[float, float] | None
 ) -> Sent:
-    made = schedule.made(spec.parse(text, "load"), beside)
+    made = schedule.make_schedule(spec.parse(text, "load"), beside)
     samples: list[Sample] = []
 
     def started(start_ns: int) -> None:
@@ -342,7 +342,7 @@
     )
     arrivals += f"off_per_s = 0\noff_s = {BURST_EVERY_S - 0.001}\n"
     text = LOAD.format(port=1, seed=seed, length=f"length_s = {length_s}", arrivals=arrivals)
-    made = schedule.made(spec.parse(text, "trace"), Path("."))
+    made = schedule.make_schedule(spec.parse(text, "trace"), Path("."))
     rows = (request._replace(key=f"{number}") for number, request in enumerate(made.requests()))
     return trace.write(path, rows, made.length_us)
 
--- a/fordtrestle/cli/load.py
+++ b/fordtrestle/cli/load.py
@@ -14,18 +14,16 @@
 
 from fordtrestle.cli.exit_codes import EXIT_BAD_INPUT, EXIT_DONE, EXIT_FAILED
 from fordtrestle.load import plot, report, trace
-from fordtrestle.load.arrivals import US
+from fordtrestle.load.arrivals import US_PER_S
 from fordtrestle.load.errors import GeneratorError, LoadError, SpecError
 from fordtrestle.load.generator import Generator, Run
 from fordtrestle.load.recorder import library
-from fordtrestle.load.schedule import Schedule, made
-from fordtrestle.load.spec import Spec, parse
+from fordtrestle.load.schedule import Schedule, make_schedule
+from fordtrestle.load.spec import MAX_SEED, MAX_WORKERS, Spec, parse
 from fordtrestle.proxy.engine.ports import parse_address
 
 ON_STANDARD_OUTPUT = "-"  # value of --json where it names no file
 CLEAR_LINE = "\r\x1b[K"  # back to the line's begin, then erase it (ECMA-48)
-MAX_SEED = 2**63  # as in the load file
-MAX_WORKERS = 64  # as in the load file
 
 
 class OptionError(LoadError):
@@ -138,7 +136,7 @@
     Raises:
         LoadError: One of them is not valid, or an option is not.
     """
-    return made(_read_spec(arguments, file), Path(file).parent)
+    return make_schedule(_read_spec(arguments, file), Path(file).parent)
 
 
 def _check_writable(option: str, file: str) -> Path:
@@ -175,7 +173,7 @@
     """`load check SPEC`: print how many requests a load has, without sending any."""
     schedule = _read_schedule(arguments, files[0])
     count = sum(1 for _ in schedule.requests())
-    length_s = schedule.length_us / US
+    length_s = schedule.length_us / US_PER_S
     if arguments.json:
         print(json.dumps({"file": files[0], "good": True, "requests": count, "length_s": length_s}))
     else:
@@ -198,14 +196,14 @@
     return EXIT_DONE
 
 
-def _trace_row(file: str, summary: trace.Summary) -> dict[str, Any]:
+def _trace_row(file: str, summary: trace.TraceSummary) -> dict[str, Any]:
     """The JSON object of one trace; its keys are shown to users and stay."""
     return {
         "file": file,
         "requests": summary.requests,
-        "length_s": summary.length_us / US,
-        "most_in_a_second": summary.most_in_a_second,
-        "classes": summary.kinds,
+        "length_s": summary.length_us / US_PER_S,
+        "most_in_a_second": summary.max_requests_per_second,
+        "classes": summary.classes,
         "tenants": summary.tenants,
     }
 
--- a/fordtrestle/load/generator.py
+++ b/fordtrestle/load/generator.py
@@ -18,7 +18,7 @@
 
 from fordtrestle.load.errors import GeneratorError
 from fordtrestle.load.recorder import Recorder
-from fordtrestle.load.samples import FAILURE, READY, SAMPLES, SUMMARY, Frames, Sample, samples
+from fordtrestle.load.samples import FAILURE, READY, SAMPLES, SUMMARY, FrameDecoder, Sample, decode_samples
 from fordtrestle.load.schedule import Schedule
 from fordtrestle.load.spec import Spec
 from fordtrestle.load.worker import Job
@@ -64,7 +64,7 @@
     process: Any
     control: Pipe
     pipe: Pipe
-    frames: Frames = field(default_factory=Frames)
+    frames: FrameDecoder = field(default_factory=FrameDecoder)
     ready: bool = False
     summed: bool = False
 
@@ -93,7 +93,7 @@
         self._run = Run(Recorder(spec.classes, schedule.tenants))
         self._workers: list[_Worker] = []
         # Nothing of a second can come after the longest budget, the grace and a moment of delay.
-        self._open_s = schedule.budget_most_us / 1e6 + spec.grace_ms / 1e3 + 2.0
+        self._open_s = schedule.max_budget_us / 1e6 + spec.grace_ms / 1e3 + 2.0
 
     def run(self) -> Run:
         """Send everything and wait for all answers; `GeneratorError` where it can't begin."""
@@ -179,7 +179,7 @@
 
     def _frame(self, worker: _Worker, what: bytes, body: bytes) -> None:
         if what == SAMPLES:
-            for sample in samples(body):
+            for sample in decode_samples(body):
                 self._run.recorder.add(sample)
                 if self._sample is not None:
                     self._sample(sample)
--- a/fordtrestle/load/mix.py
+++ b/fordtrestle/load/mix.py
@@ -1,4 +1,4 @@
-"""What each request is: its class, tenant, key and size, by stated shares. Pure; draws are handed in."""
+"""What each request is: its class, tenant, key and size, drawn by shares. Pure; draws are passed in."""
 
 from __future__ import annotations
 
@@ -12,24 +12,30 @@
 
 from fordtrestle.load.arrivals import Draw
 
-KEYS_MOST = 1_000_000  # distinct keys; eight bytes each
-SIZE_MOST = 64 * 1024  # bytes of a body
-SPREAD = 0x9E3779B97F4A7C15  # odd: ranks times this, in 64 bits, are all different
+MAX_KEYS = 1_000_000  # distinct keys; the weights take eight bytes for each
+MAX_BODY_BYTES = 64 * 1024  # the most that the trace format and a load file can name
+# Fibonacci hashing (2**64 over the golden ratio): it is odd, so that the products of different ranks differ.
+KEY_MULTIPLIER = 0x9E3779B97F4A7C15
+KEY_MASK = 0xFFFFFFFFFFFFFFFF  # 64 bits, which are 16 hexadecimal digits
 
 
 class Request(NamedTuple):
-    """One request as it is meant: when, in microseconds from the start, and what."""
+    """One intended request; an empty tenant or key means that it has none."""
 
-    at_us: int
-    kind: str  # its class
+    at_us: int  # intended send time, in microseconds from the start
+    class_name: str
     tenant: str
-    key: str  # empty: none
+    key: str
     budget_us: int
     size: int  # bytes of the body
 
 
-class Shares:
-    """Numbers from 0, drawn by weights; `ValueError` where none weighs anything."""
+class WeightedChoice:
+    """Draws indexes from 0, each in proportion to its weight.
+
+    Raises:
+        ValueError: No weight is above 0, or they are not finite.
+    """
 
     def __init__(self, weights: Iterable[float]) -> None:
         sums = array("d", accumulate(weights))
@@ -38,63 +44,88 @@
         self._sums = sums
 
     def pick(self, draw: Draw) -> int:
-        """One of them."""
+        """An index; takes one draw."""
         return min(bisect_right(self._sums, draw() * self._sums[-1]), len(self._sums) - 1)
 
 
-def zipf(count: int, exponent: float) -> Shares:
-    """Ranks from 0, each with a weight of its place to the power of minus `exponent`."""
-    if not 1 <= count <= KEYS_MOST:
-        raise ValueError(f"keys are from 1 to {KEYS_MOST}")
-    return Shares(place**-exponent for place in range(1, count + 1))
+def zipf_choice(count: int, exponent: float) -> WeightedChoice:
+    """A choice by Zipf's law: the n-th of `count` ranks weighs n to the power of minus `exponent`.
+
+    Raises:
+        ValueError: `count` is not within 1 to `MAX_KEYS`.
+    """
+    if not 1 <= count <= MAX_KEYS:
+        raise ValueError(f"keys are from 1 to {MAX_KEYS}")
+    return WeightedChoice(position**-exponent for position in range(1, count + 1))
 
 
 def key_text(rank: int) -> str:
     """The key of a rank, 16 hexadecimal digits."""
-    return f"{(rank + 1) * SPREAD & 0xFFFFFFFFFFFFFFFF:016x}"
+    return f"{(rank + 1) * KEY_MULTIPLIER & KEY_MASK:016x}"
 
 
 @dataclass(frozen=True, slots=True)
-class Kind:
-    """What is drawn for a class; one without a body has size 0 whatever is drawn."""
+class ClassWeight:
+    """The share of a class and what its requests have in common.
+
+    Attributes:
+        name: The class's name.
+        share: Its weight among all classes.
+        budget_us: The budget of each request, in microseconds.
+        has_body: Whether requests have a body; without one their size is 0 whatever is drawn.
+    """
 
     name: str
     share: float
     budget_us: int
-    body: bool
+    has_body: bool
 
 
 class Mix:
-    """Draws of all that a request is but its time. Each request takes the same number of draws."""
+    """Draws the class, tenant, size and key of requests, with the same number of draws for each request."""
 
     def __init__(
         self,
-        kinds: Sequence[Kind],
+        classes: Sequence[ClassWeight],
         tenants: Sequence[tuple[str, float]],
         sizes: Sequence[tuple[int, float]] = ((0, 1.0),),
-        keys: Shares | None = None,
+        keys: WeightedChoice | None = None,
         keyed_share: float = 1.0,
     ) -> None:
-        self._kinds = kinds
+        """Set the shares.
+
+        Args:
+            classes: All classes.
+            tenants: The name and the share of each tenant.
+            sizes: The bytes and the share of each size of bodies.
+            keys: Chooses the rank of a key; None: no request has a key.
+            keyed_share: The share of requests that have one, from 0 to 1.
+
+        Raises:
+            ValueError: Classes, tenants or sizes have no share above 0.
+        """
+        self._classes = classes
         self._tenants = [name for name, _ in tenants]
         self._sizes = [size for size, _ in sizes]
-        self._kind_shares = Shares(kind.share for kind in kinds)
-        self._tenant_shares = Shares(share for _, share in tenants)
-        self._size_shares = Shares(share for _, share in sizes)
-        self._keys = keys
+        self._class_choice = WeightedChoice(each.share for each in classes)
+        self._tenant_choice = WeightedChoice(share for _, share in tenants)
+        self._size_choice = WeightedChoice(share for _, share in sizes)
+        self._key_choice = keys
         self._keyed_share = keyed_share
 
     def requests(self, times_us: Iterable[int], draw: Draw) -> Iterator[Request]:
-        """A request for each of these times."""
+        """A request for each of these send times, lazily."""
         for at_us in times_us:
-            kind = self._kinds[self._kind_shares.pick(draw)]
-            tenant = self._tenants[self._tenant_shares.pick(draw)]
-            size = self._sizes[self._size_shares.pick(draw)]
-            yield Request(at_us, kind.name, tenant, self._key(draw), kind.budget_us, size if kind.body else 0)
+            drawn = self._classes[self._class_choice.pick(draw)]
+            tenant = self._tenants[self._tenant_choice.pick(draw)]
+            size = self._sizes[self._size_choice.pick(draw)]
+            key = self._key(draw)
+            yield Request(at_us, drawn.name, tenant, key, drawn.budget_us, size if drawn.has_body else 0)
 
     def _key(self, draw: Draw) -> str:
-        if self._keys is None:
+        if self._key_choice is None:
             return ""
-        # Both are drawn for each: a share of 0.5 leaves the keys of the rest as they were.
-        carries, rank = draw() < self._keyed_share, self._keys.pick(draw)
-        return key_text(rank) if carries else ""
+        # Both are drawn for each request, so that a lower share leaves the keys of the rest as they were.
+        is_keyed = draw() < self._keyed_share
+        rank = self._key_choice.pick(draw)
+        return key_text(rank) if is_keyed else ""
--- a/fordtrestle/load/recorder.py
+++ b/fordtrestle/load/recorder.py
@@ -12,13 +12,13 @@
 from importlib import import_module
 from typing import Any
 
-from fordtrestle.load.arrivals import US
+from fordtrestle.load.arrivals import US_PER_S
 from fordtrestle.load.errors import MissingLibraryError
 from fordtrestle.load.samples import NOT_SENT, TIMED, Outcome, Sample
-from fordtrestle.load.spec import Class
+from fordtrestle.load.spec import TrafficClass
 
 DIGITS = 4
-HIGHEST_US = 600 * US
+HIGHEST_US = 600 * US_PER_S
 QUANTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9, "p9999": 99.99, "max": 100.0}
 CURVE = (0.0, 10.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.5, 99.9, 99.95, 99.99, 99.999, 100.0)
 
@@ -112,7 +112,7 @@
     come.
     """
 
-    def __init__(self, classes: Sequence[Class], tenants: Sequence[str]) -> None:
+    def __init__(self, classes: Sequence[TrafficClass], tenants: Sequence[str]) -> None:
         self._figures = [(c.aim_ms * 1e6, c.worth) for c in classes]
         self.whole = OutcomeStats()
         self.service = Histogram()
@@ -134,10 +134,10 @@
             self.retries += 1
             self.lag.add(sample.lag_ns)
             return
-        aim_ns, worth = self._figures[sample.kind]
+        aim_ns, worth = self._figures[sample.class_index]
         in_aim = outcome == Outcome.SERVED and sample.latency_ns <= aim_ns
-        parts = [self.whole, self._by_class[sample.kind], self._by_tenant[sample.tenant]]
-        second = sample.at_us // US
+        parts = [self.whole, self._by_class[sample.class_index], self._by_tenant[sample.tenant_index]]
+        second = sample.at_us // US_PER_S
         if second in self._rows:
             self.tardy += 1
         else:
--- a/fordtrestle/load/samples.py
+++ b/fordtrestle/load/samples.py
@@ -1,4 +1,4 @@
-"""How a request ended, as workers tell it: records of one fixed size. Pure."""
+"""How requests ended, as workers report it to the recorder: records of one fixed size, in frames. Pure."""
 
 from __future__ import annotations
 
@@ -7,66 +7,72 @@
 from enum import IntEnum
 from typing import NamedTuple
 
-# outcome, tries, class, tenant, status, then the figures below
+# outcome, tries, class, tenant, status; at_us, lag_ns, latency_ns, service_ns
 RECORD = struct.Struct("<BBHHHqqqq")
-FRAME = struct.Struct("<cI")  # what follows, and how many bytes of it
-SAMPLES, SUMMARY, READY, FAILURE = b"s", b"e", b"r", b"f"
+FRAME = struct.Struct("<cI")  # the header of a frame: its type, and how many bytes follow
+
+# Types of frames.
+SAMPLES = b"s"  # records
+SUMMARY = b"e"  # a JSON object; the last frame of a worker
+READY = b"r"  # empty
+FAILURE = b"f"  # one line of text; the last frame of a worker that failed
 
 
 class Outcome(IntEnum):
-    """The one end of each request that was meant to be sent."""
+    """How an intended request ended; each has exactly one outcome."""
 
-    SERVED = 0  # 200, whole, within its budget
-    LATE = 1  # the same, past it
+    SERVED = 0  # a complete 200 within its budget
+    LATE = 1  # a complete 200 after its budget
     REFUSED = 2  # 429 or 503
-    FAILED = 3  # any other status, or bytes that are no answer
-    CUT = 4  # the connection ended without a whole answer
+    FAILED = 3  # any other status, or a malformed answer
+    CUT = 4  # the connection ended before the answer was complete
     UNREACHABLE = 5  # no connection came up
-    UNANSWERED = 6  # nothing whole until its client gave up
-    OPEN = 7  # the run was stopped before
-    NO_ROOM = 8  # not sent: as many were open as may be
-    NO_CONNECTION = 9  # not sent: all connections that there may be were busy
-    NO_SOCKET = 10  # not sent: the system gave none
-    RETRY = 255  # no end: how late a retry was sent
+    UNANSWERED = 6  # no complete answer until its client gave up
+    OPEN = 7  # the run was stopped before it ended
+    NO_ROOM = 8  # not sent: the maximum of open requests was reached
+    NO_CONNECTION = 9  # not sent: the maximum of connections was reached, all of them busy
+    NO_SOCKET = 10  # not sent: the system had no socket or port left
+    RETRY = 255  # no outcome: the record tells how late a retry was sent
 
 
 NOT_SENT = (Outcome.NO_ROOM, Outcome.NO_CONNECTION, Outcome.NO_SOCKET)
-# What latency is told of; one that was given up counts with the time it had waited by then.
+# Outcomes that have a latency; a request that was given up counts with the time it had waited by then.
 TIMED = (Outcome.SERVED, Outcome.LATE, Outcome.UNANSWERED)
 
 
 class Sample(NamedTuple):
-    """One request. Times in nanoseconds; `at_us` is its intended time from the start, in microseconds."""
+    """One request, or one retry for `Outcome.RETRY`."""
 
     outcome: int
     tries: int
-    kind: int
-    tenant: int
-    status: int
-    at_us: int
+    class_index: int
+    tenant_index: int
+    status: int  # HTTP status; 0: none came
+    at_us: int  # intended send time, in microseconds from the start
     lag_ns: int  # from the intended time to the send
     latency_ns: int  # from the intended time to the end
     service_ns: int  # from the send of the last try to the end
 
 
-def samples(data: bytes) -> Iterator[Sample]:
-    """The records of a frame."""
+def decode_samples(data: bytes) -> Iterator[Sample]:
+    """The records of a `SAMPLES` frame; `struct.error` where its length is no multiple of a record's."""
     return map(Sample._make, RECORD.iter_unpack(data))
 
 
-class Frames:
-    """Frames out of bytes that come in any pieces."""
+class FrameDecoder:
+    """Splits a stream of bytes into frames."""
 
     def __init__(self) -> None:
-        self._left = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[tuple[bytes, bytes]]:
-        """The frames that are whole now: what each is, and its bytes."""
-        self._left += data
-        while len(self._left) >= FRAME.size:
-            what, size = FRAME.unpack_from(self._left)
-            if len(self._left) < FRAME.size + size:
+        """The type and the body of each frame that is complete with these bytes."""
+        self._buffer += data
+        while len(self._buffer) >= FRAME.size:
+            frame_type, size = FRAME.unpack_from(self._buffer)
+            end = FRAME.size + size
+            if len(self._buffer) < end:
                 return
-            body = bytes(self._left[FRAME.size : FRAME.size + size])
-            del self._left[: FRAME.size + size]
-            yield what, body
+            body = bytes(self._buffer[FRAME.size : end])
+            del self._buffer[:end]
+            yield frame_type, body
--- a/fordtrestle/load/schedule.py
+++ b/fordtrestle/load/schedule.py
@@ -8,63 +8,98 @@
 from pathlib import Path
 
 from fordtrestle.load import trace
-from fordtrestle.load.arrivals import US, added, evenly, poisson, times
+from fordtrestle.load.arrivals import US_PER_S, even_counts, merge_schedules, poisson_counts, send_times_us
 from fordtrestle.load.errors import TraceError
-from fordtrestle.load.mix import Mix, Request, zipf
-from fordtrestle.load.spec import Spec
+from fordtrestle.load.mix import Mix, Request, zipf_choice
+from fordtrestle.load.spec import Arrivals, Replay, Spec
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """All that is to be sent. `length_us`: from the first moment to the last; `tenants` are all there are."""
+    """All that is to be sent.
+
+    Attributes:
+        spec: The load file.
+        length_us: From the start to the last moment at which a request may be due, in microseconds.
+        tenants: The names of all tenants.
+        max_budget_us: The longest budget of a request, in microseconds.
+        trace: The trace that is replayed; None: the spec's arrivals.
+        trace_length_us: How long that trace lasts, in microseconds.
+    """
 
     spec: Spec
     length_us: int
     tenants: tuple[str, ...]
-    budget_most_us: int
+    max_budget_us: int
     trace: Path | None = None
-    trace_us: int = 0  # how long the file lasts
+    trace_length_us: int = 0
 
     def requests(self) -> Iterator[Request]:
-        """The requests, lazily; `TraceError` where the file has changed since it was inspected."""
-        if self.trace is not None:
-            return trace.replay(self.trace, _cut(self.spec), self.trace_us)
+        """The requests, lazily.
+
+        Raises:
+            TraceError: The trace has changed since it was inspected.
+        """
         spec = self.spec
-        length_s = self.length_us / US
-        parts = []
-        for part in spec.arrivals:
-            draw = random.Random(f"arrivals/{part.name}/{spec.seed}").random
-            counts = poisson(draw) if part.poisson else evenly()
-            parts.append(times(part.curve(length_s), counts, round(part.starts_s * US)))
-        keys = zipf(spec.keys, spec.key_exponent) if spec.keys else None
-        kinds = [c.kind() for c in spec.classes]
-        mix = Mix(kinds, spec.tenants, spec.sizes, keys, spec.keyed_share)
-        return mix.requests(added(parts), random.Random(f"mix/{spec.seed}").random)
+        if self.trace is not None:
+            assert spec.replay is not None
+            return trace.replay(self.trace, _replay_range(spec.replay), self.trace_length_us)
+        times_us = merge_schedules([self._send_times_us(each) for each in spec.arrivals])
+        keys = zipf_choice(spec.keys.count, spec.keys.exponent) if spec.keys.count else None
+        classes = [each.weight() for each in spec.classes]
+        mix = Mix(classes, spec.tenants, spec.sizes, keys, spec.keys.share)
+        return mix.requests(times_us, random.Random(f"mix/{spec.seed}").random)
 
+    def _send_times_us(self, arrivals: Arrivals) -> Iterator[int]:
+        """The times of one schedule, whose random stream is named after it and the seed."""
+        draw = random.Random(f"arrivals/{arrivals.name}/{self.spec.seed}").random
+        counts = poisson_counts(draw) if arrivals.is_poisson else even_counts()
+        pieces = arrivals.pieces_until(self.length_us / US_PER_S)
+        return send_times_us(pieces, counts, round(arrivals.starts_s * US_PER_S))
 
-def _cut(spec: Spec) -> trace.Cut:
-    assert spec.replay is not None
-    to_us = None if spec.replay.to_s is None else round(spec.replay.to_s * US)
-    return trace.Cut(round(spec.replay.from_s * US), to_us, spec.replay.speed, spec.replay.loop)
 
+def make_schedule(spec: Spec, folder: Path) -> Schedule:
+    """The schedule of a spec; a trace is read to its end.
 
-def made(spec: Spec, beside: Path) -> Schedule:
-    """The schedule of a spec that lies in the directory `beside`; a trace is read to its end.
+    Args:
+        spec: The load file.
+        folder: Where the load file is; the path of its trace is relative to it.
 
-    Raises `TraceError` where that is no whole trace, or has classes that the spec does not tell.
+    Raises:
+        TraceError: The file is no complete trace, has classes that the spec does not have, or ends
+            before the range that is replayed.
     """
-    if spec.replay is None:
-        budget_us = max(c.kind().budget_us for c in spec.classes)
-        return Schedule(spec, round(spec.length_s * US), tuple(name for name, _ in spec.tenants), budget_us)
-    path = beside / spec.replay.file
+    if spec.replay is not None:
+        return _replay_schedule(spec, spec.replay, folder / spec.replay.file)
+    return Schedule(
+        spec=spec,
+        length_us=round(spec.length_s * US_PER_S),
+        tenants=tuple(name for name, _ in spec.tenants),
+        max_budget_us=max(each.weight().budget_us for each in spec.classes),
+    )
+
+
+def _replay_schedule(spec: Spec, replay: Replay, path: Path) -> Schedule:
+    """The schedule of a spec that replays the trace at `path`."""
     summary = trace.inspect(path)
-    unknown = sorted(summary.kinds.keys() - {c.name for c in spec.classes})
+    unknown = sorted(summary.classes.keys() - {each.name for each in spec.classes})
     if unknown:
         raise TraceError(f"{path}: class: the load has no [class.{unknown[0]}]")
-    cut = _cut(spec)
-    to_us = summary.length_us if cut.to_us is None else min(cut.to_us, summary.length_us)
-    if to_us <= cut.from_us:
-        raise TraceError(f"{path}: from_s: nothing is left of {summary.length_us / US:g} s")
-    length_us = round((to_us - cut.from_us) / cut.speed * cut.loop)
-    tenants = tuple(sorted(summary.tenants))
-    return Schedule(spec, length_us, tenants, summary.budget_most_us, path, summary.length_us)
+    part = _replay_range(replay)
+    to_us = summary.length_us if part.to_us is None else min(part.to_us, summary.length_us)
+    if to_us <= part.from_us:
+        raise TraceError(f"{path}: from_s: nothing is left of {summary.length_us / US_PER_S:g} s")
+    return Schedule(
+        spec=spec,
+        length_us=round((to_us - part.from_us) / part.speed * part.loop),
+        tenants=tuple(sorted(summary.tenants)),
+        max_budget_us=summary.max_budget_us,
+        trace=path,
+        trace_length_us=summary.length_us,
+    )
+
+
+def _replay_range(replay: Replay) -> trace.ReplayRange:
+    """The part of the trace that a spec asks for, in microseconds."""
+    to_us = None if replay.to_s is None else round(replay.to_s * US_PER_S)
+    return trace.ReplayRange(round(replay.from_s * US_PER_S), to_us, replay.speed, replay.loop)
--- a/fordtrestle/load/trace.py
+++ b/fordtrestle/load/trace.py
@@ -1,7 +1,7 @@
 """Traces: one request a line, read and written as a stream; `.gz` is compressed.
 
-The format is told in docs/operate/load.md. A reader names what is wrong by file, line and field. `inspect`
-reads a whole file before anything is sent; what `replay` then reads once more was good then.
+The format is described in docs/operate/load.md. A reader names what is wrong by file, line and field.
+`inspect` reads a complete file before anything is sent; `replay` then reads it once more.
 """
 
 from __future__ import annotations
@@ -15,38 +15,58 @@
 from pathlib import Path
 from typing import IO
 
-from fordtrestle.load.arrivals import US
+from fordtrestle.load.arrivals import US_PER_S
 from fordtrestle.load.errors import TraceError
-from fordtrestle.load.mix import SIZE_MOST, Request
+from fordtrestle.load.mix import MAX_BODY_BYTES, Request
 
 VERSION = 1
-HEAD = f"#fordtrestle-trace {VERSION}"
-END = "#end"
-NONE = "-"
-LINE_MOST = 512  # bytes; guards against a file of another kind that has no lines
-NAMES_MOST = 64  # classes, and tenants; each has statistics of its own
-OFFSET_MOST_US = 7 * 24 * 3600 * US
-BUDGET_MOST_US = 60 * US
-WORD = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_-]{0,63}")
+HEADER = f"#fordtrestle-trace {VERSION}"
+END_MARKER = "#end"
+ABSENT = "-"  # in place of a tenant or key
+MAX_LINE_BYTES = 512  # so that a file of another kind, without lines, is not read into memory
+MAX_NAMES = 64  # of classes, and of tenants, since each has statistics of its own
+MAX_OFFSET_US = 7 * 24 * 3600 * US_PER_S
+MAX_BUDGET_US = 60 * US_PER_S
+COMPRESSION_LEVEL = 6  # zlib's default; another level would change the bytes of the same requests
+NAME = re.compile(r"[A-Za-z0-9_][A-Za-z0-9_-]{0,63}")
 NUMBER = re.compile(r"[0-9]{1,15}")
 FIELDS = ("offset_us", "class", "tenant", "key", "budget_us", "size")
 
 
 @dataclass(slots=True)
-class Summary:
-    """What a whole trace holds."""
+class TraceSummary:
+    """What a complete trace holds.
+
+    Attributes:
+        requests: Their number.
+        length_us: How long it lasts, in microseconds.
+        classes: The number of requests by class.
+        tenants: The number of requests by tenant; an empty name: none.
+        max_requests_per_second: The most in any second, counted from the start.
+        max_budget_us: The longest budget, in microseconds.
+    """
 
     requests: int = 0
     length_us: int = 0
-    kinds: dict[str, int] = field(default_factory=dict)
+    classes: dict[str, int] = field(default_factory=dict)
     tenants: dict[str, int] = field(default_factory=dict)
-    most_in_a_second: int = 0
-    budget_most_us: int = 0
+    max_requests_per_second: int = 0
+    max_budget_us: int = 0
 
 
 @dataclass(frozen=True, slots=True)
-class Cut:
-    """Which part of a trace is replayed, how fast, and how often; times are the trace's own."""
+class ReplayRange:
+    """Which part of a trace is replayed, how fast, and how often.
+
+    Attributes:
+        from_us: The first offset of the trace that is replayed, in microseconds.
+        to_us: The offset before which the part ends; None: the end of the trace.
+        speed: How many times faster than it was recorded.
+        loop: How often the part is replayed.
+
+    Raises:
+        ValueError: One of them is out of range.
+    """
 
     from_us: int = 0
     to_us: int | None = None
@@ -60,199 +80,265 @@
             raise ValueError("a cut ends after it begins")
 
 
-def _open(path: Path, mode: str) -> IO[bytes]:
-    if path.suffix == ".gz":
-        # No name and no time in it: the same requests are the same bytes.
-        return gzip.GzipFile("", mode, 6, path.open(mode), 0)  # type: ignore[return-value]
-    return path.open(mode)
+class _TraceFile:
+    """A file of a trace, compressed where its name ends with `.gz`."""
 
+    def __init__(self, path: Path, mode: str) -> None:
+        """Open the file in binary mode; `OSError` where it can't be."""
+        self._raw = path.open(mode)
+        self.data: IO[bytes] = self._raw
+        if path.suffix == ".gz":
+            # Without a name and a time in it the same requests are the same bytes.
+            self.data = gzip.GzipFile("", mode, COMPRESSION_LEVEL, self._raw, 0)  # type: ignore[assignment]
 
-class Writer:
-    """A trace that is being written; it is whole once it is closed. Raises `OSError`."""
+    def close(self) -> None:
+        """Close the file; `GzipFile` leaves open what it was given."""
+        self.data.close()
+        self._raw.close()
+
+
+class TraceWriter:
+    """Writes a trace, which is complete once `close` has returned.
+
+    Attributes:
+        count: Requests written.
+        bytes: Bytes of lines, before any compression.
+    """
 
     def __init__(self, path: Path) -> None:
-        self._file = _open(path, "wb")
-        self._raw = getattr(self._file, "fileobj", None)
+        """Create the file; `OSError` where it can't be."""
+        self._file = _TraceFile(path, "wb")
         self.count = 0
-        self.bytes = 0  # of lines, before any compression
+        self.bytes = 0
         self._last_us = 0
-        self._put(f"{HEAD}\n")
+        self._write(f"{HEADER}\n")
 
     def add(self, request: Request) -> None:
-        """The next request; `ValueError` if the format has no place for it, or it is out of order."""
+        """Write the next request.
+
+        Raises:
+            ValueError: The format can't hold it, or it is due before the one ahead of it.
+            OSError: It can't be written.
+        """
         if request.at_us < self._last_us:
             raise ValueError(f"request {self.count + 1} is meant for before the one ahead of it")
-        self._put(line(request))
+        self._write(encode_line(request))
         self.count, self._last_us = self.count + 1, request.at_us
 
     def close(self, length_us: int = 0) -> None:
-        """The end of it; it lasts so long, or up to its last request."""
+        """Write the end and close the file.
+
+        Args:
+            length_us: How long the trace lasts; at least up to its last request.
+
+        Raises:
+            OSError: It can't be written; the file is closed and not complete.
+        """
         try:
-            self._put(f"{END} {self.count} {max(self._last_us, length_us)}\n")
+            self._write(f"{END_MARKER} {self.count} {max(self._last_us, length_us)}\n")
         finally:
-            self.drop()
+            self.abort()
 
-    def drop(self) -> None:
-        """Close the file as it is: what is not whole is refused by every reader."""
+    def abort(self) -> None:
+        """Close the file as it is; readers reject it, since it has no end."""
         self._file.close()
-        if self._raw is not None:
-            self._raw.close()  # GzipFile leaves what it was given open
 
-    def _put(self, text: str) -> None:
-        self._file.write(text.encode())
+    def _write(self, text: str) -> None:
+        self._file.data.write(text.encode())
         self.bytes += len(text)
 
 
 def write(path: Path, requests: Iterable[Request], length_us: int | None = None) -> int:
-    """Write a trace and return its number of requests.
+    """Write a trace.
+
+    Args:
+        path: The file.
+        requests: The requests in order of time.
+        length_us: How long the trace lasts; None: up to its last request.
+
+    Returns:
+        The number of requests.
 
-    `length_us`: how long it lasts; without it, up to its last request. Raises `OSError`, and `ValueError`
-    for a request that the format has no place for, or one out of order.
+    Raises:
+        ValueError: The format can't hold a request, or one is out of order.
+        OSError: The file can't be written.
     """
-    writer = Writer(path)
+    writer = TraceWriter(path)
     try:
         for request in requests:
             writer.add(request)
     except BaseException:
-        writer.drop()
+        writer.abort()
         raise
     writer.close(length_us or 0)
     return writer.count
 
 
-def line(request: Request) -> str:
-    """A request as its line; `ValueError` where it has none."""
-    text = f"{request.at_us} {request.kind} {request.tenant or NONE} {request.key or NONE} "
+def encode_line(request: Request) -> str:
+    """A request as its line, with the newline; `ValueError` where the format can't hold it."""
+    text = f"{request.at_us} {request.class_name} {request.tenant or ABSENT} {request.key or ABSENT} "
     text += f"{request.budget_us} {request.size}\n"
-    parse(text.rstrip("\n"))
+    parse_line(text.rstrip("\n"))
     return text
 
 
-def parse(text: str) -> Request:
-    """A line without its end; `ValueError` names the field that is wrong."""
+def parse_line(text: str) -> Request:
+    """The request of a line without its newline; `ValueError` names the field that is wrong."""
     words = text.split(" ")
     if len(words) != len(FIELDS):
         raise ValueError(f"{len(words)} fields, not {len(FIELDS)}")
-    at_us = _number(words[0], 0, 0, OFFSET_MOST_US)
-    for place in (1, 2, 3):
-        if WORD.fullmatch(words[place]) is None and (place == 1 or words[place] != NONE):
-            raise ValueError(f"{FIELDS[place]}: {words[place][:40]!r} is no plain word")
-    budget_us = _number(words[4], 4, 1, BUDGET_MOST_US)
-    size = _number(words[5], 5, 0, SIZE_MOST)
-    tenant, key = ("" if word == NONE else word for word in words[2:4])
-    return Request(at_us, words[1], tenant, key, budget_us, size)
+    offset, class_name, tenant, key, budget, size = words
+    at_us = _parse_number("offset_us", offset, 0, MAX_OFFSET_US)
+    if NAME.fullmatch(class_name) is None:
+        raise _name_error("class", class_name)
+    tenant = _parse_optional_name("tenant", tenant)
+    key = _parse_optional_name("key", key)
+    budget_us = _parse_number("budget_us", budget, 1, MAX_BUDGET_US)
+    return Request(at_us, class_name, tenant, key, budget_us, _parse_number("size", size, 0, MAX_BODY_BYTES))
 
 
-def _number(word: str, place: int, low: int, high: int) -> int:
+def _parse_optional_name(name: str, word: str) -> str:
+    """The name that a field holds, empty where it is absent."""
+    if word == ABSENT:
+        return ""
+    if NAME.fullmatch(word) is None:
+        raise _name_error(name, word)
+    return word
+
+
+def _name_error(name: str, word: str) -> ValueError:
+    return ValueError(f"{name}: {word[:40]!r} is no plain word")
+
+
+def _parse_number(name: str, word: str, low: int, high: int) -> int:
+    """The whole number within `low` to `high` that a field holds."""
     if NUMBER.fullmatch(word) is None:
-        raise ValueError(f"{FIELDS[place]}: {word[:40]!r} is no whole number")
+        raise ValueError(f"{name}: {word[:40]!r} is no whole number")
     value = int(word)
     if not low <= value <= high:
-        raise ValueError(f"{FIELDS[place]}: {value} is not within {low} to {high}")
+        raise ValueError(f"{name}: {value} is not within {low} to {high}")
     return value
 
 
-class Reader:
-    """The requests of a file, one by one; once all have been given, `length_us` tells how long it lasts."""
+class TraceReader:
+    """Iterates over the requests of a file.
+
+    Attributes:
+        length_us: How long the trace lasts, in microseconds; known once all requests have been read.
+    """
 
     def __init__(self, path: Path) -> None:
         self._path = path
-        self._number = 0
+        self._line_number = 0
         self.length_us = 0
 
     def __iter__(self) -> Iterator[Request]:
-        """Raises `TraceError` at what is wrong, also where the file can't be read."""
+        """The requests in order of time.
+
+        Raises:
+            TraceError: The file can't be read, or is no complete trace.
+        """
         try:
-            file = _open(self._path, "rb")
+            file = _TraceFile(self._path, "rb")
         except OSError as error:
             raise TraceError(f"{self._path}: {error.strerror}") from error
-        raw = getattr(file, "fileobj", None)
         try:
-            yield from self._requests(file)
+            yield from self._requests(file.data)
         except (OSError, EOFError, zlib.error) as error:
-            raise self.wrong(f"can't be read: {error}") from error
+            raise self.error(f"can't be read: {error}") from error
         finally:
             file.close()
-            if raw is not None:
-                raw.close()
 
-    def wrong(self, reason: str) -> TraceError:
-        """An error that names the line at hand."""
-        return TraceError(f"{self._path}:{self._number}: {reason}")
+    def error(self, reason: str) -> TraceError:
+        """An error that names the line that was read last."""
+        return TraceError(f"{self._path}:{self._line_number}: {reason}")
 
     def _requests(self, file: IO[bytes]) -> Iterator[Request]:
-        head = self._line(file)
-        if head != HEAD:
-            raise self.wrong(f"expected {HEAD!r}, not {head[:40]!r}")
-        count, last = 0, 0
-        while not (text := self._line(file)).startswith("#"):
+        header = self._read_line(file)
+        if header != HEADER:
+            raise self.error(f"expected {HEADER!r}, not {header[:40]!r}")
+        count, last_us = 0, 0
+        while not (text := self._read_line(file)).startswith("#"):
             try:
-                request = parse(text)
+                request = parse_line(text)
             except ValueError as error:
-                raise self.wrong(str(error)) from None
-            if request.at_us < last:
-                raise self.wrong(f"offset_us: the clock goes back from {last} to {request.at_us}")
-            count, last = count + 1, request.at_us
+                raise self.error(str(error)) from None
+            if request.at_us < last_us:
+                raise self.error(f"offset_us: the clock goes back from {last_us} to {request.at_us}")
+            count, last_us = count + 1, request.at_us
             yield request
-        self._end(text, count, last)
+        self._parse_end(text, count, last_us)
         if file.read(1):
-            self._number += 1
-            raise self.wrong(f"a line after {END!r}")
+            self._line_number += 1
+            raise self.error(f"a line after {END_MARKER!r}")
 
-    def _end(self, text: str, count: int, last: int) -> None:
+    def _parse_end(self, text: str, count: int, last_us: int) -> None:
+        """Take the length from the last line, which must agree with the requests before it."""
         words = text.split(" ")
-        if len(words) != 3 or words[0] != END or not all(NUMBER.fullmatch(word) for word in words[1:]):
-            raise self.wrong(f"expected '{END} REQUESTS LENGTH_US', not {text[:40]!r}")
+        is_end = len(words) == 3 and words[0] == END_MARKER
+        if not is_end or not all(NUMBER.fullmatch(word) for word in words[1:]):
+            raise self.error(f"expected '{END_MARKER} REQUESTS LENGTH_US', not {text[:40]!r}")
         if int(words[1]) != count:
-            raise self.wrong(f"requests: {count} lines, but {words[1]} were written")
-        if not last <= int(words[2]) <= OFFSET_MOST_US:
-            raise self.wrong(f"length_us: {words[2]} is not within {last} to {OFFSET_MOST_US}")
+            raise self.error(f"requests: {count} lines, but {words[1]} were written")
+        if not last_us <= int(words[2]) <= MAX_OFFSET_US:
+            raise self.error(f"length_us: {words[2]} is not within {last_us} to {MAX_OFFSET_US}")
         self.length_us = int(words[2])
 
-    def _line(self, file: IO[bytes]) -> str:
-        self._number += 1
-        read = file.readline(LINE_MOST)
-        if not read.endswith(b"\n"):
-            cut = (
-                f"longer than {LINE_MOST} bytes" if len(read) == LINE_MOST else "the file ends amid its lines"
-            )
-            raise self.wrong(cut)
+    def _read_line(self, file: IO[bytes]) -> str:
+        """The next line without its newline."""
+        self._line_number += 1
+        data = file.readline(MAX_LINE_BYTES)
+        if not data.endswith(b"\n"):
+            if len(data) == MAX_LINE_BYTES:
+                raise self.error(f"longer than {MAX_LINE_BYTES} bytes")
+            raise self.error("the file ends amid its lines")
         try:
-            return read[:-1].decode("ascii")
+            return data[:-1].decode("ascii")
         except UnicodeDecodeError:
-            raise self.wrong("not ASCII") from None
+            raise self.error("not ASCII") from None
 
 
-def inspect(path: Path) -> Summary:
-    """Read the whole of a file; `TraceError` at the first thing that is wrong with it."""
-    summary = Summary()
-    reader = Reader(path)
-    second, in_second = 0, 0
+def inspect(path: Path) -> TraceSummary:
+    """Read a complete file and return what it holds; `TraceError` at the first thing that is wrong."""
+    summary = TraceSummary()
+    reader = TraceReader(path)
+    second, count_in_second = 0, 0  # requests are in order of time
     for request in reader:
         summary.requests += 1
-        for names, name, what in (
-            (summary.kinds, request.kind, "class"),
-            (summary.tenants, request.tenant, "tenant"),
-        ):
-            names[name] = names.get(name, 0) + 1
-            if len(names) > NAMES_MOST:
-                raise reader.wrong(f"{what}: more than {NAMES_MOST} different ones")
-        in_second = in_second + 1 if request.at_us // US == second else 1
-        second = request.at_us // US
-        summary.budget_most_us = max(summary.budget_most_us, request.budget_us)
-        summary.most_in_a_second = max(summary.most_in_a_second, in_second)
+        _count_name(reader, summary.classes, "class", request.class_name)
+        _count_name(reader, summary.tenants, "tenant", request.tenant)
+        second_before, second = second, request.at_us // US_PER_S
+        count_in_second = count_in_second + 1 if second == second_before else 1
+        summary.max_requests_per_second = max(summary.max_requests_per_second, count_in_second)
+        summary.max_budget_us = max(summary.max_budget_us, request.budget_us)
     summary.length_us = reader.length_us
     return summary
 
 
-def replay(path: Path, cut: Cut, length_us: int) -> Iterator[Request]:
-    """The requests of a file of this length, cut, sped up and looped; their times begin at 0."""
-    to_us = length_us if cut.to_us is None else min(cut.to_us, length_us)
-    lap_us = (to_us - cut.from_us) / cut.speed
-    for lap in range(cut.loop):
-        for request in Reader(path):
-            if cut.to_us is not None and request.at_us >= cut.to_us:
+def _count_name(reader: TraceReader, counts: dict[str, int], what: str, name: str) -> None:
+    """Count one more request of a class or tenant; `TraceError` where there are too many of them."""
+    counts[name] = counts.get(name, 0) + 1
+    if len(counts) > MAX_NAMES:
+        raise reader.error(f"{what}: more than {MAX_NAMES} different ones")
+
+
+def replay(path: Path, part: ReplayRange, length_us: int) -> Iterator[Request]:
+    """The requests of a part of a trace, with times that begin at 0.
+
+    Args:
+        path: The file.
+        part: What is replayed, how fast and how often.
+        length_us: How long the trace lasts, in microseconds (`TraceSummary.length_us`).
+
+    Raises:
+        TraceError: The file can't be read, or is no complete trace.
+    """
+    to_us = length_us if part.to_us is None else min(part.to_us, length_us)
+    lap_us = (to_us - part.from_us) / part.speed
+    for lap in range(part.loop):
+        for request in TraceReader(path):
+            if part.to_us is not None and request.at_us >= part.to_us:
                 break
-            if request.at_us >= cut.from_us:
-                at_us = lap * lap_us + (request.at_us - cut.from_us) / cut.speed
+            if request.at_us >= part.from_us:
+                at_us = lap * lap_us + (request.at_us - part.from_us) / part.speed
                 yield request._replace(at_us=int(at_us))
--- a/fordtrestle/load/worker.py
+++ b/fordtrestle/load/worker.py
@@ -226,7 +226,7 @@
         if request is None:
             self._exhausted = True
             return False
-        kind = self._kinds[request.kind]
+        kind = self._kinds[request.class_name]
         words = Words(
             self._heads[kind],
             self._semantics[kind],
@@ -466,7 +466,7 @@
         if asked.tries > rules.most or asked.waiting or not self._may(asked, outcome):
             return False
         wait_ms = rules.wait_ms * (2.0 ** (asked.tries - 1) if rules.doubled else 1.0)
-        if rules.honour and after_s is not None:
+        if rules.honour_retry_after and after_s is not None:
             wait_ms = max(wait_ms, min(after_s * 1000.0, rules.honour_most_ms))
         due = now + int(wait_ms * 1e6)
         if due >= asked.due + asked.budget_ns:
--- a/fordtrestle/proxy/daemon/trace_recorder.py
+++ b/fordtrestle/proxy/daemon/trace_recorder.py
@@ -8,7 +8,7 @@
 from pathlib import Path
 
 from fordtrestle.load.mix import Request
-from fordtrestle.load.trace import Writer
+from fordtrestle.load.trace import TraceWriter
 from fordtrestle.proxy.engine.log import log
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.requests import RequestNames
@@ -46,7 +46,7 @@
         self._missed = 0
         self._is_full = False
         self._path = path
-        self._writer = Writer(path)
+        self._writer = TraceWriter(path)
         path.chmod(0o600)  # what clients ask for is private
         self._ending = threading.Event()
         self._thread = threading.Thread(target=self._run, name="recording", daemon=True)
--- a/tests/load/standin.py
+++ b/tests/load/standin.py
@@ -112,7 +112,7 @@
 def sent(port, beside=Path("."), **figures):
     """Send a load; the run and its samples."""
     samples = []
-    made = schedule.made(spec.parse(load(port, **figures), "test"), beside)
+    made = schedule.make_schedule(spec.parse(load(port, **figures), "test"), beside)
     return Generator(made, sample=samples.append).run(), samples
 
 
--- a/tests/load/test_accuracy.py
+++ b/tests/load/test_accuracy.py
@@ -26,7 +26,7 @@
 def test_the_trace_has_its_rate_and_its_bursts(tmp_path):
     path = tmp_path / "t.trace.gz"
     count = write_trace(path, 1, 2.0)
-    rows = list(trace.Reader(path))
+    rows = list(trace.TraceReader(path))
     assert len(rows) == count == pytest.approx(5000, abs=300)
     assert [int(row.key) for row in rows] == list(range(count))
     for burst in range(49):
--- a/tests/load/test_generator.py
+++ b/tests/load/test_generator.py
@@ -202,7 +202,9 @@
 
 def test_a_run_that_is_stopped_tells_what_it_has():
     with StandIn(lambda number, head: [30.0, answer()] if number == 0 else answer()) as server:
-        made = schedule.made(spec.parse(load(server.port, length_s=60, budget_ms=20000), "test"), None)
+        made = schedule.make_schedule(
+            spec.parse(load(server.port, length_s=60, budget_ms=20000), "test"), None
+        )
         run = Generator(made, stopping=lambda: len(server.requests) >= 20).run()
     whole = run.recorder.whole
     assert run.cut
@@ -222,7 +224,7 @@
 
 def test_a_worker_that_dies_is_a_problem_not_a_short_run(monkeypatch):
     with StandIn() as server:
-        made = schedule.made(spec.parse(load(server.port, length_s=30), "test"), None)
+        made = schedule.make_schedule(spec.parse(load(server.port, length_s=30), "test"), None)
         generator = Generator(made, stopping=lambda: False)
         server._script = lambda number, head: generator._workers[0].process.kill() or answer()
         run = generator.run()
@@ -246,7 +248,7 @@
         begin, end = text.index("[arrivals"), text.index("[class")
         text = text[:begin] + '[trace]\nfile = "t.trace.gz"\nspeed = 2\n' + text[end:]
         samples = []
-        made = schedule.made(spec.parse(text, "test"), tmp_path)
+        made = schedule.make_schedule(spec.parse(text, "test"), tmp_path)
         Generator(made, sample=samples.append).run()
     assert ends(samples) == {"SERVED": 100}
     assert {field(head, "Cookie") for head in server.requests} == {f"user={n}" for n in range(100)}
--- a/tests/load/test_recorder.py
+++ b/tests/load/test_recorder.py
@@ -13,12 +13,21 @@
 from fordtrestle.load import recorder
 from fordtrestle.load.errors import MissingLibraryError
 from fordtrestle.load.recorder import Histogram, Recorder
-from fordtrestle.load.samples import FRAME, RECORD, SAMPLES, SUMMARY, Frames, Outcome, Sample, samples
-from fordtrestle.load.spec import Class
+from fordtrestle.load.samples import (
+    FRAME,
+    RECORD,
+    SAMPLES,
+    SUMMARY,
+    FrameDecoder,
+    Outcome,
+    Sample,
+    decode_samples,
+)
+from fordtrestle.load.spec import TrafficClass
 
 CLASSES = (
-    Class("look", "pure", 1.0, 500.0, 100.0, 1.0, "/look"),
-    Class("pay", "unsafe", 1.0, 500.0, 200.0, 5.0, "/pay"),
+    TrafficClass("look", "pure", 1.0, 500.0, 100.0, 1.0, "/look"),
+    TrafficClass("pay", "unsafe", 1.0, 500.0, 200.0, 5.0, "/pay"),
 )
 TENANTS = ("acme", "other")
 
@@ -152,11 +161,11 @@
     rows = some(50)
     body = b"".join(RECORD.pack(*row) for row in rows)
     data = FRAME.pack(SAMPLES, len(body)) + body + FRAME.pack(SUMMARY, 2) + b"{}"
-    frames, found = Frames(), []
+    frames, found = FrameDecoder(), []
     for at in range(0, len(data), 7):
         found += frames.feed(data[at : at + 7])
     assert [what for what, _ in found] == [SAMPLES, SUMMARY]
-    assert list(samples(found[0][1])) == rows
+    assert list(decode_samples(found[0][1])) == rows
     assert found[1][1] == b"{}"
 
 
--- a/tests/load/test_report.py
+++ b/tests/load/test_report.py
@@ -30,7 +30,7 @@
 
 
 def made(samples=(), **more):
-    plan = schedule.made(spec.parse(load(1, **more), "test"), Path("."))
+    plan = schedule.make_schedule(spec.parse(load(1, **more), "test"), Path("."))
     run = Run(Recorder(plan.spec.classes, plan.tenants))
     for row in samples:
         run.recorder.add(row)
@@ -60,9 +60,9 @@
 def test_every_key_of_a_spec_is_documented():
     page = (ROOT / "docs/operate/load.md").read_text()
     source = (ROOT / "fordtrestle/load/spec.py").read_text()
-    keys = set(re.findall(r'(?:_number|_count)\((?:table|run|target), "(\w+)"', source))
-    asks = "one_of|text|flag|words|figures|address"
-    keys |= set(re.findall(rf'(?:table|run|target|whole)\.(?:{asks})\(\s*"(\w+)"', source))
+    keys = set(re.findall(r'(?:_number|_integer)\((?:table|run|target), "(\w+)"', source))
+    asks = "choice|text|boolean|identifiers|numbers|address"
+    keys |= set(re.findall(rf'(?:table|run|target|root)\.(?:{asks})\(\s*"(\w+)"', source))
     keys |= set(re.findall(r'(?:rate|length)\("(\w+)"', source))
     assert len(keys) > 35
     assert not {key for key in keys if f"`{key}`" not in page}
@@ -155,7 +155,7 @@
     assert cli.main(["load", "trace", path, "--json"]) == 0
     summary = json.loads(capsys.readouterr().out.splitlines()[-1])[0]
     assert (summary["requests"], summary["length_s"], summary["classes"]) == (20, 0.2, {"look": 20})
-    assert len(list(trace.Reader(Path(path)))) == 20
+    assert len(list(trace.TraceReader(Path(path)))) == 20
 
 
 @pytest.mark.parametrize(
--- a/tests/load/test_spec.py
+++ b/tests/load/test_spec.py
@@ -1,4 +1,4 @@
-"""The load's file: strict, all faults at once, and the same schedule for the same seed."""
+"""The load file: strict, all errors at once, and the same schedule for the same seed."""
 
 from __future__ import annotations
 
@@ -70,15 +70,15 @@
 TRACE = re.sub(r"\[tenant.*?(?=\[retries)", "", TRACE, flags=re.S).replace("length_s = 4\n", "")
 
 
-def faults(text):
+def errors_of(text):
     with pytest.raises(SpecError) as caught:
         spec.parse(text, "f.toml")
     return caught.value.lines
 
 
-def test_a_good_file_is_read():
+def test_a_valid_file_is_read():
     made = spec.parse(GOOD, "f.toml")
-    assert (made.length_s, made.seed, made.workers, made.keys) == (4.0, 3, 2, 100)
+    assert (made.length_s, made.seed, made.workers, made.keys.count) == (4.0, 3, 2, 100)
     assert [(c.name, c.semantics, c.aim_ms, c.worth) for c in made.classes] == [
         ("look", "pure", 100.0, 1.0),
         ("pay", "unsafe", 1000.0, 5.0),
@@ -121,17 +121,17 @@
         ("[bounds]", "[bounds", "Expected ']'"),
     ],
 )
-def test_what_is_wrong_is_named(old, new, said):
+def test_an_invalid_value_is_reported_by_its_key(old, new, said):
     assert old in GOOD
-    lines = faults(GOOD.replace(old, new, 1))
+    lines = errors_of(GOOD.replace(old, new, 1))
     assert any(line.startswith("f.toml: ") and said in line for line in lines), lines
     assert all("\n" not in line for line in lines)
 
 
-def test_all_faults_are_told_at_once():
-    lines = faults(GOOD.replace("seed = 3", "seed = -3").replace("budget_ms = 1000", "budget = 1"))
+def test_all_errors_are_reported_at_once():
+    lines = errors_of(GOOD.replace("seed = 3", "seed = -3").replace("budget_ms = 1000", "budget = 1"))
     assert [line.split(": ")[1] for line in lines] == ["run.seed", "class.pay.budget_ms", "class.pay.budget"]
-    assert len(faults("")) == 4  # the target, a length, a class, arrivals
+    assert len(errors_of("")) == 4  # the target, a length, a class, arrivals
 
 
 @pytest.mark.parametrize(
@@ -142,35 +142,35 @@
         'shape = "steps"\nrates_per_s = [0, 100]\neach_s = 2',
     ],
 )
-def test_every_shape_makes_its_schedule(shape, tmp_path):
+def test_every_shape_gives_its_number_of_requests_in_order(shape, tmp_path):
     text = GOOD.replace('shape = "constant"\nrate_per_s = 200', f'spacing = "even"\n{shape}')
-    rows = list(schedule.made(spec.parse(text, "f"), tmp_path).requests())
+    rows = list(schedule.make_schedule(spec.parse(text, "f"), tmp_path).requests())
     assert len(rows) == pytest.approx(200 + 60, abs=1)
     assert all(a.at_us <= b.at_us for a, b in pairwise(rows))
 
 
-def test_a_wave_below_nothing_is_refused():
+def test_a_wave_with_negative_rates_is_rejected():
     text = GOOD.replace(
         'shape = "constant"\nrate_per_s = 200',
         'shape = "wave"\nmean_per_s = 1\nswing_per_s = 2\nperiod_s = 1',
     )
-    assert faults(text) == ["f.toml: arrivals.base.swing_per_s: more than mean_per_s"]
+    assert errors_of(text) == ["f.toml: arrivals.base.swing_per_s: more than mean_per_s"]
 
 
-def test_same_seed_same_schedule_byte_for_byte(tmp_path):
+def test_the_same_seed_gives_the_same_schedule_byte_for_byte(tmp_path):
     made = spec.parse(GOOD, "f")
     files = []
     for number, seed in enumerate((3, 3, 4)):
         path = tmp_path / f"{number}.trace.gz"
-        trace.write(path, schedule.made(replace(made, seed=seed), tmp_path).requests(), 4_000_000)
+        trace.write(path, schedule.make_schedule(replace(made, seed=seed), tmp_path).requests(), 4_000_000)
         files.append(path.read_bytes())
     assert files[0] == files[1] != files[2]
 
 
-def test_the_mix_does_not_move_the_times(tmp_path):
+def test_the_mix_does_not_change_the_send_times(tmp_path):
     other = GOOD.replace("count = 100", "count = 50").replace("bytes = 200", "bytes = 300")
     a, b = (
-        [row.at_us for row in schedule.made(spec.parse(text, "f"), tmp_path).requests()]
+        [row.at_us for row in schedule.make_schedule(spec.parse(text, "f"), tmp_path).requests()]
         for text in (GOOD, other)
     )
     assert a == b
@@ -181,31 +181,33 @@
     trace.write(path, rows, length_us)
 
 
-def test_a_trace_takes_the_place_of_arrivals(tmp_path):
+def test_a_trace_replaces_arrivals(tmp_path):
     rows = [Request(i * 1000, "look", "acme", "", 500_000, 0) for i in range(100)]
     write(tmp_path / "t.trace", rows)
     text = TRACE.replace('file = "t.trace"', 'file = "t.trace"\nspeed = 2\nloop = 3')
-    made = schedule.made(spec.parse(text, "f"), tmp_path)
+    made = schedule.make_schedule(spec.parse(text, "f"), tmp_path)
     assert (made.length_us, made.tenants) == (3_000_000, ("acme",))
     assert [row.at_us for row in islice(made.requests(), 99, 102)] == [49_500, 1_000_000, 1_000_500]
 
 
 @pytest.mark.parametrize(
-    ("kind", "more", "said"),
+    ("class_name", "more", "said"),
     [
         ("book", "", r"t\.trace: class: the load has no \[class\.book\]"),
         ("look", "\nfrom_s = 2", r"t\.trace: from_s: nothing is left of 2 s"),
     ],
 )
-def test_a_trace_that_does_not_fit_is_refused_before_anything_is_sent(tmp_path, kind, more, said):
-    write(tmp_path / "t.trace", [Request(0, kind, "", "", 1, 0)])
+def test_a_trace_that_does_not_match_the_load_is_rejected_before_anything_is_sent(
+    tmp_path, class_name, more, said
+):
+    write(tmp_path / "t.trace", [Request(0, class_name, "", "", 1, 0)])
     made = spec.parse(TRACE.replace('"t.trace"', f'"t.trace"{more}'), "f")
     with pytest.raises(TraceError, match=said):
-        schedule.made(made, tmp_path)
+        schedule.make_schedule(made, tmp_path)
 
 
-def test_how_long_a_worker_spins_is_set_and_bounded():
+def test_spin_ms_is_read_and_must_not_be_negative():
     assert spec.parse(GOOD, "f").spin_ms == 3.0
     assert spec.parse(GOOD.replace("length_s = 4\n", "length_s = 4\nspin_ms = 50\n"), "f").spin_ms == 50.0
-    (said,) = faults(GOOD.replace("length_s = 4\n", "length_s = 4\nspin_ms = -1\n"))
+    (said,) = errors_of(GOOD.replace("length_s = 4\n", "length_s = 4\nspin_ms = -1\n"))
     assert "spin_ms" in said
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -1,4 +1,4 @@
-"""Traces: what is written is read, and what is damaged is named and refused."""
+"""Traces: what is written is read back, and damage is reported by line and field."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from fordtrestle.load import trace
 from fordtrestle.load.errors import TraceError
 from fordtrestle.load.mix import Request
-from fordtrestle.load.trace import Cut, Reader, inspect, replay
+from fordtrestle.load.trace import ReplayRange, TraceReader, inspect, replay
 
 ROWS = [
     Request(0, "look", "acme", "00ff", 500_000, 0),
@@ -30,17 +30,17 @@
     return tmp_path / request.param
 
 
-def put(path, text):
+def write_file(path, text):
     data = text if isinstance(text, bytes) else text.encode()
     path.write_bytes(gzip.compress(data) if path.suffix == ".gz" else data)
     return path
 
 
-def test_the_format_is_as_the_page_tells(path):
+def test_the_format_is_the_documented_one(path):
     assert trace.write(path, iter(ROWS), 3_000_000) == 4
     data = path.read_bytes()
     assert (gzip.decompress(data) if path.suffix == ".gz" else data).decode() == GOOD
-    assert list(Reader(path)) == ROWS
+    assert list(TraceReader(path)) == ROWS
 
 
 def test_the_same_requests_are_the_same_bytes(path):
@@ -51,10 +51,10 @@
     assert other.read_bytes() == first
 
 
-def test_a_summary_tells_what_is_in_it(path):
-    summary = inspect(put(path, GOOD))
-    assert (summary.requests, summary.length_us, summary.most_in_a_second) == (4, 3_000_000, 3)
-    assert summary.kinds == {"look": 3, "pay": 1}
+def test_a_summary_counts_requests_classes_and_tenants(path):
+    summary = inspect(write_file(path, GOOD))
+    assert (summary.requests, summary.length_us, summary.max_requests_per_second) == (4, 3_000_000, 3)
+    assert summary.classes == {"look": 3, "pay": 1}
     assert summary.tenants == {"acme": 2, "": 1, "other": 1}
 
 
@@ -81,8 +81,8 @@
         ("10 pay", "1" * 600 + " pay", 3, "longer than 512 bytes"),
     ],
 )
-def test_what_is_damaged_is_named_by_its_line(path, old, new, line, said):
-    put(path, GOOD.replace(old, new, 1))
+def test_damage_is_reported_with_its_line(path, old, new, line, said):
+    write_file(path, GOOD.replace(old, new, 1))
     with pytest.raises(TraceError) as caught:
         inspect(path)
     text = str(caught.value)
@@ -91,7 +91,7 @@
     assert "\n" not in text
 
 
-def test_a_compressed_file_that_is_cut_is_refused(tmp_path):
+def test_a_truncated_compressed_file_is_rejected(tmp_path):
     path = tmp_path / "x.gz"
     trace.write(path, ROWS)
     path.write_bytes(path.read_bytes()[:-12])
@@ -102,23 +102,23 @@
         inspect(path)
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path):
+def test_a_missing_file_is_named(tmp_path):
     with pytest.raises(TraceError, match=r"no\.trace: No such file"):
         inspect(tmp_path / "no.trace")
 
 
 @pytest.mark.parametrize("rows", [[ROWS[3], ROWS[0]], [Request(0, "a b", "", "", 1, 0)]])
-def test_what_the_format_has_no_place_for_is_not_written(path, rows):
-    with pytest.raises(ValueError):
+def test_requests_out_of_order_or_with_invalid_names_are_not_written(path, rows):
+    with pytest.raises(ValueError, match=r"is meant for before|class: 'a'|7 fields"):
         trace.write(path, rows)
 
 
 def offsets(path, **cut):
-    return [row.at_us for row in replay(path, Cut(**cut), 3_000_000)]
+    return [row.at_us for row in replay(path, ReplayRange(**cut), 3_000_000)]
 
 
 def test_a_replay_is_sped_up_looped_and_cut(path):
-    put(path, GOOD)
+    write_file(path, GOOD)
     assert offsets(path) == [0, 10, 10, 2_500_000]
     assert offsets(path, speed=2.0) == [0, 5, 5, 1_250_000]
     assert offsets(path, loop=2)[4:] == [3_000_000, 3_000_010, 3_000_010, 5_500_000]
@@ -128,26 +128,26 @@
 
 
 @pytest.mark.parametrize("cut", [{"speed": 0.0}, {"loop": 0}, {"from_us": 5, "to_us": 5}, {"from_us": -1}])
-def test_a_cut_that_is_none_is_refused(cut):
-    with pytest.raises(ValueError):
-        Cut(**cut)
+def test_invalid_ranges_are_rejected(cut):
+    with pytest.raises(ValueError, match=r"a speed above 0|a cut ends after"):
+        ReplayRange(**cut)
 
 
-WORDS = st.from_regex(trace.WORD, fullmatch=True)
+NAMES = st.from_regex(trace.NAME, fullmatch=True)
 REQUESTS = st.builds(
     Request,
-    st.integers(0, trace.OFFSET_MOST_US),
-    WORDS,
-    st.just("") | WORDS,
-    st.just("") | WORDS,
-    st.integers(1, trace.BUDGET_MOST_US),
+    st.integers(0, trace.MAX_OFFSET_US),
+    NAMES,
+    st.just("") | NAMES,
+    st.just("") | NAMES,
+    st.integers(1, trace.MAX_BUDGET_US),
     st.integers(0, 65_536),
 )
 
 
 @given(st.lists(REQUESTS, max_size=8))
-def test_any_requests_come_back_as_they_were(tmp_path_factory, rows):
+def test_any_requests_are_read_back_as_they_were_written(tmp_path_factory, rows):
     path = tmp_path_factory.mktemp("any") / "t"
     rows.sort()
     trace.write(path, rows)
-    assert list(Reader(path)) == rows
+    assert list(TraceReader(path)) == rows
--- a/tests/load/test_worker.py
+++ b/tests/load/test_worker.py
@@ -8,7 +8,7 @@
 
 from fordtrestle.load import worker
 from fordtrestle.load.generator import _part
-from fordtrestle.load.samples import FRAME, RECORD, SAMPLES, SUMMARY, Frames
+from fordtrestle.load.samples import FRAME, RECORD, SAMPLES, SUMMARY, FrameDecoder
 from fordtrestle.load.worker import Outbox
 
 
@@ -29,7 +29,7 @@
         outbox.flush(0)
     assert outbox.lost > 0
     assert outbox.lost % 100 == 0
-    frames, found, left = Frames(), 0, True
+    frames, found, left = FrameDecoder(), 0, True
     while left:  # one write behind each read: what was written last is still read
         left = outbox.due(0)
         found += sum(len(body) // RECORD.size for _, body in frames.feed(os.read(pipe[0], 1 << 20)))
@@ -42,7 +42,7 @@
     outbox.put(*range(9))
     outbox.end(SUMMARY, b"{}")
     data = os.read(pipe[0], 1 << 16)
-    assert [what for what, _ in Frames().feed(data)] == [SAMPLES, SUMMARY]
+    assert [what for what, _ in FrameDecoder().feed(data)] == [SAMPLES, SUMMARY]
     assert len(data) == 2 * FRAME.size + RECORD.size + 2
 
 
--- a/tests/proxy/daemon/test_trace_recorder.py
+++ b/tests/proxy/daemon/test_trace_recorder.py
@@ -53,8 +53,8 @@
     made.close()
     path = tmp_path / "asked.trace.gz"
     told = trace.inspect(path)
-    assert (told.requests, told.kinds) == (5, {"look": 5})
-    requests = list(trace.Reader(path))
+    assert (told.requests, told.classes) == (5, {"look": 5})
+    requests = list(trace.TraceReader(path))
     assert len({request.key for request in requests}) == 2
     assert {(request.budget_us, request.size) for request in requests} == {(800_000, 0)}
     assert stat.S_IMODE(path.stat().st_mode) == 0o600
@@ -103,7 +103,7 @@
         stands_still.set()
         goes_on.wait(10.0)
 
-    monkeypatch.setattr(trace.Writer, "add", add)
+    monkeypatch.setattr(trace.TraceWriter, "add", add)
     made = TraceRecorder(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
     made.record(Asked())
     assert stands_still.wait(10.0)
@@ -121,7 +121,7 @@
     def add(self, request):
         raise OSError(28, "No space left on device")
 
-    monkeypatch.setattr(trace.Writer, "add", add)
+    monkeypatch.setattr(trace.TraceWriter, "add", add)
     made = TraceRecorder(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
     made.record(Asked())
     made._thread.join(10.0)
--- a/tests/stored/test_files.py
+++ b/tests/stored/test_files.py
@@ -124,14 +124,14 @@
 
 
 def test_a_trace_of_then_is_read_and_written_the_same(tmp_path):
-    assert list(trace.Reader(DATA / "requests.trace")) == REQUESTS
+    assert list(trace.TraceReader(DATA / "requests.trace")) == REQUESTS
     trace.write(tmp_path / "requests.trace", REQUESTS, 3_000_000)
     assert (tmp_path / "requests.trace").read_bytes() == (DATA / "requests.trace").read_bytes()
 
 
 def test_a_compressed_trace_of_then_is_read_and_written_with_the_same_content(tmp_path):
     """The compressed bytes themselves are the zlib library's, which differ from one release to another."""
-    assert list(trace.Reader(DATA / "requests.trace.gz")) == REQUESTS
+    assert list(trace.TraceReader(DATA / "requests.trace.gz")) == REQUESTS
     trace.write(tmp_path / "requests.trace.gz", REQUESTS, 3_000_000)
     written = gzip.decompress((tmp_path / "requests.trace.gz").read_bytes())
     assert written == gzip.decompress((DATA / "requests.trace.gz").read_bytes())
