--- a/fordtrestle/proxy/http/connection_pool.py
+++ b/fordtrestle/proxy/http/connection_pool.py
@@ -114,9 +114,9 @@
         head = PROBE_HEAD % (self._probe_target, host)
         return self._assign(server, UpstreamExchange(lambda left: head, math.inf, done, probe=True))
 
-    def update(self, now: float, whole: bool, news: ServerList) -> list[str]:
+    def update(self, now: float, is_complete: bool, update: ServerList) -> list[str]:
         """Apply one update of discovery; see `UpstreamServers.update`."""
-        return self._directory.update(now, whole, news)
+        return self._directory.update(now, is_complete, update)
 
     def close_idle(self, server: str) -> None:
         """Close a server's idle connections, and only those."""
