--- a/benchmarks/load_accuracy.py
+++ b/benchmarks/load_accuracy.py
@@ -155,7 +155,7 @@
         recorded = [(record.went - record.came) / 1e6 for record in sent.records]
         late_ms = quantile([(record.went - record.due) / 1e6 for record in sent.records], 0.999)
         true = [quantile(recorded, share) for share in SHARES]
-        latency = sent.run.recorder.whole.latency.at([share * 100.0 for share in SHARES])
+        latency = sent.run.recorder.whole.latency.percentiles_ms([share * 100.0 for share in SHARES])
         apart = max(abs((got or math.inf) - was) for got, was in zip(latency, true, strict=True))
         lag_ms = sent.run.recorder.lag.summary()["p999"]
         whole = len(recorded) == len(sent.samples)
--- a/fordtrestle/cli/load.py
+++ b/fordtrestle/cli/load.py
@@ -17,7 +17,7 @@
 from fordtrestle.load.arrivals import US_PER_S
 from fordtrestle.load.errors import GeneratorError, LoadError, SpecError
 from fordtrestle.load.generator import Generator, Run
-from fordtrestle.load.recorder import library
+from fordtrestle.load.recorder import import_library
 from fordtrestle.load.schedule import Schedule, make_schedule
 from fordtrestle.load.spec import MAX_SEED, MAX_WORKERS, Spec, parse
 from fordtrestle.proxy.engine.ports import parse_address
@@ -162,7 +162,7 @@
     path = _check_writable("--plot", arguments.plot)
     if path.suffix not in plot.SUFFIXES:
         raise OptionError(f"--plot: {path}: a plot ends with {' or '.join(plot.SUFFIXES)}")
-    library("matplotlib", "plot")
+    import_library("matplotlib", "plot")
     return path
 
 
@@ -222,20 +222,20 @@
 
 def _send(arguments: argparse.Namespace, files: list[str]) -> int:
     """`load SPEC`: send a load and report it; `EXIT_FAILED` where a bound was not met."""
-    library("hdrh.histogram", "load")
+    import_library("hdrh.histogram", "load")
     json_path = None
     if arguments.json not in (None, ON_STANDARD_OUTPUT):
         json_path = _check_writable("--json", arguments.json)
     plot_path = _plot_path(arguments)
     schedule = _read_schedule(arguments, files[0])
-    summary = report.report(_run(schedule), schedule, files[0])
+    summary = report.make_report(_run(schedule), schedule, files[0])
     text = json.dumps(summary, indent=1, allow_nan=False)
-    print(text if arguments.json == ON_STANDARD_OUTPUT else report.table(summary))
+    print(text if arguments.json == ON_STANDARD_OUTPUT else report.format_table(summary))
     if json_path is not None:
         json_path.write_text(text + "\n", encoding="utf-8")
     if plot_path is not None:
         plot.plot(summary, plot_path)
-    return EXIT_DONE if report.met(summary) else EXIT_FAILED
+    return EXIT_DONE if report.meets_bounds(summary) else EXIT_FAILED
 
 
 def _run(schedule: Schedule) -> Run:
@@ -249,7 +249,7 @@
         signals_received.append(number)
 
     def show_progress(run: Run, now_s: float) -> None:
-        sys.stderr.write(f"{CLEAR_LINE}{report.live(run, now_s, schedule.spec)}")
+        sys.stderr.write(f"{CLEAR_LINE}{report.progress_line(run, now_s, schedule.spec)}")
         sys.stderr.flush()
 
     handlers_before: list[tuple[int, Any]] = [
--- a/fordtrestle/load/client.py
+++ b/fordtrestle/load/client.py
@@ -1,4 +1,4 @@
-"""One connection of a client, non-blocking: a request out, its answer in, then the next one."""
+"""One non-blocking connection of a client: a request is sent, its response read, then the next one."""
 
 from __future__ import annotations
 
@@ -6,37 +6,56 @@
 import socket
 from enum import Enum
 
-from fordtrestle.load.wire import Answers
+from fordtrestle.load.errors import ResponseError
+from fordtrestle.load.wire import ResponseReader
 
-RECEIVE = 65_536
-# The system's own shortage, not the other side's.
-SHORTAGES = (errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN)
+RECEIVE_BYTES = 65_536
+# The generator's own system has no descriptor, port or memory left; the other side is not to blame.
+SHORTAGE_ERRNOS = (
+    *(errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL),
+    *(errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN),
+)
 
 
-class Came(Enum):
+class ReadResult(Enum):
     """What reading a connection brought."""
 
-    NOTHING = 0
-    WHOLE = 1  # an answer is whole
-    GARBLED = 2  # bytes that are none of an answer's
-    ENDED = 3  # closed or reset, amid an answer or without one
+    NOTHING = 0  # no complete response yet
+    COMPLETE = 1  # a complete response
+    MALFORMED = 2  # bytes that are no response
+    CLOSED = 3  # closed or reset, amid a response or without one
 
 
 class Connection:
-    """A connection that was begun; it carries one request at a time.
-
-    Raises `OSError` where none can be begun. `answered` counts whole answers on it.
+    """A connection that carries one request at a time.
+
+    Attributes:
+        sock: Its socket.
+        response: The response to the request at hand.
+        responses_read: Complete responses on this connection.
+        is_connected: Whether the connection is known to have come up.
+        unsent: What is left to send of the request at hand.
+        current: The request that is out on it; set by the connection's owner.
     """
 
-    __slots__ = ("answered", "answers", "current", "left", "sock", "up")
+    __slots__ = ("current", "is_connected", "response", "responses_read", "sock", "unsent")
 
     def __init__(self, family: int, address: tuple[object, ...]) -> None:
+        """Begin to connect.
+
+        Args:
+            family: The address family.
+            address: The address, resolved.
+
+        Raises:
+            OSError: The system has no socket, or the connection can't be begun.
+        """
         self.sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
-        self.answers = Answers()
-        self.answered = 0
-        self.up = False  # whether it is known to have come up
-        self.left = memoryview(b"")  # of the request at hand, not written yet
-        self.current: object = None  # what is out on it; its owner's
+        self.response = ResponseReader()
+        self.responses_read = 0
+        self.is_connected = False
+        self.unsent = memoryview(b"")
+        self.current: object = None
         try:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             error = self.sock.connect_ex(address)
@@ -47,38 +66,42 @@
             raise
 
     def send(self, message: bytes) -> None:
-        """Write a request, as much as goes; `flush` writes the rest. Raises `OSError` where it is gone."""
-        self.answers.begin()
-        self.left = memoryview(message)
+        """Send a request, as much as the socket takes; `flush` sends the rest.
+
+        Raises:
+            OSError: The connection is lost, or did not come up.
+        """
+        self.response.begin()
+        self.unsent = memoryview(message)
         self.flush()
 
     def flush(self) -> None:
-        """Go on writing; raises `OSError` where it is gone or never came up."""
+        """Send more of the request; `OSError` where the connection is lost, or did not come up."""
         try:
-            while self.left:
-                self.left = self.left[self.sock.send(self.left) :]
-                self.up = True
+            while self.unsent:
+                self.unsent = self.unsent[self.sock.send(self.unsent) :]
+                self.is_connected = True
         except BlockingIOError:
             return
 
-    def receive(self) -> Came:
-        """Read what is there."""
+    def receive(self) -> ReadResult:
+        """Read once from the socket and parse what has come."""
         try:
-            data = self.sock.recv(RECEIVE)
+            data = self.sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
-            return Came.NOTHING
+            return ReadResult.NOTHING
         except OSError:
-            return Came.ENDED
-        self.up = True
+            return ReadResult.CLOSED
+        self.is_connected = True
         if not data:
-            return Came.WHOLE if self.answers.end() else Came.ENDED
+            return ReadResult.COMPLETE if self.response.on_connection_closed() else ReadResult.CLOSED
         try:
-            self.answers.feed(data)
-        except ValueError:
-            return Came.GARBLED
-        return Came.WHOLE if self.answers.whole else Came.NOTHING
+            self.response.feed(data)
+        except ResponseError:
+            return ReadResult.MALFORMED
+        return ReadResult.COMPLETE if self.response.is_complete else ReadResult.NOTHING
 
     def close(self) -> None:
-        """Gone, whatever is out on it."""
+        """Close the socket, whatever is out on it."""
         self.sock.close()
-        self.answers.close()
+        self.response.close()
--- a/fordtrestle/load/errors.py
+++ b/fordtrestle/load/errors.py
@@ -29,5 +29,9 @@
     """Nothing was sent; the text says why."""
 
 
+class ResponseError(LoadError):
+    """Received bytes that are no response to the request that was sent."""
+
+
 class MissingLibraryError(LoadError):
     """A library of an extra is not installed; the text says which one and how to install it."""
--- a/fordtrestle/load/generator.py
+++ b/fordtrestle/load/generator.py
@@ -43,16 +43,16 @@
     counts: dict[str, int] = field(default_factory=dict)  # of all workers
     problems: list[str] = field(default_factory=list)  # what went wrong with the generator itself
 
-    def unsound(self, spec: Spec) -> list[str]:
+    def unsound_reasons(self, spec: Spec) -> list[str]:
         """Why these figures are not to be believed; empty where they are."""
         found = list(self.problems)
-        lag_ms = self.recorder.lag.at([99.0])[0]
+        lag_ms = self.recorder.lag.percentiles_ms([99.0])[0]
         if lag_ms is not None and lag_ms > spec.lag_p99_most_ms:
             found.append(f"sends were late: p99 {lag_ms:.3f} ms, over {spec.lag_p99_most_ms:g} ms")
         if self.counts.get("lost"):
             found.append(f"{self.counts['lost']} samples were lost")
-        if self.recorder.tardy:
-            found.append(f"{self.recorder.tardy} samples came after their second was closed")
+        if self.recorder.late_samples:
+            found.append(f"{self.recorder.late_samples} samples came after their second was closed")
         return found
 
 
@@ -109,7 +109,7 @@
         finally:
             selector.close()
             self._end()
-        self._run.recorder.settle()
+        self._run.recorder.close_seconds()
         return self._run
 
     def _start(self) -> None:
@@ -158,7 +158,7 @@
                 return
             if now_s >= reported + 1:
                 reported = int(now_s)
-                self._run.recorder.settle(now_s - self._open_s)
+                self._run.recorder.close_seconds(now_s - self._open_s)
                 if self._watch is not None:
                     self._watch(self._run, now_s)
         self._run.took_s = (time.monotonic_ns() - self._run.start_ns) / 1e9
--- a/fordtrestle/load/recorder.py
+++ b/fordtrestle/load/recorder.py
@@ -1,4 +1,4 @@
-"""What came of a run: HDR histograms by class, tenant and second, and the worth served within the aim.
+"""Statistics of a run: HDR histograms by class, tenant and second, and the worth served within the aim.
 
 Needs the extra `load` (hdrhistogram), which is imported when the first histogram is made. Histograms hold
 microseconds with four significant digits; adding samples of any number of workers is exact.
@@ -17,14 +17,22 @@
 from fordtrestle.load.samples import NOT_SENT, TIMED, Outcome, Sample
 from fordtrestle.load.spec import TrafficClass
 
-DIGITS = 4
-HIGHEST_US = 600 * US_PER_S
+SIGNIFICANT_DIGITS = 4  # an error below 0.01%, for 2.4 MB a histogram
+MAX_DURATION_US = 600 * US_PER_S  # ten times the longest budget
 QUANTILES = {"p50": 50.0, "p90": 90.0, "p99": 99.0, "p999": 99.9, "p9999": 99.99, "max": 100.0}
-CURVE = (0.0, 10.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.5, 99.9, 99.95, 99.99, 99.999, 100.0)
+CURVE_PERCENTILES = (0.0, 10.0, 25.0, 50.0, 75.0, 90.0, 95.0, 99.0, 99.5, 99.9, 99.95, 99.99, 99.999, 100.0)
 
 
-def library(module: str, extra: str) -> Any:
-    """A module of an extra; `MissingLibraryError` where it is missing."""
+def import_library(module: str, extra: str) -> Any:
+    """Import a module of an optional dependency.
+
+    Args:
+        module: Its full name.
+        extra: The extra of this package that installs it.
+
+    Raises:
+        MissingLibraryError: It is not installed.
+    """
     try:
         return import_module(module)
     except ImportError:
@@ -33,69 +41,78 @@
 
 
 class Histogram:
-    """Durations; reported in milliseconds."""
+    """A histogram of durations; they are added in nanoseconds and reported in milliseconds."""
 
     def __init__(self) -> None:
-        self._counts = library("hdrh.histogram", "load").HdrHistogram(1, HIGHEST_US, DIGITS)
+        self._counts = import_library("hdrh.histogram", "load").HdrHistogram(
+            1, MAX_DURATION_US, SIGNIFICANT_DIGITS
+        )
 
     def add(self, duration_ns: int) -> None:
-        """One more; guards against values outside the histogram, which it would leave out silently."""
-        self._counts.record_value(min(max(1, duration_ns // 1000), HIGHEST_US))
+        """Add a duration; one out of range counts at its end, since the library would drop it silently."""
+        self._counts.record_value(min(max(1, duration_ns // 1000), MAX_DURATION_US))
 
     @property
     def count(self) -> int:
-        """How many there are."""
+        """The number of durations."""
         return int(self._counts.get_total_count())
 
-    def at(self, percentiles: Sequence[float]) -> list[float | None]:
-        """The values in milliseconds at these percentiles; None where nothing was counted."""
+    def percentiles_ms(self, percentiles: Sequence[float]) -> list[float | None]:
+        """The durations at these percentiles (0 to 100), in milliseconds; None where there are none."""
         if not self.count:
             return [None] * len(percentiles)
         found = self._counts.get_percentile_to_value_dict(list(percentiles))
         return [found[percentile] / 1000.0 for percentile in percentiles]
 
     def summary(self) -> dict[str, float | None]:
-        """The quantiles that every report has, in milliseconds."""
-        return dict(zip(QUANTILES, self.at(list(QUANTILES.values())), strict=True))
+        """The quantiles of `QUANTILES` by their names, in milliseconds."""
+        return dict(zip(QUANTILES, self.percentiles_ms(list(QUANTILES.values())), strict=True))
 
-    def encoded(self) -> str:
-        """The whole of it as HdrHistogram's own text (V2, compressed), to be added to others."""
+    def encode(self) -> str:
+        """The histogram as HdrHistogram's own text (V2, compressed), which can be added to others."""
         return bytes(self._counts.encode()).decode("ascii")
 
 
 @dataclass(slots=True)
 class OutcomeStats:
-    """Counts, worth and latency of one part of a run."""
+    """Outcomes, worth and latency of one part of a run.
+
+    Attributes:
+        latency: From the intended time to the end, of requests whose outcome is in `TIMED`.
+        counts: The number of requests by outcome.
+        worth_asked: The sum of the worth of all requests.
+        worth_in_aim: The sum of the worth of those that were served within the aim.
+    """
 
     latency: Histogram = field(default_factory=Histogram)
     counts: dict[int, int] = field(default_factory=dict)
     worth_asked: float = 0.0
     worth_in_aim: float = 0.0
 
-    def add(self, sample: Sample, worth: float, in_aim: bool) -> None:
-        """One more request."""
+    def add(self, sample: Sample, worth: float, is_in_aim: bool) -> None:
+        """Add a request."""
         self.counts[sample.outcome] = self.counts.get(sample.outcome, 0) + 1
         self.worth_asked += worth
-        if in_aim:
+        if is_in_aim:
             self.worth_in_aim += worth
         if sample.outcome in TIMED:
             self.latency.add(sample.latency_ns)
 
     @property
     def asked(self) -> int:
-        """Requests that were meant to be sent."""
+        """The number of requests that were intended."""
         return sum(self.counts.values())
 
     def count(self, *outcomes: Outcome) -> int:
-        """How many ended so."""
+        """The number of requests with one of these outcomes."""
         return sum(self.counts.get(outcome, 0) for outcome in outcomes)
 
     def share_in_aim(self) -> float | None:
-        """Worth served within the aim over worth asked for; None where nothing was."""
+        """Worth served within the aim over worth asked for; None where none was asked for."""
         return self.worth_in_aim / self.worth_asked if self.worth_asked > 0.0 else None
 
     def summary(self) -> dict[str, Any]:
-        """All of it as JSON values."""
+        """All of it as JSON values; the keys are the report's."""
         return {
             "asked": self.asked,
             "not_sent": self.count(*NOT_SENT),
@@ -108,16 +125,28 @@
 
 
 class Recorder:
-    """All statistics of a run. Seconds are of intended times; each is closed once nothing more of it can
-    come.
+    """All statistics of a run.
+
+    Requests belong to the second of their intended time. A second is closed once no more of its requests can
+    end: its histogram is then reduced to quantiles, so that memory does not grow with the run.
+
+    Attributes:
+        whole: Of all requests.
+        service: From the send of the last attempt to the end.
+        lag: From the intended time to the send, also of retries.
+        classes: By class.
+        tenants: By tenant.
+        statuses: The number of responses by HTTP status.
+        retries: Retries that were sent.
+        late_samples: Samples of seconds that had been closed; 0 unless a worker hung.
     """
 
     def __init__(self, classes: Sequence[TrafficClass], tenants: Sequence[str]) -> None:
-        self._figures = [(c.aim_ms * 1e6, c.worth) for c in classes]
+        self._aim_and_worth = [(each.aim_ms * 1e6, each.worth) for each in classes]
         self.whole = OutcomeStats()
         self.service = Histogram()
         self.lag = Histogram()
-        self.classes = {c.name: OutcomeStats() for c in classes}
+        self.classes = {each.name: OutcomeStats() for each in classes}
         self.tenants = {name: OutcomeStats() for name in tenants}
         self._by_class = list(self.classes.values())
         self._by_tenant = list(self.tenants.values())
@@ -125,25 +154,25 @@
         self._rows: dict[int, dict[str, Any]] = {}
         self.statuses: dict[int, int] = {}
         self.retries = 0
-        self.tardy = 0  # of seconds that had been closed; 0 unless a worker hung
+        self.late_samples = 0
 
     def add(self, sample: Sample) -> None:
-        """One sample of a worker."""
+        """Add a sample of a worker."""
         outcome = sample.outcome
         if outcome == Outcome.RETRY:
             self.retries += 1
             self.lag.add(sample.lag_ns)
             return
-        aim_ns, worth = self._figures[sample.class_index]
-        in_aim = outcome == Outcome.SERVED and sample.latency_ns <= aim_ns
+        aim_ns, worth = self._aim_and_worth[sample.class_index]
+        is_in_aim = outcome == Outcome.SERVED and sample.latency_ns <= aim_ns
         parts = [self.whole, self._by_class[sample.class_index], self._by_tenant[sample.tenant_index]]
         second = sample.at_us // US_PER_S
         if second in self._rows:
-            self.tardy += 1
+            self.late_samples += 1
         else:
-            parts.append(self._seconds.get(second) or self._open(second))
+            parts.append(self._seconds.get(second) or self._open_second(second))
         for part in parts:
-            part.add(sample, worth, in_aim)
+            part.add(sample, worth, is_in_aim)
         if outcome not in NOT_SENT:
             self.lag.add(sample.lag_ns)
         if outcome in TIMED:
@@ -151,22 +180,22 @@
         if sample.status:
             self.statuses[sample.status] = self.statuses.get(sample.status, 0) + 1
 
-    def _open(self, second: int) -> OutcomeStats:
+    def _open_second(self, second: int) -> OutcomeStats:
         self._seconds[second] = OutcomeStats()
         return self._seconds[second]
 
-    def settle(self, before_s: float | None = None) -> None:
-        """Close the seconds that end before a time, all for None: their histograms become quantiles."""
+    def close_seconds(self, before_s: float | None = None) -> None:
+        """Reduce the histograms of seconds that end by `before_s` (None: of all) to quantiles."""
         closed = [s for s in sorted(self._seconds) if before_s is None or s + 1 <= before_s]
         for second in closed:
             self._rows[second] = {"second": second, **self._seconds.pop(second).summary()}
         if closed:
-            gc.collect()  # guards against megabytes a second: the library's histograms refer to themselves
+            gc.collect()  # the library's histograms are cycles of some megabytes each, one a second
 
     def seconds(self) -> list[dict[str, Any]]:
-        """The seconds that are closed, in order."""
+        """The statistics of the closed seconds, in order."""
         return [self._rows[second] for second in sorted(self._rows)]
 
-    def latest(self) -> dict[str, Any] | None:
-        """The last second that is closed."""
+    def latest_second(self) -> dict[str, Any] | None:
+        """The statistics of the last closed second; None: no second is closed."""
         return self._rows[max(self._rows)] if self._rows else None
--- a/fordtrestle/load/report.py
+++ b/fordtrestle/load/report.py
@@ -1,6 +1,6 @@
-"""What a run came to, for people and for programs: a live line, a table, and JSON with a stated schema.
+"""The report of a run: a progress line, a table, and JSON with a documented schema.
 
-The schema is told in docs/operate/load.md; `VERSION` goes up when a field changes its meaning.
+docs/operate/load.md describes the schema; `VERSION` goes up when a field changes its meaning.
 """
 
 from __future__ import annotations
@@ -8,20 +8,26 @@
 from typing import Any
 
 from fordtrestle.load.generator import Run
-from fordtrestle.load.recorder import CURVE, Recorder
-from fordtrestle.load.samples import Outcome
+from fordtrestle.load.recorder import CURVE_PERCENTILES, Recorder
+from fordtrestle.load.samples import NOT_SENT, Outcome
 from fordtrestle.load.schedule import Schedule
 from fordtrestle.load.spec import Bounds, Spec
 
 FORMAT = "fordtrestle-load-report"
 VERSION = 1
-COLUMNS = ("p50", "p90", "p99", "p999", "max")
+QUANTILE_COLUMNS = ("p50", "p90", "p99", "p999", "max")
 
 
-def report(run: Run, schedule: Schedule, spec_file: str) -> dict[str, Any]:
-    """All that was measured, as JSON values."""
+def make_report(run: Run, schedule: Schedule, spec_file: str) -> dict[str, Any]:
+    """All that was measured, as JSON values.
+
+    Args:
+        run: What the generator measured.
+        schedule: What was sent.
+        spec_file: The name of the load file, as it is shown.
+    """
     spec, recorder = schedule.spec, run.recorder
-    unsound = run.unsound(spec)
+    unsound_reasons = run.unsound_reasons(spec)
     return {
         "format": FORMAT,
         "version": VERSION,
@@ -33,9 +39,9 @@
         "length_s": schedule.length_us / 1e6,
         "took_s": round(run.took_s, 3),
         "cut": run.cut,
-        "sound": not unsound,
-        "unsound_because": unsound,
-        "bounds": bounds(spec.bounds, recorder),
+        "sound": not unsound_reasons,
+        "unsound_because": unsound_reasons,
+        "bounds": check_bounds(spec.bounds, recorder),
         "whole": recorder.whole.summary(),
         "service_ms": recorder.service.summary(),
         "lag_ms": recorder.lag.summary(),
@@ -47,20 +53,20 @@
         "tenants": {name: part.summary() for name, part in recorder.tenants.items()},
         "seconds": recorder.seconds(),
         "curve": {
-            "percentiles": list(CURVE),
-            "latency_ms": recorder.whole.latency.at(CURVE),
-            "service_ms": recorder.service.at(CURVE),
+            "percentiles": list(CURVE_PERCENTILES),
+            "latency_ms": recorder.whole.latency.percentiles_ms(CURVE_PERCENTILES),
+            "service_ms": recorder.service.percentiles_ms(CURVE_PERCENTILES),
         },
         "histograms": {
-            "latency": recorder.whole.latency.encoded(),
-            "service": recorder.service.encoded(),
-            "lag": recorder.lag.encoded(),
+            "latency": recorder.whole.latency.encode(),
+            "service": recorder.service.encode(),
+            "lag": recorder.lag.encode(),
         },
     }
 
 
-def bounds(asked: Bounds, recorder: Recorder) -> list[dict[str, Any]]:
-    """Each bound that the load states, with what was measured and whether that meets it."""
+def check_bounds(asked: Bounds, recorder: Recorder) -> list[dict[str, Any]]:
+    """Each bound that the load has, with what was measured and whether that meets it."""
     whole = recorder.whole.summary()
     rows = [
         ("in_aim_share_least", asked.in_aim_share_least, whole["share_in_aim"], True),
@@ -72,89 +78,91 @@
             "name": name,
             "bound": bound,
             "measured": measured,
-            # What could not be measured meets nothing.
-            "met": measured is not None and (measured >= bound if least else measured <= bound),
+            # A value that could not be measured meets no bound.
+            "met": measured is not None and (measured >= bound if is_minimum else measured <= bound),
         }
-        for name, bound, measured, least in rows
+        for name, bound, measured, is_minimum in rows
         if bound is not None
     ]
 
 
-def met(summary: dict[str, Any]) -> bool:
-    """Whether the run is sound, whole, and within its bounds."""
+def meets_bounds(summary: dict[str, Any]) -> bool:
+    """Whether the run is sound, complete, and within its bounds."""
     return bool(summary["sound"]) and not summary["cut"] and all(row["met"] for row in summary["bounds"])
 
 
-def live(run: Run, now_s: float, spec: Spec) -> str:
-    """One line on a run that is under way; its quantiles are of the last second that is closed."""
-    whole, row = run.recorder.whole, run.recorder.latest()
+def progress_line(run: Run, now_s: float, spec: Spec) -> str:
+    """A line about a run that is under way; its quantiles are of the last closed second."""
+    whole, row = run.recorder.whole, run.recorder.latest_second()
     parts = [f"{now_s:5.0f} s", f"{whole.asked} ended"]
     failed = whole.asked - whole.count(Outcome.SERVED)
     parts.append(f"{failed} not served")
-    if whole.count(Outcome.NO_ROOM, Outcome.NO_CONNECTION, Outcome.NO_SOCKET):
+    if whole.count(*NOT_SENT):
         parts.append("SOME NOT SENT")
     if row is not None:
-        took = row["latency_ms"]
-        parts.append(f"second {row['second']}: p50 {_ms(took['p50'])}, p99 {_ms(took['p99'])} ms")
+        latency = row["latency_ms"]
+        parts.append(f"second {row['second']}: p50 {_ms(latency['p50'])}, p99 {_ms(latency['p99'])} ms")
     return "  ".join(parts)
 
 
-def table(summary: dict[str, Any]) -> str:
-    """A report as a person reads it."""
-    rows: list[tuple[str, ...]] = [("", "asked", "served", "in aim", *COLUMNS)]
-    rows.append(_row("all", summary["whole"]))
-    for what in ("classes", "tenants"):
-        if len(summary[what]) > 1:
-            rows += [
-                _row(f"{what[:-2] if what == 'classes' else 'tenant'} {n or '-'}", b)
-                for n, b in summary[what].items()
-            ]
+def format_table(summary: dict[str, Any]) -> str:
+    """A report as a table with lines below it."""
+    rows: list[tuple[str, ...]] = [("", "asked", "served", "in aim", *QUANTILE_COLUMNS)]
+    rows.append(_stats_row("all", summary["whole"]))
+    for key, label in (("classes", "class"), ("tenants", "tenant")):
+        if len(summary[key]) > 1:
+            rows += [_stats_row(f"{label} {name or '-'}", part) for name, part in summary[key].items()]
     for name, key in (("service time", "service_ms"), ("lag of sends", "lag_ms")):
-        rows.append((name, "", "", "", *(_ms(summary[key][column]) for column in COLUMNS)))
+        rows.append((name, "", "", "", *(_ms(summary[key][column]) for column in QUANTILE_COLUMNS)))
     ran = f"{summary['length_s']:g} s, seed {summary['seed']}, {summary['workers']} workers"
     lines = [f"{summary['target']}: {ran}", ""]
-    lines += [*_aligned(rows), "", _ends(summary["whole"])]
+    lines += [*_align_columns(rows), "", _outcomes_line(summary["whole"])]
     if summary["retries"]:
         crossed = summary["workers_told"].get("crossed", 0)
         lines.append(f"retries: {summary['retries']}; answers that crossed one: {crossed}")
-    lines += [_judged(row) for row in summary["bounds"]]
+    lines += [_bound_line(bound) for bound in summary["bounds"]]
     if summary["cut"]:
         lines.append("CUT: stopped before its end")
     lines += [f"UNSOUND: {reason}" for reason in summary["unsound_because"]]
     return "\n".join(lines)
 
 
-def _row(name: str, part: dict[str, Any]) -> tuple[str, ...]:
+def _stats_row(name: str, part: dict[str, Any]) -> tuple[str, ...]:
+    """The row of one part of a run: its name, counts, share within the aim, and quantiles."""
     share = part["share_in_aim"]
     aim = "-" if share is None else f"{share:.4f}"
-    took = (_ms(part["latency_ms"][column]) for column in COLUMNS)
+    took = (_ms(part["latency_ms"][column]) for column in QUANTILE_COLUMNS)
     return (name, str(part["asked"]), str(part["outcomes"]["served"]), aim, *took)
 
 
-def _ends(whole: dict[str, Any]) -> str:
-    ends = [f"{name.replace('_', ' ')} {count}" for name, count in whole["outcomes"].items() if count]
+def _outcomes_line(whole: dict[str, Any]) -> str:
+    """How many requests had each outcome that came up."""
+    outcomes = [f"{name.replace('_', ' ')} {count}" for name, count in whole["outcomes"].items() if count]
     return (
         "ends: "
-        + (", ".join(ends) or "none")
+        + (", ".join(outcomes) or "none")
         + (f"; NOT SENT {whole['not_sent']}" if whole["not_sent"] else "")
     )
 
 
-def _judged(row: dict[str, Any]) -> str:
+def _bound_line(row: dict[str, Any]) -> str:
+    """Whether one bound is met, and by what."""
     measured = "nothing" if row["measured"] is None else f"{row['measured']:g}"
     return f"{'met' if row['met'] else 'NOT MET'}: {row['name']} {row['bound']:g}, measured {measured}"
 
 
 def _ms(value: float | None) -> str:
+    """Milliseconds with two digits, or a dash for none."""
     return "-" if value is None else f"{value:.2f}"
 
 
-def _aligned(rows: list[tuple[str, ...]]) -> list[str]:
-    widths = [max(len(row[place]) for row in rows) for place in range(len(rows[0]))]
+def _align_columns(rows: list[tuple[str, ...]]) -> list[str]:
+    """The rows as lines, with the first column to the left and the others to the right."""
+    widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     return [
         "  ".join(
-            cell.rjust(width) if place else cell.ljust(width)
-            for place, (cell, width) in enumerate(zip(row, widths, strict=True))
+            cell.rjust(width) if column else cell.ljust(width)
+            for column, (cell, width) in enumerate(zip(row, widths, strict=True))
         ).rstrip()
         for row in rows
     ]
--- a/fordtrestle/load/wire.py
+++ b/fordtrestle/load/wire.py
@@ -1,7 +1,7 @@
-"""A client's side of HTTP/1.1: the bytes of a request, and the answers on one connection. Pure.
+"""A client's side of HTTP/1.1: the bytes of a request, and the responses on one connection. Pure.
 
-Requests are worded as docs/PROTOCOL of the platform has them: a new id with each try, the class in a field
-and in the path, the budget with its unit, and for a keyed class the same key with each try of a request.
+Requests have the headers of the platform's protocol (docs/PROTOCOL): a new id with each attempt, the class in
+a header and in the path, the budget with its unit, and for a keyed class the same key with each attempt.
 """
 
 from __future__ import annotations
@@ -10,47 +10,62 @@
 
 import httptools
 
-ANSWER_MOST = 2 * 1024 * 1024  # bytes of a body
-HEAD_MOST = 64 * 1024  # bytes that come without ending an answer's head
+from fordtrestle.load.errors import ResponseError
+
+MAX_RESPONSE_BODY_BYTES = 2 * 1024 * 1024  # bodies are not kept, only counted
+MAX_RESPONSE_HEAD_BYTES = 64 * 1024  # bounds what a malformed response makes the parser read
+MAX_RETRY_AFTER_S = 1e9  # longer ones are not meant
 FILLER = b"0123456789abcde\n"
 METHODS = {"pure": b"GET", "keyed": b"POST", "unsafe": b"POST"}
+FIRST_FINAL_STATUS = 200  # lower ones are of interim responses (RFC 9110, 15.2)
+STATUSES_WITHOUT_BODY = (204, 304)
 
 
 def filler(size: int) -> bytes:
-    """A body of so many bytes."""
+    """A body of `size` bytes."""
     return (FILLER * (size // len(FILLER) + 1))[:size]
 
 
 @dataclass(frozen=True, slots=True)
-class Form:
+class RequestHead:
     """What all requests of a class have in common."""
 
-    name: str
+    class_name: str
     semantics: str
     path: str
     host: str
 
-    def head(self) -> bytes:
-        """The begin of each."""
+    def encode(self) -> bytes:
+        """The first lines of each request."""
         return b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Call-Class: %b\r\n" % (
             METHODS[self.semantics],
             self.path.encode(),
             self.host.encode(),
-            self.name.encode(),
+            self.class_name.encode(),
         )
 
 
-def budget(us: int) -> bytes:
-    """A budget as `X-Budget` has it: in milliseconds where it is whole, else in microseconds."""
-    return b"%dm" % (us // 1000) if us % 1000 == 0 else b"%du" % us
+def encode_budget(budget_us: int) -> bytes:
+    """The value of X-Budget: in milliseconds (`m`) if they are whole, else in microseconds (`u`)."""
+    return b"%dm" % (budget_us // 1000) if budget_us % 1000 == 0 else b"%du" % budget_us
 
 
-class Words:
-    """The fields of one request that its tries share; `head` is its class's."""
+class RequestTemplate:
+    """The bytes of one request that all its attempts share."""
 
     __slots__ = ("_back", "_front")
 
     def __init__(self, head: bytes, semantics: str, tenant: str, key: str, token: str, size: int) -> None:
+        """Encode them.
+
+        Args:
+            head: The class's `RequestHead`, encoded.
+            semantics: The class's semantics.
+            tenant: The caller; empty: none.
+            key: The user in the cookie; empty: none.
+            token: The idempotency key, which only a keyed class sends.
+            size: Bytes of the body, which a pure class does not have.
+        """
         self._front = head
         rows = [f"X-Caller: {tenant}\r\n" if tenant else "", f"Cookie: user={key}\r\n" if key else ""]
         if semantics == "keyed":
@@ -59,88 +74,97 @@
             rows.append(f"Content-Length: {size}\r\n")
         self._back = "".join(rows).encode() + b"\r\n" + (filler(size) if semantics != "pure" else b"")
 
-    def try_bytes(self, call_id: str, budget_us: int, again: bool) -> bytes:
-        """One try, whole."""
+    def encode_attempt(self, call_id: str, budget_us: int, is_marked: bool) -> bytes:
+        """The complete bytes of one attempt; a marked one says that it is a retry."""
         return b"%bX-Call-Id: %b\r\nX-Budget: %b\r\n%b%b" % (
             self._front,
             call_id.encode(),
-            budget(budget_us),
-            b"X-Again: 1\r\n" if again else b"",
+            encode_budget(budget_us),
+            b"X-Again: 1\r\n" if is_marked else b"",
             self._back,
         )
 
 
-class Answers:
-    """The answers that come on one connection, one after the other; `begin` makes ready for the next."""
+class ResponseReader:
+    """Parses the responses on one connection, one after the other.
+
+    Attributes:
+        status: The status of the present response; 0: not known yet.
+        has_received: Whether any byte has come for the present request.
+        is_complete: Whether the present response is complete.
+        can_keep_alive: Whether the connection can carry another request after it.
+        retry_after_s: The value of Retry-After in seconds; None: none, or a date.
+    """
 
     def __init__(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
-        self._bounded = self._headed = False
-        self._head = self._body = 0
-        self.status = 0
-        self.got = self.whole = self.keep = False
-        self.retry_after_s: float | None = None
+        self.begin()
 
     def begin(self) -> None:
-        """A request goes out."""
-        self._bounded = self._headed = self.got = self.whole = self.keep = False
-        self._head = self._body = 0
+        """Prepare for the response to a new request."""
+        self._has_length = self._has_head = False
+        self._head_bytes = self._body_bytes = 0
         self.status = 0
-        self.retry_after_s = None
+        self.has_received = self.is_complete = self.can_keep_alive = False
+        self.retry_after_s: float | None = None
 
     def feed(self, data: bytes) -> None:
-        """Take in bytes; `ValueError` where they are none of an answer to one request."""
-        self.got = True
+        """Parse received bytes.
+
+        Raises:
+            ResponseError: They are no response to one request, or a larger one than any.
+        """
+        self.has_received = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            raise ValueError(str(error)) from None
-        if not self._headed:
-            self._head += len(data)
-        if self._head > HEAD_MOST or self._body > ANSWER_MOST:
-            raise ValueError("larger than any answer")
+            raise ResponseError(str(error)) from None
+        if not self._has_head:
+            self._head_bytes += len(data)
+        if self._head_bytes > MAX_RESPONSE_HEAD_BYTES or self._body_bytes > MAX_RESPONSE_BODY_BYTES:
+            raise ResponseError("larger than any answer")
 
-    def end(self) -> bool:
-        """The other side has ended; whether that makes an answer whole that has no length."""
-        self.whole = self.whole or (self._headed and not self._bounded)
-        return self.whole
+    def on_connection_closed(self) -> bool:
+        """Return whether the response is complete, as one without a length is at the connection's end."""
+        self.is_complete = self.is_complete or (self._has_head and not self._has_length)
+        return self.is_complete
 
     def close(self) -> None:
-        """No more comes. The parser refers back: without it the memory is free at once."""
+        """Release the parser, which refers back: without the cycle all memory is free at once."""
         del self._parser
 
     # --- called by the parser --------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Guards against a second answer in the bytes of the first, which would pass for the next one's."""
-        if self.whole:
-            raise ValueError("more than one answer")
+        """Reject a second response in the bytes of the first, which would be taken for the next one's."""
+        if self.is_complete:
+            raise ResponseError("more than one answer")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Of all fields those that bound the body, and the one that retries go by."""
+        """Take note of the headers that give the body's length, and of Retry-After."""
         name = name.lower()
         if name in (b"content-length", b"transfer-encoding"):
-            self._bounded = True
+            self._has_length = True
         elif name == b"retry-after":
             try:
                 seconds = float(value)
             except ValueError:
-                return  # a date: clients of this kind send none and read none
-            self.retry_after_s = seconds if 0.0 <= seconds < 1e9 else None
+                return  # a date, which the platform's clients neither send nor read
+            self.retry_after_s = seconds if 0.0 <= seconds < MAX_RETRY_AFTER_S else None
 
     def on_headers_complete(self) -> None:
-        """The status, unless it is an interim answer's."""
+        """Take the status, unless it is an interim response's."""
         status = self._parser.get_status_code()
-        if status >= 200:
-            self.status, self._headed = status, True
-            self._bounded = self._bounded or status in (204, 304)
+        if status >= FIRST_FINAL_STATUS:
+            self.status, self._has_head = status, True
+            self._has_length = self._has_length or status in STATUSES_WITHOUT_BODY
 
     def on_body(self, data: bytes) -> None:
-        """Counted only."""
-        self._body += len(data)
+        """Count the bytes."""
+        self._body_bytes += len(data)
 
     def on_message_complete(self) -> None:
-        """Whole, unless it is an interim answer."""
-        if self._headed:
-            self.whole = True
-            self.keep = self._parser.should_keep_alive()
+        """Mark the response complete, unless it is an interim one."""
+        if self._has_head:
+            self.is_complete = True
+            self.can_keep_alive = self._parser.should_keep_alive()
--- a/fordtrestle/load/worker.py
+++ b/fordtrestle/load/worker.py
@@ -21,11 +21,11 @@
 from itertools import islice
 from typing import Any
 
-from fordtrestle.load.client import SHORTAGES, Came, Connection
+from fordtrestle.load.client import SHORTAGE_ERRNOS, Connection, ReadResult
 from fordtrestle.load.mix import Request
 from fordtrestle.load.samples import FAILURE, FRAME, READY, RECORD, SAMPLES, SUMMARY, Outcome
 from fordtrestle.load.schedule import Schedule
-from fordtrestle.load.wire import Form, Words
+from fordtrestle.load.wire import RequestHead, RequestTemplate
 
 CHORE_NS = 80_000  # what must be left before the next request for work that can wait
 REST_NS = 20_000_000  # the longest sleep
@@ -66,7 +66,7 @@
         *("status", "tenant", "tries", "waiting", "words"),
     )
 
-    def __init__(self, request: Request, kind: int, tenant: int, words: Words) -> None:
+    def __init__(self, request: Request, kind: int, tenant: int, words: RequestTemplate) -> None:
         self.at_us = request.at_us
         self.kind = kind
         self.tenant = tenant
@@ -150,7 +150,7 @@
         self._control = control
         self._retries = spec.retries
         self._semantics = [c.semantics for c in spec.classes]
-        self._heads = [Form(c.name, c.semantics, c.path, spec.host).head() for c in spec.classes]
+        self._heads = [RequestHead(c.name, c.semantics, c.path, spec.host).encode() for c in spec.classes]
         self._kinds = {c.name: place for place, c in enumerate(spec.classes)}
         self._tenants = {name: place for place, name in enumerate(job.schedule.tenants)}
         self._grace_ns = round(spec.grace_ms * 1e6)
@@ -227,7 +227,7 @@
             self._exhausted = True
             return False
         kind = self._kinds[request.class_name]
-        words = Words(
+        words = RequestTemplate(
             self._heads[kind],
             self._semantics[kind],
             request.tenant,
@@ -236,7 +236,7 @@
             request.size,
         )
         asked = Asked(request, kind, self._tenants[request.tenant], words)
-        asked.message = words.try_bytes(self._id(), self._try_us(request.budget_us), False)
+        asked.message = words.encode_attempt(self._id(), self._try_us(request.budget_us), False)
         self._ready.append(asked)
         return True
 
@@ -282,7 +282,7 @@
         left_us = (asked.due + asked.budget_ns - now) // 1000
         budget_us = min(self._try_us(asked.budget_ns // 1000), left_us)
         due = self._due
-        message = asked.words.try_bytes(self._id(), max(1, budget_us), self._retries.marked)
+        message = asked.words.encode_attempt(self._id(), max(1, budget_us), self._retries.marked)
         if self._out(asked, message, now) is None:
             figures = (asked.kind, asked.tenant, 0, asked.at_us, asked.last - due, 0, 0)
             self._outbox.put(Outcome.RETRY, asked.tries, *figures)
@@ -317,7 +317,7 @@
             tried.connection = connection
             connection.send(tried.message)
         except OSError as met:
-            if connection is None and met.errno in SHORTAGES:
+            if connection is None and met.errno in SHORTAGE_ERRNOS:
                 return False
             error = met
         if not tried.resent:
@@ -332,7 +332,7 @@
                 self._ended(tried, Outcome.UNREACHABLE, clock())
             else:
                 self._broken(connection, clock())
-        elif connection is not None and connection.left:
+        elif connection is not None and connection.unsent:
             self._epoll.modify(connection.sock, select.EPOLLIN | select.EPOLLOUT)
         return True
 
@@ -356,42 +356,42 @@
         if connection.current is None:
             self._unasked(connection)
             return
-        if connection.left and mask & (select.EPOLLOUT | select.EPOLLERR | select.EPOLLHUP):
+        if connection.unsent and mask & (select.EPOLLOUT | select.EPOLLERR | select.EPOLLHUP):
             try:
                 connection.flush()
             except OSError:
                 self._broken(connection, clock())
                 return
-            if not connection.left:
+            if not connection.unsent:
                 self._epoll.modify(connection.sock, select.EPOLLIN)
         if mask & ~select.EPOLLOUT:
             self._read(connection)
 
     def _unasked(self, connection: Connection) -> None:
         came = connection.receive()
-        if came is not Came.NOTHING or connection.answers.got:
-            self.counts["stray"] += came is not Came.ENDED
+        if came is not ReadResult.NOTHING or connection.response.has_received:
+            self.counts["stray"] += came is not ReadResult.CLOSED
             self._drop(connection)
 
     def _read(self, connection: Connection) -> None:
         came = connection.receive()
-        if came is Came.NOTHING:
+        if came is ReadResult.NOTHING:
             return
         now = clock()
-        if came is Came.ENDED:
+        if came is ReadResult.CLOSED:
             self._broken(connection, now)
             return
-        tried, answers = connection.current, connection.answers
+        tried, answers = connection.current, connection.response
         assert isinstance(tried, Try)
         connection.current = None
         status, after_s = answers.status, answers.retry_after_s
-        if came is Came.GARBLED or connection.left or not answers.keep:
+        if came is ReadResult.MALFORMED or connection.unsent or not answers.can_keep_alive:
             self._drop(connection)
         else:
-            connection.answered += 1
+            connection.responses_read += 1
             answers.begin()
             self._idle[connection] = None
-        if came is Came.GARBLED:
+        if came is ReadResult.MALFORMED:
             self._ended(tried, Outcome.FAILED, now)
         elif status == 200:
             self._ended(tried, Outcome.SERVED, now, status)
@@ -403,8 +403,8 @@
         tried = connection.current
         assert isinstance(tried, Try)
         connection.current = None
-        crossed = connection.answered and not connection.answers.got and not tried.resent
-        up = connection.up
+        crossed = connection.responses_read and not connection.response.has_received and not tried.resent
+        up = connection.is_connected
         self._drop(connection)
         if crossed and not tried.given_up and len(self._connections) < self._job.connections_most:
             tried.resent = True
--- a/rig/cluster/timeline.py
+++ b/rig/cluster/timeline.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from typing import Any
 
-from fordtrestle.load.recorder import library
+from fordtrestle.load.recorder import import_library
 from rig.cluster.history import LIST, Acted, Learned
 from rig.cluster.judging import Played
 from rig.cluster.schedules import Link, News, Step
@@ -17,8 +17,8 @@
 
 def draw(played: Played, path: Path) -> None:
     """Draw a play; `ProgramError` where the library for it is missing, `OSError` where the file can't be."""
-    library("matplotlib", "plot").use("Agg")
-    pyplot = library("matplotlib.pyplot", "plot")
+    import_library("matplotlib", "plot").use("Agg")
+    pyplot = import_library("matplotlib.pyplot", "plot")
     figure, axes = pyplot.subplots(figsize=(11.0, 1.2 + ROW_INCHES * len(played.nodes)))
     row_of = {name: number for number, name in enumerate(played.nodes)}
     for step in played.schedule.steps:
--- a/tests/load/test_generator.py
+++ b/tests/load/test_generator.py
@@ -219,7 +219,7 @@
         run, _ = sent(server.port)
     made = spec.parse(load(1).replace("lag_p99_most_ms = 10000", "lag_p99_most_ms = 0.001"), "test")
     run.recorder.lag.add(50_000_000)
-    assert any("sends were late" in reason for reason in run.unsound(made))
+    assert any("sends were late" in reason for reason in run.unsound_reasons(made))
 
 
 def test_a_worker_that_dies_is_a_problem_not_a_short_run(monkeypatch):
@@ -229,7 +229,7 @@
         server._script = lambda number, head: generator._workers[0].process.kill() or answer()
         run = generator.run()
     assert run.problems == ["a worker ended before its work was done"]
-    assert run.unsound(made.spec)
+    assert run.unsound_reasons(made.spec)
 
 
 def test_a_target_that_is_no_host_is_told_before_anything_runs():
--- a/tests/load/test_recorder.py
+++ b/tests/load/test_recorder.py
@@ -1,4 +1,4 @@
-"""Statistics: exact whatever the order, by intended second, and worth only within the aim."""
+"""Statistics: exact in any order, by intended second, and worth only within the aim."""
 
 from __future__ import annotations
 
@@ -32,10 +32,12 @@
 TENANTS = ("acme", "other")
 
 
-def sample(outcome=Outcome.SERVED, kind=0, tenant=0, at_us=0, latency_ms=1.0, lag_ms=0.0):
+def sample(outcome=Outcome.SERVED, class_index=0, tenant_index=0, at_us=0, latency_ms=1.0, lag_ms=0.0):
     latency_ns = round(latency_ms * 1e6)
     status = 200 if outcome <= Outcome.LATE else 0
-    return Sample(outcome, 1, kind, tenant, status, at_us, round(lag_ms * 1e6), latency_ns, latency_ns // 2)
+    return Sample(
+        outcome, 1, class_index, tenant_index, status, at_us, round(lag_ms * 1e6), latency_ns, latency_ns // 2
+    )
 
 
 def recorded(rows):
@@ -61,31 +63,31 @@
 
 
 def figures(made):
-    made.settle()
+    made.close_seconds()
     parts = [made.whole, *made.classes.values(), *made.tenants.values()]
     return (
         [part.summary() for part in parts],
         made.seconds(),
-        made.whole.latency.encoded(),
+        made.whole.latency.encode(),
         made.service.summary(),
     )
 
 
-def test_what_workers_tell_adds_up_exactly_in_any_order():
+def test_samples_in_any_order_give_the_same_statistics():
     rows = some()
     other = rows[:]
     random.Random(2).shuffle(other)
     assert figures(recorded(rows)) == figures(recorded(other))
 
 
-def test_worth_counts_within_the_aim_over_all_that_was_asked():
+def test_worth_in_aim_is_of_served_requests_and_worth_asked_of_all():
     made = recorded(
         [
             sample(latency_ms=100.0),
             sample(latency_ms=100.1),
-            sample(kind=1, latency_ms=150.0),
-            sample(Outcome.REFUSED, kind=1, latency_ms=1.0),
-            sample(Outcome.NO_ROOM, kind=1),
+            sample(class_index=1, latency_ms=150.0),
+            sample(Outcome.REFUSED, class_index=1, latency_ms=1.0),
+            sample(Outcome.NO_ROOM, class_index=1),
         ]
     )
     assert (made.whole.worth_in_aim, made.whole.worth_asked) == (6.0, 17.0)
@@ -99,7 +101,7 @@
         assert made.whole.latency.summary()[name] == pytest.approx(true, rel=1e-4)
 
 
-def test_what_was_given_up_is_in_the_tail_and_what_was_refused_is_not():
+def test_latency_includes_unanswered_requests_and_excludes_refused_ones():
     made = recorded(
         [sample(), sample(Outcome.UNANSWERED, latency_ms=500.0), sample(Outcome.REFUSED, latency_ms=900.0)]
     )
@@ -107,7 +109,7 @@
     assert made.whole.latency.count == 2
 
 
-def test_lag_is_of_what_was_sent_and_of_retries():
+def test_lag_is_of_sent_requests_and_retries():
     made = recorded(
         [sample(lag_ms=1.0), sample(Outcome.NO_ROOM, lag_ms=9.0), sample(Outcome.RETRY, lag_ms=3.0)]
     )
@@ -117,47 +119,47 @@
     assert made.lag.summary()["max"] == pytest.approx(3.0, rel=1e-4)
 
 
-def test_seconds_are_those_of_intended_times_and_close_when_told():
+def test_requests_belong_to_the_second_of_their_intended_time():
     made = recorded([sample(at_us=at) for at in (0, 999_999, 1_000_000, 2_500_000)])
-    made.settle(2.0)
+    made.close_seconds(2.0)
     assert [(row["second"], row["asked"]) for row in made.seconds()] == [(0, 2), (1, 1)]
-    assert made.latest()["second"] == 1
+    assert made.latest_second()["second"] == 1
     made.add(sample(at_us=5))
-    assert made.tardy == 1
+    assert made.late_samples == 1
     assert made.whole.asked == 5
-    made.settle()
+    made.close_seconds()
     assert [row["second"] for row in made.seconds()] == [0, 1, 2]
 
 
-def test_nothing_measured_is_no_figure():
+def test_statistics_of_no_samples_are_none():
     assert set(recorded([]).whole.latency.summary().values()) == {None}
     assert recorded([]).whole.share_in_aim() is None
 
 
-def test_values_out_of_range_are_counted_at_its_ends():
+def test_durations_out_of_range_are_counted_at_its_ends():
     made = Histogram()
     for value in (0, -5, 10**15):
         made.add(value)
     assert made.count == 3
-    assert made.at([0.0, 100.0]) == [0.001, pytest.approx(600_000.0, rel=1e-4)]
+    assert made.percentiles_ms([0.0, 100.0]) == [0.001, pytest.approx(600_000.0, rel=1e-4)]
 
 
 def test_an_encoded_histogram_is_the_librarys_own():
     made = Histogram()
     for n in range(1000):
         made.add(n * 1_000_000)
-    other = HdrHistogram.decode(made.encoded())
+    other = HdrHistogram.decode(made.encode())
     assert other.get_total_count() == 1000
     assert other.get_max_value() >= 998_900
 
 
-def test_without_the_library_the_extra_is_named(monkeypatch):
+def test_a_missing_library_names_the_extra(monkeypatch):
     monkeypatch.setitem(sys.modules, "hdrh.histogram", None)
     with pytest.raises(MissingLibraryError, match=r"hdrh is missing: pip install 'fordtrestle\[load\]'"):
         recorder.Histogram()
 
 
-def test_frames_come_whole_out_of_any_pieces():
+def test_frames_are_decoded_from_any_pieces():
     rows = some(50)
     body = b"".join(RECORD.pack(*row) for row in rows)
     data = FRAME.pack(SAMPLES, len(body)) + body + FRAME.pack(SUMMARY, 2) + b"{}"
@@ -169,13 +171,13 @@
     assert found[1][1] == b"{}"
 
 
-def test_closed_seconds_leave_no_histogram_behind():
+def test_closed_seconds_keep_no_histogram():
     """The library's histograms are in cycles; without a collection each second would keep some megabytes."""
     made = recorded([sample(at_us=second * 1_000_000) for second in range(5)])
     kept = [weakref.ref(part.latency._counts) for part in made._seconds.values()]
     gc.disable()
     try:
-        made.settle()
+        made.close_seconds()
         assert [ref() for ref in kept] == [None] * 5
     finally:
         gc.enable()
--- a/tests/load/test_report.py
+++ b/tests/load/test_report.py
@@ -34,8 +34,8 @@
     run = Run(Recorder(plan.spec.classes, plan.tenants))
     for row in samples:
         run.recorder.add(row)
-    run.recorder.settle()
-    return report.report(run, plan, "x.toml")
+    run.recorder.close_seconds()
+    return report.make_report(run, plan, "x.toml")
 
 
 def served(latency_ms, at_us=0):
@@ -79,19 +79,19 @@
 )
 def test_bounds_are_judged(more, good):
     summary = made(SOME, more=more)
-    assert report.met(summary) is good
+    assert report.meets_bounds(summary) is good
     assert len(summary["bounds"]) == 1
-    assert ("NOT MET" in report.table(summary)) is not good
+    assert ("NOT MET" in report.format_table(summary)) is not good
 
 
 def test_what_could_not_be_measured_meets_no_bound():
-    assert not report.met(made([], more="[bounds]\np99_most_ms = 500"))
+    assert not report.meets_bounds(made([], more="[bounds]\np99_most_ms = 500"))
 
 
 def test_the_table_says_what_must_not_be_missed():
     summary = made([*SOME, Sample(Outcome.NO_ROOM, 0, 0, 0, 0, 0, 0, 0, 0)])
     summary.update(cut=True, unsound_because=["sends were late"])
-    text = report.table(summary)
+    text = report.format_table(summary)
     assert "NOT SENT 1" in text
     assert "CUT:" in text
     assert "UNSOUND: sends were late" in text
