--- a/benchmarks/load_accuracy.py
+++ b/benchmarks/load_accuracy.py
@@ -134,7 +134,7 @@
 
     truth.plan(plan)
     truth.records()
-    run = Generator(made, started=started, sample=samples.append).run()
+    run = Generator(made, on_start=started, on_sample=samples.append).run()
     return Sent(run, samples, truth.records())
 
 
--- a/fordtrestle/cli/load.py
+++ b/fordtrestle/cli/load.py
@@ -259,8 +259,8 @@
     try:
         return Generator(
             schedule,
-            stopping=lambda: bool(signals_received),
-            watch=show_progress if is_terminal else None,
+            should_stop=lambda: bool(signals_received),
+            on_progress=show_progress if is_terminal else None,
         ).run()
     finally:
         for number, handler in handlers_before:
--- a/fordtrestle/load/generator.py
+++ b/fordtrestle/load/generator.py
@@ -1,4 +1,4 @@
-"""A whole run: workers in processes of their own, started at one moment, and one recorder for all of them."""
+"""A complete run: workers in processes of their own, started at one moment, and one recorder for all."""
 
 from __future__ import annotations
 
@@ -17,56 +17,71 @@
 from typing import Any
 
 from fordtrestle.load.errors import GeneratorError
+from fordtrestle.load.job import WorkerJob
 from fordtrestle.load.recorder import Recorder
 from fordtrestle.load.samples import FAILURE, READY, SAMPLES, SUMMARY, FrameDecoder, Sample, decode_samples
 from fordtrestle.load.schedule import Schedule
 from fordtrestle.load.spec import Spec
-from fordtrestle.load.worker import Job
-from fordtrestle.load.worker import main as work
+from fordtrestle.load.worker_process import main as run_worker_process
 
-READY_S = 60.0  # until all workers are ready
-LEAD_S = 0.2  # from there to the first moment of the schedule
-READ = 1024 * 1024
-TURN_S = 0.1
-END_S = 5.0  # for a worker that was told to stop
+READY_TIMEOUT_S = (
+    60.0  # until all workers are ready; each imports the program and prepares its first requests
+)
+START_DELAY_S = 0.2  # from there to the start of the schedule, so that all workers know of it in time
+READ_BYTES = 1024 * 1024
+POLL_INTERVAL_S = 0.1
+STOP_TIMEOUT_S = 5.0  # until a worker that was told to stop has ended
+MAX_DELAY_S = 2.0  # that a sample may come after its request can last
 
 
 @dataclass(slots=True)
 class Run:
-    """What a run came to. `start_ns` is the first moment of its schedule on the monotonic clock."""
+    """What a run came to.
+
+    Attributes:
+        recorder: All statistics.
+        start_ns: The start of its schedule on the monotonic clock.
+        started_unix_s: The same in seconds of the Unix epoch.
+        took_s: How long it took.
+        cut: Whether it was stopped before its end.
+        counts: The sums of what workers count (`WorkerCounts`) and use.
+        problems: What went wrong with the generator itself.
+    """
 
     recorder: Recorder
     start_ns: int = 0
     started_unix_s: float = 0.0
     took_s: float = 0.0
-    cut: bool = False  # it was stopped before its end
-    counts: dict[str, int] = field(default_factory=dict)  # of all workers
-    problems: list[str] = field(default_factory=list)  # what went wrong with the generator itself
+    cut: bool = False
+    counts: dict[str, int] = field(default_factory=dict)
+    problems: list[str] = field(default_factory=list)
 
     def unsound_reasons(self, spec: Spec) -> list[str]:
-        """Why these figures are not to be believed; empty where they are."""
-        found = list(self.problems)
+        """Why the figures are not to be believed; empty where they are."""
+        reasons = list(self.problems)
         lag_ms = self.recorder.lag.percentiles_ms([99.0])[0]
         if lag_ms is not None and lag_ms > spec.lag_p99_most_ms:
-            found.append(f"sends were late: p99 {lag_ms:.3f} ms, over {spec.lag_p99_most_ms:g} ms")
+            reasons.append(f"sends were late: p99 {lag_ms:.3f} ms, over {spec.lag_p99_most_ms:g} ms")
         if self.counts.get("lost"):
-            found.append(f"{self.counts['lost']} samples were lost")
+            reasons.append(f"{self.counts['lost']} samples were lost")
         if self.recorder.late_samples:
-            found.append(f"{self.recorder.late_samples} samples came after their second was closed")
-        return found
+            reasons.append(f"{self.recorder.late_samples} samples came after their second was closed")
+        return reasons
 
 
-Watch = Callable[[Run, float], None]  # called about once a second with the time since the start
+OnProgress = Callable[[Run, float], None]  # called about once a second with the seconds since the start
 
 
 @dataclass(slots=True)
-class _Worker:
+class _WorkerHandle:
+    """A worker's process as the generator sees it."""
+
     process: Any
     control: Pipe
     pipe: Pipe
     frames: FrameDecoder = field(default_factory=FrameDecoder)
-    ready: bool = False
-    summed: bool = False
+    is_ready: bool = False
+    has_finished: bool = False
 
 
 class Generator:
@@ -76,146 +91,171 @@
         self,
         schedule: Schedule,
         *,
-        stopping: Callable[[], bool] = lambda: False,
-        watch: Watch | None = None,
-        started: Callable[[int], None] | None = None,
-        sample: Callable[[Sample], None] | None = None,
+        should_stop: Callable[[], bool] = lambda: False,
+        on_progress: OnProgress | None = None,
+        on_start: Callable[[int], None] | None = None,
+        on_sample: Callable[[Sample], None] | None = None,
     ) -> None:
-        """`started` is told the first moment, in nanoseconds of the monotonic clock, before it comes;
-        `sample` each sample.
+        """Prepare a run.
+
+        Args:
+            schedule: What to send.
+            should_stop: Asked several times a second; the run is cut once it returns True.
+            on_progress: Called about once a second.
+            on_start: Called with the start in nanoseconds of the monotonic clock, before it comes.
+            on_sample: Called with each sample.
         """
         self._schedule = schedule
-        self._stopping = stopping
-        self._watch = watch
-        self._started = started
-        self._sample = sample
+        self._should_stop = should_stop
+        self._on_progress = on_progress
+        self._on_start = on_start
+        self._on_sample = on_sample
         spec = schedule.spec
         self._run = Run(Recorder(spec.classes, schedule.tenants))
-        self._workers: list[_Worker] = []
-        # Nothing of a second can come after the longest budget, the grace and a moment of delay.
-        self._open_s = schedule.max_budget_us / 1e6 + spec.grace_ms / 1e3 + 2.0
+        self._workers: list[_WorkerHandle] = []
+        # A second of the schedule is closed once none of its samples can come any more.
+        self._second_open_s = schedule.max_budget_us / 1e6 + spec.grace_ms / 1e3 + MAX_DELAY_S
 
     def run(self) -> Run:
-        """Send everything and wait for all answers; `GeneratorError` where it can't begin."""
+        """Send everything and wait for all responses.
+
+        Raises:
+            GeneratorError: The run can't begin: the target can't be resolved, or a worker is not ready.
+        """
         selector = selectors.DefaultSelector()
         try:
-            with _no_interrupts():
-                self._start()
+            with _interrupts_ignored():
+                self._start_workers()
             for worker in self._workers:
                 selector.register(worker.pipe.fileno(), selectors.EVENT_READ, worker)
-            self._await_ready(selector)
-            self._go()
-            self._follow(selector)
+            self._wait_until_ready(selector)
+            self._send_start()
+            self._collect(selector)
         finally:
             selector.close()
-            self._end()
+            self._end_workers()
         self._run.recorder.close_seconds()
         return self._run
 
-    def _start(self) -> None:
+    def _start_workers(self) -> None:
         spec = self._schedule.spec
-        family, address = resolved(spec.target.host, spec.target.port)
+        family, address = resolve(spec.target.host, spec.target.port)
         context = multiprocessing.get_context("spawn")
         for number in range(spec.workers):
-            caps = [_part(most, number, spec.workers) for most in (spec.open_most, spec.connections_most)]
-            job = Job(self._schedule, number, spec.workers, family, address, *caps)
+            job = WorkerJob(
+                schedule=self._schedule,
+                number=number,
+                workers=spec.workers,
+                family=family,
+                address=address,
+                max_open=split_evenly(spec.open_most, number, spec.workers),
+                max_connections=split_evenly(spec.connections_most, number, spec.workers),
+            )
             receiver, control = context.Pipe(duplex=False)
-            pipe, out = context.Pipe(duplex=False)
-            process = context.Process(target=work, args=(job, receiver, out), daemon=True)
+            pipe, sender = context.Pipe(duplex=False)
+            process = context.Process(target=run_worker_process, args=(job, receiver, sender), daemon=True)
             process.start()
             receiver.close()
-            out.close()
+            sender.close()
             os.set_blocking(pipe.fileno(), False)
-            self._workers.append(_Worker(process, control, pipe))
+            self._workers.append(_WorkerHandle(process, control, pipe))
 
-    def _await_ready(self, selector: selectors.BaseSelector) -> None:
-        until = time.monotonic() + READY_S
-        while not all(worker.ready for worker in self._workers):
-            self._read(selector, TURN_S)
-            if self._run.problems or time.monotonic() > until:
+    def _wait_until_ready(self, selector: selectors.BaseSelector) -> None:
+        deadline = time.monotonic() + READY_TIMEOUT_S
+        while not all(worker.is_ready for worker in self._workers):
+            self._read_pipes(selector)
+            if self._run.problems or time.monotonic() > deadline:
                 raise GeneratorError("; ".join(self._run.problems) or "workers were not ready in time")
-            if self._stopping():
+            if self._should_stop():
                 raise GeneratorError("stopped before the start")
 
-    def _go(self) -> None:
-        self._run.start_ns = time.monotonic_ns() + round(LEAD_S * 1e9)
-        self._run.started_unix_s = time.time() + LEAD_S
-        if self._started is not None:
-            self._started(self._run.start_ns)
+    def _send_start(self) -> None:
+        """Tell all workers the same start."""
+        self._run.start_ns = time.monotonic_ns() + round(START_DELAY_S * 1e9)
+        self._run.started_unix_s = time.time() + START_DELAY_S
+        if self._on_start is not None:
+            self._on_start(self._run.start_ns)
         for worker in self._workers:
             worker.control.send(self._run.start_ns)
 
-    def _follow(self, selector: selectors.BaseSelector) -> None:
-        reported, stop_by = 0, 0.0
+    def _elapsed_s(self) -> float:
+        return (time.monotonic_ns() - self._run.start_ns) / 1e9
+
+    def _collect(self, selector: selectors.BaseSelector) -> None:
+        """Record samples until all workers have ended."""
+        last_second, stop_deadline_s = 0, 0.0
         while selector.get_map():
-            self._read(selector, TURN_S)
-            now_s = (time.monotonic_ns() - self._run.start_ns) / 1e9
-            if self._stopping() and not self._run.cut:
-                self._run.cut, stop_by = True, now_s + END_S
-                self._stop()
-            if self._run.cut and now_s > stop_by:
+            self._read_pipes(selector)
+            now_s = self._elapsed_s()
+            if self._should_stop() and not self._run.cut:
+                self._run.cut, stop_deadline_s = True, now_s + STOP_TIMEOUT_S
+                self._request_stop()
+            if self._run.cut and now_s > stop_deadline_s:
                 self._run.problems.append("a worker did not stop")
                 return
-            if now_s >= reported + 1:
-                reported = int(now_s)
-                self._run.recorder.close_seconds(now_s - self._open_s)
-                if self._watch is not None:
-                    self._watch(self._run, now_s)
-        self._run.took_s = (time.monotonic_ns() - self._run.start_ns) / 1e9
-
-    def _read(self, selector: selectors.BaseSelector, timeout_s: float) -> None:
-        for key, _ in selector.select(timeout_s):
-            worker: _Worker = key.data
+            if now_s >= last_second + 1:
+                last_second = int(now_s)
+                self._run.recorder.close_seconds(now_s - self._second_open_s)
+                if self._on_progress is not None:
+                    self._on_progress(self._run, now_s)
+        self._run.took_s = self._elapsed_s()
+
+    def _read_pipes(self, selector: selectors.BaseSelector) -> None:
+        """Wait for frames of workers, for `POLL_INTERVAL_S` at most, and handle them."""
+        for key, _ in selector.select(POLL_INTERVAL_S):
+            worker: _WorkerHandle = key.data
             try:
-                data = os.read(worker.pipe.fileno(), READ)
+                data = os.read(worker.pipe.fileno(), READ_BYTES)
             except BlockingIOError:
                 continue
             if not data:
                 selector.unregister(worker.pipe.fileno())
-                if not worker.summed:
+                if not worker.has_finished:
                     self._run.problems.append("a worker ended before its work was done")
-            for what, body in worker.frames.feed(data):
-                self._frame(worker, what, body)
+            for frame_type, body in worker.frames.feed(data):
+                self._on_frame(worker, frame_type, body)
 
-    def _frame(self, worker: _Worker, what: bytes, body: bytes) -> None:
-        if what == SAMPLES:
+    def _on_frame(self, worker: _WorkerHandle, frame_type: bytes, body: bytes) -> None:
+        if frame_type == SAMPLES:
             for sample in decode_samples(body):
                 self._run.recorder.add(sample)
-                if self._sample is not None:
-                    self._sample(sample)
-        elif what == READY:
-            worker.ready = True
-        elif what == FAILURE:
+                if self._on_sample is not None:
+                    self._on_sample(sample)
+        elif frame_type == READY:
+            worker.is_ready = True
+        elif frame_type == FAILURE:
             self._run.problems.append(f"a worker failed: {body.decode()}")
-            worker.summed = True
-        elif what == SUMMARY:
-            worker.summed = True
+            worker.has_finished = True
+        elif frame_type == SUMMARY:
+            worker.has_finished = True
             for name, count in json.loads(body).items():
                 self._run.counts[name] = self._run.counts.get(name, 0) + count
 
-    def _stop(self) -> None:
+    def _request_stop(self) -> None:
         for worker in self._workers:
             try:
                 worker.control.send(None)
             except OSError:
                 continue  # it has ended
 
-    def _end(self) -> None:
+    def _end_workers(self) -> None:
+        """Close all pipes, and kill workers that do not end in time."""
         for worker in self._workers:
             worker.control.close()
             worker.pipe.close()
         for worker in self._workers:
-            worker.process.join(END_S)
+            worker.process.join(STOP_TIMEOUT_S)
             if worker.process.is_alive():
                 worker.process.kill()
                 worker.process.join()
 
 
-def _part(whole: int, number: int, workers: int) -> int:
-    return whole // workers + (number < whole % workers)
+def split_evenly(total: int, number: int, workers: int) -> int:
+    """The part of worker `number` of a total; parts differ by one at most and add up to the total."""
+    return total // workers + (number < total % workers)
 
 
-def resolved(host: str, port: int) -> tuple[int, tuple[Any, ...]]:
+def resolve(host: str, port: int) -> tuple[int, tuple[Any, ...]]:
     """The address family and the address of a target, looked up once.
 
     Raises:
@@ -229,8 +269,11 @@
 
 
 @contextmanager
-def _no_interrupts() -> Iterator[None]:
-    """Guards against an interrupt from the terminal, which goes to all: workers stop when they are told."""
+def _interrupts_ignored() -> Iterator[None]:
+    """Let processes that are started within ignore SIGINT.
+
+    A terminal sends it to the whole process group, and workers are to stop when the generator tells them.
+    """
     if threading.current_thread() is not threading.main_thread():
         yield
         return
--- a/tests/load/standin.py
+++ b/tests/load/standin.py
@@ -113,7 +113,7 @@
     """Send a load; the run and its samples."""
     samples = []
     made = schedule.make_schedule(spec.parse(load(port, **figures), "test"), beside)
-    return Generator(made, sample=samples.append).run(), samples
+    return Generator(made, on_sample=samples.append).run(), samples
 
 
 def field(head, name):
--- a/tests/load/test_generator.py
+++ b/tests/load/test_generator.py
@@ -1,4 +1,4 @@
-"""Runs against a scripted server: every request has one end, retries and crossings are told apart."""
+"""Runs against a scripted server: every request has one outcome, also with retries and resends."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from fordtrestle.load import schedule, spec
 from fordtrestle.load.errors import GeneratorError
-from fordtrestle.load.generator import Generator, resolved
+from fordtrestle.load.generator import Generator, resolve
 from fordtrestle.load.samples import Outcome
 from tests.load.standin import CLOSE, RESET, StandIn, answer, field, load, sent
 
@@ -42,14 +42,14 @@
     assert run.recorder.whole.asked == 40
 
 
-def test_arrivals_wait_for_nothing():
+def test_sends_do_not_wait_for_responses():
     with StandIn(lambda number, head: [0.4, answer()]) as server:
         run, samples = sent(server.port, rate=100, length_s=0.2)
     assert ends(samples) == {"SERVED": 20}
     assert run.counts["open_most"] == 20 == server.connections  # all out before the first answer
 
 
-def test_past_the_cap_on_open_requests_they_are_counted_not_sent():
+def test_requests_above_the_maximum_of_open_ones_are_counted_as_not_sent():
     with StandIn(lambda number, head: [0.5, answer()]) as server:
         run, samples = sent(server.port, run="open_most = 5")
     assert ends(samples) == {"SERVED": 5, "NO_ROOM": 15}
@@ -57,14 +57,14 @@
     assert run.recorder.whole.summary()["not_sent"] == 15
 
 
-def test_a_full_connection_table_does_not_hold_sends_up():
+def test_requests_without_a_free_connection_are_counted_as_not_sent():
     with StandIn(lambda number, head: [0.5, answer()]) as server:
         _, samples = sent(server.port, run="connections_most = 4")
     assert ends(samples) == {"SERVED": 4, "NO_CONNECTION": 16}
     assert server.connections == 4
 
 
-def test_answers_are_told_apart():
+def test_each_kind_of_response_has_its_outcome():
     """Each says that its connection ends: none is kept, and the script's numbers are those of sends."""
     ends_here = "Connection: close\r\n"
     steps = [answer(status, fields=ends_here) for status in (200, 503, 429, 500)]
@@ -75,27 +75,27 @@
     assert run.recorder.statuses == {200: 2, 503: 2, 429: 2, 500: 2, 204: 2}
 
 
-def test_what_is_never_answered_is_given_up_with_its_budget():
+def test_an_unanswered_request_is_given_up_with_its_budget():
     with StandIn(lambda number, head: 1.0) as server:
         _, samples = sent(server.port, rate=20, budget_ms=100)
     assert ends(samples) == {"UNANSWERED": 4}
     assert all(s.latency_ns >= 100_000_000 for s in samples)
 
 
-def test_a_grace_tells_late_from_never():
+def test_a_response_within_the_grace_is_late():
     with StandIn(lambda number, head: [0.2, answer()]) as server:
         _, samples = sent(server.port, rate=20, budget_ms=100, run="grace_ms = 5000")
     assert ends(samples) == {"LATE": 4}
 
 
-def test_nobody_listens():
+def test_without_a_listener_requests_are_unreachable():
     with socket.create_server(("127.0.0.1", 0)) as closed:
         port = closed.getsockname()[1]
     _, samples = sent(port)
     assert ends(samples) == {"UNREACHABLE": 20}
 
 
-def test_one_resend_after_a_close_that_crossed_a_request():
+def test_a_request_that_crossed_a_close_is_sent_once_more():
     """The server closes each connection unannounced after one answer; the next request there finds it so."""
     seen = Counter()
     lock = threading.Lock()
@@ -115,7 +115,7 @@
     assert run.recorder.retries == 0
 
 
-def test_a_new_connection_that_is_cut_is_not_asked_again():
+def test_a_request_on_a_new_connection_that_is_reset_is_not_sent_again():
     with StandIn(lambda number, head: RESET) as server:
         run, samples = sent(server.port)
     assert ends(samples) == {"CUT": 20}
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize(("status", "tries"), [(503, 3), (500, 1)])
-def test_what_is_unsafe_is_tried_again_only_where_nothing_has_run(status, tries):
+def test_an_unsafe_request_is_retried_only_after_a_refusal(status, tries):
     with StandIn(lambda number, head: answer(status)) as server:
         _, samples = sent(server.port, rate=20, semantics="unsafe", more=RETRY)
     assert len(server.requests) == 4 * tries
@@ -163,7 +163,7 @@
     assert len(server.requests) == 4
 
 
-def test_a_try_is_given_up_for_a_retry_and_its_late_answer_counts_once():
+def test_an_attempt_given_up_for_a_retry_counts_once_when_it_is_answered():
     """The first try's answer comes while the retry is out; both are answered, and one end is told."""
 
     def script(number, head):
@@ -180,7 +180,7 @@
     assert run.recorder.whole.asked == 5
 
 
-def test_without_listening_a_try_that_is_given_up_is_gone():
+def test_without_listen_the_response_to_a_given_up_attempt_is_ignored():
     def script(number, head):
         return [0.5, answer()] if field(head, "X-Again") is None else answer()
 
@@ -192,7 +192,7 @@
     assert {s.tries for s in samples if s.outcome == Outcome.SERVED} == {2}
 
 
-def test_bytes_that_nobody_asked_for_close_the_connection():
+def test_bytes_without_a_request_close_the_connection():
     with StandIn(lambda number, head: [answer(), 0.02, b"stray"]) as server:
         run, samples = sent(server.port, rate=2, length_s=2.5)  # the bytes are there before the next is due
     assert ends(samples) == {"SERVED": 5}
@@ -200,12 +200,12 @@
     assert server.connections == 5
 
 
-def test_a_run_that_is_stopped_tells_what_it_has():
+def test_a_stopped_run_reports_what_was_measured():
     with StandIn(lambda number, head: [30.0, answer()] if number == 0 else answer()) as server:
         made = schedule.make_schedule(
             spec.parse(load(server.port, length_s=60, budget_ms=20000), "test"), None
         )
-        run = Generator(made, stopping=lambda: len(server.requests) >= 20).run()
+        run = Generator(made, should_stop=lambda: len(server.requests) >= 20).run()
     whole = run.recorder.whole
     assert run.cut
     assert not run.problems
@@ -225,16 +225,16 @@
 def test_a_worker_that_dies_is_a_problem_not_a_short_run(monkeypatch):
     with StandIn() as server:
         made = schedule.make_schedule(spec.parse(load(server.port, length_s=30), "test"), None)
-        generator = Generator(made, stopping=lambda: False)
+        generator = Generator(made, should_stop=lambda: False)
         server._script = lambda number, head: generator._workers[0].process.kill() or answer()
         run = generator.run()
     assert run.problems == ["a worker ended before its work was done"]
     assert run.unsound_reasons(made.spec)
 
 
-def test_a_target_that_is_no_host_is_told_before_anything_runs():
+def test_an_unknown_host_is_an_error_before_anything_is_sent():
     with pytest.raises(GeneratorError, match=r"no-such-host\.invalid: "):
-        resolved("no-such-host.invalid", 80)
+        resolve("no-such-host.invalid", 80)
 
 
 def test_a_replayed_trace_keeps_its_order(tmp_path):
@@ -249,7 +249,7 @@
         text = text[:begin] + '[trace]\nfile = "t.trace.gz"\nspeed = 2\n' + text[end:]
         samples = []
         made = schedule.make_schedule(spec.parse(text, "test"), tmp_path)
-        Generator(made, sample=samples.append).run()
+        Generator(made, on_sample=samples.append).run()
     assert ends(samples) == {"SERVED": 100}
     assert {field(head, "Cookie") for head in server.requests} == {f"user={n}" for n in range(100)}
     sends = sorted((s.at_us, s.at_us * 1000 + s.lag_ns) for s in samples)
