--- a/fordtrestle/cli/load.py
+++ b/fordtrestle/cli/load.py
@@ -18,8 +18,9 @@
 from fordtrestle.load.errors import GeneratorError, LoadError, SpecError
 from fordtrestle.load.generator import Generator, Run
 from fordtrestle.load.recorder import import_library
+from fordtrestle.load.records import Spec
 from fordtrestle.load.schedule import Schedule, make_schedule
-from fordtrestle.load.spec import MAX_SEED, MAX_WORKERS, Spec, parse
+from fordtrestle.load.spec import MAX_SEED, MAX_WORKERS, parse
 from fordtrestle.proxy.engine.ports import parse_address
 
 ON_STANDARD_OUTPUT = "-"  # value of --json where it names no file
--- a/fordtrestle/load/generator.py
+++ b/fordtrestle/load/generator.py
@@ -19,9 +19,9 @@
 from fordtrestle.load.errors import GeneratorError
 from fordtrestle.load.job import WorkerJob
 from fordtrestle.load.recorder import Recorder
+from fordtrestle.load.records import Spec
 from fordtrestle.load.samples import FAILURE, READY, SAMPLES, SUMMARY, FrameDecoder, Sample, decode_samples
 from fordtrestle.load.schedule import Schedule
-from fordtrestle.load.spec import Spec
 from fordtrestle.load.worker_process import main as run_worker_process
 
 READY_TIMEOUT_S = (
--- a/fordtrestle/load/recorder.py
+++ b/fordtrestle/load/recorder.py
@@ -14,8 +14,8 @@
 
 from fordtrestle.load.arrivals import US_PER_S
 from fordtrestle.load.errors import MissingLibraryError
+from fordtrestle.load.records import TrafficClass
 from fordtrestle.load.samples import NOT_SENT, TIMED, Outcome, Sample
-from fordtrestle.load.spec import TrafficClass
 
 SIGNIFICANT_DIGITS = 4  # an error below 0.01%, for 2.4 MB a histogram
 MAX_DURATION_US = 600 * US_PER_S  # ten times the longest budget
--- a/fordtrestle/load/report.py
+++ b/fordtrestle/load/report.py
@@ -9,9 +9,9 @@
 
 from fordtrestle.load.generator import Run
 from fordtrestle.load.recorder import CURVE_PERCENTILES, Recorder
+from fordtrestle.load.records import Bounds, Spec
 from fordtrestle.load.samples import NOT_SENT, Outcome
 from fordtrestle.load.schedule import Schedule
-from fordtrestle.load.spec import Bounds, Spec
 
 FORMAT = "fordtrestle-load-report"
 VERSION = 1
--- a/fordtrestle/load/retry_policy.py
+++ b/fordtrestle/load/retry_policy.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
+from fordtrestle.load.records import Retries, TrafficClass
 from fordtrestle.load.samples import Outcome
-from fordtrestle.load.spec import Retries, TrafficClass
 
 # After these nothing has run, so that also an unsafe request may be sent again.
 HARMLESS_OUTCOMES = (Outcome.REFUSED, Outcome.UNREACHABLE)
--- a/fordtrestle/load/schedule.py
+++ b/fordtrestle/load/schedule.py
@@ -11,7 +11,7 @@
 from fordtrestle.load.arrivals import US_PER_S, even_counts, merge_schedules, poisson_counts, send_times_us
 from fordtrestle.load.errors import TraceError
 from fordtrestle.load.mix import Mix, Request, zipf_choice
-from fordtrestle.load.spec import Arrivals, Replay, Spec
+from fordtrestle.load.records import Arrivals, Replay, Spec
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/load/test_recorder.py
+++ b/tests/load/test_recorder.py
@@ -13,6 +13,7 @@
 from fordtrestle.load import recorder
 from fordtrestle.load.errors import MissingLibraryError
 from fordtrestle.load.recorder import Histogram, Recorder
+from fordtrestle.load.records import TrafficClass
 from fordtrestle.load.samples import (
     FRAME,
     RECORD,
@@ -23,7 +24,6 @@
     Sample,
     decode_samples,
 )
-from fordtrestle.load.spec import TrafficClass
 
 CLASSES = (
     TrafficClass("look", "pure", 1.0, 500.0, 100.0, 1.0, "/look"),
--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -202,6 +202,7 @@
     "load/arrivals.py",
     "cli/exit_codes.py",
     "load/errors.py",
+    "load/records.py",
     "load/due_queue.py",
     "load/retry_policy.py",
     "load/mix.py",
