--- a/fordtrestle/load/report.py
+++ b/fordtrestle/load/report.py
@@ -52,11 +52,7 @@
         "classes": {name: part.summary() for name, part in recorder.classes.items()},
         "tenants": {name: part.summary() for name, part in recorder.tenants.items()},
         "seconds": recorder.seconds(),
-        "curve": {
-            "percentiles": list(CURVE_PERCENTILES),
-            "latency_ms": recorder.whole.latency.percentiles_ms(CURVE_PERCENTILES),
-            "service_ms": recorder.service.percentiles_ms(CURVE_PERCENTILES),
-        },
+        "curve": _percentile_curve(recorder),
         "histograms": {
             "latency": recorder.whole.latency.encode(),
             "service": recorder.service.encode(),
@@ -65,13 +61,22 @@
     }
 
 
-def check_bounds(asked: Bounds, recorder: Recorder) -> list[dict[str, Any]]:
+def _percentile_curve(recorder: Recorder) -> dict[str, Any]:
+    """The durations at `CURVE_PERCENTILES`, for plots."""
+    return {
+        "percentiles": list(CURVE_PERCENTILES),
+        "latency_ms": recorder.whole.latency.percentiles_ms(CURVE_PERCENTILES),
+        "service_ms": recorder.service.percentiles_ms(CURVE_PERCENTILES),
+    }
+
+
+def check_bounds(bounds: Bounds, recorder: Recorder) -> list[dict[str, Any]]:
     """Each bound that the load has, with what was measured and whether that meets it."""
     whole = recorder.whole.summary()
     rows = [
-        ("in_aim_share_least", asked.in_aim_share_least, whole["share_in_aim"], True),
-        ("p99_most_ms", asked.p99_most_ms, whole["latency_ms"]["p99"], False),
-        ("not_sent_most", asked.not_sent_most, whole["not_sent"], False),
+        ("in_aim_share_least", bounds.in_aim_share_least, whole["share_in_aim"], True),
+        ("p99_most_ms", bounds.p99_most_ms, whole["latency_ms"]["p99"], False),
+        ("not_sent_most", bounds.not_sent_most, whole["not_sent"], False),
     ]
     return [
         {
--- a/tests/load/test_report.py
+++ b/tests/load/test_report.py
@@ -159,7 +159,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("arguments", "expected"),
     [
         (["{none}"], "{none}: No such file or directory"),
         (["{bad}"], "{bad}: class.look.budget_ms: 0 is not within 0.001 to 60000"),
@@ -174,7 +174,7 @@
         (["check"], "load check: expected 1 files, not 0"),
     ],
 )
-def test_bad_input_is_one_line_code_2_and_nothing_sent(tmp_path, capsys, words, said):
+def test_bad_input_is_one_line_code_2_and_nothing_sent(tmp_path, capsys, arguments, expected):
     with StandIn() as server:
         files = {
             "none": str(tmp_path / "none"),
@@ -184,12 +184,12 @@
         files["bad"] = put(tmp_path / "bad.toml", load(server.port, budget_ms=0))
         text = re.sub(r"\[arrivals.*?(?=\[class)", '[trace]\nfile = "t"\n', load(server.port), flags=re.S)
         files["damaged"] = put(tmp_path / "d.toml", text.replace("length_s = 0.2\n", ""))
-        code = cli.main(["load", *(word.format(**files) for word in words)])
+        code = cli.main(["load", *(word.format(**files) for word in arguments)])
     captured = capsys.readouterr()
     assert code == 2
     assert captured.out == ""
     assert captured.err.count("\n") == 1
-    assert captured.err.startswith(said.format(**files))
+    assert captured.err.startswith(expected.format(**files))
     assert not server.connections
 
 
@@ -197,8 +197,8 @@
     """From the terminal the signal goes to the whole group, workers too."""
     with StandIn() as server:
         file = put(tmp_path / "l.toml", load(server.port, length_s=600))
-        words = [sys.executable, "-m", "fordtrestle", "load", file, "--json"]
-        child = subprocess.Popen(words, cwd=ROOT, stdout=subprocess.PIPE, start_new_session=True)
+        arguments = [sys.executable, "-m", "fordtrestle", "load", file, "--json"]
+        child = subprocess.Popen(arguments, cwd=ROOT, stdout=subprocess.PIPE, start_new_session=True)
         while len(server.requests) < 20:
             assert child.poll() is None
             time.sleep(0.01)
@@ -215,8 +215,8 @@
     with StandIn() as server:
         file = put(tmp_path / "l.toml", load(server.port, length_s=1.3, budget_ms=20_000))
         ours, theirs = pty.openpty()
-        words = [sys.executable, "-m", "fordtrestle", "load", file]
-        done = subprocess.run(words, cwd=ROOT, stdout=subprocess.PIPE, stderr=theirs, timeout=30)
+        arguments = [sys.executable, "-m", "fordtrestle", "load", file]
+        done = subprocess.run(arguments, cwd=ROOT, stdout=subprocess.PIPE, stderr=theirs, timeout=30)
         os.close(theirs)
         seen = os.read(ours, 4096).decode()
         os.close(ours)
--- a/tests/load/test_spec.py
+++ b/tests/load/test_spec.py
@@ -89,7 +89,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "said"),
+    ("old", "new", "expected"),
     [
         ('"127.0.0.1:8080"', '"127.0.0.1"', 'target.address: "127.0.0.1" is not an address (host:port)'),
         ("length_s = 4", "length_s = 0", "run.length_s: 0 is not within 0.001 to 86400"),
@@ -121,10 +121,10 @@
         ("[bounds]", "[bounds", "Expected ']'"),
     ],
 )
-def test_an_invalid_value_is_reported_by_its_key(old, new, said):
+def test_an_invalid_value_is_reported_by_its_key(old, new, expected):
     assert old in GOOD
     lines = errors_of(GOOD.replace(old, new, 1))
-    assert any(line.startswith("f.toml: ") and said in line for line in lines), lines
+    assert any(line.startswith("f.toml: ") and expected in line for line in lines), lines
     assert all("\n" not in line for line in lines)
 
 
@@ -191,23 +191,23 @@
 
 
 @pytest.mark.parametrize(
-    ("class_name", "more", "said"),
+    ("class_name", "more", "expected"),
     [
         ("book", "", r"t\.trace: class: the load has no \[class\.book\]"),
         ("look", "\nfrom_s = 2", r"t\.trace: from_s: nothing is left of 2 s"),
     ],
 )
 def test_a_trace_that_does_not_match_the_load_is_rejected_before_anything_is_sent(
-    tmp_path, class_name, more, said
+    tmp_path, class_name, more, expected
 ):
     write(tmp_path / "t.trace", [Request(0, class_name, "", "", 1, 0)])
     made = spec.parse(TRACE.replace('"t.trace"', f'"t.trace"{more}'), "f")
-    with pytest.raises(TraceError, match=said):
+    with pytest.raises(TraceError, match=expected):
         schedule.make_schedule(made, tmp_path)
 
 
 def test_spin_ms_is_read_and_must_not_be_negative():
     assert spec.parse(GOOD, "f").spin_ms == 3.0
     assert spec.parse(GOOD.replace("length_s = 4\n", "length_s = 4\nspin_ms = 50\n"), "f").spin_ms == 50.0
-    (said,) = errors_of(GOOD.replace("length_s = 4\n", "length_s = 4\nspin_ms = -1\n"))
-    assert "spin_ms" in said
+    (expected,) = errors_of(GOOD.replace("length_s = 4\n", "length_s = 4\nspin_ms = -1\n"))
+    assert "spin_ms" in expected
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "line", "said"),
+    ("old", "new", "line", "expected"),
     [
         ("#fordtrestle-trace 1", "#fordtrestle-trace 2", 1, "expected '#fordtrestle-trace 1'"),
         ("10 pay", "10  pay", 3, "7 fields"),
@@ -81,13 +81,13 @@
         ("10 pay", "1" * 600 + " pay", 3, "longer than 512 bytes"),
     ],
 )
-def test_damage_is_reported_with_its_line(path, old, new, line, said):
+def test_damage_is_reported_with_its_line(path, old, new, line, expected):
     write_file(path, GOOD.replace(old, new, 1))
     with pytest.raises(TraceError) as caught:
         inspect(path)
     text = str(caught.value)
     assert text.startswith(f"{path}:{line}: ")
-    assert said in text
+    assert expected in text
     assert "\n" not in text
 
 
