--- a/tests/balancer/test_library.py
+++ b/tests/balancer/test_library.py
@@ -1,10 +1,13 @@
 """The module as the README shows it, and what it does with senseless values."""
 
 import re
+import subprocess
+import sys
 from pathlib import Path
 
 import pytest
 
+import fordtrestle.balancer
 from fordtrestle.balancer import Settings
 from fordtrestle.balancer.model import Listing, Outcome, Send
 from tests.balancer.helpers import arrival, balancer, listing, of_type, raw_settings
@@ -20,6 +23,24 @@
     assert second == "[]"
 
 
+def test_the_throttle_is_loaded_without_the_other_modules():
+    """Guards against a start of the system's processes that pays for a decision module they do not use."""
+    code = "import sys, fordtrestle.balancer.throttle; print(*(m for m in sys.modules if 'fordtrestle' in m))"
+    done = subprocess.run(
+        [sys.executable, "-c", code], cwd=README.parent, capture_output=True, text=True, check=True
+    )
+    assert set(done.stdout.split()) == {
+        "fordtrestle",
+        "fordtrestle.balancer",
+        "fordtrestle.balancer.throttle",
+    }
+
+
+def test_a_name_that_the_package_does_not_have_is_an_attribute_error():
+    with pytest.raises(AttributeError, match="no attribute 'Nobody'"):
+        _ = fordtrestle.balancer.Nobody
+
+
 @pytest.mark.parametrize(
     ("changes", "field"),
     [
