--- a/fordtrestle/dissemination/__init__.py
+++ b/fordtrestle/dissemination/__init__.py
@@ -1,1 +1,1 @@
-"""Epidemic dissemination and membership. Pure: time, messages and randomness are handed in."""
+"""Epidemic dissemination and membership. Pure: the caller passes in time, messages and randomness."""
--- a/fordtrestle/dissemination/broadcast.py
+++ b/fordtrestle/dissemination/broadcast.py
@@ -1,12 +1,12 @@
-"""Epidemic broadcast trees: whole items travel along a tree of links, versions over all others. Pure.
+"""Epidemic broadcast trees: items are pushed along a spanning tree, other links only carry versions. Pure.
 
 The algorithm is Plumtree (Leitão, Pereira, Rodrigues: Epidemic Broadcast Trees, 2007). Its GOSSIP is `Update`
 or `ControlDelta` here, its IHAVE `Offer`, its GRAFT `Want`, and its PRUNE `Prune`.
 
-Every link begins as a part of the tree. An item that comes a second time shows that the tree does without the
-link that brought it: both sides then only send offers over it. A process that is offered what no link of the
-tree has brought in time asks for it, and takes that link into the tree. So each process gets each item about
-once, and a parent that is partitioned, frozen or dead delays its children by one wait.
+Every link starts as part of the tree. A duplicate item shows that the link that delivered it is redundant:
+both sides prune it and then send only offers over it. A process that is offered an item that no tree link
+delivers in time requests it, and adds the offering link to the tree. So each process receives each item about
+once, and a parent that is partitioned, frozen or dead delays its children by one request timeout.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from fordtrestle.dissemination.messages import GossipMessage, Offer, Prune, Update, Want
 from fordtrestle.dissemination.missing_items import WANT_DELAY_S, MissingItems
 
-OFFER_DELAY_S = 0.1  # for which offers are gathered, so that a busy moment costs one message a link
+OFFER_DELAY_S = 0.1  # offers are batched for this long, so that a burst of items costs one message per link
 
 
 @dataclass(frozen=True, slots=True)
@@ -34,51 +34,51 @@
 
 @dataclass(slots=True)
 class BroadcastEffects:
-    """What follows from an event: the items that are new here, and the messages to send."""
+    """The result of an event: the items that are new here, and the messages to send."""
 
     new_items: list[Item] = field(default_factory=list)
     outgoing: list[OutgoingMessage] = field(default_factory=list)
 
 
 class Broadcast:
-    """One process's part of the broadcast, which keeps no clock and sends nothing itself.
+    """The broadcast state of one process, without a clock and without I/O.
 
-    Peers are named by their nodes; times are s of a steady clock. The caller carries out the effects that
-    each event returns, and calls `tick` when `due_at` says.
+    Peers are identified by their node names; times are seconds of a monotonic clock. The caller applies the
+    effects that each method returns, and calls `tick` at the time that `due_at` returns.
     """
 
     def __init__(self, catalog: Catalog) -> None:
         self._catalog = catalog
-        self._pruned: set[str] = set()  # peers whose links are no part of the tree
+        self._pruned: set[str] = set()  # peers whose links are not part of the tree
         self._offers = _PendingOffers()
         self._missing = MissingItems()
 
     def on_link_up(self, peer: str) -> None:
-        """Take a new link into the tree, until it proves to be of no use."""
+        """Add a new link to the tree, until it proves to be redundant."""
         self._pruned.discard(peer)
 
     def retain_peers(self, peers: Collection[str]) -> None:
-        """Forget all peers but these."""
+        """Forget all peers except these."""
         self._pruned.intersection_update(peers)
         self._offers.retain_peers(peers)
 
     def publish(
         self, items: Iterable[Item], peers: Collection[str], now: float, source: str = ""
     ) -> BroadcastEffects:
-        """Merge items that this process originates or has confirmed, and pass on what is new.
+        """Merge items that this process originates or has confirmed, and forward those that are new.
 
         Args:
             items: the items.
-            peers: all peers that a link is up to.
-            now: s of a steady clock.
-            source: the peer that the items came from, which need not get them; empty where they are our own.
+            peers: all peers with a link.
+            now: the current time, in seconds of a monotonic clock.
+            source: the peer that sent the items and does not need them; empty for this process's own items.
         """
         return self._spread(items, peers, now, source)
 
     def on_message(
         self, message: GossipMessage, peers: Collection[str], now: float, source: str
     ) -> BroadcastEffects:
-        """Handle a message from `source`; what is new in it goes on to all other `peers`."""
+        """Handle a message from `source`, and forward items that are new to all other `peers`."""
         match message:
             case Update(items):
                 return self._adjust_tree(self._spread(items, peers, now, source), source)
@@ -91,17 +91,17 @@
                 self._pruned.add(source)
                 return BroadcastEffects()
             case Want():
-                self._pruned.discard(source)  # the tree did not reach it otherwise
+                self._pruned.discard(source)  # the tree did not deliver to it
         answers = self._catalog.answer(message)
         return BroadcastEffects([], [OutgoingMessage(source, answer) for answer in answers])
 
     def due_at(self) -> float | None:
-        """Return when `tick` has something to do; `None` where nothing is waiting."""
+        """Return when `tick` has to be called next; `None` if nothing is pending."""
         times = [self._missing.due_at(), self._offers.due_at]
-        return min((at for at in times if at is not None), default=None)
+        return min((due_at for due_at in times if due_at is not None), default=None)
 
     def tick(self, now: float) -> list[OutgoingMessage]:
-        """Return what has to be sent by now: requests for missing items, and offers that were gathered."""
+        """Return the messages that are due: requests for missing items, and batched offers."""
         outgoing = self._request_missing(now)
         outgoing += self._offers.take_due(now)
         return outgoing
@@ -109,10 +109,10 @@
     def _on_delta(
         self, delta: ControlDelta, peers: Collection[str], now: float, source: str
     ) -> BroadcastEffects:
-        """Apply a change of the control state; where it does not fit the state here, ask for the whole.
+        """Apply a change of the control state, or request the whole state if the delta does not apply.
 
-        A delta is passed on as it came: neither is it made anew for each peer, nor does a peer that shares
-        its base need the whole document.
+        A delta is forwarded as it was received: it is not computed again for each peer, and a peer that has
+        its base does not need the whole document.
         """
         old = self._catalog.control
         if old is not None and old.sequence >= delta.sequence:
@@ -139,7 +139,7 @@
         source: str,
         delta: ControlDelta | None = None,
     ) -> BroadcastEffects:
-        """Merge items, and pass on what is new to all `peers` but its source."""
+        """Merge items, and forward those that are new to all `peers` except `source`."""
         old_control = self._catalog.control
         new_items = self._catalog.merge(items, now)
         effects = BroadcastEffects(new_items)
@@ -152,13 +152,13 @@
             if peer in self._pruned:
                 self._offers.add(peer, new_items, now)
         children = [peer for peer in others if peer not in self._pruned]
-        if children:  # making a delta of a long document takes time: not for nobody
+        if children:  # computing the delta of a long document takes time, so not without receivers
             messages = _messages_for(new_items, old_control, delta)
             effects.outgoing += [OutgoingMessage(peer, message) for peer in children for message in messages]
         return effects
 
     def _adjust_tree(self, effects: BroadcastEffects, source: str) -> BroadcastEffects:
-        """Keep the link in the tree over which something new has come, and prune one that brought a copy."""
+        """Keep a link that delivered a new item in the tree, and prune one that delivered a duplicate."""
         if effects.new_items:
             self._pruned.discard(source)
         elif source not in self._pruned:
@@ -167,32 +167,32 @@
         return effects
 
     def _request_missing(self, now: float) -> list[OutgoingMessage]:
-        """Ask for missing items that are due, and take the links to those that are asked into the tree."""
+        """Request missing items that are due, and add the links to the requested peers to the tree."""
         keys_by_peer = self._missing.take_due(now)
         self._pruned.difference_update(keys_by_peer)
         return [OutgoingMessage(peer, Want(tuple(keys))) for peer, keys in keys_by_peer.items()]
 
 
 class _PendingOffers:
-    """Offers that are gathered before they are sent; of each key only the newest version is offered."""
+    """Batches offers per peer; only the newest version of each key is offered."""
 
     def __init__(self) -> None:
-        self.due_at: float | None = None  # s of a steady clock
+        self.due_at: float | None = None  # seconds of a monotonic clock
         self._versions_by_peer: dict[str, dict[str, Version]] = {}
 
     def add(self, peer: str, items: Iterable[Item], now: float) -> None:
-        """Offer items to a peer, `OFFER_DELAY_S` after the first one that waits."""
+        """Add items to offer to a peer; the batch is due `OFFER_DELAY_S` after its first item."""
         self._versions_by_peer.setdefault(peer, {}).update((item.key, item.version) for item in items)
         if self.due_at is None:
             self.due_at = now + OFFER_DELAY_S
 
     def retain_peers(self, peers: Collection[str]) -> None:
-        """Forget the offers to all peers but these."""
+        """Drop the offers to all peers except these."""
         for peer in set(self._versions_by_peer).difference(peers):
             del self._versions_by_peer[peer]
 
     def take_due(self, now: float) -> list[OutgoingMessage]:
-        """Return the offers that are to be sent by now, and forget them."""
+        """Return the offers if they are due, and clear them."""
         if self.due_at is None or now < self.due_at:
             return []
         offers = [
@@ -207,12 +207,12 @@
 def _messages_for(
     new_items: Iterable[Item], old_control: ControlView | None, delta: ControlDelta | None
 ) -> list[Update | ControlDelta]:
-    """Return the messages that carry items whole, the control state as its change where that is shorter.
+    """Return the messages that carry items in full, but the control state as a delta if that is shorter.
 
     Args:
         new_items: the items.
-        old_control: the control state before them, which peers of the tree are taken to hold too.
-        delta: the change as it came from another process, where it did.
+        old_control: the previous control state, which peers in the tree are assumed to have as well.
+        delta: the delta that was received from another process, if it was.
     """
     items: list[Item] = []
     changes: list[Update | ControlDelta] = []
--- a/fordtrestle/dissemination/catalog.py
+++ b/fordtrestle/dissemination/catalog.py
@@ -1,12 +1,12 @@
-"""The newest item of each key, and its reconciliation with another process's catalog. Pure.
+"""Stores the newest item of each key, and reconciles it with the catalogs of other processes. Pure.
 
-A replicated table without a primary: of two versions of a key the newer one wins everywhere, in whatever
-order they come (Demers et al.: Epidemic Algorithms for Replicated Database Maintenance, 1987).
+This is a replicated table without a primary: the newer of two versions of a key wins everywhere, in whatever
+order they arrive (Demers et al.: Epidemic Algorithms for Replicated Database Maintenance, 1987).
 
-The table is bounded: at most `MAX_ITEMS` keys. Items of what has departed stay as tombstones as long as an
-old message may travel, those of servers that nobody hears any more for longer. Each process forgets them by
-its own clock, so one may still hold what another has forgotten: that is not taken back, or the two would go
-on giving it to each other for ever.
+The table is bounded to `MAX_ITEMS` keys. Items of departed servers and members stay as tombstones for as long
+as an old message may be in flight, and items of unresponsive servers stay for longer. Each process expires
+them by its own clock, so one process may still hold an item that another has expired. The latter does not
+accept it again, or the two would keep sending it to each other for ever.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 from fordtrestle.dissemination.range_digests import RangeDigestTable, range_of
 
 MAX_ITEMS = 20_000
-TOMBSTONE_S = 120.0  # as long as an old message may travel, also by way of a process that was partitioned
-# For servers whose heartbeats have stopped, or that drain and never say that they have departed.
+TOMBSTONE_S = 120.0  # as long as an old message may be in flight, also through a process that was partitioned
+# For servers whose heartbeats have stopped, or that drain and never report that they have departed.
 UNRESPONSIVE_RETENTION_S = 600.0
-EJECTION_RETENTION_S = 600.0  # so that the next ejection of that server is known to be newer
+EJECTION_RETENTION_S = 600.0  # so that the next ejection of that server gets a newer version
 
 
 def is_tombstone(item: Item) -> bool:
-    """Return whether the item says that a server has departed, or a member is down."""
+    """Return whether the item records that a server has departed, or that a member is down."""
     value = item.value
     if isinstance(value, ServerRecord):
         return value.phase is Phase.DEPARTED
@@ -46,7 +46,7 @@
 
 
 def retention_s(item: Item) -> float | None:
-    """Return for how many s an item is remembered that no newer one follows; `None` where for good."""
+    """Return how long the newest item of a key is kept, in seconds; `None` if it never expires."""
     if is_tombstone(item):
         return TOMBSTONE_S
     value = item.value
@@ -59,55 +59,55 @@
 
 @dataclass(frozen=True, slots=True)
 class _ForgottenItem:
-    """The last version of a key that has expired, and until when it is not taken back."""
+    """The last version of an expired key, and until when that version is not accepted again."""
 
     version: Version
-    until: float
+    rejected_until: float
 
 
 class Catalog:
-    """All items that one process holds. Times are s of a steady clock, which the caller hands in."""
+    """Holds all items of one process. Times are seconds of a monotonic clock, passed in by the caller."""
 
     def __init__(self) -> None:
         self._items: dict[str, Item] = {}
         self._digests = RangeDigestTable()
-        self._expires_at: dict[str, float] = {}  # by key, of items that are not kept for good
+        self._expires_at: dict[str, float] = {}  # by key, only for items that expire
         self._forgotten: dict[str, _ForgottenItem] = {}  # by key
 
     def get(self, key: str) -> Item | None:
-        """Return the newest item of a key."""
+        """Return the newest item of a key; `None` if there is none."""
         return self._items.get(key)
 
     @property
     def control(self) -> ControlView | None:
-        """The control state, as far as it has come here."""
+        """The newest control state that this process has received; `None` if it has received none."""
         item = self._items.get(CONTROL_KEY)
         return item.value if item and isinstance(item.value, ControlView) else None
 
     def servers(self) -> Iterator[tuple[ServerRecord, Version]]:
-        """Yield all servers that are known, also those that have departed."""
+        """Yield all known servers with their versions, including those that have departed."""
         for key, item in self._items.items():
             if key.startswith(SERVER_PREFIX) and isinstance(item.value, ServerRecord):
                 yield item.value, item.version
 
     def members(self) -> Iterator[tuple[MemberRecord, Version]]:
-        """Yield all processes that are known, also those that are down."""
+        """Yield all known members with their versions, including those that are down."""
         for key, item in self._items.items():
             if key.startswith(MEMBER_PREFIX) and isinstance(item.value, MemberRecord):
                 yield item.value, item.version
 
     def lacks(self, key: str, version: Version) -> bool:
-        """Return whether that version would be new here: neither known, nor forgotten after it expired."""
+        """Return whether a version would be new here: neither it nor a newer one is known or has expired."""
         known = self._items.get(key)
         if known:
             return known.version < version
         return key not in self._forgotten or version > self._forgotten[key].version
 
     def merge(self, items: Iterable[Item], now: float) -> list[Item]:
-        """Take in the items that are newer than those known.
+        """Store the items that are newer than the known ones.
 
         Returns:
-            Those items. New keys are left out while the catalog is full.
+            The items that were stored. Items with new keys are dropped while the catalog is full.
         """
         new_items = []
         for item in items:
@@ -121,35 +121,35 @@
         return new_items
 
     def expire(self, now: float) -> None:
-        """Forget items whose retention has ended, and after `TOMBSTONE_S` more that they were forgotten."""
+        """Drop items whose retention has ended, and `TOMBSTONE_S` later the record that they expired."""
         for key, forgotten in list(self._forgotten.items()):
-            if now > forgotten.until:
+            if now > forgotten.rejected_until:
                 del self._forgotten[key]
-        for key, at in list(self._expires_at.items()):
-            if now > at:
+        for key, expires_at in list(self._expires_at.items()):
+            if now > expires_at:
                 item = self._items.pop(key)
                 self._digests.remove(item)
                 del self._expires_at[key]
                 self._forgotten[key] = _ForgottenItem(item.version, now + TOMBSTONE_S)
 
     def digests(self) -> RangeDigests:
-        """Return the message by which another process finds out whether it holds the same."""
+        """Return the digests that let another process detect differences from its own catalog."""
         return self._digests.message()
 
     def answer(self, message: GossipMessage) -> list[GossipMessage]:
-        """Return what to send back to a peer; updates are merged by `merge`, not here."""
+        """Return the replies to a peer's message; updates are merged by `merge`, not here."""
         match message:
             case RangeDigests(theirs):
                 return self._versions_where_different(theirs)
             case RangeVersions(ranges, versions):
                 return self._difference(frozenset(ranges), dict(versions))
             case Want(keys):
-                found = tuple(self._items[key] for key in keys if key in self._items)
-                return [Update(found)] if found else []
+                items = tuple(self._items[key] for key in keys if key in self._items)
+                return [Update(items)] if items else []
         return []
 
     def _versions_where_different(self, theirs: tuple[bytes, ...]) -> list[GossipMessage]:
-        """Return the versions of all items in ranges whose digests are others there."""
+        """Return the versions of all items in the ranges whose digests differ."""
         ranges = self._digests.differing_ranges(theirs)
         if not ranges:
             return []
@@ -157,7 +157,7 @@
         return [RangeVersions(ranges, versions)]
 
     def _difference(self, ranges: frozenset[int], theirs: dict[str, Version]) -> list[GossipMessage]:
-        """Return what is newer here than there, and a request for what is newer there."""
+        """Return the items that are newer here, and a request for the items that are newer at the peer."""
         newer = tuple(
             item
             for key, item in self._items.items()
@@ -172,7 +172,7 @@
         return answers
 
     def _put(self, known: Item | None, item: Item, now: float) -> None:
-        """Hold an item in the place of the one that is known."""
+        """Store an item in place of the known one, if there is one."""
         if known:
             self._digests.remove(known)
         self._digests.add(item)
--- a/fordtrestle/dissemination/delta.py
+++ b/fordtrestle/dissemination/delta.py
@@ -1,8 +1,8 @@
-"""A configuration as what is new in it against the one before. Pure.
+"""Delta encoding of a configuration against the previous one. Pure.
 
-Changes are small and configurations are long, so the change is what travels. A document is split before each
-opening brace, which separates the routes of its JSON; pieces that the old document holds too are sent as
-references into it.
+Configurations are long and their changes are small, so only the changes are sent. A document is split before
+each opening brace, which separates the routes in its JSON; pieces that are also in the old document are sent
+as references into it.
 """
 
 from __future__ import annotations
@@ -14,14 +14,14 @@
 from fordtrestle.dissemination.items import MAX_DOCUMENT_BYTES, ControlView
 
 _SPLIT_AT = b"{"
-# Of the new document's length, sent as bytes of its own: beyond it, a delta hardly saves anything.
+# Literal bytes over the length of the new document: above this ratio, a delta hardly saves anything.
 MAX_LITERAL_RATIO = 0.5
-MAX_PARTS = 10_000  # of one delta, so that a strange one costs its receiver little
+MAX_PARTS = 10_000  # per delta: bounds what a malformed one can cost its receiver
 
 
 @dataclass(frozen=True, slots=True)
 class Copy:
-    """Bytes of the old document, from `start` up to and without `end`."""
+    """A range of bytes of the old document, from `start` up to but not including `end`."""
 
     start: int
     end: int
@@ -55,7 +55,7 @@
 
 
 def _offsets(document: bytes) -> dict[bytes, int]:
-    """Return the offset of each piece of a document; the first one of those that occur more than once."""
+    """Return the offset of each piece of a document; for a repeated piece, that of its first occurrence."""
     offsets: dict[bytes, int] = {}
     offset = 0
     for piece in _split(document):
@@ -65,7 +65,7 @@
 
 
 def _parts(old: bytes, new: bytes) -> list[Copy | bytes]:
-    """Describe a document by parts of another; neighbouring parts of one kind are joined."""
+    """Describe a document by parts of another one; adjacent parts of the same kind are joined."""
     offsets = _offsets(old)
     parts: list[Copy | bytes] = []
     for piece in _split(new):
@@ -86,7 +86,7 @@
 
 
 def make_delta(old: ControlView, new: ControlView) -> ControlDelta | None:
-    """Return what leads from one view to the other; `None` where the whole is hardly longer."""
+    """Return the delta between two views; `None` if it has too many parts or is hardly shorter."""
     parts = _parts(old.document, new.document)
     literal_bytes = sum(_length(part) for part in parts if isinstance(part, bytes))
     if len(parts) > MAX_PARTS or literal_bytes > MAX_LITERAL_RATIO * len(new.document):
@@ -96,20 +96,20 @@
 
 
 def apply_delta(old: ControlView, delta: ControlDelta) -> ControlView:
-    """Return the newer view.
+    """Apply a delta to a view, and return the newer view.
 
     Raises:
-        DeltaError: the delta was made of another view, is larger than a configuration may be, or leads to
-            another document than the one that it was made for.
+        DeltaError: the delta was made against another view, exceeds the limits of a delta or of a
+            configuration, or does not produce the document that it was made for.
     """
     if old.sequence != delta.base:
-        raise DeltaError(f"based on {delta.base}, not on {old.sequence}")
+        raise DeltaError(f"the delta applies to sequence {delta.base}, the current view is {old.sequence}")
     if len(delta.parts) > MAX_PARTS:
-        raise DeltaError(f"{len(delta.parts)} parts, more than {MAX_PARTS}")
+        raise DeltaError(f"the delta has {len(delta.parts)} parts, expected at most {MAX_PARTS}")
     if sum(map(_length, delta.parts)) > MAX_DOCUMENT_BYTES:
-        raise DeltaError(f"more than {MAX_DOCUMENT_BYTES} bytes")
+        raise DeltaError(f"the new document exceeds {MAX_DOCUMENT_BYTES} bytes")
     parts = (old.document[part.start : part.end] if isinstance(part, Copy) else part for part in delta.parts)
     document = b"".join(parts)
     if zlib.crc32(document) != delta.checksum:
-        raise DeltaError(f"the document has another checksum than {delta.checksum}")
+        raise DeltaError(f"checksum mismatch: the new document does not have CRC-32 {delta.checksum}")
     return ControlView(delta.sequence, delta.generation, document, delta.evacuated)
--- a/fordtrestle/dissemination/errors.py
+++ b/fordtrestle/dissemination/errors.py
@@ -1,11 +1,11 @@
-"""Errors of this layer."""
+"""Errors of the dissemination layer."""
 
 from __future__ import annotations
 
 
 class DisseminationError(Exception):
-    """Base of all errors of the dissemination."""
+    """Base class of all dissemination errors."""
 
 
 class DeltaError(DisseminationError):
-    """A delta that does not fit the document that it is applied to."""
+    """Raised when a delta cannot be applied: another base, too large, or a checksum mismatch."""
--- a/fordtrestle/dissemination/items.py
+++ b/fordtrestle/dissemination/items.py
@@ -1,6 +1,6 @@
-"""What is spread to all processes: versioned items, of which the newest wins everywhere. Pure.
+"""The versioned items that are disseminated to all processes; the newest version wins. Pure.
 
-The records travel between processes (`peer/codec.py`). Rules for changes: `docs/design/versions.md`.
+The records are sent between processes (`peer/codec.py`). Rules for changes: `docs/design/versions.md`.
 """
 
 from __future__ import annotations
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-Version = tuple[int, ...]  # compared as tuples are: the first number that differs decides
+Version = tuple[int, ...]  # compared lexicographically
 
-# Of a configuration: it has to fit into one message to each replica.
+# A configuration has to fit into one message to each replica.
 MAX_DOCUMENT_BYTES = 8 * 1024 * 1024
 
 CONTROL_KEY = "control"
@@ -21,13 +21,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlView:
-    """The control state, as far as processes that only act by it need it.
+    """The part of the control state that is published to all processes.
 
     Attributes:
-        sequence: the number of changes that led to it; its version.
+        sequence: the number of changes applied so far; also its version.
         generation: the generation of the configuration.
-        document: the whole configuration, as JSON.
-        evacuated: the zones that are evacuated.
+        document: the complete configuration, as JSON.
+        evacuated: the evacuated zones.
     """
 
     sequence: int
@@ -37,7 +37,7 @@
 
 
 class Phase(IntEnum):
-    """How far an incarnation of a server has come; none goes back to an earlier phase."""
+    """The lifecycle phase of a server incarnation; a phase never goes back to an earlier one."""
 
     SERVING = 0
     DRAINING = 1
@@ -46,18 +46,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerRecord:
-    """One incarnation of a server, as its newest heartbeat described it.
+    """One incarnation of a server, as described by its newest heartbeat.
 
     Attributes:
         instance: the incarnation's identity.
         service: the service that it belongs to.
         address: HOST:PORT for requests.
-        zone: the zone that it is in.
-        slots: how many requests it serves at once.
-        phase: how far it has come.
+        zone: its zone.
+        slots: how many requests it serves concurrently.
+        phase: its lifecycle phase.
         is_unresponsive: whether its heartbeats have stopped.
-        warm_up_ms: how much longer it is warming up, in ms, as of that heartbeat.
-        remaining_ms: for how much longer it serves while it drains, in ms; `None` where that is not known.
+        warm_up_ms: the remaining warm-up time as of that heartbeat, in ms.
+        remaining_ms: how much longer it serves while it drains, in ms; `None` if unknown.
         models: the models that it has loaded.
         heard_by: the control process that received the heartbeat.
     """
@@ -76,13 +76,13 @@
 
 
 class Availability(IntEnum):
-    """What a member says of itself, and others of it once they have lost it (`DOWN`)."""
+    """The state that a member announces, or `DOWN` if its monitors have declared it down."""
 
     STARTING = 0
     READY = 1
-    LEAVING = 2  # asked to end: it still serves clients whose region has no other process
+    LEAVING = 2  # shutting down: still serves clients whose region has no other process
     DOWN = 3
-    CLOSING = 4  # about to end: its clients have to go elsewhere
+    CLOSING = 4  # about to exit: its clients have to move to other processes
 
 
 @dataclass(frozen=True, slots=True)
@@ -91,12 +91,12 @@
 
     Attributes:
         node: its name, unique in the deployment.
-        role: what it does: `control` or `sidecar`.
-        zone: the zone that it is in.
-        region: the region that it is in.
+        role: `control` or `sidecar`.
+        zone: its zone.
+        region: its region.
         peer: HOST:PORT for other processes.
-        front: HOST:PORT for clients; empty where it serves none.
-        availability: what it can do now.
+        front: HOST:PORT for clients; empty if it does not serve clients.
+        availability: its current availability.
     """
 
     node: str
@@ -110,7 +110,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EjectionRecord:
-    """A server whose requests fail is left out by all, for some s from when a process hears of it."""
+    """Ejects a server whose requests fail.
+
+    Attributes:
+        instance: the server's incarnation.
+        lasts_s: how long each process excludes the server, counted from when it receives the record.
+    """
 
     instance: str
     lasts_s: float
@@ -121,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """One key's value at one version."""
+    """The value of one key at one version."""
 
     key: str
     version: Version
@@ -136,24 +141,24 @@
 def server_item(record: ServerRecord, sequence: int) -> Item:
     """Return the item of a server.
 
-    A later phase is newer than all heartbeats of an earlier one, however late those come: a server that
-    drains or has departed is never used again. An unresponsive server's item is newer only than its last
-    heartbeat.
+    A later phase is newer than every heartbeat of an earlier phase, however late that arrives: a server that
+    drains or has departed is never used again. The item that marks a server unresponsive is newer than its
+    last heartbeat, but older than the next one.
 
     Args:
         record: the server.
-        sequence: the number of the heartbeat.
+        sequence: the sequence number of the heartbeat.
     """
     version = (int(record.phase), sequence, int(record.is_unresponsive))
     return Item(SERVER_PREFIX + record.instance, version, record)
 
 
 def ejection_item(record: EjectionRecord, known: Version | None) -> Item:
-    """Return the item of an ejection, newer than the last one that is known of that server.
+    """Return the item of an ejection, newer than the last known ejection of that server.
 
     Args:
         record: the ejection.
-        known: the version of that last one; `None` where none is known.
+        known: the version of the last known ejection; `None` if there is none.
     """
     return Item(EJECTION_PREFIX + record.instance, (known[0] + 1 if known else 1,), record)
 
@@ -161,13 +166,13 @@
 def member_item(record: MemberRecord, incarnation: int, counter: int) -> Item:
     """Return the item of a member.
 
-    Others declare a member down at the counter that they know of it, so the member's next item refutes that
-    (SWIM's suspicion, Das, Gupta, Motivala 2002).
+    Monitors declare a member down at the last counter that they know, so the member's next item refutes them
+    (the suspicion mechanism of SWIM: Das, Gupta, Motivala 2002).
 
     Args:
         record: the member.
-        incarnation: rises with each start of the process.
-        counter: rises with each item of one incarnation.
+        incarnation: increases with each start of the process.
+        counter: increases with each item of one incarnation.
     """
     down = int(record.availability is Availability.DOWN)
     return Item(MEMBER_PREFIX + record.node, (incarnation, counter, down), record)
--- a/fordtrestle/dissemination/messages.py
+++ b/fordtrestle/dissemination/messages.py
@@ -1,6 +1,6 @@
-"""Messages by which processes bring their catalogs into line, detect failures and report outcomes. Pure.
+"""Messages for catalog reconciliation, failure detection and outcome reports. Pure.
 
-They travel between processes (`peer/codec.py`). Rules for changes: `docs/design/versions.md`.
+They are sent between processes (`peer/codec.py`). Rules for changes: `docs/design/versions.md`.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Update:
-    """Items that are new to the sender, or that were asked for."""
+    """Carries items that are new to the sender, or that the receiver requested."""
 
     items: tuple[Item, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RangeDigests:
-    """A digest of each range of keys, in order: ranges that differ are compared key by key."""
+    """Carries a digest of each range of keys, in order; ranges that differ are compared key by key."""
 
     digests: tuple[bytes, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class RangeVersions:
-    """All keys that the sender holds in these ranges, with their versions."""
+    """Lists all keys that the sender holds in these ranges, with their versions."""
 
     ranges: tuple[int, ...]
     versions: tuple[tuple[str, Version], ...]
@@ -35,43 +35,43 @@
 
 @dataclass(frozen=True, slots=True)
 class Want:
-    """Asks for items, and for the link to become part of the broadcast's tree (Plumtree's GRAFT)."""
+    """Requests items, and adds the link to the broadcast tree (GRAFT in Plumtree)."""
 
     keys: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Offer:
-    """Keys with the versions that the sender holds, for a peer that has not got them otherwise (IHAVE)."""
+    """Lists keys and versions that the sender holds, so that the receiver can request them (IHAVE)."""
 
     versions: tuple[tuple[str, Version], ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Prune:
-    """What came over this link had come over others before: offers are enough from now on (PRUNE)."""
+    """Asks the receiver to send only offers, since this link delivered a duplicate (PRUNE)."""
 
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """Asks whether the receiver has a link to a node (SWIM's ping-req)."""
+    """Asks whether the receiver has a link to a node (ping-req in SWIM)."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbeAck:
-    """The sender has a link to that node."""
+    """Acknowledges an indirect probe: the sender has a link to the node."""
 
     node: str
 
 
 @dataclass(frozen=True, slots=True)
 class Confirm:
-    """Asks a control process to hold an item, to pass it on, and to confirm that.
+    """Asks a control process to store an item, to forward it, and to acknowledge that.
 
     Attributes:
-        token: by which the sender knows the answer.
+        token: correlates the acknowledgement with this request.
         item: the item.
     """
 
@@ -81,14 +81,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Confirmed:
-    """The sender holds the item of that token."""
+    """Acknowledges that the sender has stored the item of the request with this token."""
 
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class Outcomes:
-    """How many requests to a server succeeded and failed since the sender's last report."""
+    """Counts the requests to a server that succeeded and failed since the sender's last report."""
 
     instance: str
     good: int
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeReport:
-    """A sidecar's report on the servers of a service, to the control process that has to judge them."""
+    """Reports request outcomes of the servers of a service to the control process that detects outliers."""
 
     service: str
     outcomes: tuple[Outcomes, ...]
--- a/fordtrestle/dissemination/range_digests.py
+++ b/fordtrestle/dissemination/range_digests.py
@@ -1,8 +1,8 @@
-"""Digests over ranges of keys, by which two processes find out where their catalogs differ. Pure.
+"""Digests over ranges of keys, which show two processes where their catalogs differ. Pure.
 
 This is anti-entropy (Demers et al.: Epidemic Algorithms for Replicated Database Maintenance, 1987): a digest
-of each range travels, and only what lies in ranges that differ is compared key by key. A digest is the XOR of
-the fingerprints of the items in its range, so that an item is taken in or out without a look at the others.
+of each range is sent, and only ranges that differ are compared key by key. A digest is the XOR of the
+fingerprints of the items in its range, so adding or removing an item does not need the other items.
 """
 
 from __future__ import annotations
@@ -12,12 +12,12 @@
 from fordtrestle.dissemination.items import Item
 from fordtrestle.dissemination.messages import RangeDigests
 
-RANGE_COUNT = 16  # a change costs a look at a sixteenth of the keys, for digests of 128 bytes
+RANGE_COUNT = 16  # a changed item makes a sixteenth of the keys be compared; all digests take 128 bytes
 DIGEST_BYTES = 8
 
 
 def range_of(key: str) -> int:
-    """Return the range that a key falls into."""
+    """Return the index of the range that contains a key."""
     return hashlib.blake2b(key.encode(), digest_size=1).digest()[0] % RANGE_COUNT
 
 
@@ -27,24 +27,24 @@
 
 
 class RangeDigestTable:
-    """The digests of all items that one process holds."""
+    """Maintains the digests of all items in a catalog."""
 
     def __init__(self) -> None:
         self._digests = [0] * RANGE_COUNT
 
     def add(self, item: Item) -> None:
-        """Count an item in."""
+        """Add an item to the digest of its range."""
         self._digests[range_of(item.key)] ^= _fingerprint(item)
 
     def remove(self, item: Item) -> None:
-        """Count an item out that was counted in; with XOR that is the same step."""
+        """Remove an item that was added before; XOR is its own inverse."""
         self.add(item)
 
     def message(self) -> RangeDigests:
-        """Return the digests as they travel."""
+        """Return the message that carries the digests."""
         return RangeDigests(tuple(digest.to_bytes(DIGEST_BYTES, "big") for digest in self._digests))
 
     def differing_ranges(self, theirs: tuple[bytes, ...]) -> tuple[int, ...]:
-        """Return the ranges whose digests are others than these; ranges that have none here are left out."""
+        """Return the ranges whose digests differ from these; ranges that one side lacks are ignored."""
         pairs = zip(self.message().digests, theirs, strict=False)
         return tuple(index for index, (ours, other) in enumerate(pairs) if ours != other)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -767,7 +767,7 @@
     "a peer that asks is sent news whole from then on": _removal(
         BROADCAST,
         BROADCAST_TESTS,
-        "                self._pruned.discard(source)  # the tree did not reach it otherwise\n",
+        "                self._pruned.discard(source)  # the tree did not deliver to it\n",
         "                pass\n",
     ),
     "a change of the configuration rests on one version": _removal(
@@ -783,7 +783,7 @@
         "            if True:\n",
     ),
     "the whole is asked for from one at a time": _removal(
-        MISSING_ITEMS, DELTA_TESTS, "        if not missing.asked:\n", "        if True:\n"
+        MISSING_ITEMS, DELTA_TESTS, "        if not missing.requested_from:\n", "        if True:\n"
     ),
     "a connection that cannot be adopted is closed": _removal(
         ADOPTED,
