--- a/fordtrestle/peer/__init__.py
+++ b/fordtrestle/peer/__init__.py
@@ -1,1 +1,1 @@
-"""Transport between the processes of one deployment: a protocol without I/O under a thin asyncio driver."""
+"""Transport between the processes of a deployment: a sans-I/O protocol, driven by a thin asyncio layer."""
--- a/fordtrestle/peer/connection.py
+++ b/fordtrestle/peer/connection.py
@@ -1,4 +1,4 @@
-"""Drives one connection between two processes: a socket, a clock, and the protocol between them."""
+"""Drives one connection between two processes: connects the protocol to a socket and a clock."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     PeerProtocol,
 )
 
-READ_BYTES = 64 * 1024  # at once: as much as a stream buffers by itself
-# Unsent bytes, more than the largest state: beyond them the other side does not read, and is given up.
+READ_BYTES = 64 * 1024  # per read: as much as a stream buffers by itself
+# Larger than the largest state. With more unsent bytes the peer is not reading, and the connection is closed.
 MAX_BUFFER_BYTES = 16 * 1024 * 1024
 
 
 class Connection:
-    """Sends without waiting, and hands over the messages that come.
+    """One connection to a peer, which sends without blocking and delivers received messages to a callback.
 
-    `run` returns when the connection has ended. Until then keep-alives show the other side that this process
-    is there, and a connection over which nothing comes for `PEER_TIMEOUT_S` is given up: a machine that has
-    lost its power closes no sockets.
+    `run` returns when the connection has ended. Until then keep-alives show the peer that this process is up,
+    and the connection is closed if nothing is received for `PEER_TIMEOUT_S`, since a machine that loses power
+    does not close its sockets.
     """
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -43,21 +43,21 @@
 
     @property
     def state(self) -> ConnectionState:
-        """Whether the connection is in its handshake, open or closed."""
+        """The state of the connection: in its handshake, open or closed."""
         return self._protocol.state
 
     @property
     def skipped_messages(self) -> int:
-        """How many messages of other versions of the protocol have come."""
+        """The number of received messages that were skipped because they are of other protocol versions."""
         return self._protocol.skipped_messages
 
     def send(self, message: Any) -> bool:
-        """Send a message; return whether the connection takes it, and its receiver would."""
+        """Send a message; return `False` if the connection cannot take it or the message is too large."""
         framed = frame_message(message)
         return framed is not None and self.write_frame(framed)
 
     def write_frame(self, framed: bytes) -> bool:
-        """Send a message that was framed before; return whether the connection still takes any."""
+        """Send a framed message; return `False` if the connection cannot take it any more."""
         transport = self._writer.transport
         if transport.is_closing():
             return False
@@ -72,8 +72,8 @@
         """Return the next message.
 
         Raises:
-            PeerError: the other side has ended the connection, or sent what is no message.
-            TimeoutError: nothing has come for `PEER_TIMEOUT_S`.
+            PeerError: the peer has closed the connection, or sent an invalid message.
+            TimeoutError: nothing was received for `PEER_TIMEOUT_S`.
             OSError: the connection has failed.
         """
         while True:
@@ -87,7 +87,7 @@
                     self._protocol.receive_data(await self._read())
 
     async def run(self, on_message: Callable[[Any], None]) -> None:
-        """Hand over messages until the connection ends; those of other versions are skipped."""
+        """Pass messages to `on_message` until the connection ends, skipping those of other versions."""
         self._protocol.open()
         async with asyncio.TaskGroup() as tasks:
             keepalives = tasks.create_task(self._send_keepalives())
@@ -101,22 +101,22 @@
                 self.close()
 
     def close(self) -> None:
-        """End the connection at once, without sending what waits."""
+        """Abort the connection, discarding unsent bytes."""
         self._protocol.close()
         with contextlib.suppress(OSError, RuntimeError):
             self._writer.transport.abort()
 
     async def _read(self) -> bytes:
-        """Return the bytes that come next.
+        """Read the next bytes.
 
-        The time-out counts from here and not from the last frame: a long frame may take as long as it needs
-        on a thin link, as long as bytes of it come, and a process that was busy itself does not blame the
-        other side.
+        The timeout counts from the start of the read and not from the last frame. So a long frame may take as
+        long as it needs on a slow link while bytes of it arrive, and a process that was itself busy does not
+        give up a healthy peer.
         """
         async with asyncio.timeout(PEER_TIMEOUT_S):
             data = await self._reader.read(READ_BYTES)
         if not data:
-            raise ConnectionLostError("the other side has ended the connection")
+            raise ConnectionLostError("the peer has closed the connection")
         return data
 
     async def _send_keepalives(self) -> None:
--- a/fordtrestle/peer/errors.py
+++ b/fordtrestle/peer/errors.py
@@ -1,56 +1,56 @@
-"""Errors of this layer. Pure."""
+"""Errors of the peer layer. Pure."""
 
 from __future__ import annotations
 
 
 class PeerError(Exception):
-    """Base of all errors of the transport between processes."""
+    """Base class of all errors of the transport between processes."""
 
 
 class CodecError(PeerError):
-    """Bytes that are no message of this protocol, or a value that is none."""
+    """Raised for bytes that are not a valid message, and for values that cannot be encoded."""
 
 
 class UnknownMessageError(CodecError):
-    """A message of another version of the protocol: it holds a type or a value that is not known here."""
+    """Raised for a message of another protocol version, with a type or an enum value unknown here."""
 
 
 class FrameError(PeerError):
-    """Bytes that are no frame."""
+    """Raised for bytes that are not a valid frame."""
 
 
 class FrameTooLargeError(FrameError):
-    """A frame whose payload exceeds what a receiver takes.
+    """Raised for a frame whose length or decompressed payload exceeds the receiver's limit.
 
     Attributes:
-        limit_bytes: how much that is.
+        limit_bytes: the limit.
     """
 
     def __init__(self, limit_bytes: int, size_bytes: int | None = None) -> None:
         size = "a frame" if size_bytes is None else f"a frame of {size_bytes} bytes"
-        super().__init__(f"{size}, where at most {limit_bytes} bytes are taken")
+        super().__init__(f"{size} exceeds the limit of {limit_bytes} bytes")
         self.limit_bytes = limit_bytes
 
 
 class HandshakeError(PeerError):
-    """The first message of a connection is no hello of another process."""
+    """Raised when the first message of a connection is not the hello of another process."""
 
 
 class NoCommonVersionError(HandshakeError):
-    """The two sides of a connection speak no common version of the protocol.
+    """Raised when the two sides of a connection have no protocol version in common.
 
     Attributes:
-        node: the other side.
-        theirs: the oldest and the newest version that it speaks.
-        ours: the oldest and the newest version that this process speaks.
+        node: the peer's node.
+        theirs: the oldest and the newest version that the peer supports.
+        ours: the oldest and the newest version that this process supports.
     """
 
     def __init__(self, node: str, theirs: tuple[int, int], ours: tuple[int, int]) -> None:
-        super().__init__(f"{node} speaks versions {theirs}, this process {ours}")
+        super().__init__(f"{node} supports protocol versions {theirs}, this process {ours}")
         self.node = node
         self.theirs = theirs
         self.ours = ours
 
 
 class ConnectionLostError(PeerError):
-    """The other side has ended the connection."""
+    """Raised when the peer has closed the connection."""
--- a/fordtrestle/peer/frames.py
+++ b/fordtrestle/peer/frames.py
@@ -1,7 +1,7 @@
-"""Frames between processes: four bytes of a length, then the payload, compressed where it is long. Pure.
+"""Frames between processes: a length of four bytes, then the payload, compressed if it is long. Pure.
 
-The length is big-endian, its highest bit says that the payload is compressed (zlib), and a frame of length 0
-is a keep-alive.
+The length is big-endian. Its highest bit is set if the payload is compressed (zlib). A frame of length 0 is a
+keep-alive.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from fordtrestle.peer.errors import FrameError, FrameTooLargeError
 
 _HEAD = struct.Struct(">I")
-_IS_COMPRESSED = 1 << 31  # in the head
-_COMPRESSION_LEVEL = 1  # the fastest: bytes between regions are dear, and so are the milliseconds of a change
-MIN_COMPRESSED_BYTES = 400  # payloads below are not worth the time
-MAX_FRAME_BYTES = 32 * 1024 * 1024  # of a payload, more than the largest state
+_IS_COMPRESSED = 1 << 31  # flag in the frame head
+_COMPRESSION_LEVEL = 1  # the fastest: traffic between regions is expensive, but changes must not be delayed
+MIN_COMPRESSED_BYTES = 400  # compressing shorter payloads saves too little for its time
+MAX_FRAME_BYTES = 32 * 1024 * 1024  # limit of the payload, larger than the largest state
 KEEPALIVE_FRAME = _HEAD.pack(0)
 
 
 def encode_frame(payload: bytes) -> bytes:
-    """Return a payload as it is sent."""
+    """Return the frame of a payload."""
     if len(payload) < MIN_COMPRESSED_BYTES:
         return _HEAD.pack(len(payload)) + payload
     compressed = zlib.compress(payload, _COMPRESSION_LEVEL)
@@ -30,21 +30,21 @@
 
 
 def frame_message(message: Any) -> bytes | None:
-    """Return the frame of a message; `None` where its receiver would reject it as too large.
+    """Return the frame of a message; `None` if the receiver would reject it as too large.
 
-    The payload is measured, however small it becomes once it is compressed: the receiver measures it too, and
-    would end the link over it.
+    The limit applies to the uncompressed payload, however small it is once compressed, since the receiver
+    checks the decompressed payload and would close the link.
     """
     payload = encode(message)
     return encode_frame(payload) if len(payload) <= MAX_FRAME_BYTES else None
 
 
 def decompress(compressed: bytes) -> bytes:
-    """Return the payload of a compressed frame.
+    """Decompress the payload of a frame.
 
     Raises:
-        FrameError: the bytes are not compressed, or cut short.
-        FrameTooLargeError: the payload is too large; no more of it is made than that takes to know.
+        FrameError: the bytes are not compressed data, or are truncated.
+        FrameTooLargeError: the payload is too large; decompression stops at the limit.
     """
     decompressor = zlib.decompressobj()
     try:
@@ -54,25 +54,25 @@
     if not decompressor.eof:
         if len(payload) >= MAX_FRAME_BYTES:
             raise FrameTooLargeError(MAX_FRAME_BYTES)
-        raise FrameError(f"compressed bytes that are cut short after {len(payload)} bytes")
+        raise FrameError(f"compressed payload is truncated after {len(payload)} decompressed bytes")
     return payload
 
 
 class FrameDecoder:
-    """Bytes in, payloads out. Holds the bytes of one frame that has not come whole, and those behind it."""
+    """Splits a stream of bytes into the payloads of its frames, buffering incomplete frames."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def receive_data(self, data: bytes) -> None:
-        """Take in bytes in the order in which they came."""
+        """Append received bytes to the buffer."""
         self._buffer += data
 
     def next_payload(self) -> bytes | None:
-        """Return the next payload, past any keep-alives; `None` where more bytes are needed.
+        """Return the next payload, skipping keep-alives; `None` if more bytes are needed.
 
         Raises:
-            FrameTooLargeError: the frame is too large; known from its head, before it has come.
+            FrameTooLargeError: the frame is too large; raised on its head, before the payload has arrived.
             FrameError: the frame cannot be decompressed.
         """
         while len(self._buffer) >= _HEAD.size:
--- a/fordtrestle/peer/gossip.py
+++ b/fordtrestle/peer/gossip.py
@@ -1,4 +1,4 @@
-"""Spreads catalog items over the mesh: new ones at once along a tree, missed ones by digests in rounds."""
+"""Disseminates catalog items over the mesh: broadcast of new items, and anti-entropy for missed ones."""
 
 from __future__ import annotations
 
@@ -14,16 +14,19 @@
 from fordtrestle.peer.link import Link
 from fordtrestle.peer.mesh import Mesh
 
-GOSSIP_ROUND_S = 1.0  # between two comparisons with a peer, on average
-MIN_ROUND_RATIO, ROUND_JITTER_RATIO = 0.75, 0.5  # so that processes that start together do not stay in step
+GOSSIP_ROUND_S = 1.0  # average interval between two anti-entropy exchanges
+MIN_ROUND_RATIO, ROUND_JITTER_RATIO = (
+    0.75,
+    0.5,
+)  # processes that start together do not stay in step
 
 
 class Gossip:
-    """One process's part in the dissemination: the broadcast's timers and messages, and anti-entropy.
+    """Runs the dissemination of one process: the broadcast's timers and messages, and anti-entropy.
 
     Attributes:
         catalog: all items that this process holds.
-        me: what this process last announced of itself.
+        me: the record that this process last announced of itself.
     """
 
     def __init__(
@@ -34,14 +37,14 @@
         incarnation: int,
         on_change: Callable[[list[Item]], None],
     ) -> None:
-        """Make the gossip of a process that has not announced itself yet.
+        """Create the gossip of a process that has not announced itself yet.
 
         Args:
-            catalog: the items to hold and spread.
-            mesh: the links to spread them over.
-            me: what this process is.
-            incarnation: rises with each start of the process, as far as its clock goes on.
-            on_change: called with the items that are new here, after they have been passed on.
+            catalog: the items to disseminate.
+            mesh: the links to send them over.
+            me: the member record of this process.
+            incarnation: increases with each start of the process, unless its clock was set back.
+            on_change: called with the items that are new here, after they have been forwarded.
         """
         self.catalog = catalog
         self.me = me
@@ -53,27 +56,27 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def publish(self, items: Iterable[Item], source: Link | None = None) -> None:
-        """Merge items, and pass on what is new to all peers but the source."""
+        """Merge items, and forward those that are new to all peers except the source."""
         node = source.node if source else ""
-        self._carry_out(self._broadcast.publish(items, self._peers(), self._now(), node))
+        self._apply_effects(self._broadcast.publish(items, self._peers(), self._now(), node))
 
     def announce(self, me: MemberRecord) -> None:
-        """Let all processes know what this process is now."""
+        """Publish a new member record of this process."""
         self.me = me
         self._counter += 1
         self.publish([member_item(me, self._incarnation, self._counter)])
 
     def on_link_up(self, link: Link) -> None:
-        """Find out over a new link what either side has missed."""
+        """Add a new link to the broadcast tree, and start anti-entropy over it."""
         self._broadcast.on_link_up(link.node)
         link.send(self.catalog.digests())
 
     def on_message(self, link: Link, message: GossipMessage) -> None:
-        """Handle a message of a peer."""
-        self._carry_out(self._broadcast.on_message(message, self._peers(), self._now(), link.node))
+        """Handle a message from a peer."""
+        self._apply_effects(self._broadcast.on_message(message, self._peers(), self._now(), link.node))
 
     async def run(self, rng: random.Random) -> None:
-        """Compare with one peer a round, until cancelled."""
+        """Run anti-entropy with one random peer per round, until cancelled."""
         while True:
             await asyncio.sleep(GOSSIP_ROUND_S * (MIN_ROUND_RATIO + ROUND_JITTER_RATIO * rng.random()))
             self.catalog.expire(self._now())
@@ -89,7 +92,7 @@
     def _peers(self) -> list[str]:
         return [link.node for link in self._mesh.links()]
 
-    def _carry_out(self, effects: BroadcastEffects) -> None:
+    def _apply_effects(self, effects: BroadcastEffects) -> None:
         self._send(effects.outgoing)
         self._set_timer()
         if effects.new_items:
@@ -97,13 +100,13 @@
             self._refute(effects.new_items)
 
     def _send(self, outgoing: Iterable[OutgoingMessage]) -> None:
-        """Send messages; one that goes to many peers is framed once."""
-        frames: dict[int, bytes | None] = {}  # by identity: a message is sent to many as one object
-        for sending in outgoing:
-            link = self._mesh.link(sending.peer)
+        """Send messages; a message to many peers is framed only once."""
+        frames: dict[int, bytes | None] = {}  # by id(): a message to many peers is the same object
+        for outgoing_message in outgoing:
+            link = self._mesh.link(outgoing_message.peer)
             if link is None:
                 continue
-            message = sending.message
+            message = outgoing_message.message
             if id(message) not in frames:
                 frames[id(message)] = frame_message(message)
             framed = frames[id(message)]
@@ -111,7 +114,7 @@
                 link.write_frame(framed)
 
     def _set_timer(self) -> None:
-        """Be back when the broadcast has something to do."""
+        """Schedule the next tick for when the broadcast has something to send."""
         due_at = self._broadcast.due_at()
         if due_at is None or (self._timer and self._timer.when() <= due_at):
             return
@@ -125,15 +128,15 @@
         self._set_timer()
 
     def _refute(self, new_items: Iterable[Item]) -> None:
-        """Outdo an item of this process that is not its own (SWIM's refutation).
+        """Publish a newer item if another process has published one about this process (refutation in SWIM).
 
-        It comes from an earlier incarnation, or from a monitor that takes this process to be down. A clock
-        that went back may have given this incarnation a number below an earlier one: it then rises above
-        that.
+        Such an item stems from an earlier incarnation, or from a monitor that declared this process down. If
+        the clock was set back, an earlier incarnation may have a higher number; this incarnation's number is
+        then raised above it.
         """
-        mine = MEMBER_PREFIX + self.me.node
+        own_key = MEMBER_PREFIX + self.me.node
         for item in new_items:
-            if item.key == mine and item.value != self.me:
+            if item.key == own_key and item.value != self.me:
                 self._incarnation = max(self._incarnation, item.version[0] + 1)
                 self.announce(self.me)
                 return
--- a/fordtrestle/peer/handshake.py
+++ b/fordtrestle/peer/handshake.py
@@ -1,4 +1,4 @@
-"""The handshake of a connection: who the other side is, and which version of the protocol both speak. Pure.
+"""The handshake of a connection: identifies the peer and agrees on a protocol version. Pure.
 
 Rules for changes of the protocol: `docs/design/versions.md`.
 """
@@ -10,35 +10,35 @@
 from fordtrestle.peer.errors import HandshakeError, NoCommonVersionError
 from fordtrestle.peer.messages import Hello
 
-PROTOCOL_VERSION = 2  # the newest version of the protocol between processes that this program speaks
-OLDEST_PROTOCOL_VERSION = 1  # the oldest one
-COORDINATION_VERSION = 2  # the first one whose stores take writes of locks, counters and keys
+PROTOCOL_VERSION = 2  # the newest version of the peer protocol that this program supports
+OLDEST_PROTOCOL_VERSION = 1  # the oldest version that it supports
+COORDINATION_VERSION = 2  # the first version whose stores accept writes of locks, counters and keys
 
 
 def agreed_version(ours: Hello, theirs: Hello) -> int | None:
-    """Return the newest version that both sides of a connection speak; `None` where there is none."""
+    """Return the newest version that both sides of a connection support; `None` if there is none."""
     version = min(ours.newest, theirs.newest)
     return version if version >= max(ours.oldest, theirs.oldest) else None
 
 
 def accept_hello(ours: Hello, message: Any) -> tuple[Hello, int]:
-    """Check the first message of the other side.
+    """Validate the first message from the peer.
 
     Args:
         ours: the hello of this process.
-        message: the message.
+        message: the first message.
 
     Returns:
-        The other side's hello, and the version that the connection goes by.
+        The peer's hello, and the protocol version of the connection.
 
     Raises:
-        HandshakeError: the message is no hello, or this process has dialled itself.
-        NoCommonVersionError: the other side speaks no version that this one speaks.
+        HandshakeError: the message is not a hello, or this process has dialled itself.
+        NoCommonVersionError: the peer supports no version that this process supports.
     """
     if not isinstance(message, Hello):
-        raise HandshakeError(f"{type(message).__name__} in place of a hello")
+        raise HandshakeError(f"expected a Hello as the first message, got {type(message).__name__}")
     if message.node == ours.node:
-        raise HandshakeError(f"{message.node} is this process itself")
+        raise HandshakeError(f"{message.node} is the node of this process: it has dialled itself")
     version = agreed_version(ours, message)
     if version is None:
         raise NoCommonVersionError(message.node, (message.oldest, message.newest), (ours.oldest, ours.newest))
--- a/fordtrestle/peer/link.py
+++ b/fordtrestle/peer/link.py
@@ -1,4 +1,4 @@
-"""A connection to a process that is known."""
+"""A connection to an identified peer."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class Link:
-    """A connection whose other side is known.
+    """A connection after its handshake, to an identified peer.
 
     Attributes:
-        node: the other side.
-        peer: HOST:PORT that it listens at.
-        version: the version of the protocol that both sides speak.
+        node: the peer's node.
+        peer: HOST:PORT that the peer listens on.
+        version: the agreed protocol version.
     """
 
     def __init__(self, hello: Hello, version: int, connection: Connection) -> None:
@@ -24,13 +24,13 @@
         self._connection = connection
 
     def send(self, message: Any) -> bool:
-        """Send a message; return whether the connection takes it, and its receiver would."""
+        """Send a message; return `False` if the connection cannot take it or the message is too large."""
         return self._connection.send(message)
 
     def write_frame(self, framed: bytes) -> bool:
-        """Send a message that was framed for many links; return whether the connection still takes any."""
+        """Send a message framed once for many links; return `False` if the connection cannot take it."""
         return self._connection.write_frame(framed)
 
     def close(self) -> None:
-        """End the connection at once."""
+        """Abort the connection."""
         self._connection.close()
--- a/fordtrestle/peer/messages.py
+++ b/fordtrestle/peer/messages.py
@@ -6,18 +6,18 @@
 
 from fordtrestle.replication import messages as replication
 
-NO_VERSION = 0  # of processes from before there were versions
+NO_VERSION = 0  # sent by processes from before the protocol had versions
 
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The first message of a connection, by the side that has dialled, and then by the one that answers.
+    """The first message on a connection, sent by the dialling side and then by the accepting side.
 
     Attributes:
-        node: the sender.
-        peer: HOST:PORT that the sender listens at.
-        newest: the newest version of the protocol that it speaks.
-        oldest: the oldest version that it speaks.
+        node: the sender's node.
+        peer: HOST:PORT that the sender listens on.
+        newest: the newest protocol version that the sender supports.
+        oldest: the oldest protocol version that the sender supports.
     """
 
     node: str
@@ -30,7 +30,8 @@
 class Envelope:
     """A message from one store to another.
 
-    It names both: a store that is no more must not be taken for the one that now runs at its address.
+    It names both stores, so that a message to a former store is not handled by the store that now runs at its
+    address.
     """
 
     sender: str
--- a/fordtrestle/peer/protocol.py
+++ b/fordtrestle/peer/protocol.py
@@ -1,7 +1,7 @@
 """The protocol of one connection between two processes, without I/O: bytes in, events out. Pure.
 
-In the manner of h11: `connection.py` reads and writes sockets, keeps time, and asks this module what the
-bytes mean and what is due.
+It is structured like h11: `connection.py` does the I/O and keeps time; this module decodes received bytes and
+knows when a keep-alive is due.
 """
 
 from __future__ import annotations
@@ -14,35 +14,35 @@
 from fordtrestle.peer.errors import UnknownMessageError
 from fordtrestle.peer.frames import FrameDecoder
 
-KEEPALIVE_S = 0.4  # without anything sent, then a keep-alive: four of them fit into `PEER_TIMEOUT_S`
-PEER_TIMEOUT_S = 1.6  # without a byte from the other side, then the connection is given up
+KEEPALIVE_S = 0.4  # idle time before a keep-alive is sent; four fit into `PEER_TIMEOUT_S`
+PEER_TIMEOUT_S = 1.6  # time without a byte from the peer before the connection is closed
 
 
 class ConnectionState(Enum):
-    """What a connection is there for now."""
+    """The state of a connection."""
 
-    HANDSHAKE = auto()  # the first message of the other side has not been accepted yet
+    HANDSHAKE = auto()  # the peer's first message has not been accepted yet
     OPEN = auto()
     CLOSED = auto()
 
 
 @dataclass(frozen=True, slots=True)
 class MessageReceived:
-    """A message has come whole."""
+    """A complete message was received."""
 
     message: Any
 
 
 @dataclass(frozen=True, slots=True)
 class MessageSkipped:
-    """A message of another version of the protocol has come, and was skipped."""
+    """A message of another protocol version was received and skipped."""
 
     reason: str
     is_first: bool  # of this connection
 
 
 class PeerProtocol:
-    """One side of a connection. Times are s of a steady clock."""
+    """One side of a connection. Times are seconds of a monotonic clock."""
 
     def __init__(self, now: float) -> None:
         self.state = ConnectionState.HANDSHAKE
@@ -51,24 +51,24 @@
         self._sent_at = now
 
     def open(self) -> None:
-        """The handshake is done: from now on messages of other versions are skipped."""
+        """Complete the handshake: from now on messages of other versions are skipped."""
         if self.state is ConnectionState.HANDSHAKE:
             self.state = ConnectionState.OPEN
 
     def close(self) -> None:
-        """The connection has ended."""
+        """Mark the connection as closed."""
         self.state = ConnectionState.CLOSED
 
     def receive_data(self, data: bytes) -> None:
-        """Take in bytes of the other side."""
+        """Buffer bytes received from the peer."""
         self._decoder.receive_data(data)
 
     def next_event(self) -> MessageReceived | MessageSkipped | None:
-        """Return what the bytes that have come say next; `None` where more are needed.
+        """Return the next event from the received bytes; `None` if more bytes are needed.
 
         Raises:
-            PeerError: the bytes are no frame or no message, or a message of another version comes before the
-                handshake is done. The connection is of no use any more.
+            PeerError: the bytes are not a valid frame or message, or a message of another version arrives
+                before the handshake is complete. The connection cannot be used any more.
         """
         payload = self._decoder.next_payload()
         if payload is None:
@@ -82,14 +82,14 @@
             return MessageSkipped(str(error), is_first=self.skipped_messages == 1)
 
     def on_sent(self, now: float) -> None:
-        """Something was sent: the next keep-alive is due `KEEPALIVE_S` later."""
+        """Record that bytes were sent, which postpones the next keep-alive."""
         self._sent_at = now
 
     @property
     def keepalive_due_at(self) -> float:
-        """When a keep-alive has to be sent, unless something else is sent before."""
+        """When the next keep-alive is due, unless something else is sent before."""
         return self._sent_at + KEEPALIVE_S
 
     def is_idle(self, now: float) -> bool:
-        """Return whether nothing was sent for so long that a keep-alive is due."""
+        """Return whether a keep-alive is due."""
         return now >= self.keepalive_due_at
--- a/fordtrestle/peer/record_writer.py
+++ b/fordtrestle/peer/record_writer.py
@@ -1,4 +1,4 @@
-"""Puts the records of a replication node on disk, whatever that takes."""
+"""Writes the records of a replication node to disk, retrying until they are synced."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 from fordtrestle.storage.errors import StorageError
 from fordtrestle.storage.log import RecordLog
 
-DISK_RETRY_S = 0.2  # between two tries to write to a disk that refuses
-MIN_REWRITE_BYTES = 256 * 1024  # the file is rewritten once it holds this much
-REWRITE_FACTOR = 3  # and so many times what its newest snapshot takes
+DISK_RETRY_S = 0.2  # between two attempts to write to a failing disk
+MIN_REWRITE_BYTES = 256 * 1024  # the log is rewritten once it is longer than this
+REWRITE_FACTOR = 3  # plus this many times the size of its newest snapshot
 
 
 class RecordWriter:
-    """Appends records to a log in their order, and rewrites it as a snapshot when it has got long.
+    """Appends records to a log in order, and rewrites the log as a snapshot when it has grown long.
 
-    The event loop goes on while the disk is written to, which happens in a thread.
+    The disk is written in a thread, so that it does not block the event loop.
     """
 
     def __init__(self, log: RecordLog, take_snapshot: Callable[[], Iterable[Any]]) -> None:
-        """Make the writer of an open log.
+        """Create a writer for an open log.
 
         Args:
             log: the log.
-            take_snapshot: returns the records that hold what all records up to now come to.
+            take_snapshot: returns records that represent the state after all records so far.
         """
         self._log = log
         self._take_snapshot = take_snapshot
@@ -35,7 +35,7 @@
 
     @property
     def log_bytes(self) -> int:
-        """How long the log is, in bytes."""
+        """The size of the log, in bytes."""
         return self._log.size
 
     @property
@@ -44,15 +44,15 @@
         return self._syncing_since is not None
 
     def syncing_s(self, now: float) -> float:
-        """Return for how many s the records have been under way that are being written; 0 where none are."""
+        """Return how long the current write has been in progress, in seconds; 0 if there is none."""
         return now - self._syncing_since if self._syncing_since is not None else 0.0
 
     async def write(self, records: list[Any]) -> None:
-        """Return once the records have been synced, as such or in a snapshot.
+        """Return once the records have been synced, either appended or as part of a snapshot.
 
-        A disk that is full or refuses writes is tried again until it takes a snapshot: a record that was
-        refused may stand in the file in part, and the snapshot holds what it comes to. Until then nothing
-        that rests on the records may be sent, so this does not return.
+        After a failed write to a full or failing disk, a snapshot is retried until it succeeds: the failed
+        append may have left a partial record in the file, and the snapshot includes its effect. Until then no
+        message that depends on the records may be sent, so this method does not return.
         """
         if not records:
             return
@@ -71,9 +71,9 @@
         self._syncing_since = None
 
     async def _rewrite(self) -> None:
-        """Replace the log by a snapshot.
+        """Replace the log with a snapshot.
 
-        It is taken here and not in the thread, where the node might change meanwhile.
+        The snapshot is taken on the event loop and not in the thread, where the node could change meanwhile.
         """
         payloads = [encode(record) for record in self._take_snapshot()]
         await asyncio.to_thread(self._log.rewrite, payloads)
--- a/fordtrestle/peer/replicator.py
+++ b/fordtrestle/peer/replicator.py
@@ -1,4 +1,4 @@
-"""Drives a replication node: its records are synced before any message that rests on them is sent."""
+"""Drives a replication node: records are synced before any message that depends on them is sent."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 TICK_INTERVAL_S = 0.05
 ANNOUNCE_INTERVAL_S = 0.4
-# A store whose disk takes longer does not announce itself: the others are to do without it.
+# A store whose sync takes longer does not announce itself, so that the others continue without it.
 MAX_ANNOUNCED_SYNC_S = TICK_INTERVAL_S * 10
 
 
 class Replicator:
-    """The timers, disk and links of one node, all on one event loop but for the disk.
+    """Runs the timers, disk and links of one node on one event loop; only the disk uses threads.
 
     Attributes:
-        node: the node. Whoever calls it for something calls `pump` afterwards.
+        node: the node. Callers that change it have to call `pump` afterwards.
     """
 
     def __init__(
@@ -35,14 +35,14 @@
         is_control: Callable[[str], bool],
         on_change: Callable[[], None],
     ) -> None:
-        """Make a replicator that does nothing until it runs.
+        """Create a replicator, which is inactive until `run` is called.
 
         Args:
             node: the node.
-            log: its records; open.
+            log: the open log of its records.
             mesh: the links to other processes.
-            is_control: whether a control process listens at HOST:PORT.
-            on_change: called each time that the node may have got on.
+            is_control: returns whether a control process listens on a HOST:PORT.
+            on_change: called each time that the node's state may have changed.
         """
         self.node = node
         self._mesh = mesh
@@ -56,25 +56,25 @@
 
     @property
     def log_bytes(self) -> int:
-        """How long the file of records is, in bytes."""
+        """The size of the log of records, in bytes."""
         return self._writer.log_bytes
 
     @staticmethod
     def now() -> float:
-        """Return s of the steady clock."""
+        """Return the current time, in seconds of a monotonic clock."""
         return asyncio.get_running_loop().time()
 
     async def run(self) -> None:
-        """Act until cancelled."""
+        """Run the timers, the disk and the links until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self._tick())
-            tasks.create_task(self._carry_out())
+            tasks.create_task(self._apply_effects())
 
     def on_message(self, message: Envelope | Announce) -> None:
         """Handle a message from another control process.
 
-        One to another store is dropped: it was meant for an earlier one at this address, and
-        what that one has prepared is not known here.
+        A message to another store is dropped: it was meant for an earlier store at this address, whose
+        prepared state this store does not know.
         """
         if isinstance(message, Announce):
             self._store_links.on_announce(message.store.id, message.store.address)
@@ -84,7 +84,7 @@
         self.pump()
 
     def pump(self) -> None:
-        """Queue what the node wants done, and wake who waits for it to get on."""
+        """Queue the node's pending effects, and wake tasks that wait for its progress."""
         effects = self.node.drain()
         if effects:
             self._queue.append(effects)
@@ -99,7 +99,7 @@
                 link.send(self.node.announcement())
 
     async def wait_until(self, condition: Callable[[], bool], timeout_s: float) -> bool:
-        """Wait until the node's progress has brought about a condition; return whether it did in time."""
+        """Wait until the node's progress makes a condition true; return `False` if the wait times out."""
         try:
             async with asyncio.timeout(timeout_s):
                 while not condition():
@@ -110,7 +110,7 @@
         return True
 
     async def _tick(self) -> None:
-        """Let time pass for the node, and announce it, until cancelled."""
+        """Call the node's tick and announce the store periodically, until cancelled."""
         announce_at = 0.0
         while True:
             now = self.now()
@@ -129,11 +129,11 @@
         for store_id in self._store_links.find_lost(linked, now):
             self.node.on_connection_lost(store_id, now)
 
-    async def _carry_out(self) -> None:
-        """Sync records and then send the messages that rest on them, batch by batch, until cancelled.
+    async def _apply_effects(self) -> None:
+        """Sync records and then send the messages that depend on them, batch by batch, until cancelled.
 
-        What the node wants done while a batch is being synced waits for the next one, so that many writes
-        share one sync.
+        Effects that are queued while a batch is being synced form the next batch, so that many writes share
+        one sync.
         """
         while True:
             await self._has_work.wait()
@@ -154,7 +154,7 @@
             link.send(Envelope(self.node.me.id, receiver, message))
 
     def _address_of(self, store_id: str) -> str:
-        """Return HOST:PORT of a store's process, as it announced or as the epoch says; empty if unknown."""
+        """Return HOST:PORT of a store's process, from its announcement or the epoch; empty if unknown."""
         known = self._store_links.address_of(store_id)
         if known:
             return known
--- a/fordtrestle/peer/store_links.py
+++ b/fordtrestle/peer/store_links.py
@@ -1,4 +1,4 @@
-"""Where the processes of other stores listen, and which of them have lost their links. Pure."""
+"""Tracks where the processes of other stores listen, and which stores have lost their links. Pure."""
 
 from __future__ import annotations
 
@@ -6,35 +6,34 @@
 
 from fordtrestle.replication.peer_table import PEER_RETENTION_S
 
-# Without a link, which is dialled again at once, before the process of a store is taken to have ended.
+# Time without a link, which is redialled at once, before the process of a store is considered to have ended.
 LINK_LOST_TIMEOUT_S = 0.3
 
 
 class StoreLinks:
-    """The stores that have announced themselves. Times are s of a steady clock."""
+    """Tracks the stores that have announced themselves. Times are seconds of a monotonic clock."""
 
     def __init__(self) -> None:
-        self._addresses: dict[str, str] = {}  # by store: HOST:PORT of its process
+        self._addresses: dict[str, str] = {}  # HOST:PORT of the process, by store
         self._unlinked_since: dict[str, float] = {}  # by store
 
     def on_announce(self, store_id: str, address: str) -> None:
-        """Remember where a store's process listens."""
+        """Record where a store's process listens."""
         self._addresses[store_id] = address
 
     def address_of(self, store_id: str) -> str | None:
-        """Return where a store's process listens; `None` where it has not announced itself."""
+        """Return where a store's process listens; `None` if it has not announced itself."""
         return self._addresses.get(store_id)
 
     def find_lost(self, linked: Collection[str], now: float) -> list[str]:
         """Return the stores that have had no link for `LINK_LOST_TIMEOUT_S`.
 
-        A link that ends shows faster than anything else that a process has ended: its machine closes the
-        sockets. A store is returned each time until a link is up again, and forgotten after
-        `PEER_RETENTION_S`.
+        A closed link is the fastest sign that a process has ended, since its machine closes its sockets. A
+        store is returned on each call until a link is up again, and forgotten after `PEER_RETENTION_S`.
 
         Args:
-            linked: the addresses (HOST:PORT) that a link is up to.
-            now: s of a steady clock.
+            linked: the linked addresses (HOST:PORT).
+            now: the current time, in seconds of a monotonic clock.
         """
         lost = []
         for store_id, address in list(self._addresses.items()):
--- a/fordtrestle/peer/wire_types.py
+++ b/fordtrestle/peer/wire_types.py
@@ -1,7 +1,7 @@
-"""The types that travel between processes or lie on disks: their tags, fields and enumerations. Pure.
+"""The types that are sent between processes or stored on disk: tags, fields and enumerations. Pure.
 
-Rules for changes (`docs/design/versions.md`): a type may gain fields behind its last one, each
-with a default that says what their lack means. Anything else is another type with another tag.
+Rules for changes (`docs/design/versions.md`): fields may be appended to a type, each with a default that
+gives the meaning of a missing field. Any other change needs a new type with a new tag.
 """
 
 from __future__ import annotations
@@ -20,12 +20,12 @@
 
 
 class Retired:
-    """Holds the tag of a type that had other fields, so that it is never used again."""
+    """Placeholder for the tag of a former type with other fields, so that the tag is never reused."""
 
 
-FIRST_TAG = 48_100  # the beginning of a range of CBOR tags that IANA has not assigned
+FIRST_TAG = 48_100  # start of a range of CBOR tags that IANA has not assigned
 
-# A type's position is its tag: types are added at the end, and never moved or removed.
+# The position of a type determines its tag, so types are appended, and never moved or removed.
 _TYPES: tuple[type, ...] = (
     Hello,
     Envelope,
@@ -121,14 +121,14 @@
 
 @dataclass(frozen=True, slots=True)
 class WireType:
-    """How one type is written.
+    """The encoding of one type.
 
     Attributes:
         kind: the type.
-        tag: its CBOR tag.
-        fields: the names of its fields, in the order in which their values are written.
-        required: how many of them have no default.
-        enumerations: the enumeration of each field that holds one, by the field's position.
+        tag: the CBOR tag of the type.
+        fields: the names of its fields, in the order of encoding.
+        required: the number of fields without a default.
+        enumerations: the enumeration of each enum field, by the field's position.
     """
 
     kind: type
@@ -162,7 +162,7 @@
 
 
 def wire_table() -> dict[str, Any]:
-    """Return all types with their tags, fields and values by name, as they are on wires and disks."""
+    """Return all types with their tags, fields and enum values, for comparison with recorded versions."""
     by_tag = sorted(BY_TAG.items())
     return {
         "protocol": PROTOCOL_VERSION,
--- a/tests/peer/test_versions.py
+++ b/tests/peer/test_versions.py
@@ -219,7 +219,7 @@
     there = Mesh(Hello("there", "", *other), lambda *_: None, linked.append)
     there.dial([await listen(here)])
     if agreed is None:
-        await until(lambda: len(there._rejected) == len(here._rejected) == 1)
+        await until(lambda: len(there._mismatches) == len(here._mismatches) == 1)
         await asyncio.sleep(0)
         assert not linked
         assert logged.count("peer:no-common-version") == 2
