--- a/fordtrestle/roles/__init__.py
+++ b/fordtrestle/roles/__init__.py
@@ -1,1 +1,1 @@
-"""Wiring of one role each: processes of the system."""
+"""The roles of the system's processes; each role wires up its components and runs them."""
--- a/fordtrestle/roles/control.py
+++ b/fordtrestle/roles/control.py
@@ -1,6 +1,6 @@
-"""The `control` role: serves one control process from its start to its end.
+"""The `control` role: runs one control process from start-up to shutdown.
 
-What the process consists of and decides stands in `control_process.py`.
+The components of the process are in `control_process.py`.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from fordtrestle.storage.errors import UnknownFormatError
 from fordtrestle.storage.log import RecordLog
 
-# Of the time that is left, reserved for closing endpoints and links once the hand-over is done or given up.
+# Part of the remaining time that is reserved for closing endpoints and links after the hand-over.
 CLOSE_RESERVE_S = 1.5
 
-# For the calls that were taken to be answered: as long as they may take (`control_api/coordination_http.py`).
+# For accepted calls to be answered: as long as a call may take (`control_api/coordination_http.py`).
 CALLS_CLOSE_TIMEOUT_S = 1.0
 
 
 async def run(boot: BootSettings) -> int:
-    """Serve until SIGTERM; the exit code."""
+    """Serve until SIGTERM and return the exit code."""
     if boot.data_dir is None:
         eliot.log_message("control:no-disk", reason="data_dir is not set")
         return EXIT_FAILED
@@ -46,15 +46,15 @@
 
 
 def _must_bootstrap(boot: BootSettings) -> bool:
-    """Whether a new store of this process bootstraps the core: only the first seed's, as the settings say."""
+    """Return whether a new store of this process bootstraps the core: only on the first seed, if enabled."""
     is_first_seed = bool(boot.seeds) and boot.listen["control"] == boot.seeds[0]
     return boot.bootstrap and is_first_seed
 
 
 async def _serve(control: ControlProcess, boot: BootSettings) -> None:
-    """Start, serve until SIGTERM, and end.
+    """Start, serve until SIGTERM, and shut down.
 
-    Endpoints are closed after the hand-over: callers are served by this process until another can.
+    Endpoints are closed after the hand-over, so that this process serves callers until another one can.
     """
     await control.process.start()
     control.process.announce(Availability.READY)
@@ -71,7 +71,7 @@
 async def _serve_endpoints(
     control: ControlProcess, api: ControlApi, boot: BootSettings
 ) -> list[web.AppRunner]:
-    """Serve operators and servers, clients' lookups, and metrics, as far as the settings name them."""
+    """Start the control API, and the directory and metrics endpoints if the settings name addresses."""
     runners = [await serve_http(api.application(), boot.listen["control"])]
     directory = control.make_directory(boot)
     if "directory" in boot.listen:
@@ -83,7 +83,7 @@
 
 
 async def _run_until_handed_over(control: ControlProcess) -> ShutdownBudget:
-    """Run until SIGTERM and hand over what this store holds; the time that is left."""
+    """Run until SIGTERM and hand over the state of this store; return the remaining shutdown budget."""
     async with asyncio.TaskGroup() as tasks:
         background = [tasks.create_task(work) for work in control.background_tasks()]
         await control.process.shutdown_requested.wait()
@@ -97,5 +97,5 @@
 
 
 def main() -> int:
-    """Run as a process of its own; the exit code."""
+    """Run the role as a process and return the exit code."""
     return run_role(run)
--- a/fordtrestle/roles/control_process.py
+++ b/fordtrestle/roles/control_process.py
@@ -1,6 +1,6 @@
-"""The parts of one control process, and how they work together.
+"""The components of one control process, and how they are connected.
 
-`control.py` opens what they need, serves their endpoints and ends them in order.
+`control.py` opens the store, serves the endpoints and shuts the components down in order.
 """
 
 from __future__ import annotations
@@ -44,24 +44,24 @@
 from fordtrestle.settings.records import BootSettings
 from fordtrestle.storage.log import RecordLog
 
-# Between two checks for servers whose heartbeats have stopped: a fraction of the second that those are apart.
+# Between two checks for servers whose heartbeats have stopped: a fraction of the 1 s between heartbeats.
 HEARTBEAT_CHECK_S = 0.3
 
-# For which a process serves on at least, so that its announcement reaches the others.
+# A leaving process keeps serving for at least this long, so that its announcement reaches the others.
 MIN_LEAVE_S = 0.3
 
-# Between two checks whether this process can leave. That depends on time, too: no event could announce it.
+# Between two checks whether this process can leave. They are polled since the condition depends on time too.
 LEAVE_CHECK_S = 0.05
 
-NOTHING_LOGGED = -1  # below all epochs
+NOTHING_LOGGED = -1  # lower than any epoch number
 
 
 @dataclass(frozen=True, slots=True)
 class _PublishedState:
-    """What of a committed state the other processes are told, and where it came from.
+    """The parts of a committed state that are published to other processes, and the term of its epoch.
 
-    Most writes are applications', and change nothing of it. The term is part of it: another primary may have
-    published something else in between.
+    Most writes come from applications and change none of these parts. The term is included because another
+    primary may have published a different state in between.
     """
 
     term: Term
@@ -73,15 +73,15 @@
 
 
 class ControlProcess:
-    """One control process: its store, its links, and what operators and servers ask of it."""
+    """One control process: its store, its links, and the handlers for operators, servers and applications."""
 
     def __init__(self, boot: BootSettings, log: RecordLog, durable: Durable) -> None:
-        """Make the parts; nothing runs yet.
+        """Create the components without running them.
 
         Args:
             boot: The settings that the process was started with.
             log: The open log of its store.
-            durable: What the log holds.
+            durable: The state that was restored from the log.
         """
         self.process = Process(boot, CONTROL_ROLE)
         me = Store(durable.store, self.process.gossip.me.peer, str(boot.listen["control"]), boot.zone)
@@ -97,7 +97,7 @@
         self.coordination = self._make_coordination(boot)
         self.router = CoordinationRouter(self.coordination, self.node, self.process.mesh)
         read_index = SharedReadIndex(self.router.call, self.replicator.now)
-        max_watches = min(MAX_WATCHES, boot.max_fds // 2)  # each has a connection, other callers need some
+        max_watches = min(MAX_WATCHES, boot.max_fds // 2)  # other callers need connections too
         self.watches = WatchService(self.replicator, read_index, max_watches)
         self._event_log = EventLog(self.node.events)
         self._published = NOTHING_PUBLISHED
@@ -105,7 +105,7 @@
         self.process.on_message = self._on_message
 
     def make_api(self, boot: BootSettings) -> ControlApi:
-        """The endpoint of operators and servers."""
+        """Create the endpoint for operators, servers and applications."""
         return ControlApi(
             CommandHandler(self.replicator),
             self.heartbeats,
@@ -117,7 +117,7 @@
         )
 
     def make_directory(self, boot: BootSettings) -> Directory:
-        """The endpoint where clients look up which sidecar to connect to."""
+        """Create the endpoint where clients look up which sidecar to connect to."""
         return Directory(
             self.process.gossip.catalog,
             self.process.linked_nodes,
@@ -127,7 +127,7 @@
         )
 
     def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """What runs until the process ends."""
+        """Create the coroutines that run until the process ends."""
         return [
             self.replicator.run(),
             self.process.maintain_links(),
@@ -136,7 +136,7 @@
         ]
 
     def figures(self) -> metrics.Figures:
-        """The metrics of this process, by name."""
+        """Return the metrics of this process, by name."""
         epoch, state = self.node.epoch, self.node.durable.state
         return {
             **metrics.of_catalog(self.process.gossip.catalog),
@@ -152,10 +152,10 @@
         }
 
     async def leave(self) -> None:
-        """Serve on until others hold what this store holds, under an epoch without it.
+        """Keep serving until an epoch without this store is open, whose replicas hold its state.
 
-        A store that ended at once would take one of the copies of each write with it: the next loss could
-        then be one too many.
+        If the store ended at once, each write would lose one of its copies, and a further failure could then
+        exceed the tolerated number.
         """
         loop = asyncio.get_running_loop()
         self.node.leave(loop.time())
@@ -192,12 +192,12 @@
         return CoordinationService(self.replicator, clock, self._is_coordination_supported)
 
     def _is_coordination_supported(self) -> bool:
-        """Whether all control processes that this one is linked to know of applications' writes."""
+        """Return whether all linked control processes support locks, counters and keys."""
         links = [link for link in self.process.mesh.links() if self.process.is_control(link.peer)]
         return all(link.version >= COORDINATION_VERSION for link in links)
 
     def _seeds(self) -> list[str]:
-        """The seeds as the settings file has them now, not as it had them at the start."""
+        """Return the current seeds from the settings file, not those at the start of the process."""
         return [str(seed) for seed in self.process.boot.seeds]
 
     def _on_message(self, link: Link, message: Any) -> None:
@@ -216,7 +216,7 @@
                 self.replicator.on_message(message)
 
     def _on_progress(self) -> None:
-        """Publish, answer and log what has changed in the replication."""
+        """Publish, answer and log after a change in the replication node."""
         self._event_log.write()
         self.coordination.observe()
         self.watches.on_progress()
@@ -227,7 +227,7 @@
             self._log_epoch(epoch)
 
     def _publish_state(self, epoch: Epoch, state: ControlState) -> None:
-        """Spread what is new in a committed state; one that is not committed may still be lost."""
+        """Publish a committed state if it has changed; an uncommitted one could still be lost."""
         published = _PublishedState(epoch.term, state.generation, state.evacuated)
         if published == self._published:
             return
@@ -246,6 +246,6 @@
         )
 
     def _is_successor_of(self, node: str) -> bool:
-        """Whether this process watches the servers of a control process that is down."""
+        """Return whether this process monitors the servers of a control process that is down."""
         members = [member for member, _ in self.process.gossip.catalog.members()]
         return successor_of(node, members, CONTROL_ROLE) == self.process.boot.node_name
--- a/fordtrestle/roles/control_store.py
+++ b/fordtrestle/roles/control_store.py
@@ -1,4 +1,4 @@
-"""Opens the store of a control process: what its disk holds, or a new one."""
+"""Opens the store of a control process, or creates a new one."""
 
 from __future__ import annotations
 
@@ -12,28 +12,28 @@
 from fordtrestle.storage.errors import StorageError, UnknownFormatError
 from fordtrestle.storage.log import RecordLog
 
-STORE_ID_BYTES = 8  # 64 random bits: no two disks of a deployment get the same by chance
+STORE_ID_BYTES = 8  # 64 random bits make a collision within a deployment negligible
 
-# Between two tries of a disk that refuses. Its fault may pass (a full disk), and there is nobody else to ask.
+# Between two attempts on a failing disk. The fault may pass (a full disk), and there is no alternative.
 DISK_RETRY_S = 0.5
 
 
 async def open_store(log: RecordLog, must_bootstrap: bool) -> Durable:
-    """Read what the disk holds, or write a new store to it. Waits for a disk that refuses.
+    """Read the store from disk, or write a new one. Retries for as long as the disk fails.
 
-    A new store is on disk before it is returned: one that spoke to others first, and lost power, would come
-    back under another identity while the first is still counted.
+    A new store is on disk before it is returned. If it communicated first and then lost power, it would come
+    back under another identity while the first one is still counted.
 
     Args:
         log: The log, not opened yet.
-        must_bootstrap: Whether a new store is to bootstrap the core. What is on disk outdoes it.
+        must_bootstrap: Whether a new store is to bootstrap the core; ignored if there is a store on disk.
 
     Returns:
-        The state of the store, on disk.
+        The state of the store, as it is on disk.
 
     Raises:
-        CodecError: The file is of another version, or no log.
-        UnknownFormatError: The file is of another version.
+        CodecError: A record is of another version, or is not a record.
+        UnknownFormatError: The file has the format of another version.
     """
     while True:
         try:
@@ -52,6 +52,6 @@
         durable = Durable(secrets.token_hex(STORE_ID_BYTES), must_bootstrap)
         await asyncio.to_thread(log.append, [encode(record) for record in durable.snapshot()])
     elif log.is_outdated:
-        # Whatever is appended from here on, an older version would rewrite without the fields that it lacks.
+        # Otherwise an older version could rewrite the file later, without the new records' unknown fields.
         await asyncio.to_thread(log.rewrite, [encode(record) for record in durable.snapshot()])
     return durable
--- a/fordtrestle/roles/endpoints.py
+++ b/fordtrestle/roles/endpoints.py
@@ -1,4 +1,4 @@
-"""Serves the endpoints of the system's own: readiness, directory, control API, metrics."""
+"""Serves the internal endpoints of a process: readiness, directory, control API and metrics."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from fordtrestle.settings.records import Address, BootSettings
 
 ENDPOINT_CLOSE_TIMEOUT_S = 0.2  # for one endpoint to close; aiohttp's default is 60 s
-LISTEN_BACKLOG = 512  # connections that wait to be accepted
+LISTEN_BACKLOG = 512  # connections that are waiting to be accepted
 
 
 async def serve_http(application: web.Application, address: Address) -> web.AppRunner:
     """Serve an application.
 
     Raises:
-        OSError: The address cannot be had.
+        OSError: The address cannot be bound.
     """
     runner = web.AppRunner(
         application, access_log=None, handle_signals=False, shutdown_timeout=ENDPOINT_CLOSE_TIMEOUT_S / 2
@@ -30,14 +30,14 @@
 
 
 async def serve_metrics(boot: BootSettings, figures: Callable[[], metrics.Figures]) -> list[web.AppRunner]:
-    """Serve metrics where the settings name an address for them.
+    """Serve metrics if the settings name an address for them.
 
     Args:
         boot: The settings.
-        figures: Gives the metrics as they are when it is called, once a request.
+        figures: Returns the current metrics; called once per request.
 
     Returns:
-        The endpoint; none where no address is named, or it cannot be had: that is no reason to end.
+        The endpoint; empty if no address is named or it cannot be bound, which does not end the process.
     """
     if boot.metrics is None:
         return []
--- a/fordtrestle/roles/event_log.py
+++ b/fordtrestle/roles/event_log.py
@@ -1,4 +1,4 @@
-"""Writes the events of the replication to the process's log: a message type each, with the event's fields."""
+"""Writes replication events to the process log, one message type per event class, with the event's fields."""
 
 from __future__ import annotations
 
@@ -13,26 +13,26 @@
 
 
 def message_type(event: Event) -> str:
-    """The message type of an event: its class's name in lower case, hyphenated."""
+    """Return the message type of an event: its class name in lower case, hyphenated."""
     return PREFIX + to_snake_case(type(event).__name__).replace("_", "-")
 
 
 class EventLog:
-    """Writes the events of one store that have not been written yet."""
+    """Writes the new events of one store to the log."""
 
     def __init__(self, events: Events) -> None:
-        """Keep where the events come from."""
+        """Create an event log that reads from `events`."""
         self._events = events
 
     def write(self) -> None:
-        """Write the events since the last call, each as one message."""
+        """Write the events since the last call, one message each."""
         for event in self._events.drain():
             values = {field.name: _to_json(getattr(event, field.name)) for field in fields(event)}
             eliot.log_message(message_type(event), **values)
 
 
 def _to_json(value: object) -> object:
-    """A field's value as the log has it: times in seconds to the millisecond."""
+    """Convert a field value for the log: tuples to lists, floats rounded to three decimals."""
     if isinstance(value, tuple):
         return list(value)
     return round(value, 3) if isinstance(value, float) else value
--- a/fordtrestle/roles/metrics.py
+++ b/fordtrestle/roles/metrics.py
@@ -1,6 +1,6 @@
-"""A process's own metrics as text, `fordtrestle_NAME VALUE` a line, served where the settings name a port.
+"""The metrics of a process as text, one `fordtrestle_NAME VALUE` per line, if the settings name a port.
 
-Names of metrics are part of the operators' interface, and stay as they are.
+Metric names are part of the operators' interface and must not change.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 from fordtrestle.replication.events import Events
 
 Figures = Mapping[str, float]  # by name, without the prefix
-PREFIX = "fordtrestle_"  # of each name: dashboards show other programs, too
+PREFIX = "fordtrestle_"  # of each name, since dashboards also show other programs
 
 
 def render(figures: Figures) -> str:
-    """The text of some metrics, sorted by name."""
+    """Render metrics as text, sorted by name."""
     return "".join(f"{PREFIX}{name} {value:g}\n" for name, value in sorted(figures.items()))
 
 
 def of_catalog(catalog: Catalog) -> dict[str, float]:
-    """Metrics of what any process knows of the system: its configuration, members and servers."""
+    """Return the metrics of a catalog: configuration, members and servers."""
     members = [record.availability for record, _ in catalog.members()]
     servers = [record for record, _ in catalog.servers()]
     control = catalog.control
@@ -40,7 +40,7 @@
     }
 
 
-# The names of metrics are part of the operators' interface: they stay when an event's class is renamed.
+# Metric names by event class: they stay the same when a class is renamed.
 EVENT_METRICS = {
     "EpochChangeStarted": "replication_opening_began",
     "EpochChangeFailed": "replication_opening_failed",
@@ -54,12 +54,12 @@
 
 
 def of_events(events: Events) -> dict[str, float]:
-    """Metrics of the replication: how many events there were of each kind since the start."""
+    """Return the metrics of the replication: the number of events of each class since the start."""
     return {EVENT_METRICS[name]: count for name, count in events.counts.items()}
 
 
 def of_coordination(state: CoordinationState, answers: Mapping[type, int], watches: int) -> dict[str, float]:
-    """Metrics of locks, counters and keys, and of what this process answered as primary."""
+    """Return the metrics of locks, counters and keys, and of the answers of this process by type."""
     return {
         "locks": len(state.locks),
         "counters": len(state.counters),
@@ -71,16 +71,16 @@
 
 
 def to_snake_case(name: str) -> str:
-    """The name of a class in lower case, its words joined by underscores."""
+    """Return the name of a class in lower case, its words joined by underscores."""
     return re.sub(r"(?<=.)(?=[A-Z])", "_", name).lower()
 
 
 def application(path: str, figures: Callable[[], Figures]) -> web.Application:
-    """Serve metrics.
+    """Create the web application that serves metrics.
 
     Args:
-        path: Where.
-        figures: Gives them as they are when it is called, once a request.
+        path: The path to serve them under.
+        figures: Returns the current metrics; called once per request.
     """
 
     async def answer(_: web.Request) -> web.StreamResponse:
--- a/fordtrestle/roles/process.py
+++ b/fordtrestle/roles/process.py
@@ -1,4 +1,4 @@
-"""What the processes of all roles have in common: the mesh, the gossip, signals, and monitoring of others."""
+"""The components that all roles share: the mesh, the gossip, signals, and monitoring of other processes."""
 
 from __future__ import annotations
 
@@ -30,35 +30,35 @@
 
 CONTROL_ROLE = "control"
 SIDECAR_ROLE = "sidecar"
-MAX_CONTROL_LINKS = 9  # control processes that are dialled besides the seeds: a bound on links
-MAINTENANCE_INTERVAL_S = 1.0  # between looks at the settings, the membership and the suspicions
-LINKS_CLOSE_TIMEOUT_S = 0.6  # for links to close: a little longer than they take at the most
+MAX_CONTROL_LINKS = 9  # control processes dialled in addition to the seeds: bounds the number of links
+MAINTENANCE_INTERVAL_S = 1.0  # between checks of the settings, the membership and the suspicions
+LINKS_CLOSE_TIMEOUT_S = 0.6  # a little longer than closing the links can take
 _SIGNALS = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
 
 
 def peer_address(boot: BootSettings, host: str, role: str) -> str:
-    """Where a role's process listens for others: two roles on one machine share its range of ports."""
+    """Return where a process listens for others; two roles on one machine use the same range of ports."""
     return f"{host}:{boot.internal_ports[0] + (role != CONTROL_ROLE)}"
 
 
 class Process:
-    """One process among the others of the system.
+    """One process of the system and its connections to the others.
 
-    A role sets `on_items` and `on_message` before `start`.
+    A role sets `on_items` and `on_message` before it calls `start`.
 
     Attributes:
-        boot: The settings; the seeds follow the file.
+        boot: The settings; the seeds are updated when the file changes.
         role: `CONTROL_ROLE` or `SIDECAR_ROLE`.
-        rng: For all draws of the process.
+        rng: The random source of the process.
         shutdown_requested: Set by SIGTERM and SIGINT.
-        mesh: The links to others.
-        gossip: Spreads items over them.
-        on_items: Called with the items of the catalog that are new here.
-        on_message: Called with each message that is none of the membership's, and the link that it came over.
+        mesh: The links to other processes.
+        gossip: Disseminates items over the links.
+        on_items: Called with catalog items that are new here.
+        on_message: Called with the link and each message that is not about gossip or probes.
     """
 
     def __init__(self, boot: BootSettings, role: str) -> None:
-        """Make a process that neither listens nor dials yet."""
+        """Create a process that neither listens nor dials yet."""
         self.boot = boot
         self.role = role
         self.rng = random.Random(secrets.randbits(64))
@@ -66,7 +66,7 @@
         peer = peer_address(boot, boot.ip, role)
         hello = Hello(boot.node_name, peer, PROTOCOL_VERSION, OLDEST_PROTOCOL_VERSION)
         self.mesh = Mesh(hello, self._on_peer_message, self._on_link_up)
-        incarnation = int(time.time())  # rises with each start; where the clock went back, it is refuted
+        incarnation = int(time.time())  # increases with each start; see `Gossip._refute`
         me = _member_record(boot, role, peer)
         self.gossip = Gossip(Catalog(), self.mesh, me, incarnation, self._on_new_items)
         self._monitored = MonitoredNodes(boot.node_name)
@@ -76,39 +76,39 @@
         self.on_message: Callable[[Link, Any], None] = lambda link, message: None
 
     async def start(self) -> None:
-        """Listen to other processes and begin to dial them.
+        """Install signal handlers, listen for other processes and start to dial them.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address cannot be bound.
         """
         loop = asyncio.get_running_loop()
-        for name in (signal.SIGTERM, signal.SIGINT):
-            loop.add_signal_handler(name, self.shutdown_requested.set)
-        loop.add_signal_handler(signal.SIGHUP, lambda: None)  # the file is looked at anyway
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            loop.add_signal_handler(signal_number, self.shutdown_requested.set)
+        loop.add_signal_handler(signal.SIGHUP, lambda: None)  # the file is polled anyway
         await self.mesh.listen(Address.parse(self.gossip.me.peer))
         self.dial()
         self.announce(Availability.STARTING)
 
     def begin_shutdown(self) -> ShutdownBudget:
-        """Begin to count the grace period, and ignore further signals.
+        """Start the grace period, and ignore further signals.
 
-        A second SIGTERM must not cut the shutdown short. The handlers are removed first: closing the loop
-        would give their signals the default action again, which ends the process with another exit code.
+        A second SIGTERM must not cut the shutdown short. The handlers are removed first: closing the
+        loop would restore the default action of their signals, which ends the process with another exit code.
         """
         budget = ShutdownBudget(self.boot.bounds.grace_s)
         budget.start_watchdog()
         loop = asyncio.get_running_loop()
-        for name in _SIGNALS:
-            loop.remove_signal_handler(name)
-            signal.signal(name, signal.SIG_IGN)
+        for signal_number in _SIGNALS:
+            loop.remove_signal_handler(signal_number)
+            signal.signal(signal_number, signal.SIG_IGN)
         return budget
 
     def announce(self, availability: Availability) -> None:
-        """Let all processes know what this one can do now."""
+        """Publish the availability of this process to all others."""
         self.gossip.announce(replace(self.gossip.me, availability=availability))
 
     def dial(self) -> None:
-        """Keep links to all control processes, and to the members that this one monitors."""
+        """Dial the seeds, up to `MAX_CONTROL_LINKS` control processes, and the members to monitor."""
         members = [m for m, _ in self.gossip.catalog.members() if m.availability is not Availability.DOWN]
         addresses = {peer_address(self.boot, seed.host, CONTROL_ROLE) for seed in self.boot.seeds}
         controls = sorted(member.peer for member in members if member.role == CONTROL_ROLE)
@@ -118,7 +118,7 @@
         self.mesh.dial(addresses)
 
     async def maintain_links(self) -> None:
-        """Follow the settings and the membership, and monitor others, until cancelled."""
+        """Apply changes of the settings and the membership, and monitor members, until cancelled."""
         while True:
             await asyncio.sleep(MAINTENANCE_INTERVAL_S)
             self._reload()
@@ -126,31 +126,31 @@
             self._monitor()
 
     def is_control(self, peer: str) -> bool:
-        """Whether a control process listens at that address: they all have the same port for others."""
+        """Return whether an address is that of a control process: they all use the same peer port."""
         return peer.endswith(f":{self.boot.internal_ports[0]}")
 
     def round_trip_s(self, region: str) -> float | None:
-        """The time there and back to a region, as links to its members came up; `None` while none has."""
+        """Return the shortest round trip to a region's members in seconds; `None` if none was dialled yet."""
         peers = [m.peer for m, _ in self.gossip.catalog.members() if m.region == region]
         known = [self.mesh.round_trips[peer] for peer in peers if peer in self.mesh.round_trips]
         return min(known, default=None)
 
     def owner_link(self, key: str) -> Link | None:
-        """A link to the control process that is responsible for a key; `None` while there is none."""
+        """Return the link to the control process that owns a key; `None` if there is no link or no owner."""
         members = [member for member, _ in self.gossip.catalog.members()]
         owner = owner_of(key, live_nodes(members, CONTROL_ROLE))
         return self.mesh.link(owner) if owner else None
 
     def linked_nodes(self) -> set[str]:
-        """The nodes that a link is up to."""
+        """Return the nodes that have a link."""
         return {link.node for link in self.mesh.links()}
 
     def _reload(self) -> None:
-        """Take up the seeds of a settings file that has changed."""
+        """Apply the seeds of a changed settings file."""
         self.boot = self._settings.reload(self.boot)
 
     def _monitor(self) -> None:
-        """Publish which monitored members are down, once others were asked for a link to them, too."""
+        """Send indirect probes for suspected members, and publish those that are down."""
         now = asyncio.get_running_loop().time()
         effects = self._suspicion.tick(self._monitored.names, self.linked_nodes(), now)
         for node in effects.probe:
@@ -185,7 +185,7 @@
 
 
 def _member_record(boot: BootSettings, role: str, peer: str) -> MemberRecord:
-    """What a process that starts announces of itself."""
+    """Create the member record of a starting process."""
     return MemberRecord(
         node=boot.node_name,
         role=role,
--- a/fordtrestle/roles/role_runner.py
+++ b/fordtrestle/roles/role_runner.py
@@ -1,4 +1,4 @@
-"""Runs a role as a process: reads the settings, logs to standard error, and gives the exit code."""
+"""Runs a role as a process: reads the settings, logs to standard error, and returns the exit code."""
 
 from __future__ import annotations
 
@@ -18,9 +18,9 @@
 
 
 def _exit_at_once(code: int) -> NoReturn:
-    """End the process without the interpreter's own shutdown, in which no watchdog runs any more.
+    """Exit without the interpreter's shutdown, during which the watchdog no longer runs.
 
-    Nothing is left to do: what is on disk has been synced, and sockets are closed with the process.
+    There is nothing left to clean up: files have been synced, and sockets are closed with the process.
     """
     sys.stderr.flush()
     os._exit(code)
@@ -30,11 +30,11 @@
     """Read the settings and run a role.
 
     Args:
-        run: The role; it gives the exit code.
+        run: The role, which returns the exit code.
 
     Returns:
-        The exit code where the role did not run: 2 where the settings are wrong, 1 where it could not start.
-        Otherwise the process ends here, with the role's.
+        The exit code if the role did not run: 2 if the settings are invalid, 1 if it could not start.
+        Otherwise the process exits here, with the role's exit code.
     """
     eliot.to_file(sys.stderr)
     try:
@@ -45,6 +45,6 @@
         return EXIT_BAD_INPUT
     try:
         _exit_at_once(asyncio.run(run(boot)))
-    except OSError as error:  # as it starts: an address that is taken, for one
+    except OSError as error:  # at start-up, for example if an address is in use
         eliot.log_message("process:failed", reason=str(error))
     return EXIT_FAILED
--- a/fordtrestle/roles/settings_watcher.py
+++ b/fordtrestle/roles/settings_watcher.py
@@ -1,4 +1,4 @@
-"""Follows the settings file under a running process: of what changes, only the seeds are taken up."""
+"""Watches the settings file of a running process; only changed seeds are applied."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 
 
 class SettingsWatcher:
-    """Notices a changed file by its bytes, with a signal or without."""
+    """Detects a changed settings file by comparing its content, independent of signals."""
 
     def __init__(self) -> None:
-        """Take the file as it is now for the one that the process was started with."""
+        """Take the current file as the one that the process was started with."""
         self._content = read_settings_bytes()
 
     def reload(self, running: BootSettings) -> BootSettings:
-        """Look at the file once more.
+        """Read the file again, and apply its seeds if it has changed.
 
-        Settings that are wrong change nothing; what a running process cannot change waits for its restart.
+        An invalid file is ignored; settings that cannot change in a running process wait for its restart.
 
         Args:
-            running: The settings that the process runs with.
+            running: The current settings of the process.
 
         Returns:
-            Those that it runs with from now on.
+            The settings to use from now on.
         """
         content = read_settings_bytes()
         if content == self._content:
@@ -39,7 +39,7 @@
         except SettingsError as error:
             eliot.log_message("settings:rejected", faults=list(error.faults))
             return running
-        followed = replace(running, seeds=boot.seeds)
-        needs_restart = replace(boot, bootstrap=followed.bootstrap) != followed
+        updated = replace(running, seeds=boot.seeds)
+        needs_restart = replace(boot, bootstrap=updated.bootstrap) != updated
         eliot.log_message("settings:changed", needs_restart=needs_restart)
-        return followed
+        return updated
--- a/fordtrestle/roles/shutdown.py
+++ b/fordtrestle/roles/shutdown.py
@@ -1,7 +1,7 @@
-"""The shutdown of a process: named steps out of the platform's grace period, each with a time limit.
+"""The shutdown of a process: named steps with time limits, within the platform's grace period.
 
-SIGKILL follows SIGTERM after the grace period. A step that takes longer than it may is cut, and logged;
-whatever hangs, a thread of its own ends the process before the platform does.
+The platform sends SIGKILL when the grace period after SIGTERM is over. A step that exceeds its limit is
+cancelled and logged. If anything hangs, a watchdog thread ends the process before the platform does.
 """
 
 from __future__ import annotations
@@ -13,52 +13,52 @@
 
 import eliot
 
-EXIT_MARGIN_S = 0.5  # before the end of the grace period, by which the process has exited
-MIN_STEP_S = 0.02  # that each step has, however late it is
+EXIT_MARGIN_S = 0.5  # the process exits this long before the end of the grace period
+MIN_STEP_S = 0.02  # minimum time limit of a step, even if the budget is used up
 MS_PER_S = 1000.0
 EXIT_DONE = 0
 
 
 class ShutdownBudget:
-    """The time that a process has to shut down.
+    """Tracks the time that a process has to shut down.
 
     Attributes:
-        began_at: When the shutdown began, s, loop clock.
-        exit_at: When it has to have exited, s, loop clock.
+        started_at: When the shutdown started, in seconds, loop clock.
+        exit_at: When the process has to exit, in seconds, loop clock.
     """
 
     def __init__(self, grace_s: float) -> None:
-        """Begin to count now.
+        """Start the grace period now.
 
         Args:
-            grace_s: The platform's grace period.
+            grace_s: The platform's grace period, in seconds.
         """
         self._loop = asyncio.get_running_loop()
-        self.began_at = self._loop.time()
-        self.exit_at = self.began_at + max(MIN_STEP_S, grace_s - EXIT_MARGIN_S)
+        self.started_at = self._loop.time()
+        self.exit_at = self.started_at + max(MIN_STEP_S, grace_s - EXIT_MARGIN_S)
 
     def remaining_s(self) -> float:
-        """The time until the process has to have exited."""
+        """Return the time until the process has to exit, in seconds."""
         return max(0.0, self.exit_at - self._loop.time())
 
     def start_watchdog(self) -> None:
-        """Exit once the time is over, also where the loop or a thread that it waits for hangs."""
+        """Exit when the budget is used up, even if the loop or a thread that it waits for hangs."""
         watchdog = threading.Timer(self.remaining_s(), os._exit, (EXIT_DONE,))
         watchdog.daemon = True
         watchdog.start()
 
     async def run_step(self, name: str, work: Awaitable[object], max_s: float) -> bool:
-        """Do one step, and log it. What it raises ends nothing else.
+        """Run one step and log it; an exception in it does not prevent further steps.
 
         Args:
-            name: Shown in the log.
+            name: The name of the step in the log.
             work: The step.
-            max_s: What it may take, within what remains.
+            max_s: The time limit in seconds, within the remaining budget.
 
         Returns:
-            Whether it was done.
+            Whether the step completed.
         """
-        began_at = self._loop.time()
+        started_at = self._loop.time()
         fault = ""
         try:
             async with asyncio.timeout(max(MIN_STEP_S, min(max_s, self.remaining_s()))):
@@ -67,6 +67,6 @@
             fault = "cut"
         except Exception as error:
             fault = repr(error)
-        took_ms = round(MS_PER_S * (self._loop.time() - began_at))
+        took_ms = round(MS_PER_S * (self._loop.time() - started_at))
         eliot.log_message("shutdown:step", step=name, took_ms=took_ms, fault=fault)
         return not fault
--- a/fordtrestle/roles/sidecar.py
+++ b/fordtrestle/roles/sidecar.py
@@ -1,6 +1,6 @@
-"""The `sidecar` role: serves one sidecar process from its start to its end.
+"""The `sidecar` role: runs one sidecar process from start-up to shutdown.
 
-What the process consists of stands in `sidecar_process.py`, how it hands its clients over in `drain.py`.
+The components of the process are in `sidecar_process.py`, the hand-over of its clients in `drain.py`.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from fordtrestle.roles.sidecar_process import SidecarProcess
 from fordtrestle.settings.records import BootSettings
 
-CONNECTIONS_CLOSE_TIMEOUT_S = 0.25  # for all connections of clients to close
+CONNECTIONS_CLOSE_TIMEOUT_S = 0.25  # for all client connections to close
 
 
 async def run(boot: BootSettings, early: EarlyListener | None = None) -> int:
@@ -27,7 +27,7 @@
 
     Args:
         boot: The settings.
-        early: A listener where clients have connected while the process started.
+        early: A listener that clients could connect to while the process started.
 
     Returns:
         The exit code.
@@ -43,9 +43,9 @@
 
 
 async def _run_until_drained(sidecar: SidecarProcess) -> ShutdownBudget:
-    """Run until SIGTERM and until clients have gone elsewhere; the time that remains.
+    """Run until SIGTERM and until the sidecar is drained; return the remaining shutdown budget.
 
-    The background tasks run until then: the drain rests on what others announce.
+    The background tasks run until then, since the drain depends on the announcements of other sidecars.
     """
     async with asyncio.TaskGroup() as tasks:
         background = [tasks.create_task(work) for work in sidecar.background_tasks()]
@@ -58,7 +58,7 @@
 
 
 async def _close(sidecar: SidecarProcess, runners: list[web.AppRunner], budget: ShutdownBudget) -> None:
-    """Close all connections, those of clients first."""
+    """Close all connections, client connections first."""
     await budget.run_step("connections of clients", sidecar.server.close(), CONNECTIONS_CLOSE_TIMEOUT_S)
     for runner in runners:
         await budget.run_step("endpoint", runner.cleanup(), ENDPOINT_CLOSE_TIMEOUT_S)
@@ -67,5 +67,5 @@
 
 
 def main(early: EarlyListener | None = None) -> int:
-    """Run as a process of its own; the exit code."""
+    """Run the role as a process and return the exit code."""
     return run_role(partial(run, early=early))
--- a/fordtrestle/roles/sidecar_process.py
+++ b/fordtrestle/roles/sidecar_process.py
@@ -1,4 +1,4 @@
-"""The parts of one sidecar process, and how they work together.
+"""The components of one sidecar process, and how they are connected.
 
 `sidecar.py` serves its endpoints and shuts them down in order.
 """
@@ -29,14 +29,14 @@
 from fordtrestle.routing.view import View
 from fordtrestle.settings.records import BootSettings
 
-EXPIRY_INTERVAL_S = 10.0  # between looks for what has to be forgotten
+EXPIRY_INTERVAL_S = 10.0  # between two expirations of departed sidecars and servers
 
 
 class SidecarProcess:
-    """One sidecar: its view of the system, its router, and its ingress server."""
+    """One sidecar process: its view of the system, its router, and its ingress server."""
 
     def __init__(self, boot: BootSettings) -> None:
-        """Make the parts; nothing runs yet.
+        """Create the components without running them.
 
         Args:
             boot: The settings that the process was started with.
@@ -56,11 +56,11 @@
         self.process.on_items = self._on_items
 
     def make_readiness(self) -> Readiness:
-        """The endpoint where the platform asks whether this sidecar serves."""
+        """Create the endpoint where the platform checks whether this sidecar is ready."""
         return Readiness(lambda: self.process.gossip.me.availability is Availability.READY)
 
     def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """What runs until the process ends."""
+        """Create the coroutines that run until the process ends."""
         return [
             self.process.maintain_links(),
             self.process.gossip.run(self.process.rng),
@@ -69,7 +69,7 @@
         ]
 
     def figures(self) -> metrics.Figures:
-        """The metrics of this process, by name."""
+        """Return the metrics of this process, by name."""
         now = asyncio.get_running_loop().time()
         return {
             **metrics.of_catalog(self.process.gossip.catalog),
@@ -93,14 +93,14 @@
         )
 
     def _on_items(self, items: list[Item]) -> None:
-        """Apply what is new; long configurations are parsed beside all else that the loop has to do."""
+        """Apply new items; a long configuration is parsed in a background task."""
         self.view.apply(items, asyncio.get_running_loop().time())
         if self.view.has_unparsed and (self._parsing is None or self._parsing.done()):
             self._parsing = asyncio.create_task(self._parse())
         self._on_view_changed()
 
     async def _parse(self) -> None:
-        """Parse what is left of the newest configuration, a part in each turn of the loop."""
+        """Parse the rest of the newest configuration, one step per turn of the event loop."""
         while self.view.has_unparsed:
             generation = self.view.generation
             self.view.parse_step()
@@ -109,14 +109,14 @@
             await asyncio.sleep(0)
 
     def _on_view_changed(self) -> None:
-        """Let waiting requests look again; the first configuration makes this sidecar ready."""
+        """Wake waiting requests; the first configuration makes this sidecar ready."""
         self._wait_queue.wake_all()
         if self.view.table and self.process.gossip.me.availability is Availability.STARTING:
             eliot.log_message("sidecar:ready", generation=self.view.generation)
             self.process.announce(Availability.READY)
 
     async def _expire(self) -> None:
-        """Forget sidecars and servers that are gone, until cancelled."""
+        """Expire departed sidecars and servers periodically, until cancelled."""
         while True:
             await asyncio.sleep(EXPIRY_INTERVAL_S)
             self.view.expire(asyncio.get_running_loop().time())
@@ -124,9 +124,9 @@
 
 
 async def report_outcomes(process: Process, reporter: OutcomeReporter) -> None:
-    """Report outcomes to the owners of the services where requests failed, until cancelled.
+    """Report request outcomes to the owners of services with failed requests, until cancelled.
 
-    Without a link to the owner a report is dropped.
+    A report is dropped if there is no link to the owner.
     """
     while True:
         await asyncio.sleep(REPORT_INTERVAL_S)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -735,7 +735,7 @@
     "a sidecar that drains serves on for its region": _removal(
         DRAIN,
         DRAIN_TESTS,
-        '    await budget.run_step("serve on for the region", _wait_for_other_sidecars(process), stay_s)\n',
+        '    await budget.run_step("serve on for the region", _wait_for_other_sidecars(process), wait_s)\n',
     ),
     "a sidecar that shuts down announces it": _removal(
         DRAIN, DRAIN_TESTS, "    process.announce(Availability.LEAVING)\n"
@@ -753,7 +753,7 @@
         "cli/start.py", SIGNALS, "    signal.signal(signal.SIGHUP, signal.SIG_IGN)\n"
     ),
     "a process that ends heeds no further signal": _removal(
-        "roles/process.py", SIGNALS, "            signal.signal(name, signal.SIG_IGN)\n"
+        "roles/process.py", SIGNALS, "            signal.signal(signal_number, signal.SIG_IGN)\n"
     ),
     "what was offered and does not come is asked for": _removal(
         BROADCAST,
--- a/tests/roles/test_drain.py
+++ b/tests/roles/test_drain.py
@@ -53,11 +53,11 @@
     process.announce(was)
 
     def record(text):
-        events.append(f"{loop.time() - budget.began_at:.1f} {text}")
+        events.append(f"{loop.time() - budget.started_at:.1f} {text}")
 
     def changed(items):
         events.extend(
-            f"{loop.time() - budget.began_at:.1f} announces {item.value.availability.name}"
+            f"{loop.time() - budget.started_at:.1f} announces {item.value.availability.name}"
             for item in items
             if item.value.node == process.gossip.me.node
         )
--- a/tests/roles/test_monitored_nodes.py
+++ b/tests/roles/test_monitored_nodes.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from fordtrestle.dissemination.suspicion import monitored_by
-from fordtrestle.roles.monitored_nodes import MAX_CHEAP_NODES, MIN_REDRAW_INTERVAL_S, MonitoredNodes
+from fordtrestle.roles.monitored_nodes import MAX_CHEAP_NODES, MIN_RESELECT_INTERVAL_S, MonitoredNodes
 
 FEW = {"n-1", "n-2", "n-3"}
 MANY = {f"n-{number}" for number in range(2 * MAX_CHEAP_NODES)}
@@ -22,7 +22,7 @@
     monitored.update(MANY, 10.0)
     before = monitored.names
     fewer = MANY - before
-    monitored.update(fewer, 10.0 + MIN_REDRAW_INTERVAL_S / 2)
+    monitored.update(fewer, 10.0 + MIN_RESELECT_INTERVAL_S / 2)
     assert monitored.names == before
-    monitored.update(fewer, 10.0 + MIN_REDRAW_INTERVAL_S)
+    monitored.update(fewer, 10.0 + MIN_RESELECT_INTERVAL_S)
     assert monitored.names == monitored_by("n-1", fewer) != before
