--- a/fordtrestle/cli/__init__.py
+++ b/fordtrestle/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: a table of commands, each in a module that is imported when the command is called.
+"""The command line: a table of commands, each in a module that is imported only when the command is run.
 
-A command's module has `add_arguments(parser)`, which declares its arguments, and `run(arguments)`, which does
-the work and returns the exit code (`exit_codes.py`).
+The module of a command has `add_arguments(parser)`, which declares its arguments, and `run(arguments)`, which
+runs it and returns the exit code (`exit_codes.py`).
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 
 from fordtrestle.cli.exit_codes import EXIT_BAD_INPUT
 
-# One line a command: its module is `cli/COMMAND.py`.
+# The help text of each command; its module is `cli/COMMAND.py`.
 COMMANDS = {
-    "sidecar": "serve clients of the system, as the file that FORDTRESTLE_CONFIG names tells",
-    "control": "keep the system's control state, as that file tells",
-    "ctl": "ask and order the control processes, as an operator",
+    "sidecar": "run a sidecar, configured by the file that FORDTRESTLE_CONFIG names",
+    "control": "run a control process, configured by the file that FORDTRESTLE_CONFIG names",
+    "ctl": "query and change the control state as an operator",
     "serve": "run the services and fronts of an operator file",
-    "check": "read an operator file and tell all that is wrong with it",
-    "load": "send a load at the times it states, whatever is still open, and report what came of it",
+    "check": "validate an operator file and list all errors in it",
+    "load": "send a load at its scheduled times, however many requests are open, and report the results",
 }
-OPERATOR_OPTION = "--operator"  # the only option without a command
+OPERATOR_OPTION = "--operator"  # the only option that is used without a command
 
 
 def main(arguments: list[str]) -> int:
@@ -39,9 +39,9 @@
             return _run_command(first, rest)
         if first.startswith("-"):
             return _run_on_platform(arguments)
-    except SystemExit as end:  # argparse ends so, after it has printed why
-        return end.code if isinstance(end.code, int) else EXIT_BAD_INPUT
-    print(f"fordtrestle: no such word as {first!r}; there are {', '.join(COMMANDS)}", file=sys.stderr)
+    except SystemExit as exit_request:  # raised by argparse after it has printed the reason
+        return exit_request.code if isinstance(exit_request.code, int) else EXIT_BAD_INPUT
+    print(f"fordtrestle: unknown command {first!r}, expected one of {', '.join(COMMANDS)}", file=sys.stderr)
     return EXIT_BAD_INPUT
 
 
@@ -60,18 +60,18 @@
     from fordtrestle.proxy.daemon.signals import Signals
 
     signals = Signals()
-    signals.install()  # before the rest is loaded, which takes a while
+    signals.install()  # before the other imports, which take a while
     from fordtrestle.cli import platform
 
     return platform.run(operator_file, signals)
 
 
 def _platform_parser() -> argparse.ArgumentParser:
-    """The parser of a command line that begins with an option; its help lists all commands."""
+    """Return the parser for a command line that begins with an option; its help lists all commands."""
     lines = [f"  {command:<10} {text}" for command, text in COMMANDS.items()]
     parser = argparse.ArgumentParser(
         prog="fordtrestle",
-        description="The platform's sidecar, as NODE_CONFIG tells, or one of these words:",
+        description="Run the platform's sidecar, configured by NODE_CONFIG, or one of these commands:",
         epilog="\n".join(lines),
         formatter_class=argparse.RawDescriptionHelpFormatter,
         allow_abbrev=False,
--- a/fordtrestle/cli/check.py
+++ b/fordtrestle/cli/check.py
@@ -11,20 +11,22 @@
 from fordtrestle.proxy.config.errors import OperatorFileError
 from fordtrestle.proxy.engine.schema import SchemaError
 
-LISTED_TABLES = ("services", "fronts", "sources")  # whose names are printed for a valid file
+LISTED_TABLES = ("services", "fronts", "sources")  # the names in them are printed for a valid file
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments of the command."""
     parser.add_argument("file", metavar="FILE", help="the operator file")
-    parser.add_argument("--json", action="store_true", help="one JSON object for programs to read")
+    parser.add_argument("--json", action="store_true", help="print one JSON object")
     parser.add_argument(
-        "--platform", action="store_true", help="judge it as `--operator FILE` does: [limits] and no more"
+        "--platform",
+        action="store_true",
+        help="validate for `--operator FILE`, which allows only [limits]",
     )
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Check a file and return `EXIT_DONE` where it is valid, else `EXIT_BAD_INPUT`."""
+    """Check a file and return `EXIT_DONE` if it is valid, else `EXIT_BAD_INPUT`."""
     names: dict[str, list[str]] = {}
     errors: Sequence[SchemaError] = ()
     try:
@@ -45,7 +47,7 @@
     """Read a file and return the names in each of `LISTED_TABLES`; none for the platform.
 
     Raises:
-        OperatorFileError: The file is not valid; it holds all errors.
+        OperatorFileError: The file is not valid; the exception lists all errors.
     """
     if is_for_platform:
         operator_file.read_limits(file)
@@ -55,6 +57,6 @@
 
 
 def _json_report(file: str, errors: Sequence[SchemaError], names: dict[str, list[str]]) -> dict[str, object]:
-    """The JSON object of `--json`; its keys are shown to users and stay."""
-    shown = [{"at": error.at, "reason": error.reason} for error in errors]
-    return {"file": file, "good": not errors, "errors": shown, **names}
+    """Return the JSON object for `--json`; its keys are part of the interface and must not change."""
+    listed_errors = [{"at": error.at, "reason": error.reason} for error in errors]
+    return {"file": file, "good": not errors, "errors": listed_errors, **names}
--- a/fordtrestle/cli/control.py
+++ b/fordtrestle/cli/control.py
@@ -1,4 +1,4 @@
-"""`fordtrestle control`: runs a control process as its settings file says."""
+"""`fordtrestle control`: runs a control process with the settings in its settings file."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare no arguments: the settings are in the file that FORDTRESTLE_CONFIG names."""
+    """Declare no arguments; the settings are in the file that FORDTRESTLE_CONFIG names."""
 
 
 def run(arguments: argparse.Namespace) -> int:
--- a/fordtrestle/cli/ctl.py
+++ b/fordtrestle/cli/ctl.py
@@ -1,4 +1,4 @@
-"""`fordtrestle ctl`: the operator's client of the control processes.
+"""`fordtrestle ctl`: the operator's client for the control processes.
 
 Exit codes: 0 done, 1 refused, 2 bad usage or input, 3 no control process could be reached in time.
 """
@@ -12,28 +12,28 @@
 from pathlib import Path
 from typing import TYPE_CHECKING, Any
 
-if TYPE_CHECKING:  # as commands run, it is imported only where a process is asked
+if TYPE_CHECKING:  # at run time it is imported only by commands that call a control process
     from fordtrestle.control_api.client import ControlClient, ControlResponse
 
 DONE = 0
-REFUSED = 1  # a control process answered, and did not do it
+REFUSED = 1  # a control process rejected the command
 BAD_INPUT = 2
-UNREACHABLE = 3  # no control process answered within the time-out
-DEFAULT_TIMEOUT_S = 15.0  # for how long unclear answers are asked for again (docs/operate/control.md)
+UNREACHABLE = 3  # no control process answered within the timeout
+DEFAULT_TIMEOUT_S = 15.0  # how long calls without a clear answer are retried (docs/operate/control.md)
 
 HTTP_OK = 200
-NO_GENERATION = 0  # what the first configuration builds on
+NO_GENERATION = 0  # base version of the first configuration
 
 LISTINGS = {
-    "epoch": "who is primary, with replicas and witnesses",
-    "members": "the processes of the system",
-    "servers": "the servers, and why some are not usable",
+    "epoch": "list the primary, the replicas and the witnesses",
+    "members": "list the processes of the system",
+    "servers": "list the servers, and why some are not usable",
 }
 FILE_ACTIONS = {
-    "put": "put a whole one in force",
-    "patch": "change named items of it",
-    "diff": "what a file would change",
-    "check": "say all that is wrong with a file, without asking anyone",
+    "put": "replace the whole configuration",
+    "patch": "change named items of the configuration",
+    "diff": "show what a file would change",
+    "check": "list all errors in a file, without calling a control process",
 }
 WRITE_ACTIONS = ("put", "patch")
 
@@ -41,15 +41,18 @@
 def add_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments of the command."""
     parser.add_argument(
-        "--control", action="append", metavar="HOST:PORT", help="a control process; may be repeated"
+        "--control",
+        action="append",
+        metavar="HOST:PORT",
+        help="a control process; may be repeated",
     )
     parser.add_argument(
-        "--timeout", type=float, default=DEFAULT_TIMEOUT_S, help="seconds to go on trying for"
+        "--timeout", type=float, default=DEFAULT_TIMEOUT_S, help="how long to retry, in seconds"
     )
-    parser.add_argument("--json", action="store_true", help="print JSON where a table is printed")
+    parser.add_argument("--json", action="store_true", help="print JSON in place of a table")
     commands = parser.add_subparsers(dest="word", required=True, metavar="WORD")
-    _add_config_arguments(commands.add_parser("config", help="the configuration"))
-    evacuate = commands.add_parser("evacuate", help="empty a zone or take it back")
+    _add_config_arguments(commands.add_parser("config", help="read and change the configuration"))
+    evacuate = commands.add_parser("evacuate", help="evacuate a zone, or end its evacuation")
     evacuate.add_argument("step", choices=("start", "finish"))
     evacuate.add_argument("zone")
     for name, text in LISTINGS.items():
@@ -59,13 +62,13 @@
 def _add_config_arguments(parser: argparse.ArgumentParser) -> None:
     """Declare the arguments of `ctl config`."""
     actions = parser.add_subparsers(dest="act", required=True)
-    actions.add_parser("get", help="print the newest one")
+    actions.add_parser("get", help="print the newest configuration")
     for name, text in FILE_ACTIONS.items():
         action = actions.add_parser(name, help=text)
         action.add_argument("file", type=Path)
         if name in WRITE_ACTIONS:
             action.add_argument(
-                "--base", type=int, help="the generation that it builds on; the newest by default"
+                "--base", type=int, help="the generation that the change is based on; by default the newest"
             )
 
 
@@ -74,18 +77,18 @@
     if arguments.word == "config" and arguments.act == "check":
         return _check_file(arguments.file)
     if not arguments.control:
-        return _print_bad_input("--control HOST:PORT is needed")
+        return _print_bad_input("--control HOST:PORT is required")
     return asyncio.run(_call_control(arguments))
 
 
 def _print_bad_input(reason: object) -> int:
-    """Print why the command can't be run and return the exit code."""
+    """Print why the command can't be run, and return the exit code."""
     print(f"fordtrestle ctl: {reason}", file=sys.stderr)
     return BAD_INPUT
 
 
 def _check_file(file: Path) -> int:
-    """Print all errors of a configuration file and return the exit code; no process is asked."""
+    """Print all errors of a configuration file, without calling a process, and return the exit code."""
     from returns.result import Failure
 
     from fordtrestle.control_api.configuration import read_put
@@ -124,11 +127,11 @@
 
 
 async def _send_command(arguments: argparse.Namespace, client: ControlClient, body: bytes) -> int:
-    """Send one command, print what came of it and return the exit code.
+    """Send one command, print the result and return the exit code.
 
     Raises:
         UnreachableError: No control process answered in time.
-        ValueError: An address is malformed, or a document is no JSON.
+        ValueError: An address is malformed, or a document is not JSON.
     """
     if arguments.word == "evacuate":
         response = await client.send("POST", f"/v1/evacuations/{arguments.zone}/{arguments.step}")
@@ -141,14 +144,14 @@
 
 
 async def _write_configuration(arguments: argparse.Namespace, client: ControlClient, body: bytes) -> int:
-    """Send `config put` or `config patch`, print why it was refused, if it was, and return the exit code."""
+    """Send `config put` or `config patch`, print any errors and return the exit code."""
     base = arguments.base if arguments.base is not None else await _newest_generation(client)
     headers = {"X-Base-Version": str(base)}
     return _print_faults(await client.send("POST", f"/v1/config/{arguments.act}", body, headers))
 
 
 async def _read_configuration(arguments: argparse.Namespace, client: ControlClient, body: bytes) -> int:
-    """Print the newest configuration, or how the document `body` differs, and return the exit code."""
+    """Print the newest configuration, or its differences from `body`, and return the exit code."""
     response = await client.send("GET", "/v1/config/get")
     if response.status != HTTP_OK:
         return _print_faults(response)
@@ -159,7 +162,7 @@
 
 
 async def _newest_generation(client: ControlClient) -> int:
-    """The generation in force, or `NO_GENERATION` where none can be read."""
+    """Return the current generation, or `NO_GENERATION` if it can't be read."""
     response = await client.send("GET", "/v1/config/get")
     if response.status != HTTP_OK:
         return NO_GENERATION
@@ -167,7 +170,7 @@
 
 
 def _print_faults(response: ControlResponse) -> int:
-    """Print why a command was refused, if it was, and return the exit code."""
+    """Print the errors of a rejected command and return the exit code."""
     if response.status == HTTP_OK:
         return DONE
     faults = json.loads(response.body or b"{}").get("errors") or [f"status {response.status}"]
@@ -189,7 +192,7 @@
 
 
 def _print_table(rows: list[dict[str, Any]]) -> None:
-    """Print rows below their column names, each column as wide as its widest value."""
+    """Print rows as a table with column names, each column as wide as its widest value."""
     columns = list(rows[0])
     widths = {name: max(len(name), *(len(str(row[name])) for row in rows)) for name in columns}
     heading = dict(zip(columns, columns, strict=True))
@@ -198,7 +201,7 @@
 
 
 def _print_differences(current: dict[str, Any], other: dict[str, Any]) -> int:
-    """Print what a document would change, item by item, and return the exit code."""
+    """Print the items that a document adds, removes or changes, and return the exit code."""
     for kind in ("routes", "services"):
         before = {row["name"]: row for row in current.get(kind) or ()}
         after = {row["name"]: row for row in other.get(kind) or ()}
--- a/fordtrestle/cli/load.py
+++ b/fordtrestle/cli/load.py
@@ -1,4 +1,4 @@
-"""`load SPEC` sends a load and reports it; beside it `load check`, `load trace` and `load write`."""
+"""`load SPEC` sends a load and reports the results; also `load check`, `load trace` and `load write`."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from fordtrestle.load.spec import MAX_SEED, MAX_WORKERS, parse
 from fordtrestle.proxy.engine.ports import parse_address
 
-ON_STANDARD_OUTPUT = "-"  # value of --json where it names no file
-CLEAR_LINE = "\r\x1b[K"  # back to the line's begin, then erase it (ECMA-48)
+ON_STANDARD_OUTPUT = "-"  # value of --json without a file name
+CLEAR_LINE = "\r\x1b[K"  # return to the start of the line, then erase it (ECMA-48)
 
 
 class OptionError(LoadError):
-    """An option whose value can't be used; the text names the option."""
+    """Raised when the value of an option is invalid; the text names the option."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Subcommand:
-    """What is done with the files that are named, and how many it takes (None: one or more)."""
+    """A subcommand and the number of files that it takes; `None` for one or more."""
 
     run: Callable[[argparse.Namespace, list[str]], int]
     file_count: int | None
@@ -49,25 +49,28 @@
         "       fordtrestle load write SPEC FILE"
     )
     parser.add_argument(
-        "what", nargs="+", metavar="SPEC", help="a load file, or one of check, trace and write"
+        "what",
+        nargs="+",
+        metavar="SPEC",
+        help="a load file, or one of check, trace and write",
     )
-    parser.add_argument("--to", metavar="HOST:PORT", help="send there, whatever the file says")
-    parser.add_argument("--seed", type=int, metavar="N", help="in place of the file's")
+    parser.add_argument("--to", metavar="HOST:PORT", help="target address, overrides the one in the file")
+    parser.add_argument("--seed", type=int, metavar="N", help="random seed, overrides the one in the file")
     parser.add_argument(
-        "--workers", type=int, metavar="N", help="processes that send, in place of the file's"
+        "--workers", type=int, metavar="N", help="number of sending processes, overrides the one in the file"
     )
     parser.add_argument(
         "--json",
         nargs="?",
         const=ON_STANDARD_OUTPUT,
         metavar="FILE",
-        help="the report, there or on the output",
+        help="write the report as JSON to FILE, or to standard output",
     )
-    parser.add_argument("--plot", metavar="FILE", help="the report as a picture, .svg or .png")
+    parser.add_argument("--plot", metavar="FILE", help="write the report as a plot, .svg or .png")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run the subcommand, `load SPEC` where none is named, and return the exit code."""
+    """Run the subcommand, or `load SPEC` if none is named, and return the exit code."""
     subcommands = {
         "check": _Subcommand(_check, 1),
         "trace": _Subcommand(_print_traces, None),
@@ -79,7 +82,7 @@
         subcommand, files = _Subcommand(_send, 1), arguments.what
     count = subcommand.file_count
     if not files or (count is not None and len(files) != count):
-        return _print_bad_input(f"load {word}: expected {count or 'some'} files, not {len(files)}")
+        return _print_bad_input(f"load {word}: expected {count or 'one or more'} files, not {len(files)}")
     try:
         return subcommand.run(arguments, files)
     except SpecError as error:
@@ -89,7 +92,7 @@
 
 
 def _print_bad_input(*lines: str) -> int:
-    """Print what is wrong, a line each, and return the exit code."""
+    """Print error lines and return the exit code."""
     for line in lines:
         print(line, file=sys.stderr)
     return EXIT_BAD_INPUT
@@ -99,11 +102,11 @@
 
 
 def _read_spec(arguments: argparse.Namespace, file: str) -> Spec:
-    """Read a load file; options take the place of what it says.
+    """Read a load file; options override its values.
 
     Raises:
         SpecError: The file can't be read or is not valid.
-        OptionError: The value of an option can't be used.
+        OptionError: The value of an option is invalid.
     """
     try:
         text = Path(file).read_text(encoding="utf-8")
@@ -118,14 +121,14 @@
     if arguments.seed is not None:
         spec = replace(spec, seed=_check_range("--seed", arguments.seed, 0, MAX_SEED))
     if arguments.workers is not None:
-        # Each worker needs one request and one connection at least.
+        # Each worker needs at least one request and one connection.
         max_workers = min(MAX_WORKERS, spec.open_most, spec.connections_most)
         spec = replace(spec, workers=_check_range("--workers", arguments.workers, 1, max_workers))
     return spec
 
 
 def _check_range(option: str, value: int, low: int, high: int) -> int:
-    """Return a value that lies within `low` to `high`; `OptionError` for any other."""
+    """Return the value if it is within `low` to `high`, else raise `OptionError`."""
     if not low <= value <= high:
         raise OptionError(f"{option}: {value} is not within {low} to {high}")
     return value
@@ -135,13 +138,13 @@
     """Read a load file and the trace that it may name.
 
     Raises:
-        LoadError: One of them is not valid, or an option is not.
+        LoadError: The file, the trace or an option is not valid.
     """
     return make_schedule(_read_spec(arguments, file), Path(file).parent)
 
 
 def _check_writable(option: str, file: str) -> Path:
-    """Return a path whose folder exists; `OptionError` for any other.
+    """Return the path of a file if its folder exists, else raise `OptionError`.
 
     Checked before a load is sent, so that no run is lost because its report can't be written.
     """
@@ -152,10 +155,10 @@
 
 
 def _plot_path(arguments: argparse.Namespace) -> Path | None:
-    """Where the plot goes, None where none is asked for.
+    """Return the path of the plot; `None` if no plot is requested.
 
     Raises:
-        OptionError: It can't be written there, or its suffix names no format.
+        OptionError: The plot can't be written there, or its suffix is not a known format.
         MissingLibraryError: matplotlib is not installed.
     """
     if arguments.plot is None:
@@ -183,7 +186,7 @@
 
 
 def _print_traces(arguments: argparse.Namespace, files: list[str]) -> int:
-    """`load trace FILE...`: print what traces hold."""
+    """`load trace FILE...`: print a summary of each trace."""
     rows = [_trace_row(file, trace.inspect(Path(file))) for file in files]
     if arguments.json:
         print(json.dumps(rows))
@@ -198,7 +201,7 @@
 
 
 def _trace_row(file: str, summary: trace.TraceSummary) -> dict[str, Any]:
-    """The JSON object of one trace; its keys are shown to users and stay."""
+    """Return the JSON object of one trace; its keys are part of the interface and must not change."""
     return {
         "file": file,
         "requests": summary.requests,
@@ -222,7 +225,7 @@
 
 
 def _send(arguments: argparse.Namespace, files: list[str]) -> int:
-    """`load SPEC`: send a load and report it; `EXIT_FAILED` where a bound was not met."""
+    """`load SPEC`: send a load and report the results; return `EXIT_FAILED` if a bound was not met."""
     import_library("hdrh.histogram", "load")
     json_path = None
     if arguments.json not in (None, ON_STANDARD_OUTPUT):
@@ -242,7 +245,7 @@
 def _run(schedule: Schedule) -> Run:
     """Send a load.
 
-    The first SIGINT or SIGTERM ends it early; what was measured until then is returned.
+    The first SIGINT or SIGTERM ends it early; the measurements up to then are returned.
     """
     signals_received: list[int] = []
 
@@ -253,7 +256,7 @@
         sys.stderr.write(f"{CLEAR_LINE}{report.progress_line(run, now_s, schedule.spec)}")
         sys.stderr.flush()
 
-    handlers_before: list[tuple[int, Any]] = [
+    previous_handlers: list[tuple[int, Any]] = [
         (number, signal.signal(number, on_signal)) for number in (signal.SIGINT, signal.SIGTERM)
     ]
     is_terminal = sys.stderr.isatty()
@@ -264,7 +267,7 @@
             on_progress=show_progress if is_terminal else None,
         ).run()
     finally:
-        for number, handler in handlers_before:
+        for number, handler in previous_handlers:
             signal.signal(number, handler)
         if is_terminal:
             sys.stderr.write(CLEAR_LINE)
--- a/fordtrestle/cli/platform.py
+++ b/fordtrestle/cli/platform.py
@@ -1,4 +1,4 @@
-"""`fordtrestle --operator FILE`: runs the platform's sidecar with an operator's limits."""
+"""`fordtrestle --operator FILE`: runs the platform's sidecar with the limits of an operator."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
     Args:
         file: The operator file; its limits apply within the platform's.
-        signals: The handlers that are installed already.
+        signals: The signal handlers, already installed.
 
     Returns:
-        The sidecar's exit code, or `EXIT_BAD_INPUT` where the file is not valid.
+        The sidecar's exit code, or `EXIT_BAD_INPUT` if the file is not valid.
     """
     try:
         limits = operator_file.read_limits(file)
--- a/fordtrestle/cli/sidecar.py
+++ b/fordtrestle/cli/sidecar.py
@@ -1,4 +1,4 @@
-"""`fordtrestle sidecar`: runs the process that serves clients, as its settings file says."""
+"""`fordtrestle sidecar`: runs a sidecar, which serves clients, with the settings in its settings file."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def add_arguments(parser: argparse.ArgumentParser) -> None:
-    """Declare no arguments: the settings are in the file that FORDTRESTLE_CONFIG names."""
+    """Declare no arguments; the settings are in the file that FORDTRESTLE_CONFIG names."""
 
 
 def run(arguments: argparse.Namespace) -> int:
--- a/fordtrestle/settings/__init__.py
+++ b/fordtrestle/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Settings that a process is started with, read and checked."""
+"""Reads and validates the settings that a process is started with."""
--- a/fordtrestle/settings/boot.py
+++ b/fordtrestle/settings/boot.py
@@ -12,10 +12,10 @@
 
 
 def parse_settings(text: str) -> BootSettings:
-    """Read the text of a settings file.
+    """Parse the text of a settings file.
 
     Raises:
-        SettingsError: the text is no JSON object, or its known fields hold values that are not allowed.
+        SettingsError: the text is not a JSON object, or a known field is missing or has an invalid value.
     """
     try:
         raw = json.loads(text)
@@ -27,10 +27,10 @@
 
 
 def read_settings(path: Path | None = None) -> BootSettings:
-    """Read the settings file at a path, or where the environment says.
+    """Read the settings file at a path, by default the one that the environment names.
 
     Raises:
-        SettingsError: the file cannot be read, or has faults; each line begins with the path.
+        SettingsError: the file cannot be read or is invalid; each line begins with the path.
     """
     path = path or Path(settings_path())
     try:
--- a/fordtrestle/settings/errors.py
+++ b/fordtrestle/settings/errors.py
@@ -1,13 +1,13 @@
-"""Errors of this layer."""
+"""Errors of the settings layer."""
 
 from __future__ import annotations
 
 
 class SettingsError(Exception):
-    """A settings file that cannot be read, or whose known fields hold values that are not allowed.
+    """Raised when a settings file cannot be read, or known fields are missing or have invalid values.
 
     Attributes:
-        faults: all that is wrong, one line a fault, so that an operator need not find them one by one.
+        faults: all errors, one line each, so that an operator does not have to find them one by one.
     """
 
     def __init__(self, faults: tuple[str, ...]) -> None:
--- a/fordtrestle/settings/records.py
+++ b/fordtrestle/settings/records.py
@@ -17,10 +17,10 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read HOST:PORT.
+        """Parse HOST:PORT.
 
         Raises:
-            ValueError: the text has another form, or the port lies outside 1 to 65535.
+            ValueError: the text does not have this form, or the port is not within 1 to 65535.
         """
         host, colon, port = text.rpartition(":")
         if not (host and colon and port.isascii() and port.isdigit() and 0 < int(port) <= MAX_PORT):
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FaultTolerance:
-    """How many machines, zones or regions may be lost at once (key `fault_tolerance`)."""
+    """The number of machines, zones or regions that may fail at the same time (key `fault_tolerance`)."""
 
     machines: int = 0
     zones: int = 0
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """Figures of the rules that this program acts by (key `bounds`).
+    """Numeric parameters of the deployment's rules (key `bounds`).
 
-    Durations are in seconds; ratios, the overshoot and the slack are plain numbers, the allowance counts
-    retries.
+    Durations are in seconds; ratios, the overshoot and the slack are plain numbers; the allowance is a number
+    of retries.
     """
 
     drain_s: float = 3.0
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MetricsEndpoint:
-    """Where a process serves its metrics, and under which path."""
+    """The address and the path where a process serves its metrics."""
 
     address: Address
     path: str
@@ -74,23 +74,23 @@
 
     Attributes:
         node_name: the process's name, unique in the deployment.
-        role: what the deployment calls this process; empty where it says nothing.
+        role: the role name that the deployment gives this process; empty if it gives none.
         ip: the IPv4 address of this machine.
         zone: the zone of this machine.
         region: the region of this machine.
         zones: the region of each zone of the deployment, by zone.
-        listen: the addresses to serve at, by the name of what is served.
-        internal_ports: the first and the last port for traffic between processes.
-        seeds: addresses of control processes, through which this one finds the others.
-        bootstrap: whether a control process without a state of its own founds a new core.
+        listen: the addresses to listen on, by the name of the endpoint.
+        internal_ports: the first and the last port of the range for traffic between processes.
+        seeds: addresses of control processes, through which this process discovers the others.
+        bootstrap: whether a control process without stored state bootstraps a new core.
         counts_for_quorum: whether a control process may be a witness.
-        data_dir: the folder for what has to outlive the process; `None` where nothing is kept.
-        heartbeat_s: the interval at which servers send heartbeats.
-        tolerance: how many losses at once the deployment has to survive.
-        bounds: figures of the rules that this program acts by.
-        memory_mb: the memory that the process may take, in MB.
-        max_fds: how many file descriptors it may open.
-        metrics: where to serve metrics; `None` where they are not served.
+        data_dir: the directory for persistent state; `None` if the process has none.
+        heartbeat_s: the interval between heartbeats of a server, in seconds.
+        tolerance: the simultaneous failures that the deployment has to survive.
+        bounds: numeric parameters of the deployment's rules.
+        memory_mb: the memory limit of the process, in MB.
+        max_fds: the maximum number of open file descriptors.
+        metrics: where to serve metrics; `None` if they are not served.
     """
 
     node_name: str
--- a/fordtrestle/settings/schema.py
+++ b/fordtrestle/settings/schema.py
@@ -1,7 +1,7 @@
-"""The schema of the settings file: which keys are known, their defaults, and the values that are allowed.
+"""The schema of the settings file: the known keys, their defaults, and the allowed values.
 
-Keys and defaults are the users' (DEPLOY: settings of a process). Unknown keys are ignored, since the file may
-gain new ones.
+Keys and defaults are given by the deployment (DEPLOY: settings of a process). Unknown keys are ignored, since
+the file may gain new ones.
 """
 
 from __future__ import annotations
@@ -60,21 +60,21 @@
     max_fds = fields.Integer(load_default=1024, validate=_NOT_NEGATIVE)
 
 
-def _figure(default: float) -> fields.Float:
+def _non_negative_float(default: float) -> fields.Float:
     return fields.Float(load_default=default, validate=_NOT_NEGATIVE)
 
 
 class _BoundsSchema(_SectionSchema):
-    drain_ms = _figure(3000.0)
-    grace_s = _figure(8.0)
-    retry_budget_ratio = _figure(0.2)
-    budget_window_s = _figure(10.0)
-    retry_allowance = _figure(0.0)
-    cold_overshoot = _figure(1.0)
-    cold_slack = _figure(0.0)
-    evacuation_ms = _figure(5000.0)
-    ttl_max_s = _figure(2.0)
-    history_s = _figure(20.0)
+    drain_ms = _non_negative_float(3000.0)
+    grace_s = _non_negative_float(8.0)
+    retry_budget_ratio = _non_negative_float(0.2)
+    budget_window_s = _non_negative_float(10.0)
+    retry_allowance = _non_negative_float(0.0)
+    cold_overshoot = _non_negative_float(1.0)
+    cold_slack = _non_negative_float(0.0)
+    evacuation_ms = _non_negative_float(5000.0)
+    ttl_max_s = _non_negative_float(2.0)
+    history_s = _non_negative_float(20.0)
 
     @post_load
     def make(self, data: dict[str, Any], **_: Any) -> Bounds:
@@ -117,7 +117,9 @@
     def make(self, data: dict[str, Any], **_: Any) -> BootSettings:
         first, last = data["internal_port_range"]
         if last <= first:
-            raise ValidationError("the last port must lie above the first", "internal_port_range")
+            raise ValidationError(
+                f"expected [FIRST, LAST] with LAST above FIRST, not [{first}, {last}]", "internal_port_range"
+            )
         return BootSettings(
             node_name=data["node_name"],
             role=data["role"],
@@ -141,10 +143,9 @@
 
 
 def _metrics_endpoint(ip: str, port_and_path: str) -> MetricsEndpoint | None:
-    """Return the endpoint that PORT/PATH names; `None` where it names none.
+    """Return the endpoint for a value of the form PORT/PATH; `None` for any other value.
 
-    A value of another form is no fault of the file: a process has to start also where its metrics cannot be
-    read.
+    Another form is not an error, since a process has to start even if its metrics cannot be served.
     """
     port, _, path = port_and_path.partition("/")
     try:
@@ -154,10 +155,10 @@
 
 
 def load_settings(raw: dict[str, Any]) -> BootSettings:
-    """Check the object of a settings file, and make its record.
+    """Validate the JSON object of a settings file, and convert it to a record.
 
     Raises:
-        SettingsError: known fields are missing or hold values that are not allowed; all of them are listed.
+        SettingsError: known fields are missing or have invalid values; all errors are listed.
     """
     try:
         settings: BootSettings = _BootSchema().load(raw)
@@ -167,11 +168,11 @@
 
 
 def flatten_errors(messages: Any, field: str = "") -> tuple[str, ...]:
-    """Return one line, FIELD: REASON, for each fault of marshmallow's nested error messages."""
+    """Return one line, FIELD: REASON, for each error in marshmallow's nested messages."""
     if isinstance(messages, dict):
         by_field = [
-            flatten_errors(below, f"{field}.{name}" if field else str(name))
-            for name, below in messages.items()
+            flatten_errors(nested, f"{field}.{name}" if field else str(name))
+            for name, nested in messages.items()
         ]
         return tuple(line for lines in by_field for line in lines)
     if isinstance(messages, list):
--- a/fordtrestle/settings/settings_file.py
+++ b/fordtrestle/settings/settings_file.py
@@ -1,6 +1,6 @@
-"""Where the settings file of a process lies.
+"""Locates and reads the settings file of a process.
 
-Loads nothing that a process does not need in its first moments.
+Imports only what a process needs at the very start.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 def settings_path() -> str:
-    """Return the path that the environment names, or else the default."""
+    """Return the path that the environment names, or the default."""
     return os.environ.get(PATH_VARIABLE, DEFAULT_PATH)
 
 
 def read_settings_bytes() -> bytes:
-    """Return the settings file as it stands; empty where it cannot be read.
+    """Return the current content of the settings file; empty if it cannot be read.
 
-    Never raises: it is read while a process runs, to see whether the file has changed, and a file that is
-    being replaced at that moment is no fault.
+    Never raises: a running process reads the file to detect changes, and it is not an error if the file is
+    being replaced at that moment.
     """
     try:
         with open(settings_path(), "rb") as file:
