--- a/fordtrestle/cli/exit_codes.py
+++ b/fordtrestle/cli/exit_codes.py
@@ -1,6 +1,6 @@
 """Exit codes that the commands share. Pure.
 
-They are plain integers rather than an enumeration, since they are passed to `sys.exit` and compared by scripts.
+They are plain integers rather than an enumeration: they are passed to `sys.exit` and compared by scripts.
 """
 
 from __future__ import annotations
--- a/tests/dissemination/test_broadcast.py
+++ b/tests/dissemination/test_broadcast.py
@@ -1,4 +1,4 @@
-"""Broadcast among many processes: about one copy for each, in time whatever link or process fails."""
+"""Broadcast among many processes: about one copy each, in time even if links or processes fail."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 DEPARTED_SERVER = ServerRecord(
     "i-1", "pool", "10.0.0.1:80", "z-1", 4, Phase.DEPARTED, False, 0.0, None, (), "core-1"
 )
-MAX_PROPAGATION_S = 2.5  # a margin below the 3 s of all deployments
+MAX_PROPAGATION_S = 2.5  # below the 3 s that apply to all deployments, with a margin
 
 
 def control_update(number):
@@ -42,14 +42,14 @@
 
 
 @pytest.mark.parametrize("size", [30, 63, 195])
-def test_each_process_gets_about_one_copy_of_an_item(size):
+def test_each_process_receives_about_one_copy_of_an_item(size):
     network = converged_network(sidecars=size)
-    all_of_them = len(network.peers)
+    process_count = len(network.peers)
     for number in range(2, 7):
         network.publish(f"core-{number % 5}", control_update(number))
         network.run(2.0)
-        assert network.reached(control_update(number)) == all_of_them
-        assert all_of_them - 1 <= network.copies[CONTROL_KEY, (number,)] <= 1.4 * all_of_them
+        assert network.reached(control_update(number)) == process_count
+        assert process_count - 1 <= network.copies[CONTROL_KEY, (number,)] <= 1.4 * process_count
 
 
 def test_processes_that_start_together_know_each_other_within_a_second():
@@ -61,7 +61,7 @@
 
 
 def lose_messages(network, lossy_links):
-    """Let messages be lost on these links, given as pairs of sender and receiver, and on no others."""
+    """Drop all messages on exactly these links, given as pairs of sender and receiver."""
     network.lossy = lambda sender, receiver: (sender, receiver) in lossy_links
 
 
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize("seed", range(4))
 def test_links_that_lose_all_messages_delay_no_process_beyond_the_bound(seed):
-    """A third of the links loses all, most of them one way only, and no process notices that."""
+    """A third of the links drop everything, most in one direction only, without any process noticing."""
     network = converged_network(seed=seed)
     rng = random.Random(seed)
     all_links = sorted(links(network))
@@ -82,8 +82,8 @@
         assert network.reached(control_update(number)) == len(network.peers)
 
 
-def test_children_of_unresponsive_parents_get_items_over_other_links():
-    """Four of five control processes lose all: the primary reaches the others without them."""
+def test_children_of_unresponsive_parents_receive_items_over_other_links():
+    """All links of four of the five control processes drop everything; the primary is the fifth."""
     network = converged_network()
     unresponsive = {"core-1", "core-2", "core-3", "core-4"}
     lose_messages(network, {link for link in links(network) if unresponsive & set(link)})
@@ -94,12 +94,12 @@
 
 def test_a_process_catches_up_after_a_partition_and_versions_never_go_back():
     network = converged_network()
-    alone = "front-7"
-    lose_messages(network, {link for link in links(network) if alone in link})
+    partitioned = "front-7"
+    lose_messages(network, {link for link in links(network) if partitioned in link})
     for number in range(2, 30):
         network.publish(f"core-{number % 5}", control_update(number))
         network.run(0.4)
-    assert network.peers[alone].versions[CONTROL_KEY][-1] == (1,)
+    assert network.peers[partitioned].versions[CONTROL_KEY][-1] == (1,)
     lose_messages(network, set())
     network.run(3.0)
     assert network.reached(control_update(29)) == len(network.peers)
@@ -108,7 +108,7 @@
         assert versions == sorted(versions)
 
 
-def test_a_second_copy_prunes_the_link_that_brought_it():
+def test_a_duplicate_prunes_the_link_that_delivered_it():
     me, peers = Broadcast(Catalog()), ["a", "b", "c"]
     update = Update((control_update(1),))
     assert me.on_message(update, peers, 0.0, "a").outgoing == [
@@ -116,7 +116,7 @@
         OutgoingMessage("c", update),
     ]
     assert me.on_message(update, peers, 0.0, "b").outgoing == [OutgoingMessage("b", Prune())]
-    assert me.on_message(update, peers, 0.0, "b").outgoing == [], "it is said once"
+    assert me.on_message(update, peers, 0.0, "b").outgoing == [], "only one prune is sent"
     me.on_message(Prune(), peers, 0.0, "c")
     second = Update((control_update(2),))
     assert me.publish(second.items, peers, 0.0).outgoing == [OutgoingMessage("a", second)]
@@ -124,11 +124,11 @@
     assert me.tick(OFFER_DELAY_S) == [OutgoingMessage("b", offer), OutgoingMessage("c", offer)]
     me.on_link_up("b")
     third = Update((control_update(3),))
-    again = me.publish(third.items, ["b"], 1.0)
-    assert again.outgoing == [OutgoingMessage("b", third)], "a new link is a part of the tree"
+    effects = me.publish(third.items, ["b"], 1.0)
+    assert effects.outgoing == [OutgoingMessage("b", third)], "a new link is part of the tree"
 
 
-def test_an_offered_item_that_does_not_come_is_requested_from_one_peer_after_the_other():
+def test_an_offered_item_that_does_not_arrive_is_requested_from_one_peer_after_the_other():
     me = Broadcast(Catalog())
     offer = Offer(((CONTROL_KEY, (2,)),))
     want = Want((CONTROL_KEY,))
@@ -139,10 +139,10 @@
     assert me.tick(WANT_DELAY_S) == [OutgoingMessage("a", want)]
     assert me.tick(WANT_DELAY_S + WANT_RETRY_S) == [OutgoingMessage("b", want)]
     me.tick(WANT_DELAY_S + 2 * WANT_RETRY_S)
-    assert me.due_at() is None, "no peer is left to be asked"
+    assert me.due_at() is None, "no peer is left to request it from"
 
 
-def test_an_offered_item_that_came_in_time_or_is_known_is_not_requested():
+def test_an_offered_item_that_arrives_in_time_or_is_known_is_not_requested():
     me = Broadcast(Catalog())
     me.on_message(Offer(((CONTROL_KEY, (2,)),)), ["a", "b"], 0.0, "a")
     me.on_message(Update((control_update(2),)), ["a", "b"], 0.1, "b")
@@ -151,7 +151,7 @@
     assert all(isinstance(outgoing.message, Update | Offer) for outgoing in me.tick(5.0))
 
 
-def test_a_peer_that_is_asked_for_an_item_becomes_a_parent():
+def test_a_peer_that_an_item_is_requested_from_becomes_a_parent():
     me, parent = Broadcast(Catalog()), Broadcast(Catalog())
     parent.on_message(Prune(), ["me"], 0.0, "me")
     me.on_message(Offer(((CONTROL_KEY, (1,)),)), ["parent"], 0.0, "parent")
@@ -169,11 +169,11 @@
     assert me.tick(OFFER_DELAY_S) == [OutgoingMessage("a", Offer(((CONTROL_KEY, (3,)),)))]
     me.publish([control_update(4)], ["a"], 1.0)
     me.retain_peers(())
-    assert me.tick(2.0) == [], "a peer without a link gets no offers"
+    assert me.tick(2.0) == [], "a peer without a link receives no offers"
 
 
 def test_an_offered_item_that_has_expired_here_is_not_requested():
-    """Its tombstone has expired here and not there: it would not be taken back, and requested without end."""
+    """The peer still holds the tombstone, which would otherwise be requested for ever and never accepted."""
     catalog = Catalog()
     me = Broadcast(catalog)
     departed = server_item(DEPARTED_SERVER, 1)
--- a/tests/dissemination/test_catalog.py
+++ b/tests/dissemination/test_catalog.py
@@ -1,4 +1,4 @@
-"""Items spread in any order, twice and late: all catalogs come to hold the same, and nothing goes back."""
+"""Catalogs converge whatever the order, duplication and delay of items, and versions never go back."""
 
 from __future__ import annotations
 
@@ -48,13 +48,13 @@
 
 
 def reconcile(one: Catalog, other: Catalog, now: float = 0.0) -> None:
-    """Exchange what two processes send each other after one has sent its digests."""
-    messages = [(other, one, one.digests())]
-    while messages:
-        receiver, sender, message = messages.pop(0)
+    """Run anti-entropy between two catalogs, starting with the digests of `one`."""
+    pending = [(other, one, one.digests())]
+    while pending:
+        receiver, sender, message = pending.pop(0)
         if isinstance(message, Update):
             receiver.merge(message.items, now)
-        messages += [(sender, receiver, answer) for answer in receiver.answer(message)]
+        pending += [(sender, receiver, answer) for answer in receiver.answer(message)]
 
 
 def versions_in(catalog: Catalog) -> dict[str, object]:
@@ -73,7 +73,7 @@
 
 
 @given(st.lists(ITEMS, max_size=30), st.randoms())
-def test_the_order_in_which_items_come_does_not_matter(items, random):
+def test_the_order_in_which_items_arrive_does_not_matter(items, random):
     one, other = Catalog(), Catalog()
     one.merge(items, 0.0)
     random.shuffle(items)
@@ -83,7 +83,7 @@
     assert one.digests() == other.digests()
 
 
-def test_later_phases_outdo_any_heartbeat_and_unresponsive_only_the_last_one():
+def test_a_later_phase_is_newer_than_any_heartbeat_and_unresponsive_only_than_the_last_one():
     catalog = Catalog()
     catalog.merge([server(sequence=5)], 0.0)
     assert catalog.merge([server(sequence=5, is_unresponsive=True)], 0.0)
@@ -104,7 +104,7 @@
     assert catalog.merge([member(incarnation=2, counter=1)], 0.0)
 
 
-def test_tombstones_expire_only_once_no_old_message_can_travel():
+def test_tombstones_expire_only_once_no_old_message_can_be_in_flight():
     catalog = Catalog()
     catalog.merge([server(phase=Phase.DEPARTED), server("i-2")], 0.0)
     catalog.expire(TOMBSTONE_S)
@@ -116,8 +116,8 @@
     assert catalog.digests() == other.digests()
 
 
-def test_an_expired_item_is_not_taken_back_from_a_process_that_still_holds_it():
-    """Each would go on giving it to the other, and neither would ever forget it."""
+def test_an_expired_item_is_not_accepted_again_from_a_process_that_still_holds_it():
+    """Otherwise each process would keep sending it to the other, and neither would ever drop it."""
     one, other = Catalog(), Catalog()
     one.merge([server(phase=Phase.DEPARTED)], 0.0)
     other.merge([server(phase=Phase.DEPARTED)], 1.0)
@@ -129,13 +129,13 @@
     assert not versions_in(one)
     assert not versions_in(other)
     assert one.merge([server(sequence=1, phase=Phase.DEPARTED)], 3 * TOMBSTONE_S) == [], (
-        "an old message may still travel"
+        "an old message may still be in flight"
     )
     one.expire(3 * TOMBSTONE_S)
     assert one.merge([server(sequence=1)], 3 * TOMBSTONE_S)
 
 
-def test_unresponsive_servers_expire_and_are_taken_in_again_when_they_are_heard():
+def test_unresponsive_servers_expire_and_are_accepted_again_after_a_new_heartbeat():
     catalog = Catalog()
     items = [server("i-1", is_unresponsive=True), server("i-2", phase=Phase.DRAINING), server("i-3")]
     catalog.merge(items, 0.0)
@@ -145,17 +145,17 @@
     assert set(versions_in(catalog)) == {"server/i-3"}
     assert catalog.merge([server("i-1", sequence=2)], UNRESPONSIVE_RETENTION_S + 2.0)
     catalog.expire(3 * UNRESPONSIVE_RETENTION_S)
-    assert set(versions_in(catalog)) == {"server/i-1", "server/i-3"}, "those that are heard last for good"
+    assert set(versions_in(catalog)) == {"server/i-1", "server/i-3"}, "servers with heartbeats do not expire"
 
 
-def test_a_full_catalog_takes_newer_versions_and_no_new_keys(monkeypatch):
+def test_a_full_catalog_accepts_newer_versions_but_no_new_keys(monkeypatch):
     monkeypatch.setattr(catalog_module, "MAX_ITEMS", 2)
     catalog = Catalog()
     assert len(catalog.merge([server(f"i-{n}") for n in range(5)], 0.0)) == 2
     assert catalog.merge([server("i-0", sequence=2)], 0.0)
 
 
-def test_versions_are_sent_only_of_ranges_that_differ():
+def test_only_versions_in_ranges_that_differ_are_sent():
     one, other = Catalog(), Catalog()
     items = [server(f"i-{n}") for n in range(100)]
     one.merge(items, 0.0)
--- a/tests/dissemination/test_forgetting.py
+++ b/tests/dissemination/test_forgetting.py
@@ -1,6 +1,6 @@
-"""What is unsafe, and for how long, when state that is on no disk is forgotten (`docs/design/control.md`).
+"""The effects of losing state that is not on disk, and how long they last (`docs/design/control.md`).
 
-That is whether a server drains, has departed or is unresponsive. More seeds are searched by hand:
+That state is whether a server drains, has departed or is unresponsive. To search more seeds by hand:
 
     FORGETTING_SEEDS=3000 python -m pytest tests/dissemination/test_forgetting.py
 """
@@ -18,8 +18,8 @@
     SIDECARS,
     ServerState,
     is_used,
-    play,
-    world_that_serves,
+    run_simulation,
+    serving_simulation,
 )
 
 MIN_SEEDS = 150
@@ -27,39 +27,39 @@
 
 
 @pytest.mark.parametrize("part", range(5))
-def test_whatever_is_forgotten_no_process_goes_back_and_all_converge(part):
+def test_lost_state_never_makes_a_process_reuse_a_server_and_all_converge(part):
     for seed in range(part, SEEDS, 5):
-        world = play(seed)
-        world.heal()
+        simulation = run_simulation(seed)
+        simulation.heal()
         for node in SIDECARS:
-            assert world.processes[node].usable(world.now) == world.serving, (seed, node)
+            assert simulation.processes[node].usable(simulation.now) == simulation.serving, (seed, node)
 
 
-def test_a_sidecar_that_has_forgotten_all_uses_no_server_until_it_hears_of_one():
-    world = world_that_serves()
-    world.drain()
-    world.forget_all()
-    assert world.processes["s-1"].usable(world.now) == set()
+def test_a_sidecar_that_has_lost_its_state_uses_no_server_until_it_receives_its_item():
+    simulation = serving_simulation()
+    simulation.drain()
+    simulation.restart_all_processes()
+    assert simulation.processes["s-1"].usable(simulation.now) == set()
 
 
-def test_a_forgotten_deregistration_is_undone_by_a_partitioned_process_until_the_bound():
-    """It brings the older item back to all; that no heartbeats come ends that after the bound."""
-    world = world_that_serves()
-    world.partitioned = {"s-2"}
-    server = world.servers[0]
+def test_a_lost_deregistration_is_undone_by_a_partitioned_process_for_a_bounded_time():
+    """The process reintroduces the older item, until missing heartbeats make the server unusable."""
+    simulation = serving_simulation()
+    simulation.partitioned = {"s-2"}
+    server = simulation.servers[0]
     server.state = ServerState.DEPARTED
     for node in CONTROLS:
-        control = world.processes[node]
-        control.take([control.heartbeats.deregister(server.instance, control.catalog)], world.now)
-    world.forget_all()
-    world.partitioned = set()
-    healed_at = world.now
+        control = simulation.processes[node]
+        control.merge([control.heartbeats.deregister(server.instance, control.catalog)], simulation.now)
+    simulation.restart_all_processes()
+    simulation.partitioned = set()
+    healed_at = simulation.now
     for node in CONTROLS:
-        world.compare(world.processes["s-2"], world.processes[node])
-    world.compare(world.processes["c-1"], world.processes["s-1"])
-    assert is_used(world, server, "s-1")  # requests find no connection there, or another incarnation (421)
-    while is_used(world, server, "s-1"):
-        world.tick()
+        simulation.reconcile(simulation.processes["s-2"], simulation.processes[node])
+    simulation.reconcile(simulation.processes["c-1"], simulation.processes["s-1"])
+    assert is_used(simulation, server, "s-1")  # requests fail to connect, or reach another incarnation (421)
+    while is_used(simulation, server, "s-1"):
+        simulation.tick()
         for node in (*CONTROLS, "s-2"):
-            world.compare(world.processes[node], world.processes["s-1"])
-    assert world.now - healed_at <= MAX_MISSED_HEARTBEATS * HEARTBEAT_S + 0.5
+            simulation.reconcile(simulation.processes[node], simulation.processes["s-1"])
+    assert simulation.now - healed_at <= MAX_MISSED_HEARTBEATS * HEARTBEAT_S + 0.5
--- a/tests/dissemination/test_ownership.py
+++ b/tests/dissemination/test_ownership.py
@@ -1,4 +1,4 @@
-"""Owners and successors: all processes that know of the same members name the same one."""
+"""Owners and successors: all processes that know the same members compute the same one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 def test_all_processes_agree_on_one_successor_of_a_member_that_is_down():
     members = [member(f"c-{n}") for n in range(4)] + [member("s-1", "sidecar")]
-    assert successor_of("c-2", members, "control") is None, "it is there"
+    assert successor_of("c-2", members, "control") is None, "the member is live"
     down = [*members[:2], member("c-2", availability=Availability.DOWN), *members[3:]]
     successor = successor_of("c-2", down, "control")
     assert successor in {"c-0", "c-1", "c-3"}
--- a/tests/dissemination/test_suspicion.py
+++ b/tests/dissemination/test_suspicion.py
@@ -1,4 +1,4 @@
-"""A member is declared down only once no process that was asked can reach it."""
+"""A member is declared down only if no probed process can reach it."""
 
 from __future__ import annotations
 
@@ -21,11 +21,14 @@
 
 def test_all_processes_agree_on_the_few_monitors_of_a_member():
     monitors = {node: monitors_of(node, NODES) for node in NODES}
-    assert all(len(by) == MONITORS_PER_NODE and node not in by for node, by in monitors.items())
+    assert all(
+        len(monitoring) == MONITORS_PER_NODE and node not in monitoring
+        for node, monitoring in monitors.items()
+    )
     assert monitors_of(LOST_NODE, reversed(NODES)) == monitors[LOST_NODE]
 
 
-def test_a_member_that_nobody_reaches_is_down_once_indirect_probes_time_out():
+def test_a_member_that_no_process_reaches_is_down_once_indirect_probes_time_out():
     suspicion = Suspicion()
     assert suspicion.tick(MONITORED, LINKED, 0.0).probe == ()
     assert suspicion.tick(MONITORED, LINKED, SUSPICION_TIMEOUT_S - 0.1).probe == ()
