--- a/tests/peer/peers.py
+++ b/tests/peer/peers.py
@@ -1,4 +1,4 @@
-"""Connections and meshes over loopback, for the tests of this folder."""
+"""Helpers that create connections and meshes over loopback."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Receiver:
-    """A server that takes one connection, and what comes over it."""
+    """A server for one connection that records received messages."""
 
     def __init__(self) -> None:
         self.received: list[object] = []
@@ -29,7 +29,7 @@
 
 @contextlib.asynccontextmanager
 async def connected() -> AsyncIterator[tuple[Receiver, asyncio.StreamReader, asyncio.StreamWriter]]:
-    """A receiver, and a stream to it over loopback."""
+    """Start a receiver and connect a stream to it over loopback."""
     receiver = Receiver()
     server = await asyncio.start_server(receiver.serve, "127.0.0.1", 0)
     reader, writer = await asyncio.open_connection(*server.sockets[0].getsockname())
@@ -40,18 +40,18 @@
         server.close()
 
 
-def quiet_mesh(name: str, on_message=lambda link, message: None) -> Mesh:
-    """A mesh of a process that listens nowhere yet, and only hands over messages."""
+def make_mesh(name: str, on_message=lambda link, message: None) -> Mesh:
+    """Create a mesh that does not listen yet and ignores new links."""
     return Mesh(Hello(name, ""), on_message, lambda link: None)
 
 
 async def listen(mesh: Mesh) -> str:
-    """Let a mesh listen on a free port of loopback; HOST:PORT."""
+    """Let a mesh listen on a free loopback port, and return its HOST:PORT."""
     await mesh.listen(Address("127.0.0.1", 0))
     return address_of(mesh)
 
 
 def address_of(mesh: Mesh) -> str:
-    """HOST:PORT that a mesh listens at."""
+    """Return HOST:PORT that a mesh listens on."""
     assert mesh._server is not None
     return f"127.0.0.1:{mesh._server.sockets[0].getsockname()[1]}"
--- a/tests/peer/test_connection.py
+++ b/tests/peer/test_connection.py
@@ -1,4 +1,4 @@
-"""Connections between processes: messages come as they were sent, and what is none ends the connection."""
+"""Connections between processes: messages arrive unchanged, and invalid bytes end the connection."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 @loopback
-async def test_short_and_long_messages_come_as_they_were_sent():
+async def test_short_and_long_messages_arrive_unchanged():
     messages = [Want(("a",)), Want(tuple(f"server/i-{n}" for n in range(500))), Hello("n", "p")]
     async with connected() as (receiver, reader, writer):
         connection = Connection(reader, writer)
@@ -32,7 +32,7 @@
 
 
 @loopback
-async def test_both_sides_are_closed_once_one_has_ended_the_connection():
+async def test_both_sides_are_closed_once_one_has_closed_the_connection():
     async with connected() as (receiver, reader, writer):
         connection = Connection(reader, writer)
         assert connection.state is ConnectionState.HANDSHAKE
@@ -47,14 +47,14 @@
 @pytest.mark.parametrize(
     "data",
     [
-        b"\x00\x00\x00\x01x",  # no CBOR
-        encode(Want(("a",)))[:-1],  # no frame
-        struct.pack(">I", (1 << 31) | 3) + b"abc",  # not compressed
+        b"\x00\x00\x00\x01x",  # not CBOR
+        encode(Want(("a",)))[:-1],  # not a frame
+        struct.pack(">I", (1 << 31) | 3) + b"abc",  # not compressed data
         struct.pack(">I", frames_module.MAX_FRAME_BYTES + 1),
     ],
 )
 @loopback
-async def test_bytes_that_are_no_frame_end_the_connection(data):
+async def test_invalid_bytes_end_the_connection(data):
     async with connected() as (receiver, _, writer):
         writer.write(data)
         writer.write_eof()
@@ -62,7 +62,7 @@
 
 
 @loopback
-async def test_an_unresponsive_peer_is_given_up_after_the_time_out(monkeypatch):
+async def test_the_connection_to_an_unresponsive_peer_ends_after_the_timeout(monkeypatch):
     monkeypatch.setattr(connection_module, "PEER_TIMEOUT_S", 0.05)
     async with connected() as (receiver, _, writer):
         writer.write(encode_frame(encode(Want(("a",))))[:-1])
@@ -70,14 +70,14 @@
 
 
 @loopback
-async def test_a_long_frame_may_take_longer_than_the_time_out(monkeypatch):
-    """On a thin link, where its bytes come little by little."""
+async def test_a_long_frame_may_take_longer_than_the_timeout(monkeypatch):
+    """On a slow link, the bytes of a frame arrive little by little."""
     monkeypatch.setattr(connection_module, "PEER_TIMEOUT_S", 0.2)
     message = Want(tuple(f"server/{random.random()}" for _ in range(200)))
     data = encode_frame(encode(message))
     step = len(data) // 8
     async with connected() as (receiver, _, writer):
-        for at in range(0, len(data), step):
-            writer.write(data[at : at + step])
+        for start in range(0, len(data), step):
+            writer.write(data[start : start + step])
             await asyncio.sleep(0.05)
         await until(lambda: receiver.received == [message])
--- a/tests/peer/test_gossip.py
+++ b/tests/peer/test_gossip.py
@@ -1,4 +1,4 @@
-"""Dissemination over real links: whole items, deltas, offers that are requested, digests for latecomers."""
+"""Dissemination over links: full items, deltas, offers that are requested, and digests on a new link."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Process:
-    """One process's mesh and gossip, without a role."""
+    """The mesh and the gossip of one process, without a role."""
 
     def __init__(self, name: str) -> None:
         self.mesh = Mesh(
@@ -41,8 +41,8 @@
         return control.sequence if control else 0
 
 
-class Linked:
-    """Processes of which each is linked to all others."""
+class LinkedProcesses:
+    """Processes in a full mesh."""
 
     def __init__(self, *names: str) -> None:
         self.processes = [Process(name) for name in names]
@@ -60,15 +60,15 @@
             await process.mesh.close()
 
 
-async def within(seconds, condition):
-    """Wait until a condition holds, at most so many s of the (virtual) clock."""
-    async with asyncio.timeout(seconds):
+async def within(timeout_s, condition):
+    """Wait until a condition holds, for at most `timeout_s` of the virtual clock."""
+    async with asyncio.timeout(timeout_s):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 def record_framed_kinds(monkeypatch):
-    """Return a list to which the kind of each message that is framed is added."""
+    """Return a list that collects the type name of each framed message."""
     kinds = []
     frame_message = gossip_module.frame_message
     monkeypatch.setattr(
@@ -79,25 +79,27 @@
     return kinds
 
 
-def test_a_change_reaches_all_processes_and_travels_as_a_delta(monkeypatch):
+def test_a_change_reaches_all_processes_as_a_delta(monkeypatch):
     kinds = record_framed_kinds(monkeypatch)
 
     @virtual
     async def run():
-        async with Linked("one", "two", "three") as processes:
+        async with LinkedProcesses("one", "two", "three") as processes:
             for sequence in (1, 2, 3):
                 processes[sequence % 3].gossip.publish([control_update(sequence)])
                 await within(1.0, lambda s=sequence: all(p.sequence == s for p in processes))
             assert {process.gossip.catalog.control for process in processes} == {control_update(3).value}
 
     run()
-    assert kinds.count("Update") <= 4, "only the first one is sent whole: twice, and crosses once each way"
+    assert kinds.count("Update") <= 4, (
+        "only the first is sent in full: twice, and once each way where the copies cross"
+    )
     assert kinds.count("ControlDelta") >= 4
 
 
 @virtual
 async def test_an_item_that_is_only_offered_over_a_link_is_requested():
-    async with Linked("one", "two") as (one, two):
+    async with LinkedProcesses("one", "two") as (one, two):
         one.gossip._broadcast.on_message(Prune(), ["two"], 0.0, "two")
         one.gossip.publish([control_update(1)])
         await asyncio.sleep(OFFER_DELAY_S / 2)
@@ -108,8 +110,8 @@
 
 
 @virtual
-async def test_a_process_that_links_up_later_gets_what_it_has_missed():
-    async with Linked("one", "two") as (one, _):
+async def test_a_process_that_links_up_later_receives_missed_items():
+    async with LinkedProcesses("one", "two") as (one, _):
         one.gossip.publish([control_update(1)])
         late = Process("late")
         await listen(late.mesh)
@@ -120,7 +122,7 @@
 
 @virtual
 async def test_a_process_refutes_that_it_is_down():
-    async with Linked("one", "two") as (one, two):
+    async with LinkedProcesses("one", "two") as (one, two):
         one.gossip.announce(one.gossip.me)
         await within(1.0, lambda: two.gossip.catalog.get("member/one") is not None)
         item = two.gossip.catalog.get("member/one")
--- a/tests/peer/test_mesh.py
+++ b/tests/peer/test_mesh.py
@@ -1,4 +1,4 @@
-"""Meshes: processes link up, notice that one has gone, and end without waiting for anyone."""
+"""Meshes: processes link up, detect that a peer has ended, and close without waiting for peers."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from fordtrestle.dissemination.messages import Want
 from tests.exchanges import loopback, until
-from tests.peer.peers import listen, quiet_mesh
+from tests.peer.peers import listen, make_mesh
 
 
 @loopback
-async def test_a_fault_in_handling_a_message_does_not_end_the_link():
+async def test_an_exception_in_the_message_handler_does_not_end_the_link():
     received = []
 
     def handle(link, message):
         received.append(message)
         if len(received) == 1:
-            raise ValueError("a fault of ours")
+            raise ValueError("the handler fails")
 
-    one, other = quiet_mesh("one"), quiet_mesh("other", handle)
+    one, other = make_mesh("one"), make_mesh("other", handle)
     one.dial([await listen(other)])
     await until(lambda: one.links())
     one.link("other").send(Want(("a",)))
@@ -29,13 +29,13 @@
 
 
 @loopback
-async def test_processes_link_up_and_notice_that_one_has_ended():
+async def test_processes_link_up_and_detect_that_a_peer_has_ended():
     received = []
 
     def handle(link, message):
         received.append((link.node, message))
 
-    one, other = quiet_mesh("one", handle), quiet_mesh("other", handle)
+    one, other = make_mesh("one", handle), make_mesh("other", handle)
     address = await listen(other)
     one.dial([address])
     await until(lambda: one.links() and other.links())
@@ -50,19 +50,19 @@
 
 
 @loopback
-async def test_links_that_are_coming_up_do_not_hold_up_the_end():
-    """One whose machine says nothing, one that nobody listens for, one that has not said who it is."""
-    mesh = quiet_mesh("one")
+async def test_connections_before_their_handshake_do_not_delay_closing():
+    """A dial to a silent machine, a dial to a closed port, and an accepted connection without a hello."""
+    mesh = make_mesh("one")
     await listen(mesh)
     accepted = asyncio.Event()
 
-    async def say_nothing(reader, writer):
+    async def accept_silently(reader, writer):
         accepted.set()
         await reader.read()
         writer.close()
 
-    unresponsive = await asyncio.start_server(say_nothing, "127.0.0.1", 0)
-    absent = await asyncio.start_server(say_nothing, "127.0.0.1", 0)
+    unresponsive = await asyncio.start_server(accept_silently, "127.0.0.1", 0)
+    absent = await asyncio.start_server(accept_silently, "127.0.0.1", 0)
     ports = [server.sockets[0].getsockname()[1] for server in (unresponsive, absent)]
     absent.close()
     mesh.dial([f"127.0.0.1:{port}" for port in ports])
@@ -78,18 +78,18 @@
 
 
 @loopback
-async def test_a_link_that_is_cancelled_as_the_process_ends_is_not_logged_as_a_fault():
-    """Two sides that close at once may not notice each other in time; what is left is cancelled."""
-    faults = []
-    asyncio.get_running_loop().set_exception_handler(lambda loop, context: faults.append(context))
-    one, other = quiet_mesh("one"), quiet_mesh("other")
+async def test_a_link_that_is_cancelled_at_process_exit_is_not_logged_as_an_error():
+    """Two sides that close at the same time may miss the other's close; the remaining task is cancelled."""
+    errors = []
+    asyncio.get_running_loop().set_exception_handler(lambda loop, context: errors.append(context))
+    one, other = make_mesh("one"), make_mesh("other")
     one.dial([await listen(other)])
     await until(lambda: one.links() and other.links())
     (accepted,) = other._accepted
     accepted.cancel()
     await asyncio.wait([accepted])
     await asyncio.sleep(0)
-    assert not faults
+    assert not errors
     assert not accepted.cancelled()
     await one.close()
     await other.close()
--- a/tests/peer/test_protocol.py
+++ b/tests/peer/test_protocol.py
@@ -44,7 +44,7 @@
     assert states == [handshake, opened, closed, closed]
 
 
-def test_messages_come_as_events_and_keepalives_as_none(protocol):
+def test_messages_are_events_and_keepalives_are_skipped(protocol):
     protocol.receive_data(KEEPALIVE_FRAME + WANT + KEEPALIVE_FRAME + WANT[:-1])
     assert protocol.next_event() == MessageReceived(Want(("a",)))
     assert protocol.next_event() is None
@@ -67,7 +67,7 @@
         protocol.next_event()
 
 
-def test_a_payload_that_is_no_message_raises_an_error_of_this_layer(protocol):
+def test_a_payload_that_is_not_a_message_raises_an_error_of_the_peer_layer(protocol):
     protocol.open()
     protocol.receive_data(encode_frame(b"\xff"))
     with pytest.raises(CodecError) as raised:
@@ -75,7 +75,7 @@
     assert isinstance(raised.value, PeerError)
 
 
-def test_a_connection_is_idle_once_nothing_was_sent_for_the_interval(protocol):
+def test_a_connection_is_idle_if_nothing_was_sent_for_the_keepalive_interval(protocol):
     assert not protocol.is_idle(10.0 + KEEPALIVE_S / 2)
     assert protocol.is_idle(10.0 + KEEPALIVE_S)
     protocol.on_sent(10.0 + KEEPALIVE_S)
@@ -83,13 +83,13 @@
     assert protocol.keepalive_due_at == 10.0 + KEEPALIVE_S + KEEPALIVE_S
 
 
-def test_a_hello_of_another_process_gives_the_version_to_speak():
+def test_a_hello_of_another_process_determines_the_version():
     theirs = Hello("there", "127.0.0.1:2", 2, 1)
     assert accept_hello(Hello("here", "127.0.0.1:1", 3, 2), theirs) == (theirs, 2)
 
 
 @pytest.mark.parametrize("message", [Want(("a",)), Hello("here", "127.0.0.1:2", 3, 2)])
-def test_no_hello_and_our_own_hello_are_rejected(message):
+def test_another_message_and_our_own_hello_are_rejected(message):
     with pytest.raises(HandshakeError):
         accept_hello(Hello("here", "127.0.0.1:1", 3, 2), message)
 
--- a/tests/peer/test_replicator.py
+++ b/tests/peer/test_replicator.py
@@ -1,4 +1,4 @@
-"""The disk under a node: nothing is sent before it is synced, nothing it refuses is lost or doubled."""
+"""The disk of a node: no write is committed before it is synced, and failed writes are applied once."""
 
 from __future__ import annotations
 
@@ -25,25 +25,25 @@
 
 
 class Disk(RecordLog):
-    """A log whose appends wait until they may go on, and are refused a number of times."""
+    """A log whose appends can be blocked, and can fail a number of times."""
 
     def __init__(self, folder):
         super().__init__(folder)
-        self.refusals = 0
-        self.may_go_on = threading.Event()
-        self.may_go_on.set()
+        self.failures = 0
+        self.may_append = threading.Event()
+        self.may_append.set()
 
     def append(self, payloads):
-        self.may_go_on.wait(10)
-        if self.refusals:
-            self.refusals -= 1
-            raise StorageError("full")
+        self.may_append.wait(10)
+        if self.failures:
+            self.failures -= 1
+            raise StorageError("disk full")
         super().append(payloads)
 
 
 @contextlib.asynccontextmanager
-async def stage(folder):
-    """A store that stands alone, and its disk."""
+async def running_store(folder):
+    """Run a single store, and yield its replicator and disk."""
     disk = Disk(folder)
     disk.open()
     node = Node(
@@ -56,20 +56,20 @@
     )
     mesh = Mesh(Hello("core-1", "127.0.0.1:1"), lambda link, message: None, lambda link: None)
     replicator = Replicator(node, disk, mesh, lambda peer: True, lambda: None)
-    running = asyncio.create_task(replicator.run())
+    run_task = asyncio.create_task(replicator.run())
     await until(lambda: node.is_ready)
     try:
         yield replicator, disk
     finally:
-        disk.may_go_on.set()
-        running.cancel()
+        disk.may_append.set()
+        run_task.cancel()
         with contextlib.suppress(asyncio.CancelledError):
-            await running
+            await run_task
         disk.close()
 
 
 def write(replicator, zone):
-    """Propose an evacuation; the write that is pending."""
+    """Propose an evacuation, and return the pending write."""
     pending = replicator.node.propose(Evacuation(zone, True), replicator.now())
     replicator.pump()
     return pending
@@ -83,37 +83,37 @@
 
 
 @loopback
-async def test_a_write_is_not_committed_before_the_disk_has_it(tmp_path):
-    async with stage(tmp_path) as (replicator, disk):
-        disk.may_go_on.clear()
+async def test_a_write_is_not_committed_before_it_is_on_disk(tmp_path):
+    async with running_store(tmp_path) as (replicator, disk):
+        disk.may_append.clear()
         assert write(replicator, "z-1")
         await until(lambda: replicator._writer.is_syncing)
         assert replicator.node.committed_state.sequence == 0
-        disk.may_go_on.set()
+        disk.may_append.set()
         await until(lambda: replicator.node.committed_state.sequence == 1)
         assert state_on_disk(tmp_path).evacuated == ("z-1",)
 
 
-@pytest.mark.parametrize("refusals", [1, 3])
+@pytest.mark.parametrize("failures", [1, 3])
 @loopback
-async def test_writes_that_the_disk_refused_at_first_are_applied_once(tmp_path, monkeypatch, refusals):
+async def test_writes_that_fail_at_first_are_applied_once(tmp_path, monkeypatch, failures):
     monkeypatch.setattr(record_writer_module, "DISK_RETRY_S", 0.01)
-    async with stage(tmp_path) as (replicator, disk):
-        disk.refusals = refusals
-        disk.may_go_on.clear()
+    async with running_store(tmp_path) as (replicator, disk):
+        disk.failures = failures
+        disk.may_append.clear()
         write(replicator, "z-1")
-        await until(lambda: replicator._writer.is_syncing)  # the second waits behind the first
+        await until(lambda: replicator._writer.is_syncing)  # so the second write waits for the first
         write(replicator, "z-2")
-        disk.may_go_on.set()
+        disk.may_append.set()
         await until(lambda: replicator.node.committed_state.sequence == 2)
     state = state_on_disk(tmp_path)
     assert (state.sequence, state.evacuated) == (2, ("z-1", "z-2"))
 
 
 @loopback
-async def test_a_long_file_is_rewritten_and_nothing_is_lost(tmp_path, monkeypatch):
+async def test_a_long_log_is_rewritten_without_losing_writes(tmp_path, monkeypatch):
     monkeypatch.setattr(record_writer_module, "MIN_REWRITE_BYTES", 400)
-    async with stage(tmp_path) as (replicator, disk):
+    async with running_store(tmp_path) as (replicator, disk):
         for number in range(60):
             write(replicator, f"z-{number % 3}")
             await until(lambda number=number: replicator.node.committed_state.sequence == number + 1)
@@ -124,7 +124,7 @@
 
 @loopback
 async def test_a_message_to_an_earlier_store_of_this_machine_is_dropped(tmp_path):
-    async with stage(tmp_path) as (replicator, _):
+    async with running_store(tmp_path) as (replicator, _):
         term = Term(99, "s9")
         replicator.on_message(Envelope("s9", "s0", Prepare(term)))
         assert replicator.node.durable.prepared_term < term
--- a/tests/peer/test_store_links.py
+++ b/tests/peer/test_store_links.py
@@ -1,4 +1,4 @@
-"""Links to stores: which are reported as lost, and for how long."""
+"""Links to stores: when a store is reported as lost, and for how long."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
     return links
 
 
-def test_a_store_is_lost_once_its_link_has_been_down_for_the_time_out(links):
+def test_a_store_is_lost_once_its_link_has_been_down_for_the_timeout(links):
     assert links.find_lost({ADDRESS}, 0.0) == []
     assert links.find_lost((), 1.0) == []
     assert links.find_lost((), 1.0 + LINK_LOST_TIMEOUT_S / 2) == []
     assert links.find_lost((), 1.0 + LINK_LOST_TIMEOUT_S) == ["s1"]
-    assert links.find_lost((), 2.0) == ["s1"], "until a link is up again"
+    assert links.find_lost((), 2.0) == ["s1"], "reported until a link is up again"
 
 
-def test_a_link_that_comes_back_in_time_starts_the_time_out_anew(links):
+def test_a_link_that_comes_back_in_time_restarts_the_timeout(links):
     links.find_lost((), 1.0)
     links.find_lost({ADDRESS}, 1.1)
     assert links.find_lost((), 1.2) == []
