--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -15,12 +15,12 @@
 from tests.proxy.daemon.test_process import ROOT, environment
 
 
-def run(*words, env=None):
-    """The program, run to its end."""
-    kept = {name: value for name, value in os.environ.items() if not name.startswith("NODE_")}
+def run(*arguments, env=None):
+    """Run the program and return the completed process."""
+    inherited = {name: value for name, value in os.environ.items() if not name.startswith("NODE_")}
     return subprocess.run(
-        [sys.executable, "-m", "fordtrestle", *words],
-        env=env or kept,
+        [sys.executable, "-m", "fordtrestle", *arguments],
+        env=env or inherited,
         cwd=ROOT,
         capture_output=True,
         text=True,
@@ -58,15 +58,15 @@
 
 def test_check_prints_the_same_as_json(good, bad, capsys):
     assert cli.main(["check", "--json", str(bad)]) == 2
-    told = json.loads(capsys.readouterr().out)
-    assert (told["file"], told["good"]) == (str(bad), False)
-    assert told["errors"][1] == {
+    report = json.loads(capsys.readouterr().out)
+    assert (report["file"], report["good"]) == (str(bad), False)
+    assert report["errors"][1] == {
         "at": "front.web.protocol",
         "reason": 'expected one of http, not "htp"',
     }
     assert cli.main(["check", str(good), "--json"]) == 0
-    told = json.loads(capsys.readouterr().out)
-    assert (told["good"], told["errors"], told["services"]) == (True, [], ["shop"])
+    report = json.loads(capsys.readouterr().out)
+    assert (report["good"], report["errors"], report["services"]) == (True, [], ["shop"])
 
 
 def test_check_for_the_platform_accepts_only_limits(good, tmp_path, capsys):
@@ -83,38 +83,38 @@
 )
 def test_unknown_commands_and_bad_usage_are_bad_input(arguments, capsys):
     assert cli.main(arguments) == 2
-    said = capsys.readouterr()
-    assert said.err
-    assert not said.out
+    printed = capsys.readouterr()
+    assert printed.err
+    assert not printed.out
 
 
 def test_help_names_every_command(capsys):
     assert cli.main(["--help"]) == 0
-    told = capsys.readouterr().out
-    assert all(command in told for command in COMMANDS)
+    help_text = capsys.readouterr().out
+    assert all(command in help_text for command in COMMANDS)
     for command in COMMANDS:
         assert cli.main([command, "--help"]) == 0
         assert COMMANDS[command] in capsys.readouterr().out
 
 
-def test_serve_does_not_start_from_an_invalid_file_nor_where_it_cannot_listen(good, bad):
-    done = run("serve", str(bad))
-    assert (done.returncode, len(done.stderr.splitlines())) == (2, 2)
-    good.write_text(GOOD.replace("127.0.0.1:8080", "192.0.2.1:8080"))  # of no machine (RFC 5737)
-    done = run("serve", str(good))
-    assert (done.returncode, len(done.stderr.splitlines())) == (1, 1)
-    assert "can't start" in done.stderr
+def test_serve_does_not_start_with_an_invalid_file_or_if_it_cannot_listen(good, bad):
+    completed = run("serve", str(bad))
+    assert (completed.returncode, len(completed.stderr.splitlines())) == (2, 2)
+    good.write_text(GOOD.replace("127.0.0.1:8080", "192.0.2.1:8080"))  # belongs to no machine (RFC 5737)
+    completed = run("serve", str(good))
+    assert (completed.returncode, len(completed.stderr.splitlines())) == (1, 1)
+    assert "can't start" in completed.stderr
 
 
 def test_on_the_platform_an_operator_file_may_hold_only_limits(good, tmp_path):
-    done = run("--operator", str(good), env=environment(tmp_path))
-    assert done.returncode == 2
-    rows = done.stderr.splitlines()
+    completed = run("--operator", str(good), env=environment(tmp_path))
+    assert completed.returncode == 2
+    rows = completed.stderr.splitlines()
     assert [row.split(": ")[1] for row in rows] == ["front", "service", "source"]
     assert all("only [limits]" in row for row in rows)
 
 
-LOADED = """
+PRINT_LOADED_MODULES = """
 import sys
 from fordtrestle import __main__
 from fordtrestle.proxy.daemon import runner
@@ -126,17 +126,17 @@
 
 
 def test_without_arguments_no_module_of_the_command_line_or_of_operator_files_is_loaded(tmp_path):
-    """Guards against memory that each of many sidecars would pay for what none of them uses."""
-    done = subprocess.run(
-        [sys.executable, "-c", LOADED],
+    """Guards against memory use of modules that sidecars do not need, which every one of many would have."""
+    completed = subprocess.run(
+        [sys.executable, "-c", PRINT_LOADED_MODULES],
         env=environment(tmp_path),
         cwd=ROOT,
         capture_output=True,
         text=True,
         timeout=60,
     )
-    assert done.returncode == 0, done.stderr
-    loaded = set(done.stdout.split())
+    assert completed.returncode == 0, completed.stderr
+    loaded = set(completed.stdout.split())
     assert {"fordtrestle.proxy.daemon.sidecar", "fordtrestle.proxy.config.platform_config"} <= loaded
     unwanted = {"argparse", "tomllib", "difflib", "ipaddress", "fordtrestle.cli"}
     ours = {"operator_file", "operator_options", "limits_table", "services", "fronts", "sources", "changes"}
@@ -147,7 +147,7 @@
     assert not loaded & unwanted
 
 
-SERVES = """
+PRINT_MODULES_OF_SERVER = """
 import asyncio, sys
 from fordtrestle import __main__
 from fordtrestle.proxy.daemon import runner
@@ -159,19 +159,19 @@
 """
 
 
-def serving(*words, code=SERVES, env=None):
-    """What is loaded once all of the program is made, and how it ended."""
-    command = [sys.executable, "-c", code, *words]
-    done = subprocess.run(command, env=env, cwd=ROOT, capture_output=True, text=True, timeout=60)
-    return set(done.stdout.split()), done
+def serving(*arguments, code=PRINT_MODULES_OF_SERVER, env=None):
+    """Return the modules that are loaded once the program is set up, and the completed process."""
+    command = [sys.executable, "-c", code, *arguments]
+    completed = subprocess.run(command, env=env, cwd=ROOT, capture_output=True, text=True, timeout=60)
+    return set(completed.stdout.split()), completed
 
 
 def test_modules_of_events_and_state_are_loaded_only_where_they_are_configured(good, tmp_path):
-    """Guards against memory for what is off, and against libraries that are an extra."""
+    """Guards against memory use of disabled features, and against imports of optional libraries."""
     extra = {"structlog", "msgspec", "crc32c"}
-    for loaded, done in (serving(env=environment(tmp_path)), serving("serve", str(good))):
-        assert done.returncode == 0, done.stderr
-        assert "fordtrestle.proxy.daemon.process" in loaded, done.stderr
+    for loaded, completed in (serving(env=environment(tmp_path)), serving("serve", str(good))):
+        assert completed.returncode == 0, completed.stderr
+        assert "fordtrestle.proxy.daemon.process" in loaded, completed.stderr
         state = {name for name in loaded if name.startswith("fordtrestle.proxy.state")}
         assert not state
         assert not loaded & {
@@ -179,28 +179,30 @@
             "fordtrestle.proxy.daemon.events",
             "fordtrestle.proxy.membership.endpoint_list",
         }
-    tables = {"state": {"msgspec", "crc32c"}, "events": {"structlog", "msgspec"}}
-    for table, wanted in tables.items():
+    libraries = {"state": {"msgspec", "crc32c"}, "events": {"structlog", "msgspec"}}
+    for table, expected in libraries.items():
         key = "folder" if table == "state" else "file"
         good.write_text(f'{GOOD}[{table}]\n{key} = "{tmp_path}/{table}"\n')
-        loaded, done = serving("serve", str(good))
-        assert loaded & extra == wanted, done.stderr
-        assert done.returncode == 0, done.stderr
+        loaded, completed = serving("serve", str(good))
+        assert loaded & extra == expected, completed.stderr
+        assert completed.returncode == 0, completed.stderr
 
 
 def test_a_missing_library_is_reported_in_one_line(good, tmp_path):
     good.write_text(f'{GOOD}[events]\nfile = "{tmp_path}/events"\n')
-    _, done = serving("serve", str(good), code="import sys; sys.modules['structlog'] = None" + SERVES)
+    _, completed = serving(
+        "serve", str(good), code="import sys; sys.modules['structlog'] = None" + PRINT_MODULES_OF_SERVER
+    )
     line = "can't start: structlog is missing: pip install 'fordtrestle[cluster]'\n"
-    assert (done.returncode, done.stderr) == (1, line)
+    assert (completed.returncode, completed.stderr) == (1, line)
 
 
 def test_a_command_loads_only_its_own_module(good):
     code = "import sys; from fordtrestle import cli; cli.main(['check', sys.argv[1]]); print(*sys.modules)"
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", code, str(good)], cwd=ROOT, capture_output=True, text=True, timeout=60
     )
-    assert "fordtrestle.cli.check" in done.stdout.split()
+    assert "fordtrestle.cli.check" in completed.stdout.split()
     assert not {"fordtrestle.cli.serve", "fordtrestle.proxy.daemon.process", "asyncio"} & set(
-        done.stdout.split()
+        completed.stdout.split()
     )
--- a/tests/cli/test_ctl.py
+++ b/tests/cli/test_ctl.py
@@ -24,29 +24,29 @@
     patch = tmp_path / "patch.json"
     patch.write_text(json.dumps({"generation": 5, "upsert": {"services": [{"name": "other"}]}}))
     async with Stage(tmp_path / "data") as stage:
-        at = ("--control", f"127.0.0.1:{stage.port}")
-        codes = [await run_ctl(*at, "config", "get")]
+        control_option = ("--control", f"127.0.0.1:{stage.port}")
+        codes = [await run_ctl(*control_option, "config", "get")]
         file.write_text(json.dumps(CONFIG))
         codes.append(await run_ctl("config", "check", str(file)))
-        codes.append(await run_ctl(*at, "config", "put", str(file)))
-        codes.append(await run_ctl(*at, "config", "patch", str(patch)))
-        codes.append(await run_ctl(*at, "config", "diff", str(file)))
-        codes.append(await run_ctl(*at, "config", "get"))
-        codes.append(await run_ctl(*at, "config", "put", str(file), "--base", "4"))
+        codes.append(await run_ctl(*control_option, "config", "put", str(file)))
+        codes.append(await run_ctl(*control_option, "config", "patch", str(patch)))
+        codes.append(await run_ctl(*control_option, "config", "diff", str(file)))
+        codes.append(await run_ctl(*control_option, "config", "get"))
+        codes.append(await run_ctl(*control_option, "config", "put", str(file), "--base", "4"))
         async with Client(stage.port) as server:
             await server.exchange(request("POST", "/v1/instances/i-1/heartbeat", json.dumps(HEARTBEAT)))
-        codes.append(await run_ctl(*at, "servers"))
-        codes.append(await run_ctl(*at, "evacuate", "start", "z-1"))
-        codes.append(await run_ctl(*at, "--json", "epoch"))
-        codes.append(await run_ctl(*at, "members"))
+        codes.append(await run_ctl(*control_option, "servers"))
+        codes.append(await run_ctl(*control_option, "evacuate", "start", "z-1"))
+        codes.append(await run_ctl(*control_option, "--json", "epoch"))
+        codes.append(await run_ctl(*control_option, "members"))
     printed = capsys.readouterr()
     assert "\n".join([str(codes), printed.out, printed.err]) == snapshot
 
 
 def test_config_check_prints_all_errors_without_a_control_process(tmp_path, capsys):
     file = tmp_path / "config.json"
-    wrong = {**CONFIG, "routes": [{**CONFIG["routes"][0], "timeout_ms": 0, "backend": None}]}
-    file.write_text(json.dumps(wrong))
+    invalid = {**CONFIG, "routes": [{**CONFIG["routes"][0], "timeout_ms": 0, "backend": None}]}
+    file.write_text(json.dumps(invalid))
     assert cli.main(["ctl", "config", "check", str(file)]) == ctl.BAD_INPUT
     assert len(capsys.readouterr().err.splitlines()) == 2
 
--- a/tests/roles/test_control_leaving.py
+++ b/tests/roles/test_control_leaving.py
@@ -1,4 +1,4 @@
-"""A control process that gets SIGTERM stays until its store is not needed any more."""
+"""A control process that receives SIGTERM keeps running until its store is no longer needed."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass
 class FakeControlProcess:
-    """What `leave` uses of a control process: its node and its replicator."""
+    """Stands in for the node and the replicator that `ControlProcess.leave` uses."""
 
     needed_until: float
     calls: list[str] = field(default_factory=list)
@@ -40,10 +40,10 @@
 
 
 @virtual
-async def test_a_process_that_leaves_announces_it_and_waits_until_others_hold_its_state():
+async def test_a_leaving_process_announces_that_and_waits_until_others_hold_its_state():
     loop = asyncio.get_running_loop()
-    began = loop.time()
-    process = FakeControlProcess(began + NEEDED_S)
+    started_at = loop.time()
+    process = FakeControlProcess(started_at + NEEDED_S)
     await ControlProcess.leave(process)
     assert process.calls == ["leave", "announce", "pump"]
-    assert NEEDED_S <= loop.time() - began < NEEDED_S + 0.1
+    assert NEEDED_S <= loop.time() - started_at < NEEDED_S + 0.1
--- a/tests/roles/test_control_store.py
+++ b/tests/roles/test_control_store.py
@@ -1,4 +1,4 @@
-"""A file of an older format is rewritten as its store is opened: older versions would drop what is added."""
+"""Opening a store rewrites a file of an older format, since older versions would drop new fields from it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from fordtrestle.storage.records import frame
 
 
-def test_a_file_of_an_older_format_names_the_newest_once_its_store_is_open(tmp_path):
+def test_a_file_of_an_older_format_has_the_newest_format_once_its_store_is_open(tmp_path):
     records = [frame(encode(record)) for record in Durable("s1").snapshot()]
     (tmp_path / NAME).write_bytes(frame(MAGIC + b"1") + b"".join(records))
     with RecordLog(tmp_path) as log:
--- a/tests/roles/test_drain.py
+++ b/tests/roles/test_drain.py
@@ -1,4 +1,4 @@
-"""When a sidecar that shuts down announces what, in virtual time, by the situation of its region."""
+"""The timing of a sidecar's drain in virtual time, by the availability of other sidecars in its region."""
 
 from __future__ import annotations
 
@@ -20,77 +20,84 @@
 READY, LEAVING, CLOSING = Availability.READY, Availability.LEAVING, Availability.CLOSING
 STARTING, DOWN = Availability.STARTING, Availability.DOWN
 GRACE_S = 8.0
-SOON_READY_S = 1.5
+CHANGE_AT_S = 1.5  # when the availability of the other sidecar changes
 
 
 class RecordingServer(IngressServer):
-    """An ingress server that records what is asked of it."""
+    """An ingress server that records calls to it."""
 
     def __init__(self, context, limits, record):
         super().__init__(context, limits)
         self._record = record
 
     def begin_closing(self):
-        self._record("answers end connections")
+        self._record("starts closing connections")
         super().begin_closing()
 
     async def drain(self):
-        self._record("takes no request")
+        self._record("stops accepting requests")
         await super().drain()
 
 
 def other(process, availability, name="zz"):
-    """Another sidecar of the region; its name gives it a later turn."""
+    """Return the record of another sidecar of the region, whose name orders it after the draining one."""
     me = process.gossip.me
     return MemberRecord(name, "sidecar", me.zone, me.region, f"{name}:1", f"{name}:80", availability)
 
 
-async def drain_among(others, became=None, was=READY, grace_s=GRACE_S):
-    """What is announced and done, and how many s after SIGTERM."""
+async def drain_among(others, changed_to=None, availability=READY, grace_s=GRACE_S):
+    """Drain a sidecar among others, and return its events with the seconds since SIGTERM.
+
+    Args:
+        others: the availability of the other sidecar; empty if there is none.
+        changed_to: the availability of the other sidecar from `CHANGE_AT_S` on, if it changes.
+        availability: the availability of the draining sidecar before.
+        grace_s: the grace period, in seconds.
+    """
     events = []
     loop = asyncio.get_running_loop()
     process = Process(parse_settings(json.dumps(BOOT)), "sidecar")
-    process.announce(was)
+    process.announce(availability)
 
     def record(text):
         events.append(f"{loop.time() - budget.started_at:.1f} {text}")
 
-    def changed(items):
+    def on_items(items):
         events.extend(
             f"{loop.time() - budget.started_at:.1f} announces {item.value.availability.name}"
             for item in items
             if item.value.node == process.gossip.me.node
         )
 
-    def publish(availability, counter):
-        process.gossip.publish([member_item(other(process, availability), 1, counter)])
+    def publish_other(other_availability, counter):
+        process.gossip.publish([member_item(other(process, other_availability), 1, counter)])
 
-    for availability in others:
-        publish(availability, 1)
+    for other_availability in others:
+        publish_other(other_availability, 1)
     server = RecordingServer(Stage(route()).context, IngressLimits(10, 1000), record)
     budget = ShutdownBudget(grace_s)
-    process.on_items = changed
-    if became is not None:
-        loop.call_later(SOON_READY_S, publish, became, 2)
+    process.on_items = on_items
+    if changed_to is not None:
+        loop.call_later(CHANGE_AT_S, publish_other, changed_to, 2)
     await drain_sidecar(process, server, budget)
     record("drained")
     return events
 
 
-def transcript(closing_s, away_s=3.0):
-    """The events where clients are sent away that late, and have so long to go."""
-    drained_s = closing_s + away_s
+def transcript(closing_s, move_s=3.0):
+    """Return the events if closing starts at `closing_s`, and clients have `move_s` to move elsewhere."""
+    drained_s = closing_s + move_s
     return [
         "0.0 announces LEAVING",
         f"{closing_s:.1f} announces CLOSING",
-        f"{closing_s:.1f} answers end connections",
-        f"{drained_s:.1f} takes no request",
+        f"{closing_s:.1f} starts closing connections",
+        f"{drained_s:.1f} stops accepting requests",
         f"{drained_s:.1f} drained",
     ]
 
 
 @pytest.mark.parametrize(
-    ("others", "became", "expected"),
+    ("others", "changed_to", "expected"),
     [
         ([READY], None, transcript(0.3)),
         ([], None, transcript(0.3)),
@@ -101,23 +108,26 @@
         ([CLOSING], None, transcript(2.7)),
     ],
     ids=[
-        "others are ready",
-        "alone",
-        "others are down",
-        "my turn",
-        "one starts",
-        "one is back",
-        "none comes back",
+        "another is ready",
+        "no others",
+        "another is down",
+        "another leaves later",
+        "another starts",
+        "another returns",
+        "another does not return",
     ],
 )
 @virtual
-async def test_clients_are_sent_away_once_the_region_is_served_without_it(others, became, expected):
-    assert await drain_among(others, became) == expected
+async def test_clients_move_away_once_others_serve_the_region(others, changed_to, expected):
+    assert await drain_among(others, changed_to) == expected
 
 
 @virtual
-async def test_a_sidecar_that_was_never_ready_waits_for_no_clients():
-    assert await drain_among([READY], was=STARTING) == ["0.0 takes no request", "0.0 drained"]
+async def test_a_sidecar_that_was_never_ready_drains_at_once():
+    assert await drain_among([READY], availability=STARTING) == [
+        "0.0 stops accepting requests",
+        "0.0 drained",
+    ]
 
 
 @virtual
--- a/tests/roles/test_metrics.py
+++ b/tests/roles/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics as text, served where the settings name a port."""
+"""Metrics as text, served if the settings name a port."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.settings.test_boot import BOOT
 
 
-def test_metrics_are_rendered_one_a_line_sorted_by_name():
+def test_metrics_are_rendered_one_per_line_sorted_by_name():
     assert render({"b": 2, "a": 1.5, "is_primary": True}) == (
         "fordtrestle_a 1.5\nfordtrestle_b 2\nfordtrestle_is_primary 1\n"
     )
@@ -37,7 +37,7 @@
 
 
 @pytest.mark.parametrize("setting", ["", "nowhere", "99999/metrics", None])
-def test_an_unusable_metrics_setting_is_left_out(setting):
+def test_an_unusable_metrics_setting_is_ignored(setting):
     assert parse_settings(json.dumps({**BOOT, "metrics": setting})).metrics is None
 
 
--- a/tests/roles/test_monitored_nodes.py
+++ b/tests/roles/test_monitored_nodes.py
@@ -1,4 +1,4 @@
-"""Which nodes a process monitors, as the membership changes."""
+"""The nodes that a process monitors, when the membership changes."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 MANY = {f"n-{number}" for number in range(2 * MAX_CHEAP_NODES)}
 
 
-def test_among_few_nodes_each_change_of_the_membership_is_followed_at_once():
+def test_among_few_nodes_a_change_of_the_membership_is_applied_at_once():
     monitored = MonitoredNodes("n-1")
     monitored.update(FEW, 10.0)
     assert monitored.names == monitored_by("n-1", FEW)
@@ -17,7 +17,7 @@
     assert monitored.names == monitored_by("n-1", FEW - {"n-2"})
 
 
-def test_among_many_nodes_a_change_is_followed_once_the_interval_is_over():
+def test_among_many_nodes_a_change_is_applied_once_the_interval_is_over():
     monitored = MonitoredNodes("n-1")
     monitored.update(MANY, 10.0)
     before = monitored.names
--- a/tests/roles/test_paths.py
+++ b/tests/roles/test_paths.py
@@ -1,7 +1,7 @@
-"""Each path that callers are promised, asked of each role on real processes: who answers it, and what.
+"""Every promised path is answered, with an expected status, by each real process of its role.
 
-A path that nobody served was answered 404 by every process, which no test asked for: what was in force, and
-what was tested, were lists of their own. This one is the list of what is in force.
+Guards against a path that is promised but served by no process, which answers it with 404: no test noticed
+while the promised paths and the tested paths were separate lists. `PROMISED` lists all promised paths.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 import json
 
 from rig.system.fleet import until_ready
-from tests.roles.test_processes import play
+from tests.roles.test_processes import run_on_deployment
 
 HOLD = {"holder": "a1", "hold_ms": 500}
 HEARTBEAT = {"backend": "models", "address": "10.0.0.9:1", "zone": "west-1", "state": "ready", "sequence": 1}
 CONTROL, DIRECTORY, READINESS = ("control", "control"), ("control", "directory"), ("sidecar", "readiness")
 
-# Role and endpoint, call, body, and the statuses that are an answer; the primary's own, wherever it is asked.
+# Role and endpoint, call, body, and the expected statuses (the primary's, whichever process is called).
 PROMISED = [
     (CONTROL, "GET /v1/config/get", None, {200}),
     (CONTROL, "POST /v1/config/put", {}, {400, 412}),
@@ -36,8 +36,8 @@
 ]
 
 
-async def ask(session, deployment, promised):
-    """The statuses of a call at each process of a role."""
+async def statuses_of_call(session, deployment, promised):
+    """Return the statuses of a call at each process of its role."""
     (role, endpoint), call, body, _ = promised
     method, _, path = call.partition(" ")
     statuses = set()
@@ -47,20 +47,22 @@
         for _ in range(20):
             async with session.request(method, url, data=data) as answer:
                 await answer.read()
-            if answer.status != 503:  # which asks to come back
+            if answer.status != 503:  # which asks for a retry
                 break
         statuses.add(answer.status)
     return statuses
 
 
-def test_each_path_in_force_is_answered_by_each_process_of_its_role(tmp_path):
+def test_each_promised_path_is_answered_by_each_process_of_its_role(tmp_path):
     async def steps(deployment, session):
         for machine in deployment.of_role("sidecar"):
             await until_ready(session, machine)
-        answered = {call: await ask(session, deployment, row) for row in PROMISED for call in [row[1]]}
+        answered = {
+            call: await statuses_of_call(session, deployment, row) for row in PROMISED for call in [row[1]]
+        }
         unexpected = {
             call: answered[call] for _, call, _, expected in PROMISED if not answered[call] <= expected
         }
         assert not unexpected
 
-    play(tmp_path, steps)
+    run_on_deployment(tmp_path, steps)
--- a/tests/roles/test_processes.py
+++ b/tests/roles/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes of all roles over loopback: what was acknowledged outlives lost machines and disks."""
+"""Real processes of all roles over loopback: acknowledged writes survive the loss of machines and disks."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 PATIENCE_S = 60.0
 
 
-async def read_back(session, deployment):
-    """The configuration as any control process gives it in the end."""
+async def read_configuration(session, deployment):
+    """Return the configuration from the first control process that answers, retrying until one does."""
     while True:
         for region in REGIONS:
             url = f"http://{deployment.machine('control', region).address('control')}/v1/config/get"
@@ -29,7 +29,9 @@
         await asyncio.sleep(0.05)
 
 
-def play(folder, steps):
+def run_on_deployment(folder, steps):
+    """Run `steps` on a deployment with a configuration, and stop the deployment afterwards."""
+
     async def run():
         deployment = Deployment(folder)
         timeout = aiohttp.ClientTimeout(total=3.0)
@@ -45,36 +47,36 @@
 
 
 @pytest.mark.parametrize("wiped", [False, True])
-def test_the_primary_is_lost_and_comes_back(tmp_path, wiped):
+def test_the_configuration_survives_a_restart_of_the_primary(tmp_path, wiped):
     async def steps(deployment, session):
         await until_ready(session, deployment.machine("sidecar", "east"))
-        primary = deployment.machine("control", "west")  # the first seed, which founded
+        primary = deployment.machine("control", "west")  # the first seed, which bootstrapped the core
         await primary.kill()
         if wiped:
             shutil.rmtree(primary.folder / "data")
         await put_configuration(session, deployment, 1, 2)
         await primary.start()
         await put_configuration(session, deployment, 2, 3)
-        assert await read_back(session, deployment) == configuration(3)
+        assert await read_configuration(session, deployment) == configuration(3)
 
-    play(tmp_path, steps)
+    run_on_deployment(tmp_path, steps)
 
 
-def test_all_are_killed_at_once_and_come_back(tmp_path):
+def test_the_configuration_survives_a_restart_of_all_processes(tmp_path):
     async def steps(deployment, session):
         for machine in deployment.machines:
             await machine.kill()
         for machine in reversed(deployment.machines):
             await machine.start()
-        assert await read_back(session, deployment) == configuration(1)
+        assert await read_configuration(session, deployment) == configuration(1)
         await put_configuration(session, deployment, 1, 2)
         for region in REGIONS:
             await until_ready(session, deployment.machine("sidecar", region))
 
-    play(tmp_path, steps)
+    run_on_deployment(tmp_path, steps)
 
 
-def test_a_process_ends_by_sigterm_with_nothing_on_its_log_but_events(tmp_path):
+def test_a_process_that_sigterm_stops_logs_only_events(tmp_path):
     async def steps(deployment, session):
         for region in REGIONS:
             await until_ready(session, deployment.machine("sidecar", region))
@@ -83,4 +85,4 @@
             for line in (machine.folder / "log").read_text().splitlines():
                 assert "message_type" in json.loads(line), line
 
-    play(tmp_path, steps)
+    run_on_deployment(tmp_path, steps)
--- a/tests/roles/test_reports.py
+++ b/tests/roles/test_reports.py
@@ -23,7 +23,7 @@
 
 
 class RecordingLink:
-    """A link that records what is sent on it."""
+    """A link that records sent messages."""
 
     def __init__(self, node):
         self.node = node
@@ -35,7 +35,7 @@
 
 
 def process_among(controls, monkeypatch):
-    """A sidecar with a link to each of these control processes; the links by node."""
+    """Return a sidecar that has a link to each of these control processes, and its links by node."""
     process = Process(parse_settings(json.dumps(BOOT)), "sidecar")
     links = {node: RecordingLink(node) for node in controls}
     for number, node in enumerate(controls):
@@ -45,14 +45,14 @@
     return process, links
 
 
-def lose(process, node):
+def publish_down(process, node):
     item = process.gossip.catalog.get(f"member/{node}")
     record = MemberRecord(node, "control", "z", "r", item.value.peer, "", Availability.DOWN)
     process.gossip.publish([member_item(record, *item.version[:2])])
 
 
 @virtual
-async def test_the_owner_of_a_service_gets_all_reports_and_its_successor_those_after_it(monkeypatch):
+async def test_the_owner_of_a_service_receives_all_reports_and_its_successor_the_later_ones(monkeypatch):
     process, links = process_among(["c-1", "c-2", "c-3"], monkeypatch)
     reporter = OutcomeReporter()
     task = asyncio.create_task(report_outcomes(process, reporter))
@@ -62,7 +62,7 @@
             reporter.record("pool", "i-1", True, now())
             await asyncio.sleep(1.5 * REPORT_INTERVAL_S)
         owners += [node for node, link in links.items() if len(link.sent) == 2]
-        lose(process, owners[-1])
+        publish_down(process, owners[-1])
         for link in links.values():
             assert link.sent in ([], [REPORT, REPORT])
             link.sent.clear()
@@ -84,7 +84,7 @@
 
 
 @virtual
-async def test_a_control_process_hands_reports_to_its_outlier_detector():
+async def test_a_control_process_passes_reports_to_its_outlier_detector():
     class RecordingDetector:
         def __init__(self):
             self.reports = []
--- a/tests/roles/test_settings.py
+++ b/tests/roles/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that change under a running process: seeds are followed, wrong files change nothing."""
+"""Changes of the settings file of a running process: seeds are applied, invalid files are ignored."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
 
 
 @pytest.fixture
-def changed(tmp_path, monkeypatch):
-    """Changes the settings file of a process, lets it look, and gives what it runs with then."""
+def change_settings(tmp_path, monkeypatch):
+    """Return a function that changes a process's settings file and returns the settings after a reload."""
     file = tmp_path / "boot.json"
     file.write_text(json.dumps(BOOT))
     monkeypatch.setenv("FORDTRESTLE_CONFIG", str(file))
@@ -28,13 +28,13 @@
     return change
 
 
-def test_seeds_that_change_are_followed_and_the_rest_waits(changed):
-    boot = changed(json.dumps({**BOOT, "seeds": ["10.9.9.9:1"], "bootstrap": False, "zone": "pen-1"}))
+def test_changed_seeds_are_applied_and_other_settings_are_not(change_settings):
+    boot = change_settings(json.dumps({**BOOT, "seeds": ["10.9.9.9:1"], "bootstrap": False, "zone": "pen-1"}))
     assert boot.seeds == (Address("10.9.9.9", 1),)
     assert boot.zone == BOOT["zone"]
 
 
 @pytest.mark.parametrize("text", ["", "{", json.dumps({**BOOT, "seeds": ["nowhere"]})])
-def test_a_wrong_file_changes_nothing(changed, text):
-    assert changed(text).seeds == (Address("10.1.0.37", 8146),)
-    assert changed(json.dumps({**BOOT, "seeds": ["10.9.9.9:1"]})).seeds == (Address("10.9.9.9", 1),)
+def test_an_invalid_file_is_ignored(change_settings, text):
+    assert change_settings(text).seeds == (Address("10.1.0.37", 8146),)
+    assert change_settings(json.dumps({**BOOT, "seeds": ["10.9.9.9:1"]})).seeds == (Address("10.9.9.9", 1),)
--- a/tests/roles/test_shutdown.py
+++ b/tests/roles/test_shutdown.py
@@ -1,4 +1,4 @@
-"""The shutdown of a process: steps that hang are cut and logged, and nothing outlasts the grace period."""
+"""The shutdown of a process: steps that hang are cancelled and logged, and the grace period is kept."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture
 def logged_steps():
-    """The steps that are logged, by name and fault."""
+    """The names and faults of the logged steps."""
     steps = []
 
     def record(message):
@@ -27,12 +27,12 @@
             steps.append((message["step"], message["fault"]))
 
     eliot.add_destinations(record)
-    steps.clear()  # the first destination is handed what other tests have logged before
+    steps.clear()  # the first destination receives messages that other tests have logged before
     yield steps
     eliot.remove_destination(record)
 
 
-async def fails():
+async def fail():
     raise OSError("the port is gone")
 
 
@@ -40,16 +40,16 @@
 async def _run_steps():
     budget = ShutdownBudget(60.0)
     async with asyncio.timeout(5.0):
-        done = [
+        completed = [
             await budget.run_step("one", asyncio.sleep(0), 1.0),
             await budget.run_step("hangs", asyncio.Event().wait(), 0.01),
-            await budget.run_step("fails", fails(), 1.0),
+            await budget.run_step("fails", fail(), 1.0),
             await budget.run_step("last", asyncio.sleep(0), 1.0),
         ]
-    assert done == [True, False, False, True]
+    assert completed == [True, False, False, True]
 
 
-def test_a_step_that_hangs_or_fails_is_logged_and_the_next_one_is_done(logged_steps):
+def test_a_step_that_hangs_or_fails_is_logged_and_the_next_one_runs(logged_steps):
     _run_steps()
     assert logged_steps == [
         ("one", ""),
@@ -60,7 +60,7 @@
 
 
 @loopback
-async def test_all_steps_together_end_a_margin_before_the_grace_period():
+async def test_all_steps_end_before_the_grace_period_does():
     budget = ShutdownBudget(EXIT_MARGIN_S + 0.05)
     await budget.run_step("hangs", asyncio.Event().wait(), 60.0)
     assert not await budget.run_step("hangs too", asyncio.Event().wait(), 60.0)
@@ -89,9 +89,9 @@
 asyncio.run(run())
 """
     clock = "import time; print(time.monotonic())"
-    ran = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-c", program], cwd=ROOT, capture_output=True, text=True, timeout=10, check=False
     )
-    ended = float(subprocess.run([sys.executable, "-c", clock], capture_output=True, text=True).stdout)
-    assert ran.returncode == 0, ran.stderr
-    assert ended - json.loads(ran.stdout) >= GRACE_S - EXIT_MARGIN_S
+    ended_at = float(subprocess.run([sys.executable, "-c", clock], capture_output=True, text=True).stdout)
+    assert completed.returncode == 0, completed.stderr
+    assert ended_at - json.loads(completed.stdout) >= GRACE_S - EXIT_MARGIN_S
--- a/tests/roles/test_signals.py
+++ b/tests/roles/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals while a role starts, and further ones while it ends."""
+"""Signals during start-up of a role, and repeated signals during its shutdown."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from tests.guards import ROOT
 
 PATIENCE_S = 20.0
-# A run that was started so that it outlives its terminal has SIGHUP ignored, which its children inherit.
-BEGIN = """import signal
+# A test run that outlives its terminal (nohup) ignores SIGHUP, which its children inherit.
+PROLOGUE = """import signal
 signal.signal(signal.SIGHUP, signal.SIG_DFL)
 from tests.guards import take_out; take_out()
 """
-STARTS = f"""{BEGIN}
+START_UP = f"""{PROLOGUE}
 import time
 from fordtrestle.cli.start import install_early_signal_handlers
 install_early_signal_handlers()
 print("started", flush=True)
 time.sleep({PATIENCE_S})
 """
-ROLE = f"""{BEGIN}
+ROLE = f"""{PROLOGUE}
 import signal, sys, types
 from importlib import import_module
 role = types.ModuleType("role")
@@ -33,7 +33,7 @@
 role.ROLE = role
 sys.exit(import_module("fordtrestle.cli.ROLE").run(None))
 """
-ENDS = f"""{BEGIN}
+SHUTDOWN = f"""{PROLOGUE}
 import asyncio, json, os, signal
 from fordtrestle.roles.process import Process
 from fordtrestle.settings.boot import parse_settings
@@ -57,7 +57,7 @@
 
 
 def test_a_starting_process_exits_with_code_0_at_sigterm_and_ignores_sighup():
-    with subprocess.Popen(program(STARTS), cwd=ROOT, stdout=subprocess.PIPE, text=True) as process:
+    with subprocess.Popen(program(START_UP), cwd=ROOT, stdout=subprocess.PIPE, text=True) as process:
         assert process.stdout
         assert process.stdout.readline() == "started\n"
         process.send_signal(signal.SIGHUP)
@@ -67,10 +67,10 @@
 
 @pytest.mark.parametrize("role", ["sidecar", "control"])
 def test_a_role_handles_signals_and_blocks_tls_before_its_libraries_are_loaded(role):
-    ran = subprocess.run(program(ROLE.replace("ROLE", role)), cwd=ROOT, timeout=PATIENCE_S, check=False)
-    assert ran.returncode == 0
+    completed = subprocess.run(program(ROLE.replace("ROLE", role)), cwd=ROOT, timeout=PATIENCE_S, check=False)
+    assert completed.returncode == 0
 
 
-def test_further_signals_do_not_cut_a_shutdown_short():
-    ran = subprocess.run(program(ENDS), cwd=ROOT, timeout=PATIENCE_S, check=False)
-    assert ran.returncode == 0
+def test_repeated_signals_do_not_cut_a_shutdown_short():
+    completed = subprocess.run(program(SHUTDOWN), cwd=ROOT, timeout=PATIENCE_S, check=False)
+    assert completed.returncode == 0
--- a/tests/settings/test_boot.py
+++ b/tests/settings/test_boot.py
@@ -1,4 +1,4 @@
-"""Reading of the settings file: known fields are checked, all faults at once, unknown ones are ignored."""
+"""Reading the settings file: known fields are validated, all errors listed, and unknown fields ignored."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def test_all_faults_are_listed_at_once(snapshot):
-    wrong = {
+    invalid = {
         **BOOT,
         "ip": "nowhere",
         "seeds": ["10.1.0.37"],
@@ -50,9 +50,9 @@
         "heartbeat_ms": 0,
         "fault_tolerance": {"machines": -1},
     }
-    del wrong["node_name"]
+    del invalid["node_name"]
     with pytest.raises(SettingsError) as raised:
-        parse_settings(json.dumps(wrong))
+        parse_settings(json.dumps(invalid))
     assert "\n".join(raised.value.faults) == snapshot
 
 
@@ -81,21 +81,21 @@
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{", '{"node_name": 1e999999}'])
-def test_text_that_is_no_json_object_is_rejected(text):
+def test_text_that_is_not_a_json_object_is_rejected(text):
     with pytest.raises(SettingsError) as raised:
         parse_settings(text)
     assert raised.value.faults
 
 
 @pytest.mark.parametrize("role", ["sidecar", "control"])
-def test_a_process_ends_with_code_2_and_a_line_for_each_fault(role, tmp_path):
+def test_a_process_exits_with_code_2_and_a_line_for_each_fault(role, tmp_path):
     file = tmp_path / "boot.json"
     file.write_text(json.dumps({**BOOT, "ip": "nowhere", "seeds": 3}))
     command = [sys.executable, "-m", "fordtrestle", role]
-    ended = subprocess.run(
+    completed = subprocess.run(
         command, env={"FORDTRESTLE_CONFIG": str(file), "PATH": ""}, capture_output=True, text=True, timeout=60
     )
-    assert ended.returncode == 2
-    lines = ended.stderr.splitlines()
+    assert completed.returncode == 2
+    lines = completed.stderr.splitlines()
     assert len(lines) == 2
     assert all(str(file) in line for line in lines)
