--- a/tests/guards.py
+++ b/tests/guards.py
@@ -94,31 +94,31 @@
         "entry.term == self.installed_term and entry",
         "entry",
     ),
-    "what a disk refused is not told": _removal(
+    "nothing is sent before a failed write is on disk": _removal(
         "peer/record_writer.py",
         "tests/peer",
         "                snapshot = True\n",
         "                break\n",
     ),
-    "the file is rewritten once it is long": _removal(
+    "the log is rewritten once it is long": _removal(
         "peer/record_writer.py",
         "tests/peer",
         "        snapshot = self._log.size > self._rewrite_above_bytes\n",
         "        snapshot = False\n",
     ),
-    "a message to an earlier store is not taken": _removal(
+    "a message to an earlier store is dropped": _removal(
         "peer/replicator.py",
         "tests/peer",
         "        elif message.receiver == self.node.me.id:\n",
         "        else:\n",
     ),
-    "a frame is given up once its peer is silent": _removal(
+    "a connection ends once its peer is silent": _removal(
         "peer/connection.py",
         "tests/peer",
         "        async with asyncio.timeout(PEER_TIMEOUT_S):\n",
         "        async with asyncio.timeout(None):\n",
     ),
-    "a long frame may take its time": _removal(
+    "a long frame may take longer than the timeout": _removal(
         "peer/connection.py",
         "tests/peer",
         "                    on_message(await self.receive())\n",
@@ -509,16 +509,16 @@
         "        except UnknownMessageError as error:\n",
         "        except MemoryError as error:\n",
     ),
-    "a value that is not known is of another version": _removal(
+    "an unknown enum value is of another version": _removal(
         "peer/codec.py",
         "tests/peer",
         "        raise UnknownMessageError(str(error)) from error\n",
         "        raise\n",
     ),
-    "fields of a later version are left out": _removal(
+    "fields of a later version are ignored": _removal(
         "peer/codec.py", "tests/peer", "list(values[: len(wire_type.fields)])", "list(values)"
     ),
-    "no link is up without a version that both sides speak": _removal(
+    "no link is up without a common version": _removal(
         "peer/handshake.py", "tests/peer", "    if version is None:\n", "    if version == -1:\n"
     ),
     "a file of an unknown format is left as it is": _removal(
@@ -592,7 +592,7 @@
         "tests/dissemination/test_forgetting.py",
         "        self._adopt_servers(catalog, now, is_successor_of)\n",
     ),
-    "a final phase outdoes all heartbeats": _removal(
+    "a later phase is newer than all heartbeats": _removal(
         "dissemination/items.py",
         "tests/dissemination/test_forgetting.py",
         "    version = (int(record.phase), sequence, int(record.is_unresponsive))\n",
@@ -639,13 +639,13 @@
         "            return known.version < version\n",
         "            return True\n",
     ),
-    "what is gone stays gone as long as an old word may travel": _removal(
+    "tombstones stay as long as an old message may be in flight": _removal(
         "dissemination/catalog.py",
         "tests/dissemination/test_catalog.py",
         "            self._expires_at[item.key] = now + retention\n",
         "            self._expires_at[item.key] = now\n",
     ),
-    "what was forgotten is not taken back": _removal(
+    "an expired item is not accepted again": _removal(
         "dissemination/catalog.py",
         "tests/dissemination/test_catalog.py",
         "        return key not in self._forgotten or version > self._forgotten[key].version\n",
@@ -657,7 +657,7 @@
         "        staying = context.peers.ids() - context",
         "        staying = context.peers.live(now) - context",
     ),
-    "a member is down only once others were asked": _removal(
+    "an indirect probe that is acknowledged clears a member": _removal(
         "dissemination/suspicion.py",
         "tests/dissemination/test_suspicion.py",
         "        if node in self._suspects:\n",
@@ -713,76 +713,76 @@
         "route.route_type, request.prompt.tokens_out, request.arrived_at):\n",
         "        if False:\n",
     ),
-    "a step that hangs is cut": _removal(
+    "a step that hangs is cancelled": _removal(
         SHUTDOWN,
         SHUTDOWN_TESTS,
         "asyncio.timeout(max(MIN_STEP_S, min(max_s, self.remaining_s())))",
         "asyncio.timeout(None)",
     ),
-    "the process ends whatever hangs": _removal(SHUTDOWN, SHUTDOWN_TESTS, "        watchdog.start()\n"),
-    "a link that is cancelled at the end is no fault": _removal(
+    "the process exits whatever hangs": _removal(SHUTDOWN, SHUTDOWN_TESTS, "        watchdog.start()\n"),
+    "a link that is cancelled at process exit is no error": _removal(
         "peer/mesh.py", "tests/peer", "(*_CONNECTION_ERRORS, asyncio.CancelledError)", "_CONNECTION_ERRORS"
     ),
-    "a control process that ends waits until it is not needed": _removal(
+    "a leaving control process waits until it is not needed": _removal(
         "roles/control_process.py",
         "tests/roles/test_control_leaving.py",
         "        while not self.node.can_leave(loop.time()):\n",
         "        while False:\n",
     ),
-    "a sidecar that drains waits for clients to go": _removal(
+    "a draining sidecar waits for clients to move": _removal(
         DRAIN, DRAIN_TESTS, "asyncio.sleep(CLOSING_TTLS * RESPONSE_TTL_S)", "asyncio.sleep(0)"
     ),
-    "a sidecar that drains serves on for its region": _removal(
+    "a draining sidecar keeps serving its region": _removal(
         DRAIN,
         DRAIN_TESTS,
         '    await budget.run_step("serve on for the region", _wait_for_other_sidecars(process), wait_s)\n',
     ),
-    "a sidecar that shuts down announces it": _removal(
+    "a sidecar that shuts down announces that": _removal(
         DRAIN, DRAIN_TESTS, "    process.announce(Availability.LEAVING)\n"
     ),
-    "a sidecar that closes announces it": _removal(
+    "a sidecar that closes announces that": _removal(
         DRAIN, DRAIN_TESTS, "    process.announce(Availability.CLOSING)\n"
     ),
-    "a process that starts heeds SIGTERM": _removal(
+    "a starting process handles SIGTERM": _removal(
         "cli/start.py",
         SIGNALS,
         "    signal.signal(signal.SIGTERM, lambda *_: os._exit(EXIT_DONE))\n",
         "    pass\n",
     ),
-    "a process that starts heeds no SIGHUP": _removal(
+    "a starting process ignores SIGHUP": _removal(
         "cli/start.py", SIGNALS, "    signal.signal(signal.SIGHUP, signal.SIG_IGN)\n"
     ),
-    "a process that ends heeds no further signal": _removal(
+    "a process that shuts down ignores further signals": _removal(
         "roles/process.py", SIGNALS, "            signal.signal(signal_number, signal.SIG_IGN)\n"
     ),
-    "what was offered and does not come is asked for": _removal(
+    "an offered item that does not arrive is requested": _removal(
         BROADCAST,
         BROADCAST_TESTS,
         "        outgoing = self._request_missing(now)\n",
         "        outgoing: list[OutgoingMessage] = []\n",
     ),
-    "a link that brings what was had before leaves the tree": _removal(
+    "a link that delivers a duplicate is pruned": _removal(
         BROADCAST, BROADCAST_TESTS, "        elif source not in self._pruned:\n", "        elif False:\n"
     ),
-    "a peer that asks is sent news whole from then on": _removal(
+    "a peer that requests an item joins the tree": _removal(
         BROADCAST,
         BROADCAST_TESTS,
         "                self._pruned.discard(source)  # the tree did not deliver to it\n",
         "                pass\n",
     ),
-    "a change of the configuration rests on one version": _removal(
+    "a delta applies only to its base": _removal(
         DELTA, DELTA_TESTS, "    if old.sequence != delta.base:\n", "    if False:\n"
     ),
-    "a change that leads to too large a document is refused": _removal(
+    "a delta that produces too large a document is rejected": _removal(
         DELTA, DELTA_TESTS, "    if sum(map(_length, delta.parts)) > MAX_DOCUMENT_BYTES:\n", "    if False:\n"
     ),
-    "what was forgotten is asked for from nobody": _removal(
+    "an expired item is not requested": _removal(
         BROADCAST,
         BROADCAST_TESTS,
         "            if self._catalog.lacks(key, version):\n",
         "            if True:\n",
     ),
-    "the whole is asked for from one at a time": _removal(
+    "a missing item is requested from one peer at a time": _removal(
         MISSING_ITEMS, DELTA_TESTS, "        if not missing.requested_from:\n", "        if True:\n"
     ),
     "a connection that cannot be adopted is closed": _removal(
@@ -791,7 +791,7 @@
         "            except OSError:\n                connection.close()",
         "            except ValueError:\n                connection.close()",
     ),
-    "what a change leads to is what was acknowledged": _removal(
+    "a delta has to produce the document that it was made for": _removal(
         DELTA, DELTA_TESTS, "    if zlib.crc32(document) != delta.checksum:\n", "    if False:\n"
     ),
     "a request that waited beyond its deadline is rejected": _removal(
--- a/tests/rig/system/planted.py
+++ b/tests/rig/system/planted.py
@@ -33,8 +33,8 @@
     "a front that has left stops listening",
     "a sidecar that leaves waits for clients to go",
     "a sidecar that closes says so",
-    "a control process that ends waits until it is not needed",
-    "what is gone stays gone as long as an old word may travel",
+    "a leaving control process waits until it is not needed",
+    "tombstones stay as long as an old message may be in flight",
 )
 
 
