--- a/fordtrestle/routing/__init__.py
+++ b/fordtrestle/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Which route a request takes and which server gets it. Pure."""
+"""Selects the route and the server of each request. Pure."""
--- a/fordtrestle/routing/common.py
+++ b/fordtrestle/routing/common.py
@@ -1,4 +1,4 @@
-"""Ids and records that the parts of routing hand to one another. Pure."""
+"""Ids and records that the routing modules share. Pure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import NamedTuple, TypeAlias
 
 InstanceId: TypeAlias = str  # one incarnation of a server: a server that restarts has a new one
-NodeName: TypeAlias = str  # a process of the system
+NodeName: TypeAlias = str  # the name of a control process or sidecar
 ServiceName: TypeAlias = str
 ZoneName: TypeAlias = str
 RegionName: TypeAlias = str
@@ -16,7 +16,7 @@
 
 
 class PromptPart(NamedTuple):
-    """A part of a prompt. Prompts that begin with the same parts have the same ids there."""
+    """A segment of a prompt. Prompts that share a prefix have the same part ids in it."""
 
     id: str
     tokens: int
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What a request to a model says of its prompt (`X-Token-Count`, `X-Prompt-Prefix`).
+    """The prompt of a request, as its headers describe it (`X-Token-Count`, `X-Prompt-Prefix`).
 
     Attributes:
-        tokens_in: Tokens of the prompt; 0 where the request does not say.
-        tokens_out: Tokens of the answer at the most; 0 where the request does not say.
-        parts: The parts of the prompt, in order. The last one is the request's own, those before it may be
-            shared by other requests.
+        tokens_in: Tokens of the prompt; 0 if unknown.
+        tokens_out: The maximum number of tokens in the response; 0 if unknown.
+        parts: The parts of the prompt, in order. The last one belongs to this request alone; those before it
+            may be shared with other requests.
     """
 
     tokens_in: int = 0
@@ -39,30 +39,30 @@
 
     @property
     def own_tokens(self) -> int | None:
-        """The tokens of the part that no other request has; `None` where the parts are not known."""
+        """The tokens of the part that is not shared; `None` if the parts are unknown."""
         return self.parts[-1].tokens if self.parts else None
 
     @property
     def shared_tokens(self) -> int:
-        """The tokens of all parts that other requests may have, too."""
+        """The tokens of all parts that other requests may share."""
         return sum(part.tokens for part in self.parts[:-1])
 
     @property
     def shared_prefix(self) -> str:
-        """The id of the last part that other requests may have, too; empty where there is none."""
+        """The id of the last part that other requests may share; empty if there is none."""
         return self.parts[-2].id if len(self.parts) > 1 else ""
 
 
 @dataclass(frozen=True, slots=True)
 class RequestMetadata:
-    """What a request is routed by.
+    """The properties of a request that routing depends on.
 
     Attributes:
-        host: The host that the client asked for.
+        host: The requested host.
         path: The path, without its query.
-        prompt: What the request says of its prompt.
-        arrived_at: When it arrived, in seconds of the loop's clock.
-        client_timeout_s: The time that the client gives it, in seconds; `None` where it says none.
+        prompt: The description of the request's prompt.
+        arrived_at: When the request arrived, in seconds of the loop's clock.
+        client_timeout_s: The client's timeout, in seconds; `None` if it set none.
     """
 
     host: str
@@ -72,7 +72,7 @@
     client_timeout_s: float | None
 
     def timeout_s(self, route_timeout_s: float) -> float:
-        """Return the time that the request has in all, given that of its route."""
+        """Return the timeout of the request, in seconds: the shorter of the route's and the client's."""
         if self.client_timeout_s is None:
             return route_timeout_s
         return min(route_timeout_s, self.client_timeout_s)
--- a/fordtrestle/routing/decisions.py
+++ b/fordtrestle/routing/decisions.py
@@ -1,4 +1,4 @@
-"""What may be done next with a request. Pure."""
+"""The possible decisions about the next step of a request. Pure."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendTo:
-    """Send it to this server, which has until `deadline` to answer (seconds of the loop's clock)."""
+    """Send the request to this server, which must respond by `deadline` (seconds of the loop's clock)."""
 
     route: Route
     callee: ServiceName
@@ -22,11 +22,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """Answer that it has not run.
+    """Reject the request with a response that guarantees that it has not run.
 
     Attributes:
-        retry_scale_s: The scale of the time after which the client is told to come back, in seconds.
-        reason: What the client is told.
+        retry_scale_s: The `Retry-After` of the response is drawn in proportion to this time, in seconds.
+        reason: The text of the response.
     """
 
     retry_scale_s: float
@@ -35,7 +35,12 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitFor:
-    """Ask again once the view changes, and reject it at `until` (seconds of the loop's clock)."""
+    """Queue the request, decide again when the view changes, and reject it at `until`.
+
+    Attributes:
+        until: The end of the wait, in seconds of the loop's clock.
+        rejection: The rejection at the end of the wait.
+    """
 
     until: float
     rejection: Reject
@@ -43,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class UnknownRoute:
-    """Answer that the configuration in force has no route for it."""
+    """Respond that the active configuration has no route for the request."""
 
 
 Decision: TypeAlias = SendTo | WaitFor | Reject | UnknownRoute
--- a/fordtrestle/routing/errors.py
+++ b/fordtrestle/routing/errors.py
@@ -1,11 +1,11 @@
-"""Errors of this layer."""
+"""Errors that the routing package raises."""
 
 from __future__ import annotations
 
 
 class RoutingError(Exception):
-    """Base of all errors of routing."""
+    """Base class of all errors of this package."""
 
 
 class JsonSyntaxError(RoutingError, ValueError):
-    """A text that is no JSON object; the message holds the position."""
+    """A text is not a valid JSON object; the message contains the position of the error."""
--- a/fordtrestle/routing/fleet_outliers.py
+++ b/fordtrestle/routing/fleet_outliers.py
@@ -1,12 +1,12 @@
-"""Which servers are outliers by the reports of all sidecars together. Pure.
+"""Detects outlier servers from the combined outcome reports of all sidecars. Pure.
 
-Each sidecar sees little of each server: what it learns alone it learns too late. One control process a
-service, the one that rendezvous hashing draws, puts their reports together. It ejects a server only once
-sidecars of two zones have seen it fail, one of them in the server's own region: a bad link is seen from one
-side alone, and a zone or region that is cut off sees all others fail.
+A single sidecar sends too few requests to each server to detect an outlier quickly. For each service, one
+control process, selected by rendezvous hashing, aggregates the reports. It ejects a server only when sidecars
+in two zones have seen it fail, at least one of them in the server's own region: a faulty link is visible from
+one side only, and a partitioned zone or region sees all other servers fail.
 
-Sources: Envoy's documentation, "Outlier detection"; Dadgar et al., "Lifeguard" (2018), for what one's own
-fault does to one's judgement of others.
+Sources: Envoy's documentation, "Outlier detection"; Dadgar et al., "Lifeguard" (2018), on how a local fault
+of the observer distorts its failure detection.
 """
 
 from __future__ import annotations
@@ -21,19 +21,19 @@
 from fordtrestle.routing.outlier_detection import is_outlier
 from fordtrestle.routing.outlier_ejection import FLAP_WINDOW_S, Ejection
 
-MAX_TRACKED_SERVERS = 4096  # of a service that one control process keeps: a bound on memory
-MIN_ZONES = 2  # that have to have seen a server fail
-ZONE_FAILURE_WINDOW_S = 2 * HALF_LIFE_S  # for which it counts that a zone has seen a server fail
-NEGLIGIBLE_OUTCOMES = 0.01  # decayed outcomes below which a server is closed
+MAX_TRACKED_SERVERS = 4096  # per service, to bound memory
+MIN_ZONES = 2  # zones that must have reported failures before an ejection
+ZONE_FAILURE_WINDOW_S = 2 * HALF_LIFE_S  # how long a zone's failure report counts
+NEGLIGIBLE_OUTCOMES = 0.01  # a server with fewer decayed outcomes is no longer tracked
 
 
 @dataclass(slots=True)
 class TrackedServer:
-    """The evidence on one server.
+    """The reported outcomes and the ejection state of one server.
 
     Attributes:
-        outcomes: What sidecars have reported, decayed.
-        last_failure_at: When sidecars of a zone last reported failures, by zone.
+        outcomes: The outcomes that sidecars have reported, decayed.
+        last_failure_at: When sidecars last reported failures, by zone of the sidecars.
         ejection: The last ejection.
     """
 
@@ -42,30 +42,30 @@
     ejection: Ejection = field(default_factory=Ejection)
 
     def record(self, outcomes: Outcomes, zone: ZoneName, now: float) -> None:
-        """Count what a sidecar of a zone has reported."""
+        """Add the outcomes that a sidecar in a zone has reported."""
         self.outcomes.add(outcomes.good, outcomes.bad, now)
         if outcomes.bad:
             self.last_failure_at[zone] = now
 
     def has_expired(self, now: float) -> bool:
-        """Return whether nothing of it counts any more."""
+        """Return whether neither the outcomes nor the last ejection affect any decision."""
         is_negligible = self.outcomes.decayed(now).total < NEGLIGIBLE_OUTCOMES
         return is_negligible and now > self.ejection.until + FLAP_WINDOW_S
 
     def zones_with_failures(self, now: float) -> set[ZoneName]:
-        """Return the zones that have seen it fail within `ZONE_FAILURE_WINDOW_S`."""
+        """Return the zones that reported failures of the server within `ZONE_FAILURE_WINDOW_S`."""
         return {zone for zone, at in self.last_failure_at.items() if now - at <= ZONE_FAILURE_WINDOW_S}
 
 
 class FleetOutliers:
-    """Judges the servers of the services that one control process owns.
+    """Ejects outlier servers of the services that one control process owns.
 
-    Times are seconds of a monotonic clock. Two processes may take themselves for the owner of a service for a
-    while: each judges by the reports that reach it, and the newest ejection counts.
+    Times are seconds of a monotonic clock. Two processes may both consider themselves the owner of a service
+    for a while. Each then decides from the reports that it receives, and the newest ejection takes effect.
     """
 
     def __init__(self, regions: Mapping[ZoneName, RegionName]) -> None:
-        """Begin without evidence; `regions` has the region of each zone."""
+        """Create a detector without reports; `regions` maps each zone to its region."""
         self._regions = regions
         self._services: dict[ServiceName, dict[InstanceId, TrackedServer]] = {}
 
@@ -76,16 +76,16 @@
         server_zones: Mapping[InstanceId, ZoneName],
         now: float,
     ) -> list[EjectionRecord]:
-        """Take a report into account.
+        """Process the report of a sidecar.
 
         Args:
-            report: The report of a sidecar.
-            reporter_zone: The zone of that sidecar.
-            server_zones: The zones of the service's servers; others that the report names are not counted.
+            report: The report.
+            reporter_zone: The zone of the sidecar.
+            server_zones: The zone of each known server of the service; outcomes of other servers are ignored.
             now: Seconds of a monotonic clock.
 
         Returns:
-            The ejections that follow from it.
+            The ejections that result from the report.
         """
         known = [outcomes for outcomes in report.outcomes if outcomes.instance in server_zones]
         if not known:
@@ -102,7 +102,7 @@
         ]
 
     def expire(self, now: float) -> None:
-        """Drop the tracked of which nothing counts any more."""
+        """Drop the servers whose outcomes and ejections no longer affect any decision."""
         for service, tracked in list(self._services.items()):
             for instance in [instance for instance, server in tracked.items() if server.has_expired(now)]:
                 del tracked[instance]
--- a/fordtrestle/routing/home_regions.py
+++ b/fordtrestle/routing/home_regions.py
@@ -1,4 +1,4 @@
-"""The home regions of a host's routes, for processes that do not route requests (RULES: HOME). Pure."""
+"""Looks up the home regions of a host, for processes that do not route requests (RULES: HOME). Pure."""
 
 from __future__ import annotations
 
@@ -9,22 +9,22 @@
 
 
 class HomeRegions:
-    """The home regions of each host, as one configuration has them."""
+    """The home regions of each host in one configuration."""
 
     def __init__(self, by_host: Mapping[str, frozenset[RegionName]]) -> None:
-        """Begin with the regions by host; hosts in lower case."""
+        """Wrap a mapping from hosts, in lower case, to their home regions."""
         self._by_host = by_host
 
     def of_host(self, host: str) -> frozenset[RegionName] | None:
-        """Return the regions that are home to each route of a host.
+        """Return the regions that are home regions of every route of a host.
 
-        Routes without home regions are left out of account.
+        Routes without home regions are ignored.
 
         Args:
             host: The host, with or without a port.
 
         Returns:
-            The regions; `None` where no route of the host has home regions.
+            The regions; `None` if no route of the host has home regions.
         """
         home_regions = self._by_host.get(host.lower())
         if home_regions is None and ":" in host:
@@ -33,9 +33,9 @@
 
 
 def parse_home_regions(document: bytes) -> HomeRegions:
-    """Parse a configuration that was validated when it was put in force.
+    """Parse the home regions from a configuration that was validated before it was activated.
 
-    A long one takes long: this is no work for the loop's thread.
+    Parsing a long configuration would block the event loop: call this in another thread.
     """
     by_host: dict[str, frozenset[RegionName]] = {}
     for row in json.loads(document).get("routes", ()):
--- a/fordtrestle/routing/json_members.py
+++ b/fordtrestle/routing/json_members.py
@@ -1,6 +1,7 @@
-"""Reads a JSON object member by member, and its lists row by row. Pure.
+"""Parses a JSON object member by member, and its lists row by row. Pure.
 
-So a long document can be read in steps, with other work between them; the library reads it at once only.
+This allows a long document to be parsed in steps, with other work between them. The `json` module can only
+parse a document as a whole.
 """
 
 from __future__ import annotations
@@ -17,16 +18,16 @@
 
 
 def iter_members(text: str) -> Iterator[tuple[str, Any]]:
-    """Iterate over the members of the object that a text holds.
+    """Iterate over the members of a JSON object.
 
     Args:
         text: A JSON object.
 
     Yields:
-        The name and value of each member; of a list the list's name and a row, once for each row.
+        The name and value of each member. For a list, the name of the list and one row, once per row.
 
     Raises:
-        JsonSyntaxError: The text is no JSON object. Members before the error have been yielded.
+        JsonSyntaxError: The text is not a JSON object. Members before the error have been yielded.
     """
     position = _expect(text, 0, "{")
     if text[position] == "}":
@@ -46,7 +47,7 @@
 
 
 def _iter_rows(text: str, position: int, name: str) -> Generator[tuple[str, Any], None, int]:
-    """Iterate over the rows of the list that begins at a position; return the position after the list."""
+    """Iterate over the rows of the list that starts at a position; return the position after the list."""
     position = _expect(text, position, "[")
     while text[position] != "]":
         row, position = _decode(text, position)
@@ -58,7 +59,7 @@
 
 
 def _decode(text: str, position: int) -> tuple[Any, int]:
-    """Decode the value that begins at a position; return it and the position after it."""
+    """Decode the value that starts at a position; return the value and the position after it."""
     try:
         return _DECODER.raw_decode(text, position)
     except json.JSONDecodeError as error:
@@ -66,17 +67,17 @@
 
 
 def _skip_whitespace(text: str, position: int) -> int:
-    """Return the position of the next character that is no blank."""
+    """Return the position of the next character that is not whitespace."""
     match = _WHITESPACE.match(text, position)
     end = match.end() if match else position
     if end == len(text):
-        raise JsonSyntaxError(f"the text ends too early, at {end}")
+        raise JsonSyntaxError(f"unexpected end of the text at position {end}")
     return end
 
 
 def _expect(text: str, position: int, character: str) -> int:
-    """Return the position after a character and the blanks around it."""
+    """Return the position after an expected character and the whitespace around it."""
     position = _skip_whitespace(text, position)
     if text[position] != character:
-        raise JsonSyntaxError(f"{text[position]!r} in place of {character!r}, at {position}")
+        raise JsonSyntaxError(f"found {text[position]!r} but expected {character!r} at position {position}")
     return _skip_whitespace(text, position + 1)
--- a/fordtrestle/routing/outcome_counts.py
+++ b/fordtrestle/routing/outcome_counts.py
@@ -1,10 +1,10 @@
-"""How many requests ended well and how many failed, decayed with time. Pure."""
+"""Counts successful and failed requests, with exponential decay. Pure."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-# After which half of what was counted is left: a server that has recovered is no outlier some seconds later.
+# Half-life of the counts: short, so that a server that has recovered stops being an outlier within seconds.
 HALF_LIFE_S = 5.0
 
 
@@ -13,9 +13,9 @@
     """Exponentially decayed counts of outcomes.
 
     Attributes:
-        good: Requests that ended well.
+        good: Requests that succeeded.
         bad: Requests that failed.
-        as_of: The moment of these counts, in seconds of a monotonic clock.
+        as_of: When the counts were last decayed, in seconds of a monotonic clock.
     """
 
     good: float = 0.0
@@ -23,28 +23,28 @@
     as_of: float = 0.0
 
     def add(self, good: float, bad: float, now: float) -> None:
-        """Count outcomes."""
+        """Add outcomes to the counts."""
         self._decay(now)
         self.good += good
         self.bad += bad
 
     def decayed(self, now: float) -> OutcomeCounts:
-        """Return these counts, with what is left of them now."""
+        """Decay the counts up to `now`, in place, and return them."""
         self._decay(now)
         return self
 
     @property
     def total(self) -> float:
-        """All outcomes."""
+        """The number of all outcomes."""
         return self.good + self.bad
 
     @property
     def failure_share(self) -> float:
-        """The failures' share of all outcomes; `total` must not be 0."""
+        """The share of failures in all outcomes; `total` must not be 0."""
         return self.bad / self.total
 
     def _decay(self, now: float) -> None:
-        """Decay the counts; a clock that stands still, or an earlier moment, changes nothing."""
+        """Decay the counts up to `now`; a time that is not later than `as_of` changes nothing."""
         remaining = 0.5 ** (max(0.0, now - self.as_of) / HALF_LIFE_S)
         self.good *= remaining
         self.bad *= remaining
--- a/fordtrestle/routing/outlier_detection.py
+++ b/fordtrestle/routing/outlier_detection.py
@@ -1,7 +1,7 @@
-"""Which servers fail far more of their requests than the others of their service: outlier detection. Pure.
+"""Detects servers that fail far more of their requests than the other servers of their service. Pure.
 
-A server is compared with the median of the others: a fault that befalls most of them makes none an outlier,
-and several that fail do not hide one another, as they would in a mean.
+A server is compared with the median of the others. A fault that affects most servers therefore makes none of
+them an outlier, and several failing servers do not mask one another as they would in a mean.
 
 Sources: Envoy's documentation, "Outlier detection"; Huang et al., "Gray Failure" (HotOS 2017).
 """
@@ -13,13 +13,14 @@
 
 from fordtrestle.routing.outcome_counts import OutcomeCounts
 
-MIN_FAILURES = 1.5  # decayed: two failures in short order; one is chance
-# Of a server's requests. One that fails one kind alone is an outlier once that is a quarter of all requests.
+MIN_FAILURES = 1.5  # decayed, which takes two failures in quick succession; a single one may be chance
+# Smallest failure share of an outlier. A server that fails only one kind of request is an outlier when that
+# kind is a quarter of its requests.
 MIN_FAILURE_SHARE = 0.25
-MIN_RATIO_TO_MEDIAN = 3.0  # that the share has to be of the median of the others' shares
-MIN_COMPARABLE_OUTCOMES = 0.5  # decayed, of another server: with fewer its share tells nothing
+MIN_RATIO_TO_MEDIAN = 3.0  # smallest ratio of an outlier's failure share to the median of the others
+MIN_COMPARABLE_OUTCOMES = 0.5  # decayed; another server with fewer is left out of the comparison
 
-# Statuses of a server that ran a request and failed. 503 and 504 are missing: they tell of load.
+# Statuses of a server that ran a request and failed. 503 and 504 are excluded because they indicate load.
 FAILURE_STATUSES = frozenset({500, 501, 502, 505, 506, 507, 508, 510, 511})
 
 
@@ -27,8 +28,8 @@
     """Return whether a server fails far more of its requests than the others of its service.
 
     Args:
-        server: The server's outcomes.
-        others: The outcomes of the other servers; where none of them has any, nothing is an outlier.
+        server: The outcomes of the server.
+        others: The outcomes of the service's other servers; if none has any, the server is no outlier.
         now: Seconds of a monotonic clock.
     """
     if server.decayed(now).bad < MIN_FAILURES:
--- a/fordtrestle/routing/outlier_ejection.py
+++ b/fordtrestle/routing/outlier_ejection.py
@@ -1,8 +1,9 @@
-"""For how long outliers are left out of use, and how many of them at most. Pure.
+"""Limits how long and how many outlier servers are ejected. Pure.
 
-An ejection ends by itself, and each that follows soon lasts twice as long: a server that flaps is damped, one
-that has recovered is back soon, and nobody has to be told of it. However many are ejected, at most a part of
-each region's servers is left out, so that neither a caller's own bad link nor a wrong report empties one.
+An ejection expires by itself, and each further one within a short time lasts twice as long. This dampens a
+flapping server, returns a recovered one to use quickly, and needs no notification. However many servers are
+ejected, at most a share of each region's servers is excluded, so that neither a faulty link of the caller nor
+a wrong report can exclude a whole region.
 
 Source: Envoy's documentation, "Outlier detection" (base ejection time, maximum ejection percentage).
 """
@@ -18,26 +19,26 @@
 from fordtrestle.routing.outcome_counts import OutcomeCounts
 from fordtrestle.routing.outlier_detection import is_outlier
 
-BASE_EJECTION_S = 2.0  # of a first ejection: the end of each is a trial that costs some requests
-MAX_DOUBLINGS = 4  # so that no ejection lasts longer than 32 s
-FLAP_WINDOW_S = 20.0  # after the end of an ejection, in which the next one lasts longer
-MAX_EJECTED_SHARE = 0.34  # of a region's usable servers of a service: one of three, none of two
+BASE_EJECTION_S = 2.0  # duration of a first ejection; each expiry is a trial that costs some requests
+MAX_DOUBLINGS = 4  # limits an ejection to 32 s
+FLAP_WINDOW_S = 20.0  # a new ejection within this time after the last one's end lasts longer
+MAX_EJECTED_SHARE = 0.34  # of the usable servers of a service in a region: one of three, none of two
 
 
 @dataclass(slots=True)
 class Ejection:
-    """For how long a server is left out, and how often it was lately.
+    """The last ejection of a server, and the number of ejections in succession.
 
     Attributes:
         until: The end of the last ejection, in seconds of a monotonic clock.
-        count: Ejections that followed one another, this one included; bounded by `MAX_DOUBLINGS` + 1.
+        count: The number of ejections in succession, including the last one; at most `MAX_DOUBLINGS` + 1.
     """
 
     until: float = float("-inf")
     count: int = 0
 
     def start(self, now: float) -> float:
-        """Leave the server out from now on; return for how long, in seconds."""
+        """Eject the server from now on; return the duration of the ejection, in seconds."""
         follows_soon = now < self.until + FLAP_WINDOW_S
         self.count = min(self.count, MAX_DOUBLINGS) + 1 if follows_soon else 1
         duration_s = BASE_EJECTION_S * 2.0 ** (self.count - 1)
@@ -47,13 +48,13 @@
 
 @dataclass(slots=True)
 class ServerHealth:
-    """What a sidecar knows of how a server's requests end.
+    """The outcomes and ejections of one server, as one sidecar knows them.
 
     Attributes:
         outcomes: The outcomes of this sidecar's own requests.
-        own_ejection: The ejection that follows from them.
-        fleet_ejected_until: Until when a control process has it ejected on the evidence of several sidecars,
-            in seconds of a monotonic clock.
+        own_ejection: The ejection based on these outcomes.
+        fleet_ejected_until: The end of the ejection by a control process, which is based on the reports of
+            several sidecars, in seconds of a monotonic clock.
     """
 
     outcomes: OutcomeCounts = field(default_factory=OutcomeCounts)
@@ -61,10 +62,10 @@
     fleet_ejected_until: float = float("-inf")
 
     def record_outcome(self, failed: bool, others: Iterable[OutcomeCounts], now: float) -> bool:
-        """Count the end of a request.
+        """Count the outcome of a request, and eject the server if it is an outlier.
 
-        A failure while the server is ejected does not prolong the ejection: requests that were sent before
-        it are still to end.
+        A failure during an ejection does not extend the ejection, because requests that were sent before it
+        may still be in flight.
 
         Args:
             failed: Whether the request failed.
@@ -72,7 +73,7 @@
             now: Seconds of a monotonic clock.
 
         Returns:
-            Whether this ejects the server.
+            Whether the server was ejected by this call.
         """
         self.outcomes.add(not failed, failed, now)
         if not failed or now < self.own_ejection.until or not is_outlier(self.outcomes, others, now):
@@ -81,19 +82,19 @@
         return True
 
     def is_ejected(self, now: float) -> bool:
-        """Return whether the server is to be left out, as far as its region has enough others."""
+        """Return whether the server is ejected. It is used anyway if its region has too few other servers."""
         return now < self.own_ejection.until or now < self.fleet_ejected_until
 
     def ejection_rank(self, now: float) -> tuple[bool, float]:
-        """Return a sort key: where not all may be left out, those with the greatest are.
+        """Return a sort key: if not all ejected servers may be excluded, those with the largest key are.
 
-        A sidecar's own evidence goes before that of others, and later ends before earlier ones.
+        Ejections by this sidecar rank above those by a control process, and later ends above earlier ones.
         """
         return now < self.own_ejection.until, max(self.own_ejection.until, self.fleet_ejected_until)
 
 
 class Ejectable(Protocol):
-    """A server as far as ejection looks at it."""
+    """The attributes of a server that ejection depends on."""
 
     health: ServerHealth
 
@@ -106,9 +107,9 @@
 
 
 def without_ejected(usable: Collection[AnyServer], now: float) -> list[AnyServer]:
-    """Return the usable servers without those that are ejected, in their order.
+    """Return the usable servers without the ejected ones, in their order.
 
-    Of each region at least the greater part is left, whatever is ejected.
+    At least the greater part of each region's servers remains, however many are ejected.
     """
     ejected = [server for server in usable if server.health.is_ejected(now)]
     if not ejected:
@@ -124,6 +125,6 @@
 
 
 def _limit_ejected(ejected: Iterable[AnyServer], region_size: int, now: float) -> list[AnyServer]:
-    """Return those of a region's ejected servers that are really left out."""
+    """Return the ejected servers of a region that are excluded, up to `MAX_EJECTED_SHARE`."""
     ranked = sorted(ejected, key=lambda server: server.health.ejection_rank(now), reverse=True)
     return ranked[: int(MAX_EJECTED_SHARE * region_size)]
--- a/fordtrestle/routing/pick_server.py
+++ b/fordtrestle/routing/pick_server.py
@@ -1,9 +1,9 @@
-"""The algorithm of a pick: the least loaded of a few candidates. Pure.
+"""Picks the least loaded of a few candidate servers. Pure.
 
-Without a prompt the candidates are drawn at random: the power of d choices (Mitzenmacher 2001), which keeps
-sidecars that know only their own requests from all choosing the same server. A prompt with shared parts has
-the servers that rendezvous hashing (Thaler, Ravishankar 1998) draws for them, so that all sidecars find these
-parts in the same prefix caches without asking each other.
+Without a shared prompt prefix the candidates are random: the power of d choices (Mitzenmacher 2001) prevents
+sidecars, which know only their own requests, from all choosing the same server. For a prompt with shared
+parts the candidates are the servers that rendezvous hashing (Thaler, Ravishankar 1998) selects for these
+parts, so that all sidecars use the same prefix caches without coordination.
 """
 
 from __future__ import annotations
@@ -14,24 +14,24 @@
 from fordtrestle.routing.common import Draw, InstanceId, Prompt
 from fordtrestle.routing.server import Server
 
-RANDOM_CANDIDATES = 3  # drawn where no prompt ties a request to some servers
-PREFIX_CACHE_HOLDERS = 2  # servers whose prefix caches a prompt's shared parts are kept in
-PREFILL_LOAD = 2.0  # requests that a prompt of mean size counts as, until its answer begins
-MAX_TIMELY_DELAY = 0.5  # of the latency target: answers that begin sooner are in time
-LATENCY_LOAD = 12.0  # requests that a server counts as, for each latency target that its answers are later
-AFFINITY_LOAD = 6.0  # requests more that the first holder may have before the next one is taken
+RANDOM_CANDIDATES = 3  # number of candidates for a request without a shared prompt prefix
+PREFIX_CACHE_HOLDERS = 2  # number of servers whose prefix caches hold the shared parts of a prompt
+PREFILL_LOAD = 2.0  # load of a prompt of mean size until its response begins, in requests
+MAX_TIMELY_DELAY = 0.5  # largest delay without a latency load, as a share of the latency target
+LATENCY_LOAD = 12.0  # load for each latency target by which responses are later than that, in requests
+AFFINITY_LOAD = 6.0  # load by which the first holder may exceed the second and be picked, in requests
 
 
 def load_of(server: Server, now: float, mean_tokens: float) -> float:
     """Return the load of a server, in requests in flight.
 
-    This sidecar's own requests count alone: prompts that are still to be read by their size besides, and a
-    server whose answers begin late as having more, since others send it requests as well.
+    Only this sidecar's own requests are counted. Prompts in prefill add load by their size. Late responses
+    also add load, because they indicate requests of other sidecars.
 
     Args:
         server: The server.
         now: Seconds of the loop's clock.
-        mean_tokens: Tokens of the own part of a prompt of mean size.
+        mean_tokens: The mean number of tokens in the unshared part of a prompt.
     """
     latency_load = LATENCY_LOAD * max(0.0, server.latency_penalty(now) - MAX_TIMELY_DELAY)
     return server.in_flight + PREFILL_LOAD * server.prefill_tokens / mean_tokens + latency_load
@@ -48,15 +48,15 @@
     """Pick the server for a request.
 
     Args:
-        usable: The servers that may take it.
-        prompt: What it says of its prompt.
-        tried: Servers that were sent it before, and get it no more.
+        usable: The servers that can accept the request.
+        prompt: The description of its prompt.
+        tried: Servers that were already sent the request; they are excluded.
         now: Seconds of the loop's clock.
-        draw: The random source; drawn from once for each server that is left, where no prompt decides.
-        mean_tokens: Tokens of the own part of a prompt of mean size.
+        draw: The random source; called once per untried server, unless the prompt has a shared prefix.
+        mean_tokens: The mean number of tokens in the unshared part of a prompt.
 
     Returns:
-        The server; `None` where all were tried.
+        The server; `None` if all were tried.
     """
     untried = [server for server in usable if server.instance not in tried]
     if not untried:
--- a/fordtrestle/routing/prefill_rate.py
+++ b/fordtrestle/routing/prefill_rate.py
@@ -1,32 +1,32 @@
-"""How fast model servers read prompts (prefill), as their answers tell. Pure.
+"""Estimates the prefill rate of model servers, at which they process prompts. Pure.
 
-An answer begins once its prompt has been read. Waiting in a queue, and shared parts that were in no cache,
-only make it begin later: so the quickest of the last answers is nearest to what a server can do.
+A response begins when prefill is complete. Queueing, and shared parts that were not cached, can only delay
+it. The fastest of the recent responses is therefore the best estimate of a server's prefill rate.
 """
 
 from __future__ import annotations
 
-DECAY = 0.99  # of the best rate, with each answer: servers may become slower
-MIN_TOKENS = 100  # of a prompt's own part: the delay of shorter ones is mostly something else
+DECAY = 0.99  # factor of the best rate per response, so that the estimate follows servers that become slower
+MIN_TOKENS = 100  # shorter unshared parts are ignored: prefill is not most of the delay of their responses
 
 
 class PrefillRate:
-    """Learns a rate in tokens a second."""
+    """Estimates the prefill rate of one service, in tokens per second."""
 
     def __init__(self) -> None:
-        """Begin without a rate."""
+        """Create an estimate without a rate."""
         self._best = 0.0
 
     def record(self, tokens: int, duration_s: float) -> None:
-        """Take an answer into account.
+        """Record a response.
 
         Args:
-            tokens: Tokens of the prompt's own part.
-            duration_s: From the send, to a server nearby, to the beginning of the answer, in seconds.
+            tokens: The number of tokens in the unshared part of the prompt.
+            duration_s: The time from the send, to a nearby server, to the start of its response, in seconds.
         """
         if tokens >= MIN_TOKENS and duration_s > 0:
             self._best = max(self._best * DECAY, tokens / duration_s)
 
     def duration_s(self, tokens: int) -> float:
-        """Return how long reading so many tokens takes at least, in seconds; 0 while no rate is known."""
+        """Return the minimum prefill time of this many tokens, in seconds; 0 while the rate is unknown."""
         return tokens / self._best if self._best else 0.0
--- a/fordtrestle/routing/prompt_headers.py
+++ b/fordtrestle/routing/prompt_headers.py
@@ -1,18 +1,19 @@
-"""Reads the headers by which a client describes its prompt (PROTOCOL: requests). Pure."""
+"""Parses the headers in which a client describes its prompt (PROTOCOL: requests). Pure."""
 
 from __future__ import annotations
 
 from fordtrestle.routing.common import Prompt, PromptPart
 
-MAX_PARTS = 64  # parts that are read: a bound on the work that a header can cause
+MAX_PARTS = 64  # further parts are ignored, to bound the work that a header can cause
 
 
 def read_prompt(token_count: str, prefix: str) -> Prompt:
-    """Read a prompt's description; what cannot be read counts as not said.
+    """Parse the description of a prompt; invalid values are treated as missing.
 
     Args:
-        token_count: `X-Token-Count`: tokens of the prompt and of the answer, separated by a comma.
-        prefix: `X-Prompt-Prefix`: the parts of the prompt as `id:tokens`, separated by commas.
+        token_count: The value of `X-Token-Count`: the numbers of tokens in the prompt and in the response,
+            separated by a comma.
+        prefix: The value of `X-Prompt-Prefix`: the parts of the prompt as `id:tokens`, separated by commas.
     """
     tokens_in, tokens_out = _read_token_count(token_count)
     parts = []
--- a/fordtrestle/routing/request_attempts.py
+++ b/fordtrestle/routing/request_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one request so far, and what they leave open. Pure."""
+"""Tracks the attempts of one request and decides which further attempts are allowed. Pure."""
 
 from __future__ import annotations
 
@@ -7,25 +7,25 @@
 from fordtrestle.routing.common import InstanceId
 from fordtrestle.routing.route import Route
 
-MAX_SENDS = 4  # of one request, rejected ones included: with more, rejections would multiply an overload
-MAX_CONNECT_FAILURES = 4  # servers that a request may find unreachable before it is rejected
+MAX_SENDS = 4  # per request, including rejected ones: more would let rejections amplify an overload
+MAX_CONNECT_FAILURES = 4  # unreachable servers per request before it is rejected
 
 
 @dataclass(slots=True)
 class RequestAttempts:
     """Counts the attempts of one request.
 
-    A *send* reached a server. A *run* is a send that the server may have begun to work on: it alone counts
+    A *send* reached a server. A *run* is a send that the server may have started to process; only runs count
     against the route's `max_attempts`.
 
     Attributes:
         tried: Servers that were sent the request.
-        sends: How many sends there were.
-        runs: How many of them were runs.
-        connect_failures: Servers that could not be reached.
-        is_admitted: Whether admission control has admitted the request; it is asked no more then.
-        may_have_run: Whether a server may have run the request and no answer of it was passed on. From then
-            on the client must not be promised that nothing has run.
+        sends: The number of sends.
+        runs: The number of runs.
+        connect_failures: The number of servers that could not be reached.
+        is_admitted: Whether admission control has admitted the request; it is consulted only until then.
+        may_have_run: Whether a server may have run the request without its response being forwarded. If so,
+            the client must not receive a response that guarantees that the request has not run.
     """
 
     tried: set[InstanceId] = field(default_factory=set)
@@ -36,20 +36,20 @@
     may_have_run: bool = False
 
     def record_send(self, instance: InstanceId, rejected: bool) -> None:
-        """Count a send; one that the server rejected is no run."""
+        """Count a send, which is also a run unless the server rejected it."""
         self.tried.add(instance)
         self.sends += 1
         if not rejected:
             self.runs += 1
 
     def can_retry_rejected(self, route: Route) -> bool:
-        """Return whether another server may be asked after a rejection."""
+        """Return whether the request may be sent to another server after a rejection."""
         return self.runs < route.max_attempts and self.sends < MAX_SENDS
 
     def can_run_again(self, route: Route) -> bool:
-        """Return whether another server may be asked although one may have run the request."""
+        """Return whether the request may be sent to another server although one may have run it."""
         return route.is_idempotent and self.runs < route.max_attempts
 
     def has_exhausted_connects(self) -> bool:
-        """Return whether too many servers could not be reached."""
+        """Return whether `MAX_CONNECT_FAILURES` servers could not be reached."""
         return self.connect_failures >= MAX_CONNECT_FAILURES
--- a/fordtrestle/routing/route.py
+++ b/fordtrestle/routing/route.py
@@ -1,4 +1,4 @@
-"""Routes, services and limits, as one configuration has them. Pure."""
+"""The routes, services and limits of a configuration. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RouteType(Enum):
-    """What may be sent again; the values are those of the configuration."""
+    """Whether the requests of a route may be retried; the values are those of the configuration."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -18,7 +18,7 @@
 
 
 class WeightedBackend(NamedTuple):
-    """A service that takes a part of a route's requests, in proportion to its weight."""
+    """A service that receives a share of a route's requests, in proportion to its weight."""
 
     service: ServiceName
     weight: float
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What the configuration says of a service that requests are sent to.
+    """A service that requests are sent to.
 
     Attributes:
-        name: Its name.
-        warm_up_rate_per_s: Requests a second that one of its servers bears while it warms up; 0 where the
-            configuration does not bound them.
+        name: The name of the service.
+        warm_up_rate_per_s: The maximum rate of each of its servers during warm-up, in requests per second; 0
+            if the configuration sets no limit.
     """
 
     name: ServiceName
@@ -40,19 +40,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Where the requests of a host and a prefix of paths go, and on which terms.
+    """The backends and the rules for requests to one host and path prefix.
 
     Attributes:
-        name: Its name.
+        name: The name of the route.
         authority: The host.
-        path_prefix: What paths have to begin with.
-        route_type: What may be sent again.
-        timeout_s: The time that a request has, in seconds.
-        latency_target_s: The time in which an answer should begin, in seconds.
-        backends: The services that take its requests.
-        max_attempts: How many servers may run a request.
-        is_resumable: Whether another server may go on with a stream that broke off.
-        home_regions: The only regions whose servers may take its requests; empty where all may.
+        path_prefix: The prefix of the paths of the route.
+        route_type: Whether its requests may be retried.
+        timeout_s: The timeout of a request, in seconds.
+        latency_target_s: The time within which a response should begin, in seconds.
+        backends: The services that receive its requests.
+        max_attempts: The maximum number of servers that may run a request.
+        is_resumable: Whether another server may continue a stream that broke off.
+        home_regions: The only regions whose servers may receive its requests; empty if all regions may.
     """
 
     name: str
@@ -68,28 +68,29 @@
 
     @property
     def is_idempotent(self) -> bool:
-        """Whether a request that may have run may be sent again."""
+        """Whether a request may be retried although it may have run."""
         return self.route_type is RouteType.SAFE or (
             self.route_type is RouteType.STREAMING and self.is_resumable
         )
 
     def draw_backend(self, draw: Draw) -> ServiceName:
-        """Draw the service that one request goes to, by weight."""
+        """Draw the service for one request at random, by weight."""
         remaining = draw() * sum(backend.weight for backend in self.backends)
         for backend in self.backends:
             remaining -= backend.weight
             if remaining < 0:
                 return backend.service
-        return max(self.backends, key=lambda backend: backend.weight).service  # sums of weights are rounded
+        # Sums of weights are rounded, so the loop may end without a result.
+        return max(self.backends, key=lambda backend: backend.weight).service
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What a client may send; the defaults hold while no configuration is known.
+    """Limits on the requests of clients; the defaults apply while no configuration is known.
 
     Attributes:
-        max_body_bytes: The largest body that is accepted.
-        header_timeout_s: The time that a client has to send a request, in seconds.
+        max_body_bytes: The maximum size of a request body, in bytes.
+        header_timeout_s: The maximum time for receiving a request, in seconds.
     """
 
     max_body_bytes: int = 4 * 1024 * 1024
--- a/fordtrestle/routing/route_table.py
+++ b/fordtrestle/routing/route_table.py
@@ -1,4 +1,4 @@
-"""The routes of one configuration, and which of them a request takes (PROTOCOL: requests). Pure."""
+"""Matches requests to the routes of one configuration (PROTOCOL: requests). Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from fordtrestle.routing.route import Limits, Route, RouteType, Service, WeightedBackend
 
 MS_PER_S = 1000.0
-ROWS_PER_STEP = 100  # between two turns of the loop: 1.6 ms, as measured (`docs/design/control.md`)
+ROWS_PER_STEP = 100  # parsed without yielding to the event loop: 1.6 ms (`docs/design/control.md`)
 
 
 class RouteTable:
@@ -18,13 +18,13 @@
 
     Attributes:
         services: The services by name.
-        limits: What a client may send.
+        limits: The limits on requests of clients.
     """
 
     def __init__(
         self, routes: Sequence[Route], services: Mapping[ServiceName, Service], limits: Limits
     ) -> None:
-        """Index the routes by host, the longest prefixes first."""
+        """Index the routes by host, longest prefix first."""
         self.services = dict(services)
         self.limits = limits
         self._by_host: dict[str, list[Route]] = {}
@@ -34,7 +34,7 @@
             host_routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route of a host with the longest prefix that begins the path.
+        """Return the route of a host with the longest prefix of the path; `None` if there is none.
 
         Args:
             host: The host, with or without a port.
@@ -50,7 +50,7 @@
 
 
 def parse_table(document: bytes) -> RouteTable:
-    """Parse a configuration at once; one that was validated when it was put in force."""
+    """Parse a whole configuration, which was validated before it was activated."""
     steps = parse_table_in_steps(document)
     while True:
         try:
@@ -61,18 +61,19 @@
 
 
 def parse_table_in_steps(document: bytes) -> Generator[None, None, RouteTable]:
-    """Parse a configuration, `ROWS_PER_STEP` rows between two steps.
+    """Parse a configuration in steps of `ROWS_PER_STEP` rows.
 
-    A long one parsed at once would hold up the loop for longer than a process may be unresponsive.
+    Parsing a long configuration in one step would block the event loop for longer than a process may be
+    unresponsive.
 
     Args:
-        document: The configuration, which was validated when it was put in force.
+        document: The configuration, which was validated before it was activated.
 
     Yields:
-        Nothing, whenever the caller may do something else.
+        `None` after each step, so that the caller can do other work.
 
     Returns:
-        The table.
+        The route table.
     """
     services: dict[ServiceName, Service] = {}
     routes: list[Route] = []
--- a/fordtrestle/routing/router.py
+++ b/fordtrestle/routing/router.py
@@ -1,7 +1,7 @@
-"""Decides what is done next with a request. Pure.
+"""Decides the next step of a request. Pure.
 
-Route, home regions, admission, servers and budgets are looked at anew for each step, so that a request that
-has waited goes by what is in force at that moment.
+Each step evaluates the route, home regions, admission, servers and budgets anew, so that the decision for a
+request that has waited is based on the current state.
 """
 
 from __future__ import annotations
@@ -20,29 +20,29 @@
 from fordtrestle.routing.server_selector import ServerSelector
 from fordtrestle.routing.view import View
 
-# Sidecars that are taken to share a budget while it is not known how many do: more than any site has, so that
-# one that has just started spends next to nothing of the fleet's allowance.
+# Assumed number of sidecars that share a budget while the actual number is unknown. It is larger than any
+# site, so that a sidecar that has just started spends almost nothing of the fleet's budget.
 ASSUMED_SIDECAR_COUNT = 1000
-NO_CONFIGURATION_TIMEOUT_S = 5.0  # taken for the route's time-out while no configuration is known
-NO_CONFIGURATION_RETRY_SCALE_S = 1.0  # taken for the route's latency target, likewise
-# In which this sidecar, or another one of its region, is ready again.
+NO_CONFIGURATION_TIMEOUT_S = 5.0  # replaces the route's timeout while no configuration is known
+NO_CONFIGURATION_RETRY_SCALE_S = 1.0  # replaces the route's latency target while no configuration is known
+# Time until this sidecar, or another one in its region, is ready again.
 DRAINING_RETRY_SCALE_S = 4.0
-MAX_WAIT_SHARE = 0.3  # of a request's time that it may wait before its first send: the rest is for the answer
-MAX_WAIT_S = 1.5  # that a request may wait: longer than an election of a primary (1.2 s)
+MAX_WAIT_SHARE = 0.3  # of the request's timeout, before its first send; the rest is reserved for the response
+MAX_WAIT_S = 1.5  # before the first send: longer than the election of a primary (1.2 s)
 
 
 @dataclass(slots=True)
 class Router:
-    """Decides for all requests of one sidecar.
+    """Decides the next steps of all requests of one sidecar.
 
     Attributes:
         view: The newest state that this sidecar knows.
         admission: Load shedding by callee.
-        retries: This sidecar's part of the fleet's retry budget.
-        selector: Chooses the server of one send.
+        retries: This sidecar's share of the fleet's retry budget.
+        selector: Selects the server of each send.
         draw: The random source for weighted backends.
-        drain_policy: Which requests are still accepted.
-        reporter: Collects outcomes for the control process that judges them.
+        drain_policy: Decides which requests are accepted during a shutdown.
+        reporter: Collects outcomes for the control process that detects outliers.
     """
 
     view: View
@@ -54,11 +54,11 @@
     reporter: OutcomeReporter = field(default_factory=OutcomeReporter)
 
     def next_step(self, request: RequestMetadata, attempts: RequestAttempts, now: float) -> Decision:
-        """Decide what is done now with a request.
+        """Decide the next step of a request.
 
         Args:
             request: The request.
-            attempts: Its attempts so far; its admission is noted there.
+            attempts: Its attempts so far; updated when admission control admits the request.
             now: Seconds of the loop's clock.
         """
         table = self.view.table
@@ -78,16 +78,16 @@
     def resume(
         self, request: RequestMetadata, attempts: RequestAttempts, now: float, deadline: float
     ) -> SendTo | None:
-        """Decide which server goes on with a stream that broke off.
+        """Select the server that continues a stream that broke off.
 
         Args:
             request: The request.
             attempts: Its attempts so far.
             now: Seconds of the loop's clock.
-            deadline: When the stream has to be complete, in seconds of the loop's clock.
+            deadline: When the stream must be complete, in seconds of the loop's clock.
 
         Returns:
-            The send; `None` where the stream may not be resumed or no server can take it.
+            The send; `None` if the stream may not be resumed or no server can continue it.
         """
         table = self.view.table
         route = table.match(request.host, request.path) if table else None
@@ -102,10 +102,10 @@
         return SendTo(route, callee, server, deadline)
 
     def record_outcome(self, server: Server, failed: bool, now: float) -> bool:
-        """Count how a request ended at a server, as evidence for outlier ejection.
+        """Record the outcome of a request at a server, for outlier detection.
 
         Returns:
-            Whether this ejects the server at this sidecar.
+            Whether this sidecar ejects the server because of it.
         """
         self.reporter.record(server.record.service, server.instance, failed, now)
         return self.view.servers.record_outcome(server, failed, now)
@@ -132,20 +132,20 @@
     def _wait_or_reject(
         self, request: RequestMetadata, attempts: RequestAttempts, route_timeout_s: float, rejection: Reject
     ) -> WaitFor | Reject:
-        """Let a request wait for a part of its time, but only before its first send."""
+        """Let a request wait for a share of its timeout if it has not been sent yet; reject it otherwise."""
         if attempts.sends:
             return rejection
         max_wait_s = min(MAX_WAIT_S, MAX_WAIT_SHARE * request.timeout_s(route_timeout_s))
         return WaitFor(request.arrived_at + max_wait_s, rejection)
 
     def _admit(self, callee: ServiceName, attempts: RequestAttempts, now: float) -> bool:
-        """Ask admission control, before any send and no more once it has admitted the request."""
+        """Consult admission control unless it has already admitted the request."""
         if not attempts.is_admitted:
             self.retries.record_request(callee, now)
             attempts.is_admitted = self.admission.admit(callee, now)
         return attempts.is_admitted
 
     def _try_acquire_retry(self, callee: ServiceName, now: float) -> bool:
-        """Take a retry out of this sidecar's part of the budget, if it has room."""
+        """Acquire a retry from this sidecar's share of the retry budget; return whether that succeeded."""
         sidecars = len(self.view.sidecars) if self.view.knows_peers(now) else ASSUMED_SIDECAR_COUNT
         return self.retries.try_acquire(callee, sidecars, now)
--- a/fordtrestle/routing/server_selector.py
+++ b/fordtrestle/routing/server_selector.py
@@ -1,4 +1,4 @@
-"""The server for one send: the local region first, others by their share, warming servers last. Pure."""
+"""Selects the server for one send: local region first, others by their share, warm-up last. Pure."""
 
 from __future__ import annotations
 
@@ -14,13 +14,14 @@
 from fordtrestle.routing.server_table import split_by_region
 from fordtrestle.routing.view import View
 
-PREFILL_WEIGHT = 2.0  # of reading against crossing: reading holds up the requests behind it as well
-MEAN_GAIN = 0.02  # weight of the newest prompt in the mean size: some fifty make up the mean
-INITIAL_MEAN_TOKENS = 1000.0  # taken for the mean size of a prompt's own part at the start
+# Weight of prefill time against the round trip to another region: prefill also delays the queued requests.
+PREFILL_WEIGHT = 2.0
+MEAN_GAIN = 0.02  # weight of the newest prompt in the mean size, which covers about fifty prompts
+INITIAL_MEAN_TOKENS = 1000.0  # initial mean size of the unshared part of a prompt
 
 
 class ServerSelector:
-    """Selects servers by what a sidecar knows at the moment of a send."""
+    """Selects servers by the state that a sidecar knows at the time of a send."""
 
     def __init__(
         self,
@@ -31,15 +32,15 @@
         draw: Draw,
         round_trip_s: Callable[[RegionName], float | None],
     ) -> None:
-        """Begin without anything learned.
+        """Create a selector without learned rates.
 
         Args:
             view: The newest state that this sidecar knows.
-            warm_up_budget: This sidecar's part of the rate of warming servers.
+            warm_up_budget: This sidecar's share of the request rate of servers in warm-up.
             zone: The zone of this sidecar.
             region: The region of this sidecar.
             draw: The random source.
-            round_trip_s: Returns the time there and back to a region, in seconds; `None` while not known.
+            round_trip_s: Returns the round-trip time to a region, in seconds; `None` while it is unknown.
         """
         self._view = view
         self._warm_up_budget = warm_up_budget
@@ -58,13 +59,13 @@
 
         Args:
             route: The route of the request.
-            callee: The service that it goes to.
-            prompt: What it says of its prompt.
-            tried: Servers that were sent it before.
+            callee: The service that the request goes to.
+            prompt: The description of its prompt.
+            tried: Servers that were already sent the request.
             now: Seconds of the loop's clock.
 
         Returns:
-            The server; `None` where none may take it now.
+            The server; `None` if none can accept the request now.
         """
         if prompt.own_tokens:
             self._mean_tokens += MEAN_GAIN * (prompt.own_tokens - self._mean_tokens)
@@ -91,14 +92,14 @@
         latency_target_s: float,
         now: float,
     ) -> None:
-        """Learn from an answer.
+        """Update the delays and the prefill rate with a response.
 
         Args:
             callee: The service.
-            server: The server that answered.
-            prompt: What the request said of its prompt.
-            delay_s: From the send to the beginning of the answer, in seconds.
-            latency_target_s: That of the route, in seconds.
+            server: The server that responded.
+            prompt: The description of the request's prompt.
+            delay_s: The time from the send to the start of the response, in seconds.
+            latency_target_s: The latency target of the route, in seconds.
             now: Seconds of the loop's clock.
         """
         delay = delay_s / latency_target_s
@@ -114,10 +115,10 @@
     def _faster_than_prefill(
         self, callee: ServiceName, prompt: Prompt, remote: Sequence[Server]
     ) -> list[Server]:
-        """Return the remote servers that a prompt reaches sooner than its shared parts are read anew.
+        """Return the remote servers whose round trip takes less time than (weighted) prefill of shared parts.
 
-        Such prompts have their holders among the servers of all regions: otherwise each region would read
-        their shared parts as well, and have less memory for others.
+        For such prompts the cache holders are selected among the servers of these regions as well. Otherwise
+        each region would compute and cache the shared parts, and have less cache memory for others.
         """
         saved_s = PREFILL_WEIGHT * self._prefill_rate(callee).duration_s(prompt.shared_tokens)
         round_trips = {server.region: self._round_trip_s(server.region) for server in remote}
@@ -131,7 +132,7 @@
     def _select_warming(
         self, servers: Sequence[Server], callee: ServiceName, tried: Collection[InstanceId], now: float
     ) -> Server | None:
-        """Return the least loaded of the warming servers whose rate has room for one more request."""
+        """Return the least loaded server in warm-up whose rate limit permits one more request."""
         table = self._view.table
         service = table.services.get(callee) if table else None
         rate_per_s = service.warm_up_rate_per_s if service else 0.0
@@ -143,9 +144,9 @@
         return None
 
     def _try_acquire_warm_up(self, server: Server, rate_per_s: float, now: float) -> bool:
-        """Take a request out of this sidecar's part of a warming server's rate, if it has room.
+        """Acquire a request from this sidecar's share of a warm-up rate; return whether it succeeded.
 
-        A sidecar that has just started does not know among how many the rate is divided, and sends none.
+        A sidecar that has just started does not know how many sidecars share the rate, and sends no requests.
         """
         if not self._view.knows_peers(now):
             return False
--- a/fordtrestle/routing/server_table.py
+++ b/fordtrestle/routing/server_table.py
@@ -1,4 +1,4 @@
-"""The servers of all services as one sidecar sees them, and which of them may take a request. Pure."""
+"""Tracks the servers of all services and selects those that can accept a request. Pure."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from fordtrestle.routing.outlier_ejection import without_ejected
 from fordtrestle.routing.server import Server
 
-DEPARTED_RETENTION_S = 30.0  # that a departed server is kept: records of it may still be on their way
+DEPARTED_RETENTION_S = 30.0  # how long a departed server is kept: older records of it may still arrive
 
 
 class ServersByRegion(NamedTuple):
-    """Servers of this sidecar's region, and those of all others."""
+    """The servers in this sidecar's region, and those in all other regions."""
 
     local: list[Server]
     remote: list[Server]
 
 
 class ServerTable:
-    """All servers, by service."""
+    """The servers of all services, as one sidecar knows them."""
 
     def __init__(self, regions: Mapping[ZoneName, RegionName]) -> None:
-        """Begin without servers; `regions` has the region of each zone."""
+        """Create an empty table; `regions` maps each zone to its region."""
         self._regions = regions
         self._servers: dict[InstanceId, Server] = {}
         self._by_service: dict[ServiceName, dict[InstanceId, Server]] = {}
 
     def update(self, record: ServerRecord, version: Version, now: float) -> None:
-        """Follow a record of the catalog; one that is not newer than the known one changes nothing."""
+        """Apply a record of the catalog if it is newer than the known one."""
         server = self._servers.get(record.instance)
         if server is None:
             server = Server(record, self._regions.get(record.zone, record.zone), now, version)
@@ -44,41 +44,41 @@
         self._by_service.setdefault(record.service, {})[record.instance] = server
 
     def record_outcome(self, server: Server, failed: bool, now: float) -> bool:
-        """Count how a request ended at a server; return whether that ejects it."""
+        """Record the outcome of a request at a server; return whether this ejects the server."""
         others = (
             other.health.outcomes for other in self.of_service(server.record.service) if other is not server
         )
         return server.health.record_outcome(failed, others, now)
 
     def eject(self, record: EjectionRecord, now: float) -> None:
-        """Follow an ejection by a control process; of a server that is not known it changes nothing."""
+        """Apply an ejection by a control process; ignore it if the server is unknown."""
         server = self._servers.get(record.instance)
         if server:
             server.health.fleet_ejected_until = now + record.lasts_s
 
     def ejected_count(self, now: float) -> int:
-        """Return how many servers are ejected."""
+        """Return the number of ejected servers."""
         return sum(server.health.is_ejected(now) for server in self._servers.values())
 
     def mark_warming_up(self, zones: Collection[ZoneName], until: float) -> None:
-        """Take the servers of these zones for warming up until then at least."""
+        """Treat the servers in these zones as warming up at least until this time."""
         for server in self._servers.values():
             if server.record.zone in zones:
                 server.warming_up_until = max(server.warming_up_until, until)
 
     def expire(self, now: float) -> None:
-        """Drop servers that have departed for good, and those that the catalog drops."""
+        """Drop departed servers, and those that the catalog drops, once they have no requests in flight."""
         for instance, server in list(self._servers.items()):
             if _has_expired(server, now) and server.in_flight == 0:
                 del self._servers[instance]
                 self._by_service[server.record.service].pop(instance, None)
 
     def instances(self) -> set[InstanceId]:
-        """Return all incarnations that are known."""
+        """Return the ids of all known servers."""
         return set(self._servers)
 
     def of_service(self, service: ServiceName) -> Collection[Server]:
-        """Return all servers of a service that are known."""
+        """Return all known servers of a service."""
         return self._by_service.get(service, {}).values()
 
     def usable(
@@ -88,12 +88,12 @@
         home_regions: Collection[RegionName],
         now: float,
     ) -> list[Server]:
-        """Return the servers that may take a request.
+        """Return the servers that can accept a request.
 
         Args:
             service: The service that the request goes to.
-            evacuated_zones: Zones whose servers take none.
-            home_regions: The only regions whose servers take it; empty where all may.
+            evacuated_zones: Zones whose servers receive no requests.
+            home_regions: The only regions whose servers may receive the request; empty if all regions may.
             now: Seconds of the loop's clock.
         """
         usable = [
@@ -115,7 +115,7 @@
 
 
 def split_by_region(servers: Iterable[Server], zone: ZoneName, region: RegionName) -> ServersByRegion:
-    """Part servers by whether they are of a region, those of a zone first."""
+    """Split servers into those in a region and all others; those in the zone come first."""
     local: list[Server] = []
     remote: list[Server] = []
     for server in servers:
--- a/fordtrestle/routing/sidecar_selector.py
+++ b/fordtrestle/routing/sidecar_selector.py
@@ -1,6 +1,6 @@
-"""Which sidecars a client is told to connect to (PROTOCOL: ingress; RULES: HOME). Pure.
+"""Selects the sidecars that a client may connect to (PROTOCOL: ingress; RULES: HOME). Pure.
 
-`docs/design/planned-ends.md` has the table of situations.
+`docs/design/planned-ends.md` contains the table of situations.
 """
 
 from __future__ import annotations
@@ -12,11 +12,11 @@
 from fordtrestle.dissemination.items import Availability, MemberRecord
 from fordtrestle.routing.common import NodeName, RegionName, ZoneName
 
-STARTUP_SETTLE_S = 3.0  # after its start, in which a directory gets links to all sidecars that it can reach
+STARTUP_SETTLE_S = 3.0  # time after the start in which a directory connects to all reachable sidecars
 
 
 class Reach(Enum):
-    """How far from a client the sidecars are that it is told; the names are shown in metrics and the log."""
+    """The distance between a client and the selected sidecars; the names appear in metrics and the log."""
 
     ZONE = auto()
     REGION = auto()
@@ -26,12 +26,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLocation:
-    """Where a client is, and where its requests may go.
+    """The location of a client and the home regions of the host that it requests.
 
     Attributes:
-        region: Its region.
-        zone: Its zone.
-        home_regions: The home regions of the routes of its host; `None` where none of them has any.
+        region: The client's region.
+        zone: The client's zone.
+        home_regions: The home regions of the host's routes; `None` if none of them has any.
     """
 
     region: RegionName
@@ -40,34 +40,34 @@
 
     @property
     def allowed_regions(self) -> frozenset[RegionName] | None:
-        """The regions that a sidecar for it may be in; `None` where all may."""
+        """The regions whose sidecars the client may use; `None` if it may use all."""
         return None if self.home_regions is None else self.home_regions | {self.region}
 
 
 class SidecarSelector:
-    """Selects among the sidecars that a directory knows, as it sees them at one moment."""
+    """Selects among the sidecars in one snapshot of a directory's state."""
 
     def __init__(self, members: Iterable[MemberRecord], linked: Collection[NodeName]) -> None:
-        """Begin with a picture of the members.
+        """Create a selector for a snapshot of the members.
 
         Args:
-            members: All members; those that serve no clients are left out.
-            linked: The nodes that this directory has a link to. Others may be gone before it is told.
+            members: All members; those that serve no clients are ignored.
+            linked: The nodes that this directory has a link to. Other nodes may fail before it is notified.
         """
         self._all = [member for member in members if member.front]
         self._linked = linked
 
     def select(self, client: ClientLocation, is_settled: bool) -> list[MemberRecord]:
-        """Return the sidecars for a client: the first kind, in this order, of which there are any.
+        """Return the sidecars for a client: the first non-empty group, in the order of preference below.
 
-        Its own region goes first, also by sidecars that are shutting down, as long as they serve. A host with
-        home regions is led to these, and outside of them only once all of their sidecars, and of the client's
-        region, are reported to be down.
+        The client's own region is preferred, including sidecars that are shutting down but still serve. The
+        clients of a host with home regions are directed to these, and elsewhere only when all sidecars in the
+        home regions and in the client's region are reported down.
 
         Args:
             client: The client.
-            is_settled: Whether this directory has had the time to get its links. One that has just started
-                knows few sidecars, and names no other region.
+            is_settled: Whether this directory has had time to connect its links. A directory that has just
+                started knows few sidecars, and selects none in other regions.
         """
         ready, linked_ready = (
             self._with_availability(Availability.READY),
@@ -92,25 +92,25 @@
         return [member for member in self._with_availability(availability) if member.node in self._linked]
 
     def _are_all_down(self, regions: Collection[RegionName] | None) -> bool:
-        """Return whether none of these regions has a sidecar that is, or that may come back at any moment."""
+        """Return whether every sidecar in these regions is down, so that none serves or is about to."""
         return all(member.availability is Availability.DOWN for member in _in_regions(self._all, regions))
 
 
 def _in_regions(
     members: Sequence[MemberRecord], regions: Collection[RegionName] | None
 ) -> list[MemberRecord]:
-    """Return those of some regions; all where `regions` is `None`."""
+    """Return the members in these regions; all members if `regions` is `None`."""
     return [member for member in members if regions is None or member.region in regions]
 
 
 def _nearest(members: Sequence[MemberRecord], client: ClientLocation) -> list[MemberRecord]:
-    """Return those of a client's zone, or else of its region."""
+    """Return the members in a client's zone; those in its region if there are none."""
     of_region = _in_regions(members, {client.region})
     return [member for member in of_region if member.zone == client.zone] or of_region
 
 
 def reach_of(sidecars: Sequence[MemberRecord], client: ClientLocation) -> Reach:
-    """Return how far the sidecars are that a client is told."""
+    """Return the distance between a client and the sidecars selected for it."""
     if not sidecars:
         return Reach.NOBODY
     if all(member.zone == client.zone for member in sidecars):
@@ -120,15 +120,15 @@
 
 
 def can_close(own_record: MemberRecord, members: Iterable[MemberRecord]) -> bool:
-    """Return whether a sidecar that is shutting down may send its clients elsewhere.
+    """Return whether a sidecar that is shutting down may direct its clients to other sidecars.
 
-    It may while its region is served without it: another one is ready there, or is shutting down as well and
-    has a later turn. They close in the order of their names, so that of several that are told to shut down at
-    one moment the first is back while the last still serves. It may, too, where none is about to be ready: to
-    be back soon is then all that helps.
+    It may do so if another sidecar in its region is ready, or is shutting down too but closes later. Sidecars
+    close in the order of their names: if several begin to shut down together, the first has restarted while
+    the last still serves. It may also do so if all other sidecars in the region are down: then only an early
+    restart helps.
 
     Args:
-        own_record: The record of the sidecar.
+        own_record: The record of this sidecar.
         members: All members.
     """
     others = [m for m in members if m.front and m.region == own_record.region and m.node != own_record.node]
@@ -138,7 +138,7 @@
 
 
 def _serves_longer(other: MemberRecord, own_record: MemberRecord) -> bool:
-    """Return whether another sidecar of the region serves for longer than this one."""
+    """Return whether another sidecar in the region is ready, or closes later than this one."""
     if other.availability is Availability.READY:
         return True
     return other.availability is Availability.LEAVING and other.node > own_record.node
--- a/fordtrestle/routing/view.py
+++ b/fordtrestle/routing/view.py
@@ -1,7 +1,7 @@
-"""What one sidecar decides by: routes, servers, evacuated zones, the other sidecars. Pure.
+"""Holds the state that a sidecar routes by: routes, servers, evacuated zones, other sidecars. Pure.
 
-It follows the catalog, whose items only move forward, so that nothing here goes back while the process lives.
-Each decision looks here anew.
+The view applies the items of the catalog, whose versions only increase, so that it never reverts to an older
+state while the process runs. Each decision reads the current view.
 """
 
 from __future__ import annotations
@@ -21,41 +21,41 @@
 from fordtrestle.routing.server_table import ServerTable
 
 SIDECAR_ROLE = "sidecar"
-DOWN_RETENTION_S = 120.0  # that a sidecar which is down counts as sharing budgets: it may be partitioned
-PEER_DISCOVERY_S = 2.0  # after the start, until all other sidecars are known from the catalog
-# Heartbeat intervals for which the servers of a zone that is taken back count as warming up: their next
-# heartbeats tell whether they do.
+DOWN_RETENTION_S = 120.0  # how long a down sidecar counts as sharing budgets: it may be partitioned
+PEER_DISCOVERY_S = 2.0  # time after the start until the catalog contains all other sidecars
+# Number of heartbeat intervals for which the servers in a zone whose evacuation has ended are assumed to be
+# warming up. Their next heartbeats report whether they are.
 ASSUMED_WARM_UP_HEARTBEATS = 1.5
-MAX_IMMEDIATE_PARSE_BYTES = 64 * 1024  # of a configuration: parsing a longer one at once would stall the loop
+MAX_IMMEDIATE_PARSE_BYTES = 64 * 1024  # parsing a longer configuration in one step would block the loop
 
 
 class _ParseInProgress:
-    """A long configuration that is being parsed."""
+    """A long configuration that is being parsed in steps."""
 
     def __init__(self, control: ControlView) -> None:
-        """Begin to parse."""
+        """Start parsing a configuration."""
         self.control = control
         self.steps: Generator[None, None, RouteTable] = parse_table_in_steps(control.document)
 
 
 class View:
-    """The newest state that has come to this process.
+    """The newest state that this process has received.
 
     Attributes:
-        table: The routes in force; `None` before the first configuration.
-        generation: The generation of the configuration in force.
-        evacuated_zones: Zones whose servers take no requests.
+        table: The active routes; `None` before the first configuration.
+        generation: The generation of the active configuration.
+        evacuated_zones: Zones whose servers receive no requests.
         servers: All servers.
-        sidecars: The names of all sidecars that share the fleet's budgets, among them those that have been
-            down for less than `DOWN_RETENTION_S`.
+        sidecars: The names of all sidecars that share the fleet's budgets, including those that have been
+            down for at most `DOWN_RETENTION_S`.
     """
 
     def __init__(self, zones: Mapping[ZoneName, RegionName], heartbeat_s: float, started_at: float) -> None:
-        """Begin without any state.
+        """Create an empty view.
 
         Args:
             zones: The region of each zone.
-            heartbeat_s: The interval of servers' heartbeats, in seconds.
+            heartbeat_s: The heartbeat interval of servers, in seconds.
             started_at: When this process started, in seconds of the loop's clock.
         """
         self._heartbeat_s = heartbeat_s
@@ -70,7 +70,12 @@
         self._parse: _ParseInProgress | None = None
 
     def apply(self, items: Iterable[Item], now: float) -> None:
-        """Follow items that are new to the catalog; `now` in seconds of the loop's clock."""
+        """Apply items that are new in the catalog.
+
+        Args:
+            items: The new items.
+            now: Seconds of the loop's clock.
+        """
         for item in items:
             match item.value:
                 case ControlView() as control:
@@ -78,15 +83,15 @@
                 case ServerRecord() as record:
                     self.servers.update(record, item.version, now)
                 case EjectionRecord() as record if self.knows_peers(now):
-                    self.servers.eject(record, now)  # those that come at the start may be long over
+                    self.servers.eject(record, now)  # those received at startup may have expired
                 case MemberRecord() as record if record.role == SIDECAR_ROLE:
                     self._apply_sidecar(record, now)
 
     def expire(self, now: float) -> None:
-        """Drop servers that have departed, and sidecars that have been down for long.
+        """Drop expired servers, and sidecars that have been down for longer than `DOWN_RETENTION_S`.
 
-        A sidecar behind a partition is reported to be down, too, and goes on spending its part of the fleet's
-        budgets: so the part stays reserved for a while.
+        A partitioned sidecar is also reported down, but continues to spend its share of the fleet's budgets.
+        Its share therefore stays reserved for this time.
         """
         self.servers.expire(now)
         for node, since in list(self._down_since.items()):
@@ -95,19 +100,19 @@
                 self.sidecars.discard(node)
 
     def knows_peers(self, now: float) -> bool:
-        """Return whether this process runs for long enough to know who shares the fleet's budgets."""
+        """Return whether this process has run long enough to know all sidecars that share budgets."""
         return now - self._started_at >= PEER_DISCOVERY_S
 
     @property
     def has_pending_parse(self) -> bool:
-        """Whether a long configuration has come that is not in force yet: call `parse_step` until it is."""
+        """Whether a long configuration still has to be parsed; call `parse_step` until this is false."""
         return self._parse is not None or self._pending_control is not None
 
     def parse_step(self) -> None:
-        """Parse some more rows of a long configuration, and put it in force after the last one.
+        """Parse the next rows of a long configuration, and activate it after the last row.
 
-        One that is begun is finished first: where newer ones come faster than they are parsed, none would
-        ever be in force otherwise.
+        A configuration that is being parsed is completed before a newer one is started. Otherwise, if new
+        configurations arrived faster than they are parsed, none would ever become active.
         """
         if self._parse is None:
             if self._pending_control is None:
@@ -128,7 +133,7 @@
             self._down_since.pop(record.node, None)
 
     def _apply_control(self, control: ControlView, now: float) -> None:
-        """Follow the committed state: evacuations at once, a long configuration once it is parsed."""
+        """Apply the committed state: evacuations immediately, a long configuration once it is parsed."""
         reinstated = self.evacuated_zones.difference(control.evacuated)
         self.evacuated_zones = frozenset(control.evacuated)
         if reinstated:
@@ -139,7 +144,7 @@
         if len(control.document) > MAX_IMMEDIATE_PARSE_BYTES:
             self._pending_control = control
             return
-        self._pending_control = self._parse = None  # whatever is being parsed is older
+        self._pending_control = self._parse = None  # drops any older configuration
         self._activate(control, parse_table(control.document))
 
     def _activate(self, control: ControlView, table: RouteTable) -> None:
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -192,7 +192,7 @@
     "what is read is dropped for what is newer": _removal(
         "routing/view.py",
         "tests/routing/test_long_configurations.py",
-        "        self._pending_control = self._parse = None  # whatever is being parsed is older\n",
+        "        self._pending_control = self._parse = None  # drops any older configuration\n",
     ),
     "a wait is reported at growing intervals": _removal(
         "replication/events.py",
