--- a/fordtrestle/forward/__init__.py
+++ b/fordtrestle/forward/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP towards the servers of services."""
+"""HTTP client for the servers of services."""
--- a/fordtrestle/forward/client.py
+++ b/fordtrestle/forward/client.py
@@ -1,7 +1,7 @@
-"""Sends requests to servers and says what the result proves.
+"""Sends requests to servers and classifies the results by what they prove.
 
-aiohttp would send some methods a second time by itself when a kept connection ends without an answer, follow
-redirects, keep cookies, decode bodies and normalise targets: all of that is turned off here.
+By default, aiohttp retries some methods when a kept-alive connection ends without a response, follows
+redirects, stores cookies, decodes bodies and normalises targets. All of this is disabled here.
 """
 
 from __future__ import annotations
@@ -26,17 +26,17 @@
     SendResult,
 )
 
-CONNECT_TIMEOUT_S = 0.5  # a server that is there accepts within one crossing between regions
+CONNECT_TIMEOUT_S = 0.5  # a running server accepts within the latency between two regions
 
-# Before a request's deadline, by which its connection has to be up: a connection time-out that came together
-# with the deadline would leave open whether the request was sent.
+# A connection must be established this long before the request's deadline. If the connect timeout coincided
+# with the deadline, it would be unknown whether the request was sent.
 CONNECT_MARGIN_S = 0.01
 MIN_CONNECT_TIMEOUT_S = 0.001  # aiohttp takes 0 for "without limit"
 
-# Of the time for which servers say that they keep unused connections: a request on one that is about to be
-# closed may be lost.
+# Idle connections are kept for this fraction of the servers' keep-alive timeout: a request on a connection
+# that the server is about to close may be lost.
 KEEP_ALIVE_FRACTION = 0.75
-MAX_HEAD_BYTES = 64 * 1024  # of a line and of a field of an answer's head
+MAX_HEAD_BYTES = 64 * 1024  # per line and per field of a response head
 
 _DEFAULT_TIMEOUT = aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_TIMEOUT_S)
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout=(\d{1,6})")
@@ -46,14 +46,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OutboundRequest:
-    """A request as it goes to one server.
+    """A request to one server.
 
     Attributes:
         method: The HTTP method.
-        target: Path and query, as the client wrote them.
-        headers: All headers of it.
-        body: The whole body.
-        request_id: What the answer has to name.
+        target: Path and query, exactly as the client sent them.
+        headers: All headers.
+        body: The complete body.
+        request_id: The request id that the response must contain.
     """
 
     method: str
@@ -64,11 +64,11 @@
 
 
 class Forwarder:
-    """Sends requests over kept connections to all servers; one a process, made within its loop."""
+    """HTTP client with a connection pool for all servers; a process has one, created in its event loop."""
 
     def __init__(self) -> None:
-        """Make the pool of connections; none is opened yet."""
-        self._shortest_keep_alive_s = float("inf")  # that any server has named
+        """Create an empty connection pool."""
+        self._shortest_keep_alive_s = float("inf")  # shortest timeout that any server has announced
         self._connector = make_connector()
         self._session = aiohttp.ClientSession(
             connector=self._connector,
@@ -80,19 +80,19 @@
             max_field_size=MAX_HEAD_BYTES,
             requote_redirect_url=False,
         )
-        # A request must not be sent again unknown to us: whether it may be is a matter of its route.
+        # aiohttp must not retry a request on its own: the route decides whether a retry is allowed.
         self._session._retry_connection = False
 
     async def send(self, address: str, outbound: OutboundRequest, deadline: float) -> SendResult:
-        """Send a request and wait for the head of its answer.
+        """Send a request and wait for the head of its response.
 
         Args:
-            address: The server's, `HOST:PORT`.
+            address: The address of the server, `HOST:PORT`.
             outbound: The request.
-            deadline: s of the loop's clock.
+            deadline: The deadline, in seconds of the loop's clock.
 
         Returns:
-            The result. The caller gives the connection of an `Answered` back.
+            The result. The caller must release the connection of an `Answered` result.
         """
         url = URL(f"http://{address}{outbound.target}", encoded=True)
         remaining_s = deadline - asyncio.get_running_loop().time()
@@ -112,7 +112,7 @@
         return self._evaluate(response, outbound)
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         await self._session.close()
 
     async def _request(
@@ -128,9 +128,9 @@
         )
 
     def _evaluate(self, response: aiohttp.ClientResponse, outbound: OutboundRequest) -> SendResult:
-        """What the head of an answer proves; the connection of one that is not passed on is given back."""
+        """Classify a response by its head, and release its connection unless the response is forwarded."""
         if response.headers.get(REQUEST_ID) != outbound.request_id:
-            response.close()  # a surplus answer to an earlier request: it proves nothing of this one
+            response.close()  # a surplus response to an earlier request proves nothing about this one
             return ConnectionBroken()
         self._learn_keep_alive(response.headers.get("Keep-Alive", ""))
         if NOT_EXECUTED in response.headers or response.status == MISDIRECTED_STATUS:
@@ -139,9 +139,9 @@
         return Answered(response)
 
     def _learn_keep_alive(self, header: str) -> None:
-        """Keep unused connections for less than any server does (RFC 2068, section 19.7.1.1).
+        """Keep idle connections for a shorter time than any server does (RFC 2068, section 19.7.1.1).
 
-        All servers share the shortest time, as aiohttp has one for all connections.
+        The shortest timeout applies to all servers, because aiohttp has a single one for all connections.
         """
         match = _KEEP_ALIVE_TIMEOUT.search(header)
         if match and int(match.group(1)) < self._shortest_keep_alive_s:
@@ -150,9 +150,9 @@
 
 
 def _timeout_before(remaining_s: float) -> aiohttp.ClientTimeout:
-    """Limits of a request whose deadline may pass while its connection comes up.
+    """Return the timeout of a request whose deadline may pass while its connection is established.
 
-    Connecting ends a margin before the deadline, so that the request is then known not to have been sent.
+    Connecting times out a margin before the deadline, so that the request is known not to have been sent.
     """
     connect_s = max(MIN_CONNECT_TIMEOUT_S, remaining_s - CONNECT_MARGIN_S)
     return aiohttp.ClientTimeout(total=None, sock_connect=connect_s)
--- a/fordtrestle/forward/connections.py
+++ b/fordtrestle/forward/connections.py
@@ -1,7 +1,7 @@
-"""Connections to servers: their sockets, their protocol, and how a silent machine is detected.
+"""Configures the connections to servers: sockets, protocol, and detection of unreachable machines.
 
-Two differences are observed here that aiohttp, and the kernel by its defaults, leave out: a connection that
-was closed is not one that was reset, and a slow server is not one whose machine is unreachable.
+This module makes two distinctions that aiohttp and the kernel's defaults do not: between a connection that
+was closed and one that was reset, and between a slow server and an unreachable machine.
 """
 
 from __future__ import annotations
@@ -16,23 +16,24 @@
 
 MAX_CONNECTIONS = 1024  # to all servers together
 
-# For which unused connections are kept until a server names its own time (`Keep-Alive: timeout=...`).
+# How long idle connections are kept until a server announces its own timeout (`Keep-Alive: timeout=...`).
 DEFAULT_KEEP_ALIVE_S = 2.0
 
-# For which sent bytes may stay unacknowledged (TCP_USER_TIMEOUT): after that the server's machine is gone
-# or partitioned. Three retransmissions fit in by the kernel's least time-out (0.2 s, doubled each time).
+# How long sent bytes may stay unacknowledged (TCP_USER_TIMEOUT) before the server's machine is considered
+# down or partitioned. This allows three retransmissions with the kernel's minimum timeout (0.2 s, doubled
+# each time).
 UNACKNOWLEDGED_TIMEOUT_MS = 1500
 
-# Keep-alive probes of the kernel (tcp(7)): the silence before the first and between two, and how many may
-# stay unanswered. One second is the least that the kernel takes.
+# Keep-alive probes of the kernel (tcp(7)): the idle time before the first probe and between two probes, and
+# the number of probes that may remain unanswered. One second is the kernel's minimum interval.
 PROBE_INTERVAL_S = 1
 MAX_UNANSWERED_PROBES = 1
 
 
 class _ResponseProtocol(ResponseHandler):
-    """aiohttp's client protocol, but a reset never counts as the end of an answer.
+    """aiohttp's client protocol, except that a connection reset never completes a response.
 
-    aiohttp takes an answer without a length to be complete however its connection ends.
+    aiohttp considers a response without a length complete however its connection ends.
     """
 
     def connection_lost(self, exc: BaseException | None) -> None:
@@ -43,7 +44,7 @@
 
 
 def make_connector() -> aiohttp.TCPConnector:
-    """Make the pool of connections to all servers, within the running loop."""
+    """Create the connection pool for all servers, in the running event loop."""
     connector = aiohttp.TCPConnector(
         limit=MAX_CONNECTIONS,
         keepalive_timeout=DEFAULT_KEEP_ALIVE_S,
@@ -52,26 +53,26 @@
         happy_eyeballs_delay=None,
         socket_factory=_open_socket,
     )
-    # aiohttp has no public way to choose the protocol of its connections.
+    # aiohttp has no public API to set the protocol of its connections.
     connector._factory = partial(_open_protocol, loop=asyncio.get_running_loop())
     return connector
 
 
 def set_keep_alive(connector: aiohttp.TCPConnector, keep_alive_s: float) -> None:
-    """Change for how long unused connections are kept; aiohttp has no public way to."""
+    """Set how long idle connections are kept, for which aiohttp has no public API."""
     connector._keepalive_timeout = keep_alive_s
 
 
 def probe_while_silent(response: aiohttp.ClientResponse, is_enabled: bool) -> None:
-    """Switch keep-alive probes of an answer's connection on or off.
+    """Enable or disable keep-alive probes on the connection of a response.
 
-    A machine without power, or behind a partition, ends no connection: only probes that stay unanswered
-    reveal it. They are on where another server can finish the answer. Where none can, it is waited for as
-    long as there is time, since a partition may heal.
+    A machine that lost power or is partitioned does not close its connections: only unanswered probes detect
+    it. Probes are enabled if another server can continue the response. If none can, the sidecar waits until
+    the deadline, because the partition may heal.
 
     Args:
-        response: The answer that is being read.
-        is_enabled: Whether its connection is to break once the server's machine is silent.
+        response: The response that is being read.
+        is_enabled: Whether the connection breaks when the server's machine stops answering probes.
     """
     transport = response.connection.transport if response.connection else None
     sock = transport.get_extra_info("socket") if transport else None
@@ -88,7 +89,7 @@
 
 
 def _open_socket(address: tuple[Any, ...]) -> socket.socket:
-    """Open a socket that breaks once what it sent stays unacknowledged. Raises `OSError`."""
+    """Open a socket that fails when sent bytes stay unacknowledged for too long. Raises `OSError`."""
     family, kind, protocol = address[0], address[1], address[2]
     sock = socket.socket(family=family, type=kind, proto=protocol)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
--- a/fordtrestle/forward/errors.py
+++ b/fordtrestle/forward/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the forwarding layer."""
+"""Errors that the forward package raises."""
 
 from __future__ import annotations
 
 
 class ForwardError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors of this package."""
 
 
 class EventTooLargeError(ForwardError):
-    """A server-sent event has not ended within the bytes that one may have."""
+    """A server-sent event exceeds the maximum size."""
--- a/fordtrestle/forward/headers.py
+++ b/fordtrestle/forward/headers.py
@@ -1,4 +1,4 @@
-"""Which headers pass between a client's connection and a server's (RFC 9110, section 7.6.1). Pure."""
+"""Filters and builds the headers of forwarded messages (RFC 9110, section 7.6.1). Pure."""
 
 from __future__ import annotations
 
@@ -27,40 +27,41 @@
 PRIORITY = "Priority"
 LAST_EVENT_ID = "Last-Event-Id"
 
-MISDIRECTED_STATUS = 421  # another incarnation of the server is at the address (RFC 9110, section 15.5.20)
+MISDIRECTED_STATUS = 421  # the address belongs to another incarnation (RFC 9110, section 15.5.20)
 MS_PER_S = 1000.0
 
 
 def end_to_end(headers: Mapping[str, str], pairs: Iterable[tuple[str, str]]) -> CIMultiDict[str]:
-    """The headers that do not concern one connection only.
+    """Return the end-to-end headers of a message, without the hop-by-hop headers.
 
     Args:
-        headers: All headers of the message; its `Connection` names further hop-by-hop ones.
-        pairs: The same as names and values, in their order and with repetitions.
+        headers: All headers of the message. Its `Connection` header may name further hop-by-hop headers.
+        pairs: The same headers as names and values, in order and with duplicates.
 
     Returns:
-        The end-to-end headers, in their order.
+        The end-to-end headers, in order.
     """
     connection_headers = {name.strip().lower() for name in headers.get("Connection", "").split(",")}
-    passed: CIMultiDict[str] = CIMultiDict()
+    forwarded: CIMultiDict[str] = CIMultiDict()
     for name, value in pairs:
         if name.lower() not in HOP_BY_HOP and name.lower() not in connection_headers:
-            passed.add(name, value)
-    return passed
+            forwarded.add(name, value)
+    return forwarded
 
 
-def headers_for_server(passed: CIMultiDict[str], instance: str, remaining_s: float) -> CIMultiDict[str]:
-    """A request's headers for one server.
+def headers_for_server(forwarded: CIMultiDict[str], instance: str, remaining_s: float) -> CIMultiDict[str]:
+    """Return the headers of a request to one server.
 
     Args:
-        passed: The end-to-end headers of the client.
-        instance: The incarnation of the server that the request is meant for.
-        remaining_s: The time that is left; named only where the client named a deadline, 1 ms at least.
+        forwarded: The end-to-end headers of the client's request.
+        instance: The id of the server incarnation that the request is intended for.
+        remaining_s: The time until the deadline, in seconds. It is included only if the client's request has
+            a deadline header, as at least 1 ms.
 
     Returns:
-        A copy with these two.
+        A copy of the headers with the expected instance and, where included, the remaining time.
     """
-    headers = passed.copy()
+    headers = forwarded.copy()
     headers[EXPECT_INSTANCE] = instance
     if DEADLINE in headers:
         headers[DEADLINE] = str(max(1, int(remaining_s * MS_PER_S)))
@@ -68,6 +69,6 @@
 
 
 def has_length_within(headers: Mapping[str, str], max_bytes: int) -> bool:
-    """Whether a message names a length, and one that is not above `max_bytes`."""
+    """Return whether a message has a valid `Content-Length` of at most `max_bytes`."""
     length = headers.get("Content-Length", "")
     return length.isascii() and length.isdigit() and int(length) <= max_bytes
--- a/fordtrestle/forward/results.py
+++ b/fordtrestle/forward/results.py
@@ -1,7 +1,7 @@
-"""What sending a request to one server came to, each result by what it proves.
+"""The possible results of sending a request to one server, classified by what they prove.
 
-The distinction that matters is whether the server may have run the request: one that may have run is sent
-again only where its route says that it may run twice.
+The key distinction is whether the server may have run the request. A request that may have run is retried
+only if its route allows it to run more than once.
 """
 
 from __future__ import annotations
@@ -13,31 +13,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The head of the server's answer has come: the server took the request."""
+    """The server accepted the request: the head of its response was received."""
 
     response: aiohttp.ClientResponse
 
 
 @dataclass(frozen=True, slots=True)
 class RejectedByServer:
-    """The server says that it has not run the request and never will."""
+    """The server rejected the request and guarantees that it has not run and never will."""
 
     status: int
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectFailed:
-    """No connection came up: the request was not sent."""
+    """No connection could be established: the request was not sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """The deadline passed before a connection came up: the request was not sent."""
+    """The deadline passed before a connection was established: the request was not sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionBroken:
-    """The connection ended, or what came was no answer to this request: it may have run."""
+    """The connection ended, or received data that is no response to this request: it may have run."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/fordtrestle/ingress/adopted_connections.py
+++ b/fordtrestle/ingress/adopted_connections.py
@@ -1,4 +1,4 @@
-"""Connections that waited at an early listener, and when their first requests arrived at the earliest."""
+"""Adopts the connections of an early listener, and tracks the earliest arrival of their first requests."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 
 from aiohttp import web
 
-# After which the first request of an adopted connection counts as having come just now: what was sent before
-# the adoption has been read by then.
+# Requests that are read later than this after the adoption were sent after it: those sent before have been
+# read by then.
 ADOPTION_WINDOW_S = 0.5
 
 
 class AdoptedConnections:
-    """Connections that have waited and sent no request yet since they were adopted.
+    """Adopted connections that have not sent a request yet.
 
-    How long the client of one has waited is not known. Its first request is taken to have arrived when the
-    early listener began, so that none is served after its deadline; every later one arrives as it is read.
+    How long a client has waited is unknown. The arrival time of its first request is therefore the start of
+    the early listener, so that no request is served after its deadline. Later requests arrive when read.
     """
 
     def __init__(self) -> None:
-        """Begin with none."""
+        """Create an empty set of connections."""
         self._handlers: set[web.RequestHandler] = set()
-        self._waited_since = 0.0  # s, loop clock: since when, at the longest
+        self._waited_since = 0.0  # earliest possible start of the wait, in seconds of the loop's clock
 
     @property
     def is_empty(self) -> bool:
-        """Whether none is left that has waited."""
+        """Whether no adopted connection is left without a request."""
         return not self._handlers
 
     async def adopt(
@@ -36,18 +36,18 @@
         waited_since: float,
         make_handler: Callable[[], web.RequestHandler],
     ) -> None:
-        """Serve connections that have waited.
+        """Serve connections that were accepted from an early listener.
 
         Args:
-            connections: Accepted ones.
-            waited_since: s, loop clock; since when they have waited at the longest.
-            make_handler: Makes aiohttp's handler of a connection.
+            connections: The accepted connections.
+            waited_since: The earliest time at which they may have connected, in seconds of the loop's clock.
+            make_handler: Creates aiohttp's handler of a connection.
         """
         loop = asyncio.get_running_loop()
         self._waited_since = waited_since
 
         def make_adopted_handler() -> web.RequestHandler:
-            """Make the handler of a connection, known as adopted before it reads anything."""
+            """Create the handler of a connection, and register it before it reads any data."""
             handler = make_handler()
             self._handlers.add(handler)
             return handler
@@ -56,11 +56,11 @@
             try:
                 await loop.connect_accepted_socket(make_adopted_handler, connection)
             except OSError:
-                connection.close()  # its client has ended it: the others are not to suffer
+                connection.close()  # closed by its client; the others must still be served
         loop.call_later(ADOPTION_WINDOW_S, self._handlers.clear)
 
     def pop_arrival_time(self, handler: web.RequestHandler) -> float:
-        """When a request that was just read arrived at the earliest, s of the loop's clock."""
+        """Return the earliest arrival of a request that was just read, in seconds of the loop's clock."""
         if handler in self._handlers:
             self._handlers.discard(handler)
             return self._waited_since
--- a/fordtrestle/ingress/directory.py
+++ b/fordtrestle/ingress/directory.py
@@ -1,4 +1,4 @@
-"""The `directory` endpoint: which sidecars a client may connect to (PROTOCOL: ingress)."""
+"""The `directory` endpoint, which returns the sidecars that a client may connect to (PROTOCOL: ingress)."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     reach_of,
 )
 
-MAX_ADDRESSES = 64  # in a response
+MAX_ADDRESSES = 64  # per response
 
-# For which a client may keep a response, at most; the settings may say less. With 0.5 s restarts scored the
-# same, for twice the calls (docs/design/admission.md).
+# The longest time for which a client may cache a response; the settings may lower it. With 0.5 s restarts
+# scored the same, for twice as many calls (docs/design/admission.md).
 RESPONSE_TTL_S = 1.0
-FIRST_PARSE_TIMEOUT_S = 0.5  # for which a client waits for the first configuration to be parsed
-NO_SEQUENCE = -1  # below all sequences
+FIRST_PARSE_TIMEOUT_S = 0.5  # how long a client waits for the first configuration to be parsed
+NO_SEQUENCE = -1  # lower than every sequence number
 
 
 class Directory:
-    """Responds from the catalog; a control process has one."""
+    """Endpoint of a control process that selects sidecars from the catalog."""
 
     def __init__(
         self,
@@ -40,14 +40,14 @@
         max_ttl_s: float,
         rng: random.Random,
     ) -> None:
-        """Make an endpoint that has just started: it knows few sidecars, and names no distant ones yet.
+        """Create the endpoint in its startup phase, in which it selects no sidecars in other regions.
 
         Args:
-            catalog: What this process knows of members and configuration.
-            linked_nodes: The nodes that a link is up to.
-            regions: All regions of the site; clients may name others.
-            max_ttl_s: The longest time for which the settings let a response be kept.
-            rng: Draws the order of the addresses.
+            catalog: The members and the configuration that this process knows.
+            linked_nodes: Returns the nodes that this process has a link to.
+            regions: All regions of the site; clients may name other regions.
+            max_ttl_s: The longest time for which a response may be cached according to the settings.
+            rng: The random source for the order of the addresses.
         """
         self._catalog = catalog
         self._linked_nodes = linked_nodes
@@ -56,21 +56,21 @@
         self._settled_at = asyncio.get_running_loop().time() + STARTUP_SETTLE_S
         self._rng = rng
         self._home_regions: HomeRegions | None = None
-        self._sequence = NO_SEQUENCE  # of the configuration that the home regions are of
+        self._sequence = NO_SEQUENCE  # of the configuration that contains the home regions
         self._parsing: asyncio.Task[None] | None = None
-        self._reaches: dict[str, Reach] = {}  # by region of clients, as last responded
+        self._reaches: dict[str, Reach] = {}  # of the last response, by region of the clients
         self._counts = dict.fromkeys(Reach, 0)
 
     def figures(self) -> dict[str, float]:
-        """Responses so far, by how far from the client the sidecars are that they name."""
+        """Return the number of responses by the distance between the client and the selected sidecars."""
         return {f"directory_{reach.name.lower()}": count for reach, count in self._counts.items()}
 
     def assume_settled(self) -> None:
-        """Take what is known to be all there is, whatever the time since the start."""
+        """End the startup phase now: assume that all reachable sidecars are known."""
         self._settled_at = asyncio.get_running_loop().time()
 
     def application(self) -> web.Application:
-        """The routes of the endpoint."""
+        """Return the web application of the endpoint."""
         application = web.Application()
         application.add_routes([web.get("/v1/resolve", self._resolve)])
         return application
@@ -89,10 +89,11 @@
         return web.json_response({"addresses": [member.front for member in selected], "ttl_s": self._ttl_s})
 
     async def _home_regions_of(self, host: str) -> frozenset[str] | None:
-        """The home regions of a host's routes.
+        """Return the home regions of a host's routes.
 
-        A long configuration is parsed in a thread, as the loop has heartbeats to answer. Until then the one
-        before counts; only where there is none is the first one waited for, for a while.
+        The configuration is parsed in a thread, because a long one would keep the event loop from answering
+        heartbeats. Until it is parsed the previous one applies. If there is none, this call waits for up to
+        `FIRST_PARSE_TIMEOUT_S`.
         """
         control = self._catalog.control
         if control and control.document and control.sequence != self._sequence and self._parsing is None:
@@ -109,7 +110,7 @@
             self._parsing = None
 
     def _record(self, client: ClientLocation, reach: Reach, members: list[MemberRecord]) -> None:
-        """Count a response, and log it where a region's clients are sent farther or nearer than before."""
+        """Count a response, and log it if the distance has changed for a region of the site."""
         self._counts[reach] += 1
         region = client.region
         if region not in self._regions or self._reaches.get(region, Reach.ZONE) is reach:
--- a/fordtrestle/ingress/early_listener.py
+++ b/fordtrestle/ingress/early_listener.py
@@ -1,8 +1,9 @@
-"""Listens for clients before the libraries are loaded, as socket activation does.
+"""Listens for clients before the libraries are loaded, similar to socket activation.
 
-A process that starts spends most of its time on loading them. Clients that connect meanwhile wait in the
-kernel's queue instead of being rejected, which would use up their attempts. How long each has waited there
-is not known: the time since the socket began to listen is taken, so that none is served after its deadline.
+A process spends most of its startup on loading libraries. Clients that connect during this time wait in the
+kernel's queue instead of being rejected, which would use up their attempts. How long each client has waited
+is unknown. It is assumed to have waited since the socket began to listen, so that no request is served after
+its deadline.
 """
 
 from __future__ import annotations
@@ -13,31 +14,31 @@
 
 from fordtrestle.settings.settings_file import read_settings_bytes
 
-MAX_PENDING_CONNECTIONS = 256  # in the kernel's queue
+MAX_PENDING_CONNECTIONS = 256  # capacity of the kernel's queue
 
 
 class EarlyListener:
-    """A socket that listens at a host and port.
+    """A socket that listens on a host and port.
 
     Attributes:
-        socket: The socket, not blocking.
+        socket: The non-blocking socket.
         address: Host and port.
-        listening_since: s of the steady clock, which is asyncio's, too.
+        listening_since: When it began to listen, in seconds of the monotonic clock, which asyncio uses too.
     """
 
     __slots__ = ("address", "listening_since", "socket")
 
     def __init__(self, sock: socket.socket, address: tuple[str, int]) -> None:
-        """Take over a socket that has just begun to listen."""
+        """Wrap a socket that has just begun to listen."""
         self.socket = sock
         self.address = address
         self.listening_since = time.monotonic()
 
     def accept_all(self) -> list[socket.socket]:
-        """Accept the connections that wait, before the socket is handed on.
+        """Accept all waiting connections, before asyncio takes over the socket.
 
-        One that asyncio accepted could not be distinguished from one that came later, and would be served as
-        if it had not waited.
+        A waiting connection that asyncio accepted could not be distinguished from a later one, and would be
+        served as if its client had not waited.
         """
         connections: list[socket.socket] = []
         for _ in range(MAX_PENDING_CONNECTIONS):
@@ -45,7 +46,7 @@
                 connection, _ = self.socket.accept()
             except ConnectionAbortedError:
                 continue
-            except OSError:  # none is left, or no descriptor is
+            except OSError:  # no connection or no file descriptor is left
                 break
             connection.setblocking(False)
             connections.append(connection)
@@ -53,11 +54,14 @@
 
 
 def listen_early(endpoint: str) -> EarlyListener | None:
-    """Listen where the settings say that clients connect to this endpoint.
+    """Listen on the address that the settings specify for an endpoint.
+
+    Args:
+        endpoint: The name of the endpoint in the settings.
 
     Returns:
-        The listener. `None` where the settings name no address, or it cannot be had: the role reads the
-        settings again, validates them and reports what is wrong.
+        The listener; `None` if the settings contain no valid address or it cannot be bound. The role reads
+        and validates the settings again, and reports the error.
     """
     try:
         host, _, port = json.loads(read_settings_bytes())["listen"][endpoint].rpartition(":")
--- a/fordtrestle/ingress/errors.py
+++ b/fordtrestle/ingress/errors.py
@@ -1,23 +1,23 @@
-"""Why a request is rejected before it is routed. `responses.rejection_for` has the response to each."""
+"""Errors that reject a request before it is routed; `responses.rejection_for` maps them to responses."""
 
 from __future__ import annotations
 
 
 class IngressError(Exception):
-    """Base of all errors that this package raises."""
+    """Base class of all errors of this package."""
 
 
 class BodyTooLargeError(IngressError):
-    """The body is larger than the configuration allows."""
+    """The body exceeds the limit of the configuration."""
 
 
 class BodyTimeoutError(IngressError):
-    """The body did not come in time."""
+    """The body was not received in time."""
 
 
 class OverCapacityError(IngressError):
-    """This sidecar holds as many requests, or as many bytes of them, as it may."""
+    """This sidecar has reached its limit of open requests or of body bytes."""
 
 
 class ShuttingDownError(IngressError):
-    """This sidecar drains and takes no further request."""
+    """This sidecar is draining and accepts no further requests."""
--- a/fordtrestle/ingress/inbound_request.py
+++ b/fordtrestle/ingress/inbound_request.py
@@ -1,4 +1,4 @@
-"""A client's request, read to its end, and what all requests of a sidecar share."""
+"""A client's complete request, and the context that all requests of a sidecar share."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True)
 class HandlerContext:
-    """What the handlers of all requests of a sidecar share.
+    """The objects that the handlers of all requests of a sidecar share.
 
     Attributes:
-        router: Decides what is done next with a request.
-        priority_assigner: Ranks prompts by their size.
-        wait_queue: Requests that no server can take yet.
-        forwarder: Sends to servers.
-        rng: Draws the times after which rejected clients come back.
+        router: Decides the next step of a request.
+        priority_assigner: Assigns priorities by prompt size.
+        wait_queue: Holds requests that no server can accept yet.
+        forwarder: Sends requests to servers.
+        rng: The random source for `Retry-After` times.
     """
 
     router: Router
@@ -41,17 +41,17 @@
 
 @dataclass(frozen=True, slots=True)
 class InboundRequest:
-    """A client's request, read to its end.
+    """A client's complete request.
 
     Attributes:
         method: The HTTP method.
         host: The `Host` header.
-        target: Path and query, as the client wrote them.
+        target: Path and query, exactly as the client sent them.
         headers: The end-to-end headers.
-        body: The whole body.
-        request_id: The client's; empty where it named none.
-        prompt: What the headers say about the prompt.
-        arrived_at: s, loop clock; the earliest that is possible.
+        body: The complete body.
+        request_id: The client's request id; empty if it sent none.
+        prompt: The description of the prompt in the headers.
+        arrived_at: The earliest possible arrival, in seconds of the loop's clock.
     """
 
     method: str
@@ -65,7 +65,7 @@
 
     @classmethod
     def from_aiohttp(cls, request: web.BaseRequest, body: bytes, arrived_at: float) -> InboundRequest:
-        """Take from aiohttp's request what handling it needs."""
+        """Create the request from aiohttp's request and its body."""
         headers = request.headers
         return cls(
             method=request.method,
@@ -80,12 +80,12 @@
 
     @property
     def metadata(self) -> RequestMetadata:
-        """What the router decides by."""
+        """The properties of the request that routing depends on."""
         path = self.target.partition("?")[0]
         return RequestMetadata(self.host, path, self.prompt, self.arrived_at, self._client_timeout_s())
 
     def _client_timeout_s(self) -> float | None:
-        """The time that the client gives; none where it names none, or no number."""
+        """Return the client's timeout, in seconds; `None` if it is missing or not a number."""
         try:
             return float(self.headers.get(DEADLINE, "")) / MS_PER_S
         except ValueError:
--- a/fordtrestle/ingress/outcome_recorder.py
+++ b/fordtrestle/ingress/outcome_recorder.py
@@ -1,7 +1,7 @@
-"""What the results of sends prove of a request, of its servers and of their service.
+"""Records what the results of sends prove about a request, its servers and their service.
 
-`docs/design/admission.md` has the table. Only a rejection counts as load: a server that is absent says
-nothing about the load of the others, and must not make this sidecar reject requests.
+`docs/design/admission.md` contains the table. Only a rejection indicates load: an absent server provides no
+information about the load of the others, and must not cause this sidecar to reject requests.
 """
 
 from __future__ import annotations
@@ -27,19 +27,19 @@
 from fordtrestle.routing.router import Router
 from fordtrestle.routing.server import Server
 
-OVERLOAD_STATUSES = (429, 503)  # of a rejection: the server is full
+OVERLOAD_STATUSES = (429, 503)  # rejections with these statuses indicate an overloaded server
 
 
 class OutcomeRecorder:
     """Records the results of one request's sends."""
 
     def __init__(self, router: Router, prompt: Prompt, attempts: RequestAttempts) -> None:
-        """Begin with a request that has not been sent.
+        """Create a recorder for a request that has not been sent.
 
         Args:
-            router: Holds what is known of servers and services.
-            prompt: The request's.
-            attempts: The request's attempts, which are counted here.
+            router: Holds the state of servers and services.
+            prompt: The description of the request's prompt.
+            attempts: The attempts of the request, which this recorder updates.
         """
         self._router = router
         self._prompt = prompt
@@ -49,10 +49,10 @@
         """Record the result of one send.
 
         Args:
-            send: The decision that it was sent by.
-            result: What came of it.
-            elapsed_s: The time from the send to the result.
-            now: s, loop clock.
+            send: The decision to send the request.
+            result: The result.
+            elapsed_s: The time from the send to the result, in seconds.
+            now: Seconds of the loop's clock.
         """
         server = send.server
         if not isinstance(result, ConnectFailed | NotSent):
@@ -71,12 +71,12 @@
                 self._on_deadline_exceeded(server, now - elapsed_s)
 
     def record_outcome(self, server: Server, failed: bool) -> None:
-        """Record whether a server failed a request that it took; it may be ejected for it."""
+        """Record whether a server failed a request that it accepted, which may eject the server."""
         if self._router.record_outcome(server, failed, asyncio.get_running_loop().time()):
             eliot.log_message("servers:ejected", instance=server.instance)
 
     def record_broken_body(self, server: Server) -> None:
-        """Record that an answer broke off in its body: the server's head had counted as a success."""
+        """Record that the body of a response broke off, after its head was recorded as a success."""
         self.record_outcome(server, failed=True)
         self._attempts.may_have_run = True
 
@@ -95,7 +95,7 @@
         if status in OVERLOAD_STATUSES:
             self._router.admission.record_rejected(send.callee, now)
         elif status == MISDIRECTED_STATUS:
-            send.server.is_misdirected = True  # another incarnation is at its address
+            send.server.is_misdirected = True  # its address belongs to another incarnation
 
     def _on_connect_failure(self, server: Server, now: float) -> None:
         server.on_connection_failure(now)
@@ -107,7 +107,7 @@
         self._attempts.may_have_run = True
 
     def _on_deadline_exceeded(self, server: Server, sent_at: float) -> None:
-        """Only silence counts: one that answers others meanwhile may have got a request that takes long."""
+        """Record a failure only if the server was silent: otherwise the request may just take long."""
         if server.has_not_answered_since(sent_at):
             self.record_outcome(server, failed=True)
         self._attempts.may_have_run = True
--- a/fordtrestle/ingress/readiness.py
+++ b/fordtrestle/ingress/readiness.py
@@ -1,4 +1,4 @@
-"""The `readiness` endpoint: whether this process serves requests."""
+"""The `readiness` endpoint, which reports whether this process serves requests."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Readiness:
-    """Responds 200 once requests can be served and until the process shuts down, and 503 otherwise."""
+    """Endpoint that returns 200 from when requests can be served until the shutdown, and 503 otherwise."""
 
     def __init__(self, is_ready: Callable[[], bool]) -> None:
-        """Make the endpoint; `is_ready` is called once a request."""
+        """Create the endpoint; `is_ready` is called once per request."""
         self._is_ready = is_ready
 
     def application(self) -> web.Application:
-        """The routes of the endpoint."""
+        """Return the web application of the endpoint."""
         application = web.Application()
         application.add_routes([web.get("/v1/readiness", self._respond)])
         return application
--- a/fordtrestle/ingress/relay.py
+++ b/fordtrestle/ingress/relay.py
@@ -1,4 +1,4 @@
-"""Passes a server's response on: short ones complete, streams as they come.
+"""Relays responses from servers to clients: short ones when complete, streams incrementally.
 
 A response that breaks off never looks complete to its client.
 """
@@ -16,30 +16,30 @@
 from fordtrestle.forward.headers import end_to_end, has_length_within
 from fordtrestle.routing.route import Route, RouteType
 
-MAX_BUFFERED_BYTES = 1024 * 1024  # of a response that is read to its end before any of it is passed on
-CLIENT_WRITE_TIMEOUT_S = 10.0  # for which a client may leave its connection full once all has come
+MAX_BUFFERED_BYTES = 1024 * 1024  # size of a response that is read completely before it is relayed
+CLIENT_WRITE_TIMEOUT_S = 10.0  # how long the head or the end may wait for a client that does not read
 OK = 200
 _CONNECTION_ERRORS = (aiohttp.ClientError, OSError, EOFError, EventTooLargeError)
 
 
 class RelayResult(Enum):
-    """How a server's part of a response ended."""
+    """How one server's part of a response ended."""
 
     COMPLETE = auto()
-    BROKEN = auto()  # the server's connection ended, or what came was no answer
+    BROKEN = auto()  # the server's connection ended, or it sent invalid data
     DEADLINE_EXCEEDED = auto()
     CLIENT_GONE = auto()  # the client's connection has ended
 
 
 def is_short(response: aiohttp.ClientResponse, route: Route) -> bool:
-    """Whether a response is read to its end before any of it is passed on."""
+    """Return whether a response is read completely before it is relayed."""
     return route.route_type is not RouteType.STREAMING and has_length_within(
         response.headers, MAX_BUFFERED_BYTES
     )
 
 
 def release_connection(response: aiohttp.ClientResponse) -> None:
-    """Keep the server's connection where the response was read to its end, and end it where it was not."""
+    """Keep the server's connection if the response was read completely, and close it otherwise."""
     if response.content.at_eof() and response.content.exception() is None:
         response.release()
     else:
@@ -47,14 +47,14 @@
 
 
 async def relay_complete(response: aiohttp.ClientResponse, deadline: float) -> web.Response | RelayResult:
-    """Read a response to its end.
+    """Read a response completely.
 
     Args:
-        response: The server's; its connection is released.
-        deadline: s, loop clock.
+        response: The server's response; its connection is released.
+        deadline: The deadline, in seconds of the loop's clock.
 
     Returns:
-        The client's response, or why the server's is not complete.
+        The response to the client, or the reason why the server's response is incomplete.
     """
     try:
         async with asyncio.timeout_at(deadline):
@@ -71,15 +71,15 @@
 
 
 class StreamRelay:
-    """One response to a client, fed by one server or, where it may be resumed, by several in turn."""
+    """A streaming response to a client from one server or, if it is resumable, from several in turn."""
 
     def __init__(self, request: web.BaseRequest, first: aiohttp.ClientResponse, is_resumable: bool) -> None:
-        """Make the client's response; nothing is sent yet.
+        """Create the response to the client, without sending any of it.
 
         Args:
-            request: The client's.
-            first: The response of the first server; its status and headers are the client's.
-            is_resumable: Whether the route lets another server continue the stream.
+            request: The client's request.
+            first: The response of the first server, which determines the status and the headers.
+            is_resumable: Whether the route allows another server to continue the stream.
         """
         self._request = request
         self._splitter = EventSplitter() if is_resumable and first.status == OK else None
@@ -87,18 +87,18 @@
 
     @property
     def can_resume(self) -> bool:
-        """Whether another server may continue where this one broke off."""
+        """Whether another server may continue the stream where it broke off."""
         return self._splitter is not None
 
     @property
     def last_event_id(self) -> str:
-        """The id of the last event that was passed on; empty where none was."""
+        """The id of the last complete event; empty if there is none."""
         return self._splitter.last_id if self._splitter else ""
 
     async def start(self) -> None:
-        """Send the head.
+        """Send the head of the response.
 
-        Where the client takes none in time, what follows finds its connection ended.
+        If the client does not read it in time, its connection is aborted, and later writes fail.
         """
         try:
             async with asyncio.timeout(CLIENT_WRITE_TIMEOUT_S):
@@ -107,11 +107,14 @@
             self.abort()
 
     async def relay_from(self, response: aiohttp.ClientResponse, deadline: float) -> RelayResult:
-        """Pass on what comes from a server until its part has ended.
+        """Relay a server's response until it ends.
 
         Args:
-            response: The server's; its connection is released.
-            deadline: s, loop clock.
+            response: The server's response; its connection is released.
+            deadline: The deadline, in seconds of the loop's clock.
+
+        Returns:
+            How the server's part of the response ended.
         """
         try:
             async with asyncio.timeout_at(deadline):
@@ -126,7 +129,7 @@
         return RelayResult.COMPLETE
 
     async def finish(self) -> web.StreamResponse:
-        """End the response as complete."""
+        """Write the remaining bytes, and mark the response as complete."""
         try:
             async with asyncio.timeout(CLIENT_WRITE_TIMEOUT_S):
                 await self._write(self._splitter.take_incomplete() if self._splitter else b"")
@@ -136,13 +139,13 @@
         return self.response
 
     def abort(self) -> web.StreamResponse:
-        """End the client's connection: its response is not complete and must not look so."""
+        """Abort the client's connection, so that the incomplete response does not look complete."""
         if self._request.transport is not None:
             self._request.transport.abort()
         return self.response
 
     def _on_connection_error(self) -> RelayResult:
-        """Whose connection ended; both raise the same errors."""
+        """Return whether the client's or the server's connection ended; both raise the same errors."""
         if self._is_client_gone():
             return RelayResult.CLIENT_GONE
         if self._splitter:
@@ -159,7 +162,7 @@
 
 
 def _make_stream_response(first: aiohttp.ClientResponse, is_resumable: bool) -> web.StreamResponse:
-    """A response with the server's status and headers; of a resumable one the length is not known."""
+    """Create a response with the server's status and headers, and without a length if it is resumable."""
     response = web.StreamResponse(status=first.status)
     for name, value in end_to_end(first.headers, first.headers.items()).items():
         if name.lower() != "content-length":
--- a/fordtrestle/ingress/request_body.py
+++ b/fordtrestle/ingress/request_body.py
@@ -1,4 +1,4 @@
-"""Receives the bodies of requests, within the time and the memory that they may take."""
+"""Receives request bodies, within limits of time and memory."""
 
 from __future__ import annotations
 
@@ -15,39 +15,41 @@
 
 
 class BodyReservation:
-    """The bytes that one request holds of the memory for bodies."""
+    """The body memory that one request has reserved."""
 
     def __init__(self, memory: BodyMemory) -> None:
-        """Begin with none."""
+        """Create a reservation of 0 bytes."""
         self._memory = memory
         self._size_bytes = 0
 
     def resize(self, size_bytes: int) -> None:
-        """Hold so many bytes in place of those until now."""
+        """Change the size of the reservation."""
         self._memory.reserved_bytes += size_bytes - self._size_bytes
         self._size_bytes = size_bytes
 
 
 class BodyMemory:
-    """Counts the bytes of all bodies that a sidecar holds, until their responses: for further sends.
+    """Memory budget for all request bodies of a sidecar.
+
+    A body is kept until its request's response is complete, because it may be sent again.
 
     Attributes:
         reserved_bytes: The sum of all reservations.
     """
 
     def __init__(self, max_bytes: int) -> None:
-        """Begin with none held of `max_bytes`."""
+        """Create a budget of `max_bytes`."""
         self._max_bytes = max_bytes
         self.reserved_bytes = 0
 
     @property
     def available_bytes(self) -> int:
-        """How many more may be held."""
+        """The number of bytes that can still be reserved."""
         return self._max_bytes - self.reserved_bytes
 
     @contextmanager
     def reserve(self, size_bytes: int) -> Iterator[BodyReservation]:
-        """Hold bytes within a `with` block; there, the reservation can be resized."""
+        """Reserve memory within a `with` block, in which the reservation can be resized."""
         reservation = BodyReservation(self)
         reservation.resize(size_bytes)
         try:
@@ -57,33 +59,36 @@
 
 
 async def receive_body(request: web.BaseRequest, limits: Limits, available_bytes: int) -> bytes:
-    """Receive the whole body of a request.
+    """Receive the complete body of a request.
 
     Args:
-        request: Of which the head has come.
-        limits: The configuration's.
-        available_bytes: Of the memory for bodies.
+        request: The request, whose head has been received.
+        limits: The limits of the configuration.
+        available_bytes: The available body memory.
+
+    Returns:
+        The body.
 
     Raises:
-        BodyTimeoutError: It did not come in time.
-        BodyTooLargeError: It is larger than the configuration allows.
-        OverCapacityError: It is larger than what is available, which is less than the configuration allows.
+        BodyTimeoutError: The body was not received in time.
+        BodyTooLargeError: The body exceeds the limit of the configuration.
+        OverCapacityError: The body exceeds the available memory, which is below that limit.
     """
     max_bytes = min(limits.max_body_bytes, available_bytes)
     try:
         async with asyncio.timeout(limits.header_timeout_s):
             body = await _read(request, max_bytes)
     except TimeoutError as error:
-        raise BodyTimeoutError(f"not within {limits.header_timeout_s} s") from error
+        raise BodyTimeoutError(f"body not received within {limits.header_timeout_s} s") from error
     if body is not None:
         return body
     if available_bytes < limits.max_body_bytes:
-        raise OverCapacityError(f"more than the {available_bytes} bytes that are available")
-    raise BodyTooLargeError(f"more than {limits.max_body_bytes} bytes")
+        raise OverCapacityError(f"body exceeds the available memory of {available_bytes} bytes")
+    raise BodyTooLargeError(f"body exceeds the limit of {limits.max_body_bytes} bytes")
 
 
 async def _read(request: web.BaseRequest, max_bytes: int) -> bytes | None:
-    """The whole body; `None` where it is larger than `max_bytes`."""
+    """Return the complete body; `None` if it is larger than `max_bytes`."""
     if request.headers.get("Expect", "").lower() == "100-continue" and request.transport:
         request.transport.write(_CONTINUE)
     if not request.can_read_body:
--- a/fordtrestle/ingress/request_handler.py
+++ b/fordtrestle/ingress/request_handler.py
@@ -1,7 +1,7 @@
-"""Carries one client's request to its final response.
+"""Handles one client's request until its final response.
 
-The router decides, the sender sends, the recorder keeps what results prove; here it is decided what a result
-means for the request: another server, a response, or a promise that nothing has run.
+The router decides the next step, the sender sends, and the recorder records the results. This module decides
+what a result means for the request: a retry, a response, or a rejection that guarantees it has not run.
 """
 
 from __future__ import annotations
@@ -39,15 +39,15 @@
 
 
 class RequestHandler:
-    """Handles one request; used once."""
+    """Handler of a single request."""
 
     def __init__(self, context: HandlerContext, inbound: InboundRequest, request: web.BaseRequest) -> None:
-        """Begin with a request that has not been sent.
+        """Create a handler for a request that has not been sent.
 
         Args:
-            context: What all requests share.
+            context: The objects that all handlers share.
             inbound: The request.
-            request: aiohttp's, whose connection a stream is written to.
+            request: aiohttp's request, to whose connection a stream is written.
         """
         self._context = context
         self._inbound = inbound
@@ -61,7 +61,7 @@
         """Handle the request.
 
         Returns:
-            The final response. A stream has been written already.
+            The final response. A streaming response has already been written.
         """
         try:
             while True:
@@ -72,7 +72,7 @@
             self._sender.release()
 
     async def _step(self) -> web.StreamResponse | None:
-        """Do what the router decides now; `None` where it has to decide again."""
+        """Execute the router's next decision; return `None` if the router must decide again."""
         now = asyncio.get_running_loop().time()
         match self._context.router.next_step(self._metadata, self._attempts, now):
             case SendTo() as send:
@@ -87,7 +87,7 @@
                 return self._unless_may_have_run(responses.unknown_route(self._inbound.request_id))
 
     async def _send(self, send: SendTo) -> web.StreamResponse | None:
-        """Send, and do what the result asks for; `None` where the router has to decide again."""
+        """Send the request and handle the result; return `None` if the router must decide again."""
         result = await self._sender.send(send)
         route, attempts, request_id = send.route, self._attempts, self._inbound.request_id
         match result:
@@ -107,7 +107,7 @@
                 return responses.deadline_exceeded(request_id)
 
     async def _on_answer(self, send: SendTo, response: aiohttp.ClientResponse) -> web.StreamResponse | None:
-        """Pass an answer on; one that is a failure of the server's own goes to another server first."""
+        """Relay a response, or retry at another server first if the server failed the request."""
         if response.status in FAILURE_STATUSES and (retry := self._find_retry(send.route)):
             release_connection(response)
             return await self._send(retry)
@@ -116,10 +116,10 @@
         return await self._relay_stream(send, response)
 
     def _find_retry(self, route: Route) -> SendTo | None:
-        """Where a request that a server ran and failed is sent, if it may run once more.
+        """Return the retry of a request that a server ran and failed; `None` if there is none.
 
-        It is asked before the failure is given up: where no other server can take the request, the failure
-        is the client's answer.
+        This is decided before the failed response is discarded: if no other server can accept the request,
+        the client receives the failed response.
         """
         if not self._attempts.can_run_again(route):
             return None
@@ -130,7 +130,7 @@
     async def _relay_complete(
         self, send: SendTo, response: aiohttp.ClientResponse
     ) -> web.StreamResponse | None:
-        """A short answer; `None` where it broke off and another server may be asked."""
+        """Relay a short response; return `None` if it broke off and the request may be retried."""
         request_id = self._inbound.request_id
         result = await relay_complete(response, send.deadline)
         if isinstance(result, web.Response):
@@ -142,23 +142,23 @@
         return None if can_retry else responses.connection_broken(request_id)
 
     async def _relay_stream(self, send: SendTo, response: aiohttp.ClientResponse) -> web.StreamResponse:
-        """Pass a stream on; where it breaks off and may be resumed, another server continues it.
+        """Relay a stream, which another server continues if it breaks off and is resumable.
 
-        The handler is cancelled where the client has gone and where this sidecar gives up what is open: what
-        was relayed must not look complete then.
+        The handler is cancelled when the client disconnects and when this sidecar aborts open requests. In
+        both cases the incomplete response must not look complete.
         """
         relay = StreamRelay(self._request, response, send.route.is_resumable)
         try:
             await relay.start()
             return await self._relay_parts(relay, response, send.deadline)
         except asyncio.CancelledError:
-            relay.abort()  # the client has gone, or this sidecar ends
+            relay.abort()  # the client disconnected, or this sidecar shuts down
             raise
 
     async def _relay_parts(
         self, relay: StreamRelay, response: aiohttp.ClientResponse, deadline: float
     ) -> web.StreamResponse:
-        """Relay one server's part after the other."""
+        """Relay the parts of a stream from one server after another."""
         part: aiohttp.ClientResponse | None = response
         while part is not None:
             connections.probe_while_silent(part, relay.can_resume)
@@ -172,7 +172,7 @@
         return relay.abort()
 
     async def _resume(self, relay: StreamRelay, deadline: float) -> aiohttp.ClientResponse | None:
-        """The rest of a stream from another server; `None` where none may or can give it."""
+        """Return a response that continues a stream; `None` if no other server may or can continue it."""
         if not relay.can_resume:
             return None
         loop, router = asyncio.get_running_loop(), self._context.router
@@ -197,7 +197,7 @@
         )
 
     def _unless_may_have_run(self, response: web.Response) -> web.StreamResponse:
-        """A response that promises that nothing has run; 502 in its place where something may have."""
+        """Return a response that guarantees that the request has not run, or 502 if it may have run."""
         if self._attempts.may_have_run:
             return responses.connection_broken(self._inbound.request_id)
         return response
--- a/fordtrestle/ingress/request_sender.py
+++ b/fordtrestle/ingress/request_sender.py
@@ -1,4 +1,4 @@
-"""Sends one request to servers, one at a time, and counts it as in flight there."""
+"""Sends a request to one server at a time, and tracks it as in flight there."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 class RequestSender:
-    """Sends one request; whoever uses it calls `release` at the end, however that comes."""
+    """Sender of a single request; the caller must call `release` at the end, also after an error."""
 
     def __init__(self, context: HandlerContext, inbound: InboundRequest, recorder: OutcomeRecorder) -> None:
-        """Begin with a request that no server has.
+        """Create a sender for a request that has not been sent.
 
         Args:
-            context: What all requests share.
+            context: The objects that all handlers share.
             inbound: The request.
             recorder: Records the results.
         """
@@ -28,17 +28,17 @@
         self._inbound = inbound
         self._recorder = recorder
         self._priority = context.priority_assigner.assign(inbound.prompt.own_tokens)
-        self._server: Server | None = None  # the one that has the request in flight
+        self._server: Server | None = None  # at which the request is in flight
 
     async def send(self, send: SendTo, last_event_id: str = "") -> SendResult:
-        """Send to one server, and record the result.
+        """Send the request to one server, and record the result.
 
         Args:
-            send: The server, and the deadline.
-            last_event_id: Where a stream continues; empty at its beginning.
+            send: The server and the deadline.
+            last_event_id: The id of the event after which a stream continues; empty at its start.
 
         Returns:
-            The result. After an `Answered` the request stays in flight until the next send or `release`.
+            The result. The request remains in flight until the next send or `release`.
         """
         loop = asyncio.get_running_loop()
         server = send.server
@@ -56,12 +56,12 @@
         return result
 
     def record_broken_stream(self) -> None:
-        """Record that the server which has the request broke off its answer."""
+        """Record that the response of the current server broke off."""
         if self._server is not None:
             self._recorder.record_outcome(self._server, failed=True)
 
     def release(self) -> None:
-        """Count the request as in flight at no server."""
+        """Stop counting the request as in flight."""
         if self._server is not None:
             self._server.in_flight -= 1
             self._server = None
--- a/fordtrestle/ingress/server.py
+++ b/fordtrestle/ingress/server.py
@@ -1,4 +1,4 @@
-"""The `front` endpoint: takes clients' requests to their ends, and hands them to their handlers."""
+"""The `front` endpoint, which receives clients' complete requests and passes them to their handlers."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 from fordtrestle.routing.route import Limits
 from fordtrestle.settings.records import Address
 
-MAX_HEAD_BYTES = 64 * 1024  # of a line and of a field; what the configuration allows lies below
-KEEP_ALIVE_S = 60.0  # for which an unused connection is kept: longer than any client leaves one unused
-LINGER_S = 1.0  # for which aiohttp reads on a body that was rejected, so that its client sees the response
-BACKLOG = 1024  # connections that wait to be accepted
+MAX_HEAD_BYTES = 64 * 1024  # per line and per field; above what the configuration allows
+KEEP_ALIVE_S = 60.0  # how long an idle connection is kept: longer than any client leaves one idle
+LINGER_S = 1.0  # how long aiohttp reads on after a rejected body, so that the client receives the response
+BACKLOG = 1024  # maximum number of connections that wait to be accepted
 BYTES_PER_MB = 1_000_000
-DRAIN_CHECK_INTERVAL_S = 0.05  # between checks whether requests are still open
-FINAL_WRITE_TIMEOUT_S = 0.1  # for the last responses to leave, once what is open is given up
+DRAIN_CHECK_INTERVAL_S = 0.05  # between two checks for open requests
+FINAL_WRITE_TIMEOUT_S = 0.1  # for writing the last responses after open requests have been aborted
 
 
 class _Request(web.BaseRequest):
-    """A request whose body is limited by the configuration, not by aiohttp's default."""
+    """A request whose body size is limited by the configuration instead of aiohttp's default."""
 
 
 def _make_request(
@@ -48,11 +48,11 @@
 
 @dataclass(frozen=True, slots=True)
 class IngressLimits:
-    """What a sidecar holds at most.
+    """The limits of a sidecar on its open requests.
 
     Attributes:
-        max_requests: Open requests.
-        max_body_bytes: Bytes of their bodies together.
+        max_requests: The maximum number of open requests.
+        max_body_bytes: The maximum total size of their bodies, in bytes.
     """
 
     max_requests: int
@@ -60,36 +60,39 @@
 
     @classmethod
     def for_machine(cls, max_fds: int, memory_mb: float) -> IngressLimits:
-        """Half of the descriptors, as a request has one here and one at a server; a quarter of the memory.
+        """Return the limits for a machine.
+
+        The number of requests is half of the file descriptors, because a request uses one to the client and
+        one to a server. Bodies may use a quarter of the memory.
 
         Args:
-            max_fds: File descriptors that the process may open.
-            memory_mb: Its memory, in megabytes.
+            max_fds: The number of file descriptors that the process may open.
+            memory_mb: The memory of the process, in megabytes.
         """
         return cls(max(1, max_fds // 2), int(memory_mb * BYTES_PER_MB / 4))
 
 
 class IngressPhase(IntEnum):
-    """How far the shutdown of an ingress server has come."""
+    """The shutdown phase of an ingress server."""
 
     SERVING = 0
-    CLOSING = 1  # each response ends its connection
-    DRAINING = 2  # no further request is taken
+    CLOSING = 1  # each response closes its connection
+    DRAINING = 2  # no further requests are accepted
 
 
 class IngressServer:
-    """Serves clients until it is closed.
+    """HTTP server for clients.
 
-    It shuts down by `abort_requests_at`, `begin_closing`, `drain` and `close`, in this order;
-    `docs/design/planned-ends.md` has the times between them.
+    To shut it down gracefully, call `abort_requests_at`, `begin_closing`, `drain` and `close`, in this order;
+    `docs/design/planned-ends.md` specifies the times between them.
     """
 
     def __init__(self, context: HandlerContext, limits: IngressLimits) -> None:
-        """Make a server that does not listen yet.
+        """Create a server that does not listen yet.
 
         Args:
-            context: What the handlers of all requests share.
-            limits: What is held at most.
+            context: The objects that all handlers share.
+            limits: The limits on open requests.
         """
         self._context = context
         self._max_requests = limits.max_requests
@@ -110,18 +113,18 @@
         self._adopted = AdoptedConnections()
         # The connection of each open request, by the timeout that aborts the request.
         self._open_requests: dict[asyncio.Timeout, web.RequestHandler] = {}
-        self._abort_at: float | None = None  # s, loop clock
+        self._abort_at: float | None = None  # in seconds of the loop's clock
 
     async def listen(self, address: Address, early: EarlyListener | None = None) -> None:
-        """Accept connections.
+        """Start to accept connections.
 
         Args:
-            address: Where.
-            early: A listener from before; connections that wait there are served first, if the address is
-                the same, and it is closed if not.
+            address: The address to listen on.
+            early: The listener from the start of the process. If its address is the same, its socket is taken
+                over and its waiting connections are served first; otherwise it is closed.
 
         Raises:
-            OSError: The address cannot be had.
+            OSError: The address cannot be bound.
         """
         loop = asyncio.get_running_loop()
         if early is not None and early.address == (address.host, address.port):
@@ -135,31 +138,31 @@
 
     @property
     def port(self) -> int:
-        """The port that is listened at."""
+        """The port that the server listens on."""
         assert self._listener is not None
         return int(self._listener.sockets[0].getsockname()[1])
 
     @property
     def open_requests(self) -> int:
-        """How many requests have no complete response yet."""
+        """The number of requests without a complete response."""
         return len(self._open_requests)
 
     @property
     def is_draining(self) -> bool:
-        """Whether no further request is taken."""
+        """Whether the server accepts no further requests."""
         return self._phase is IngressPhase.DRAINING
 
     @property
     def drain_policy(self) -> DrainPolicy:
-        """Which requests are taken."""
+        """The policy that decides which requests are accepted."""
         return self._context.router.drain_policy
 
     def abort_requests_at(self, abort_at: float, began_at: float) -> None:
-        """Give up what is open at a time, and take only requests that can be finished by then.
+        """Schedule the abort of open requests, and accept only requests that can be completed by then.
 
         Args:
-            abort_at: s, loop clock.
-            began_at: When the shutdown began, s, loop clock.
+            abort_at: When open requests are aborted, in seconds of the loop's clock.
+            began_at: When the shutdown began, in seconds of the loop's clock.
         """
         self._abort_at = abort_at
         self._context.router.drain_policy = DrainPolicy.draining(began_at, abort_at)
@@ -167,14 +170,14 @@
             abort_timeout.reschedule(abort_at)
 
     def begin_closing(self) -> None:
-        """Let each response end its connection."""
+        """Close each connection after its next response."""
         self._phase = IngressPhase.CLOSING
 
     async def drain(self) -> None:
-        """Take no further request, end the unused connections, and wait until nothing is open.
+        """Accept no further requests, close idle connections, and wait until no request is open.
 
-        A request that crosses the end of its connection is not read and may be sent again; one that was read
-        in the same turn of the loop is rejected with the promise that it has not run.
+        A request that arrives while its connection is being closed is not read, and may be retried. One that
+        was read in the same iteration of the event loop is rejected, which guarantees that it has not run.
         """
         self._phase = IngressPhase.DRAINING
         if self._listener:
@@ -189,10 +192,10 @@
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
     async def close(self) -> None:
-        """End all connections."""
+        """Close all connections."""
         if self._listener:
             self._listener.close()
-        # aiohttp takes 0 for "without limit", and waits twice as long at the most.
+        # aiohttp treats 0 as "no timeout", and waits for at most twice the given time.
         await self._server.shutdown(FINAL_WRITE_TIMEOUT_S)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -204,10 +207,10 @@
             del self._open_requests[abort_timeout]
 
     async def _respond(self, request: web.BaseRequest, abort_timeout: asyncio.Timeout) -> web.StreamResponse:
-        """The response, which has left by the end unless it was given up before.
+        """Handle a request and write its response, unless the request is aborted before.
 
-        aiohttp would write it after this call: its connection would then count as unused while the response
-        is still leaving, and `drain` would end it.
+        aiohttp would write the response only after this call. Its connection would then count as idle while
+        the response is being written, and `drain` would close it.
         """
         response: web.StreamResponse | None = None
         try:
@@ -220,22 +223,22 @@
                 raise
         if response is not None:
             if request.transport is not None:
-                request.transport.abort()  # it is not complete and must not look so
+                request.transport.abort()  # the incomplete response must not look complete
             return response
         response = responses.connection_broken(request.headers.get(REQUEST_ID, ""))
         await self._write(request, response)
         return response
 
     async def _write(self, request: web.BaseRequest, response: web.StreamResponse) -> None:
-        """Send what has not left of a response."""
+        """Write the parts of a response that have not been written yet."""
         if self._phase is not IngressPhase.SERVING and not response.prepared:
             response.force_close()
-        with contextlib.suppress(ConnectionError):  # aiohttp sees it again, and ends the connection
+        with contextlib.suppress(ConnectionError):  # aiohttp detects it as well and closes the connection
             await response.prepare(request)
             await response.write_eof()
 
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
-        """The response to one request, or the rejection of it."""
+        """Return the response to a request, or a rejection."""
         arrived_at = self._adopted.pop_arrival_time(request.protocol)
         try:
             return await self._receive_and_handle(request, arrived_at)
@@ -244,10 +247,10 @@
             return responses.rejection_for(error, request_id, self._context.rng)
 
     async def _receive_and_handle(self, request: web.BaseRequest, arrived_at: float) -> web.StreamResponse:
-        """Receive the body, within the limits of the configuration in force, and let it be handled.
+        """Receive the body within the limits of the active configuration, and handle the request.
 
         Raises:
-            IngressError: It is rejected, and has not run.
+            IngressError: The request is rejected and has not run.
         """
         table = self._context.router.view.table
         limits = table.limits if table else Limits()
@@ -257,21 +260,21 @@
         with self._bodies.reserve(announced_bytes) as reservation:
             body = await receive_body(request, limits, available_bytes)
             reservation.resize(len(body))
-            self._check_not_draining()  # again: the body may have been complete only after the drain began
+            self._check_not_draining()  # again: the body may have become complete after the drain began
             inbound = InboundRequest.from_aiohttp(request, body, arrived_at)
             return await RequestHandler(self._context, inbound, request).run()
 
     def _check_head(self, announced_bytes: int, available_bytes: int, limits: Limits) -> None:
-        """Reject a request by its head alone, before any of its body is read. Raises `IngressError`."""
+        """Raise `IngressError` if a request must be rejected before its body is read."""
         self._check_not_draining()
         if announced_bytes > limits.max_body_bytes:
-            raise BodyTooLargeError(f"{announced_bytes} bytes, of {limits.max_body_bytes}")
+            raise BodyTooLargeError(f"body of {announced_bytes} bytes, limit is {limits.max_body_bytes}")
         if self.open_requests > self._max_requests or announced_bytes > available_bytes:
             raise OverCapacityError(
-                f"{self.open_requests} open; {announced_bytes} of {available_bytes} bytes"
+                f"{self.open_requests} open requests; body of {announced_bytes} bytes, {available_bytes} free"
             )
 
     def _check_not_draining(self) -> None:
-        """Raise `ShuttingDownError` once no further request is taken."""
+        """Raise `ShuttingDownError` if the server is draining."""
         if self.is_draining:
-            raise ShuttingDownError("no further request is taken")
+            raise ShuttingDownError("the server is draining and accepts no further requests")
--- a/fordtrestle/ingress/wait_queue.py
+++ b/fordtrestle/ingress/wait_queue.py
@@ -1,31 +1,31 @@
-"""Requests that wait for a configuration or for a usable server, bounded in number and time."""
+"""Queues requests until there is a configuration and a usable server, with limits on number and time."""
 
 from __future__ import annotations
 
 import asyncio
 
-RECHECK_INTERVAL_S = 0.1  # some reasons to wait end by time alone, so that no event announces it
+RECHECK_INTERVAL_S = 0.1  # some reasons to wait expire by time alone, without a notification
 MAX_WAITING = 256
 
 
 class WaitQueue:
-    """All waiting requests of one sidecar."""
+    """The queue of all waiting requests of one sidecar."""
 
     def __init__(self) -> None:
-        """Begin with nothing that waits."""
+        """Create an empty queue."""
         self._changed = asyncio.Event()
         self._count = 0
 
     def wake_all(self) -> None:
-        """Let all waiting requests look again: something has changed that they may wait for."""
+        """Wake all waiting requests after a change that they may be waiting for."""
         self._changed.set()
         self._changed = asyncio.Event()
 
     async def wait(self) -> bool:
-        """Wait until something may have changed.
+        """Wait for a change, for at most `RECHECK_INTERVAL_S`.
 
         Returns:
-            Whether the request could wait; where too many do, the call returns at once.
+            Whether the request was queued; false, without a wait, if the queue is full.
         """
         if self._count >= MAX_WAITING:
             return False
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -706,8 +706,8 @@
     "a stream that was given up does not look complete": _removal(
         "ingress/request_handler.py",
         CLOSING,
-        "            relay.abort()  # the client has gone",
-        "            # the client has gone",
+        "            relay.abort()  # the client disconnected",
+        "            # the client disconnected",
     ),
     "streams are taken only while they can be finished": _removal(
         "routing/router.py",
