--- a/fordtrestle/routing/sidecar_selector.py
+++ b/fordtrestle/routing/sidecar_selector.py
@@ -105,8 +105,8 @@
 
 def _nearest(members: Sequence[MemberRecord], client: ClientLocation) -> list[MemberRecord]:
     """Return the members in a client's zone; those in its region if there are none."""
-    of_region = _in_regions(members, {client.region})
-    return [member for member in of_region if member.zone == client.zone] or of_region
+    in_region = _in_regions(members, {client.region})
+    return [member for member in in_region if member.zone == client.zone] or in_region
 
 
 def reach_of(sidecars: Sequence[MemberRecord], client: ClientLocation) -> Reach:
@@ -123,8 +123,8 @@
     """Return whether a sidecar that is shutting down may direct its clients to other sidecars.
 
     It may do so if another sidecar in its region is ready, or is shutting down too but closes later. Sidecars
-    close in the order of their names: if several begin to shut down together, the first has restarted while
-    the last still serves. It may also do so if all other sidecars in the region are down: then only an early
+    close in the order of their names, so that of several that shut down together the first is back while the
+    last still serves. It may also do so if all other sidecars in the region are down: then only an early
     restart helps.
 
     Args:
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -183,13 +183,13 @@
         "    if reference_faults := _reference_faults(document):\n",
         "    if reference_faults := _reference_faults(partial):\n",
     ),
-    "a long configuration is read in steps": _removal(
+    "a long configuration is parsed in steps": _removal(
         "routing/view.py",
         "tests/routing/test_long_configurations.py",
         "        if len(control.document) > MAX_IMMEDIATE_PARSE_BYTES:\n",
         "        if False:\n",
     ),
-    "what is read is dropped for what is newer": _removal(
+    "a parse in progress is dropped for a newer configuration": _removal(
         "routing/view.py",
         "tests/routing/test_long_configurations.py",
         "        self._pending_control = self._parse = None  # drops any older configuration\n",
@@ -527,18 +527,18 @@
         "        if found not in READABLE_FORMATS:\n",
         "        if False:\n",
     ),
-    "a request's answer has its id": _removal(
+    "a response must contain the id of its request": _removal(
         "forward/client.py",
         ENDS,
         "        if response.headers.get(REQUEST_ID) != outbound.request_id:\n",
         "        if False:\n",
     ),
-    "aiohttp sends nothing again by itself": _removal(
+    "aiohttp does not retry requests by itself": _removal(
         "forward/client.py",
         "tests/ingress/test_exchanges.py",
         "        self._session._retry_connection = False\n",
     ),
-    "an answer that is reset is not whole": _removal(
+    "a response whose connection was reset is incomplete": _removal(
         "forward/connections.py",
         ENDS,
         "        if exc is not None and payload is not None and not payload.is_eof():\n",
@@ -550,38 +550,38 @@
         "            return NotSent() if is_deadline_near else ConnectFailed()\n",
         "            return DeadlineExceeded()\n",
     ),
-    "an answer that breaks off is cut": _removal(
+    "an incomplete response is aborted": _removal(
         "ingress/relay.py",
         ENDS,
         "            self._request.transport.abort()\n",
         "            pass\n",
     ),
-    "only what may be repeated is sent again": _removal(
+    "only idempotent requests are retried after a run": _removal(
         "routing/request_attempts.py",
         ENDS,
         "        return route.is_idempotent and self.runs",
         "        return self.runs",
     ),
-    "an answer that broke off is no success of its server": _removal(
+    "a response that broke off counts as a failure of its server": _removal(
         "ingress/outcome_recorder.py",
         "tests/ingress/test_grey.py",
         "        self.record_outcome(server, failed=True)\n"
         "        self._attempts.may_have_run = True\n\n    def _on_answer(",
         "        self._attempts.may_have_run = True\n\n    def _on_answer(",
     ),
-    "a failure that a server answers counts against it": _removal(
+    "a failure status counts as a failure of the server": _removal(
         "ingress/outcome_recorder.py",
         "tests/ingress/test_grey.py",
         "        failed = status in FAILURE_STATUSES\n",
         "        failed = False\n",
     ),
-    "a connection that does not come up tells of absence alone": _removal(
+    "a failed connection counts as absence only": _removal(
         "ingress/outcome_recorder.py",
         "tests/ingress/test_grey.py",
         "        server.on_connection_failure(now)\n        self._attempts.connect_failures += 1\n",
         "        self.record_outcome(server, failed=True)\n        self._attempts.connect_failures += 1\n",
     ),
-    "a time-out tells of a server only where it is silent": _removal(
+    "a passed deadline counts against a server only if it was silent": _removal(
         "ingress/outcome_recorder.py",
         "tests/ingress/test_grey.py",
         "        if server.has_not_answered_since(sent_at):\n",
@@ -598,7 +598,7 @@
         "    version = (int(record.phase), sequence, int(record.is_unresponsive))\n",
         "    version = (sequence, int(record.phase), int(record.is_unresponsive))\n",
     ),
-    "what befalls all servers ejects none": _removal(
+    "a fault of all servers ejects none": _removal(
         OUTLIERS,
         OUTLIERS_TESTS,
         "max(MIN_FAILURE_SHARE, MIN_RATIO_TO_MEDIAN * median(shares))",
@@ -607,30 +607,30 @@
     "one failure ejects no server": _removal(
         OUTLIERS, OUTLIERS_TESTS, "    if server.decayed(now).bad < MIN_FAILURES:\n        return False\n"
     ),
-    "the greater part of a region's servers stays in use": _removal(
+    "at most a share of a region's servers is excluded": _removal(
         EJECTION,
         OUTLIERS_TESTS,
         "    return ranked[: int(MAX_EJECTED_SHARE * region_size)]\n",
         "    return ranked\n",
     ),
-    "own evidence goes before what was told": _removal(
+    "own ejections rank above those of a control process": _removal(
         EJECTION,
         OUTLIERS_TESTS,
         "        return now < self.own_ejection.until, max(",
         "        return False, max(",
     ),
-    "a sidecar that has just started takes up no old ejections": _removal(
+    "a sidecar that has just started ignores ejections": _removal(
         "routing/view.py", OUTLIERS_TESTS, "as record if self.knows_peers(now):", "as record:"
     ),
-    "one zone alone ejects no server for all": _removal(
+    "reports of one zone eject no server": _removal(
         FLEET_OUTLIERS, FLEET_OUTLIERS_TESTS, " or len(zones) < MIN_ZONES:", ":"
     ),
-    "other regions alone eject no server for all": _removal(
+    "reports of other regions alone eject no server": _removal(
         FLEET_OUTLIERS,
         FLEET_OUTLIERS_TESTS,
         "        if region not in {self._regions.get(zone) for zone in zones}:\n            return False\n",
     ),
-    "no request is sent to more servers than allowed": _removal(
+    "no request is run by more servers than allowed": _removal(
         "routing/request_attempts.py",
         "tests/ingress",
         "return route.is_idempotent and self.runs < route.max_attempts",
@@ -666,13 +666,13 @@
         "        if node in self._suspects:\n",
         "        if False:\n",
     ),
-    "closing waits for no unused connection": _removal(
+    "closing does not wait for idle connections": _removal(
         INGRESS_SERVER,
         CLOSING,
         "await self._server.shutdown(FINAL_WRITE_TIMEOUT_S)",
         "await self._server.shutdown(0.0)",
     ),
-    "a draining server ends unused connections": _removal(
+    "a draining server closes idle connections": _removal(
         INGRESS_SERVER,
         CLOSING,
         "                    connection.force_close()\n",
@@ -691,25 +691,25 @@
         "        return self._phase is IngressPhase.DRAINING\n",
         "        return False\n",
     ),
-    "a body that is complete too late is not forwarded": _removal(
+    "a body that is complete after the drain began is not forwarded": _removal(
         INGRESS_SERVER, CLOSING, "            self._check_not_draining()  # again", "            # again"
     ),
-    "open requests are given up in time": _removal(
+    "open requests are aborted in time": _removal(
         INGRESS_SERVER, CLOSING, "            abort_timeout.reschedule(abort_at)\n", "            pass\n"
     ),
-    "a response leaves before its connection counts as unused": _removal(
+    "a response is written before its connection counts as idle": _removal(
         INGRESS_SERVER,
         CLOSING,
         "                await self._write(request, response)\n",
         "                await asyncio.sleep(0)\n",
     ),
-    "a stream that was given up does not look complete": _removal(
+    "an aborted stream does not look complete": _removal(
         "ingress/request_handler.py",
         CLOSING,
         "            relay.abort()  # the client disconnected",
         "            # the client disconnected",
     ),
-    "streams are taken only while they can be finished": _removal(
+    "streams are accepted only if they can be completed": _removal(
         "routing/router.py",
         CLOSING,
         "        if not self.drain_policy.accepts("
@@ -814,7 +814,7 @@
         '    early = listen_early("front")\n',
         "    early = None\n",
     ),
-    "who leaves is named while its region has nobody else": _removal(
+    "a leaving sidecar is selected if its region has no other": _removal(
         SIDECAR_SELECTOR,
         SIDECAR_SELECTOR_TESTS,
         "            or _nearest(self._linked_with_availability(Availability.LEAVING), client)\n",
@@ -824,33 +824,33 @@
         SIDECAR_SELECTOR_TESTS,
         "            or _in_regions(self._linked_with_availability(Availability.CLOSING), {client.region})\n",
     ),
-    "a host with homes is not led elsewhere": _removal(
+    "clients of a host with home regions are not directed elsewhere": _removal(
         SIDECAR_SELECTOR,
         SIDECAR_SELECTOR_TESTS,
         "            or (is_settled and _in_regions(linked_ready, allowed))\n",
         "            or (is_settled and linked_ready)\n",
     ),
-    "homes may be left once all are down": _removal(
+    "clients are directed elsewhere if all home regions are down": _removal(
         SIDECAR_SELECTOR,
         SIDECAR_SELECTOR_TESTS,
         "            or (is_settled and self._are_all_down(allowed) and (linked_ready or ready))\n",
     ),
-    "only one of those that end together goes at once": _removal(
+    "sidecars that shut down together close one after another": _removal(
         SIDECAR_SELECTOR, SIDECAR_SELECTOR_TESTS, " and other.node > own_record.node", ""
     ),
-    "a host's homes are those of all its routes": _removal(
+    "a host's home regions are those shared by all its routes": _removal(
         "routing/home_regions.py",
         DIRECTORY,
         "by_host.get(host, home_regions) & home_regions",
         "by_host.get(host, home_regions) | home_regions",
     ),
-    "the directory reads long configurations beside the loop": _removal(
+    "the directory parses configurations in a thread": _removal(
         "ingress/directory.py",
         DIRECTORY,
         "await asyncio.to_thread(parse_home_regions, control.document)",
         "parse_home_regions(control.document)",
     ),
-    "the directory goes by the newest configuration": _removal(
+    "the directory uses the newest configuration": _removal(
         "ingress/directory.py",
         "tests/ingress/test_directory.py",
         "control.sequence != self._sequence",
--- a/tests/routing/test_sidecar_selector.py
+++ b/tests/routing/test_sidecar_selector.py
@@ -159,10 +159,10 @@
     others, expected
 ):
     own_record = member("b", "z-1", "r-1", LEAVING)
-    of_region = [
+    in_region = [
         member(f"c{number}", "z-2", "r-1", availability) for number, availability in enumerate(others)
     ]
-    assert can_close(own_record, [own_record, member("remote", "z-4", "r-3"), *of_region]) is expected
+    assert can_close(own_record, [own_record, member("remote", "z-4", "r-3"), *in_region]) is expected
 
 
 def test_sidecars_that_shut_down_together_close_in_the_order_of_their_names():
