--- a/fordtrestle/forward/client.py
+++ b/fordtrestle/forward/client.py
@@ -97,7 +97,7 @@
         url = URL(f"http://{address}{outbound.target}", encoded=True)
         remaining_s = deadline - asyncio.get_running_loop().time()
         is_deadline_near = remaining_s <= CONNECT_TIMEOUT_S + CONNECT_MARGIN_S
-        client_timeout = _timeout_before(remaining_s) if is_deadline_near else _DEFAULT_TIMEOUT
+        client_timeout = _timeout_before_deadline(remaining_s) if is_deadline_near else _DEFAULT_TIMEOUT
         try:
             async with asyncio.timeout_at(deadline):
                 response = await self._request(url, outbound, client_timeout)
@@ -149,7 +149,7 @@
             set_keep_alive(self._connector, KEEP_ALIVE_FRACTION * self._shortest_keep_alive_s)
 
 
-def _timeout_before(remaining_s: float) -> aiohttp.ClientTimeout:
+def _timeout_before_deadline(remaining_s: float) -> aiohttp.ClientTimeout:
     """Return the timeout of a request whose deadline may pass while its connection is established.
 
     Connecting times out a margin before the deadline, so that the request is known not to have been sent.
--- a/fordtrestle/ingress/adopted_connections.py
+++ b/fordtrestle/ingress/adopted_connections.py
@@ -27,7 +27,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no adopted connection is left without a request."""
+        """Whether no adopted connection still waits for its first request."""
         return not self._handlers
 
     async def adopt(
--- a/fordtrestle/ingress/server.py
+++ b/fordtrestle/ingress/server.py
@@ -207,7 +207,7 @@
             del self._open_requests[abort_timeout]
 
     async def _respond(self, request: web.BaseRequest, abort_timeout: asyncio.Timeout) -> web.StreamResponse:
-        """Handle a request and write its response, unless the request is aborted before.
+        """Handle a request and write its response before returning, unless the request is aborted.
 
         aiohttp would write the response only after this call. Its connection would then count as idle while
         the response is being written, and `drain` would close it.
--- a/tests/forward/test_events.py
+++ b/tests/forward/test_events.py
@@ -21,7 +21,7 @@
 
 
 @given(st.lists(st.integers(0, len(b"".join(EVENTS))), max_size=8))
-def test_a_stream_in_any_pieces_gives_all_its_events_and_complete_ones_only(cuts):
+def test_a_stream_in_any_chunks_yields_all_events_and_only_complete_ones(cuts):
     stream = b"".join(EVENTS)
     splitter, forwarded = EventSplitter(), b""
     positions = [0, *sorted(cuts), len(stream)]
@@ -34,7 +34,7 @@
     assert splitter.last_id == "3"
 
 
-def test_an_event_that_was_incomplete_as_the_stream_broke_is_discarded():
+def test_an_incomplete_event_is_discarded_when_the_stream_breaks():
     splitter = EventSplitter()
     assert splitter.feed(EVENTS[0] + EVENTS[1][:10]) == EVENTS[0]
     splitter.discard_incomplete()
--- a/tests/forward/test_headers.py
+++ b/tests/forward/test_headers.py
@@ -14,7 +14,7 @@
 )
 
 
-def test_each_send_names_the_time_that_is_left_of_the_same_deadline():
+def test_each_send_contains_the_remaining_time_until_the_same_deadline():
     client_headers = CIMultiDict({DEADLINE: "5000", "X-Model": "m"})
     deadline = 100.0 + 5.0
     sent_ms = [
@@ -29,11 +29,11 @@
     assert EXPECT_INSTANCE not in client_headers
 
 
-def test_without_a_deadline_of_the_client_the_server_is_named_none():
+def test_without_a_deadline_of_the_client_none_is_sent_to_the_server():
     assert DEADLINE not in headers_for_server(CIMultiDict(), "i-1", 3.0)
 
 
-def test_headers_of_the_prompt_pass_unchanged_and_hop_by_hop_ones_are_left_out():
+def test_prompt_headers_are_forwarded_unchanged_and_hop_by_hop_headers_are_removed():
     end_to_end_headers = [
         ("X-Model", "m"),
         ("X-Token-Count", "1460,80"),
@@ -52,5 +52,5 @@
 @pytest.mark.parametrize(
     ("length", "expected"), [("8", True), ("9", False), ("", False), ("-1", False), ("\u0665", False)]
 )
-def test_a_message_is_within_the_limit_only_where_it_names_such_a_length(length, expected):
+def test_a_message_is_within_the_limit_only_if_its_length_header_says_so(length, expected):
     assert has_length_within({"Content-Length": length}, 8) is expected
--- a/tests/ingress/test_closing.py
+++ b/tests/ingress/test_closing.py
@@ -47,7 +47,7 @@
 
 
 @loopback
-async def test_an_unused_connection_does_not_delay_closing():
+async def test_an_idle_connection_does_not_delay_closing():
     async with (
         FakeServer(ok("q1")) as server,
         IngressHarness(route()) as harness,
@@ -60,7 +60,7 @@
 
 
 @loopback
-async def test_an_unused_connection_is_closed_as_the_server_drains():
+async def test_an_idle_connection_is_closed_when_the_server_drains():
     async with (
         FakeServer(ok("q1")) as server,
         IngressHarness(route()) as harness,
@@ -77,7 +77,7 @@
 
 
 @loopback
-async def test_a_request_that_crosses_the_end_of_its_connection_reaches_no_server():
+async def test_a_request_that_arrives_as_its_connection_is_closed_reaches_no_server():
     async with (
         FakeServer(ok("q1"), ok("q2")) as server,
         IngressHarness(route()) as harness,
@@ -92,7 +92,7 @@
 
 
 @loopback
-async def test_a_request_that_was_read_in_the_turn_of_the_drain_reaches_no_server():
+async def test_a_request_that_was_read_in_the_loop_iteration_of_the_drain_reaches_no_server():
     """The connection counts as busy only when the handler of the request runs."""
     async with (
         FakeServer(ok("q1"), ok("q2")) as server,
@@ -130,7 +130,7 @@
 
 
 @loopback
-async def test_a_second_request_on_the_connection_of_one_that_is_open_is_not_taken():
+async def test_a_second_request_on_the_connection_of_an_open_one_is_not_accepted():
     async with (
         GatedServer(ok("q1")) as server,
         IngressHarness(route()) as harness,
@@ -236,7 +236,7 @@
 
 
 @loopback
-async def test_a_server_that_shuts_down_rejects_streams_that_it_cannot_finish():
+async def test_a_server_that_shuts_down_rejects_streams_that_it_cannot_complete():
     routes = (route("r-1", "/a/", route_type="streaming"), route("r-2", "/b/"))
     async with (
         FakeServer(ok("q1"), ok("q2")) as server,
--- a/tests/ingress/test_directory.py
+++ b/tests/ingress/test_directory.py
@@ -49,13 +49,13 @@
 
 
 @loopback
-async def test_sidecars_that_are_leaving_are_named_while_their_region_has_no_others():
+async def test_leaving_sidecars_are_returned_while_their_region_has_no_others():
     members = [make_member("1a", LEAVING), make_member("1b", LEAVING), make_member("2a"), make_member("3a")]
     assert await resolve(members) == ["1a", "1b"]
 
 
 @loopback
-async def test_a_host_with_home_regions_is_sent_there_where_its_clients_region_has_no_sidecar():
+async def test_clients_are_directed_to_home_regions_if_their_own_region_has_no_sidecar():
     with_homes = route(home_regions=["r-1", "r-2"])
     assert await resolve([make_member("2a"), make_member("3a")], with_homes, route("r-2", "/b/")) == ["2a"]
 
@@ -104,7 +104,7 @@
 
 
 @loopback
-async def test_responses_are_counted_by_how_far_they_send_a_client():
+async def test_responses_are_counted_by_the_distance_of_the_sidecars():
     catalog, links = Catalog(), {"1a", "2a"}
     directory = Directory(catalog, lambda: links, REGIONS, 5.0, random.Random(1))
     directory.assume_settled()
--- a/tests/ingress/test_early_listener.py
+++ b/tests/ingress/test_early_listener.py
@@ -165,7 +165,7 @@
         return next_accept, ("192.0.2.1", 1)
 
 
-def test_a_connection_that_was_reset_in_the_queue_hides_no_others():
+def test_a_connection_that_was_reset_in_the_queue_does_not_prevent_accepting_others():
     with socket.socket() as one, socket.socket() as other:
         early = EarlyListener(FakeListeningSocket(one, ConnectionAbortedError(), other), ("127.0.0.1", 1))
         assert early.accept_all() == [one, other]
--- a/tests/ingress/test_ends.py
+++ b/tests/ingress/test_ends.py
@@ -208,7 +208,7 @@
 
 
 @loopback
-async def test_a_cancelled_request_leaves_no_connection_that_its_answer_could_come_on():
+async def test_a_cancelled_request_leaves_no_connection_that_could_receive_its_response():
     async with FakeServer(ConnectionEnd.SILENT, ok("q2")) as server, IngressHarness(route()) as harness:
         harness.add(server, "i-1")
         async with Client(harness.port) as leaving:
@@ -249,7 +249,7 @@
 
 
 @loopback
-async def test_a_server_that_answers_before_it_read_the_body_gets_no_other_request_in_its_place():
+async def test_a_server_that_responds_before_it_read_the_body_receives_no_other_request_as_the_body():
     body = b"0123456789abcdef" * 1_500_000  # exceeds the buffers of a connection
     rejected = b"HTTP/1.1 503 X\r\nX-Request-Id: ID\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n"
     limits = IngressLimits(max_requests=100, max_body_bytes=200_000_000)
--- a/tests/ingress/test_exchanges.py
+++ b/tests/ingress/test_exchanges.py
@@ -51,7 +51,7 @@
 
 @pytest.mark.parametrize("method", ["GET", "HEAD", "PUT", "DELETE", "OPTIONS", "POST"])
 @loopback
-async def test_no_method_is_sent_twice_when_a_kept_connection_ends_without_an_answer(method):
+async def test_no_method_is_retried_when_a_kept_alive_connection_ends_without_a_response(method):
     async with FakeServer(ok("q1"), None) as server, IngressHarness(route()) as harness:
         harness.add(server)
         async with Client(harness.port) as client:
@@ -62,7 +62,7 @@
 
 
 @loopback
-async def test_connections_are_kept_for_less_than_any_server_says():
+async def test_connections_are_kept_for_less_than_any_server_announces():
     kept, ended = ok(head="Keep-Alive: timeout=10\r\n"), ok(head="Keep-Alive: timeout=0\r\n")
     async with (
         FakeServer(kept, ended) as server,
@@ -96,7 +96,7 @@
 
 
 @loopback
-async def test_a_surplus_answer_is_passed_to_no_client():
+async def test_a_surplus_response_is_forwarded_to_no_client():
     async with (
         FakeServer(ok("q1") + ok("q0", b"surplus"), ok("q2", b"mine")) as server,
         IngressHarness(route()) as harness,
@@ -135,7 +135,7 @@
 
 
 @loopback
-async def test_full_servers_are_a_rejection_and_an_absent_server_no_load(unreachable_port):
+async def test_overloaded_servers_count_as_a_rejection_and_an_absent_server_does_not(unreachable_port):
     async with FakeServer(failure(503)) as full, IngressHarness(route(max_attempts=3)) as harness:
         harness.add(full)
         async with Client(harness.port) as client:
@@ -163,7 +163,7 @@
 
 
 @loopback
-async def test_a_rejected_request_goes_to_another_server_also_where_one_attempt_is_allowed():
+async def test_a_rejected_request_is_retried_even_if_only_one_attempt_is_allowed():
     async with (
         FakeServer(failure(421, head="")) as reused,
         FakeServer(failure(503)) as full,
@@ -238,7 +238,7 @@
 
 
 @loopback
-async def test_a_stream_that_may_be_resumed_goes_on_at_another_server_at_its_last_whole_event():
+async def test_a_resumable_stream_continues_at_another_server_after_its_last_complete_event():
     events = [f"id: {number}\ndata: part {number}\n\n" for number in range(1, 5)]
     broken_stream = [STREAM % b"first", chunk(events[0]), chunk(events[1] + events[2][:9]), None]
     continuation = [STREAM % b"second", chunk(events[2]), chunk(events[3]), b"0\r\n\r\n"]
@@ -263,7 +263,7 @@
     "fields", [{"resumable": False, "max_attempts": 2}, {"resumable": True, "max_attempts": 1}]
 )
 @loopback
-async def test_a_stream_that_may_not_be_resumed_is_aborted_where_it_broke(fields):
+async def test_a_stream_that_may_not_be_resumed_is_aborted_when_it_breaks(fields):
     broken_stream = [STREAM % b"first", chunk("id: 1\ndata: a\n\n"), None]
     async with (
         FakeServer(broken_stream) as breaking,
@@ -307,7 +307,7 @@
 
 
 @loopback
-async def test_requests_keep_to_home_regions_and_away_from_evacuated_zones():
+async def test_requests_are_sent_to_home_regions_and_not_to_evacuated_zones():
     async with (
         FakeServer(ok()) as near,
         FakeServer(ok()) as far,
@@ -365,7 +365,7 @@
 
 
 @loopback
-async def test_a_request_beyond_its_deadline_is_rejected_unsent():
+async def test_a_request_after_its_deadline_is_rejected_without_a_send():
     async with FakeServer(ok()) as server, IngressHarness(route()) as harness, Client(harness.port) as client:
         harness.add(server)
         answer = await client.exchange(request("POST", "/a/x", "", X_Request_Id="q1", X_Deadline_Ms="0"))
--- a/tests/ingress/test_grey.py
+++ b/tests/ingress/test_grey.py
@@ -33,7 +33,7 @@
     ],
 )
 @loopback
-async def test_a_server_whose_requests_fail_is_used_no_more_while_others_do_well(answer, kind):
+async def test_a_server_that_fails_its_requests_is_no_longer_used_while_others_are_healthy(answer, kind):
     async with (
         FakeServer(answer) as failing,
         FakeServer(ok("q")) as healthy,
@@ -52,7 +52,7 @@
 
 
 @loopback
-async def test_failures_of_all_servers_alike_eject_none():
+async def test_equal_failures_of_all_servers_eject_none():
     async with FakeServer(FAILED) as failing, IngressHarness(route()) as harness:
         for instance in INSTANCES:
             harness.add(failing, instance)
@@ -63,7 +63,7 @@
 
 
 @loopback
-async def test_a_failure_that_no_other_server_can_take_over_is_passed_on():
+async def test_a_failure_without_another_server_for_a_retry_is_forwarded():
     async with (
         FakeServer(FAILED) as failing,
         IngressHarness(route(route_type="safe", max_attempts=2)) as harness,
@@ -88,7 +88,7 @@
     ],
 )
 @loopback
-async def test_load_and_clients_failures_do_not_count_against_a_server(answer, expected):
+async def test_overload_and_client_errors_do_not_count_against_a_server(answer, expected):
     async with FakeServer(answer) as server, IngressHarness(route()) as harness:
         harness.add(server, "i-1")
         async with Client(harness.port) as client:
@@ -98,7 +98,7 @@
 
 
 @loopback
-async def test_a_connection_that_does_not_come_up_counts_as_absence_alone(unreachable_port):
+async def test_a_failed_connection_counts_as_absence_only(unreachable_port):
     async with IngressHarness(route()) as harness:
         harness.add(unreachable_port, "i-1")
         async with Client(harness.port) as client:
@@ -136,7 +136,7 @@
     [pytest.param({1}, 1, id="it is silent"), pytest.param(set(), 0, id="it responds")],
 )
 @loopback
-async def test_a_passed_deadline_counts_against_a_server_that_answers_nothing(hung_requests, failures):
+async def test_a_passed_deadline_counts_against_a_silent_server(hung_requests, failures):
     async with (
         HangingServer(ok("q"), hung_requests=hung_requests) as server,
         IngressHarness(route()) as harness,
@@ -148,7 +148,7 @@
 
 
 @loopback
-async def test_a_passed_deadline_counts_nothing_against_a_server_that_answers_others():
+async def test_a_passed_deadline_does_not_count_against_a_server_that_responds_to_others():
     async with HangingServer(ok("q"), hung_requests={1}) as server, IngressHarness(route()) as harness:
         harness.add(server, "i-1")
         async with Client(harness.port) as slow_client, Client(harness.port) as fast_client:
--- a/tests/ingress/test_request_body.py
+++ b/tests/ingress/test_request_body.py
@@ -17,7 +17,7 @@
 from fordtrestle.ingress.responses import rejection_for
 
 
-def test_a_reservation_is_resized_and_given_back():
+def test_a_reservation_is_resized_and_released():
     memory = BodyMemory(100)
     with memory.reserve(30) as first, memory.reserve(20):
         first.resize(50)
@@ -25,7 +25,7 @@
     assert (memory.reserved_bytes, memory.available_bytes) == (0, 100)
 
 
-def test_a_request_that_fails_gives_its_reservation_back():
+def test_a_request_that_fails_releases_its_reservation():
     memory = BodyMemory(100)
 
     def fail():
@@ -47,7 +47,7 @@
         (BodyTimeoutError(), 408, False),
     ],
 )
-def test_a_rejection_before_routing_names_its_request_and_says_whether_to_come_back(
+def test_a_rejection_before_routing_contains_the_request_id_and_whether_to_retry(
     error, status, has_retry_after
 ):
     response = rejection_for(error, "q1", random.Random(1))
--- a/tests/routing/test_drain_policy.py
+++ b/tests/routing/test_drain_policy.py
@@ -23,7 +23,7 @@
         (NOT_STREAM, 0, 105.6, False),
     ],
 )
-def test_requests_that_can_be_finished_are_accepted(route_type, tokens_out, arrived_at, accepted):
+def test_requests_that_can_be_completed_are_accepted(route_type, tokens_out, arrived_at, accepted):
     assert DrainPolicy.draining(100.0, 107.0).accepts(route_type, tokens_out, arrived_at) is accepted
 
 
--- a/tests/routing/test_fleet_outliers.py
+++ b/tests/routing/test_fleet_outliers.py
@@ -63,18 +63,18 @@
         ),
     ],
 )
-def test_a_server_is_ejected_once_two_zones_have_seen_it_fail_one_of_them_in_its_region(reports, expected):
+def test_a_server_is_ejected_if_two_zones_report_failures_one_of_them_in_its_region(reports, expected):
     assert ejected_servers(*reports) == expected
 
 
-def test_where_all_servers_fail_none_is_ejected():
+def test_if_all_servers_fail_none_is_ejected():
     outliers = FleetOutliers(REGIONS)
     all_bad = OutcomeReport("pool", tuple(Outcomes(name, 0, 5) for name in ZONES))
     assert not outliers.on_report(all_bad, "a-1", ZONES, 0.0)
     assert not outliers.on_report(all_bad, "a-2", ZONES, 0.1)
 
 
-def test_a_server_that_goes_on_failing_after_its_ejection_is_ejected_for_twice_as_long():
+def test_a_server_that_fails_again_after_its_ejection_is_ejected_for_twice_as_long():
     outliers, durations_s, now = FleetOutliers(REGIONS), [], 0.0
     for _ in range(3):
         for zone in ("a-1", "a-2"):
@@ -92,7 +92,7 @@
     assert not outliers.on_report(report(FAILURES), "b-1", ZONES, BASE_EJECTION_S / 2)
 
 
-def test_servers_that_the_catalog_does_not_know_are_not_counted():
+def test_servers_that_are_not_in_the_catalog_are_ignored():
     outliers = FleetOutliers(REGIONS)
     unknown = OutcomeReport(
         "pool", tuple(Outcomes(str(name), 0, 9) for name in range(2 * MAX_TRACKED_SERVERS))
--- a/tests/routing/test_outcome_reporter.py
+++ b/tests/routing/test_outcome_reporter.py
@@ -14,7 +14,7 @@
     return reporter
 
 
-def test_a_sidecar_reports_all_outcomes_of_a_service_in_which_some_have_failed_and_only_once():
+def test_all_outcomes_of_a_service_with_failures_are_reported_once():
     reporter = make_reporter(("i-1", False), ("i-2", True), ("i-1", False))
     reporter.record("healthy", "i-3", False, 0.0)
     assert reporter.take_reports(0.1) == [
@@ -39,6 +39,6 @@
     assert report.outcomes == (Outcomes("i-2", 0, 1),)
 
 
-def test_a_report_names_no_more_servers_than_the_bound():
+def test_a_report_contains_no_more_servers_than_the_bound():
     reporter = make_reporter(*((str(number), True) for number in range(2 * MAX_REPORTED_SERVERS)))
     assert len(reporter.take_reports(0.1)[0].outcomes) == MAX_REPORTED_SERVERS
--- a/tests/routing/test_outliers.py
+++ b/tests/routing/test_outliers.py
@@ -48,11 +48,11 @@
         pytest.param((0, 3), [(0, 0)], False, id="the others have no outcomes"),
     ],
 )
-def test_a_server_is_an_outlier_where_it_fails_far_more_than_most_others(server, others, expected):
+def test_a_server_is_an_outlier_if_it_fails_far_more_often_than_most_others(server, others, expected):
     assert is_outlier(OutcomeCounts(*server), [OutcomeCounts(*other) for other in others], 0.0) is expected
 
 
-def test_outcomes_decay_with_time_and_an_earlier_moment_changes_nothing():
+def test_outcomes_decay_with_time_and_an_earlier_time_changes_nothing():
     counts = OutcomeCounts()
     counts.add(0.0, 4.0, 10.0)
     assert counts.decayed(10.0).bad == 4.0
@@ -60,7 +60,7 @@
     assert counts.decayed(10.0).bad == pytest.approx(2.0)
 
 
-def test_ejections_that_follow_soon_last_twice_as_long_each_up_to_a_bound():
+def test_ejections_in_succession_double_in_duration_up_to_a_bound():
     ejection, now, durations_s = Ejection(), 100.0, []
     for _ in range(7):
         durations_s.append(ejection.start(now))
@@ -68,14 +68,14 @@
     assert durations_s == [BASE_EJECTION_S * times for times in (1, 2, 4, 8, 16, 16, 16)]
 
 
-def test_an_ejection_long_after_the_last_one_is_a_first_one():
+def test_an_ejection_long_after_the_last_one_has_the_base_duration():
     ejection = Ejection()
     ejection.start(0.0)
     ejection.start(3.0)
     assert ejection.start(ejection.until + FLAP_WINDOW_S) == BASE_EJECTION_S
 
 
-def test_two_failures_beside_healthy_servers_eject_a_server_until_its_time_is_over():
+def test_two_failures_beside_healthy_servers_eject_a_server_until_the_ejection_expires():
     bad, good = ServerHealth(), ServerHealth()
     assert not good.record_outcome(False, [bad.outcomes], 0.0)
     assert not bad.record_outcome(True, [good.outcomes], 0.0)
@@ -85,7 +85,7 @@
     assert not bad.is_ejected(0.1 + BASE_EJECTION_S)
 
 
-def test_a_failure_while_it_is_ejected_does_not_make_that_longer():
+def test_a_failure_during_an_ejection_does_not_extend_it():
     others, bad = [OutcomeCounts(9.0, 0.0)], ServerHealth()
     bad.record_outcome(True, others, 0.0)
     bad.record_outcome(True, others, 0.1)
@@ -100,13 +100,13 @@
 
 
 @pytest.mark.parametrize(("servers", "remaining"), [(1, 1), (2, 2), (3, 2), (6, 4), (30, 20)])
-def test_at_least_two_thirds_of_a_region_s_servers_are_left_however_many_are_ejected(servers, remaining):
+def test_at_least_two_thirds_of_a_region_s_servers_remain_however_many_are_ejected(servers, remaining):
     server_list = [FakeServer(str(number)) for number in range(servers)]
     eject(server_list)
     assert len(without_ejected(server_list, 1.0)) == remaining
 
 
-def test_each_region_keeps_its_own_and_the_order_stays():
+def test_the_ejection_limit_applies_per_region_and_the_order_is_kept():
     server_list = [FakeServer(str(number), region) for number, region in enumerate(("r-1", "r-2") * 3)]
     eject(server for server in server_list if server.region == "r-2")
     remaining = without_ejected(server_list, 1.0)
@@ -115,7 +115,7 @@
     assert remaining == sorted(remaining, key=lambda server: int(server.name))
 
 
-def test_where_not_all_may_be_left_out_own_evidence_goes_before_that_of_the_fleet():
+def test_own_ejections_rank_above_those_of_the_fleet_if_not_all_may_be_excluded():
     server_list = [FakeServer(str(number)) for number in range(3)]
     eject(server_list)
     server_list[1].health.own_ejection.start(0.0)
@@ -144,14 +144,14 @@
     return ejection_item(EjectionRecord(instance, lasts_s), None)
 
 
-def test_a_server_that_the_fleet_has_ejected_is_not_usable_until_its_time_is_over():
+def test_a_server_that_the_fleet_has_ejected_is_not_usable_until_the_ejection_expires():
     view, now = make_view("1", "2", "3"), PEER_DISCOVERY_S
     view.apply([make_ejection_item("2")], now)
     assert usable_instances(view, now) == {"1", "3"}
     assert usable_instances(view, now + 5.0) == {"1", "2", "3"}
 
 
-def test_a_sidecar_that_has_just_started_follows_no_ejections():
+def test_a_sidecar_that_has_just_started_ignores_ejections():
     view = make_view("1", "2", "3")
     view.apply([make_ejection_item("2")], PEER_DISCOVERY_S / 2)
     assert usable_instances(view, PEER_DISCOVERY_S / 2) == {"1", "2", "3"}
--- a/tests/routing/test_pick_server.py
+++ b/tests/routing/test_pick_server.py
@@ -54,7 +54,7 @@
     assert pick_server(servers, Prompt(), (), 0.0, draw, mean_tokens=50_000.0) is servers[0]
 
 
-def test_late_answers_count_as_load_until_they_have_decayed():
+def test_late_responses_count_as_load_until_they_have_decayed():
     draw = random.Random(1).random
     servers = make_servers(0, 2)
     for _ in range(20):
--- a/tests/routing/test_prefill_rate.py
+++ b/tests/routing/test_prefill_rate.py
@@ -5,7 +5,7 @@
 from fordtrestle.routing.prefill_rate import PrefillRate
 
 
-def test_the_prefill_rate_is_that_of_the_quickest_recent_answers():
+def test_the_prefill_rate_is_that_of_the_fastest_recent_responses():
     rate = PrefillRate()
     assert rate.duration_s(1000) == 0.0
     rate.record(1000, 0.1)
--- a/tests/routing/test_prompt_headers.py
+++ b/tests/routing/test_prompt_headers.py
@@ -18,7 +18,7 @@
         ("-5,3", "", Prompt(0, 3, ())),
     ],
 )
-def test_headers_of_a_prompt_are_read_as_far_as_they_are_valid(count, prefix, prompt):
+def test_valid_values_of_prompt_headers_are_parsed_and_invalid_ones_ignored(count, prefix, prompt):
     assert read_prompt(count, prefix) == prompt
 
 
--- a/tests/routing/test_route_table.py
+++ b/tests/routing/test_route_table.py
@@ -22,7 +22,7 @@
         ("", "", None),
     ],
 )
-def test_a_request_takes_the_route_of_its_host_with_the_longest_prefix(host, path, name):
+def test_a_request_matches_the_route_of_its_host_with_the_longest_prefix(host, path, name):
     table = parse_table(
         make_document({"name": "short", "path_prefix": "/x/"}, {"name": "long", "path_prefix": "/x/y/"})
     )
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -54,7 +54,7 @@
     return router.next_step(request, attempts or RequestAttempts(), now)
 
 
-def test_a_request_is_sent_with_the_shorter_time_out_of_its_route_and_its_client():
+def test_a_request_is_sent_with_the_shorter_timeout_of_its_route_and_its_client():
     sent = next_step(make_router())
     assert isinstance(sent, SendTo)
     assert (sent.callee, sent.server.instance, sent.deadline) == ("pool", "i-1", NOW + 4.0)
@@ -83,7 +83,7 @@
     assert next_step(router, metadata) == step
 
 
-def test_admission_control_rejects_before_the_first_send_and_is_asked_once():
+def test_admission_control_rejects_before_the_first_send_and_admits_only_once():
     router = make_router(draw=0.0)
     attempts = RequestAttempts(is_admitted=True)
     for _ in range(50):
@@ -103,7 +103,7 @@
     assert next_step(make_router(), attempts=attempts) == NO_SERVER
 
 
-def test_a_stream_is_resumed_elsewhere_as_far_as_its_route_and_its_time_allow():
+def test_a_stream_is_resumed_at_another_server_if_its_route_and_deadline_allow():
     attempts = RequestAttempts(is_admitted=True)
     attempts.record_send("i-1", rejected=False)
     both, deadline = ("i-1", "i-2"), NOW + 4.0
@@ -119,7 +119,7 @@
     assert make_router(both).resume(REQUEST, attempts, NOW, deadline) is None
 
 
-def test_more_attempts_follow_rejections_than_runs():
+def test_more_attempts_are_allowed_after_rejections_than_after_runs():
     route = make_router().view.table.match(HOST, "/a/")
     attempts = RequestAttempts()
     for number in range(3):
--- a/tests/routing/test_server_selector.py
+++ b/tests/routing/test_server_selector.py
@@ -18,7 +18,7 @@
     )
 
 
-def test_a_sidecar_that_has_just_started_selects_no_warming_server():
+def test_a_sidecar_that_has_just_started_selects_no_server_in_warm_up():
     view = View(ZONES, heartbeat_s=1.0, started_at=5.0)
     service = {"name": "pool", "cold_rate_s": 9.9}
     route = {"name": "r", "authority": "a", "path_prefix": "/", "timeout_ms": 1, "backend": "pool"}
@@ -38,7 +38,7 @@
     assert selector.select(matched_route, "pool", Prompt(), (), 7.1).instance == "i-1"
 
 
-def test_long_shared_prefixes_have_one_holder_among_all_regions_where_prefill_takes_longer_than_crossing():
+def test_long_shared_prefixes_have_one_holder_in_all_regions_if_prefill_takes_longer_than_the_round_trip():
     view = View(ZONES, heartbeat_s=1.0, started_at=0.0)
     routes = make_document({"name": "r", "path_prefix": "/"})
     servers = [server_item(make_record(f"i-{n}", "z-1" if n < 2 else "z-3"), 1) for n in range(6)]
--- a/tests/routing/test_server_table.py
+++ b/tests/routing/test_server_table.py
@@ -7,7 +7,7 @@
 from tests.routing.records import ZONES, make_record
 
 
-def test_only_servers_that_may_take_requests_are_usable():
+def test_only_servers_that_can_accept_requests_are_usable():
     servers = ServerTable(ZONES)
     for version, record in enumerate(
         [
@@ -35,7 +35,7 @@
     }
 
 
-def test_back_off_doubles_with_each_failed_connection_and_starts_anew_after_an_answer():
+def test_the_backoff_doubles_with_each_failed_connection_and_is_reset_by_a_response():
     servers = ServerTable(ZONES)
     servers.update(make_record("i-1"), (0, 1, 0), 0.0)
     (server,) = servers.of_service("pool")
@@ -59,7 +59,7 @@
     assert not servers.of_service("pool")
 
 
-def test_servers_of_the_local_region_come_first_and_of_them_those_of_the_zone():
+def test_servers_are_split_by_region_and_those_in_the_zone_come_first():
     servers = ServerTable(ZONES)
     for instance, zone in (("far", "z-3"), ("region", "z-2"), ("zone", "z-1")):
         servers.update(make_record(instance, zone), (0, 1, 0), 0.0)
--- a/tests/routing/test_view.py
+++ b/tests/routing/test_view.py
@@ -14,7 +14,7 @@
 from tests.routing.records import ZONES, make_document, make_record
 
 
-def test_the_view_follows_items_and_an_evacuation_alone_keeps_the_routes():
+def test_the_view_applies_items_and_an_evacuation_alone_keeps_the_routes():
     view = View(ZONES, heartbeat_s=1.0, started_at=0.0)
     view.apply([control_item(ControlView(1, 1, make_document({"name": "r", "path_prefix": "/"}), ()))], 0.0)
     table = view.table
@@ -35,7 +35,7 @@
     assert not view.sidecars
 
 
-def test_servers_of_a_zone_that_is_taken_back_count_as_warming_up_until_their_next_heartbeats():
+def test_servers_count_as_warming_up_after_an_evacuation_until_their_next_heartbeats():
     view = View(ZONES, heartbeat_s=1.2, started_at=0.0)
     view.apply([server_item(make_record("i-1"), 1), server_item(make_record("i-2", "z-2"), 1)], 0.0)
     view.apply([control_item(ControlView(1, 1, b"", ("z-1",)))], 0.0)
