--- a/fordtrestle/ingress/directory.py
+++ b/fordtrestle/ingress/directory.py
@@ -40,7 +40,9 @@
         max_ttl_s: float,
         rng: random.Random,
     ) -> None:
-        """Create the endpoint in its startup phase, in which it selects no sidecars in other regions.
+        """Create the endpoint in its startup phase.
+
+        In this phase it knows few sidecars, and selects none in other regions.
 
         Args:
             catalog: The members and the configuration that this process knows.
--- a/fordtrestle/ingress/relay.py
+++ b/fordtrestle/ingress/relay.py
@@ -16,7 +16,7 @@
 from fordtrestle.forward.headers import end_to_end, has_length_within
 from fordtrestle.routing.route import Route, RouteType
 
-MAX_BUFFERED_BYTES = 1024 * 1024  # size of a response that is read completely before it is relayed
+MAX_BUFFERED_BYTES = 1024 * 1024  # largest response that is read completely before it is relayed
 CLIENT_WRITE_TIMEOUT_S = 10.0  # how long the head or the end may wait for a client that does not read
 OK = 200
 _CONNECTION_ERRORS = (aiohttp.ClientError, OSError, EOFError, EventTooLargeError)
@@ -145,7 +145,7 @@
         return self.response
 
     def _on_connection_error(self) -> RelayResult:
-        """Return whether the client's or the server's connection ended; both raise the same errors."""
+        """Determine whose connection ended, because both raise the same errors; drop an incomplete event."""
         if self._is_client_gone():
             return RelayResult.CLIENT_GONE
         if self._splitter:
--- a/fordtrestle/ingress/request_handler.py
+++ b/fordtrestle/ingress/request_handler.py
@@ -84,7 +84,7 @@
             case Reject() as rejection:
                 return self._reject(rejection)
             case UnknownRoute():
-                return self._unless_may_have_run(responses.unknown_route(self._inbound.request_id))
+                return self._replace_if_may_have_run(responses.unknown_route(self._inbound.request_id))
 
     async def _send(self, send: SendTo) -> web.StreamResponse | None:
         """Send the request and handle the result; return `None` if the router must decide again."""
@@ -192,11 +192,11 @@
 
     def _reject(self, rejection: Reject) -> web.StreamResponse:
         request_id, rng = self._inbound.request_id, self._context.rng
-        return self._unless_may_have_run(
+        return self._replace_if_may_have_run(
             responses.rejected(request_id, rejection.retry_scale_s, rng, rejection.reason)
         )
 
-    def _unless_may_have_run(self, response: web.Response) -> web.StreamResponse:
+    def _replace_if_may_have_run(self, response: web.Response) -> web.StreamResponse:
         """Return a response that guarantees that the request has not run, or 502 if it may have run."""
         if self._attempts.may_have_run:
             return responses.connection_broken(self._inbound.request_id)
