--- a/tests/ingress/test_request_body.py
+++ b/tests/ingress/test_request_body.py
@@ -1,4 +1,4 @@
-"""The memory for bodies, and the responses to requests that are rejected before they are routed."""
+"""The memory budget for bodies, and the responses to requests that are rejected before routing."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 from fordtrestle.ingress.responses import rejection_for
 
 
-def test_a_reservation_is_resized_and_given_back():
+def test_a_reservation_is_resized_and_released():
     memory = BodyMemory(100)
     with memory.reserve(30) as first, memory.reserve(20):
         first.resize(50)
-        assert (memory.held_bytes, memory.available_bytes) == (70, 30)
-    assert (memory.held_bytes, memory.available_bytes) == (0, 100)
+        assert (memory.reserved_bytes, memory.available_bytes) == (70, 30)
+    assert (memory.reserved_bytes, memory.available_bytes) == (0, 100)
 
 
-def test_a_request_that_fails_gives_its_reservation_back():
+def test_a_request_that_fails_releases_its_reservation():
     memory = BodyMemory(100)
 
     def fail():
@@ -35,7 +35,7 @@
 
     with pytest.raises(BodyTimeoutError):
         fail()
-    assert memory.held_bytes == 0
+    assert memory.reserved_bytes == 0
 
 
 @pytest.mark.parametrize(
@@ -47,7 +47,7 @@
         (BodyTimeoutError(), 408, False),
     ],
 )
-def test_a_rejection_before_routing_names_its_request_and_says_whether_to_come_back(
+def test_a_rejection_before_routing_contains_the_request_id_and_whether_to_retry(
     error, status, has_retry_after
 ):
     response = rejection_for(error, "q1", random.Random(1))
