--- a/fordtrestle/cli/ctl.py
+++ b/fordtrestle/cli/ctl.py
@@ -96,7 +96,7 @@
         return _print_bad_input(error)
     match read_put(body):
         case Failure(invalid):
-            for line in invalid.faults:
+            for line in invalid.errors:
                 print(f"{file}: {line}", file=sys.stderr)
             return BAD_INPUT
     return DONE
--- a/fordtrestle/control_api/configuration.py
+++ b/fordtrestle/control_api/configuration.py
@@ -25,10 +25,10 @@
     """All that is wrong with the body of a call.
 
     Attributes:
-        faults: One line a fault, beginning with the position of the field.
+        errors: One line per error, beginning with the position of the field.
     """
 
-    faults: tuple[str, ...]
+    errors: tuple[str, ...]
 
 
 class _OpenSchema(Schema):
@@ -97,25 +97,25 @@
     delete = fields.Dict(keys=fields.String(), values=fields.List(fields.String()), load_default=dict)
 
 
-def _reference_faults(data: Mapping[str, Any]) -> list[str]:
+def _reference_errors(data: Mapping[str, Any]) -> list[str]:
     """What is wrong with how the rows of a configuration name one another."""
     services = {service.get("name") for service in _rows(data, "services")}
     routes = _rows(data, "routes")
-    faults = []
+    errors = []
     for route in routes:
         weighted = route.get("weighted_backends") or [route]
         named = [entry.get("backend") for entry in weighted if isinstance(entry, dict)]
         unknown = [name for name in named if name and name not in services]
-        faults += [f"{route.get('name')}: no service {name!r}" for name in unknown]
+        errors += [f"{route.get('name')}: no service {name!r}" for name in unknown]
     matches = [(str(route.get("authority", "")).lower(), str(route.get("path_prefix"))) for route in routes]
-    faults += [f"two routes at {host}{prefix}" for host, prefix in duplicates_everseen(matches)]
+    errors += [f"two routes at {host}{prefix}" for host, prefix in duplicates_everseen(matches)]
     names = [str(route.get("name")) for route in routes]
-    faults += [f"two routes are called {name!r}" for name in duplicates_everseen(names)]
-    return faults
+    errors += [f"two routes are called {name!r}" for name in duplicates_everseen(names)]
+    return errors
 
 
 def _rows(data: Mapping[str, Any], kind: str) -> list[dict[str, Any]]:
-    """The rows of a list that are objects with a name: others have faults of their own."""
+    """The rows of a list that are objects with a name: others have errors of their own."""
     rows = data.get(kind)
     if not isinstance(rows, list):
         return []
@@ -163,8 +163,8 @@
 
 
 def _check_patch(patch: dict[str, Any]) -> Result[dict[str, Any], ValidationErrors]:
-    faults = _PatchSchema().validate(patch)
-    return Failure(ValidationErrors(flatten_errors(faults))) if faults else Success(patch)
+    errors = _PatchSchema().validate(patch)
+    return Failure(ValidationErrors(flatten_errors(errors))) if errors else Success(patch)
 
 
 def _apply_patch(current: dict[str, Any], patch: dict[str, Any]) -> Result[dict[str, Any], ValidationErrors]:
@@ -182,17 +182,17 @@
     partial = document | {
         kind: [row for _, row in rows] for kind, rows in changed.items() if rows is not None
     }
-    faults: dict[str, Any] = _ConfigurationSchema().validate(partial)
+    errors: dict[str, Any] = _ConfigurationSchema().validate(partial)
     for kind, rows in changed.items():
-        if rows is not None and isinstance(faults.get(kind), dict):
+        if rows is not None and isinstance(errors.get(kind), dict):
             # Operators read positions in the document that they sent.
-            faults[kind] = {rows[index][0]: of_row for index, of_row in faults[kind].items()}
-    if reference_faults := _reference_faults(document):
-        of_rows = faults.get("routes")
-        faults["routes"] = (
-            {**of_rows, "_schema": reference_faults} if isinstance(of_rows, dict) else reference_faults
+            errors[kind] = {rows[index][0]: of_row for index, of_row in errors[kind].items()}
+    if reference_errors := _reference_errors(document):
+        of_rows = errors.get("routes")
+        errors["routes"] = (
+            {**of_rows, "_schema": reference_errors} if isinstance(of_rows, dict) else reference_errors
         )
-    return Failure(ValidationErrors(flatten_errors(faults))) if faults else Success(document)
+    return Failure(ValidationErrors(flatten_errors(errors))) if errors else Success(document)
 
 
 def _changed_rows(rows: object, checked: object) -> list[tuple[int, Any]] | None:
--- a/fordtrestle/control_api/coordination_http.py
+++ b/fordtrestle/control_api/coordination_http.py
@@ -90,7 +90,7 @@
             case Success(query):
                 return _answer_watch(await self._watches.watch(group, query.after, query.wait_s))
             case Failure(invalid):
-                return reply(400, *invalid.faults)
+                return reply(400, *invalid.errors)
         raise AssertionError("a result is a success or a failure")
 
     async def _decide(
@@ -101,7 +101,7 @@
                 deadline = asyncio.get_running_loop().time() + CALL_TIMEOUT_S
                 return _answer(await self._call(valid, deadline))
             case Failure(invalid):
-                return reply(400, *invalid.faults)
+                return reply(400, *invalid.errors)
         raise AssertionError("a result is a success or a failure")
 
 
--- a/fordtrestle/control_api/coordination_service.py
+++ b/fordtrestle/control_api/coordination_service.py
@@ -34,7 +34,7 @@
     """Carries out commands on this store as far as it is the primary.
 
     Attributes:
-        answers: How many commands came to each answer, by the answer's class.
+        answer_counts: How many commands came to each answer, by the answer's class.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
             clock: Observes its state.
             is_supported: Whether all stores know of these commands: older versions take none of their writes.
         """
-        self.answers: Counter[type] = Counter()
+        self.answer_counts: Counter[type] = Counter()
         self._replicator = replicator
         self._node: Node = replicator.node
         self._clock = clock
@@ -130,5 +130,5 @@
             await self._replicator.wait_until(condition, max(0.0, deadline - self._replicator.now()))
 
     def _counted(self, answer: Answer) -> Answer:
-        self.answers[type(answer)] += 1
+        self.answer_counts[type(answer)] += 1
         return answer
--- a/fordtrestle/control_api/evaluation.py
+++ b/fordtrestle/control_api/evaluation.py
@@ -51,7 +51,7 @@
         case Success(document):
             return _encode_change(digest, document)
         case Failure(invalid):
-            return CommandResult(CommandStatus.INVALID, invalid.faults)
+            return CommandResult(CommandStatus.INVALID, invalid.errors)
     raise AssertionError("a result is a success or a failure")
 
 
@@ -68,6 +68,6 @@
     """The change that puts a document in force, unless it is too long for one message between processes."""
     encoded = json.dumps(document, separators=(",", ":")).encode()
     if len(encoded) > MAX_DOCUMENT_BYTES:
-        fault = f"the configuration has more than {MAX_DOCUMENT_BYTES} bytes"
-        return CommandResult(CommandStatus.INVALID, (fault,))
+        error = f"the configuration has more than {MAX_DOCUMENT_BYTES} bytes"
+        return CommandResult(CommandStatus.INVALID, (error,))
     return ConfigChange(digest, int(document["generation"]), encoded)
--- a/fordtrestle/control_api/http.py
+++ b/fordtrestle/control_api/http.py
@@ -145,7 +145,7 @@
             return reply(413, f"a heartbeat holds {MAX_HEARTBEAT_BYTES} bytes at most")
         match read_heartbeat(instance, body, self._gossip.me.node):
             case Failure(invalid):
-                return reply(400, *invalid.faults)
+                return reply(400, *invalid.errors)
             case Success(heartbeat):
                 now = asyncio.get_running_loop().time()
                 item = self._heartbeats.on_heartbeat(heartbeat, self._gossip.catalog, now)
@@ -173,7 +173,7 @@
             case CommandStatus.STALE:
                 return reply(412, "another version is current")
             case CommandStatus.INVALID:
-                return reply(400, *result.faults)
+                return reply(400, *result.errors)
             case CommandStatus.NOT_PRIMARY:
                 return self._redirect_to_primary(request)
             case CommandStatus.UNKNOWN:
--- a/fordtrestle/control_api/requests.py
+++ b/fordtrestle/control_api/requests.py
@@ -65,10 +65,10 @@
 
     Attributes:
         status: What became of the command.
-        faults: All that is wrong with an invalid one, a line each.
+        errors: All that is wrong with an invalid one, a line each.
         document: The configuration in JSON, for reads that are done; empty while there is none.
     """
 
     status: CommandStatus
-    faults: tuple[str, ...] = ()
+    errors: tuple[str, ...] = ()
     document: bytes = b""
--- a/fordtrestle/control_api/responses.py
+++ b/fordtrestle/control_api/responses.py
@@ -14,15 +14,15 @@
 RETRY_AFTER_S = 0.3
 
 
-def reply(status: int, *faults: str, **headers: str) -> web.Response:
+def reply(status: int, *errors: str, **headers: str) -> web.Response:
     """An answer in JSON.
 
     Args:
         status: The HTTP status.
-        faults: All that is wrong with the call, a line each.
+        errors: All that is wrong with the call, a line each.
         headers: Header fields; underscores in their names stand for hyphens.
     """
-    body: dict[str, Any] = {"errors": list(faults)} if faults else {}
+    body: dict[str, Any] = {"errors": list(errors)} if errors else {}
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     return web.json_response(body, status=status, headers=named)
 
--- a/fordtrestle/control_api/watches.py
+++ b/fordtrestle/control_api/watches.py
@@ -40,7 +40,7 @@
             read_index: Asks how far acknowledged writes go.
             max_watches: How many are held at a time.
         """
-        self.held = 0  # watches
+        self.open_watches = 0  # watches
         self._max_watches = max_watches
         self._replicator = replicator
         self._node = replicator.node
@@ -63,14 +63,14 @@
             The events; none once the time is over. `Unavailable` where this store can't be sure that there is
             none, or ends.
         """
-        if self.held >= self._max_watches:
+        if self.open_watches >= self._max_watches:
             return Overloaded()
-        self.held += 1
+        self.open_watches += 1
         try:
             with self._woken_for(group) as wake_up:
                 return await self._watch(group, after, self._now() + wait_s, wake_up)
         finally:
-            self.held -= 1
+            self.open_watches -= 1
 
     def on_progress(self) -> None:
         """Wake the watches of groups in which more is committed."""
--- a/fordtrestle/roles/control_process.py
+++ b/fordtrestle/roles/control_process.py
@@ -148,7 +148,9 @@
             "log_bytes": self.replicator.log_bytes,
             "links": len(self.process.mesh.links()),
             "messages_skipped": self.process.mesh.skipped_messages,
-            **metrics.of_coordination(state.coordination, self.coordination.answers, self.watches.held),
+            **metrics.of_coordination(
+                state.coordination, self.coordination.answer_counts, self.watches.open_watches
+            ),
         }
 
     async def leave(self) -> None:
--- a/tests/cli/test_ctl.py
+++ b/tests/cli/test_ctl.py
@@ -9,7 +9,7 @@
 
 from fordtrestle import cli
 from fordtrestle.cli import ctl
-from tests.control_api.test_exchanges import CONFIG, HEARTBEAT, Stage
+from tests.control_api.test_exchanges import CONFIG, HEARTBEAT, StandaloneControl
 from tests.exchanges import Client, loopback, request
 
 
@@ -23,7 +23,7 @@
     file = tmp_path / "config.json"
     patch = tmp_path / "patch.json"
     patch.write_text(json.dumps({"generation": 5, "upsert": {"services": [{"name": "other"}]}}))
-    async with Stage(tmp_path / "data") as stage:
+    async with StandaloneControl(tmp_path / "data") as stage:
         at = ("--control", f"127.0.0.1:{stage.port}")
         codes = [await run_ctl(*at, "config", "get")]
         file.write_text(json.dumps(CONFIG))
--- a/tests/control_api/test_configuration.py
+++ b/tests/control_api/test_configuration.py
@@ -25,8 +25,8 @@
     return {**CONFIG, "generation": 2, "routes": routes}
 
 
-def faults(read) -> tuple[str, ...]:
-    return read.failure().faults if isinstance(read, Failure) else ()
+def errors(read) -> tuple[str, ...]:
+    return read.failure().errors if isinstance(read, Failure) else ()
 
 
 @pytest.mark.parametrize(
@@ -48,7 +48,7 @@
 )
 def test_a_changed_row_has_the_same_faults_as_in_a_check_of_all_rows(document, expected):
     alone, after = read_put(encode(document)), read_put(encode(document), encode(CONFIG))
-    assert list(faults(alone)) == list(faults(after)) == expected
+    assert list(errors(alone)) == list(errors(after)) == expected
 
 
 def test_rows_of_the_configuration_before_are_not_checked_again(monkeypatch):
@@ -70,4 +70,4 @@
 
 def test_a_patch_that_deletes_a_service_in_use_is_invalid():
     patch = {"generation": 2, "delete": {"services": ["pool"]}}
-    assert faults(read_patch(encode(patch), encode(CONFIG)))[0] == "routes: r-0: no service 'pool'"
+    assert errors(read_patch(encode(patch), encode(CONFIG)))[0] == "routes: r-0: no service 'pool'"
--- a/tests/control_api/test_exchanges.py
+++ b/tests/control_api/test_exchanges.py
@@ -60,7 +60,7 @@
 }
 
 
-class Stage:
+class StandaloneControl:
     """One control process: its disk, its replication and its endpoint."""
 
     def __init__(self, folder, is_founder=True):
@@ -122,7 +122,7 @@
 
 @loopback
 async def test_a_configuration_is_taken_read_back_patched_and_taken_again(tmp_path, snapshot):
-    async with Stage(tmp_path) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path) as control, Client(control.port) as client:
         await client.exchange(request("GET", "/v1/config/get"))
         await client.exchange(put(CONFIG))
         await client.exchange(request("GET", "/v1/config/get"))
@@ -149,7 +149,7 @@
             {**ROUTE, "name": "r-3", "weighted_backends": [{"backend": "pool", "weight": 0}]},
         ],
     }
-    async with Stage(tmp_path) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path) as control, Client(control.port) as client:
         await client.exchange(put(CONFIG))
         await client.exchange(put({**CONFIG, "generation": 4}, base=1))
         same_generation = CONFIG | {"limits": {"max_body_bytes": 1}}
@@ -170,17 +170,17 @@
 
 @loopback
 async def test_a_zone_is_emptied_and_taken_back_any_number_of_times(tmp_path, snapshot):
-    async with Stage(tmp_path) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path) as control, Client(control.port) as client:
         for step in ("start", "start", "finish", "finish"):
             await client.exchange(request("POST", f"/v1/evacuations/z-1/{step}"))
         await client.exchange(request("POST", "/v1/evacuations/nowhere/start"))
         assert approved(client) == snapshot
-        assert stage.node.durable.state.sequence == 2
+        assert control.node.durable.state.sequence == 2
 
 
 @loopback
 async def test_heartbeats_are_taken_and_bad_ones_told_why(tmp_path, snapshot):
-    async with Stage(tmp_path) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path) as control, Client(control.port) as client:
         path = "/v1/instances/i-1/heartbeat"
         await client.exchange(request("POST", path, json.dumps(HEARTBEAT)))
         await client.exchange(
@@ -191,11 +191,11 @@
         await client.exchange(request("POST", path, json.dumps({"state": "asleep", "address": "nowhere"})))
         await client.exchange(request("POST", path, "{"))
         await client.exchange(request("POST", path, "x" * 5000))
-        record, _ = next(stage.gossip.catalog.servers())
+        record, _ = next(control.gossip.catalog.servers())
         assert record.phase is Phase.DRAINING
         await client.exchange(request("POST", "/v1/instances/i-1/deregister"))
         await client.exchange(request("POST", "/v1/instances/never-heard-of/deregister"))
-        record, _ = next(stage.gossip.catalog.servers())
+        record, _ = next(control.gossip.catalog.servers())
         assert record.phase is Phase.DEPARTED
         assert approved(client) == snapshot
 
@@ -206,9 +206,9 @@
 
 @loopback
 async def test_who_is_not_primary_sends_callers_there_or_away(tmp_path, snapshot):
-    async with Stage(tmp_path, is_founder=False) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path, is_founder=False) as control, Client(control.port) as client:
         await client.exchange(put(CONFIG))
-        stage.node.receive("s2", Heartbeat(THEIRS, 1), stage.replicator.now())
+        control.node.receive("s2", Heartbeat(THEIRS, 1), control.replicator.now())
         await client.exchange(put(CONFIG))
         await client.exchange(request("GET", "/v1/config/get"))
         await client.exchange(request("POST", "/v1/evacuations/z-1/start"))
@@ -217,21 +217,21 @@
 
 @loopback
 async def test_nobody_is_redirected_to_a_primary_that_was_not_heard_lately_or_that_resigned(tmp_path):
-    async with Stage(tmp_path, is_founder=False) as stage, Client(stage.port) as client:
-        now = stage.replicator.now()
-        stage.node.receive("s2", Heartbeat(THEIRS, 1), now - ELECTION_TIMEOUT_S - 0.1)
+    async with StandaloneControl(tmp_path, is_founder=False) as control, Client(control.port) as client:
+        now = control.replicator.now()
+        control.node.receive("s2", Heartbeat(THEIRS, 1), now - ELECTION_TIMEOUT_S - 0.1)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 503")
-        stage.node.receive("s2", Heartbeat(THEIRS, 2), now + 60.0)
+        control.node.receive("s2", Heartbeat(THEIRS, 2), now + 60.0)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 307")
-        stage.node.receive("s2", Resign(THEIRS.term), now + 60.0)
+        control.node.receive("s2", Resign(THEIRS.term), now + 60.0)
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 503")
 
 
 @loopback
 async def test_a_primary_that_resigned_redirects_nobody_to_itself(tmp_path):
-    async with Stage(tmp_path) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path) as control, Client(control.port) as client:
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 200")
-        stage.node.leave(stage.replicator.now())
+        control.node.leave(control.replicator.now())
         for call in (put(CONFIG), request("GET", "/v1/config/get")):
             answer = await client.exchange(call)
             assert answer.startswith("HTTP/1.1 503")
@@ -240,7 +240,7 @@
 
 @loopback
 async def test_an_acknowledged_configuration_is_on_disk(tmp_path):
-    async with Stage(tmp_path) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path) as control, Client(control.port) as client:
         assert (await client.exchange(put(CONFIG))).startswith("HTTP/1.1 200")
     log = RecordLog(tmp_path)
     restored = Durable.restore(map(decode, log.open()))
@@ -254,7 +254,7 @@
 
 @loopback
 async def test_applications_take_locks_numbers_and_keys_and_watch(tmp_path, snapshot):
-    async with Stage(tmp_path) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path) as control, Client(control.port) as client:
         await client.exchange(post("locks/l-1/start", holder="a1", hold_ms=60_000))
         await client.exchange(post("locks/l-1/start", holder="b2", hold_ms=60_000))
         await client.exchange(post("locks/l-1/heartbeat", holder="a1", fence=1, hold_ms=60_000))
@@ -279,7 +279,7 @@
 async def test_calls_of_applications_that_cannot_be_read_are_refused_with_all_that_is_wrong(
     tmp_path, snapshot
 ):
-    async with Stage(tmp_path) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path) as control, Client(control.port) as client:
         await client.exchange(request("POST", "/v1/locks/l-1/start", "{"))
         await client.exchange(request("POST", "/v1/locks/l-1/start", "[]"))
         await client.exchange(post("locks/l-1/start", holder="", hold_ms=0))
@@ -292,7 +292,7 @@
 
 @loopback
 async def test_who_knows_no_primary_promises_that_nothing_was_done(tmp_path, snapshot):
-    async with Stage(tmp_path, is_founder=False) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path, is_founder=False) as control, Client(control.port) as client:
         await client.exchange(post("locks/l-1/start", holder="a1", hold_ms=1000))
         await client.exchange(request("GET", "/v1/watch/g.?after=0"))
     assert approved(client) == snapshot
@@ -300,8 +300,8 @@
 
 @loopback
 async def test_a_call_of_an_application_that_is_too_long_is_refused(tmp_path):
-    async with Stage(tmp_path) as stage, aiohttp.ClientSession() as session:
-        url = f"http://127.0.0.1:{stage.port}/v1/cells/g.k/put"
+    async with StandaloneControl(tmp_path) as control, aiohttp.ClientSession() as session:
+        url = f"http://127.0.0.1:{control.port}/v1/cells/g.k/put"
         async with session.post(url, json={"value": "x" * MAX_BODY_BYTES}) as answer:
             assert answer.status == 413
 
@@ -316,8 +316,8 @@
         ("POST", "/v1/instances/i-1/heartbeat", json.dumps({**HEARTBEAT, "backend": "\ud800"})),
         ("POST", "/v1/instances/i-1/heartbeat", json.dumps({**HEARTBEAT, "models": [{"name": "\ud800"}]})),
     )
-    async with Stage(tmp_path) as stage, aiohttp.ClientSession() as session:
-        url = f"http://127.0.0.1:{stage.port}"
+    async with StandaloneControl(tmp_path) as control, aiohttp.ClientSession() as session:
+        url = f"http://127.0.0.1:{control.port}"
         for method, path, body in calls:
             async with session.request(method, url + path, data=body) as answer:
                 assert (path, answer.status) == (path, 400)
--- a/tests/control_api/test_watches.py
+++ b/tests/control_api/test_watches.py
@@ -73,7 +73,7 @@
     assert loop.time() - began < 0.6
     assert ([event.value for event in answer.events], answer.revision) == (["2"], 2)
     assert await other == WatchEvents((), 1)
-    assert stage.watches.held == 0
+    assert stage.watches.open_watches == 0
 
 
 @virtual
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -180,8 +180,8 @@
     "how rows name one another is checked whole": _removal(
         "control_api/configuration.py",
         CONTROL_API_TESTS,
-        "    if reference_faults := _reference_faults(document):\n",
-        "    if reference_faults := _reference_faults(partial):\n",
+        "    if reference_errors := _reference_errors(document):\n",
+        "    if reference_errors := _reference_errors(partial):\n",
     ),
     "a long configuration is read in steps": _removal(
         "routing/view.py",
@@ -363,7 +363,7 @@
     "watches that are held are bounded": _removal(
         "control_api/watches.py",
         "tests/control_api/test_watches.py",
-        "        if self.held >= self._max_watches:\n",
+        "        if self.open_watches >= self._max_watches:\n",
         "        if False:\n",
     ),
     "a file of an older format is rewritten before anything is appended": _removal(
--- a/tests/stored/test_transcripts.py
+++ b/tests/stored/test_transcripts.py
@@ -13,7 +13,7 @@
 from fordtrestle.ingress.readiness import Readiness
 from fordtrestle.replication.events import Event, Events
 from fordtrestle.roles import metrics
-from tests.control_api.test_exchanges import CONFIG, HEARTBEAT, Stage, put
+from tests.control_api.test_exchanges import CONFIG, HEARTBEAT, StandaloneControl, put
 from tests.exchanges import Client, approved, loopback, request, serve
 from tests.loopback import App, Scripted, running
 from tests.virtual import virtual
@@ -32,7 +32,7 @@
 
 @loopback
 async def test_listings_of_the_control_endpoint(tmp_path, snapshot):
-    async with Stage(tmp_path) as stage, Client(stage.port) as client:
+    async with StandaloneControl(tmp_path) as stage, Client(stage.port) as client:
         await client.exchange(put(CONFIG))
         await client.exchange(request("POST", "/v1/instances/i-1/heartbeat", json.dumps(HEARTBEAT)))
         for listing in ("epoch", "members", "servers"):
