--- a/fordtrestle/control_api/__init__.py
+++ b/fordtrestle/control_api/__init__.py
@@ -1,1 +1,1 @@
-"""The HTTP endpoint of a control process: operators' commands, heartbeats of servers, listings."""
+"""The HTTP endpoint of a control process: operators' and applications' calls, heartbeats, listings."""
--- a/fordtrestle/control_api/client.py
+++ b/fordtrestle/control_api/client.py
@@ -1,4 +1,4 @@
-"""A client of the control endpoint: any process will do, unclear answers are asked for again."""
+"""A client of the control endpoint that uses any control process and retries inconclusive answers."""
 
 from __future__ import annotations
 
@@ -15,17 +15,18 @@
 from fordtrestle.control_api.errors import UnreachableError
 from fordtrestle.settings.records import Address
 
-# For one process to answer: a write may wait for its turn and for an epoch change (`commands.py`).
+# Time limit for the answer of one process: a write may wait for other writes and for an epoch change
+# (`commands.py`).
 ATTEMPT_TIMEOUT_S = 6.0
 
-# Between two attempts, so that a core that is electing a primary is not flooded.
+# Wait between two attempts, so that a core that is electing a primary is not flooded.
 RETRY_S = 0.3
 
-# In one attempt: a process that was primary may still be named by one that has not heard of the next.
+# Redirects followed in one attempt: a process that does not know the new primary yet may name the old one.
 MAX_REDIRECTS = 2
 
-# What does not say whether the call was carried out. The same call may be sent again: calls are idempotent.
-UNCLEAR_STATUSES = (
+# Statuses that do not tell whether the call was executed. Calls are idempotent, so it may be sent again.
+RETRY_STATUSES = (
     HTTPStatus.REQUEST_TIMEOUT,
     HTTPStatus.TOO_MANY_REQUESTS,
     HTTPStatus.BAD_GATEWAY,
@@ -36,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ControlResponse:
-    """A clear answer of a control process.
+    """The response of a control process.
 
     Attributes:
         status: The HTTP status.
-        body: The body, in JSON.
+        body: The body in JSON.
     """
 
     status: int
@@ -48,17 +49,17 @@
 
 
 class ControlClient:
-    """Calls control processes in turn until one gives a clear answer. Use it in `async with`."""
+    """Calls control processes in turn until one gives a conclusive answer. Use it in `async with`."""
 
     def __init__(self, controls: Sequence[str], timeout_s: float) -> None:
-        """Keep what to call.
+        """Create a client that is not connected yet.
 
         Args:
-            controls: Control processes, each as HOST:PORT.
-            timeout_s: For how long a call is sent again, in seconds.
+            controls: The control processes, each as HOST:PORT.
+            timeout_s: For how long a call is retried, in seconds.
 
         Raises:
-            ValueError: One of them is no address.
+            ValueError: A control process is not given as HOST:PORT.
         """
         self._controls = [str(Address.parse(control)) for control in controls]
         self._timeout_s = timeout_s
@@ -75,39 +76,39 @@
     async def send(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
     ) -> ControlResponse:
-        """Send a call, unchanged, until there is a clear answer.
+        """Send a call, unchanged, until there is a conclusive answer.
 
         Args:
             method: The HTTP method.
-            path: The path with its query.
+            path: The path, including the query.
             body: The body.
-            headers: Header fields besides those of every call.
+            headers: Additional header fields.
 
         Returns:
-            The first clear answer.
+            The first conclusive answer.
 
         Raises:
-            UnreachableError: There was none in time.
+            UnreachableError: There was no conclusive answer in time.
         """
-        last = "no answer"
+        last_answer = "no answer"
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(self._timeout_s):
                 for control in itertools.cycle(self._controls):
                     try:
                         response = await self._attempt(method, f"http://{control}{path}", body, headers or {})
                     except (aiohttp.ClientError, TimeoutError, OSError) as error:
-                        last = f"{control}: {error or 'no answer'}"
+                        last_answer = f"{control}: {error or 'no answer'}"
                     else:
-                        if response.status not in UNCLEAR_STATUSES:
+                        if response.status not in RETRY_STATUSES:
                             return response
-                        last = f"{control}: status {response.status}"
+                        last_answer = f"{control}: status {response.status}"
                     await asyncio.sleep(RETRY_S)
-        raise UnreachableError(f"no clear answer within {self._timeout_s:g} s; last {last}")
+        raise UnreachableError(f"no conclusive answer within {self._timeout_s:g} s; last: {last_answer}")
 
     async def _attempt(
         self, method: str, url: str, body: bytes, headers: Mapping[str, str]
     ) -> ControlResponse:
-        """The answer of one process, or of the primary that it names."""
+        """Return the answer of one process, or of the primary to which it redirects."""
         for _ in range(MAX_REDIRECTS + 1):
             async with self._session.request(
                 method, url, data=body or None, headers=headers, allow_redirects=False
--- a/fordtrestle/control_api/configuration.py
+++ b/fordtrestle/control_api/configuration.py
@@ -1,7 +1,7 @@
-"""Reads and checks what operators send: complete configurations and patches.
+"""Parses and checks the configurations and patches that operators send.
 
-What is checked is what makes a configuration unusable. Unknown fields stay as they came: they may belong to a
-later version.
+The checks reject what would make a configuration unusable. Unknown fields are kept unchanged, because they
+may belong to a later version.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 
 from fordtrestle.settings.schema import flatten_errors
 
-LISTS = ("routes", "services")  # the lists of named rows that a configuration has
+LISTS = ("routes", "services")  # the members of a configuration that are lists of named rows
 
 
 @dataclass(frozen=True, slots=True)
 class ValidationErrors:
-    """All that is wrong with the body of a call.
+    """The errors in the body of a call.
 
     Attributes:
-        errors: One line per error, beginning with the position of the field.
+        errors: One message per error, which begins with the position of the field.
     """
 
     errors: tuple[str, ...]
 
 
 class _OpenSchema(Schema):
-    """A schema whose objects may have more fields than it knows."""
+    """A schema that accepts and keeps unknown fields."""
 
     class Meta:
         unknown = INCLUDE
@@ -63,9 +63,9 @@
     def check_backends(self, data: Mapping[str, Any], **_: Any) -> None:
         weighted = data.get("weighted_backends")
         if not weighted and not data.get("backend"):
-            raise ValidationError("a backend is needed", "backend")
+            raise ValidationError("expected a backend or weighted_backends", "backend")
         if weighted and not sum(entry.get("weight") or 0.0 for entry in weighted) > 0:
-            raise ValidationError("the weights add up to 0", "weighted_backends")
+            raise ValidationError("expected weights that add up to more than 0", "weighted_backends")
 
 
 class _ServiceSchema(_OpenSchema):
@@ -98,7 +98,7 @@
 
 
 def _reference_errors(data: Mapping[str, Any]) -> list[str]:
-    """What is wrong with how the rows of a configuration name one another."""
+    """Return the errors in the references between rows, and the conflicts between routes."""
     services = {service.get("name") for service in _rows(data, "services")}
     routes = _rows(data, "routes")
     errors = []
@@ -106,16 +106,16 @@
         weighted = route.get("weighted_backends") or [route]
         named = [entry.get("backend") for entry in weighted if isinstance(entry, dict)]
         unknown = [name for name in named if name and name not in services]
-        errors += [f"{route.get('name')}: no service {name!r}" for name in unknown]
+        errors += [f"{route.get('name')}: unknown service {name!r}" for name in unknown]
     matches = [(str(route.get("authority", "")).lower(), str(route.get("path_prefix"))) for route in routes]
-    errors += [f"two routes at {host}{prefix}" for host, prefix in duplicates_everseen(matches)]
+    errors += [f"more than one route for {host}{prefix}" for host, prefix in duplicates_everseen(matches)]
     names = [str(route.get("name")) for route in routes]
-    errors += [f"two routes are called {name!r}" for name in duplicates_everseen(names)]
+    errors += [f"more than one route named {name!r}" for name in duplicates_everseen(names)]
     return errors
 
 
 def _rows(data: Mapping[str, Any], kind: str) -> list[dict[str, Any]]:
-    """The rows of a list that are objects with a name: others have errors of their own."""
+    """Return the rows of a list that are objects with a name; the schema reports all others."""
     rows = data.get(kind)
     if not isinstance(rows, list):
         return []
@@ -123,28 +123,29 @@
 
 
 def read_put(body: bytes, current: bytes = b"") -> Result[dict[str, Any], ValidationErrors]:
-    """Read and check a complete configuration.
+    """Parse and check a complete configuration.
 
     Args:
         body: The configuration in JSON.
-        current: One that was checked before, in JSON: rows that stand in it are not checked again.
+        current: A configuration that was checked before, in JSON. Rows that it contains are not checked
+            again.
 
     Returns:
-        The configuration as it came, or all that is wrong with it.
+        The configuration, unchanged, or all errors in it.
     """
     checked = json.loads(current) if current else {}
     return _parse_object(body).bind(lambda document: _check_document(document, checked))
 
 
 def read_patch(body: bytes, current: bytes) -> Result[dict[str, Any], ValidationErrors]:
-    """Read a patch, apply it and check what it makes of the current configuration.
+    """Parse a patch, apply it to the current configuration and check the result.
 
     Args:
-        body: The patch in JSON: a generation, rows to put by list, names to delete by list.
-        current: The current configuration in JSON, checked before; empty while there is none.
+        body: The patch in JSON: a generation, rows to upsert by list, and names to delete by list.
+        current: The current configuration in JSON, which was checked before; empty if there is none.
 
     Returns:
-        The configuration that the patch makes, or all that is wrong with the patch or with that.
+        The patched configuration, or all errors in the patch or in the patched configuration.
     """
     if not current:
         return Failure(ValidationErrors(("there is no configuration to patch",)))
@@ -156,7 +157,7 @@
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return Failure(ValidationErrors((f"not JSON: {error}",)))
+        return Failure(ValidationErrors((f"invalid JSON: {error}",)))
     if not isinstance(raw, dict):
         return Failure(ValidationErrors(("expected a JSON object",)))
     return Success(raw)
@@ -174,9 +175,9 @@
 def _check_document(
     document: dict[str, Any], checked: Mapping[str, Any]
 ) -> Result[dict[str, Any], ValidationErrors]:
-    """Check each row that is not in a configuration that was checked before, and how all rows fit together.
+    """Check each row that the previously checked configuration does not contain, and all references.
 
-    Checking a row costs some 40 us, comparing it a hundredth of that.
+    Checking a row takes about 40 us, comparing it a hundredth of that.
     """
     changed = {kind: _changed_rows(document.get(kind), checked.get(kind)) for kind in LISTS}
     partial = document | {
@@ -185,31 +186,33 @@
     errors: dict[str, Any] = _ConfigurationSchema().validate(partial)
     for kind, rows in changed.items():
         if rows is not None and isinstance(errors.get(kind), dict):
-            # Operators read positions in the document that they sent.
-            errors[kind] = {rows[index][0]: of_row for index, of_row in errors[kind].items()}
+            # Positions refer to the document that the operator sent.
+            errors[kind] = {rows[index][0]: row_errors for index, row_errors in errors[kind].items()}
     if reference_errors := _reference_errors(document):
-        of_rows = errors.get("routes")
+        route_errors = errors.get("routes")
         errors["routes"] = (
-            {**of_rows, "_schema": reference_errors} if isinstance(of_rows, dict) else reference_errors
+            {**route_errors, "_schema": reference_errors}
+            if isinstance(route_errors, dict)
+            else reference_errors
         )
     return Failure(ValidationErrors(flatten_errors(errors))) if errors else Success(document)
 
 
 def _changed_rows(rows: object, checked: object) -> list[tuple[int, Any]] | None:
-    """The rows of a list that were not checked before, with their positions; `None` where it is no list."""
+    """Return the rows that were not checked before, with their positions; None if `rows` is not a list."""
     if not isinstance(rows, list):
         return None
     by_name = {row["name"]: row for row in checked} if isinstance(checked, list) else {}
-    return [(position, row) for position, row in enumerate(rows) if not _is_among(row, by_name)]
+    return [(position, row) for position, row in enumerate(rows) if not _was_checked(row, by_name)]
 
 
-def _is_among(row: object, by_name: Mapping[str, Any]) -> bool:
+def _was_checked(row: object, by_name: Mapping[str, Any]) -> bool:
     name = row.get("name") if isinstance(row, dict) else None
     return isinstance(name, str) and by_name.get(name) == row
 
 
 def _merge(document: dict[str, Any], patch: dict[str, Any]) -> dict[str, Any]:
-    """The document with a patch applied: rows are deleted, then put, by name."""
+    """Return the document with a patch applied, which deletes rows first and then upserts rows, by name."""
     merged = {**document, "generation": patch["generation"]}
     upsert, delete = patch.get("upsert") or {}, patch.get("delete") or {}
     for kind in dict.fromkeys((*LISTS, *upsert, *delete)):
@@ -223,8 +226,8 @@
 
 
 def check_generation(document: Mapping[str, Any], current: int) -> Result[int, ValidationErrors]:
-    """The document's generation, which has to be above the current one."""
+    """Return the document's generation, which has to be above the current one, or the error in it."""
     generation = int(document["generation"])
     if generation <= current:
-        return Failure(ValidationErrors((f"generation: {generation} is not above {current}",)))
+        return Failure(ValidationErrors((f"generation: expected more than {current}, got {generation}",)))
     return Success(generation)
--- a/fordtrestle/control_api/coordination_http.py
+++ b/fordtrestle/control_api/coordination_http.py
@@ -1,7 +1,7 @@
-"""Locks, numbers, keys and watches over HTTP, at every control process.
+"""The HTTP API for locks, numbers, keys and watches, which every control process serves.
 
-Paths, statuses and bodies are part of the protocol, and stay as they are. 409, 412, 429 and 503 promise that
-the call was not carried out and never will be; 504 leaves that open.
+Paths, statuses and bodies are part of the protocol and must not change. 409, 412, 429 and 503 guarantee that
+the call was not executed and never will be; 504 leaves that open.
 """
 
 from __future__ import annotations
@@ -42,25 +42,25 @@
 from fordtrestle.coordination.history import Compacted, WatchEvents
 from fordtrestle.coordination.state import KeyEvent
 
-# Callers try another process after a second without an answer: what is decided later, they do not hear.
+# Callers try another process after one second without an answer, so a later answer would not reach them.
 CALL_TIMEOUT_S = 0.95
 
 
 class CoordinationApi:
-    """Turns calls into commands and watches, and what they come to into answers."""
+    """Translates HTTP requests into commands and watches, and their answers into responses."""
 
     def __init__(self, call: CallCommand, watches: WatchService) -> None:
-        """Keep what calls are passed on to.
+        """Create an API over these services.
 
         Args:
-            call: Has a command carried out by the primary.
-            watches: Holds watches.
+            call: Has the primary execute a command.
+            watches: Answers watches.
         """
         self._call = call
         self._watches = watches
 
     def routes(self) -> list[web.RouteDef]:
-        """The routes."""
+        """Return the routes of this API."""
         return [
             web.post("/v1/locks/{name}/{step:start|heartbeat|finish}", self._lock),
             web.post("/v1/numbers/{name}", self._number),
@@ -71,45 +71,48 @@
 
     async def _lock(self, request: web.Request) -> web.StreamResponse:
         name, step = request.match_info["name"], request.match_info["step"]
-        return await self._decide(request, read_lock_command(name, step, await _read(request)))
+        return await self._execute(request, read_lock_command(name, step, await _read_body(request)))
 
     async def _number(self, request: web.Request) -> web.StreamResponse:
         name = request.match_info["name"]
-        return await self._decide(request, read_number_command(name, await _read(request)))
+        return await self._execute(request, read_number_command(name, await _read_body(request)))
 
     async def _put(self, request: web.Request) -> web.StreamResponse:
-        return await self._decide(request, read_put_command(request.match_info["key"], await _read(request)))
+        return await self._execute(
+            request, read_put_command(request.match_info["key"], await _read_body(request))
+        )
 
     async def _get(self, request: web.Request) -> web.StreamResponse:
         command: Result[Command, ValidationErrors] = check_name(request.match_info["key"]).map(GetKey)
-        return await self._decide(request, command)
+        return await self._execute(request, command)
 
     async def _watch(self, request: web.Request) -> web.StreamResponse:
         group = request.match_info["group"]
         match read_watch_query(group, request.query):
             case Success(query):
-                return _answer_watch(await self._watches.watch(group, query.after, query.wait_s))
+                return _to_watch_response(await self._watches.watch(group, query.after, query.wait_s))
             case Failure(invalid):
                 return reply(400, *invalid.errors)
         raise AssertionError("a result is a success or a failure")
 
-    async def _decide(
+    async def _execute(
         self, request: web.Request, command: Result[Command, ValidationErrors]
     ) -> web.StreamResponse:
         match command:
             case Success(valid):
                 deadline = asyncio.get_running_loop().time() + CALL_TIMEOUT_S
-                return _answer(await self._call(valid, deadline))
+                return _to_response(await self._call(valid, deadline))
             case Failure(invalid):
                 return reply(400, *invalid.errors)
         raise AssertionError("a result is a success or a failure")
 
 
-async def _read(request: web.Request) -> bytes:
-    """The body of a call.
+async def _read_body(request: web.Request) -> bytes:
+    """Read the body of a request.
 
     Raises:
-        aiohttp.web.HTTPRequestEntityTooLarge: It is longer than any call needs.
+        TimeoutError: The body did not arrive in time.
+        aiohttp.web.HTTPRequestEntityTooLarge: The body is longer than `MAX_BODY_BYTES`.
     """
     length = request.content_length or 0
     body = await read_body(request) if length <= MAX_BODY_BYTES else b""
@@ -118,7 +121,7 @@
     return body
 
 
-def _answer(answer: Answer) -> web.Response:
+def _to_response(answer: Answer) -> web.Response:
     match answer:
         case LockGranted(fence):
             return web.json_response({"fence": fence})
@@ -135,29 +138,31 @@
         case KeyFound(value, revision):
             return web.json_response({"value": value, "revision": revision})
         case KeyMissing():
-            return reply(404, "no such key")
-    return _refuse(answer)
+            return reply(404, "the key does not exist")
+    return _undecided_response(answer)
 
 
-def _refuse(answer: object) -> web.Response:
-    """The answer to a call that was not decided: whether it still may be is in the status."""
+def _undecided_response(answer: object) -> web.Response:
+    """Return the response to an undecided call; its status tells whether the call may still be executed."""
     retry_after = str(RETRY_AFTER_S)
     match answer:
         case Overloaded():
-            return reply(429, "too much is stored or under way", Retry_After=retry_after)
+            return reply(
+                429, "a limit on storage or on open calls is reached: retry later", Retry_After=retry_after
+            )
         case Unavailable():
-            return reply(503, "not carried out: send it again", Retry_After=retry_after)
-    return reply(504, "no decision in time: send it again", Retry_After=retry_after)
+            return reply(503, "the call was not executed: retry", Retry_After=retry_after)
+    return reply(504, "timed out, and the call may or may not be executed: retry", Retry_After=retry_after)
 
 
-def _answer_watch(answer: WatchAnswer) -> web.Response:
+def _to_watch_response(answer: WatchAnswer) -> web.Response:
     match answer:
         case WatchEvents(events, revision):
-            return web.json_response({"events": [_encode(event) for event in events], "revision": revision})
+            return web.json_response({"events": [_to_json(event) for event in events], "revision": revision})
         case Compacted():
-            return reply(410, "the events after that revision are forgotten")
-    return _refuse(answer)
+            return reply(410, "events after this revision have been compacted")
+    return _undecided_response(answer)
 
 
-def _encode(event: KeyEvent) -> dict[str, Any]:
+def _to_json(event: KeyEvent) -> dict[str, Any]:
     return {"name": event.key, "value": event.value, "revision": event.revision}
--- a/fordtrestle/control_api/coordination_router.py
+++ b/fordtrestle/control_api/coordination_router.py
@@ -1,7 +1,7 @@
-"""Brings applications' commands to the primary, from whichever control process they come to.
+"""Forwards applications' commands to the primary from whichever control process receives them.
 
-A command travels over the link that this process has to the primary's, once, with the time that its caller
-still waits: a caller that were redirected would have to open a connection between regions first.
+A command is sent once over the existing link to the primary's process, together with the time that its caller
+still waits. A redirected caller would first have to open a connection between regions.
 """
 
 from __future__ import annotations
@@ -18,25 +18,25 @@
 from fordtrestle.peer.mesh import Mesh
 from fordtrestle.replication.node import Node
 
-# For a primary to be found: a caller that is refused within a second asks elsewhere, by itself.
+# Time limit for finding a primary: a caller that is rejected within one second tries another process.
 FIND_PRIMARY_TIMEOUT_S = 0.6
 FIND_PRIMARY_RETRY_S = 0.05
-MAX_FORWARDED = 1024  # commands under way to the primary; a caller beyond them is asked to come back
+MAX_FORWARDED = 1024  # forwarded commands in flight; further callers are asked to retry
 MS_PER_S = 1000.0
 
 CallCommand = Callable[[Command, float], Awaitable[Answer]]
-"""Has a command carried out before a deadline, as `CoordinationRouter.call` does."""
+"""Has the primary execute a command before a deadline, as `CoordinationRouter.call` does."""
 
 
 class CoordinationRouter:
-    """Has the primary carry commands out, and carries out those that other control processes bring."""
+    """Has the primary execute commands, and executes those that other control processes forward."""
 
     def __init__(self, service: CoordinationService, node: Node, mesh: Mesh) -> None:
-        """Keep what it works on.
+        """Create a router without commands in flight.
 
         Args:
-            service: Carries commands out here.
-            node: The replication of this store, for where the primary is.
+            service: Executes commands on this store.
+            node: The replication of this store, which knows the primary.
             mesh: The links to other processes.
         """
         self._service = service
@@ -44,14 +44,17 @@
         self._mesh = mesh
         self._tokens = itertools.count(1)
         self._replies: dict[int, asyncio.Future[Answer]] = {}  # by token
-        self._serving: set[asyncio.Task[None]] = set()
+        self._serve_tasks: set[asyncio.Task[None]] = set()
 
     async def call(self, command: Command, deadline: float) -> Answer:
-        """Have a command carried out by whoever is primary.
+        """Have a command executed by the current primary.
 
         Args:
             command: The command.
-            deadline: When its caller stops waiting, in s of the steady clock.
+            deadline: When the caller stops waiting, in seconds of the steady clock.
+
+        Returns:
+            The answer; `Unavailable` if no primary was found in time.
         """
         loop = asyncio.get_running_loop()
         give_up_at = min(deadline, loop.time() + FIND_PRIMARY_TIMEOUT_S)
@@ -64,16 +67,16 @@
             await asyncio.sleep(FIND_PRIMARY_RETRY_S)
 
     def on_call(self, link: Link, call: CoordinationCall) -> None:
-        """Carry out a command that another control process brings; the service bounds how many there are."""
+        """Execute a command that another control process forwards; the service limits how many run."""
         deadline = asyncio.get_running_loop().time() + call.timeout_ms / MS_PER_S
         task = asyncio.create_task(
             self._serve(link, call.token, self._service.execute(call.command, deadline))
         )
-        self._serving.add(task)
-        task.add_done_callback(self._serving.discard)
+        self._serve_tasks.add(task)
+        task.add_done_callback(self._serve_tasks.discard)
 
     def on_reply(self, reply: CoordinationReply) -> None:
-        """Hand an answer to the call that waits for it; one that comes too late is dropped."""
+        """Pass an answer to the call that waits for it; a late answer is dropped."""
         waiting = self._replies.get(reply.token)
         if waiting and not waiting.done():
             waiting.set_result(reply.answer)
--- a/fordtrestle/control_api/coordination_schema.py
+++ b/fordtrestle/control_api/coordination_schema.py
@@ -1,4 +1,4 @@
-"""Reads and checks what applications send: names, bodies and queries of coordination calls."""
+"""Parses and checks the names, bodies and queries of applications' coordination calls."""
 
 from __future__ import annotations
 
@@ -22,12 +22,12 @@
 from fordtrestle.coordination.limits import MAX_HOLD_MS, MAX_NAME_CHARACTERS, MAX_VALUE_CHARACTERS
 
 MAX_BODY_BYTES = 64 * 1024
-MAX_WAIT_MS = 60_000.0  # that a watch may be held
-MAX_WHOLE_NUMBER = 2**63 - 1  # of fencing tokens and revisions
+MAX_WAIT_MS = 60_000.0  # for which a watch may stay open
+MAX_INTEGER = 2**63 - 1  # for fencing tokens and revisions
 
-_HOLD = validate.Range(min=0, min_inclusive=False, max=MAX_HOLD_MS)
-_NAME = validate.Length(min=1, max=MAX_NAME_CHARACTERS)
-_WHOLE_NUMBER = validate.Range(min=0, max=MAX_WHOLE_NUMBER)
+_HOLD_RANGE = validate.Range(min=0, min_inclusive=False, max=MAX_HOLD_MS)
+_NAME_LENGTH = validate.Length(min=1, max=MAX_NAME_CHARACTERS)
+_INTEGER_RANGE = validate.Range(min=0, max=MAX_INTEGER)
 
 
 class _BodySchema(Schema):
@@ -36,39 +36,53 @@
 
 
 class _AcquireSchema(_BodySchema):
-    holder = fields.String(required=True, validate=_NAME)
-    hold_ms = fields.Float(required=True, validate=_HOLD)
+    holder = fields.String(required=True, validate=_NAME_LENGTH)
+    hold_ms = fields.Float(required=True, validate=_HOLD_RANGE)
 
 
 class _RenewSchema(_AcquireSchema):
-    fence = fields.Integer(required=True, strict=True, validate=_WHOLE_NUMBER)
+    fence = fields.Integer(required=True, strict=True, validate=_INTEGER_RANGE)
 
 
 class _ReleaseSchema(_BodySchema):
-    holder = fields.String(required=True, validate=_NAME)
-    fence = fields.Integer(required=True, strict=True, validate=_WHOLE_NUMBER)
+    holder = fields.String(required=True, validate=_NAME_LENGTH)
+    fence = fields.Integer(required=True, strict=True, validate=_INTEGER_RANGE)
 
 
 class _PutSchema(_BodySchema):
     value = fields.String(required=True, validate=validate.Length(max=MAX_VALUE_CHARACTERS))
-    if_revision = fields.Integer(load_default=None, allow_none=True, strict=True, validate=_WHOLE_NUMBER)
+    if_revision = fields.Integer(load_default=None, allow_none=True, strict=True, validate=_INTEGER_RANGE)
 
 
 class _WatchSchema(_BodySchema):
-    after = fields.Integer(load_default=0, validate=_WHOLE_NUMBER)
+    after = fields.Integer(load_default=0, validate=_INTEGER_RANGE)
     wait_ms = fields.Float(load_default=0.0, validate=validate.Range(min=0, max=MAX_WAIT_MS))
 
 
 @dataclass(frozen=True, slots=True)
 class WatchQuery:
-    """What a watch asks for: the events after a revision, waited for that long."""
+    """The query of a watch.
+
+    Attributes:
+        after: The revision after which events are wanted.
+        wait_s: For how long to wait for an event, in seconds.
+    """
 
     after: int
     wait_s: float
 
 
 def read_lock_command(name: str, step: str, body: bytes) -> Result[Command, ValidationErrors]:
-    """Read a call on a lock; `step` is the last part of its path, `start`, `heartbeat` or `finish`."""
+    """Parse a call on a lock.
+
+    Args:
+        name: The lock's name.
+        step: The last segment of the path: `start`, `heartbeat` or `finish`.
+        body: The body in JSON.
+
+    Returns:
+        The command, or all errors in the call.
+    """
     match step:
         case "start":
             return _load(_AcquireSchema(), name, body).map(lambda data: AcquireLock(name, **data))
@@ -79,17 +93,17 @@
 
 
 def read_number_command(name: str, body: bytes) -> Result[Command, ValidationErrors]:
-    """Read a call for a number. The body may be empty."""
+    """Parse a call for a number, whose body may be empty."""
     return _load(_BodySchema(), name, body or b"{}").map(lambda _: IssueNumber(name))
 
 
 def read_put_command(key: str, body: bytes) -> Result[Command, ValidationErrors]:
-    """Read a put."""
+    """Parse a put of a key."""
     return _load(_PutSchema(), key, body).map(lambda data: PutKey(key, data["value"], data["if_revision"]))
 
 
 def read_watch_query(group: str, query: Mapping[str, str]) -> Result[WatchQuery, ValidationErrors]:
-    """Read the query of a watch."""
+    """Parse the query of a watch."""
     return _check(_WatchSchema(), group, dict(query)).map(
         lambda data: WatchQuery(data["after"], data["wait_ms"] / 1000.0)
     )
@@ -104,9 +118,13 @@
 
 
 def check_name(name: str) -> Result[str, ValidationErrors]:
-    """Check the name in a path."""
+    """Check a name from a path, and return it or all errors in it."""
     if len(name) > MAX_NAME_CHARACTERS:
-        return Failure(ValidationErrors((f"a name has {MAX_NAME_CHARACTERS} characters at most",)))
+        return Failure(
+            ValidationErrors(
+                (f"expected a name of at most {MAX_NAME_CHARACTERS} characters, got {len(name)}",)
+            )
+        )
     if not is_storable(name):
-        return Failure(ValidationErrors(("a name holds a lone surrogate",)))
+        return Failure(ValidationErrors(("the name contains a lone surrogate, which UTF-8 can't encode",)))
     return Success(name)
--- a/fordtrestle/control_api/coordination_service.py
+++ b/fordtrestle/control_api/coordination_service.py
@@ -1,9 +1,10 @@
-"""Carries out applications' commands on the primary: locks, counters and keys.
+"""Executes applications' commands on the primary: locks, counters and keys.
 
-Commands are evaluated one after the other on the newest state, writes under way included, so that many can be
-replicated at a time. None is answered before what its answer rests on is on all replicas; one that writes
-nothing waits besides until a majority of witnesses, asked after it came, has confirmed that this store is
-primary. A store that was deposed or stood still would otherwise answer from an old state.
+Commands are evaluated one after another on the newest state, including writes in flight, so that many writes
+can be replicated at a time. No command is answered before the state that its answer depends on is on all
+replicas. A command that writes nothing also waits until a majority of witnesses, asked after it arrived, has
+confirmed that this store is primary. Otherwise a store that was deposed or suspended would answer from a
+stale state.
 """
 
 from __future__ import annotations
@@ -22,59 +23,61 @@
 )
 from fordtrestle.coordination.changes import GrantLock
 from fordtrestle.coordination.commands import Command
-from fordtrestle.coordination.evaluation import Evaluation, Situation, evaluate
+from fordtrestle.coordination.evaluation import Evaluation, EvaluationContext, evaluate
 from fordtrestle.coordination.observation_clock import ObservationClock
 from fordtrestle.peer.replicator import Replicator
 from fordtrestle.replication.node import Node, PendingWrite
 
-MAX_COMMANDS = 1024  # under way at a time; a caller beyond them is asked to come back
+MAX_COMMANDS = 1024  # in flight at a time; further callers are asked to retry
 
 
 class CoordinationService:
-    """Carries out commands on this store as far as it is the primary.
+    """Executes applications' commands while this store is the primary.
 
     Attributes:
-        answer_counts: How many commands came to each answer, by the answer's class.
+        answer_counts: How many commands got each answer, by the answer's class.
     """
 
     def __init__(
         self, replicator: Replicator, clock: ObservationClock, is_supported: Callable[[], bool]
     ) -> None:
-        """Keep what it works on.
+        """Create a service without commands in flight.
 
         Args:
             replicator: Drives this store.
-            clock: Observes its state.
-            is_supported: Whether all stores know of these commands: older versions take none of their writes.
+            clock: Observes the store's state.
+            is_supported: Whether all stores support these commands. Older versions accept none of their
+                writes.
         """
         self.answer_counts: Counter[type] = Counter()
         self._replicator = replicator
         self._node: Node = replicator.node
         self._clock = clock
         self._is_supported = is_supported
-        self._under_way = 0
+        self._in_flight = 0
 
     async def execute(self, command: Command, deadline: float) -> Answer:
-        """Carry a command out.
+        """Execute a command.
 
         Args:
-            command: What an application asks for.
-            deadline: When its caller stops waiting, in s of the steady clock: it is not begun after that.
+            command: The application's command.
+            deadline: When the caller stops waiting, in seconds of the steady clock. The command is not
+                started after that.
 
         Returns:
-            What it comes to. `OutcomeUnknown` where it may be carried out later or not; `NotPrimary`,
-            `Unavailable` and `Overloaded` where it is not, and never will be.
+            The answer. `OutcomeUnknown` means that the command may or may not be executed later.
+            `NotPrimary`, `Unavailable` and `Overloaded` mean that it was not executed and never will be.
         """
-        if self._under_way >= MAX_COMMANDS:
-            return self._counted(Overloaded())
-        self._under_way += 1
+        if self._in_flight >= MAX_COMMANDS:
+            return self._count(Overloaded())
+        self._in_flight += 1
         try:
-            return self._counted(await self._execute(command, deadline))
+            return self._count(await self._execute(command, deadline))
         finally:
-            self._under_way -= 1
+            self._in_flight -= 1
 
     def observe(self) -> None:
-        """Take note of the newest state: a lock is held for the shorter, the sooner its grant is observed."""
+        """Observe the newest state. The earlier a grant is observed, the earlier its lock expires."""
         self._clock.observe(self._node.durable.state.coordination, self._replicator.now())
 
     async def _execute(self, command: Command, deadline: float) -> Answer:
@@ -86,7 +89,9 @@
         if not node.is_ready or now >= deadline or not self._is_supported():
             return Unavailable()
         state = node.durable.state
-        evaluation = evaluate(command, Situation(state.coordination, state.sequence, self._clock, now))
+        evaluation = evaluate(
+            command, EvaluationContext(state.coordination, state.sequence, self._clock, now)
+        )
         if evaluation.change is None:
             return await self._confirm(evaluation.answer, deadline)
         return await self._write(evaluation, deadline)
@@ -109,26 +114,26 @@
         return evaluation.answer if node.has_committed(write) else OutcomeUnknown()
 
     async def _confirm(self, answer: Answer, deadline: float) -> Answer:
-        """An answer that nothing is written for, once it is sure that it holds."""
+        """Return an answer that needs no write once it is confirmed, or `Unavailable` if it is not."""
         node = self._node
-        rests_on = node.newest_write
-        asked = node.begin_confirmation(self._replicator.now())
+        prerequisite = node.newest_write
+        heartbeat_number = node.begin_confirmation(self._replicator.now())
         self._replicator.pump()
 
-        def holds() -> bool:
-            return node.is_confirmed(asked) and node.has_committed(rests_on)
+        def is_valid() -> bool:
+            return node.is_confirmed(heartbeat_number) and node.has_committed(prerequisite)
 
-        await self._wait_until(lambda: holds() or not node.is_current(rests_on), deadline)
-        return answer if holds() else Unavailable()
+        await self._wait_until(lambda: is_valid() or not node.is_current(prerequisite), deadline)
+        return answer if is_valid() else Unavailable()
 
     def _is_decided(self, write: PendingWrite) -> bool:
-        """Whether a write is committed, or another primary decides about it."""
+        """Whether a write is committed, or another primary decides its outcome."""
         return self._node.has_committed(write) or not self._node.is_current(write)
 
     async def _wait_until(self, condition: Callable[[], bool], deadline: float) -> None:
         if not condition():
             await self._replicator.wait_until(condition, max(0.0, deadline - self._replicator.now()))
 
-    def _counted(self, answer: Answer) -> Answer:
+    def _count(self, answer: Answer) -> Answer:
         self.answer_counts[type(answer)] += 1
         return answer
--- a/fordtrestle/control_api/errors.py
+++ b/fordtrestle/control_api/errors.py
@@ -8,4 +8,4 @@
 
 
 class UnreachableError(ControlApiError):
-    """No control process gave a clear answer in time. The message names the last address and its answer."""
+    """No control process gave a conclusive answer in time. The message has the last address and answer."""
--- a/fordtrestle/control_api/heartbeats.py
+++ b/fordtrestle/control_api/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats of servers: what is new in them, and whose have stopped (PROTOCOL: service discovery)."""
+"""Tracks servers' heartbeats: what changes in them, and which have stopped (PROTOCOL: service discovery)."""
 
 from __future__ import annotations
 
@@ -14,18 +14,18 @@
 from fordtrestle.dissemination.catalog import Catalog
 from fordtrestle.dissemination.items import SERVER_PREFIX, Item, Phase, ServerRecord, server_item
 
-# A longer body is refused; heartbeats take some hundred bytes.
+# Longer bodies are rejected; heartbeats take a few hundred bytes.
 MAX_HEARTBEAT_BYTES = 4096
 
-# Heartbeat periods without any before a server is unresponsive: three may get lost, and half a period is for
-# a late one.
+# Heartbeat periods without a heartbeat after which a server counts as unresponsive. Three heartbeats may get
+# lost; the half period allows for a late one.
 MAX_MISSED_HEARTBEATS = 3.5
 
-# By which the end of a server's warm-up has to move for it to have started to warm up again: more than what
-# heartbeats are delayed by.
-MIN_WARM_UP_RISE_S = 0.3
+# A server has started to warm up again if the end of its warm-up moved by more than this. It exceeds the
+# delay of heartbeats, which also moves that end.
+MIN_WARM_UP_EXTENSION_S = 0.3
 
-# Servers whose heartbeats this process tracks, so that instances made up by a caller do not fill its memory.
+# Bounds the memory that a caller can fill with heartbeats of invented instances.
 MAX_TRACKED_SERVERS = 20_000
 
 MS_PER_S = 1000.0
@@ -51,8 +51,8 @@
     """One heartbeat of a server.
 
     Attributes:
-        record: What the server says of itself.
-        sequence: Its number, which rises with each heartbeat of an incarnation.
+        record: The state that the server reports.
+        sequence: The heartbeat's number, which rises with each heartbeat of an incarnation.
     """
 
     record: ServerRecord
@@ -60,15 +60,15 @@
 
 
 def read_heartbeat(instance: str, body: bytes, heard_by: str) -> Result[ServerHeartbeat, ValidationErrors]:
-    """Read the body of a heartbeat.
+    """Parse and check the body of a heartbeat.
 
     Args:
         instance: The incarnation that sent it.
         body: The body in JSON.
-        heard_by: The control process that it came to.
+        heard_by: The control process that received it.
 
     Returns:
-        The heartbeat, or all that is wrong with it.
+        The heartbeat, or all errors in the body.
     """
     return read_object(_HeartbeatSchema(), body).map(
         lambda data: ServerHeartbeat(_record_of(instance, data, heard_by), data["sequence"])
@@ -92,7 +92,7 @@
 
 
 def _unknown_server(instance: str, heard_by: str) -> ServerRecord:
-    """The record of an incarnation that has departed and was never heard of here."""
+    """Return the record of a departed incarnation that this process does not know."""
     return ServerRecord(
         instance=instance,
         service="",
@@ -111,18 +111,18 @@
 @dataclass(slots=True)
 class _LastHeartbeat:
     sequence: int
-    at: float  # seconds of a monotonic clock
-    warm_until: float  # the same
+    received_at: float  # seconds of a monotonic clock
+    warm_until: float  # seconds of a monotonic clock
 
 
 class HeartbeatMonitor:
-    """Tracks the heartbeats that come to this process: which say something new, and whose have stopped.
+    """Tracks the heartbeats that this process receives, and detects changes and servers that fell silent.
 
-    It changes no catalog: its methods return the items for others to be published.
+    It does not change the catalog: its methods return the items that the caller has to publish.
     """
 
     def __init__(self, node: str, heartbeat_s: float) -> None:
-        """Begin with no server known.
+        """Create a monitor that knows no servers.
 
         Args:
             node: The name of this control process.
@@ -136,38 +136,38 @@
         """Record a heartbeat.
 
         Args:
-            heartbeat: What came.
-            catalog: What is known of all servers.
-            now: Seconds of a monotonic clock.
+            heartbeat: The heartbeat.
+            catalog: The known servers.
+            now: The current time, in seconds of a monotonic clock.
 
         Returns:
-            The item to publish where the heartbeat says something new. Nothing where it was overtaken by a
-            newer one, or as many servers as this process tracks are there already.
+            The item to publish if the heartbeat changes something. None if it does not, if a newer heartbeat
+            overtook it, or if the server is new and this process tracks `MAX_TRACKED_SERVERS` already.
         """
         record = heartbeat.record
         last = self._last.get(record.instance)
         if last and heartbeat.sequence < last.sequence:
             return None
         warm_until = now + record.warm_up_ms / MS_PER_S
-        warms_up_again = record.warm_up_ms > 0 and (
-            last is None or warm_until > last.warm_until + MIN_WARM_UP_RISE_S
+        has_restarted_warm_up = record.warm_up_ms > 0 and (
+            last is None or warm_until > last.warm_until + MIN_WARM_UP_EXTENSION_S
         )
         if last is None and len(self._last) >= MAX_TRACKED_SERVERS:
             return None
         self._last[record.instance] = _LastHeartbeat(heartbeat.sequence, now, warm_until)
         known = catalog.get(SERVER_PREFIX + record.instance)
-        if known and isinstance(known.value, ServerRecord) and not warms_up_again:
-            # The times run down by themselves: that is nothing new.
+        if known and isinstance(known.value, ServerRecord) and not has_restarted_warm_up:
+            # Both times count down by themselves, which is no change.
             expected = replace(known.value, warm_up_ms=record.warm_up_ms, remaining_ms=record.remaining_ms)
             if expected == record:
                 return None
         return server_item(record, heartbeat.sequence)
 
     def deregister(self, instance: str, catalog: Catalog) -> Item:
-        """The item that says that an incarnation has departed.
+        """Stop tracking an incarnation and return the item that marks it as departed.
 
-        There is one also where the incarnation was never heard of here: others may have heard of it, and its
-        heartbeat may be on the way.
+        An incarnation that this process does not know gets an item, too: other processes may know it, and a
+        heartbeat of it may still arrive.
         """
         self._last.pop(instance, None)
         known = catalog.get(SERVER_PREFIX + instance)
@@ -178,23 +178,24 @@
     def find_unresponsive(
         self, catalog: Catalog, now: float, is_successor_of: Callable[[str], bool] = lambda node: False
     ) -> list[Item]:
-        """Find the servers whose heartbeats have stopped to come here, and come nowhere else as far as known.
+        """Find the servers that stopped sending heartbeats to this process and did not move to another.
 
-        A server that went over to another process is left to that one: its heartbeats have not stopped. Each
-        server is found once, until its next heartbeat.
+        A server that moved to another process is left to that process, since its heartbeats have not stopped.
+        Each server is reported once until its next heartbeat.
 
         Args:
-            catalog: What is known of all servers.
-            now: Seconds of a monotonic clock.
-            is_successor_of: Whether this process watches the servers of a control process that is down.
+            catalog: The known servers.
+            now: The current time, in seconds of a monotonic clock.
+            is_successor_of: Tells whether the control process of a given name is down and this process
+                monitors its servers.
 
         Returns:
-            The items that say so.
+            The items that mark these servers as unresponsive.
         """
         self._adopt_servers(catalog, now, is_successor_of)
         items = []
         for instance, last in list(self._last.items()):
-            if now - last.at <= self._timeout_s:
+            if now - last.received_at <= self._timeout_s:
                 continue
             del self._last[instance]
             known = catalog.get(SERVER_PREFIX + instance)
@@ -207,10 +208,10 @@
         return items
 
     def _adopt_servers(self, catalog: Catalog, now: float, is_successor_of: Callable[[str], bool]) -> None:
-        """Watch servers that nobody would report as unresponsive otherwise.
+        """Track servers that no process would otherwise report as unresponsive.
 
-        Their heartbeats came to an earlier incarnation of this process, or to one that is down and whose
-        successor this one is.
+        Their heartbeats went to an earlier incarnation of this process, or to a process that is down and
+        whose successor this one is.
         """
         for record, version in catalog.servers():
             if record.phase is not Phase.SERVING or record.is_unresponsive or record.instance in self._last:
--- a/fordtrestle/control_api/http.py
+++ b/fordtrestle/control_api/http.py
@@ -1,8 +1,8 @@
 """The `control` endpoint: operators' commands, servers' heartbeats and listings over HTTP.
 
-Applications' calls stand in `coordination_http.py`.
+Applications' calls are in `coordination_http.py`.
 
-Paths, statuses, bodies and header fields are part of the protocol, and stay as they are.
+Paths, statuses, bodies and header fields are part of the protocol and must not change.
 """
 
 from __future__ import annotations
@@ -34,17 +34,17 @@
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.replication.node import Node
 
-BASE_HEADER = "X-Base-Version"  # the generation that a change builds on
+BASE_HEADER = "X-Base-Version"  # the generation that a change is based on
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
 
 class ControlApi:
-    """Turns calls into commands and heartbeats, and their results into answers.
+    """Translates HTTP requests into commands and heartbeats, and their results into responses.
 
     Attributes:
-        open_calls: The calls that are being answered.
-        unrouted_calls: The calls that none of its routes serves.
+        open_calls: Tracks the calls in flight.
+        unrouted_calls: Counts the calls that match no route.
     """
 
     def __init__(
@@ -57,16 +57,16 @@
         zones: frozenset[str],
         node: Node,
     ) -> None:
-        """Keep what calls are passed on to.
+        """Create an API over these services.
 
         Args:
-            commands: Carries out operators' commands.
+            commands: Executes operators' commands.
             heartbeats: Records servers' heartbeats.
             withdrawals: Confirms that a majority holds a server's withdrawal.
             coordination: Answers applications' calls for locks, numbers, keys and watches.
             gossip: The table of members and servers.
             zones: The zones that can be evacuated.
-            node: The replication of this store, for where the primary is.
+            node: The replication of this store, which knows the primary.
         """
         self._commands = commands
         self._heartbeats = heartbeats
@@ -79,7 +79,7 @@
         self.unrouted_calls = UnroutedCalls()
 
     def application(self) -> web.Application:
-        """The routes of the endpoint."""
+        """Return the application that serves all routes of the endpoint."""
         application = web.Application(
             middlewares=[self.open_calls.middleware, self.unrouted_calls.middleware, answer_errors],
             client_max_size=MAX_DOCUMENT_BYTES,
@@ -98,22 +98,22 @@
         return application
 
     def figures(self) -> dict[str, float]:
-        """The metrics of this endpoint, by name."""
+        """Return the metrics of this endpoint, by name."""
         return {"control_calls_without_route": self.unrouted_calls.count}
 
     async def _change_config(self, request: web.Request) -> web.StreamResponse:
         base = request.headers.get(BASE_HEADER, "0")
         if not (base.isascii() and base.isdigit()):
-            return reply(400, f"{BASE_HEADER}: expected a whole number")
+            return reply(400, f"{BASE_HEADER}: expected a non-negative integer, got {base!r}")
         body = await read_body(request)
         kind = ConfigRequestKind(request.match_info["kind"])
         command = ConfigRequest(kind, int(base), body, partial(is_connected, request))
-        return self._answer(request, await self._commands.change_config(command))
+        return self._to_response(request, await self._commands.change_config(command))
 
     async def _read_config(self, request: web.Request) -> web.StreamResponse:
         result = await self._commands.read_config()
         if result.status is not CommandStatus.DONE:
-            return self._answer(request, result)
+            return self._to_response(request, result)
         if not result.document:
             return reply(404, "there is no configuration yet")
         return web.Response(body=result.document, content_type="application/json")
@@ -121,13 +121,13 @@
     async def _evacuate(self, request: web.Request) -> web.StreamResponse:
         zone = request.match_info["zone"]
         if zone not in self._zones:
-            return reply(404, f"no zone {zone!r}")
+            return reply(404, f"unknown zone {zone!r}")
         is_start = request.match_info["step"] == "start"
         command = EvacuationRequest(zone, is_start, partial(is_connected, request))
-        return self._answer(request, await self._commands.evacuate(command))
+        return self._to_response(request, await self._commands.evacuate(command))
 
     async def _list(self, request: web.Request) -> web.StreamResponse:
-        """What this process knows, as rows for `fordtrestle ctl`."""
+        """Return what this process knows, as rows for `fordtrestle ctl`."""
         catalog = self._gossip.catalog
         match request.match_info["listing"]:
             case "members":
@@ -142,7 +142,7 @@
         instance = request.match_info["instance"]
         body = await read_body(request)
         if len(body) > MAX_HEARTBEAT_BYTES:
-            return reply(413, f"a heartbeat holds {MAX_HEARTBEAT_BYTES} bytes at most")
+            return reply(413, f"expected a heartbeat of at most {MAX_HEARTBEAT_BYTES} bytes, got {len(body)}")
         match read_heartbeat(instance, body, self._gossip.me.node):
             case Failure(invalid):
                 return reply(400, *invalid.errors)
@@ -161,41 +161,47 @@
         return await self._acknowledge_withdrawal(instance)
 
     async def _acknowledge_withdrawal(self, instance: str) -> web.StreamResponse:
-        """200 binds all sidecars, so it is withheld where they might not learn of it in time."""
+        """Acknowledge a withdrawal once it is confirmed.
+
+        A 200 binds all sidecars, so it is withheld if some might not learn of the withdrawal in time.
+        """
         if await self._withdrawals.confirm(instance):
             return reply(200)
-        return _retry_later("not known to enough control processes yet")
+        return _retry_later("no majority of control processes has confirmed the withdrawal yet")
 
-    def _answer(self, request: web.Request, result: CommandResult) -> web.StreamResponse:
+    def _to_response(self, request: web.Request, result: CommandResult) -> web.StreamResponse:
         match result.status:
             case CommandStatus.DONE:
                 return reply(200)
             case CommandStatus.STALE:
-                return reply(412, "another version is current")
+                return reply(412, "the base version is not the current version")
             case CommandStatus.INVALID:
                 return reply(400, *result.errors)
             case CommandStatus.NOT_PRIMARY:
                 return self._redirect_to_primary(request)
             case CommandStatus.UNKNOWN:
-                return _retry_later("no answer yet")
+                return _retry_later("the outcome is unknown")
 
     def _redirect_to_primary(self, request: web.Request) -> web.StreamResponse:
-        """Send the caller to the primary, or away where it was not heard lately: it may have moved."""
+        """Redirect the caller to the primary, or ask it to retry if there was no recent sign of a primary.
+
+        Without a recent sign of it, another store may have become primary.
+        """
         primary = self._node.reachable_primary(asyncio.get_running_loop().time())
         if primary is None:
-            return _retry_later("no answer yet")
+            return _retry_later("no primary is known")
         return reply(307, Location=f"http://{primary.control}{request.raw_path}")
 
 
 def _retry_later(reason: str) -> web.Response:
-    return reply(503, f"{reason}: send it again", Retry_After=str(RETRY_AFTER_S))
+    return reply(503, f"{reason}: retry", Retry_After=str(RETRY_AFTER_S))
 
 
 def is_connected(request: web.Request) -> bool:
-    """Whether a call's connection is still there, as far as this process has read.
+    """Whether a call's connection is open, as far as this process knows.
 
-    A caller may have disconnected all the same: the end of its connection is known only once the event loop
-    has read it.
+    The caller may have disconnected already: that is known only once the event loop has read the end of the
+    connection.
     """
     transport = request.transport
     return transport is not None and not transport.is_closing()
@@ -203,12 +209,12 @@
 
 @web.middleware
 async def answer_errors(request: web.Request, handler: Handler) -> web.StreamResponse:
-    """Answer errors in JSON, as everything else."""
+    """Return errors in JSON, like all other responses."""
     try:
         return await handler(request)
     except web.HTTPException as error:
         return reply(error.status, error.reason)
     except TimeoutError:
-        return reply(408, "the body did not come in time")
+        return reply(408, "the body did not arrive in time")
     except json.JSONDecodeError as error:
         return reply(400, str(error))
--- a/fordtrestle/control_api/json_body.py
+++ b/fordtrestle/control_api/json_body.py
@@ -1,4 +1,4 @@
-"""Reads the JSON objects that callers send, so that each text in them can be stored and sent on."""
+"""Parses and checks the JSON objects that callers send, whose strings all have to be storable."""
 
 from __future__ import annotations
 
@@ -13,28 +13,28 @@
 
 
 def read_object(schema: Schema, body: bytes) -> Result[dict[str, Any], ValidationErrors]:
-    """Read and check an object.
+    """Parse and check a JSON object.
 
     Args:
-        schema: What its members have to be.
+        schema: The schema of the object.
         body: The object in JSON.
 
     Returns:
-        Its members, or all that is wrong with it.
+        The members of the object, or all errors in it.
     """
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return Failure(ValidationErrors((f"not JSON: {error}",)))
+        return Failure(ValidationErrors((f"invalid JSON: {error}",)))
     return check_object(schema, raw)
 
 
 def check_object(schema: Schema, raw: Any) -> Result[dict[str, Any], ValidationErrors]:
-    """Check what was read from JSON or from a query, as `read_object` does."""
+    """Check a value that was parsed from JSON or from a query, as `read_object` does."""
     if not isinstance(raw, dict):
         return Failure(ValidationErrors(("expected a JSON object",)))
     if not is_storable(raw):
-        return Failure(ValidationErrors(("text holds a lone surrogate",)))
+        return Failure(ValidationErrors(("a string contains a lone surrogate, which UTF-8 can't encode",)))
     try:
         data: dict[str, Any] = schema.load(raw)
     except ValidationError as error:
@@ -43,9 +43,9 @@
 
 
 def is_storable(value: Any) -> bool:
-    """Whether all text in a value is Unicode that UTF-8 can hold: records and messages are written in it.
+    """Whether UTF-8, in which records and messages are written, can encode all strings in a value.
 
-    JSON allows half of a surrogate pair by itself (RFC 8259, section 8.2).
+    JSON allows one half of a surrogate pair by itself (RFC 8259, section 8.2).
     """
     try:
         json.dumps(value, ensure_ascii=False).encode()
--- a/fordtrestle/control_api/listings.py
+++ b/fordtrestle/control_api/listings.py
@@ -1,4 +1,4 @@
-"""What a control process knows, as rows for `fordtrestle ctl`. Keys and values are shown to users. Pure."""
+"""Lists members, servers and the epoch as rows for `fordtrestle ctl`, which shows keys and values. Pure."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 Row = dict[str, str | int | float]
 
-# What operators read of servers that get no requests.
+# Shown to operators as the reason why a server gets no requests.
 PHASE_LABELS = {Phase.DRAINING: "draining", Phase.DEPARTED: "gone"}
 UNRESPONSIVE_LABEL = "silent"
 
 
 def members(catalog: Catalog) -> list[Row]:
-    """A row for each process of the system, by region and name."""
+    """Return a row for each process of the system, sorted by region and name."""
     known = sorted((record.region, record.node, record) for record, _ in catalog.members())
     return [
         {
@@ -30,7 +30,7 @@
 
 
 def servers(catalog: Catalog) -> list[Row]:
-    """A row for each server, by service and zone, and why some get no requests."""
+    """Return a row for each server, sorted by service and zone, with the reason if it gets no requests."""
     control = catalog.control
     evacuated = control.evacuated if control else ()
     known = sorted((record.service, record.zone, record.instance, record) for record, _ in catalog.servers())
@@ -49,7 +49,7 @@
 
 
 def _reason_unusable(record: ServerRecord, evacuated: tuple[str, ...]) -> str:
-    """Why a server gets no requests; empty where it does."""
+    """Return why a server gets no requests; empty if it gets some."""
     if record.phase is not Phase.SERVING:
         return PHASE_LABELS[record.phase]
     if record.is_unresponsive:
@@ -58,7 +58,7 @@
 
 
 def epoch(newest: Epoch | None) -> list[Row]:
-    """A row for each store of the newest epoch, and its role in it."""
+    """Return a row for each store of the newest epoch, with its role in it."""
     if newest is None:
         return []
     return [
--- a/fordtrestle/control_api/open_calls.py
+++ b/fordtrestle/control_api/open_calls.py
@@ -1,4 +1,4 @@
-"""Calls that are being answered: the endpoint is closed once they are, and takes no others meanwhile."""
+"""Tracks calls in flight, so that the endpoint answers them and accepts no others before it closes."""
 
 from __future__ import annotations
 
@@ -11,44 +11,46 @@
 
 
 class OpenCalls:
-    """Counts the calls under way.
+    """Counts the calls in flight.
 
-    Guards against an endpoint that is closed over them: callers would get no answer, and aiohttp logs an
-    exception where a handler ends just as it is cut.
+    Guards against closing the endpoint while calls are in flight: their callers would get no answer, and
+    aiohttp logs an exception if a handler ends just as its connection is closed.
     """
 
     def __init__(self) -> None:
         self._count = 0
         self._is_closing = False
-        self._none_left = asyncio.Event()
+        self._all_answered = asyncio.Event()
 
     @property
     def middleware(self) -> Middleware:
-        """Counts a call while it is handled, or refuses it."""
+        """The middleware that counts each call while it is handled, or rejects it while closing."""
 
         @web.middleware
         async def count(request: web.Request, handler: Handler) -> web.StreamResponse:
             if self._is_closing:
-                return _refuse()
+                return _reject()
             self._count += 1
             try:
                 return await handler(request)
             finally:
                 self._count -= 1
                 if self._count == 0:
-                    self._none_left.set()
+                    self._all_answered.set()
 
         return count
 
     async def close(self) -> None:
-        """Refuse calls from now on, and wait for those that are open."""
+        """Reject new calls and wait for those in flight."""
         self._is_closing = True
         while self._count:
-            self._none_left.clear()
-            await self._none_left.wait()
+            self._all_answered.clear()
+            await self._all_answered.wait()
 
 
-def _refuse() -> web.Response:
-    response = reply(503, "this process ends: send it to another", Retry_After=str(RETRY_AFTER_S))
+def _reject() -> web.Response:
+    response = reply(
+        503, "this process is shutting down: retry at another control process", Retry_After=str(RETRY_AFTER_S)
+    )
     response.force_close()
     return response
--- a/fordtrestle/control_api/outliers.py
+++ b/fordtrestle/control_api/outliers.py
@@ -1,4 +1,4 @@
-"""Judges the servers of the services that this control process owns by what sidecars report of them."""
+"""Ejects outliers among the servers of the services that this control process owns, by sidecars' reports."""
 
 from __future__ import annotations
 
@@ -11,28 +11,28 @@
 
 
 class OutlierDetector:
-    """Collects sidecars' reports and spreads the ejections that follow from them."""
+    """Collects sidecars' reports and publishes the ejections that result from them."""
 
     def __init__(self, gossip: Gossip, regions: dict[str, str]) -> None:
-        """Begin without evidence.
+        """Create a detector without reports.
 
         Args:
-            gossip: The table of members and servers, and who is to learn of ejections.
+            gossip: Holds the table of members and servers and spreads ejections.
             regions: The region of each zone.
         """
         self._gossip = gossip
-        self._outliers = FleetOutliers(regions)
+        self._fleet_outliers = FleetOutliers(regions)
 
     def on_report(self, node: str, report: OutcomeReport, now: float) -> None:
-        """Weigh a report. One of a process that is no member counts for nothing.
+        """Evaluate a report; a report from a process that is not a member is ignored.
 
-        Ejections continue from the version in the catalog: the owner of the service may have changed, and
-        what the earlier one published must not outdo them.
+        The versions of ejections continue from the version in the catalog. The owner of the service may have
+        changed, and what the earlier owner published must not override newer ejections.
 
         Args:
             node: The sidecar that reports.
-            report: How its requests to the servers of one service ended.
-            now: Seconds of a monotonic clock.
+            report: The outcomes of its requests to the servers of one service.
+            now: The current time, in seconds of a monotonic clock.
         """
         catalog = self._gossip.catalog
         reporter = catalog.get(MEMBER_PREFIX + node)
@@ -44,7 +44,7 @@
             if record.service == report.service
         }
         items = []
-        for ejection in self._outliers.on_report(report, reporter.value.zone, zones, now):
+        for ejection in self._fleet_outliers.on_report(report, reporter.value.zone, zones, now):
             eliot.log_message(
                 "servers:ejected-by-control", instance=ejection.instance, lasts_s=ejection.lasts_s
             )
@@ -54,5 +54,9 @@
             self._gossip.publish(items)
 
     def expire(self, now: float) -> None:
-        """Drop evidence that is too old to count; `now` in seconds of a monotonic clock."""
-        self._outliers.expire(now)
+        """Drop reports that are too old to count.
+
+        Args:
+            now: The current time, in seconds of a monotonic clock.
+        """
+        self._fleet_outliers.expire(now)
--- a/fordtrestle/control_api/requests.py
+++ b/fordtrestle/control_api/requests.py
@@ -1,4 +1,4 @@
-"""Requests of operators to a control process, and what comes of them. Pure."""
+"""Operators' requests to a control process and their results. Pure."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
     Attributes:
         kind: Whether the body is a complete configuration or a patch.
-        base: The generation that the change builds on.
-        body: The body as it came, in JSON.
+        base: The generation that the change is based on.
+        body: The body as received, in JSON.
         is_caller_waiting: Whether the caller is still connected.
     """
 
@@ -36,11 +36,11 @@
 
 @dataclass(frozen=True, slots=True)
 class EvacuationRequest:
-    """An operator's call to empty a zone (`active`) or to take it back.
+    """An operator's call to evacuate a zone or to end its evacuation.
 
     Attributes:
         zone: The zone's name.
-        active: Whether the zone is to be evacuated.
+        active: Whether the zone is to be evacuated; otherwise its evacuation is to end.
         is_caller_waiting: Whether the caller is still connected.
     """
 
@@ -50,23 +50,23 @@
 
 
 class CommandStatus(Enum):
-    """What became of a command."""
+    """The status of a command."""
 
     DONE = auto()  # in force on all replicas
-    STALE = auto()  # built on another generation than the current one
-    INVALID = auto()  # refused for its content
-    NOT_PRIMARY = auto()  # another store is primary
-    UNKNOWN = auto()  # it may or may not be in force: the caller has to send it again
+    STALE = auto()  # based on another generation than the current one
+    INVALID = auto()  # rejected for its content
+    NOT_PRIMARY = auto()  # this store is not primary
+    UNKNOWN = auto()  # may or may not be in force: the caller has to send it again
 
 
 @dataclass(frozen=True, slots=True)
 class CommandResult:
-    """The status of a command, why, and for reads the document.
+    """The result of a command.
 
     Attributes:
-        status: What became of the command.
-        errors: All that is wrong with an invalid one, a line each.
-        document: The configuration in JSON, for reads that are done; empty while there is none.
+        status: The status of the command.
+        errors: The error messages of an invalid command, one per line.
+        document: The configuration in JSON, if a read is done; empty while there is no configuration.
     """
 
     status: CommandStatus
--- a/fordtrestle/control_api/responses.py
+++ b/fordtrestle/control_api/responses.py
@@ -1,4 +1,4 @@
-"""What all calls of the control endpoint share: bodies that are read in time, answers in JSON."""
+"""Reads request bodies within a time limit and builds JSON responses, for all calls of the endpoint."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 
 from aiohttp import web
 
-# For the body of a call to arrive in full.
+# Time limit for the whole body of a request to arrive.
 BODY_TIMEOUT_S = 5.0
 
-# What callers are asked to wait for, in the header field `Retry-After`: about as long as an election takes.
+# The value of the header field `Retry-After`: about the duration of an election.
 RETRY_AFTER_S = 0.3
 
 
 def reply(status: int, *errors: str, **headers: str) -> web.Response:
-    """An answer in JSON.
+    """Build a JSON response.
 
     Args:
         status: The HTTP status.
-        errors: All that is wrong with the call, a line each.
+        errors: The error messages, one per line.
         headers: Header fields; underscores in their names stand for hyphens.
     """
     body: dict[str, Any] = {"errors": list(errors)} if errors else {}
-    named = {name.replace("_", "-"): value for name, value in headers.items()}
-    return web.json_response(body, status=status, headers=named)
+    header_fields = {name.replace("_", "-"): value for name, value in headers.items()}
+    return web.json_response(body, status=status, headers=header_fields)
 
 
 async def read_body(request: web.Request) -> bytes:
-    """Read the whole body.
+    """Read the whole body of a request.
 
     Raises:
-        TimeoutError: It did not come in time.
-        aiohttp.web.HTTPRequestEntityTooLarge: It is longer than a configuration may be.
+        TimeoutError: The body did not arrive in time.
+        aiohttp.web.HTTPRequestEntityTooLarge: The body is longer than a configuration may be.
     """
     async with asyncio.timeout(BODY_TIMEOUT_S):
         return await request.read()
--- a/fordtrestle/control_api/unrouted_calls.py
+++ b/fordtrestle/control_api/unrouted_calls.py
@@ -1,4 +1,4 @@
-"""Calls that no route of the control endpoint serves: counted, and logged once a part of the API."""
+"""Counts calls that match no route of the control endpoint, and logs them once per part of the API."""
 
 from __future__ import annotations
 
@@ -6,16 +6,16 @@
 from aiohttp import web
 from aiohttp.typedefs import Handler, Middleware
 
-MAX_LOGGED_PATHS = 32  # a bound on memory and on the log: callers choose their paths
+MAX_LOGGED_PATHS = 32  # bounds memory and log: paths are chosen by callers
 MAX_LOGGED_PATH_CHARACTERS = 40
-LOGGED_SEGMENTS = 3  # with the empty one before the first slash: `/v1/locks` of `/v1/locks/NAME/start`
+LOGGED_SEGMENTS = 3  # including the empty one before the first slash: `/v1/locks` of `/v1/locks/NAME/start`
 
 
 class UnroutedCalls:
-    """Tells operators that callers expect something of this version that it does not serve.
+    """Reports calls that this version does not serve, so that operators learn what callers expect.
 
     Attributes:
-        count: How many such calls there were.
+        count: The number of such calls.
     """
 
     def __init__(self) -> None:
@@ -24,15 +24,15 @@
 
     @property
     def middleware(self) -> Middleware:
-        """Notices the calls, and leaves their answers as they are."""
+        """The middleware that records such calls and leaves their responses unchanged."""
 
         @web.middleware
-        async def notice(request: web.Request, handler: Handler) -> web.StreamResponse:
+        async def record(request: web.Request, handler: Handler) -> web.StreamResponse:
             if isinstance(request.match_info.http_exception, web.HTTPNotFound):
                 self._record(request)
             return await handler(request)
 
-        return notice
+        return record
 
     def _record(self, request: web.Request) -> None:
         self.count += 1
--- a/fordtrestle/control_api/withdrawals.py
+++ b/fordtrestle/control_api/withdrawals.py
@@ -1,7 +1,8 @@
-"""Withdrawals of servers: that they drain or have departed, which binds the whole fleet once acknowledged.
+"""Confirms withdrawals of servers, which drain or have departed, before they are acknowledged.
 
-A withdrawal is acknowledged only once a majority of the core holds it: each control process reports it to all
-sidecars that it is linked to, and a sidecar in touch with the core is linked to one of any majority.
+An acknowledged withdrawal binds the whole fleet. So it is acknowledged only once a majority of the core holds
+it: each control process passes it on to all sidecars that it is linked to, and a sidecar that is in contact
+with the core is linked to a member of every majority.
 """
 
 from __future__ import annotations
@@ -20,13 +21,13 @@
 from fordtrestle.peer.mesh import Mesh
 from fordtrestle.replication.epochs import Epoch, Store, majority
 
-# Of the second that a server waits for its acknowledgement (PROTOCOL: service discovery).
+# Part of the one second that a server waits for its acknowledgement (PROTOCOL: service discovery).
 CONFIRM_TIMEOUT_S = 0.7
 
-# Withdrawals that are being confirmed; more are not acknowledged yet, and come again with the next heartbeat.
+# Confirmations in flight. Further withdrawals are not acknowledged, and come again with the next heartbeat.
 MAX_PENDING = 1024
 
-# Confirmed withdrawals that are remembered: further heartbeats of a draining server cost no messages.
+# Confirmed withdrawals that are remembered, so that later heartbeats of a draining server cost no messages.
 MAX_CONFIRMED = 4096
 
 
@@ -37,16 +38,16 @@
 
 
 class WithdrawalConfirmer:
-    """Confirms withdrawals that one control process hears of, and holds those that others ask it to."""
+    """Confirms the withdrawals that one control process receives and stores those that others receive."""
 
     def __init__(self, me: Store, mesh: Mesh, gossip: Gossip, epoch: Callable[[], Epoch | None]) -> None:
-        """Keep what it works on.
+        """Create a confirmer without confirmations in flight.
 
         Args:
             me: The store of this process.
             mesh: The links to other processes.
-            gossip: The table of servers, and who is to learn of its changes.
-            epoch: Gives the newest epoch that this store knows of, whose witnesses are asked.
+            gossip: Holds the table of servers and spreads its changes.
+            epoch: Returns the newest epoch that this store knows of, whose witnesses are asked.
         """
         self._me = me
         self._mesh = mesh
@@ -57,16 +58,17 @@
         self._confirmed: OrderedDict[tuple[str, Phase], None] = OrderedDict()  # oldest first
 
     async def confirm(self, instance: str) -> bool:
-        """Whether a majority of the core holds that this incarnation is to get nothing more.
+        """Have a majority of the core hold the withdrawal of an incarnation, which then gets no new requests.
 
-        Guards against a process that is partitioned: its own gossip reaches nobody, and an acknowledgement of
-        it alone would let sidecars go on sending to a server that has departed.
+        Guards against a partitioned process. Its gossip reaches nobody: if it acknowledged a withdrawal by
+        itself, sidecars would go on sending to a server that has departed.
 
         Args:
             instance: The incarnation of a server.
 
         Returns:
-            False also where the incarnation serves, or too many withdrawals are being confirmed.
+            Whether a majority holds the withdrawal. False also if the incarnation is unknown or still
+            serving, or if too many confirmations are in flight.
         """
         item = self._gossip.catalog.get(SERVER_PREFIX + instance)
         if item is None or not isinstance(item.value, ServerRecord) or item.value.phase is Phase.SERVING:
@@ -82,9 +84,9 @@
         return True
 
     def on_confirm(self, link: Link, message: Confirm) -> None:
-        """Hold a withdrawal for another control process, pass it on, and confirm that.
+        """Store a withdrawal for another control process, pass it on and confirm that.
 
-        Nothing is answered where the catalog was full, or still holds an older version.
+        There is no answer if the catalog was full or still holds an older version.
         """
         self._gossip.publish([message.item], source=link)
         held = self._gossip.catalog.get(message.item.key)
@@ -92,14 +94,18 @@
             link.send(Confirmed(message.token))
 
     def on_confirmed(self, link: Link, message: Confirmed) -> None:
-        """Record that another control process holds a withdrawal; one that came too late changes nothing."""
+        """Record that another control process holds a withdrawal; a late confirmation is ignored."""
         pending = self._pending.get(message.token)
         if pending:
             pending.holders.add(link.peer)
             pending.changed.set()
 
     async def _ask_witnesses(self, item: Item) -> bool:
-        """Ask the other witnesses to hold a withdrawal; whether a majority of all does in time."""
+        """Ask the other witnesses to store a withdrawal.
+
+        Returns:
+            Whether a majority of all witnesses, this store included, holds it in time.
+        """
         epoch = self._epoch()
         if epoch is None:
             return False
@@ -113,7 +119,7 @@
 
     @contextlib.contextmanager
     def _pending_confirmation(self) -> Iterator[tuple[int, _Pending]]:
-        """A confirmation that answers are recorded for, with its token."""
+        """Register a confirmation under a new token while answers to it are awaited."""
         token, pending = next(self._tokens), _Pending({self._me.address}, asyncio.Event())
         self._pending[token] = pending
         try:
--- a/fordtrestle/coordination/answers.py
+++ b/fordtrestle/coordination/answers.py
@@ -1,4 +1,4 @@
-"""What a command comes to. Pure."""
+"""The answers to commands. Pure."""
 
 from __future__ import annotations
 
@@ -7,50 +7,55 @@
 
 @dataclass(frozen=True, slots=True)
 class LockGranted:
-    """The lock is held. `fence` exceeds those of all earlier holders, and stays while the holder has it."""
+    """The caller holds the lock.
+
+    Attributes:
+        fence: The fencing token. It exceeds those of all earlier grants and stays the same while this holder
+            has the lock.
+    """
 
     fence: int
 
 
 @dataclass(frozen=True, slots=True)
 class LockRenewed:
-    """The lock is held for longer."""
+    """The caller's lease on the lock was extended."""
 
 
 @dataclass(frozen=True, slots=True)
 class LockReleased:
-    """The lock is not held under that fencing token any more, or never was."""
+    """The lock is no longer held under that fencing token, or never was."""
 
 
 @dataclass(frozen=True, slots=True)
 class LockUnavailable:
-    """Another holder has the lock, or this one has lost it."""
+    """Another holder has the lock, or the caller's lease has expired."""
 
 
 @dataclass(frozen=True, slots=True)
 class NumberIssued:
-    """The number that was given out."""
+    """A number was issued."""
 
     value: int
 
 
 @dataclass(frozen=True, slots=True)
 class KeyWritten:
-    """The key has the value, or had it, since this revision of its group."""
+    """The key got the value at this revision of its group; it may have been overwritten since."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class RevisionMismatch:
-    """The key has another revision than the put asked for: it was not carried out, and never will be."""
+    """The key has another revision than the put requires: it was not executed and never will be."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class KeyFound:
-    """The newest value of a key, and the revision that gave it."""
+    """The newest value of a key and the revision at which it was written."""
 
     value: str
     revision: int
@@ -58,34 +63,34 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyMissing:
-    """No such key."""
+    """The key does not exist."""
 
 
 @dataclass(frozen=True, slots=True)
 class IndexRead:
-    """All writes that were acknowledged before the call have a sequence up to this one."""
+    """The read index: every write acknowledged before the call has this sequence or a lower one."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Overloaded:
-    """Too much is stored or under way: the command was not carried out, and never will be."""
+    """A limit on storage or on calls in flight is reached: the command was not executed and never will be."""
 
 
 @dataclass(frozen=True, slots=True)
 class Unavailable:
-    """No store could decide the command in time: it was not carried out, and never will be."""
+    """No store could decide the command in time: it was not executed and never will be."""
 
 
 @dataclass(frozen=True, slots=True)
 class OutcomeUnknown:
-    """The command may be carried out, or not: the caller has to ask again."""
+    """The command may or may not be executed: the caller has to send it again."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotPrimary:
-    """The store that was asked is not primary, and has not carried the command out."""
+    """The store that received the command is not primary and has not executed it."""
 
 
 Answer = (
--- a/fordtrestle/coordination/calls.py
+++ b/fordtrestle/coordination/calls.py
@@ -1,4 +1,4 @@
-"""How a control process has the primary carry a command out for it. Pure."""
+"""The messages with which a control process forwards a command to the primary. Pure."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinationCall:
-    """A command for the primary.
+    """A command that is forwarded to the primary.
 
     Attributes:
-        token: Names the call on this link.
+        token: Identifies the call on this link.
         command: The command.
-        timeout_ms: For how long its caller still waits: it is not begun after that.
+        timeout_ms: For how long the caller still waits, in milliseconds. The command is not started after
+            that.
     """
 
     token: int
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CoordinationReply:
-    """What the call of that token came to."""
+    """The answer to the call with this token."""
 
     token: int
     answer: Answer
--- a/fordtrestle/coordination/changes.py
+++ b/fordtrestle/coordination/changes.py
@@ -1,6 +1,6 @@
-"""What a command changes: these are replicated, and put on disk. Pure.
+"""The state changes that commands make, which are replicated and stored on disk. Pure.
 
-They hold what was decided, so that every store comes to the same state whatever its clock says.
+A change records a decision, so that every store derives the same state from it, independent of its clock.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantLock:
-    """A lock gets a holder. Its fencing token is the sequence of this write.
+    """Grants a lock to a holder. The fencing token is the sequence of this write.
 
     Attributes:
         name: The lock's name.
-        holder: Who holds it.
-        hold_ms: For how long.
-        evicted: The name of a lock whose time is over, that makes room; empty where there is room.
+        holder: The holder's name.
+        hold_ms: The lease in milliseconds.
+        evicted: The name of an expired lock that is removed to make room; empty if none is.
     """
 
     name: str
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ExtendLock:
-    """The holder of a lock has it for this long from now, no shorter than before."""
+    """Extends a lease to this many milliseconds from now, which is never shorter than what remained."""
 
     name: str
     hold_ms: float
@@ -35,26 +35,26 @@
 
 @dataclass(frozen=True, slots=True)
 class FreeLock:
-    """A lock is held by nobody."""
+    """Frees a lock."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class AdvanceCounter:
-    """A counter goes up by one."""
+    """Increments a counter by one."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class WriteKey:
-    """A key gets a value, and its group the next revision.
+    """Writes a value to a key and advances the revision of its group by one.
 
     Attributes:
         key: The key.
         value: The value.
-        compacted_revision: The events of the group up to this revision are forgotten.
+        compacted_revision: The revision of the group up to which events are dropped.
     """
 
     key: str
--- a/fordtrestle/coordination/commands.py
+++ b/fordtrestle/coordination/commands.py
@@ -1,4 +1,4 @@
-"""What applications ask for, as one control process hands it to another. Pure."""
+"""Applications' commands, in the form in which control processes forward them. Pure."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AcquireLock:
-    """Hold a lock, or hold it for longer where the holder has it already.
+    """Acquires a lock, or extends the lease if the holder has it already.
 
     Attributes:
         name: The lock's name.
-        holder: Who asks.
-        hold_ms: For how long, from when the holder sent the call.
+        holder: The name of the caller.
+        hold_ms: The lease in milliseconds, counted from when the holder sent the call.
     """
 
     name: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewLock:
-    """Hold a lock for longer, under the fencing token that it was granted with."""
+    """Extends the lease on a lock that is held under this fencing token."""
 
     name: str
     holder: str
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseLock:
-    """Give a lock back; nothing changes where it is not held under this fencing token."""
+    """Releases a lock; nothing changes if it is not held under this fencing token."""
 
     name: str
     holder: str
@@ -41,19 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class IssueNumber:
-    """Give out a number above all that were given out under this name."""
+    """Issues a number that is higher than all numbers issued under this name."""
 
     name: str
 
 
 @dataclass(frozen=True, slots=True)
 class PutKey:
-    """Give a key a value that it never had.
+    """Writes a value that the key has never had.
 
     Attributes:
-        key: The key. What stands before its first dot names its group.
-        value: The value. The same put sent again is known by it.
-        if_revision: The revision that the key has to have, 0 where it must not exist; None for any.
+        key: The key. The part up to its first dot names its group.
+        value: The value, which also identifies the put when it is sent again.
+        if_revision: The revision that the key must have, 0 if it must not exist, or None for any.
     """
 
     key: str
@@ -63,20 +63,20 @@
 
 @dataclass(frozen=True, slots=True)
 class GetKey:
-    """Read a key's newest value."""
+    """Reads a key's newest value."""
 
     key: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReadIndex:
-    """Ask how far the writes go that may have been acknowledged by now (Raft, 6.4)."""
+    """Asks for the highest sequence of a write that may have been acknowledged by now (Raft, 6.4)."""
 
 
 Command = AcquireLock | RenewLock | ReleaseLock | IssueNumber | PutKey | GetKey | ReadIndex
 
 
 def group_of(key: str) -> str:
-    """The group of a key: what stands before its first dot, with the dot; all of it where there is none."""
+    """Return the group of a key: the part up to and including its first dot, or all of a key without one."""
     name, dot, _ = key.partition(".")
     return name + dot
--- a/fordtrestle/coordination/evaluation.py
+++ b/fordtrestle/coordination/evaluation.py
@@ -1,4 +1,4 @@
-"""What a command comes to on the newest state: its answer, and what has to be written for it first. Pure."""
+"""Evaluates a command on the newest state: its answer, and the change to write before it is sent. Pure."""
 
 from __future__ import annotations
 
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Evaluation:
-    """The answer to a command, which holds once `change`, if there is one, is on all replicas.
+    """The answer to a command and the change that has to be written first, if any.
 
-    Without a change it holds once all of the state that it was evaluated on is committed, and a majority has
-    confirmed that no newer state exists.
+    With a change, the answer is valid once the change is on all replicas. Without one, it is valid once the
+    whole state that it was evaluated on is committed and a majority has confirmed that no newer state exists.
     """
 
     answer: Answer
@@ -55,14 +55,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Situation:
-    """What a command is evaluated on.
+class EvaluationContext:
+    """The state and time on which a command is evaluated.
 
     Attributes:
-        state: The newest state of the primary, writes under way included.
-        sequence: How many writes it comes from; the next write has the number after that.
-        clock: What has observed the state.
-        now: The time, in s of the clock.
+        state: The newest state of the primary, including writes in flight.
+        sequence: The sequence of the newest write in the state; the next write gets the number after it.
+        clock: The clock that has observed the state.
+        now: The current time, in seconds of the store's steady clock.
     """
 
     state: CoordinationState
@@ -71,92 +71,98 @@
     now: float
 
 
-def evaluate(command: Command, situation: Situation) -> Evaluation:
+def evaluate(command: Command, context: EvaluationContext) -> Evaluation:
     """Evaluate a command.
 
     Args:
-        command: What an application asks for.
-        situation: The state, and the time.
+        command: The application's command.
+        context: The state and the time.
     """
-    situation.clock.observe(situation.state, situation.now)
+    context.clock.observe(context.state, context.now)
     match command:
         case AcquireLock():
-            return _acquire(command, situation)
+            return _acquire(command, context)
         case RenewLock():
-            return _renew(command, situation)
+            return _renew(command, context)
         case ReleaseLock():
-            return _release(command, situation)
+            return _release(command, context)
         case IssueNumber():
-            return _issue(command, situation)
+            return _issue(command, context)
         case PutKey():
-            return _put(command, situation)
+            return _put(command, context)
         case GetKey():
-            return _get(command, situation)
+            return _get(command, context)
         case ReadIndex():
-            return Evaluation(IndexRead(situation.sequence))
+            return Evaluation(IndexRead(context.sequence))
 
 
-def _acquire(command: AcquireLock, situation: Situation) -> Evaluation:
-    state, clock, now = situation.state, situation.clock, situation.now
+def _acquire(command: AcquireLock, context: EvaluationContext) -> Evaluation:
+    state, clock, now = context.state, context.clock, context.now
     lock = state.locks.get(command.name)
     remaining_ms = clock.remaining_ms(command.name, now)
     if lock and remaining_ms > 0:
         if lock.holder != command.holder:
             return Evaluation(LockUnavailable())
-        return Evaluation(LockGranted(lock.fence), _extended(command.name, command.hold_ms, remaining_ms))
+        return Evaluation(LockGranted(lock.fence), _extend(command.name, command.hold_ms, remaining_ms))
     evicted = ""
     if lock is None and len(state.locks) >= MAX_LOCKS:
         evicted = clock.expired_lock(now) or ""
         if not evicted:
             return Evaluation(Overloaded())
     grant = GrantLock(command.name, command.holder, command.hold_ms, evicted)
-    return Evaluation(LockGranted(situation.sequence + 1), grant)
+    return Evaluation(LockGranted(context.sequence + 1), grant)
 
 
-def _renew(command: RenewLock, situation: Situation) -> Evaluation:
-    lock = situation.state.locks.get(command.name)
-    remaining_ms = situation.clock.remaining_ms(command.name, situation.now)
+def _renew(command: RenewLock, context: EvaluationContext) -> Evaluation:
+    lock = context.state.locks.get(command.name)
+    remaining_ms = context.clock.remaining_ms(command.name, context.now)
     is_held = lock and (lock.holder, lock.fence) == (command.holder, command.fence)
     if not is_held or remaining_ms <= 0:
         return Evaluation(LockUnavailable())
-    return Evaluation(LockRenewed(), _extended(command.name, command.hold_ms, remaining_ms))
+    return Evaluation(LockRenewed(), _extend(command.name, command.hold_ms, remaining_ms))
 
 
-def _extended(name: str, hold_ms: float, remaining_ms: float) -> ExtendLock:
-    """An extension never shortens: the holder may not hear of it, and count on what it had."""
+def _extend(name: str, hold_ms: float, remaining_ms: float) -> ExtendLock:
+    """Extend a lease, but never shorten it.
+
+    The answer to the extension may get lost, and the holder then relies on the longer lease that it had.
+    """
     return ExtendLock(name, max(hold_ms, remaining_ms))
 
 
-def _release(command: ReleaseLock, situation: Situation) -> Evaluation:
-    lock = situation.state.locks.get(command.name)
+def _release(command: ReleaseLock, context: EvaluationContext) -> Evaluation:
+    lock = context.state.locks.get(command.name)
     is_held = lock and (lock.holder, lock.fence) == (command.holder, command.fence)
     return Evaluation(LockReleased(), FreeLock(command.name) if is_held else None)
 
 
-def _issue(command: IssueNumber, situation: Situation) -> Evaluation:
-    counters = situation.state.counters
+def _issue(command: IssueNumber, context: EvaluationContext) -> Evaluation:
+    counters = context.state.counters
     if command.name not in counters and len(counters) >= MAX_COUNTERS:
         return Evaluation(Overloaded())
     return Evaluation(NumberIssued(counters.get(command.name, 0) + 1), AdvanceCounter(command.name))
 
 
-def _put(command: PutKey, situation: Situation) -> Evaluation:
-    """A put that was carried out gets its first revision again, whatever the key's revision is by now."""
+def _put(command: PutKey, context: EvaluationContext) -> Evaluation:
+    """Evaluate a put.
+
+    A put that was applied before gets its first revision again, whatever the key's revision is now.
+    """
     name = group_of(command.key)
-    group = situation.state.group(name)
-    written_at = group.revision_of_put(command.key, command.value)
-    if written_at is not None:
-        return Evaluation(KeyWritten(written_at))
+    group = context.state.group(name)
+    known_revision = group.revision_of_put(command.key, command.value)
+    if known_revision is not None:
+        return Evaluation(KeyWritten(known_revision))
     newest = group.values.get(command.key)
     revision = newest.revision if newest else 0
     if command.if_revision is not None and command.if_revision != revision:
         return Evaluation(RevisionMismatch(revision))
-    if situation.state.stored_characters + 2 * len(command.key + command.value) > MAX_STORED_CHARACTERS:
+    if context.state.stored_characters + 2 * len(command.key + command.value) > MAX_STORED_CHARACTERS:
         return Evaluation(Overloaded())
-    compacted = situation.clock.compactable_revision(name, situation.now)
+    compacted = context.clock.compactable_revision(name, context.now)
     return Evaluation(KeyWritten(group.revision + 1), WriteKey(command.key, command.value, compacted))
 
 
-def _get(command: GetKey, situation: Situation) -> Evaluation:
-    newest = situation.state.group(group_of(command.key)).values.get(command.key)
+def _get(command: GetKey, context: EvaluationContext) -> Evaluation:
+    newest = context.state.group(group_of(command.key)).values.get(command.key)
     return Evaluation(KeyFound(newest.value, newest.revision) if newest else KeyMissing())
--- a/fordtrestle/coordination/history.py
+++ b/fordtrestle/coordination/history.py
@@ -1,4 +1,4 @@
-"""What a watch of a group is answered from the state of a store that follows the primary. Pure."""
+"""Answers watches of a group of keys from the state of a store that follows the primary. Pure."""
 
 from __future__ import annotations
 
@@ -13,8 +13,8 @@
     """The committed events after a revision.
 
     Attributes:
-        events: In the order of their revisions.
-        revision: The newest one that they reach; no event up to it is missing.
+        events: The events, in the order of their revisions.
+        revision: The revision from which to continue the watch: no event up to it is missing.
     """
 
     events: tuple[KeyEvent, ...]
@@ -23,18 +23,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Compacted:
-    """The events after that revision are not all remembered."""
+    """Some events after the requested revision have been compacted."""
 
 
 def events_after(group: KeyGroup, revision: int, committed_sequence: int) -> WatchEvents | Compacted:
-    """The committed events of a group after a revision, as many as one answer takes.
+    """Return the committed events of a group after a revision, up to `MAX_WATCH_EVENTS`.
 
-    Events that are not known to be on all replicas are left out: a new primary may not have them.
+    Events that are not known to be on all replicas are left out, because a new primary may not have them.
 
     Args:
         group: The group, as this store holds it.
-        revision: What the watch was sent last.
+        revision: The revision that the watch received last.
         committed_sequence: The sequence up to which writes are known to be committed.
+
+    Returns:
+        The events, or `Compacted` if some of them have been compacted.
     """
     if revision < group.compacted_revision:
         return Compacted()
@@ -45,7 +48,7 @@
 
 
 def committed_revision(group: KeyGroup, committed_sequence: int) -> int:
-    """The newest revision of a group that is known to be committed."""
+    """Return the newest revision of a group that is known to be committed."""
     for event in reversed(group.history):
         if event.sequence <= committed_sequence:
             return event.revision
--- a/fordtrestle/coordination/state.py
+++ b/fordtrestle/coordination/state.py
@@ -1,6 +1,6 @@
-"""The state of locks, counters and keys: a part of the control state, never changed in place. Pure.
+"""The immutable state of locks, counters and keys, which is part of the control state. Pure.
 
-Nothing in it depends on a clock: how long a lock is still held, each store measures for itself
+Nothing in it depends on a clock: each store measures by itself for how long a lock is still held
 (`observation_clock.py`).
 """
 
@@ -22,13 +22,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Lock:
-    """A lock that somebody holds, or held and never gave back.
+    """A lock that is held, or that has expired without being released.
 
     Attributes:
-        holder: Who.
-        fence: The fencing token: the sequence of the write that granted it.
-        hold_ms: For how long it was held from its newest extension on.
-        extended: The sequence of that write.
+        holder: The holder's name.
+        fence: The fencing token: the sequence of the write that granted the lock.
+        hold_ms: The lease in milliseconds, counted from the grant or the newest extension.
+        extended: The sequence of that grant or extension.
     """
 
     holder: str
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredValue:
-    """A key's newest value, and the revision that gave it."""
+    """A key's newest value and the revision at which it was written."""
 
     value: str
     revision: int
@@ -47,7 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyEvent:
-    """One put. `revision` counts within the group, `sequence` is the write's in the whole control state."""
+    """One put.
+
+    Attributes:
+        key: The key.
+        value: The value written.
+        revision: The number of the put within its group.
+        sequence: The sequence of the write in the whole control state.
+    """
 
     key: str
     value: str
@@ -56,20 +63,20 @@
 
     @property
     def characters(self) -> int:
-        """What it counts against the bound on what is stored."""
+        """The characters that count against the storage limit."""
         return len(self.key) + len(self.value)
 
 
 @dataclass(frozen=True, slots=True)
 class KeyGroup:
-    """The keys that share one count of revisions.
+    """The keys that share one sequence of revisions.
 
     Attributes:
-        revision: The newest one.
-        compacted_revision: Up to this one events are forgotten.
-        values: By key.
-        history: The events after `compacted_revision`, in their order.
-        characters: What the values and the history count against the bound on what is stored.
+        revision: The newest revision.
+        compacted_revision: The revision up to which events have been compacted.
+        values: The newest values, by key.
+        history: The events after `compacted_revision`, in the order of their revisions.
+        characters: The characters of the values and the history that count against the storage limit.
     """
 
     revision: int = 0
@@ -79,12 +86,12 @@
     characters: int = 0
 
     def __post_init__(self) -> None:
-        """Hold a map that was decoded as what is fast to copy."""
+        """Convert a decoded mapping to a dict, which is fast to copy."""
         if type(self.values) is not dict:
             object.__setattr__(self, "values", dict(self.values))
 
     def revision_of_put(self, key: str, value: str) -> int | None:
-        """The revision at which a key got this value, as far as that is remembered."""
+        """Return the revision at which a key got this value, or None if no retained event or value has it."""
         newest = self.values.get(key)
         if newest and newest.value == value:
             return newest.revision
@@ -94,29 +101,29 @@
         return None
 
     def put(self, change: WriteKey, sequence: int) -> KeyGroup:
-        """The group after a put."""
+        """Return the group after a put."""
         event = KeyEvent(change.key, change.value, self.revision + 1, sequence)
-        kept = tuple(known for known in self.history if known.revision > change.compacted_revision)
-        dropped = self.history[: len(self.history) - len(kept)]
+        kept = tuple(past for past in self.history if past.revision > change.compacted_revision)
+        compacted = self.history[: len(self.history) - len(kept)]
         replaced = self.values.get(event.key)
-        less = sum(known.characters for known in dropped)
+        freed_characters = sum(past.characters for past in compacted)
         if replaced:
-            less += len(event.key) + len(replaced.value)
+            freed_characters += len(event.key) + len(replaced.value)
         return KeyGroup(
             event.revision,
             max(self.compacted_revision, change.compacted_revision),
             {**self.values, event.key: StoredValue(event.value, event.revision)},
             (*kept, event),
-            self.characters + 2 * event.characters - less,
+            self.characters + 2 * event.characters - freed_characters,
         )
 
 
-NO_KEYS = KeyGroup()
+EMPTY_GROUP = KeyGroup()
 
 
 @dataclass(frozen=True, slots=True)
 class CoordinationState:
-    """All locks by name, all counters by name, all keys by group."""
+    """All locks and counters by name, and all keys by group."""
 
     locks: Mapping[str, Lock] = field(default_factory=dict, hash=False)
     counters: Mapping[str, int] = field(default_factory=dict, hash=False)
@@ -124,18 +131,18 @@
     stored_characters: int = 0  # of all keys, values and events
 
     def __post_init__(self) -> None:
-        """Hold maps that were decoded as what is fast to copy; others stay, and so does their identity."""
+        """Convert decoded mappings to dicts, which are fast to copy. Dicts stay the same objects."""
         for name in ("locks", "counters", "groups"):
             value = getattr(self, name)
             if type(value) is not dict:
                 object.__setattr__(self, name, dict(value))
 
     def group(self, name: str) -> KeyGroup:
-        """The keys of a group, which may be none."""
-        return self.groups.get(name, NO_KEYS)
+        """Return the keys of a group; an unknown group is empty."""
+        return self.groups.get(name, EMPTY_GROUP)
 
     def apply(self, change: CoordinationChange, sequence: int) -> CoordinationState:
-        """The state after a change, which is the write of this sequence."""
+        """Return the state after a change, written with this sequence."""
         match change:
             case GrantLock():
                 others = {name: lock for name, lock in self.locks.items() if name != change.evicted}
--- a/tests/coordination/stage.py
+++ b/tests/coordination/stage.py
@@ -4,7 +4,7 @@
 
 from fordtrestle.coordination.answers import Answer
 from fordtrestle.coordination.commands import Command
-from fordtrestle.coordination.evaluation import Situation, evaluate
+from fordtrestle.coordination.evaluation import EvaluationContext, evaluate
 from fordtrestle.coordination.observation_clock import ObservationClock
 from fordtrestle.coordination.state import EMPTY
 
@@ -18,8 +18,8 @@
 
     def ask(self, command: Command) -> Answer:
         """Evaluate a command, and apply what it changes."""
-        situation = Situation(self.state, self.sequence, self.clock, self.now)
-        evaluation = evaluate(command, situation)
+        context = EvaluationContext(self.state, self.sequence, self.clock, self.now)
+        evaluation = evaluate(command, context)
         if evaluation.change:
             self.sequence += 1
             self.state = self.state.apply(evaluation.change, self.sequence)
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -130,19 +130,19 @@
         COMMANDS,
         CONTROL_API_TESTS,
         "        if not await self._confirm_leadership():\n"
-        "            return self._not_done()\n        newest = await",
-        "        newest = await",
+        "            return self._failure()\n        committed = await",
+        "        committed = await",
     ),
     "refusals are confirmed by a majority": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
-        "        return evaluated if await self._confirm_leadership() else self._not_done()\n",
-        "        return evaluated\n",
+        "        return outcome if await self._confirm_leadership() else self._failure()\n",
+        "        return outcome\n",
     ),
     "evacuations are confirmed by a majority": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
-        "            return self._not_done()\n        if (request.zone",
+        "            return self._failure()\n        if (request.zone",
         "            pass\n        if (request.zone",
     ),
     "an applied call is acknowledged again": _removal(
@@ -231,8 +231,8 @@
     "a change whose caller has left is not written": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
-        "return await self._write(evaluated, newest) if request.is_caller_waiting() else self._not_done()",
-        "return await self._write(evaluated, newest)",
+        "return await self._write(outcome, committed) if request.is_caller_waiting() else self._failure()",
+        "return await self._write(outcome, committed)",
     ),
     "an evacuation whose caller has left is not written": _removal(
         COMMANDS,
@@ -255,8 +255,8 @@
     "a new primary counts a lock's whole time": _removal(
         "coordination/observation_clock.py",
         COORDINATION_LOCKS,
-        "known = _Lease(lock, now + lock.hold_ms / MS_PER_S)",
-        "known = _Lease(lock, now)",
+        "lease = _Lease(lock, now + lock.hold_ms / MS_PER_S)",
+        "lease = _Lease(lock, now)",
     ),
     "a lock that is over is not renewed": _removal(
         COORDINATION_EVALUATION,
@@ -282,7 +282,7 @@
     "events are kept for their time": _removal(
         "coordination/observation_clock.py",
         COORDINATION_KEYS,
-        "        return revision if seen_at <= old_enough else 0\n",
+        "        return revision if seen_at <= newest_compactable_at else 0\n",
         "        return revision\n",
     ),
     "events are told once they are committed": _removal(
@@ -294,14 +294,14 @@
     "a read is confirmed": _removal(
         COORDINATION_SERVICE,
         COORDINATION_CASES,
-        "return node.is_confirmed(asked) and node.has_committed(rests_on)",
-        "return node.has_committed(rests_on)",
+        "return node.is_confirmed(heartbeat_number) and node.has_committed(prerequisite)",
+        "return node.has_committed(prerequisite)",
     ),
     "a read waits for what it rests on": _removal(
         COORDINATION_SERVICE,
         COORDINATION_CASES,
-        "return node.is_confirmed(asked) and node.has_committed(rests_on)",
-        "return node.is_confirmed(asked)",
+        "return node.is_confirmed(heartbeat_number) and node.has_committed(prerequisite)",
+        "return node.is_confirmed(heartbeat_number)",
     ),
     "a write is answered once it is committed": _removal(
         COORDINATION_SERVICE,
@@ -357,8 +357,8 @@
     "a watch that finds nothing is confirmed": _removal(
         "control_api/watches.py",
         "tests/control_api/test_watches.py",
-        "return found if confirmation.result() else Unavailable()",
-        "return found",
+        "return answer if confirmation.result() else Unavailable()",
+        "return answer",
     ),
     "watches that are held are bounded": _removal(
         "control_api/watches.py",
