--- a/fordtrestle/control_api/configuration.py
+++ b/fordtrestle/control_api/configuration.py
@@ -63,9 +63,9 @@
     def check_backends(self, data: Mapping[str, Any], **_: Any) -> None:
         weighted = data.get("weighted_backends")
         if not weighted and not data.get("backend"):
-            raise ValidationError("expected a backend or weighted_backends", "backend")
+            raise ValidationError("a backend is needed", "backend")
         if weighted and not sum(entry.get("weight") or 0.0 for entry in weighted) > 0:
-            raise ValidationError("expected weights that add up to more than 0", "weighted_backends")
+            raise ValidationError("the weights add up to 0", "weighted_backends")
 
 
 class _ServiceSchema(_OpenSchema):
@@ -106,11 +106,11 @@
         weighted = route.get("weighted_backends") or [route]
         named = [entry.get("backend") for entry in weighted if isinstance(entry, dict)]
         unknown = [name for name in named if name and name not in services]
-        errors += [f"{route.get('name')}: unknown service {name!r}" for name in unknown]
+        errors += [f"{route.get('name')}: no service {name!r}" for name in unknown]
     matches = [(str(route.get("authority", "")).lower(), str(route.get("path_prefix"))) for route in routes]
-    errors += [f"more than one route for {host}{prefix}" for host, prefix in duplicates_everseen(matches)]
+    errors += [f"two routes at {host}{prefix}" for host, prefix in duplicates_everseen(matches)]
     names = [str(route.get("name")) for route in routes]
-    errors += [f"more than one route named {name!r}" for name in duplicates_everseen(names)]
+    errors += [f"two routes are called {name!r}" for name in duplicates_everseen(names)]
     return errors
 
 
@@ -157,7 +157,7 @@
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return Failure(ValidationErrors((f"invalid JSON: {error}",)))
+        return Failure(ValidationErrors((f"not JSON: {error}",)))
     if not isinstance(raw, dict):
         return Failure(ValidationErrors(("expected a JSON object",)))
     return Success(raw)
@@ -229,5 +229,5 @@
     """Return the document's generation, which has to be above the current one, or the error in it."""
     generation = int(document["generation"])
     if generation <= current:
-        return Failure(ValidationErrors((f"generation: expected more than {current}, got {generation}",)))
+        return Failure(ValidationErrors((f"generation: {generation} is not above {current}",)))
     return Success(generation)
--- a/fordtrestle/control_api/coordination_http.py
+++ b/fordtrestle/control_api/coordination_http.py
@@ -138,7 +138,7 @@
         case KeyFound(value, revision):
             return web.json_response({"value": value, "revision": revision})
         case KeyMissing():
-            return reply(404, "the key does not exist")
+            return reply(404, "no such key")
     return _undecided_response(answer)
 
 
@@ -147,12 +147,10 @@
     retry_after = str(RETRY_AFTER_S)
     match answer:
         case Overloaded():
-            return reply(
-                429, "a limit on storage or on open calls is reached: retry later", Retry_After=retry_after
-            )
+            return reply(429, "too much is stored or under way", Retry_After=retry_after)
         case Unavailable():
-            return reply(503, "the call was not executed: retry", Retry_After=retry_after)
-    return reply(504, "timed out, and the call may or may not be executed: retry", Retry_After=retry_after)
+            return reply(503, "not carried out: send it again", Retry_After=retry_after)
+    return reply(504, "no decision in time: send it again", Retry_After=retry_after)
 
 
 def _to_watch_response(answer: WatchAnswer) -> web.Response:
@@ -160,7 +158,7 @@
         case WatchEvents(events, revision):
             return web.json_response({"events": [_to_json(event) for event in events], "revision": revision})
         case Compacted():
-            return reply(410, "events after this revision have been compacted")
+            return reply(410, "the events after that revision are forgotten")
     return _undecided_response(answer)
 
 
--- a/fordtrestle/control_api/coordination_schema.py
+++ b/fordtrestle/control_api/coordination_schema.py
@@ -120,11 +120,7 @@
 def check_name(name: str) -> Result[str, ValidationErrors]:
     """Check a name from a path, and return it or all errors in it."""
     if len(name) > MAX_NAME_CHARACTERS:
-        return Failure(
-            ValidationErrors(
-                (f"expected a name of at most {MAX_NAME_CHARACTERS} characters, got {len(name)}",)
-            )
-        )
+        return Failure(ValidationErrors((f"a name has {MAX_NAME_CHARACTERS} characters at most",)))
     if not is_storable(name):
-        return Failure(ValidationErrors(("the name contains a lone surrogate, which UTF-8 can't encode",)))
+        return Failure(ValidationErrors(("a name holds a lone surrogate",)))
     return Success(name)
--- a/fordtrestle/control_api/evaluation.py
+++ b/fordtrestle/control_api/evaluation.py
@@ -70,6 +70,6 @@
     """Return the change that puts a document in force, unless it exceeds one message between processes."""
     encoded = json.dumps(document, separators=(",", ":")).encode()
     if len(encoded) > MAX_DOCUMENT_BYTES:
-        error = f"expected a configuration of at most {MAX_DOCUMENT_BYTES} bytes, got {len(encoded)}"
+        error = f"the configuration has more than {MAX_DOCUMENT_BYTES} bytes"
         return CommandResult(CommandStatus.INVALID, (error,))
     return ConfigChange(digest, int(document["generation"]), encoded)
--- a/fordtrestle/control_api/http.py
+++ b/fordtrestle/control_api/http.py
@@ -104,7 +104,7 @@
     async def _change_config(self, request: web.Request) -> web.StreamResponse:
         base = request.headers.get(BASE_HEADER, "0")
         if not (base.isascii() and base.isdigit()):
-            return reply(400, f"{BASE_HEADER}: expected a non-negative integer, got {base!r}")
+            return reply(400, f"{BASE_HEADER}: expected a whole number")
         body = await read_body(request)
         kind = ConfigRequestKind(request.match_info["kind"])
         command = ConfigRequest(kind, int(base), body, partial(is_connected, request))
@@ -121,7 +121,7 @@
     async def _evacuate(self, request: web.Request) -> web.StreamResponse:
         zone = request.match_info["zone"]
         if zone not in self._zones:
-            return reply(404, f"unknown zone {zone!r}")
+            return reply(404, f"no zone {zone!r}")
         is_start = request.match_info["step"] == "start"
         command = EvacuationRequest(zone, is_start, partial(is_connected, request))
         return self._to_response(request, await self._commands.evacuate(command))
@@ -142,7 +142,7 @@
         instance = request.match_info["instance"]
         body = await read_body(request)
         if len(body) > MAX_HEARTBEAT_BYTES:
-            return reply(413, f"expected a heartbeat of at most {MAX_HEARTBEAT_BYTES} bytes, got {len(body)}")
+            return reply(413, f"a heartbeat holds {MAX_HEARTBEAT_BYTES} bytes at most")
         match read_heartbeat(instance, body, self._gossip.me.node):
             case Failure(invalid):
                 return reply(400, *invalid.errors)
@@ -167,20 +167,20 @@
         """
         if await self._withdrawals.confirm(instance):
             return reply(200)
-        return _retry_later("no majority of control processes has confirmed the withdrawal yet")
+        return _retry_later("not known to enough control processes yet")
 
     def _to_response(self, request: web.Request, result: CommandResult) -> web.StreamResponse:
         match result.status:
             case CommandStatus.DONE:
                 return reply(200)
             case CommandStatus.STALE:
-                return reply(412, "the base version is not the current version")
+                return reply(412, "another version is current")
             case CommandStatus.INVALID:
                 return reply(400, *result.errors)
             case CommandStatus.NOT_PRIMARY:
                 return self._redirect_to_primary(request)
             case CommandStatus.UNKNOWN:
-                return _retry_later("the outcome is unknown")
+                return _retry_later("no answer yet")
 
     def _redirect_to_primary(self, request: web.Request) -> web.StreamResponse:
         """Redirect the caller to the primary, or ask it to retry if there was no recent sign of a primary.
@@ -189,12 +189,12 @@
         """
         primary = self._node.reachable_primary(asyncio.get_running_loop().time())
         if primary is None:
-            return _retry_later("no primary is known")
+            return _retry_later("no answer yet")
         return reply(307, Location=f"http://{primary.control}{request.raw_path}")
 
 
 def _retry_later(reason: str) -> web.Response:
-    return reply(503, f"{reason}: retry", Retry_After=str(RETRY_AFTER_S))
+    return reply(503, f"{reason}: send it again", Retry_After=str(RETRY_AFTER_S))
 
 
 def is_connected(request: web.Request) -> bool:
@@ -215,6 +215,6 @@
     except web.HTTPException as error:
         return reply(error.status, error.reason)
     except TimeoutError:
-        return reply(408, "the body did not arrive in time")
+        return reply(408, "the body did not come in time")
     except json.JSONDecodeError as error:
         return reply(400, str(error))
--- a/fordtrestle/control_api/json_body.py
+++ b/fordtrestle/control_api/json_body.py
@@ -25,7 +25,7 @@
     try:
         raw = json.loads(body)
     except (ValueError, RecursionError) as error:
-        return Failure(ValidationErrors((f"invalid JSON: {error}",)))
+        return Failure(ValidationErrors((f"not JSON: {error}",)))
     return check_object(schema, raw)
 
 
@@ -34,7 +34,7 @@
     if not isinstance(raw, dict):
         return Failure(ValidationErrors(("expected a JSON object",)))
     if not is_storable(raw):
-        return Failure(ValidationErrors(("a string contains a lone surrogate, which UTF-8 can't encode",)))
+        return Failure(ValidationErrors(("text holds a lone surrogate",)))
     try:
         data: dict[str, Any] = schema.load(raw)
     except ValidationError as error:
--- a/fordtrestle/control_api/open_calls.py
+++ b/fordtrestle/control_api/open_calls.py
@@ -49,8 +49,6 @@
 
 
 def _reject() -> web.Response:
-    response = reply(
-        503, "this process is shutting down: retry at another control process", Retry_After=str(RETRY_AFTER_S)
-    )
+    response = reply(503, "this process ends: send it to another", Retry_After=str(RETRY_AFTER_S))
     response.force_close()
     return response
--- a/tests/control_api/test_configuration.py
+++ b/tests/control_api/test_configuration.py
@@ -33,17 +33,17 @@
     ("document", "expected"),
     [
         (with_route(7, timeout_ms=0), ["routes.7.timeout_ms: Must be greater than 0."]),
-        (with_route(7, backend="nowhere"), ["routes: r-7: unknown service 'nowhere'"]),
-        (with_route(7, path_prefix="/3/"), ["routes: more than one route for a.example/3/"]),
-        (with_route(7, name="r-3", path_prefix="/7/"), ["routes: more than one route named 'r-3'"]),
+        (with_route(7, backend="nowhere"), ["routes: r-7: no service 'nowhere'"]),
+        (with_route(7, path_prefix="/3/"), ["routes: two routes at a.example/3/"]),
+        (with_route(7, name="r-3", path_prefix="/7/"), ["routes: two routes are called 'r-3'"]),
         (with_route(7, name=7), ["routes.7.name: Not a valid string."]),
-        ({**with_route(7), "services": []}, [f"routes: r-{n}: unknown service 'pool'" for n in range(50)]),
+        ({**with_route(7), "services": []}, [f"routes: r-{n}: no service 'pool'" for n in range(50)]),
         ({**with_route(7), "routes": "none"}, ["routes: Not a valid list."]),
         (
             {**with_route(7), "routes": [7]},
             [
                 "routes.0._schema: Invalid input type.",
-                "routes.0.backend: expected a backend or weighted_backends",
+                "routes.0.backend: a backend is needed",
             ],
         ),
         ({**with_route(7), "generation": "2"}, ["generation: Not a valid integer."]),
@@ -73,4 +73,4 @@
 
 def test_a_patch_that_deletes_a_service_in_use_is_invalid():
     patch = {"generation": 2, "delete": {"services": ["pool"]}}
-    assert errors(read_patch(encode(patch), encode(CONFIG)))[0] == "routes: r-0: unknown service 'pool'"
+    assert errors(read_patch(encode(patch), encode(CONFIG)))[0] == "routes: r-0: no service 'pool'"
