--- a/fordtrestle/control_api/configuration.py
+++ b/fordtrestle/control_api/configuration.py
@@ -25,7 +25,7 @@
     """The errors in the body of a call.
 
     Attributes:
-        errors: One message per error, which begins with the position of the field.
+        errors: One message per error, which begins with the position of the field if there is one.
     """
 
     errors: tuple[str, ...]
@@ -104,8 +104,8 @@
     errors = []
     for route in routes:
         weighted = route.get("weighted_backends") or [route]
-        named = [entry.get("backend") for entry in weighted if isinstance(entry, dict)]
-        unknown = [name for name in named if name and name not in services]
+        backend_names = [entry.get("backend") for entry in weighted if isinstance(entry, dict)]
+        unknown = [name for name in backend_names if name and name not in services]
         errors += [f"{route.get('name')}: no service {name!r}" for name in unknown]
     matches = [(str(route.get("authority", "")).lower(), str(route.get("path_prefix"))) for route in routes]
     errors += [f"two routes at {host}{prefix}" for host, prefix in duplicates_everseen(matches)]
--- a/fordtrestle/control_api/coordination_router.py
+++ b/fordtrestle/control_api/coordination_router.py
@@ -77,9 +77,9 @@
 
     def on_reply(self, reply: CoordinationReply) -> None:
         """Pass an answer to the call that waits for it; a late answer is dropped."""
-        waiting = self._replies.get(reply.token)
-        if waiting and not waiting.done():
-            waiting.set_result(reply.answer)
+        pending = self._replies.get(reply.token)
+        if pending and not pending.done():
+            pending.set_result(reply.answer)
 
     @staticmethod
     async def _serve(link: Link, token: int, execution: Awaitable[Answer]) -> None:
--- a/fordtrestle/control_api/heartbeats.py
+++ b/fordtrestle/control_api/heartbeats.py
@@ -130,7 +130,7 @@
         """
         self._node = node
         self._timeout_s = MAX_MISSED_HEARTBEATS * heartbeat_s
-        self._last: dict[str, _LastHeartbeat] = {}  # by instance
+        self._last_heartbeats: dict[str, _LastHeartbeat] = {}  # by instance
 
     def on_heartbeat(self, heartbeat: ServerHeartbeat, catalog: Catalog, now: float) -> Item | None:
         """Record a heartbeat.
@@ -145,16 +145,16 @@
             overtook it, or if the server is new and this process tracks `MAX_TRACKED_SERVERS` already.
         """
         record = heartbeat.record
-        last = self._last.get(record.instance)
+        last = self._last_heartbeats.get(record.instance)
         if last and heartbeat.sequence < last.sequence:
             return None
         warm_until = now + record.warm_up_ms / MS_PER_S
         has_restarted_warm_up = record.warm_up_ms > 0 and (
             last is None or warm_until > last.warm_until + MIN_WARM_UP_EXTENSION_S
         )
-        if last is None and len(self._last) >= MAX_TRACKED_SERVERS:
+        if last is None and len(self._last_heartbeats) >= MAX_TRACKED_SERVERS:
             return None
-        self._last[record.instance] = _LastHeartbeat(heartbeat.sequence, now, warm_until)
+        self._last_heartbeats[record.instance] = _LastHeartbeat(heartbeat.sequence, now, warm_until)
         known = catalog.get(SERVER_PREFIX + record.instance)
         if known and isinstance(known.value, ServerRecord) and not has_restarted_warm_up:
             # Both times count down by themselves, which is no change.
@@ -169,7 +169,7 @@
         An incarnation that this process does not know gets an item, too: other processes may know it, and a
         heartbeat of it may still arrive.
         """
-        self._last.pop(instance, None)
+        self._last_heartbeats.pop(instance, None)
         known = catalog.get(SERVER_PREFIX + instance)
         if known is None or not isinstance(known.value, ServerRecord):
             return server_item(_unknown_server(instance, self._node), 0)
@@ -194,15 +194,15 @@
         """
         self._adopt_servers(catalog, now, is_successor_of)
         items = []
-        for instance, last in list(self._last.items()):
+        for instance, last in list(self._last_heartbeats.items()):
             if now - last.received_at <= self._timeout_s:
                 continue
-            del self._last[instance]
+            del self._last_heartbeats[instance]
             known = catalog.get(SERVER_PREFIX + instance)
             if known is None or not isinstance(known.value, ServerRecord):
                 continue
-            is_ours = known.value.heard_by == self._node or is_successor_of(known.value.heard_by)
-            if is_ours and known.value.phase is Phase.SERVING:
+            is_responsible = known.value.heard_by == self._node or is_successor_of(known.value.heard_by)
+            if is_responsible and known.value.phase is Phase.SERVING:
                 sequence = max(known.version[1], last.sequence)
                 items.append(server_item(replace(known.value, is_unresponsive=True), sequence))
         return items
@@ -214,7 +214,11 @@
         whose successor this one is.
         """
         for record, version in catalog.servers():
-            if record.phase is not Phase.SERVING or record.is_unresponsive or record.instance in self._last:
+            if (
+                record.phase is not Phase.SERVING
+                or record.is_unresponsive
+                or record.instance in self._last_heartbeats
+            ):
                 continue
             if record.heard_by == self._node or is_successor_of(record.heard_by):
-                self._last[record.instance] = _LastHeartbeat(version[1], now, now)
+                self._last_heartbeats[record.instance] = _LastHeartbeat(version[1], now, now)
--- a/fordtrestle/control_api/listings.py
+++ b/fordtrestle/control_api/listings.py
@@ -15,7 +15,7 @@
 
 def members(catalog: Catalog) -> list[Row]:
     """Return a row for each process of the system, sorted by region and name."""
-    known = sorted((record.region, record.node, record) for record, _ in catalog.members())
+    sorted_records = sorted((record.region, record.node, record) for record, _ in catalog.members())
     return [
         {
             "node": record.node,
@@ -25,7 +25,7 @@
             "peer": record.peer,
             "state": record.availability.name.lower(),
         }
-        for _, _, record in known
+        for _, _, record in sorted_records
     ]
 
 
@@ -33,7 +33,9 @@
     """Return a row for each server, sorted by service and zone, with the reason if it gets no requests."""
     control = catalog.control
     evacuated = control.evacuated if control else ()
-    known = sorted((record.service, record.zone, record.instance, record) for record, _ in catalog.servers())
+    sorted_records = sorted(
+        (record.service, record.zone, record.instance, record) for record, _ in catalog.servers()
+    )
     return [
         {
             "service": record.service,
@@ -44,7 +46,7 @@
             "usable": _reason_unusable(record, evacuated) or "yes",
             "heard_by": record.heard_by,
         }
-        for _, _, _, record in known
+        for _, _, _, record in sorted_records
     ]
 
 
--- a/fordtrestle/control_api/withdrawals.py
+++ b/fordtrestle/control_api/withdrawals.py
@@ -89,8 +89,8 @@
         There is no answer if the catalog was full or still holds an older version.
         """
         self._gossip.publish([message.item], source=link)
-        held = self._gossip.catalog.get(message.item.key)
-        if held and held.version >= message.item.version:
+        stored = self._gossip.catalog.get(message.item.key)
+        if stored and stored.version >= message.item.version:
             link.send(Confirmed(message.token))
 
     def on_confirmed(self, link: Link, message: Confirmed) -> None:
--- a/fordtrestle/coordination/observation_clock.py
+++ b/fordtrestle/coordination/observation_clock.py
@@ -57,7 +57,7 @@
         self._state = state
 
     def remaining_ms(self, name: str, now: float) -> float:
-        """Return the remaining lease of an observed lock; 0 or less if it has expired or is unknown."""
+        """Return the remaining milliseconds of a lock's lease; 0 or less if it has expired or is unknown."""
         lease = self._leases.get(name)
         return (lease.expires_at - now) * MS_PER_S if lease else 0.0
 
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -133,7 +133,7 @@
         "            return self._failure()\n        committed = await",
         "        committed = await",
     ),
-    "refusals are confirmed by a majority": _removal(
+    "rejections are confirmed by a majority": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "        return outcome if await self._confirm_leadership() else self._failure()\n",
@@ -148,7 +148,7 @@
     "an applied call is acknowledged again": _removal(
         EVALUATION, CONTROL_API_TESTS, "    if state.has_applied(digest):\n", "    if False:\n"
     ),
-    "a call that may have been applied is not refused": _removal(
+    "a call that may have been applied is not rejected": _removal(
         EVALUATION,
         CONTROL_API_TESTS,
         "CommandStatus.UNKNOWN if may_be_applied else CommandStatus.STALE",
@@ -177,7 +177,7 @@
         "by_name.get(name) == row",
         "name in by_name",
     ),
-    "how rows name one another is checked whole": _removal(
+    "references between rows are checked on the whole document": _removal(
         "control_api/configuration.py",
         CONTROL_API_TESTS,
         "    if reference_errors := _reference_errors(document):\n",
@@ -216,7 +216,7 @@
     "the base of a change is the current version": _removal(
         EVALUATION, CONTROL_API_TESTS, "    if request.base != state.generation:\n", "    if False:\n"
     ),
-    "numbers rise": _removal(
+    "generations rise": _removal(
         "control_api/configuration.py",
         CONTROL_API_TESTS,
         "    if generation <= current:\n",
@@ -228,13 +228,13 @@
         "        return leadership.committed_sequence >= write.sequence\n",
         "        return self.durable.state.sequence >= write.sequence\n",
     ),
-    "a change whose caller has left is not written": _removal(
+    "a change whose caller has disconnected is not written": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "return await self._write(outcome, committed) if request.is_caller_waiting() else self._failure()",
         "return await self._write(outcome, committed)",
     ),
-    "an evacuation whose caller has left is not written": _removal(
+    "an evacuation whose caller has disconnected is not written": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "        if not request.is_caller_waiting() or self._replicator.now() > deadline:\n",
@@ -252,13 +252,13 @@
         "Lock(change.holder, sequence, change.hold_ms, sequence)",
         "Lock(change.holder, 1, change.hold_ms, sequence)",
     ),
-    "a new primary counts a lock's whole time": _removal(
+    "a new primary counts a lock's whole lease": _removal(
         "coordination/observation_clock.py",
         COORDINATION_LOCKS,
         "lease = _Lease(lock, now + lock.hold_ms / MS_PER_S)",
         "lease = _Lease(lock, now)",
     ),
-    "a lock that is over is not renewed": _removal(
+    "an expired lock is not renewed": _removal(
         COORDINATION_EVALUATION,
         COORDINATION_LOCKS,
         "    if not is_held or remaining_ms <= 0:\n",
@@ -267,28 +267,28 @@
     "an extension never shortens": _removal(
         COORDINATION_EVALUATION, COORDINATION_LOCKS, "max(hold_ms, remaining_ms)", "hold_ms"
     ),
-    "a lock is given back under its own fence": _removal(
+    "a lock is released only under its own fence": _removal(
         COORDINATION_EVALUATION,
         COORDINATION_LOCKS,
         "FreeLock(command.name) if is_held else None",
         "FreeLock(command.name) if lock else None",
     ),
-    "a put that comes again is known by its history": _removal(
+    "a resent put is recognized by its history": _removal(
         "coordination/state.py",
         COORDINATION_KEYS,
         "            if event.value == value and event.key == key:\n",
         "            if False:\n",
     ),
-    "events are kept for their time": _removal(
+    "events are kept for the retention time": _removal(
         "coordination/observation_clock.py",
         COORDINATION_KEYS,
         "        return revision if seen_at <= newest_compactable_at else 0\n",
         "        return revision\n",
     ),
-    "events are told once they are committed": _removal(
+    "events are sent only once they are committed": _removal(
         "coordination/history.py", COORDINATION_KEYS, " and event.sequence <= committed_sequence", ""
     ),
-    "what is stored is bounded": _removal(
+    "stored characters are bounded": _removal(
         COORDINATION_EVALUATION, COORDINATION_KEYS, "MAX_STORED_CHARACTERS:\n", "10**9:\n"
     ),
     "a read is confirmed": _removal(
@@ -297,7 +297,7 @@
         "return node.is_confirmed(heartbeat_number) and node.has_committed(prerequisite)",
         "return node.has_committed(prerequisite)",
     ),
-    "a read waits for what it rests on": _removal(
+    "a read waits for its prerequisite writes": _removal(
         COORDINATION_SERVICE,
         COORDINATION_CASES,
         "return node.is_confirmed(heartbeat_number) and node.has_committed(prerequisite)",
@@ -309,7 +309,7 @@
         "return evaluation.answer if node.has_committed(write) else OutcomeUnknown()",
         "return evaluation.answer",
     ),
-    "a write that may be carried out later is not refused": _removal(
+    "a write that may be executed later is not rejected": _removal(
         COORDINATION_SERVICE, COORDINATION_CASES, "else OutcomeUnknown()", "else Unavailable()"
     ),
     "another tenure's writes prove nothing": _removal(
@@ -330,37 +330,37 @@
         "return min(self.context.committed_sequence, self.durable.state.sequence)",
         "return self.context.committed_sequence",
     ),
-    "a store that is cut off does not tell of events": _removal(
+    "a partitioned store sends no events": _removal(
         "control_api/read_index.py",
         "tests/control_api/test_watches.py",
         " and self._now() - newest.began_at <= lag_s",
         "",
     ),
-    "text that cannot be stored is refused": _removal(
+    "text that cannot be stored is rejected": _removal(
         "control_api/json_body.py",
         CONTROL_API_TESTS + "/test_exchanges.py",
         "    if not is_storable(raw):\n",
         "    if False:\n",
     ),
-    "commands that are forwarded are bounded": _removal(
+    "forwarded commands are bounded": _removal(
         "control_api/coordination_router.py",
         CONTROL_API_TESTS + "/test_coordination_router.py",
         "        if len(self._replies) >= MAX_FORWARDED:\n",
         "        if False:\n",
     ),
-    "open calls are answered before an endpoint closes": _removal(
+    "calls in flight are answered before an endpoint closes": _removal(
         "control_api/open_calls.py",
         CONTROL_API_TESTS + "/test_open_calls.py",
         "        while self._count:\n",
         "        while False:\n",
     ),
-    "a watch that finds nothing is confirmed": _removal(
+    "an empty answer to a watch is confirmed": _removal(
         "control_api/watches.py",
         "tests/control_api/test_watches.py",
         "return answer if confirmation.result() else Unavailable()",
         "return answer",
     ),
-    "watches that are held are bounded": _removal(
+    "open watches are bounded": _removal(
         "control_api/watches.py",
         "tests/control_api/test_watches.py",
         "        if self.open_watches >= self._max_watches:\n",
@@ -375,7 +375,7 @@
     "a configuration fits into a message": _removal(
         EVALUATION, CONTROL_API_TESTS, "    if len(encoded) > MAX_DOCUMENT_BYTES:\n", "    if False:\n"
     ),
-    "commands that wait are bounded": _removal(
+    "waiting commands are bounded": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "        if self._waiting >= MAX_WAITING_COMMANDS:\n",
@@ -399,21 +399,21 @@
     "another process confirms only what it holds": _removal(
         "control_api/withdrawals.py",
         CONTROL_API_TESTS,
-        "        if held and held.version >= message.item.version:\n",
+        "        if stored and stored.version >= message.item.version:\n",
         "        if True:\n",
     ),
-    "a withdrawal that is confirmed is passed on": _removal(
+    "a confirmed withdrawal is passed on": _removal(
         "control_api/withdrawals.py",
         CONTROL_API_TESTS,
         "        self._gossip.publish([message.item], source=link)\n",
     ),
-    "an incarnation that was never heard of here may be gone": _removal(
+    "an unknown incarnation can be deregistered": _removal(
         "control_api/heartbeats.py",
         CONTROL_API_TESTS,
         "server_item(_unknown_server(instance, self._node), 0)",
         "server_item(replace(_unknown_server(instance, self._node), phase=Phase.SERVING), 0)",
     ),
-    "a successor watches the servers of a process that is down": _removal(
+    "a successor monitors the servers of a process that is down": _removal(
         "control_api/heartbeats.py",
         CONTROL_API_TESTS,
         "            if record.heard_by == self._node or is_successor_of(record.heard_by):\n",
