--- a/fordtrestle/roles/drain.py
+++ b/fordtrestle/roles/drain.py
@@ -42,7 +42,7 @@
     It waits no longer than it accepts streams of any length; after that other regions serve them better.
     """
     process.announce(Availability.LEAVING)
-    wait_s = server.drain_policy.all_streams_until - budget.started_at
+    wait_s = server.drain_policy.accept_all_streams_until - budget.started_at
     await budget.run_step("serve on for the region", _wait_for_other_sidecars(process), wait_s)
     process.announce(Availability.CLOSING)
     server.begin_closing()
