--- a/fordtrestle/dissemination/broadcast.py
+++ b/fordtrestle/dissemination/broadcast.py
@@ -6,7 +6,7 @@
 Every link starts as part of the tree. A duplicate item shows that the link that delivered it is redundant:
 both sides prune it and then send only offers over it. A process that is offered an item that no tree link
 delivers in time requests it, and adds the offering link to the tree. So each process receives each item about
-once, and a parent that is partitioned, frozen or dead delays its children by one request timeout.
+once, and a parent that is partitioned, frozen or dead delays its children only until they request the item.
 """
 
 from __future__ import annotations
--- a/fordtrestle/peer/gossip.py
+++ b/fordtrestle/peer/gossip.py
@@ -15,10 +15,8 @@
 from fordtrestle.peer.mesh import Mesh
 
 GOSSIP_ROUND_S = 1.0  # average interval between two anti-entropy exchanges
-MIN_ROUND_RATIO, ROUND_JITTER_RATIO = (
-    0.75,
-    0.5,
-)  # processes that start together do not stay in step
+# Rounds are jittered, so that processes that start together do not stay in step.
+MIN_ROUND_RATIO, ROUND_JITTER_RATIO = 0.75, 0.5
 
 
 class Gossip:
--- a/fordtrestle/peer/messages.py
+++ b/fordtrestle/peer/messages.py
@@ -6,7 +6,7 @@
 
 from fordtrestle.replication import messages as replication
 
-NO_VERSION = 0  # sent by processes from before the protocol had versions
+NO_VERSION = 0  # in the hello of a process from before the protocol had versions
 
 
 @dataclass(frozen=True, slots=True)
--- a/fordtrestle/roles/control_process.py
+++ b/fordtrestle/roles/control_process.py
@@ -50,7 +50,7 @@
 # A leaving process keeps serving for at least this long, so that its announcement reaches the others.
 MIN_LEAVE_S = 0.3
 
-# Between two checks whether this process can leave. They are polled since the condition depends on time too.
+# Between two checks whether this process can leave. It is polled: no event signals it, as it depends on time.
 LEAVE_CHECK_S = 0.05
 
 NOTHING_LOGGED = -1  # lower than any epoch number
--- a/fordtrestle/roles/metrics.py
+++ b/fordtrestle/roles/metrics.py
@@ -59,7 +59,7 @@
 
 
 def of_coordination(state: CoordinationState, answers: Mapping[type, int], watches: int) -> dict[str, float]:
-    """Return the metrics of locks, counters and keys, and of the answers of this process by type."""
+    """Return the metrics of locks, counters and keys, and of this process's answers as primary by type."""
     return {
         "locks": len(state.locks),
         "counters": len(state.counters),
--- a/fordtrestle/roles/process.py
+++ b/fordtrestle/roles/process.py
@@ -66,7 +66,9 @@
         peer = peer_address(boot, boot.ip, role)
         hello = Hello(boot.node_name, peer, PROTOCOL_VERSION, OLDEST_PROTOCOL_VERSION)
         self.mesh = Mesh(hello, self._on_peer_message, self._on_link_up)
-        incarnation = int(time.time())  # increases with each start; see `Gossip._refute`
+        incarnation = int(
+            time.time()
+        )  # increases with each start; `Gossip` corrects it if the clock was set back
         me = _member_record(boot, role, peer)
         self.gossip = Gossip(Catalog(), self.mesh, me, incarnation, self._on_new_items)
         self._monitored = MonitoredNodes(boot.node_name)
@@ -130,7 +132,7 @@
         return peer.endswith(f":{self.boot.internal_ports[0]}")
 
     def round_trip_s(self, region: str) -> float | None:
-        """Return the shortest round trip to a region's members in seconds; `None` if none was dialled yet."""
+        """Return the shortest round trip to a region's members in seconds; `None` before any connection."""
         peers = [m.peer for m, _ in self.gossip.catalog.members() if m.region == region]
         known = [self.mesh.round_trips[peer] for peer in peers if peer in self.mesh.round_trips]
         return min(known, default=None)
--- a/tests/dissemination/test_delta.py
+++ b/tests/dissemination/test_delta.py
@@ -137,7 +137,7 @@
         for change, source in zip(changes, "aab", strict=True)
     ]
     assert sent == [[OutgoingMessage("a", want)], [], []]
-    assert peer.tick(1.0 + WANT_RETRY_S) == [OutgoingMessage("b", want)], "the next peer is asked"
+    assert peer.tick(1.0 + WANT_RETRY_S) == [OutgoingMessage("b", want)], "it is requested from the next peer"
 
 
 def test_a_delta_that_would_exceed_a_bound_raises(monkeypatch):
