--- a/fordtrestle/cli/load.py
+++ b/fordtrestle/cli/load.py
@@ -76,13 +76,15 @@
         "trace": _Subcommand(_print_traces, None),
         "write": _Subcommand(_write_trace, 2),
     }
-    word, *files = arguments.what
-    subcommand = subcommands.get(word)
+    subcommand_name, *files = arguments.what
+    subcommand = subcommands.get(subcommand_name)
     if subcommand is None:
         subcommand, files = _Subcommand(_send, 1), arguments.what
     count = subcommand.file_count
     if not files or (count is not None and len(files) != count):
-        return _print_bad_input(f"load {word}: expected {count or 'one or more'} files, not {len(files)}")
+        return _print_bad_input(
+            f"load {subcommand_name}: expected {count or 'one or more'} files, not {len(files)}"
+        )
     try:
         return subcommand.run(arguments, files)
     except SpecError as error:
--- a/fordtrestle/peer/frames.py
+++ b/fordtrestle/peer/frames.py
@@ -13,20 +13,20 @@
 from fordtrestle.peer.codec import encode
 from fordtrestle.peer.errors import FrameError, FrameTooLargeError
 
-_HEAD = struct.Struct(">I")
-_IS_COMPRESSED = 1 << 31  # flag in the frame head
+_HEADER = struct.Struct(">I")
+_IS_COMPRESSED = 1 << 31  # flag in the frame header
 _COMPRESSION_LEVEL = 1  # the fastest: traffic between regions is expensive, but changes must not be delayed
 MIN_COMPRESSED_BYTES = 400  # compressing shorter payloads saves too little for its time
 MAX_FRAME_BYTES = 32 * 1024 * 1024  # limit of the payload, larger than the largest state
-KEEPALIVE_FRAME = _HEAD.pack(0)
+KEEPALIVE_FRAME = _HEADER.pack(0)
 
 
 def encode_frame(payload: bytes) -> bytes:
     """Return the frame of a payload."""
     if len(payload) < MIN_COMPRESSED_BYTES:
-        return _HEAD.pack(len(payload)) + payload
+        return _HEADER.pack(len(payload)) + payload
     compressed = zlib.compress(payload, _COMPRESSION_LEVEL)
-    return _HEAD.pack(len(compressed) | _IS_COMPRESSED) + compressed
+    return _HEADER.pack(len(compressed) | _IS_COMPRESSED) + compressed
 
 
 def frame_message(message: Any) -> bytes | None:
@@ -72,19 +72,19 @@
         """Return the next payload, skipping keep-alives; `None` if more bytes are needed.
 
         Raises:
-            FrameTooLargeError: the frame is too large; raised on its head, before the payload has arrived.
+            FrameTooLargeError: the frame is too large; raised on its header, before the payload has arrived.
             FrameError: the frame cannot be decompressed.
         """
-        while len(self._buffer) >= _HEAD.size:
-            (head,) = _HEAD.unpack_from(self._buffer)
-            length = head & ~_IS_COMPRESSED
+        while len(self._buffer) >= _HEADER.size:
+            (header,) = _HEADER.unpack_from(self._buffer)
+            length = header & ~_IS_COMPRESSED
             if length > MAX_FRAME_BYTES:
                 raise FrameTooLargeError(MAX_FRAME_BYTES, length)
-            end = _HEAD.size + length
+            end = _HEADER.size + length
             if len(self._buffer) < end:
                 return None
-            payload = bytes(self._buffer[_HEAD.size : end])
+            payload = bytes(self._buffer[_HEADER.size : end])
             del self._buffer[:end]
             if length:
-                return decompress(payload) if head & _IS_COMPRESSED else payload
+                return decompress(payload) if header & _IS_COMPRESSED else payload
         return None
--- a/tests/peer/test_frames.py
+++ b/tests/peer/test_frames.py
@@ -31,10 +31,10 @@
 
 @given(st.binary(max_size=2000))
 def test_a_frame_contains_its_payload(payload):
-    head = struct.unpack(">I", encode_frame(payload)[:4])[0]
+    header = struct.unpack(">I", encode_frame(payload)[:4])[0]
     body = encode_frame(payload)[4:]
-    assert (decompress(body) if head >> 31 else body) == payload
-    assert len(body) == head & 0x7FFFFFFF
+    assert (decompress(body) if header >> 31 else body) == payload
+    assert len(body) == header & 0x7FFFFFFF
 
 
 @given(st.lists(st.binary(min_size=1, max_size=600), max_size=5), st.lists(st.integers(0, 3000), max_size=6))
@@ -58,7 +58,7 @@
     assert decoder.next_payload() is None
 
 
-def test_a_frame_that_is_too_large_is_rejected_on_its_head():
+def test_a_frame_that_is_too_large_is_rejected_on_its_header():
     decoder = FrameDecoder()
     decoder.receive_data(struct.pack(">I", frames_module.MAX_FRAME_BYTES + 1))
     with pytest.raises(FrameTooLargeError) as raised:
--- a/tests/roles/test_processes.py
+++ b/tests/roles/test_processes.py
@@ -14,7 +14,7 @@
 from rig.system.fleet import until_ready
 from rig.system.traffic import configuration, put_configuration
 
-PATIENCE_S = 60.0
+TEST_TIMEOUT_S = 60.0
 
 
 async def read_configuration(session, deployment):
@@ -36,7 +36,7 @@
         deployment = Deployment(folder)
         timeout = aiohttp.ClientTimeout(total=3.0)
         try:
-            async with asyncio.timeout(PATIENCE_S), aiohttp.ClientSession(timeout=timeout) as session:
+            async with asyncio.timeout(TEST_TIMEOUT_S), aiohttp.ClientSession(timeout=timeout) as session:
                 await deployment.start()
                 await put_configuration(session, deployment, 0, 1)
                 await steps(deployment, session)
--- a/tests/roles/test_signals.py
+++ b/tests/roles/test_signals.py
@@ -10,7 +10,7 @@
 
 from tests.guards import ROOT
 
-PATIENCE_S = 20.0
+TEST_TIMEOUT_S = 20.0
 # A test run that outlives its terminal (nohup) ignores SIGHUP, which its children inherit.
 PROLOGUE = """import signal
 signal.signal(signal.SIGHUP, signal.SIG_DFL)
@@ -21,7 +21,7 @@
 from fordtrestle.cli.start import install_early_signal_handlers
 install_early_signal_handlers()
 print("started", flush=True)
-time.sleep({PATIENCE_S})
+time.sleep({TEST_TIMEOUT_S})
 """
 ROLE = f"""{PROLOGUE}
 import signal, sys, types
@@ -62,15 +62,17 @@
         assert process.stdout.readline() == "started\n"
         process.send_signal(signal.SIGHUP)
         process.send_signal(signal.SIGTERM)
-        assert process.wait(PATIENCE_S) == 0
+        assert process.wait(TEST_TIMEOUT_S) == 0
 
 
 @pytest.mark.parametrize("role", ["sidecar", "control"])
 def test_a_role_handles_signals_and_blocks_tls_before_its_libraries_are_loaded(role):
-    completed = subprocess.run(program(ROLE.replace("ROLE", role)), cwd=ROOT, timeout=PATIENCE_S, check=False)
+    completed = subprocess.run(
+        program(ROLE.replace("ROLE", role)), cwd=ROOT, timeout=TEST_TIMEOUT_S, check=False
+    )
     assert completed.returncode == 0
 
 
 def test_repeated_signals_do_not_cut_a_shutdown_short():
-    completed = subprocess.run(program(SHUTDOWN), cwd=ROOT, timeout=PATIENCE_S, check=False)
+    completed = subprocess.run(program(SHUTDOWN), cwd=ROOT, timeout=TEST_TIMEOUT_S, check=False)
     assert completed.returncode == 0
