--- a/fordtrestle/control_api/leadership_confirmation.py
+++ b/fordtrestle/control_api/leadership_confirmation.py
@@ -1,4 +1,4 @@
-"""Confirms that this store is primary by asking the witnesses for a majority."""
+"""Confirms that this store is primary by a majority of witnesses, which are asked on each call."""
 
 from __future__ import annotations
 
