--- a/fordtrestle/load/attempt_sender.py
+++ b/fordtrestle/load/attempt_sender.py
@@ -10,7 +10,7 @@
 from fordtrestle.load.job import WorkerCounts
 from fordtrestle.load.request_state import Attempt, RequestState
 from fordtrestle.load.request_tracker import RequestTracker
-from fordtrestle.load.retry_policy import outcome_of
+from fordtrestle.load.retry_policy import outcome_of_status
 from fordtrestle.load.samples import Outcome
 
 HTTP_OK = 200
@@ -20,7 +20,7 @@
 
 
 class AttemptSender:
-    """Brings together connections and the requests that are out on them."""
+    """Sends attempts on the connections of a worker and handles the epoll events of those connections."""
 
     def __init__(self, table: ConnectionTable, tracker: RequestTracker, counts: WorkerCounts) -> None:
         self._table = table
@@ -35,7 +35,8 @@
             message: The bytes of the attempt.
 
         Returns:
-            None, or why it was not sent: `NO_CONNECTION` or `NO_SOCKET`.
+            None if it was sent; `NO_CONNECTION` if the maximum of connections is in use, `NO_SOCKET` if the
+            system has no socket left.
         """
         if not self._table.has_idle() and self._table.is_full():
             return Outcome.NO_CONNECTION
@@ -47,13 +48,13 @@
             return Outcome.NO_SOCKET
         return None
 
-    def _send_on_connection(self, attempt: Attempt, is_idle_taken: bool) -> bool:
-        """Send an attempt on an idle connection or a new one; False where the system has no socket left."""
+    def _send_on_connection(self, attempt: Attempt, use_idle: bool) -> bool:
+        """Send an attempt on an idle or a new connection; return False if the system has no socket left."""
         error: OSError | None = None
         connection = None
         try:
-            connection = self._table.take_idle() if is_idle_taken else self._table.connect()
-            connection.current = attempt
+            connection = self._table.take_idle() if use_idle else self._table.connect()
+            connection.current_attempt = attempt
             attempt.connection = connection
             connection.send(attempt.message)
         except OSError as caught:
@@ -71,11 +72,11 @@
         return True
 
     def on_event(self, fd: int, events: int) -> None:
-        """Handle the epoll events of a descriptor; those of a connection that is gone are ignored."""
+        """Handle the epoll events of a descriptor; those of a connection that was closed are ignored."""
         connection = self._table.get(fd)
         if connection is None:
             return
-        if connection.current is None:
+        if connection.current_attempt is None:
             self._read_idle(connection)
             return
         if connection.unsent and events & WRITABLE_EVENTS:
@@ -90,14 +91,14 @@
             self._read(connection)
 
     def _read_idle(self, connection: Connection) -> None:
-        """Read a connection without a request: it has been closed, or sends what nobody asked for."""
+        """Read a connection without a request: the peer has closed it, or sends bytes without a request."""
         result = connection.receive()
         if result is not ReadResult.NOTHING or connection.response.has_received:
             self._counts.stray += result is not ReadResult.CLOSED
             self._table.drop(connection)
 
     def _read(self, connection: Connection) -> None:
-        """Read a connection with an attempt on it, which may end it."""
+        """Read a connection with an attempt in flight; a response or a close ends the attempt."""
         result = connection.receive()
         if result is ReadResult.NOTHING:
             return
@@ -105,9 +106,9 @@
         if result is ReadResult.CLOSED:
             self._on_connection_lost(connection, now_ns)
             return
-        attempt, response = connection.current, connection.response
+        attempt, response = connection.current_attempt, connection.response
         assert isinstance(attempt, Attempt)
-        connection.current = None
+        connection.current_attempt = None
         status, retry_after_s = response.status, response.retry_after_s
         is_malformed = result is ReadResult.MALFORMED
         if is_malformed or connection.unsent or not response.can_keep_alive:
@@ -121,25 +122,25 @@
         elif status == HTTP_OK:
             self._tracker.on_attempt_ended(attempt, Outcome.SERVED, now_ns, status)
         else:
-            self._tracker.on_attempt_ended(attempt, outcome_of(status), now_ns, status, retry_after_s)
+            self._tracker.on_attempt_ended(attempt, outcome_of_status(status), now_ns, status, retry_after_s)
 
     def _on_connection_lost(self, connection: Connection, now_ns: int) -> None:
-        """A connection ended before the response was complete.
+        """Handle a connection that ended before the response was complete.
 
-        A server may close an idle connection while a request is on its way to it. Such a request is sent once
-        more, on a new connection, as HTTP clients do (RFC 9112, 9.3.1).
+        A server may close an idle connection while a request is on its way to it. Such a request is sent a
+        second time, on a new connection, as HTTP clients do (RFC 9112, 9.3.1).
         """
-        attempt = connection.current
+        attempt = connection.current_attempt
         assert isinstance(attempt, Attempt)
-        connection.current = None
-        has_crossed_close = (
+        connection.current_attempt = None
+        is_close_race = (
             connection.responses_read and not connection.response.has_received and not attempt.is_resent
         )
         was_connected = connection.is_connected
         self._table.drop(connection)
-        if has_crossed_close and not attempt.is_given_up and not self._table.is_full():
+        if is_close_race and not attempt.is_given_up and not self._table.is_full():
             attempt.is_resent = True
-            if self._send_on_connection(attempt, is_idle_taken=False):
+            if self._send_on_connection(attempt, use_idle=False):
                 self._counts.resent += 1
                 return
         outcome = Outcome.CUT if was_connected else Outcome.UNREACHABLE
--- a/fordtrestle/load/client.py
+++ b/fordtrestle/load/client.py
@@ -1,4 +1,4 @@
-"""One non-blocking connection of a client: a request is sent, its response read, then the next one."""
+"""A non-blocking HTTP connection of a client; it carries one request after the other, without pipelining."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from fordtrestle.load.wire import ResponseReader
 
 RECEIVE_BYTES = 65_536
-# The generator's own system has no descriptor, port or memory left; the other side is not to blame.
+# The generator's own system has no descriptor, port or memory left; the target is not at fault.
 SHORTAGE_ERRNOS = (
     *(errno.EMFILE, errno.ENFILE, errno.EADDRNOTAVAIL),
     *(errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN),
@@ -18,12 +18,12 @@
 
 
 class ReadResult(Enum):
-    """What reading a connection brought."""
+    """Result of one read from a connection."""
 
     NOTHING = 0  # no complete response yet
     COMPLETE = 1  # a complete response
     MALFORMED = 2  # bytes that are no response
-    CLOSED = 3  # closed or reset, amid a response or without one
+    CLOSED = 3  # closed or reset, before or within a response
 
 
 class Connection:
@@ -31,31 +31,31 @@
 
     Attributes:
         sock: Its socket.
-        response: The response to the request at hand.
-        responses_read: Complete responses on this connection.
-        is_connected: Whether the connection is known to have come up.
-        unsent: What is left to send of the request at hand.
-        current: The request that is out on it; set by the connection's owner.
+        response: Reads the response to the current request.
+        responses_read: The number of complete responses on this connection.
+        is_connected: Whether the connection is known to be established.
+        unsent: The bytes of the current request that are still to be sent.
+        current_attempt: The attempt in flight; set by the owner of the connection, None if it is idle.
     """
 
-    __slots__ = ("current", "is_connected", "response", "responses_read", "sock", "unsent")
+    __slots__ = ("current_attempt", "is_connected", "response", "responses_read", "sock", "unsent")
 
     def __init__(self, family: int, address: tuple[object, ...]) -> None:
-        """Begin to connect.
+        """Start to connect.
 
         Args:
             family: The address family.
-            address: The address, resolved.
+            address: The resolved address.
 
         Raises:
-            OSError: The system has no socket, or the connection can't be begun.
+            OSError: The system has no socket left, or the connect call fails at once.
         """
         self.sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
         self.response = ResponseReader()
         self.responses_read = 0
         self.is_connected = False
         self.unsent = memoryview(b"")
-        self.current: object = None
+        self.current_attempt: object = None
         try:
             self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             error = self.sock.connect_ex(address)
@@ -66,17 +66,17 @@
             raise
 
     def send(self, message: bytes) -> None:
-        """Send a request, as much as the socket takes; `flush` sends the rest.
+        """Send as much of a request as the socket accepts; `flush` sends the rest.
 
         Raises:
-            OSError: The connection is lost, or did not come up.
+            OSError: The connection is lost, or could not be established.
         """
         self.response.begin()
         self.unsent = memoryview(message)
         self.flush()
 
     def flush(self) -> None:
-        """Send more of the request; `OSError` where the connection is lost, or did not come up."""
+        """Send more of the request; `OSError` if the connection is lost, or could not be established."""
         try:
             while self.unsent:
                 self.unsent = self.unsent[self.sock.send(self.unsent) :]
@@ -85,7 +85,7 @@
             return
 
     def receive(self) -> ReadResult:
-        """Read once from the socket and parse what has come."""
+        """Read once from the socket and parse the received bytes."""
         try:
             data = self.sock.recv(RECEIVE_BYTES)
         except BlockingIOError:
@@ -102,6 +102,6 @@
         return ReadResult.COMPLETE if self.response.is_complete else ReadResult.NOTHING
 
     def close(self) -> None:
-        """Close the socket, whatever is out on it."""
+        """Close the socket, even with a request in flight."""
         self.sock.close()
         self.response.close()
--- a/fordtrestle/load/connection_table.py
+++ b/fordtrestle/load/connection_table.py
@@ -1,4 +1,4 @@
-"""All connections of a worker: those that carry a request, and those that are idle."""
+"""All connections of a worker, those with a request in flight and those that are idle."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ConnectionTable:
-    """Opens connections up to a maximum, and watches them by an epoll."""
+    """Opens connections, keeps idle ones for reuse, and registers all with an epoll."""
 
     def __init__(self, job: WorkerJob, epoll: select.epoll, counts: WorkerCounts) -> None:
         self._family = job.family
@@ -18,29 +18,29 @@
         self._epoll = epoll
         self._counts = counts
         self._connections: dict[int, Connection] = {}
-        self._idle: dict[Connection, None] = {}  # a set that keeps its order: the last one in leaves first
+        self._idle: dict[Connection, None] = {}  # an ordered set; the last one to become idle is reused first
 
     def get(self, fd: int) -> Connection | None:
-        """The connection of a file descriptor; None: it is gone."""
+        """Return the connection of a file descriptor; None if it was closed."""
         return self._connections.get(fd)
 
     def has_idle(self) -> bool:
-        """Whether a connection is idle."""
+        """Return whether a connection is idle."""
         return bool(self._idle)
 
     def is_full(self) -> bool:
-        """Whether no more connections may be opened."""
+        """Return whether the maximum of connections is open."""
         return len(self._connections) >= self._max_connections
 
     def take_idle(self) -> Connection:
-        """The connection that became idle last; there must be one."""
+        """Remove and return the connection that became idle last; at least one must be idle."""
         return self._idle.popitem()[0]
 
     def connect(self) -> Connection:
-        """Begin a new connection.
+        """Start to open a new connection.
 
         Raises:
-            OSError: The system has no socket, or the connection can't be begun.
+            OSError: The system has no socket left, or the connect call fails at once.
         """
         connection = Connection(self._family, self._address)
         self._connections[connection.sock.fileno()] = connection
@@ -51,11 +51,11 @@
         return connection
 
     def watch_writable(self, connection: Connection) -> None:
-        """Report also when the socket takes more bytes."""
+        """Watch for received bytes, and for room to send more."""
         self._epoll.modify(connection.sock, select.EPOLLIN | select.EPOLLOUT)
 
     def watch_readable(self, connection: Connection) -> None:
-        """Report only when bytes have come."""
+        """Watch for received bytes only."""
         self._epoll.modify(connection.sock, select.EPOLLIN)
 
     def set_idle(self, connection: Connection) -> None:
@@ -63,7 +63,7 @@
         self._idle[connection] = None
 
     def drop(self, connection: Connection) -> None:
-        """Close a connection, idle or not."""
+        """Close a connection, whether it is idle or not."""
         self._idle.pop(connection, None)
         del self._connections[connection.sock.fileno()]
         connection.close()
--- a/fordtrestle/load/due_queue.py
+++ b/fordtrestle/load/due_queue.py
@@ -1,4 +1,4 @@
-"""A queue of items by the time at which each is due. Pure."""
+"""A priority queue of items, ordered by the time at which each is due. Pure."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class DueQueue(Generic[Item]):
-    """Items in order of time; those of the same time leave as they came."""
+    """Priority queue by due time; items that are due at the same time leave in the order of insertion."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[int, int, Item]] = []
@@ -26,19 +26,19 @@
 
     @property
     def first_due_ns(self) -> int:
-        """When the first item is due; `NEVER_NS` where there is none."""
+        """When the first item is due; `NEVER_NS` if the queue is empty."""
         return self._heap[0][0] if self._heap else NEVER_NS
 
     def push(self, due_ns: int, item: Item) -> None:
-        """Add an item that is due at this time."""
+        """Add an item that is due at `due_ns`."""
         self._sequence += 1
         heapq.heappush(self._heap, (due_ns, self._sequence, item))
 
     def pop(self) -> Item:
-        """Remove the first item and return it; `IndexError` where there is none."""
+        """Remove the first item and return it; `IndexError` if the queue is empty."""
         return heapq.heappop(self._heap)[2]
 
     def discard(self, is_unwanted: Callable[[Item], bool]) -> None:
-        """Remove all unwanted items."""
-        self._heap = [row for row in self._heap if not is_unwanted(row[2])]
+        """Remove all items for which `is_unwanted` returns True."""
+        self._heap = [entry for entry in self._heap if not is_unwanted(entry[2])]
         heapq.heapify(self._heap)
--- a/fordtrestle/load/errors.py
+++ b/fordtrestle/load/errors.py
@@ -1,4 +1,4 @@
-"""Errors of the load generator. Each one's text is what the command line prints. Pure."""
+"""Exceptions of the load generator; the command line prints their text as it is. Pure."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class LoadError(Exception):
-    """A load that can't be read, prepared or sent; the root of this package's errors."""
+    """Base class for errors of this package: a load can't be read, prepared or sent."""
 
 
 class SpecError(LoadError):
-    """A load file that is not valid.
+    """Raised when a load file is not valid.
 
     Attributes:
-        lines: All that is wrong with it, one line each.
+        lines: All errors of the file, one line each.
     """
 
     def __init__(self, lines: Sequence[str]) -> None:
@@ -22,16 +22,16 @@
 
 
 class TraceError(LoadError):
-    """A file that is no complete trace; the text is one line that names file, line and field."""
+    """Raised when a file is not a complete trace; the text is one line that names file, line and field."""
 
 
 class GeneratorError(LoadError):
-    """Nothing was sent; the text says why."""
+    """Raised when a run can't begin, before anything was sent; the text says why."""
 
 
 class ResponseError(LoadError):
-    """Received bytes that are no response to the request that was sent."""
+    """Raised when received bytes are not a valid response to the request that was sent."""
 
 
 class MissingLibraryError(LoadError):
-    """A library of an extra is not installed; the text says which one and how to install it."""
+    """Raised when an optional library is not installed; the text names it and says how to install it."""
--- a/fordtrestle/load/generator.py
+++ b/fordtrestle/load/generator.py
@@ -1,4 +1,4 @@
-"""A complete run: workers in processes of their own, started at one moment, and one recorder for all."""
+"""Runs a schedule: starts the worker processes, and records the samples that they send."""
 
 from __future__ import annotations
 
@@ -24,28 +24,28 @@
 from fordtrestle.load.schedule import Schedule
 from fordtrestle.load.worker_process import main as run_worker_process
 
-READY_TIMEOUT_S = (
-    60.0  # until all workers are ready; each imports the program and prepares its first requests
-)
-START_DELAY_S = 0.2  # from there to the start of the schedule, so that all workers know of it in time
+# Until all workers are ready; each imports the program and prepares its first requests.
+READY_TIMEOUT_S = 60.0
+# From then to the start of the schedule, so that all workers receive the start time before it.
+START_DELAY_S = 0.2
 READ_BYTES = 1024 * 1024
 POLL_INTERVAL_S = 0.1
-STOP_TIMEOUT_S = 5.0  # until a worker that was told to stop has ended
-MAX_DELAY_S = 2.0  # that a sample may come after its request can last
+STOP_TIMEOUT_S = 5.0  # until the workers have ended after a request to stop
+MAX_SAMPLE_DELAY_S = 2.0  # from the latest possible end of a request to the arrival of its sample
 
 
 @dataclass(slots=True)
 class Run:
-    """What a run came to.
+    """The results of a run.
 
     Attributes:
         recorder: All statistics.
-        start_ns: The start of its schedule on the monotonic clock.
+        start_ns: The start of the schedule, in nanoseconds of the monotonic clock.
         started_unix_s: The same in seconds of the Unix epoch.
-        took_s: How long it took.
+        took_s: The time from the start until the last worker ended.
         cut: Whether it was stopped before its end.
-        counts: The sums of what workers count (`WorkerCounts`) and use.
-        problems: What went wrong with the generator itself.
+        counts: The sums over all workers of their counters (`WorkerCounts`) and their use of resources.
+        problems: Faults of the generator itself, one line each.
     """
 
     recorder: Recorder
@@ -57,7 +57,7 @@
     problems: list[str] = field(default_factory=list)
 
     def unsound_reasons(self, spec: Spec) -> list[str]:
-        """Why the figures are not to be believed; empty where they are."""
+        """Return why the results are not valid; empty if they are."""
         reasons = list(self.problems)
         lag_ms = self.recorder.lag.percentiles_ms([99.0])[0]
         if lag_ms is not None and lag_ms > spec.lag_p99_most_ms:
@@ -69,12 +69,12 @@
         return reasons
 
 
-OnProgress = Callable[[Run, float], None]  # called about once a second with the seconds since the start
+OnProgress = Callable[[Run, float], None]  # its arguments: the run, and the seconds since the start
 
 
 @dataclass(slots=True)
 class _WorkerHandle:
-    """A worker's process as the generator sees it."""
+    """The generator's view of a worker process."""
 
     process: Any
     control: Pipe
@@ -85,7 +85,7 @@
 
 
 class Generator:
-    """Runs a schedule once."""
+    """Runs one schedule, once."""
 
     def __init__(
         self,
@@ -99,10 +99,10 @@
         """Prepare a run.
 
         Args:
-            schedule: What to send.
-            should_stop: Asked several times a second; the run is cut once it returns True.
+            schedule: The requests to send.
+            should_stop: Called several times a second; the run is stopped early once it returns True.
             on_progress: Called about once a second.
-            on_start: Called with the start in nanoseconds of the monotonic clock, before it comes.
+            on_start: Called before the start, with its time in nanoseconds of the monotonic clock.
             on_sample: Called with each sample.
         """
         self._schedule = schedule
@@ -113,14 +113,15 @@
         spec = schedule.spec
         self._run = Run(Recorder(spec.classes, schedule.tenants))
         self._workers: list[_WorkerHandle] = []
-        # A second of the schedule is closed once none of its samples can come any more.
-        self._second_open_s = schedule.max_budget_us / 1e6 + spec.grace_ms / 1e3 + MAX_DELAY_S
+        # A second of the schedule is closed once no more samples of it can arrive.
+        self._second_close_delay_s = schedule.max_budget_us / 1e6 + spec.grace_ms / 1e3 + MAX_SAMPLE_DELAY_S
 
     def run(self) -> Run:
-        """Send everything and wait for all responses.
+        """Send all requests and wait until each has its outcome.
 
         Raises:
-            GeneratorError: The run can't begin: the target can't be resolved, or a worker is not ready.
+            GeneratorError: The run can't begin: the target can't be resolved, a worker failed or was not
+                ready in time, or the run was stopped before its start.
         """
         selector = selectors.DefaultSelector()
         try:
@@ -170,7 +171,7 @@
                 raise GeneratorError("stopped before the start")
 
     def _send_start(self) -> None:
-        """Tell all workers the same start."""
+        """Send the same start time to all workers."""
         self._run.start_ns = time.monotonic_ns() + round(START_DELAY_S * 1e9)
         self._run.started_unix_s = time.time() + START_DELAY_S
         if self._on_start is not None:
@@ -195,13 +196,13 @@
                 return
             if now_s >= last_second + 1:
                 last_second = int(now_s)
-                self._run.recorder.close_seconds(now_s - self._second_open_s)
+                self._run.recorder.close_seconds(now_s - self._second_close_delay_s)
                 if self._on_progress is not None:
                     self._on_progress(self._run, now_s)
         self._run.took_s = self._elapsed_s()
 
     def _read_pipes(self, selector: selectors.BaseSelector) -> None:
-        """Wait for frames of workers, for `POLL_INTERVAL_S` at most, and handle them."""
+        """Wait up to `POLL_INTERVAL_S` for frames of workers, and handle them."""
         for key, _ in selector.select(POLL_INTERVAL_S):
             worker: _WorkerHandle = key.data
             try:
@@ -236,10 +237,10 @@
             try:
                 worker.control.send(None)
             except OSError:
-                continue  # it has ended
+                continue  # the worker has ended
 
     def _end_workers(self) -> None:
-        """Close all pipes, and kill workers that do not end in time."""
+        """Close all pipes, and kill workers that do not end within `STOP_TIMEOUT_S`."""
         for worker in self._workers:
             worker.control.close()
             worker.pipe.close()
@@ -251,34 +252,34 @@
 
 
 def split_evenly(total: int, number: int, workers: int) -> int:
-    """The part of worker `number` of a total; parts differ by one at most and add up to the total."""
+    """Return the part of a total for worker `number`; parts differ by at most one and add up to the total."""
     return total // workers + (number < total % workers)
 
 
 def resolve(host: str, port: int) -> tuple[int, tuple[Any, ...]]:
-    """The address family and the address of a target, looked up once.
+    """Return the address family and the address of a target; a host name is looked up once, here.
 
     Raises:
-        GeneratorError: There is none.
+        GeneratorError: The host name can't be resolved.
     """
     try:
-        rows = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)
+        addresses = socket.getaddrinfo(host, port, type=socket.SOCK_STREAM)
     except (OSError, UnicodeError) as error:
         raise GeneratorError(f"{host}: {error}") from None
-    return int(rows[0][0]), rows[0][4]
+    return int(addresses[0][0]), addresses[0][4]
 
 
 @contextmanager
 def _interrupts_ignored() -> Iterator[None]:
-    """Let processes that are started within ignore SIGINT.
+    """Make processes that are started in this context ignore SIGINT.
 
-    A terminal sends it to the whole process group, and workers are to stop when the generator tells them.
+    A terminal sends SIGINT to the whole process group, but workers must stop only when the generator says so.
     """
     if threading.current_thread() is not threading.main_thread():
         yield
         return
-    before = signal.signal(signal.SIGINT, signal.SIG_IGN)
+    previous_handler = signal.signal(signal.SIGINT, signal.SIG_IGN)
     try:
         yield
     finally:
-        signal.signal(signal.SIGINT, before)
+        signal.signal(signal.SIGINT, previous_handler)
--- a/fordtrestle/load/job.py
+++ b/fordtrestle/load/job.py
@@ -1,4 +1,4 @@
-"""What one worker process has to do, and what it counts; both travel between processes."""
+"""The job of a worker process and the counters that it reports; both are passed between processes."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerJob:
-    """One worker's part of a load.
+    """The part of a load that one worker sends.
 
     Attributes:
         schedule: The complete load.
-        number: Which worker this is, from 0.
-        workers: How many there are.
+        number: The index of this worker, from 0.
+        workers: The number of workers.
         family: The address family of the target.
-        address: The target, resolved.
-        max_open: Requests of this worker that are open at the same time at most.
-        max_connections: Connections of this worker at most.
+        address: The resolved address of the target.
+        max_open: The maximum of requests of this worker that are open at the same time.
+        max_connections: The maximum of connections of this worker.
     """
 
     schedule: Schedule
@@ -34,22 +34,25 @@
     max_connections: int
 
     def requests(self) -> Iterator[Request]:
-        """Every `workers`-th request of the schedule, so that the load does not depend on their number."""
+        """Return every `workers`-th request of the schedule.
+
+        Together the workers send the same requests, whatever their number.
+        """
         return islice(self.schedule.requests(), self.number, None, self.workers)
 
 
 @dataclass(slots=True)
 class WorkerCounts:
-    """What a worker counts beside samples; the names are keys of the report (docs/operate/load.md).
+    """Counters of a worker, in addition to its samples; names are keys of the report (docs/operate/load.md).
 
     Attributes:
-        connections: Connections that were opened.
-        connections_most: Connections at the same time, at most.
-        open_most: Requests open at the same time, at most.
-        resent: Requests that were sent once more because they had crossed a connection's close.
-        crossed: Responses that came after their request was over.
-        stray: Connections on which bytes came that no request had asked for.
-        retries_not_sent: Retries for which there was no connection or socket.
+        connections: Connections opened.
+        connections_most: Most connections open at the same time.
+        open_most: Most requests open at the same time.
+        resent: Attempts sent a second time because the server had closed the connection meanwhile.
+        crossed: Responses received after their request had its outcome.
+        stray: Connections on which bytes were received without a request.
+        retries_not_sent: Retries for which no connection or socket was available.
     """
 
     connections: int = 0
--- a/fordtrestle/load/recorder.py
+++ b/fordtrestle/load/recorder.py
@@ -15,7 +15,7 @@
 from fordtrestle.load.arrivals import US_PER_S
 from fordtrestle.load.errors import MissingLibraryError
 from fordtrestle.load.records import TrafficClass
-from fordtrestle.load.samples import NOT_SENT, TIMED, Outcome, Sample
+from fordtrestle.load.samples import NOT_SENT_OUTCOMES, TIMED_OUTCOMES, Outcome, Sample
 
 SIGNIFICANT_DIGITS = 4  # an error below 0.01%, for 2.4 MB a histogram
 MAX_DURATION_US = 600 * US_PER_S  # ten times the longest budget
@@ -78,7 +78,7 @@
     """Outcomes, worth and latency of one part of a run.
 
     Attributes:
-        latency: From the intended time to the end, of requests whose outcome is in `TIMED`.
+        latency: From the intended time to the end, of requests whose outcome is in `TIMED_OUTCOMES`.
         counts: The number of requests by outcome.
         worth_asked: The sum of the worth of all requests.
         worth_in_aim: The sum of the worth of those that were served within the aim.
@@ -95,7 +95,7 @@
         self.worth_asked += worth
         if is_in_aim:
             self.worth_in_aim += worth
-        if sample.outcome in TIMED:
+        if sample.outcome in TIMED_OUTCOMES:
             self.latency.add(sample.latency_ns)
 
     @property
@@ -115,7 +115,7 @@
         """All of it as JSON values; the keys are the report's."""
         return {
             "asked": self.asked,
-            "not_sent": self.count(*NOT_SENT),
+            "not_sent": self.count(*NOT_SENT_OUTCOMES),
             "outcomes": {o.name.lower(): self.count(o) for o in Outcome if o is not Outcome.RETRY},
             "worth_asked": round(self.worth_asked, 6),
             "worth_in_aim": round(self.worth_in_aim, 6),
@@ -173,9 +173,9 @@
             parts.append(self._seconds.get(second) or self._open_second(second))
         for part in parts:
             part.add(sample, worth, is_in_aim)
-        if outcome not in NOT_SENT:
+        if outcome not in NOT_SENT_OUTCOMES:
             self.lag.add(sample.lag_ns)
-        if outcome in TIMED:
+        if outcome in TIMED_OUTCOMES:
             self.service.add(sample.service_ns)
         if sample.status:
             self.statuses[sample.status] = self.statuses.get(sample.status, 0) + 1
--- a/fordtrestle/load/report.py
+++ b/fordtrestle/load/report.py
@@ -10,7 +10,7 @@
 from fordtrestle.load.generator import Run
 from fordtrestle.load.recorder import CURVE_PERCENTILES, Recorder
 from fordtrestle.load.records import Bounds, Spec
-from fordtrestle.load.samples import NOT_SENT, Outcome
+from fordtrestle.load.samples import NOT_SENT_OUTCOMES, Outcome
 from fordtrestle.load.schedule import Schedule
 
 FORMAT = "fordtrestle-load-report"
@@ -102,7 +102,7 @@
     parts = [f"{now_s:5.0f} s", f"{whole.asked} ended"]
     failed = whole.asked - whole.count(Outcome.SERVED)
     parts.append(f"{failed} not served")
-    if whole.count(*NOT_SENT):
+    if whole.count(*NOT_SENT_OUTCOMES):
         parts.append("SOME NOT SENT")
     if row is not None:
         latency = row["latency_ms"]
--- a/fordtrestle/load/request_source.py
+++ b/fordtrestle/load/request_source.py
@@ -1,4 +1,4 @@
-"""Prepares the requests of a worker ahead of their times, so that sending one is a single system call."""
+"""Encodes the requests of a worker ahead of their send times, so that sending one is a single system call."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 from fordtrestle.load.retry_policy import RetryPolicy
 from fordtrestle.load.wire import RequestHead, RequestTemplate
 
-MAX_PREPARED = 512  # enough for a burst while nothing else is done, at some kilobytes each
+MAX_PREPARED = 512  # enough for a burst that leaves no time to prepare more; some kilobytes each
 
 
 class RequestSource:
-    """The requests of a worker in order of time.
+    """The requests of a worker in order of their intended send times.
 
     Attributes:
         is_exhausted: Whether the last request has been prepared.
@@ -30,7 +30,7 @@
         ]
         self._class_indexes = {each.name: index for index, each in enumerate(spec.classes)}
         self._tenant_indexes = {name: index for index, name in enumerate(job.schedule.tenants)}
-        # Ids are new with each run: servers remember keys for longer than a run.
+        # Ids must differ between runs, since servers remember idempotency keys for longer than a run.
         self._ids = random.Random(os.urandom(16))
         self._requests = job.requests()
         self._prepared: deque[RequestState] = deque()
@@ -39,11 +39,11 @@
             pass
 
     def can_prepare(self) -> bool:
-        """Whether there is room for one more prepared request, and there may be one."""
+        """Return whether there is room to prepare another request and the schedule is not exhausted."""
         return len(self._prepared) < MAX_PREPARED and not self.is_exhausted
 
     def prepare(self) -> bool:
-        """Prepare one more request; whether there was one."""
+        """Prepare the next request; return False if the schedule is exhausted."""
         request = next(self._requests, None)
         if request is None:
             self.is_exhausted = True
@@ -64,15 +64,15 @@
         return True
 
     def first_at_us(self) -> int | None:
-        """When the next request is due, in microseconds from the start; None: there are no more."""
+        """Return when the next request is due, in microseconds from the start; None if there are no more."""
         if not self._prepared and not self.is_exhausted:
             self.prepare()
         return self._prepared[0].at_us if self._prepared else None
 
     def pop(self) -> RequestState:
-        """Remove the next request and return it; there must be one."""
+        """Remove the next request and return it; at least one must be prepared."""
         return self._prepared.popleft()
 
     def new_id(self) -> str:
-        """A random id, 16 hexadecimal digits."""
+        """Return a random id of 16 hexadecimal digits."""
         return f"{self._ids.getrandbits(64):016x}"
--- a/fordtrestle/load/request_state.py
+++ b/fordtrestle/load/request_state.py
@@ -1,4 +1,4 @@
-"""One request while it is open, and each of its attempts."""
+"""The state of a request while it is open, and of each of its attempts."""
 
 from __future__ import annotations
 
@@ -8,29 +8,38 @@
 
 
 class RequestState:
-    """One request with all its attempts. Times are in nanoseconds of the monotonic clock.
+    """Tracks one request over all its attempts. Times are in nanoseconds of the monotonic clock.
 
     Attributes:
-        at_us: Its intended time from the start, in microseconds.
-        class_index: Its class.
-        tenant_index: Its tenant.
+        at_us: The intended send time, in microseconds from the start.
+        class_index: The index of its class.
+        tenant_index: The index of its tenant.
         template: The bytes that its attempts share.
         message: The bytes of its first attempt.
-        budget_ns: How long its client waits.
-        due_ns: Its intended time; set when it is sent.
-        limit_ns: When it is given up: its budget and the grace after `due_ns`.
-        lag_ns: How long after `due_ns` it was sent.
+        budget_ns: How long its client waits, from `due_ns`.
+        due_ns: The intended send time; set when it is sent.
+        deadline_ns: When it is given up: `due_ns` plus its budget and the grace period.
+        lag_ns: The time from `due_ns` to the send of its first attempt.
         last_sent_ns: When its last attempt was sent.
-        status: The HTTP status of its last response; 0: none.
-        attempts: Attempts that were sent.
-        attempts_out: Attempts that are waited for.
-        is_waiting: Whether a retry is planned.
-        is_over: Whether its outcome is recorded.
+        status: The HTTP status of its last response; 0 without one.
+        attempts: The number of attempts sent.
+        attempts_in_flight: The number of attempts in flight, without those that were given up.
+        is_retry_planned: Whether a retry is planned.
+        is_finished: Whether its outcome is recorded.
     """
 
     __slots__ = (
-        *("at_us", "attempts", "attempts_out", "budget_ns", "class_index", "due_ns", "is_over", "is_waiting"),
-        *("lag_ns", "last_sent_ns", "limit_ns", "message", "status", "template", "tenant_index"),
+        *(
+            "at_us",
+            "attempts",
+            "attempts_in_flight",
+            "budget_ns",
+            "class_index",
+            "due_ns",
+            "is_finished",
+            "is_retry_planned",
+        ),
+        *("lag_ns", "last_sent_ns", "deadline_ns", "message", "status", "template", "tenant_index"),
     )
 
     def __init__(
@@ -42,27 +51,27 @@
         self.template = template
         self.message = message
         self.budget_ns = request.budget_us * 1000
-        self.due_ns = self.limit_ns = 0
+        self.due_ns = self.deadline_ns = 0
         self.lag_ns = 0
         self.last_sent_ns = 0
         self.status = 0
         self.attempts = 0
-        self.attempts_out = 0
-        self.is_waiting = False
-        self.is_over = False
+        self.attempts_in_flight = 0
+        self.is_retry_planned = False
+        self.is_finished = False
 
 
 class Attempt:
-    """One attempt of a request.
+    """Tracks one attempt of a request.
 
     Attributes:
         request: The request.
-        message: Its bytes.
-        sent_ns: When it was sent.
-        connection: The connection that it was sent on; None: none came up.
-        is_resent: Whether it was sent once more after it had crossed a connection's close.
-        is_given_up: Whether a retry has taken its place while its response is still listened for.
-        has_ended: Whether nothing more can come of it.
+        message: The bytes of the attempt.
+        sent_ns: When it was sent, in nanoseconds of the monotonic clock.
+        connection: The connection that it was sent on; None if none was opened.
+        is_resent: Whether it was sent a second time because the server closed the connection meanwhile.
+        is_given_up: Whether a retry has replaced it, while its response would still be accepted.
+        has_ended: Whether it has its response, or can no longer get one.
     """
 
     __slots__ = ("connection", "has_ended", "is_given_up", "is_resent", "message", "request", "sent_ns")
--- a/fordtrestle/load/request_tracker.py
+++ b/fordtrestle/load/request_tracker.py
@@ -1,6 +1,6 @@
-"""Open requests of a worker: their time-outs, planned retries and outcomes.
+"""Tracks the open requests of a worker: their timeouts, planned retries and outcomes.
 
-Each request gets exactly one outcome. Of several responses to its attempts the first complete 200 counts.
+Each request gets exactly one outcome. If several of its attempts are answered, the first complete 200 counts.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from fordtrestle.load.sample_writer import SampleWriter
 from fordtrestle.load.samples import Outcome
 
-MAX_STALE_TIMEOUTS = 4096  # time-outs of ended attempts, beside two for each open request
-MAX_RECORDED_ATTEMPTS = 255  # a sample has one byte for them
+MAX_STALE_TIMEOUTS = 4096  # timeouts of ended attempts, in addition to two for each open request
+MAX_RECORDED_ATTEMPTS = 255  # a sample stores the number of attempts in one byte
 
 
 class RequestTracker:
-    """Follows requests from their first send to their outcome.
+    """Tracks requests from their first attempt to their outcome.
 
     Attributes:
-        open_count: Requests that are open.
-        retries: Requests by the time of their planned retry.
+        open_count: The number of open requests.
+        retries: Requests with a planned retry, by the time at which it is due.
     """
 
     def __init__(self, policy: RetryPolicy, samples: SampleWriter, counts: WorkerCounts) -> None:
@@ -37,29 +37,29 @@
 
     @property
     def first_timeout_ns(self) -> int:
-        """When the first attempt is to be given up."""
+        """When the earliest timeout of an attempt expires, in nanoseconds of the monotonic clock."""
         return self._timeouts.first_due_ns
 
     def has_stale_timeouts(self) -> bool:
-        """Whether so many time-outs are of ended attempts that `discard_stale_timeouts` is worth its time."""
+        """Return whether so many timeouts belong to ended attempts that they should be discarded."""
         return len(self._timeouts) > 2 * self.open_count + MAX_STALE_TIMEOUTS
 
     def discard_stale_timeouts(self) -> None:
-        """Free the memory of ended attempts."""
+        """Remove the timeouts of ended attempts, which frees the memory of those attempts."""
         self._timeouts.discard(lambda attempt: attempt.has_ended)
 
     def on_sent(self, attempt: Attempt) -> None:
-        """An attempt is out: open its request, if it is the first one, and set the time-out."""
+        """Handle an attempt that was sent: open its request if it is the first one, and set its timeout."""
         request = attempt.request
         if not request.attempts:
             self.open_count += 1
             self._counts.open_most = max(self._counts.open_most, self.open_count)
         request.attempts += 1
-        request.attempts_out += 1
-        limit_ns = self._policy.attempt_limit_ns(
-            request.attempts, request.class_index, attempt.sent_ns, request.budget_ns, request.limit_ns
+        request.attempts_in_flight += 1
+        deadline_ns = self._policy.attempt_deadline_ns(
+            request.attempts, request.class_index, attempt.sent_ns, request.budget_ns, request.deadline_ns
         )
-        self._timeouts.push(limit_ns, attempt)
+        self._timeouts.push(deadline_ns, attempt)
 
     def on_attempt_ended(
         self,
@@ -69,33 +69,33 @@
         status: int = 0,
         retry_after_s: float | None = None,
     ) -> None:
-        """An attempt has its response, or can have none: plan a retry or finish the request.
+        """Handle the end of an attempt, with or without a response: plan a retry or finish the request.
 
         Args:
             attempt: The attempt.
-            outcome: What it came to; `SERVED` also where it is late.
-            now_ns: The time.
-            status: The HTTP status; 0: no response.
-            retry_after_s: What the response said; None: nothing.
+            outcome: Its outcome; `SERVED` even if the response came after the budget.
+            now_ns: The current time.
+            status: The HTTP status; 0 without a response.
+            retry_after_s: The value of Retry-After in the response; None if there is none.
         """
         attempt.has_ended = True
         request = attempt.request
         if not attempt.is_given_up:
-            request.attempts_out -= 1
-        if request.is_over:
+            request.attempts_in_flight -= 1
+        if request.is_finished:
             self._counts.crossed += status != 0
             return
         request.status = status or request.status
         if outcome is Outcome.SERVED:
             is_in_time = now_ns - request.due_ns <= request.budget_ns
             self.finish(request, outcome if is_in_time else Outcome.LATE, now_ns, attempt.sent_ns)
-        elif attempt.is_given_up or request.is_waiting or request.attempts_out:
+        elif attempt.is_given_up or request.is_retry_planned or request.attempts_in_flight:
             return
         elif not self._plan_retry(request, outcome, now_ns, retry_after_s):
             self.finish(request, outcome, now_ns, attempt.sent_ns)
 
     def give_up_expired(self, now_ns: int, drop: Callable[[Connection], None]) -> None:
-        """Give up all attempts whose time-out has come; `drop` closes their connections."""
+        """Give up all attempts whose timeout has expired; `drop` closes their connections."""
         while self._timeouts.first_due_ns <= now_ns:
             attempt = self._timeouts.pop()
             if not attempt.has_ended:
@@ -103,33 +103,35 @@
 
     def _give_up(self, attempt: Attempt, now_ns: int, drop: Callable[[Connection], None]) -> None:
         request = attempt.request
-        is_retried = not (request.is_over or attempt.is_given_up)
+        is_retried = not (request.is_finished or attempt.is_given_up)
         is_retried = is_retried and self._plan_retry(request, Outcome.UNANSWERED, now_ns)
         if is_retried and self._policy.is_listening:
             attempt.is_given_up = True
-            request.attempts_out -= 1
-            self._timeouts.push(request.limit_ns, attempt)
+            request.attempts_in_flight -= 1
+            self._timeouts.push(request.deadline_ns, attempt)
             return
         attempt.has_ended = True
         if attempt.connection is not None:
-            attempt.connection.current = None
+            attempt.connection.current_attempt = None
             drop(attempt.connection)
         if not attempt.is_given_up:
-            request.attempts_out -= 1
-        is_expected = request.attempts_out or request.is_waiting
-        if not (is_retried or request.is_over or is_expected):
+            request.attempts_in_flight -= 1
+        is_pending = request.attempts_in_flight or request.is_retry_planned
+        if not (is_retried or request.is_finished or is_pending):
             self.finish(request, Outcome.UNANSWERED, now_ns)
 
     def _plan_retry(
         self, request: RequestState, outcome: Outcome, now_ns: int, retry_after_s: float | None = None
     ) -> bool:
-        """Plan a retry, if the rules and the budget allow one; whether they do."""
-        if request.is_waiting or not self._policy.allows(request.attempts, request.class_index, outcome):
+        """Plan a retry if the retry policy and the budget allow one, and return whether one was planned."""
+        if request.is_retry_planned or not self._policy.allows(
+            request.attempts, request.class_index, outcome
+        ):
             return False
         due_ns = now_ns + self._policy.wait_ns(request.attempts, retry_after_s)
         if due_ns >= request.due_ns + request.budget_ns:
             return False
-        request.is_waiting = True
+        request.is_retry_planned = True
         self.retries.push(due_ns, request)
         return True
 
@@ -141,24 +143,24 @@
         Args:
             request: The request.
             outcome: Its outcome.
-            now_ns: The time.
-            sent_ns: When the attempt was sent that ended it; None: the last one.
+            now_ns: The current time.
+            sent_ns: When the attempt that decided the outcome was sent; None for the last attempt.
         """
-        request.is_over = True
+        request.is_finished = True
         self.open_count -= 1
         self.record(request, outcome, now_ns, sent_ns)
 
     def finish_open(self, now_ns: int) -> None:
-        """Close all requests that are still open as the run ends."""
-        waiting = [*(attempt.request for attempt in self._timeouts if not attempt.has_ended), *self.retries]
-        for request in waiting:
-            if not request.is_over:
+        """Finish all requests that are still open when the run ends."""
+        requests = [*(attempt.request for attempt in self._timeouts if not attempt.has_ended), *self.retries]
+        for request in requests:
+            if not request.is_finished:
                 self.finish(request, Outcome.OPEN, now_ns)
 
     def record(
         self, request: RequestState, outcome: Outcome, now_ns: int, sent_ns: int | None = None
     ) -> None:
-        """Write the sample of a request with its outcome; arguments as of `finish`."""
+        """Write the sample of a request with its outcome; the arguments are those of `finish`."""
         self._samples.add(
             outcome,
             min(request.attempts, MAX_RECORDED_ATTEMPTS),
@@ -172,7 +174,7 @@
         )
 
     def record_retry(self, request: RequestState, due_ns: int) -> None:
-        """Write the sample of a retry that was due at this time and has been sent."""
+        """Write the sample of a retry that was sent and had been due at `due_ns`."""
         lag_ns = request.last_sent_ns - due_ns
         self._samples.add(
             Outcome.RETRY,
--- a/fordtrestle/load/samples.py
+++ b/fordtrestle/load/samples.py
@@ -35,9 +35,9 @@
     RETRY = 255  # no outcome: the record tells how late a retry was sent
 
 
-NOT_SENT = (Outcome.NO_ROOM, Outcome.NO_CONNECTION, Outcome.NO_SOCKET)
+NOT_SENT_OUTCOMES = (Outcome.NO_ROOM, Outcome.NO_CONNECTION, Outcome.NO_SOCKET)
 # Outcomes that have a latency; a request that was given up counts with the time it had waited by then.
-TIMED = (Outcome.SERVED, Outcome.LATE, Outcome.UNANSWERED)
+TIMED_OUTCOMES = (Outcome.SERVED, Outcome.LATE, Outcome.UNANSWERED)
 
 
 class Sample(NamedTuple):
--- a/fordtrestle/load/worker.py
+++ b/fordtrestle/load/worker.py
@@ -1,8 +1,9 @@
-"""One worker: sends its part of a schedule at the intended times, whatever is still open.
+"""Sends one worker's part of a schedule at the intended times, however many requests are still open.
 
-One thread with an epoll of its own. It sleeps until `spin_ms` before the next request is due and spins from
-there, reading responses meanwhile: an event loop's timers round to a millisecond. Requests are prepared
-ahead, and nothing is logged, resolved or collected while it runs; samples leave by a pipe that never blocks.
+A worker is one thread with its own epoll. It sleeps until `spin_ms` before the next request is due, then
+spins and reads responses meanwhile, since the timers of an event loop are rounded to a millisecond. Requests
+are prepared ahead. While it runs, nothing is logged, no name is resolved and no garbage is collected; samples
+are written to a pipe that never blocks.
 """
 
 from __future__ import annotations
@@ -17,39 +18,39 @@
 from fordtrestle.load.request_source import RequestSource
 from fordtrestle.load.request_state import RequestState
 from fordtrestle.load.request_tracker import RequestTracker
-from fordtrestle.load.retry_policy import RetryPolicy, outcome_of
+from fordtrestle.load.retry_policy import RetryPolicy, outcome_of_status
 from fordtrestle.load.sample_writer import SampleWriter
 from fordtrestle.load.samples import Outcome
 
-MIN_SPARE_NS = 80_000  # what must be left before the next request for work that can wait
+MIN_SPARE_NS = 80_000  # background work is done only if the next send is at least this far away
 MAX_SLEEP_NS = 20_000_000
-BATCH = 32  # sends, and events, before the others have their turn
+MAX_BATCH = 32  # sends in a row before events are handled, and events in a row before sends
 
 clock_ns = time.monotonic_ns
 
 
 class Worker:
-    """Runs one worker's part of a load; `run` is all of it.
+    """Runs one worker's part of a load, in a single call of `run`.
 
     Attributes:
-        counts: What is counted beside samples.
+        counts: Counters that are reported in addition to the samples.
     """
 
     def __init__(self, job: WorkerJob, samples: SampleWriter, control: int) -> None:
         """Prepare the first requests.
 
         Args:
-            job: What to send.
-            samples: Where samples go.
-            control: A file descriptor; once it is readable the run stops.
+            job: The part of the load to send.
+            samples: Receives a sample for each request and retry.
+            control: A file descriptor; the run stops once it is readable.
         """
         spec = job.schedule.spec
         self._samples = samples
         self._control = control
         self._max_open = job.max_open
         self._grace_ns = round(spec.grace_ms * 1e6)
-        # The kernel's sleep ends up to 0.1 ms late, and a virtual machine's core that sleeps may be given to
-        # others: its wake-ups come ms late where a core that spins is hardly ever taken away.
+        # The kernel ends a sleep up to 0.1 ms late. On a virtual machine, a core that sleeps may be given to
+        # others, so that wake-ups come milliseconds late; a core that spins is hardly ever taken away.
         self._spin_ns = round(spec.spin_ms * 1e6)
         self._epoll = select.epoll()
         self._epoll.register(control, select.EPOLLIN)
@@ -65,11 +66,11 @@
 
     @property
     def _due_ns(self) -> int:
-        """When the next send, a request's first one or a retry, is due."""
+        """When the next send is due, either the first attempt of a request or a retry."""
         return min(self._next_request_ns, self._tracker.retries.first_due_ns)
 
     def run(self, start_ns: int) -> None:
-        """Send everything and wait for all that is open.
+        """Send all requests and wait until each has its outcome, or the run is stopped.
 
         Args:
             start_ns: When the schedule starts, on the monotonic clock.
@@ -78,12 +79,12 @@
         self._find_next_request()
         while not self._is_stopping and (self._due_ns < NEVER_NS or self._tracker.open_count):
             now_ns = clock_ns()
-            for _ in range(BATCH):
+            for _ in range(MAX_BATCH):
                 if self._due_ns > now_ns:
                     break
                 self._send_next(now_ns)
                 now_ns = clock_ns()
-            self._work_ahead(now_ns)
+            self._do_background_work(now_ns)
             self._sleep(now_ns)
             self._handle_events()
             self._tracker.give_up_expired(clock_ns(), self._table.drop)
@@ -92,8 +93,8 @@
         self._epoll.close()
 
     def _handle_events(self) -> None:
-        """Handle what has come; sends that become due meanwhile go first."""
-        for fd, events in self._epoll.poll(0, BATCH):
+        """Handle epoll events; a send that becomes due meanwhile precedes the next event."""
+        for fd, events in self._epoll.poll(0, MAX_BATCH):
             if fd == self._control:
                 self._is_stopping = True
             else:
@@ -104,15 +105,15 @@
     def _sleep(self, now_ns: int) -> None:
         """Sleep until an event comes or something is due soon.
 
-        `select` on the epoll's descriptor counts microseconds, where the epoll's own time-out counts
-        milliseconds.
+        Calls `select` on the epoll's descriptor, since its timeout is precise to a microsecond; that of the
+        epoll itself is rounded to a millisecond.
         """
         wake_ns = min(self._due_ns - self._spin_ns, now_ns + MAX_SLEEP_NS, self._tracker.first_timeout_ns)
         if wake_ns > now_ns:
             select.select([self._epoll], [], [], (wake_ns - now_ns) / 1e9)
 
-    def _work_ahead(self, now_ns: int) -> None:
-        """Do one piece of work that can wait, if no send is due soon."""
+    def _do_background_work(self, now_ns: int) -> None:
+        """Write samples, prepare a request or free memory, one of them per call, if no send is due soon."""
         if self._due_ns - now_ns < MIN_SPARE_NS:
             return
         if self._samples.is_due(now_ns):
@@ -127,39 +128,42 @@
         self._next_request_ns = NEVER_NS if at_us is None else self._start_ns + at_us * 1000
 
     def _send_next(self, now_ns: int) -> None:
-        """Send what is due next; a retry goes before a request that is due at the same time."""
+        """Send the attempt that is due next; a retry precedes a new request that is due at the same time."""
         due_ns = self._due_ns
         if self._tracker.retries.first_due_ns == due_ns:
             request = self._tracker.retries.pop()
-            if not request.is_over:
+            if not request.is_finished:
                 self._send_retry(request, due_ns, now_ns)
         else:
             request = self._source.pop()
             request.due_ns = due_ns
-            request.limit_ns = due_ns + request.budget_ns + self._grace_ns
+            request.deadline_ns = due_ns + request.budget_ns + self._grace_ns
             self._send_first(request, now_ns)
         self._find_next_request()
 
     def _send_first(self, request: RequestState, now_ns: int) -> None:
-        """Send a request's first attempt, or record why it was not sent."""
+        """Send the first attempt of a request, or record why it was not sent."""
         if self._tracker.open_count >= self._max_open:
             self._tracker.record(request, Outcome.NO_ROOM, now_ns)
             return
-        not_sent = self._sender.send(request, request.message)
-        if not_sent is not None:
-            self._tracker.record(request, not_sent, now_ns)
+        failure = self._sender.send(request, request.message)
+        if failure is not None:
+            self._tracker.record(request, failure, now_ns)
 
     def _send_retry(self, request: RequestState, due_ns: int, now_ns: int) -> None:
-        """Send a retry with what is left of the budget; without a connection the request may be over."""
-        request.is_waiting = False
-        left_us = (request.due_ns + request.budget_ns - now_ns) // 1000
-        budget_us = max(1, min(self._policy.attempt_budget_us(request.budget_ns // 1000), left_us))
+        """Send a retry with the remaining budget.
+
+        If it can't be sent and no other attempt is in flight, the request is finished with its last outcome.
+        """
+        request.is_retry_planned = False
+        remaining_us = (request.due_ns + request.budget_ns - now_ns) // 1000
+        budget_us = max(1, min(self._policy.attempt_budget_us(request.budget_ns // 1000), remaining_us))
         call_id = self._source.new_id()
         message = request.template.encode_attempt(call_id, budget_us, self._policy.is_marked)
         if self._sender.send(request, message) is None:
             self._tracker.record_retry(request, due_ns)
             return
         self.counts.retries_not_sent += 1
-        if not request.attempts_out:
-            outcome = outcome_of(request.status) if request.status else Outcome.UNANSWERED
+        if not request.attempts_in_flight:
+            outcome = outcome_of_status(request.status) if request.status else Outcome.UNANSWERED
             self._tracker.finish(request, outcome, clock_ns())
--- a/fordtrestle/load/worker_process.py
+++ b/fordtrestle/load/worker_process.py
@@ -1,4 +1,4 @@
-"""The process of a worker: it reports that it is ready, is told when to start, and ends with a summary."""
+"""The process of a worker: reports that it is ready, receives the start time, runs, and sends a summary."""
 
 from __future__ import annotations
 
@@ -19,9 +19,9 @@
     """Run a worker.
 
     Args:
-        job: What to send.
-        control: Brings the start on the monotonic clock in nanoseconds; anything more stops the run.
-        pipe: Takes frames (`samples.py`).
+        job: The part of the load to send.
+        control: Receives the start in nanoseconds of the monotonic clock; anything after it stops the run.
+        pipe: Sends frames (`samples.py`) to the generator.
     """
     _raise_descriptor_limit()
     samples = SampleWriter(pipe.fileno())
@@ -29,28 +29,28 @@
         worker = Worker(job, samples, control.fileno())
         os.write(pipe.fileno(), FRAME.pack(READY, 0))
         start_ns = control.recv()
-        # A collection amid the run would make sends late; what a run leaves in cycles fits into memory.
+        # A garbage collection during the run would delay sends; the cycles that a run leaves fit into memory.
         gc.collect()
         gc.freeze()
         gc.disable()
         worker.run(start_ns)
     except EOFError:
-        return  # the process that started it is gone
+        return  # the parent process has ended
     except BaseException as error:
         samples.close(FAILURE, " ".join(f"{type(error).__name__}: {error}".split()).encode())
         raise
-    used = resource.getrusage(resource.RUSAGE_SELF)
+    usage = resource.getrusage(resource.RUSAGE_SELF)
     summary = {
         **asdict(worker.counts),
         "lost": samples.lost,
-        "cpu_s": round(used.ru_utime + used.ru_stime, 3),
-        "memory_kb": used.ru_maxrss,
-        "preempted": used.ru_nivcsw,
+        "cpu_s": round(usage.ru_utime + usage.ru_stime, 3),
+        "memory_kb": usage.ru_maxrss,
+        "preempted": usage.ru_nivcsw,
     }
     samples.close(SUMMARY, json.dumps(summary).encode())
 
 
 def _raise_descriptor_limit() -> None:
-    """Allow as many connections as the system does."""
-    hard = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
-    resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
+    """Raise the limit of open files to the hard_limit limit, since each connection needs a descriptor."""
+    hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
+    resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
