--- a/fordtrestle/load/arrivals.py
+++ b/fordtrestle/load/arrivals.py
@@ -1,9 +1,9 @@
-"""Schedules of intended send times: lazy, in whole microseconds, the same for the same draws. Pure.
+"""Generates the intended send times of a schedule: lazily, in whole microseconds, reproducibly. Pure.
 
-A shape is a sequence of pieces in each of which the rate is linear in time. The expected number of arrivals
-up to a time then has a closed form. Its inverse gives the times: evenly spaced, one arrival at each whole
-expected count, or as an inhomogeneous Poisson process, at counts whose gaps are exponential (time-rescaling
-theorem).
+A shape is a sequence of pieces; within each, the rate is linear in time. The expected number of arrivals up
+to a time then has a closed form, and its inverse gives the send times. Evenly spaced arrivals come at each
+whole expected count. Those of an inhomogeneous Poisson process come at expected counts whose gaps are
+exponential (time-rescaling theorem).
 """
 
 from __future__ import annotations
@@ -15,8 +15,8 @@
 from itertools import chain, cycle, pairwise, repeat
 
 US_PER_S = 1_000_000
-CONSTANT_PIECE_S = 3600.0  # any length does: the pieces of a constant rate are repeated for ever
-WAVE_PIECES = 64  # linear pieces in a period of a sine; their mean is the sine's
+CONSTANT_PIECE_S = 3600.0  # arbitrary, since the piece of a constant rate is repeated without end
+WAVE_PIECES = 64  # linear pieces per period of a sine; their mean is that of the sine
 
 Draw = Callable[[], float]  # returns a uniform random number in [0, 1)
 
@@ -35,46 +35,50 @@
 
     def __post_init__(self) -> None:
         if not (0.0 <= self.from_per_s < math.inf and 0.0 <= self.to_per_s < math.inf):
-            raise ValueError("a rate is a finite number from 0")
+            raise ValueError("a rate is a finite number of at least 0")
         if not 0.0 < self.length_s < math.inf:
-            raise ValueError("a piece lasts for more than no time")
+            raise ValueError("a piece lasts for a finite time above 0")
 
     @property
     def expected_count(self) -> float:
-        """The number of arrivals that are expected within it."""
+        """The expected number of arrivals within the piece."""
         return (self.from_per_s + self.to_per_s) / 2.0 * self.length_s
 
     def time_of(self, count: float) -> float:
-        """The time in seconds at which `count` arrivals, from 0 up to `expected_count`, are expected."""
+        """Return the time in seconds up to which `count` arrivals are expected.
+
+        Args:
+            count: The number of arrivals, from 0 to `expected_count`.
+        """
         slope = (self.to_per_s - self.from_per_s) / self.length_s
-        # This form of the quadratic's root also holds where the slope or the first rate is 0.
+        # This form of the root of the quadratic also holds if the slope or the first rate is 0.
         root = self.from_per_s + math.sqrt(max(0.0, self.from_per_s**2 + 2.0 * slope * count))
         return min(self.length_s, 2.0 * count / root) if root > 0.0 else 0.0
 
 
 def constant(rate_per_s: float) -> Iterator[Piece]:
-    """One rate, without end."""
+    """Return the pieces of a constant rate, without end."""
     return repeat(Piece(rate_per_s, rate_per_s, CONSTANT_PIECE_S))
 
 
 def bursts(on_per_s: float, on_s: float, off_per_s: float, off_s: float) -> Iterator[Piece]:
-    """Two rates in turn, without end, each for its time; `on_per_s` comes first."""
+    """Return the pieces of two alternating rates, without end; `on_per_s` comes first."""
     return cycle((Piece(on_per_s, on_per_s, on_s), Piece(off_per_s, off_per_s, off_s)))
 
 
 def ramp(from_per_s: float, to_per_s: float, over_s: float) -> Iterator[Piece]:
-    """A linear change from one rate to another, which then stays."""
+    """Return the pieces of a linear change from one rate to another, which then continues without end."""
     return chain((Piece(from_per_s, to_per_s, over_s),), constant(to_per_s))
 
 
 def wave(mean_per_s: float, swing_per_s: float, period_s: float) -> Iterator[Piece]:
-    """A sine about a mean, without end; it begins at the mean and rises.
+    """Return the pieces of a sine around a mean, without end; it begins at the mean and rises.
 
     Raises:
-        ValueError: `swing_per_s` is above `mean_per_s`, so that rates would be negative.
+        ValueError: `swing_per_s` is above `mean_per_s`, so that rates would become negative.
     """
     if swing_per_s > mean_per_s:
-        raise ValueError("a wave swings below no rate at all")
+        raise ValueError("a wave swings by at most its mean rate, since rates can't be negative")
     points = [math.sin(2.0 * math.pi * i / WAVE_PIECES) for i in range(WAVE_PIECES + 1)]
     rates = [max(0.0, mean_per_s + swing_per_s * point) for point in points]
     length_s = period_s / WAVE_PIECES
@@ -82,32 +86,32 @@
 
 
 def steps(rates_per_s: Iterable[float], each_s: float) -> Iterator[Piece]:
-    """One rate after the other, each for `each_s`; the last one stays.
+    """Return the pieces of successive rates, each for `each_s` seconds; the last continues without end.
 
     Raises:
-        ValueError: There is no rate.
+        ValueError: No rate is given.
     """
     rates = list(rates_per_s)
     if not rates:
-        raise ValueError("steps need a rate")
+        raise ValueError("steps need at least one rate")
     return chain((Piece(rate, rate, each_s) for rate in rates), constant(rates[-1]))
 
 
 def pieces_until(pieces: Iterable[Piece], length_s: float) -> Iterator[Piece]:
-    """The pieces up to a time, at which the last one is cut."""
-    left_s = length_s
+    """Return the pieces up to a time, at which the last one is cut off."""
+    remaining_s = length_s
     for piece in pieces:
-        if piece.length_s >= left_s:
-            if left_s > 0.0:
-                rate = piece.from_per_s + (piece.to_per_s - piece.from_per_s) * left_s / piece.length_s
-                yield Piece(piece.from_per_s, rate, left_s)
+        if piece.length_s >= remaining_s:
+            if remaining_s > 0.0:
+                rate = piece.from_per_s + (piece.to_per_s - piece.from_per_s) * remaining_s / piece.length_s
+                yield Piece(piece.from_per_s, rate, remaining_s)
             return
         yield piece
-        left_s -= piece.length_s
+        remaining_s -= piece.length_s
 
 
 def even_counts() -> Iterator[float]:
-    """The expected counts at which even arrivals come: each whole number, from 0 on."""
+    """Generate the expected counts of evenly spaced arrivals: each whole number, from 0."""
     count = 0.0
     while True:
         yield count
@@ -115,7 +119,7 @@
 
 
 def poisson_counts(draw: Draw) -> Iterator[float]:
-    """The expected counts at which the arrivals of a Poisson process come; one draw for each."""
+    """Generate the expected counts of the arrivals of a Poisson process, with one draw for each."""
     count = 0.0
     while True:
         count -= math.log1p(-draw())
@@ -123,12 +127,12 @@
 
 
 def send_times_us(pieces: Iterable[Piece], counts: Iterator[float], starts_us: int = 0) -> Iterator[int]:
-    """The intended send times of a schedule, in ascending order; they end with the pieces.
+    """Generate the intended send times of a schedule, in ascending order, up to the end of the last piece.
 
     Args:
         pieces: The rate over time.
-        counts: The expected counts at which arrivals come, without end.
-        starts_us: When the first piece begins.
+        counts: The expected counts at which arrivals occur, without end.
+        starts_us: When the first piece begins, in microseconds.
 
     Yields:
         Times in microseconds.
@@ -143,5 +147,5 @@
 
 
 def merge_schedules(schedules: Iterable[Iterator[int]]) -> Iterator[int]:
-    """The sum of schedules, in order of time."""
+    """Merge schedules into one, in order of time."""
     return heapq.merge(*schedules)
--- a/fordtrestle/load/plot.py
+++ b/fordtrestle/load/plot.py
@@ -1,4 +1,4 @@
-"""A report as a picture: latency over time, and the percentile curve. Needs the extra `plot`."""
+"""Plots a report: latency over time, and the percentile curve. Needs the extra `plot`."""
 
 from __future__ import annotations
 
@@ -10,20 +10,20 @@
 
 SUFFIXES = (".svg", ".png")
 QUANTILE_COLOURS = {"p50": "#4c9f70", "p90": "#3a7ca5", "p99": "#d17a22", "p999": "#b3403a", "max": "#777777"}
-MIN_SHOWN_MS = 0.001  # a logarithmic axis has no place for 0
+MIN_SHOWN_MS = 0.001  # a logarithmic axis can't show 0
 
 
 def plot(summary: dict[str, Any], path: Path) -> None:
-    """Draw a report.
+    """Write a plot of a report to a file.
 
     Raises:
         MissingLibraryError: matplotlib is not installed.
-        ValueError: The suffix is none of `SUFFIXES`.
+        ValueError: The suffix of the path is not in `SUFFIXES`.
     """
     if path.suffix not in SUFFIXES:
         raise ValueError(f"{path}: a plot ends with {' or '.join(SUFFIXES)}")
     import_library("matplotlib", "plot").use("Agg")
-    import_library("matplotlib", "plot").rcParams["svg.hashsalt"] = "load"  # the same report is the same file
+    import_library("matplotlib", "plot").rcParams["svg.hashsalt"] = "load"  # equal reports give equal files
     figure, (over_time, curve) = import_library("matplotlib.pyplot", "plot").subplots(2, 1, figsize=(10, 9))
     try:
         _draw_over_time(over_time, summary)
@@ -36,7 +36,7 @@
 
 
 def _title(summary: dict[str, Any]) -> str:
-    """The target and the seed, and what makes the figures incomplete or unsound."""
+    """Return the title: the target, the seed, and whether the run was cut or unsound."""
     marks = [mark for mark, on in (("CUT", summary["cut"]), ("UNSOUND", not summary["sound"])) if on]
     return f"{summary['target']}, seed {summary['seed']}" + "".join(f" - {mark}" for mark in marks)
 
@@ -64,7 +64,7 @@
 
 
 def _draw_percentiles(axes: Any, summary: dict[str, Any]) -> None:
-    """Draw the percentile curve, with the axis stretched towards 100 as in HdrHistogram's own plots."""
+    """Draw the percentile curve, with the axis stretched towards 100 as in the plots of HdrHistogram."""
     percentiles = [p for p in summary["curve"]["percentiles"] if p < 100.0]
     positions = [-math.log10(1.0 - p / 100.0) for p in percentiles]
     for key, label in (("latency_ms", "from the intended time"), ("service_ms", "from the send")):
--- a/fordtrestle/load/records.py
+++ b/fordtrestle/load/records.py
@@ -1,4 +1,4 @@
-"""A load as records; fields that are keys of the load file keep the key's name. Pure.
+"""The contents of a load file as records; fields that are keys of the file have the name of the key. Pure.
 
 docs/operate/load.md describes every key, and `spec.py` reads them.
 """
@@ -20,13 +20,13 @@
     """One class of requests.
 
     Attributes:
-        name: Its name.
+        name: The name of the class.
         semantics: `pure` is a GET, `keyed` a POST with an idempotency key, `unsafe` a POST without one.
-        share: Its weight among all classes.
-        budget_ms: The time after which a client gives up.
+        share: The weight of the class among all classes.
+        budget_ms: The time after which a client gives up, from the intended send time.
         aim_ms: The latency target.
-        worth: The priority weight.
-        path: The path of its requests.
+        worth: The priority weight of a request.
+        path: The path of the requests.
     """
 
     name: str
@@ -38,17 +38,17 @@
     path: str
 
     def weight(self) -> ClassWeight:
-        """What the mix needs to know of it."""
+        """Return the attributes that `Mix` needs."""
         return ClassWeight(self.name, self.share, round(self.budget_ms * 1000), self.semantics != "pure")
 
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """A rate over time.
+    """A request rate over time.
 
     Attributes:
-        make: The function of `arrivals` that makes its pieces.
-        arguments: What that function takes.
+        make: The function of `arrivals` that returns the pieces of the rate.
+        arguments: The positional arguments of that function.
     """
 
     make: Callable[..., Iterator[Piece]]
@@ -57,13 +57,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrivals:
-    """One schedule of those that are added up.
+    """One schedule of arrivals; the schedules of a load are added up.
 
     Attributes:
-        name: Its name, after which its random stream is named.
-        is_poisson: Whether its times are those of a Poisson process, else evenly spaced.
-        starts_s: When it starts.
-        shape: Its rate over time.
+        name: The name of the schedule, which also seeds its random stream.
+        is_poisson: Whether arrivals are a Poisson process; otherwise they are evenly spaced.
+        starts_s: When the schedule starts, from the start of the run.
+        shape: The request rate over time.
     """
 
     name: str
@@ -72,19 +72,19 @@
     shape: Shape
 
     def pieces_until(self, length_s: float) -> Iterator[Piece]:
-        """The pieces of its rate, from its start to the end of a run that lasts for `length_s`."""
+        """Return the pieces of the rate, from its start to the end of a run of `length_s` seconds."""
         pieces = self.shape.make(*self.shape.arguments)
         return arrivals.pieces_until(pieces, length_s - self.starts_s)
 
 
 @dataclass(frozen=True, slots=True)
 class Keys:
-    """The keys of requests.
+    """The distribution of the keys of requests.
 
     Attributes:
-        count: Distinct keys; 0: requests have none.
-        exponent: The exponent of Zipf's law, by which they are drawn.
-        share: The share of requests that have one.
+        count: The number of distinct keys; 0 if requests have no key.
+        exponent: The exponent of Zipf's law, by which keys are drawn.
+        share: The share of requests that have a key.
     """
 
     count: int
@@ -94,18 +94,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Retries:
-    """What a client does about a try that was not served.
+    """How a client retries requests that were not served.
 
     Attributes:
-        most: Retries of a request at most.
-        on: The outcomes after which a client tries again, of `RETRIED_OUTCOMES`.
+        most: The maximum of retries of a request.
+        on: The outcomes after which a client retries, from `RETRIED_OUTCOMES`.
         wait_ms: The wait before the first retry.
         doubled: Whether the wait doubles with each retry.
-        try_share: The share of the budget after which a try is given up.
-        honour_retry_after: Whether to wait for as long as the header Retry-After says.
-        honour_most_ms: The longest such wait.
+        try_share: The share of the budget after which an attempt is given up for a retry.
+        honour_retry_after: Whether to wait at least as long as the header Retry-After says.
+        honour_most_ms: The longest wait that Retry-After can cause.
         marked: Whether retries have the header X-Again.
-        listen: Whether an answer to a try that was given up still counts, until the request is over.
+        listen: Whether the response to an attempt that was given up is accepted until the request has its
+            outcome.
     """
 
     most: int = 0
@@ -121,14 +122,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Replay:
-    """A trace in place of arrivals.
+    """The replay of a trace, instead of generated arrivals.
 
     Attributes:
-        file: Its path as the load file has it.
-        speed: How many times faster than it was recorded.
-        loop: How often it is replayed.
-        from_s: The first offset of the trace that is replayed.
-        to_s: The offset before which the replay ends; None: the end of the trace.
+        file: The path of the trace, as written in the load file.
+        speed: The factor by which the replay is faster than the recording.
+        loop: How many times the trace is replayed.
+        from_s: The first offset of the trace to replay.
+        to_s: The offset before which the replay ends; None for the end of the trace.
     """
 
     file: str
@@ -140,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What a run has to meet; None: no bound."""
+    """The bounds that a run has to meet; None for no bound."""
 
     in_aim_share_least: float | None = None
     p99_most_ms: float | None = None
@@ -149,27 +150,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Spec:
-    """A complete load.
+    """The contents of a complete load file.
 
     Attributes:
-        target: Where requests are sent; a host name is resolved before the run.
-        length_s: How long the run lasts; 0 where a trace says it.
-        seed: Of all random streams.
-        workers: Processes that send.
-        open_most: Requests that are open at the same time at most, of all workers.
-        connections_most: Connections at most, of all workers.
-        grace_ms: How long after its budget an answer is still waited for.
-        lag_p99_most_ms: The 99th percentile of the sends' lag above which a run is unsound.
-        spin_ms: From so long before a request is due a worker does not sleep.
-        host: The header Host.
+        target: The address to which requests are sent; a host name is resolved before the run.
+        length_s: How long requests are sent; 0 if a trace determines it.
+        seed: The seed of all random streams.
+        workers: The number of processes that send.
+        open_most: The maximum of requests open at the same time, over all workers.
+        connections_most: The maximum of connections, over all workers.
+        grace_ms: How long after the end of its budget a response is still accepted, as late.
+        lag_p99_most_ms: The maximum of the 99th percentile of the send lag; above it a run is unsound.
+        spin_ms: How long before a request is due a worker stops sleeping and spins.
+        host: The value of the header Host.
         classes: The classes of requests.
         tenants: The name and the share of each tenant.
-        sizes: The bytes and the share of each size of bodies.
-        keys: The keys of requests.
-        arrivals: The schedules that are added up; none where a trace is replayed.
-        replay: The trace; None: arrivals.
-        retries: What clients do about tries that were not served.
-        bounds: What the run has to meet.
+        sizes: The size in bytes and the share of each body size.
+        keys: The distribution of keys.
+        arrivals: The schedules that are added up; empty if a trace is replayed.
+        replay: The trace to replay; None if `arrivals` are used.
+        retries: How clients retry.
+        bounds: The bounds that the run has to meet.
     """
 
     target: Address
--- a/fordtrestle/load/report.py
+++ b/fordtrestle/load/report.py
@@ -19,12 +19,12 @@
 
 
 def make_report(run: Run, schedule: Schedule, spec_file: str) -> dict[str, Any]:
-    """All that was measured, as JSON values.
+    """Return the report of a run as JSON values.
 
     Args:
-        run: What the generator measured.
-        schedule: What was sent.
-        spec_file: The name of the load file, as it is shown.
+        run: The results of the run.
+        schedule: The schedule that was run.
+        spec_file: The name of the load file, for display.
     """
     spec, recorder = schedule.spec, run.recorder
     unsound_reasons = run.unsound_reasons(spec)
@@ -62,7 +62,7 @@
 
 
 def _percentile_curve(recorder: Recorder) -> dict[str, Any]:
-    """The durations at `CURVE_PERCENTILES`, for plots."""
+    """Return the durations at `CURVE_PERCENTILES`, for plots."""
     return {
         "percentiles": list(CURVE_PERCENTILES),
         "latency_ms": recorder.whole.latency.percentiles_ms(CURVE_PERCENTILES),
@@ -71,7 +71,7 @@
 
 
 def check_bounds(bounds: Bounds, recorder: Recorder) -> list[dict[str, Any]]:
-    """Each bound that the load has, with what was measured and whether that meets it."""
+    """Return each bound of the load with the measured value and whether it meets the bound."""
     whole = recorder.whole.summary()
     rows = [
         ("in_aim_share_least", bounds.in_aim_share_least, whole["share_in_aim"], True),
@@ -83,7 +83,7 @@
             "name": name,
             "bound": bound,
             "measured": measured,
-            # A value that could not be measured meets no bound.
+            # If nothing was measured, the bound is not met.
             "met": measured is not None and (measured >= bound if is_minimum else measured <= bound),
         }
         for name, bound, measured, is_minimum in rows
@@ -92,12 +92,12 @@
 
 
 def meets_bounds(summary: dict[str, Any]) -> bool:
-    """Whether the run is sound, complete, and within its bounds."""
+    """Return whether the run is sound, complete, and within its bounds."""
     return bool(summary["sound"]) and not summary["cut"] and all(row["met"] for row in summary["bounds"])
 
 
 def progress_line(run: Run, now_s: float, spec: Spec) -> str:
-    """A line about a run that is under way; its quantiles are of the last closed second."""
+    """Return a line about a run in progress; its quantiles are those of the latest closed second."""
     whole, row = run.recorder.whole, run.recorder.latest_second()
     parts = [f"{now_s:5.0f} s", f"{whole.asked} ended"]
     failed = whole.asked - whole.count(Outcome.SERVED)
@@ -106,21 +106,23 @@
         parts.append("SOME NOT SENT")
     if row is not None:
         latency = row["latency_ms"]
-        parts.append(f"second {row['second']}: p50 {_ms(latency['p50'])}, p99 {_ms(latency['p99'])} ms")
+        parts.append(
+            f"second {row['second']}: p50 {_format_ms(latency['p50'])}, p99 {_format_ms(latency['p99'])} ms"
+        )
     return "  ".join(parts)
 
 
 def format_table(summary: dict[str, Any]) -> str:
-    """A report as a table with lines below it."""
+    """Format a report as a table, followed by lines on outcomes, bounds and validity."""
     rows: list[tuple[str, ...]] = [("", "asked", "served", "in aim", *QUANTILE_COLUMNS)]
     rows.append(_stats_row("all", summary["whole"]))
     for key, label in (("classes", "class"), ("tenants", "tenant")):
         if len(summary[key]) > 1:
             rows += [_stats_row(f"{label} {name or '-'}", part) for name, part in summary[key].items()]
     for name, key in (("service time", "service_ms"), ("lag of sends", "lag_ms")):
-        rows.append((name, "", "", "", *(_ms(summary[key][column]) for column in QUANTILE_COLUMNS)))
-    ran = f"{summary['length_s']:g} s, seed {summary['seed']}, {summary['workers']} workers"
-    lines = [f"{summary['target']}: {ran}", ""]
+        rows.append((name, "", "", "", *(_format_ms(summary[key][column]) for column in QUANTILE_COLUMNS)))
+    run_line = f"{summary['length_s']:g} s, seed {summary['seed']}, {summary['workers']} workers"
+    lines = [f"{summary['target']}: {run_line}", ""]
     lines += [*_align_columns(rows), "", _outcomes_line(summary["whole"])]
     if summary["retries"]:
         crossed = summary["workers_told"].get("crossed", 0)
@@ -133,15 +135,15 @@
 
 
 def _stats_row(name: str, part: dict[str, Any]) -> tuple[str, ...]:
-    """The row of one part of a run: its name, counts, share within the aim, and quantiles."""
+    """Return the row of one part of a run: name, counts, share within the latency target, quantiles."""
     share = part["share_in_aim"]
-    aim = "-" if share is None else f"{share:.4f}"
-    took = (_ms(part["latency_ms"][column]) for column in QUANTILE_COLUMNS)
-    return (name, str(part["asked"]), str(part["outcomes"]["served"]), aim, *took)
+    share_text = "-" if share is None else f"{share:.4f}"
+    quantiles = (_format_ms(part["latency_ms"][column]) for column in QUANTILE_COLUMNS)
+    return (name, str(part["asked"]), str(part["outcomes"]["served"]), share_text, *quantiles)
 
 
 def _outcomes_line(whole: dict[str, Any]) -> str:
-    """How many requests had each outcome that came up."""
+    """Return a line with the number of requests for each outcome that occurred."""
     outcomes = [f"{name.replace('_', ' ')} {count}" for name, count in whole["outcomes"].items() if count]
     return (
         "ends: "
@@ -151,18 +153,18 @@
 
 
 def _bound_line(row: dict[str, Any]) -> str:
-    """Whether one bound is met, and by what."""
+    """Return a line on whether a bound is met, with the measured value."""
     measured = "nothing" if row["measured"] is None else f"{row['measured']:g}"
     return f"{'met' if row['met'] else 'NOT MET'}: {row['name']} {row['bound']:g}, measured {measured}"
 
 
-def _ms(value: float | None) -> str:
-    """Milliseconds with two digits, or a dash for none."""
+def _format_ms(value: float | None) -> str:
+    """Return milliseconds with two decimals, or a dash for None."""
     return "-" if value is None else f"{value:.2f}"
 
 
 def _align_columns(rows: list[tuple[str, ...]]) -> list[str]:
-    """The rows as lines, with the first column to the left and the others to the right."""
+    """Return the rows as lines, with the first column left-aligned and the others right-aligned."""
     widths = [max(len(row[column]) for row in rows) for column in range(len(rows[0]))]
     return [
         "  ".join(
--- a/fordtrestle/load/schedule.py
+++ b/fordtrestle/load/schedule.py
@@ -1,4 +1,4 @@
-"""A load's requests in order of their intended times, the same for a spec and its seed."""
+"""Generates the requests of a load in order of their intended times, reproducibly for a spec and its seed."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """All that is to be sent.
+    """The requests to send in a run.
 
     Attributes:
-        spec: The load file.
-        length_us: From the start to the last moment at which a request may be due, in microseconds.
+        spec: The parsed load file.
+        length_us: The time from the start up to which requests may be due, in microseconds.
         tenants: The names of all tenants.
         max_budget_us: The longest budget of a request, in microseconds.
-        trace: The trace that is replayed; None: the spec's arrivals.
-        trace_length_us: How long that trace lasts, in microseconds.
+        trace: The trace to replay; None if the arrivals of the spec are used.
+        trace_length_us: The duration of that trace, in microseconds; 0 without a trace.
     """
 
     spec: Spec
@@ -35,10 +35,10 @@
     trace_length_us: int = 0
 
     def requests(self) -> Iterator[Request]:
-        """The requests, lazily.
+        """Return an iterator over the requests, which are generated lazily.
 
         Raises:
-            TraceError: The trace has changed since it was inspected.
+            TraceError: The trace has changed since it was inspected and is no longer valid.
         """
         spec = self.spec
         if self.trace is not None:
@@ -51,7 +51,7 @@
         return mix.requests(times_us, random.Random(f"mix/{spec.seed}").random)
 
     def _send_times_us(self, arrivals: Arrivals) -> Iterator[int]:
-        """The times of one schedule, whose random stream is named after it and the seed."""
+        """Return the send times of one schedule; its random stream is seeded with its name and the seed."""
         draw = random.Random(f"arrivals/{arrivals.name}/{self.spec.seed}").random
         counts = poisson_counts(draw) if arrivals.is_poisson else even_counts()
         pieces = arrivals.pieces_until(self.length_us / US_PER_S)
@@ -59,15 +59,15 @@
 
 
 def make_schedule(spec: Spec, folder: Path) -> Schedule:
-    """The schedule of a spec; a trace is read to its end.
+    """Return the schedule of a spec; if it replays a trace, the complete trace is read and checked.
 
     Args:
-        spec: The load file.
-        folder: Where the load file is; the path of its trace is relative to it.
+        spec: The parsed load file.
+        folder: The folder of the load file; the path of its trace is relative to it.
 
     Raises:
-        TraceError: The file is no complete trace, has classes that the spec does not have, or ends
-            before the range that is replayed.
+        TraceError: The file is not a complete trace, has classes that are missing in the spec, or ends
+            before the range to replay.
     """
     if spec.replay is not None:
         return _replay_schedule(spec, spec.replay, folder / spec.replay.file)
@@ -80,18 +80,18 @@
 
 
 def _replay_schedule(spec: Spec, replay: Replay, path: Path) -> Schedule:
-    """The schedule of a spec that replays the trace at `path`."""
+    """Return the schedule of a spec that replays the trace at `path`."""
     summary = trace.inspect(path)
     unknown = sorted(summary.classes.keys() - {each.name for each in spec.classes})
     if unknown:
         raise TraceError(f"{path}: class: the load has no [class.{unknown[0]}]")
-    part = _replay_range(replay)
-    to_us = summary.length_us if part.to_us is None else min(part.to_us, summary.length_us)
-    if to_us <= part.from_us:
+    replay_range = _replay_range(replay)
+    to_us = summary.length_us if replay_range.to_us is None else min(replay_range.to_us, summary.length_us)
+    if to_us <= replay_range.from_us:
         raise TraceError(f"{path}: from_s: nothing is left of {summary.length_us / US_PER_S:g} s")
     return Schedule(
         spec=spec,
-        length_us=round((to_us - part.from_us) / part.speed * part.loop),
+        length_us=round((to_us - replay_range.from_us) / replay_range.speed * replay_range.loop),
         tenants=tuple(sorted(summary.tenants)),
         max_budget_us=summary.max_budget_us,
         trace=path,
@@ -100,6 +100,6 @@
 
 
 def _replay_range(replay: Replay) -> trace.ReplayRange:
-    """The part of the trace that a spec asks for, in microseconds."""
+    """Return the part of the trace to replay, in microseconds."""
     to_us = None if replay.to_s is None else round(replay.to_s * US_PER_S)
     return trace.ReplayRange(round(replay.from_s * US_PER_S), to_us, replay.speed, replay.loop)
--- a/fordtrestle/load/spec.py
+++ b/fordtrestle/load/spec.py
@@ -1,4 +1,4 @@
-"""Parses the load file: what is sent, where, when, and the bounds that a run has to meet. Pure.
+"""Parses the load file: the target, the requests, their times, and the bounds of a run. Pure.
 
 All errors of a file are reported at once, each as `FILE: table.key: reason`. docs/operate/load.md describes
 every key.
@@ -21,17 +21,17 @@
 HOST = re.compile(r"[A-Za-z0-9.:\[\]_-]{1,255}")
 PATH = re.compile(r"/[!-~]{0,1000}")
 FILE = re.compile(r"[^\x00-\x1f\x7f]{1,4096}")
-MAX_NAMES = 64  # of classes, tenants, sizes and arrivals; classes and tenants have statistics each
+MAX_NAMES = 64  # classes, tenants, sizes or arrivals; each class and tenant has statistics of its own
 MAX_WORKERS = 64
 MAX_SEED = 2**63
-MAX_OPEN = 1_000_000  # requests, and connections, that are open at the same time
-MAX_RATE_PER_S = 1_000_000.0  # one request a microsecond, which is the unit of send times
+MAX_OPEN = 1_000_000  # open requests, and open connections
+MAX_RATE_PER_S = 1_000_000.0  # one request per microsecond, the unit of send times
 MAX_SHARE = 1e9
 MAX_STEPS = 10_000
-MAX_NOT_SENT = 2**40  # more than any run can hold
+MAX_NOT_SENT = 2**40  # more requests than any run can have
 DAY_S = 86_400.0
-MIN_PIECE_S = 0.0001  # shorter ones would make a schedule of changes of rate only
-MIN_WAVE_S = 0.01  # so that its linear pieces are no shorter than that
+MIN_PIECE_S = 0.0001  # with shorter pieces a schedule would consist of rate changes only
+MIN_WAVE_S = 0.01  # so that the linear pieces of a wave are not shorter than `MIN_PIECE_S`
 MAX_BUDGET_MS = 60_000.0
 SEMANTICS = ("pure", "keyed", "unsafe")
 SHAPES = ("constant", "bursts", "ramp", "wave", "steps")
@@ -42,11 +42,11 @@
     """Parse a load file.
 
     Args:
-        text: What the file holds.
-        file: Its name, for errors.
+        text: The contents of the file.
+        file: The name of the file, for error messages.
 
     Raises:
-        SpecError: The file is not valid; it holds all errors.
+        SpecError: The file is not valid; the exception has all errors.
     """
     try:
         raw = tomllib.loads(text)
@@ -59,23 +59,23 @@
     return spec
 
 
-# Values that are not valid are added to the errors of the file, and any valid one is returned in their place.
+# For an invalid value, the functions below record an error of the file and return any valid value instead.
 
 
 def _number(table: TomlTable, key: str, default: float | None, low: float, high: float) -> float:
-    """A number within `low` to `high`; required where it has no default."""
+    """Return a number from `low` to `high`; the key is required if there is no default."""
     value = table.number(key, default, low, high, required=default is None)
     return low if value is None else value
 
 
 def _integer(table: TomlTable, key: str, default: int | None, low: int, high: int) -> int:
-    """A whole number within `low` to `high`; required where it has no default."""
+    """Return an integer from `low` to `high`; the key is required if there is no default."""
     value = table.integer(key, default, low, high, required=default is None)
     return low if value is None else value
 
 
 def _named_tables(root: TomlTable, key: str) -> Iterator[tuple[str, TomlTable]]:
-    """The tables `[key.NAME]`; no name begins with -, which means none in a trace."""
+    """Return the tables `[key.NAME]`; a name can't begin with -, which stands for no name in a trace."""
     for number, (name, table) in enumerate(root.named_tables(key)):
         if name.startswith("-") or number >= MAX_NAMES:
             root.add_error(key, f"{name}: at most {MAX_NAMES} names, and none begins with -")
@@ -96,7 +96,7 @@
         grace_ms=_number(run, "grace_ms", 0.0, 0.0, MAX_BUDGET_MS),
         lag_p99_most_ms=_number(run, "lag_p99_most_ms", 1.0, 0.001, 10_000.0),
         spin_ms=_number(run, "spin_ms", 3.0, 0.0, 1000.0),
-        host=target.text("host", "api.internal", HOST, "a name as the field Host has it"),
+        host=target.text("host", "api.internal", HOST, "a value of the header Host"),
         classes=tuple(_read_class(name, table) for name, table in _named_tables(root, "class")),
         tenants=tuple((name, _read_share(table)) for name, table in _named_tables(root, "tenant"))
         or (("", 1.0),),
@@ -117,7 +117,7 @@
 
 
 def _check_tables_together(root: TomlTable, spec: Spec) -> None:
-    """Add the errors that no table shows alone."""
+    """Record the errors that involve several tables."""
     class_shares = [each.share for each in spec.classes]
     tenant_shares = [share for _, share in spec.tenants]
     for key, shares in (("class", class_shares), ("tenant", tenant_shares)):
@@ -130,10 +130,10 @@
     if spec.replay:
         for key in ("arrivals", "tenant", "keys", "size"):
             if root.has(key):
-                root.add_error(key, "a trace tells that; leave one of the two out")
+                root.add_error(key, "not allowed with a trace, which determines it; remove one of the two")
     for name in ("open_most", "connections_most"):
         if getattr(spec, name) < spec.workers:
-            root.errors.add(f"run.{name}", "each worker needs one at least")
+            root.errors.add(f"run.{name}", "each worker needs at least one")
 
 
 def _read_share(table: TomlTable) -> float:
@@ -159,12 +159,12 @@
 
 def _read_sizes(root: TomlTable) -> tuple[tuple[int, float], ...]:
     sizes = []
-    for table in root.array_of_tables("size")[: MAX_NAMES + 1]:  # one more shows that there are too many
+    for table in root.array_of_tables("size")[: MAX_NAMES + 1]:  # one more than allowed, to detect too many
         size = _integer(table, "bytes", None, 0, MAX_BODY_BYTES)
         sizes.append((size, _number(table, "share", 1.0, 0.0, MAX_SHARE)))
         table.reject_unknown_keys()
     if len(sizes) > MAX_NAMES or (sizes and not sum(share for _, share in sizes) > 0.0):
-        root.add_error("size", f"at most {MAX_NAMES}, and one share above 0")
+        root.add_error("size", f"expected at most {MAX_NAMES} sizes, with at least one share above 0")
     return tuple(sizes) or ((0, 1.0),)
 
 
@@ -183,9 +183,9 @@
     spacing = table.choice("spacing", ("poisson", "even"), "poisson")
     starts_s = _number(table, "starts_s", 0.0, 0.0, DAY_S)
     if starts_s >= length_s > 0.0:
-        table.add_error("starts_s", "it starts after the run has ended")
+        table.add_error("starts_s", f"expected less than run.length_s ({length_s:g}), not {starts_s:g}")
     shape = Shape(arrivals.constant, (0.0,))
-    if shape_name:  # else it is not known which keys the table may have
+    if shape_name:  # otherwise the keys of the table are unknown
         shape = _read_shape(shape_name, table)
         table.reject_unknown_keys()
     return Arrivals(name, spacing == "poisson", starts_s, shape)
@@ -202,14 +202,14 @@
         case "constant":
             return Shape(arrivals.constant, (rate("rate_per_s"),))
         case "bursts":
-            figures = (rate("on_per_s"), length("on_s"), rate("off_per_s"), length("off_s"))
-            return Shape(arrivals.bursts, figures)
+            arguments = (rate("on_per_s"), length("on_s"), rate("off_per_s"), length("off_s"))
+            return Shape(arrivals.bursts, arguments)
         case "ramp":
             return Shape(arrivals.ramp, (rate("from_per_s"), rate("to_per_s"), length("over_s")))
         case "wave":
             mean, swing = rate("mean_per_s"), rate("swing_per_s")
             if swing > mean:
-                table.add_error("swing_per_s", "more than mean_per_s")
+                table.add_error("swing_per_s", "expected at most mean_per_s")
             return Shape(arrivals.wave, (mean, swing, length("period_s", MIN_WAVE_S)))
     rates = table.numbers("rates_per_s", 0.0, MAX_RATE_PER_S, MAX_STEPS)
     return Shape(arrivals.steps, (rates, length("each_s")))
@@ -226,7 +226,7 @@
         to_s=to_s if math.isfinite(to_s) else None,
     )
     if replay.to_s is not None and replay.to_s <= replay.from_s:
-        table.add_error("to_s", "not after from_s")
+        table.add_error("to_s", "expected more than from_s")
     table.reject_unknown_keys()
     return replay
 
@@ -234,7 +234,7 @@
 def _read_retries(table: TomlTable) -> Retries:
     default = Retries()
     on = table.identifiers("on") if table.has("on") else default.on
-    if not all(word in RETRIED_OUTCOMES for word in on):
+    if not all(outcome in RETRIED_OUTCOMES for outcome in on):
         table.add_error("on", f"expected some of {', '.join(RETRIED_OUTCOMES)}")
     retries = Retries(
         most=_integer(table, "most", default.most, 0, 10),
@@ -252,7 +252,7 @@
 
 
 def _read_bounds(table: TomlTable) -> Bounds:
-    # All keys are read, so that each is known, and then those that the table has are kept.
+    # All keys are read, since `reject_unknown_keys` rejects keys that were not; those in the table are kept.
     in_aim_share_least = _number(table, "in_aim_share_least", 0.0, 0.0, 1.0)
     p99_most_ms = _number(table, "p99_most_ms", 0.0, 0.0, MAX_BUDGET_MS)
     not_sent_most = _integer(table, "not_sent_most", 0, 0, MAX_NOT_SENT)
--- a/fordtrestle/load/wire.py
+++ b/fordtrestle/load/wire.py
@@ -1,7 +1,7 @@
-"""A client's side of HTTP/1.1: the bytes of a request, and the responses on one connection. Pure.
+"""The client side of HTTP/1.1: encodes requests, and parses the responses on a connection. Pure.
 
-Requests have the headers of the platform's protocol (docs/PROTOCOL): a new id with each attempt, the class in
-a header and in the path, the budget with its unit, and for a keyed class the same key with each attempt.
+Requests have the headers of the platform's protocol (docs/PROTOCOL): a new id for each attempt, the class in
+a header and in the path, the budget with its unit, and for a keyed class the same key in each attempt.
 """
 
 from __future__ import annotations
@@ -12,23 +12,23 @@
 
 from fordtrestle.load.errors import ResponseError
 
-MAX_RESPONSE_BODY_BYTES = 2 * 1024 * 1024  # bodies are not kept, only counted
+MAX_RESPONSE_BODY_BYTES = 2 * 1024 * 1024  # bodies are counted, not stored
 MAX_RESPONSE_HEAD_BYTES = 64 * 1024  # bounds what a malformed response makes the parser read
-MAX_RETRY_AFTER_S = 1e9  # longer ones are not meant
+MAX_RETRY_AFTER_S = 1e9  # a value that is not below this is ignored
 FILLER = b"0123456789abcde\n"
 METHODS = {"pure": b"GET", "keyed": b"POST", "unsafe": b"POST"}
-FIRST_FINAL_STATUS = 200  # lower ones are of interim responses (RFC 9110, 15.2)
+FIRST_FINAL_STATUS = 200  # lower statuses are interim responses (RFC 9110, 15.2)
 STATUSES_WITHOUT_BODY = (204, 304)
 
 
 def filler(size: int) -> bytes:
-    """A body of `size` bytes."""
+    """Return a request body of `size` bytes."""
     return (FILLER * (size // len(FILLER) + 1))[:size]
 
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """What all requests of a class have in common."""
+    """The part of the request head that all requests of a class share."""
 
     class_name: str
     semantics: str
@@ -36,7 +36,7 @@
     host: str
 
     def encode(self) -> bytes:
-        """The first lines of each request."""
+        """Return the first lines of a request."""
         return b"%b %b HTTP/1.1\r\nHost: %b\r\nX-Call-Class: %b\r\n" % (
             METHODS[self.semantics],
             self.path.encode(),
@@ -46,42 +46,44 @@
 
 
 def encode_budget(budget_us: int) -> bytes:
-    """The value of X-Budget: in milliseconds (`m`) if they are whole, else in microseconds (`u`)."""
+    """Return the value of X-Budget: in whole milliseconds (`m`) if possible, else in microseconds (`u`)."""
     return b"%dm" % (budget_us // 1000) if budget_us % 1000 == 0 else b"%du" % budget_us
 
 
 class RequestTemplate:
-    """The bytes of one request that all its attempts share."""
+    """The bytes that all attempts of a request share."""
 
-    __slots__ = ("_back", "_front")
+    __slots__ = ("_after_budget", "_before_id")
 
     def __init__(self, head: bytes, semantics: str, tenant: str, key: str, token: str, size: int) -> None:
-        """Encode them.
+        """Encode the shared bytes.
 
         Args:
-            head: The class's `RequestHead`, encoded.
-            semantics: The class's semantics.
-            tenant: The caller; empty: none.
-            key: The user in the cookie; empty: none.
+            head: The encoded `RequestHead` of the class.
+            semantics: The semantics of the class.
+            tenant: The value of X-Caller; empty for none.
+            key: The user in the cookie; empty for none.
             token: The idempotency key, which only a keyed class sends.
-            size: Bytes of the body, which a pure class does not have.
+            size: The size of the body in bytes; a pure class sends none.
         """
-        self._front = head
-        rows = [f"X-Caller: {tenant}\r\n" if tenant else "", f"Cookie: user={key}\r\n" if key else ""]
+        self._before_id = head
+        lines = [f"X-Caller: {tenant}\r\n" if tenant else "", f"Cookie: user={key}\r\n" if key else ""]
         if semantics == "keyed":
-            rows.append(f"Idempotency-Key: {token}\r\n")
+            lines.append(f"Idempotency-Key: {token}\r\n")
         if semantics != "pure":
-            rows.append(f"Content-Length: {size}\r\n")
-        self._back = "".join(rows).encode() + b"\r\n" + (filler(size) if semantics != "pure" else b"")
+            lines.append(f"Content-Length: {size}\r\n")
+        self._after_budget = (
+            "".join(lines).encode() + b"\r\n" + (filler(size) if semantics != "pure" else b"")
+        )
 
     def encode_attempt(self, call_id: str, budget_us: int, is_marked: bool) -> bytes:
-        """The complete bytes of one attempt; a marked one says that it is a retry."""
+        """Return the bytes of one attempt; a marked one carries X-Again, which says that it is a retry."""
         return b"%bX-Call-Id: %b\r\nX-Budget: %b\r\n%b%b" % (
-            self._front,
+            self._before_id,
             call_id.encode(),
             encode_budget(budget_us),
             b"X-Again: 1\r\n" if is_marked else b"",
-            self._back,
+            self._after_budget,
         )
 
 
@@ -89,11 +91,11 @@
     """Parses the responses on one connection, one after the other.
 
     Attributes:
-        status: The status of the present response; 0: not known yet.
-        has_received: Whether any byte has come for the present request.
-        is_complete: Whether the present response is complete.
-        can_keep_alive: Whether the connection can carry another request after it.
-        retry_after_s: The value of Retry-After in seconds; None: none, or a date.
+        status: The status of the current response; 0 if it is not known yet.
+        has_received: Whether any byte was received since `begin`.
+        is_complete: Whether the current response is complete.
+        can_keep_alive: Whether the connection can carry another request after the current response.
+        retry_after_s: The value of Retry-After in seconds; None if it is absent, a date, or out of range.
     """
 
     def __init__(self) -> None:
@@ -112,7 +114,7 @@
         """Parse received bytes.
 
         Raises:
-            ResponseError: They are no response to one request, or a larger one than any.
+            ResponseError: The bytes are not one valid response, or the response is too large.
         """
         self.has_received = True
         try:
@@ -122,26 +124,26 @@
         if not self._has_head:
             self._head_bytes += len(data)
         if self._head_bytes > MAX_RESPONSE_HEAD_BYTES or self._body_bytes > MAX_RESPONSE_BODY_BYTES:
-            raise ResponseError("larger than any answer")
+            raise ResponseError("the head or the body of the response is too large")
 
     def on_connection_closed(self) -> bool:
-        """Return whether the response is complete, as one without a length is at the connection's end."""
+        """Return whether the response is complete; one without a length ends with the connection."""
         self.is_complete = self.is_complete or (self._has_head and not self._has_length)
         return self.is_complete
 
     def close(self) -> None:
-        """Release the parser, which refers back: without the cycle all memory is free at once."""
+        """Drop the parser, which refers back to the reader; without the cycle all memory is freed at once."""
         del self._parser
 
     # --- called by the parser --------------------------------------------------
 
     def on_message_begin(self) -> None:
-        """Reject a second response in the bytes of the first, which would be taken for the next one's."""
+        """Reject a second response to the same request, which would be taken for that to the next request."""
         if self.is_complete:
-            raise ResponseError("more than one answer")
+            raise ResponseError("more than one response to a request")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take note of the headers that give the body's length, and of Retry-After."""
+        """Handle the headers that determine the length of the body, and Retry-After."""
         name = name.lower()
         if name in (b"content-length", b"transfer-encoding"):
             self._has_length = True
@@ -153,14 +155,14 @@
             self.retry_after_s = seconds if 0.0 <= seconds < MAX_RETRY_AFTER_S else None
 
     def on_headers_complete(self) -> None:
-        """Take the status, unless it is an interim response's."""
+        """Store the status, unless the response is an interim one."""
         status = self._parser.get_status_code()
         if status >= FIRST_FINAL_STATUS:
             self.status, self._has_head = status, True
             self._has_length = self._has_length or status in STATUSES_WITHOUT_BODY
 
     def on_body(self, data: bytes) -> None:
-        """Count the bytes."""
+        """Count the bytes of the body."""
         self._body_bytes += len(data)
 
     def on_message_complete(self) -> None:
--- a/tests/load/test_generator.py
+++ b/tests/load/test_generator.py
@@ -139,7 +139,7 @@
     assert ends(samples) == {"SERVED": 4}
     assert run.recorder.retries == 4
     served = [s for s in samples if s.outcome == Outcome.SERVED]
-    assert {s.tries for s in served} == {2}
+    assert {s.attempts for s in served} == {2}
     assert all(s.latency_ns - s.service_ns >= 30_000_000 for s in served)  # from the first try's time
     assert len({field(head, "X-Call-Id") for head in server.requests}) == 8
     keys = Counter(field(head, "Idempotency-Key") for head in server.requests)
@@ -147,11 +147,11 @@
     assert len(keys) == 4
 
 
-@pytest.mark.parametrize(("status", "tries"), [(503, 3), (500, 1)])
-def test_an_unsafe_request_is_retried_only_after_a_refusal(status, tries):
+@pytest.mark.parametrize(("status", "attempts"), [(503, 3), (500, 1)])
+def test_an_unsafe_request_is_retried_only_after_a_refusal(status, attempts):
     with StandIn(lambda number, head: answer(status)) as server:
         _, samples = sent(server.port, rate=20, semantics="unsafe", more=RETRY)
-    assert len(server.requests) == 4 * tries
+    assert len(server.requests) == 4 * attempts
     assert ends(samples) == {"REFUSED" if status == 503 else "FAILED": 4}
 
 
@@ -189,7 +189,7 @@
         run, samples = sent(server.port, rate=10, length_s=0.3, budget_ms=2000, more=more)
     assert ends(samples) == {"SERVED": 3}
     assert run.counts["crossed"] == 0
-    assert {s.tries for s in samples if s.outcome == Outcome.SERVED} == {2}
+    assert {s.attempts for s in samples if s.outcome == Outcome.SERVED} == {2}
 
 
 def test_bytes_without_a_request_close_the_connection():
--- a/tests/load/test_mix.py
+++ b/tests/load/test_mix.py
@@ -72,5 +72,7 @@
     [lambda: WeightedChoice([]), lambda: WeightedChoice([0.0]), lambda: zipf_choice(MAX_KEYS + 1, 1.0)],
 )
 def test_weights_without_one_above_0_and_too_many_keys_are_rejected(make):
-    with pytest.raises(ValueError, match=r"shares need one above 0|keys are from 1 to"):
+    with pytest.raises(
+        ValueError, match=r"at least one share above 0|expected 1 to 1000000 keys, not 1000001"
+    ):
         make()
--- a/tests/load/test_recorder.py
+++ b/tests/load/test_recorder.py
@@ -174,7 +174,7 @@
 def test_closed_seconds_keep_no_histogram():
     """The library's histograms are in cycles; without a collection each second would keep some megabytes."""
     made = recorded([sample(at_us=second * 1_000_000) for second in range(5)])
-    kept = [weakref.ref(part.latency._counts) for part in made._seconds.values()]
+    kept = [weakref.ref(part.latency._counts) for part in made._open_seconds.values()]
     gc.disable()
     try:
         made.close_seconds()
--- a/tests/load/test_spec.py
+++ b/tests/load/test_spec.py
@@ -97,11 +97,15 @@
         ("length_s = 4\n", "", "run.length_s: missing"),
         ("length_s = 4", "length = 4", "run.length: no such key"),
         ("seed = 3", "seed = true", "run.seed: expected a whole number, not true"),
-        ("workers = 2", "workers = 2\nopen_most = 1", "run.open_most: each worker needs one at least"),
+        ("workers = 2", "workers = 2\nopen_most = 1", "run.open_most: each worker needs at least one"),
         ('"constant"', '"flat"', "arrivals.base.shape: expected one of constant, bursts"),
         ("rate_per_s = 200", "rate_per_s = -1", "arrivals.base.rate_per_s: -1 is not within"),
         ("rate_per_s = 200", "rate_per_s = 200\nswing_per_s = 1", "arrivals.base.swing_per_s: no such key"),
-        ("starts_s = 1", "starts_s = 4", "arrivals.volley.starts_s: it starts after the run"),
+        (
+            "starts_s = 1",
+            "starts_s = 4",
+            "arrivals.volley.starts_s: expected less than run.length_s (4), not 4",
+        ),
         ("share = 3\nbudget_ms = 500", "share = 3", "class.look.budget_ms: missing"),
         ('"unsafe"', '"bad"', 'class.pay.semantics: expected one of pure, keyed, unsafe, not "bad"'),
         ("[class.pay]", '[class."p y"]', 'class."p y": a name is a plain word'),
@@ -109,7 +113,7 @@
         ("bytes = 200", "bytes = 65537", "size[0].bytes: 65537 is not within"),
         ("count = 100", "count = 1000001", "keys.count: 1000001 is not within"),
         ('"failed"]', '"late"]', "retries.on: expected some of refused"),
-        ("[bounds]", '[trace]\nfile = "x"\n[bounds]', "arrivals: a trace tells that"),
+        ("[bounds]", '[trace]\nfile = "x"\n[bounds]', "arrivals: not allowed with a trace"),
         ("[bounds]", "[bonds]", "bonds: no such key; did you mean bounds?"),
         ("[class.pay]", "[class.-pay]", "class: -pay: at most 64 names, and none begins with -"),
         (
@@ -154,7 +158,7 @@
         'shape = "constant"\nrate_per_s = 200',
         'shape = "wave"\nmean_per_s = 1\nswing_per_s = 2\nperiod_s = 1',
     )
-    assert errors_of(text) == ["f.toml: arrivals.base.swing_per_s: more than mean_per_s"]
+    assert errors_of(text) == ["f.toml: arrivals.base.swing_per_s: expected at most mean_per_s"]
 
 
 def test_the_same_seed_gives_the_same_schedule_byte_for_byte(tmp_path):
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -62,22 +62,22 @@
     ("old", "new", "line", "expected"),
     [
         ("#fordtrestle-trace 1", "#fordtrestle-trace 2", 1, "expected '#fordtrestle-trace 1'"),
-        ("10 pay", "10  pay", 3, "7 fields"),
+        ("10 pay", "10  pay", 3, "expected 6 fields, not 7"),
         ("0 look acme 00ff 500000 0", "x look acme 00ff 500000 0", 2, "offset_us: 'x'"),
         ("0 look acme 00ff 500000 0", "-1 look acme 00ff 500000 0", 2, "offset_us: '-1'"),
-        ("10 look other", "9 look other", 4, "offset_us: the clock goes back from 10 to 9"),
+        ("10 look other", "9 look other", 4, "offset_us: expected at least 10 as in the line before, not 9"),
         ("10 pay", "10 p/y", 3, "class: 'p/y'"),
         ("10 pay -", "10 pay \x00", 3, "tenant"),
         ("look other k-1", "look other k\t1", 4, "key"),
         ("k-1 1 0", "k-1 0 0", 4, "budget_us: 0 is not within"),
         ("65536", "65537", 3, "size: 65537 is not within"),
         ("65536", "6\u00e95536", 3, "not ASCII"),
-        ("#end 4 3000000\n", "", 6, "the file ends amid its lines"),
-        ("#end 4 3000000\n", "#end 4 30", 6, "the file ends amid its lines"),
-        ("#end 4", "#end 5", 6, "requests: 4 lines, but 5 were written"),
+        ("#end 4 3000000\n", "", 6, "the file is truncated"),
+        ("#end 4 3000000\n", "#end 4 30", 6, "the file is truncated"),
+        ("#end 4", "#end 5", 6, "requests: the file has 4, but its last line says 5"),
         ("#end 4 3000000", "#end 4 2499999", 6, "length_us"),
         ("#end 4 3000000", "#end 4", 6, "expected '#end REQUESTS LENGTH_US'"),
-        ("#end 4 3000000\n", "#end 4 3000000\n\n", 7, "a line after"),
+        ("#end 4 3000000\n", "#end 4 3000000\n\n", 7, "expected no line after '#end'"),
         ("10 pay", "1" * 600 + " pay", 3, "longer than 512 bytes"),
     ],
 )
@@ -109,7 +109,9 @@
 
 @pytest.mark.parametrize("rows", [[ROWS[3], ROWS[0]], [Request(0, "a b", "", "", 1, 0)]])
 def test_requests_out_of_order_or_with_invalid_names_are_not_written(path, rows):
-    with pytest.raises(ValueError, match=r"is meant for before|class: 'a'|7 fields"):
+    with pytest.raises(
+        ValueError, match=r"is due before the previous one|class: 'a'|expected 6 fields, not 7"
+    ):
         trace.write(path, rows)
 
 
@@ -129,7 +131,7 @@
 
 @pytest.mark.parametrize("cut", [{"speed": 0.0}, {"loop": 0}, {"from_us": 5, "to_us": 5}, {"from_us": -1}])
 def test_invalid_ranges_are_rejected(cut):
-    with pytest.raises(ValueError, match=r"a speed above 0|a cut ends after"):
+    with pytest.raises(ValueError, match=r"a finite speed above 0|a range that ends after its start"):
         ReplayRange(**cut)
 
 
