--- a/fordtrestle/control_api/withdrawals.py
+++ b/fordtrestle/control_api/withdrawals.py
@@ -18,7 +18,7 @@
 from fordtrestle.peer.gossip import Gossip
 from fordtrestle.peer.link import Link
 from fordtrestle.peer.mesh import Mesh
-from fordtrestle.replication.epochs import Epoch, Store, majority
+from fordtrestle.replication.epochs import Epoch, Store, is_majority
 
 # Of the second that a server waits for its acknowledgement (PROTOCOL: service discovery).
 CONFIRM_TIMEOUT_S = 0.7
@@ -125,7 +125,7 @@
 async def _is_held_by_majority(pending: _Pending, witnesses: list[str]) -> bool:
     try:
         async with asyncio.timeout(CONFIRM_TIMEOUT_S):
-            while not majority(pending.holders, witnesses):
+            while not is_majority(pending.holders, witnesses):
                 pending.changed.clear()
                 await pending.changed.wait()
     except TimeoutError:
--- a/fordtrestle/replication/__init__.py
+++ b/fordtrestle/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Control state: epochs, witnesses, primary and backups. Pure: time, messages and disk are handed in."""
+"""Replication of control state. Pure: callers pass in the time, messages and what the disk has synced."""
--- a/fordtrestle/replication/bootstrap.py
+++ b/fordtrestle/replication/bootstrap.py
@@ -1,16 +1,17 @@
-"""When a core that has no epoch yet is bootstrapped, by which store, and with which witnesses. Pure.
+"""Decides when a core without an epoch is bootstrapped, by which store and with which witnesses. Pure.
 
-It takes a complete core, 2 * tolerated_failures + 1 stores: with fewer witnesses the loss of as many disks as
-are tolerated, while the others have yet to come, would leave no majority for ever.
+Bootstrapping requires a complete core of 2 * tolerated_failures + 1 stores. With fewer witnesses, losing
+tolerated_failures disks before the remaining stores join would leave the core without a majority for ever.
 
-The founder, the store that was told to bootstrap (`bootstrap`) and whose disk says so as long as it has voted
-for no epoch, opens the first one. It votes for it first, on disk, so that as long as it has not voted nobody
-has.
+The founder is the store whose settings say `bootstrap`; its disk records this until it has voted for an
+epoch. The founder opens the first epoch and syncs its own vote before it asks any other store, so as long as
+the founder has not voted, no store has.
 
-Where its record was lost, with a disk or with the power before it was synced, no single store can tell a core
-that never formed from one that it has forgotten. All of a complete core together can: an epoch that was
-opened has the votes of tolerated_failures + 1 of them, and at most tolerated_failures disks are lost. So
-where none of them knows of an epoch, none was opened. They all prepare, and the first of them opens one.
+If the founder's record is lost, with its disk or by a power loss before the sync, no single store can
+distinguish a core that never formed from one that it has forgotten. The stores of a complete core together
+can: an opened epoch has the votes of tolerated_failures + 1 of them, and at most tolerated_failures disks are
+lost. If none of them knows of an epoch, none was opened. All of them prepare, and the store with the smallest
+id opens the first epoch.
 """
 
 from __future__ import annotations
@@ -22,80 +23,88 @@
 from fordtrestle.replication.messages import Announce
 from fordtrestle.replication.witness_plan import plan_witnesses
 
-UNANIMOUS_DELAY_S = 2.0  # for which a complete core has to be there, without a founder, before it goes on
-BOOTSTRAP_RETRY_S = 0.4  # from an attempt that failed to the next one
+UNANIMOUS_DELAY_S = 2.0  # a complete core without a founder must be live for this long before it bootstraps
+BOOTSTRAP_RETRY_S = 0.4  # delay after a failed attempt
 
 
 @dataclass(frozen=True, slots=True)
 class BootstrapPlan:
-    """The first epoch's witnesses, and the ids of stores that all have to prepare before it is opened."""
+    """The first epoch of a core.
+
+    Attributes:
+        witnesses: The witnesses of the epoch.
+        required_voters: Ids of stores that must all prepare before the epoch is opened.
+    """
 
     witnesses: tuple[Store, ...]
-    unanimous: frozenset[str] = frozenset()
+    required_voters: frozenset[str] = frozenset()
 
 
 class Bootstrap:
-    """One store's part in the bootstrap of its core. Times are s of a steady clock."""
+    """Decides whether this store bootstraps the core. Times are in seconds of a monotonic clock."""
 
     def __init__(self, me: Store, tolerated_failures: int, counts_for_quorum: bool, now: float) -> None:
         self._me = me
         self._witness_count = 2 * tolerated_failures + 1
         self._counts_for_quorum = counts_for_quorum
-        self._not_before = now
+        self._retry_at = now
         self._complete_since: float | None = None
 
     def plan(
-        self, is_founder: bool, heard: Sequence[Announce], seeds: Collection[str], now: float
+        self, is_founder: bool, announcements: Sequence[Announce], seeds: Collection[str], now: float
     ) -> BootstrapPlan | None:
-        """What a store that knows of no epoch is to open now, if anything.
+        """Return the first epoch that this store should open now, or None.
 
-        Guards against a second core: nothing is bootstrapped beside a core that is heard, which takes this
-        store in, nor with fewer stores than a complete core has.
+        Must only be called while this store knows of no epoch. Guards against a second core: a store does not
+        bootstrap while it hears from a store of an existing core, which will admit it, or while the core is
+        incomplete.
 
         Args:
-            is_founder: Whether this store was told to bootstrap the core, and has not voted.
-            heard: What the other live stores have announced.
-            seeds: The control addresses that the settings name.
-            now: The time.
+            is_founder: Whether this store was told to bootstrap the core and has not voted yet.
+            announcements: The latest announcement of each other live store.
+            seeds: The control addresses listed in the settings.
+            now: The current time.
         """
-        present = [other.store for other in heard if other.counts_for_quorum and not other.is_leaving]
-        is_complete = len(present) + 1 >= self._witness_count
-        if not is_complete or any(other.core for other in heard):
+        eligible = [
+            other.store for other in announcements if other.counts_for_quorum and not other.is_leaving
+        ]
+        is_complete = len(eligible) + 1 >= self._witness_count
+        if not is_complete or any(other.core for other in announcements):
             self._complete_since = None
             return None
         if is_founder:
-            return BootstrapPlan(self._witnesses(present)) if now >= self._not_before else None
-        return self._plan_unanimous(present, heard, seeds, now)
+            return BootstrapPlan(self._witnesses(eligible)) if now >= self._retry_at else None
+        return self._plan_unanimous(eligible, announcements, seeds, now)
 
-    def on_failed(self, now: float) -> None:
-        """An attempt was given up: wait before the next one."""
+    def on_attempt_failed(self, now: float) -> None:
+        """Delay the next attempt after one was abandoned."""
         self._complete_since = None
-        self._not_before = now + BOOTSTRAP_RETRY_S
+        self._retry_at = now + BOOTSTRAP_RETRY_S
 
-    def missing_seeds(self, heard: Iterable[Announce], seeds: Iterable[str]) -> list[str]:
-        """The control addresses among the seeds that are not heard."""
-        return sorted(set(seeds) - {other.store.control for other in heard} - {self._me.control})
+    def missing_seeds(self, announcements: Iterable[Announce], seeds: Iterable[str]) -> list[str]:
+        """Return the seeds (control addresses) from which no live store has announced itself, sorted."""
+        return sorted(set(seeds) - {other.store.control for other in announcements} - {self._me.control})
 
     def _plan_unanimous(
-        self, present: Sequence[Store], heard: Sequence[Announce], seeds: Collection[str], now: float
+        self, eligible: Sequence[Store], announcements: Sequence[Announce], seeds: Collection[str], now: float
     ) -> BootstrapPlan | None:
-        """What to open without a founder: the store with the smallest id does it, and all have to prepare.
+        """Return the first epoch to open without a founder, if this store has the smallest id, or None.
 
-        Guards against a core that has formed and is forgotten by those that are heard: all seeds have to be
-        there, and each of them has to say that it knows of no epoch.
+        Guards against a core that has formed but that the live stores have forgotten: every seed must be live
+        and must state that it knows of no epoch.
         """
-        has_founder = any(other.is_founder for other in heard)
-        if has_founder or not self._counts_for_quorum or self.missing_seeds(heard, seeds):
+        has_founder = any(other.is_founder for other in announcements)
+        if has_founder or not self._counts_for_quorum or self.missing_seeds(announcements, seeds):
             self._complete_since = None
             return None
         if self._complete_since is None:
             self._complete_since = now
-        is_first = all(self._me.id < store.id for store in present)
-        if not is_first or now - self._complete_since < UNANIMOUS_DELAY_S:
+        has_smallest_id = all(self._me.id < store.id for store in eligible)
+        if not has_smallest_id or now - self._complete_since < UNANIMOUS_DELAY_S:
             return None
-        everyone = frozenset({self._me.id, *(store.id for store in present)})
-        return BootstrapPlan(self._witnesses(present), everyone)
+        all_ids = frozenset({self._me.id, *(store.id for store in eligible)})
+        return BootstrapPlan(self._witnesses(eligible), all_ids)
 
-    def _witnesses(self, present: Sequence[Store]) -> tuple[Store, ...]:
-        alone = no_epoch(self._me).with_witnesses((self._me,))
-        return plan_witnesses(alone, present, (), self._witness_count)
+    def _witnesses(self, eligible: Sequence[Store]) -> tuple[Store, ...]:
+        base = no_epoch(self._me).with_witnesses((self._me,))
+        return plan_witnesses(base, eligible, (), self._witness_count)
--- a/fordtrestle/replication/catch_up.py
+++ b/fordtrestle/replication/catch_up.py
@@ -1,14 +1,14 @@
-"""Which stores lag behind the primary, and when each is sent the whole state. Pure.
+"""Tracks which stores lag behind the primary, and when to send each the whole state. Pure.
 
-State is sent outside of any epoch change, so that a store that lags can step in at once.
+The state is sent outside of epoch changes, so that a witness can become a replica without a state transfer.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass, field
 
-CATCH_UP_DELAY_S = 0.4  # without getting further before the state is sent: a write may be on its way
-MAX_CATCH_UP_BACKOFF_S = 8.0  # between two sends to one store; they double from `CATCH_UP_DELAY_S`
+CATCH_UP_DELAY_S = 0.4  # without progress before the state is sent: a write may still be in flight
+MAX_CATCH_UP_BACKOFF_S = 8.0  # per store; the interval doubles from `CATCH_UP_DELAY_S`
 
 
 @dataclass(slots=True)
@@ -20,27 +20,27 @@
 
 @dataclass(slots=True)
 class CatchUp:
-    """The stores that lag. Times are s of a steady clock."""
+    """Lagging stores by id, each with its own backoff. Times are in seconds of a monotonic clock."""
 
     _lags: dict[str, _Lag] = field(default_factory=dict)
 
-    def is_due(self, store: str, held: int, newest: int, now: float) -> bool:
-        """Whether a store is to be sent the state now.
+    def is_due(self, store_id: str, held_sequence: int, newest_sequence: int, now: float) -> bool:
+        """Return whether to send the state to a store now, and start its next backoff interval if so.
 
-        Sends to a store that gets no further back off, so that a thin link or a slow disk is given time.
+        Backs off exponentially for a store that makes no progress, to allow for a slow link or disk.
 
         Args:
-            store: The store's id.
-            held: The sequence that its state reaches.
-            newest: The sequence that the primary's state reaches.
-            now: The time.
+            store_id: The id of the store.
+            held_sequence: The sequence of the store's state.
+            newest_sequence: The sequence of the primary's state.
+            now: The current time.
         """
-        if held >= newest:
-            self._lags.pop(store, None)
+        if held_sequence >= newest_sequence:
+            self._lags.pop(store_id, None)
             return False
-        lag = self._lags.get(store)
-        if lag is None or held > lag.sequence:
-            self._lags[store] = _Lag(now, held)
+        lag = self._lags.get(store_id)
+        if lag is None or held_sequence > lag.sequence:
+            self._lags[store_id] = _Lag(now, held_sequence)
             return False
         if now - lag.since < lag.backoff_s:
             return False
--- a/fordtrestle/replication/context.py
+++ b/fordtrestle/replication/context.py
@@ -1,4 +1,4 @@
-"""What the parts of one store share: its disk, its view of the others, and what it does next. Pure."""
+"""The context that the roles of a store share: durable state, view of its peers, pending effects. Pure."""
 
 from __future__ import annotations
 
@@ -17,21 +17,21 @@
 
 @dataclass(slots=True)
 class StoreContext:
-    """Shared by the witness, primary, candidate and membership side of one store.
+    """Context shared by the witness, primary, candidate and membership roles of one store.
 
     Attributes:
         me: This store.
-        durable: What it holds on disk.
-        detector: Its view of the primary.
+        durable: The state that it keeps on disk.
+        detector: Its failure detector for the primary.
         witness_count: How many witnesses a complete core has.
-        replica_count: How many replicas hold each acknowledged write.
+        replica_count: How many replicas must hold a write before it is acknowledged.
         counts_for_quorum: Whether this store may become a witness.
         epoch: The newest epoch that is known to be open.
-        events: What operators are to know.
-        effects: What is to be synced and sent next.
-        peers: The other stores, as they have announced themselves.
-        pre_votes: Who has granted this store's pre-vote.
-        committed_sequence: Writes up to this sequence are known to be committed.
+        events: Events to report to operators.
+        effects: Records to sync and messages to send next.
+        peers: The other stores, from their announcements.
+        pre_votes: The tally of this store's current pre-vote.
+        committed_sequence: The newest sequence that is known to be committed.
     """
 
     me: Store
@@ -48,22 +48,22 @@
     committed_sequence: int = 0
 
     def learn_committed(self, term: Term, sequence: int) -> None:
-        """Take in how far the writes of an epoch are committed.
+        """Advance the committed sequence, if this store's state was installed under that term.
 
-        Guards against the state of an older epoch, whose last writes may be others than those that were
-        committed under the same numbers. What was committed stays so in every later state.
+        Guards against a state of an older epoch, whose last writes may differ from those that were committed
+        under the same sequence numbers. Committed writes remain committed in every later state.
         """
         if term == self.durable.installed_term:
             self.committed_sequence = max(self.committed_sequence, sequence)
 
     def sync(self, records: Sequence[Record]) -> None:
-        """Have records synced before any message that waits is sent."""
+        """Queue records to sync before any pending message is sent."""
         self.effects.records.extend(records)
 
     def send(self, receiver: str, message: Message) -> None:
-        """Send a message once all records before it are synced.
+        """Queue a message to send once all records queued before it are synced.
 
-        A store sends to itself in the same way, so that its own votes count no sooner than they are on disk.
+        Messages to itself go the same way, so that a store's own votes count only once they are on disk.
         """
         if isinstance(message, Install) and receiver != self.me.id:
             state = message.state
@@ -71,15 +71,15 @@
         self.effects.messages.append(Outgoing(receiver, message))
 
     def send_all(self, messages: Iterable[Outgoing]) -> None:
-        """Send several messages, in their order."""
+        """Queue several messages, in order."""
         for receiver, message in messages:
             self.send(receiver, message)
 
     def await_primary(self, now: float) -> None:
-        """Give a primary a whole election time-out once more.
+        """Restart the election timeout and cancel the current pre-vote.
 
-        Guards against the race of a pre-vote with a new primary: grants that were given before it was heard
-        are void.
+        Guards against a race between a pre-vote and a new primary: grants given before the primary was heard
+        must not count.
         """
         self.detector.reset_timer(self.durable.accepted_epoch, now)
         self.pre_votes.cancel()
--- a/fordtrestle/replication/durable.py
+++ b/fordtrestle/replication/durable.py
@@ -1,7 +1,7 @@
-"""What one store holds on disk: its votes as a witness and the state as a replica. Pure.
+"""The durable state of one store: its votes as a witness and the control state as a replica. Pure.
 
-Every method that changes something returns the records that have to be synced before any message that rests
-on them is sent.
+Every method that changes the state returns the records that must be synced before any message that depends
+on the change is sent.
 """
 
 from __future__ import annotations
@@ -16,15 +16,15 @@
 
 @dataclass(slots=True)
 class Durable:
-    """What one store has promised, accepted and installed.
+    """The promises, the accepted epoch and the installed state of one store.
 
     Attributes:
-        store: Its id.
-        must_bootstrap: Whether it was told to bootstrap the core, as its disk was found empty.
-        prepared_term: The newest term that it has promised to take no part below.
+        store: The id of the store.
+        must_bootstrap: Whether it was told to bootstrap the core when its disk was found empty.
+        prepared_term: The newest term it has prepared; it rejects requests of older terms.
         accepted_epoch: The newest epoch that it has accepted or learned of.
-        installed_term: The term under which its state was last installed whole.
-        state: The state.
+        installed_term: The term under which its whole state was last installed.
+        state: The control state.
     """
 
     store: str
@@ -36,47 +36,47 @@
 
     @classmethod
     def restore(cls, records: Iterable[Record]) -> Durable | None:
-        """What the records of a disk come to; None if it never held a store."""
-        found: Durable | None = None
+        """Rebuild a store from the records on its disk; return None if they contain no store."""
+        restored: Durable | None = None
         for record in records:
             if isinstance(record, Founder):
-                found = found or cls(record.store)
-                found.must_bootstrap = True
+                restored = restored or cls(record.store)
+                restored.must_bootstrap = True
             elif isinstance(record, Vote):
-                found = found or cls(record.store)
-                found.prepared_term, found.accepted_epoch = record.prepared_term, record.accepted_epoch
-            elif found and isinstance(record, Snapshot):
-                found.installed_term, found.state = record.term, record.state
-            elif found and isinstance(record, Entry) and found._is_next(record):
-                found.state = found.state.apply(record.change)
-        return found
+                restored = restored or cls(record.store)
+                restored.prepared_term, restored.accepted_epoch = record.prepared_term, record.accepted_epoch
+            elif restored and isinstance(record, Snapshot):
+                restored.installed_term, restored.state = record.term, record.state
+            elif restored and isinstance(record, Entry) and restored._is_next(record):
+                restored.state = restored.state.apply(record.change)
+        return restored
 
     @property
     def is_founder(self) -> bool:
-        """Whether this store is to bootstrap the core, and has not yet voted for any epoch."""
+        """Whether this store is to bootstrap the core and has not voted for any epoch yet."""
         return self.must_bootstrap and self.accepted_epoch is None
 
     @property
     def core(self) -> str:
-        """The identity of the core that this store belongs to; empty while it knows of no epoch."""
+        """The id of the core that this store belongs to; empty while it knows of no epoch."""
         return self.accepted_epoch.core if self.accepted_epoch else ""
 
     def snapshot(self) -> Sequence[Record]:
-        """The fewest records that restore this store.
+        """Return the shortest list of records that restores this store.
 
-        Guards against a loss of power amid the first write: of the records some first ones may stay, and a
-        founder's disk has to say that it is one as soon as it says anything. So that record goes first.
+        Guards against a power loss during the first write, after which only a prefix of the records may be on
+        disk: the founder record goes first, so that every non-empty prefix contains it.
         """
         founder = [Founder(self.store)] if self.is_founder else []
         return [*founder, self._vote(), Snapshot(self.installed_term, self.state)]
 
     def prepare(self, term: Term) -> Sequence[Record] | None:
-        """Promise to take no part in any older term (Paxos' phase 1).
+        """Promise to reject requests of any older term (phase 1 of Paxos).
 
-        Guards against two candidates at once, and against an older primary that was cut off.
+        Guards against concurrent candidates and against an older primary that was partitioned.
 
         Returns:
-            The records to sync, none where that was promised before; None where a newer term was.
+            The records to sync, empty if this term is already prepared; None if a newer term is.
         """
         if term < self.prepared_term:
             return None
@@ -86,13 +86,13 @@
         return [self._vote()]
 
     def accept(self, epoch: Epoch) -> Sequence[Record] | None:
-        """Hold an epoch as the newest (Paxos' phase 2).
+        """Accept an epoch as the newest (phase 2 of Paxos).
 
-        A store that holds the candidate's state already (`Epoch.base_state`) goes on from there. Guards
-        against an epoch that comes late, after a newer term was prepared.
+        A store that already holds the candidate's state (`Epoch.base_state`) continues from it. Guards
+        against a delayed request that arrives after a newer term was prepared.
 
         Returns:
-            The records to sync, none where it is held already; None where a newer term was prepared.
+            The records to sync, empty if the epoch is already accepted; None if a newer term is prepared.
         """
         if epoch.term < self.prepared_term:
             return None
@@ -102,13 +102,13 @@
         return self._adopt(epoch)
 
     def learn_epoch(self, epoch: Epoch) -> Sequence[Record]:
-        """Take in an epoch that others have accepted, as a learner of Paxos does.
+        """Adopt an epoch that other stores have accepted, as a Paxos learner does.
 
-        Guards against what is older than what this store holds, is of another core, or would have earlier
-        witness sets asked again where it is known that the epoch is open.
+        Ignores an epoch that is older than the accepted one or belongs to another core, and a version of the
+        accepted epoch that would require votes of earlier witness sets again although it is known to be open.
 
         Returns:
-            The records to sync; none where nothing is new.
+            The records to sync; empty if the epoch is ignored or already known.
         """
         known = self.accepted_epoch
         if known and (epoch.term < known.term or epoch == known):
@@ -121,12 +121,12 @@
         return self._adopt(epoch)
 
     def install(self, term: Term, state: ControlState) -> Sequence[Record] | None:
-        """Take over the whole state of a candidate or primary.
+        """Replace the state with that of a candidate or primary.
 
-        Guards against a state that comes late: one that is behind the writes of the same term is not taken.
+        Guards against a delayed message: a state older than this store's state of the same term is rejected.
 
         Returns:
-            The records to sync; None where a newer term was prepared, or the state is behind.
+            The records to sync; None if a newer term is prepared or the state is older.
         """
         records = self.prepare(term)
         if records is None or (term == self.installed_term and state.sequence < self.state.sequence):
@@ -135,13 +135,13 @@
         return [*records, Snapshot(term, state)]
 
     def append(self, term: Term, sequence: int, change: Change) -> Sequence[Record] | None:
-        """Take one write of the epoch that this state was installed for.
+        """Apply one write of the epoch that this state was installed for.
 
-        Guards against a primary that was superseded: once a newer term is prepared, its writes are fenced
-        off. And against gaps: a write that is not the next one is not taken.
+        Guards against a superseded primary, whose writes are fenced off once a newer term is prepared, and
+        against gaps: a write that is ahead of the next sequence is rejected.
 
         Returns:
-            The records to sync, none where the write is held already; None where it does not fit.
+            The records to sync, empty if the write was applied before; None if it is rejected.
         """
         is_gap = sequence > self.state.sequence + 1
         if term != self.installed_term or term < self.prepared_term or is_gap:
@@ -152,15 +152,15 @@
         return [Entry(term, sequence, change)]
 
     def _is_next(self, entry: Entry) -> bool:
-        """Whether an entry on disk is the next write of the state before it.
+        """Return whether an entry on disk is the next write after the current state.
 
-        A snapshot that was written in the place of refused records may hold later entries already, or be the
-        state of a later term than theirs: those are void.
+        A snapshot that was written in place of records that the disk refused may already include later
+        entries, or belong to a later term than they do. Such entries are void.
         """
         return entry.term == self.installed_term and entry.sequence == self.state.sequence + 1
 
     def _adopt(self, epoch: Epoch) -> Sequence[Record]:
-        """The vote for an epoch, and the state as this epoch's where it is the epoch's base state."""
+        """Return the vote for an epoch and, if the state is its base state, re-install it under its term."""
         records: list[Record] = [self._vote()]
         if epoch.base_state == (self.installed_term, self.state.sequence):
             self.installed_term = epoch.term
--- a/fordtrestle/replication/effects.py
+++ b/fordtrestle/replication/effects.py
@@ -1,4 +1,4 @@
-"""What a store does next: records to sync, then messages to send. Pure."""
+"""The pending effects of a store: records to sync, then messages to send. Pure."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 @dataclass(slots=True)
 class Effects:
-    """Records to sync, then messages that may be sent.
+    """Records to sync, and the messages that may be sent after that sync.
 
-    The order guards against a loss of power: a vote that was sent before it was synced could be given again
-    to another candidate.
+    The order guards against a power loss: a store that sent a vote before syncing it could forget it and vote
+    for another candidate.
     """
 
     records: list[Record] = field(default_factory=list)
--- a/fordtrestle/replication/epoch_change.py
+++ b/fordtrestle/replication/epoch_change.py
@@ -1,14 +1,14 @@
-"""One attempt to open an epoch: prepare the witnesses, install the state, have the epoch accepted. Pure.
+"""One attempt to open an epoch: prepare the witnesses, install the state, get the epoch accepted. Pure.
 
-Safety rests on three things. A majority of every witness set that may hold the newest epoch prepares first,
-so that an older primary can acknowledge nothing more. The candidate is a replica of the newest epoch that
-they tell of, so that it holds all that was acknowledged. All replicas of the new epoch hold that state
-before any witness is asked to accept it.
+Safety depends on three conditions. First, a majority of every witness set that may hold the newest epoch
+prepares, so that an older primary can acknowledge no more writes. Second, the candidate is a replica of the
+newest epoch that these witnesses report, so that it holds all acknowledged writes. Third, all replicas of the
+new epoch hold the candidate's state before any witness is asked to accept the epoch.
 
-The first epoch of a core has nothing below it (`epochs.no_epoch`): its candidate votes for it before it asks
-anyone else to (`bootstrap.py`).
+The first epoch of a core has an empty base (`epochs.no_epoch`). Its candidate votes for it before it asks any
+other store to vote (`bootstrap.py`).
 
-Source: Vertical Paxos, Lamport, Malkhi and Zhou 2009; the joint quorums are those of Raft's joint consensus.
+Source: Vertical Paxos, Lamport, Malkhi and Zhou 2009; the joint quorums follow Raft's joint consensus.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field
 
-from fordtrestle.replication.epochs import NO_TERM, Epoch, Store, Term, choose_replicas, supported
+from fordtrestle.replication.epochs import NO_TERM, Epoch, Store, Term, choose_replicas, has_majorities
 from fordtrestle.replication.messages import (
     Accept,
     Accepted,
@@ -29,29 +29,30 @@
 )
 from fordtrestle.replication.state import ControlState
 
-Position = tuple[Term, int]  # the term that a state was installed under, and its sequence
+Position = tuple[Term, int]  # the term under which a state was installed, and its sequence
 
 
 @dataclass(slots=True)
 class EpochChange:
-    """The candidate's side of one term.
+    """An epoch change under one term, as driven by its candidate.
 
     Attributes:
         me: The candidate.
         term: The term of the epoch to be opened.
-        base: The newest epoch that is known.
+        base: The newest epoch that the candidate knows.
         witnesses: The witnesses of the epoch to be opened.
-        replica_count: How many replicas it is to have.
-        leaving: Ids of stores that shut down: replicas only where there are no others.
-        started_at: When it was started, in s of a steady clock.
-        unanimous: Ids of stores that all have to prepare, besides the majorities.
-        newer: An epoch newer than the base, where one was heard of: one of its replicas has to go on from it.
-        proposed: The epoch that witnesses are asked to accept.
-        opened: That epoch, once it is open.
-        prepared: Which state each store held as it prepared.
-        installed: Ids of the replicas that hold the state.
-        accepted: Ids of the witnesses that have accepted.
-        installing: Ids of the replicas to be, once they are chosen.
+        replica_count: How many replicas the epoch should have.
+        leaving: Ids of stores that are shutting down; they become replicas only if no other stores can.
+        started_at: When the change was started, in seconds of a monotonic clock.
+        required_voters: Ids of stores that must all prepare, in addition to the majorities.
+        newer_epoch: An epoch newer than the base, if a store reported one; only one of its replicas may
+            succeed it.
+        proposed_epoch: The epoch that witnesses are asked to accept.
+        opened_epoch: That epoch once it is open.
+        prepared: The state that each store held when it prepared, by store id.
+        installed: Ids of the replicas that have installed the state.
+        accepted: Ids of the witnesses that have accepted the epoch.
+        installing: Ids of the replicas of the epoch, once they are chosen.
     """
 
     me: Store
@@ -61,46 +62,46 @@
     replica_count: int
     leaving: frozenset[str]
     started_at: float
-    unanimous: frozenset[str] = frozenset()
-    newer: Epoch | None = None
-    proposed: Epoch | None = None
-    opened: Epoch | None = None
+    required_voters: frozenset[str] = frozenset()
+    newer_epoch: Epoch | None = None
+    proposed_epoch: Epoch | None = None
+    opened_epoch: Epoch | None = None
     prepared: dict[str, Position] = field(default_factory=dict)
     installed: set[str] = field(default_factory=set)
     accepted: set[str] = field(default_factory=set)
     installing: tuple[str, ...] = ()
-    _repeats: int = 0
+    _resend_count: int = 0
 
     @property
     def is_bootstrap(self) -> bool:
-        """Whether this would be the first epoch."""
+        """Whether this change opens the first epoch of the core."""
         return self.base.term == NO_TERM
 
     @property
     def quorums(self) -> tuple[tuple[str, ...], ...]:
-        """All witness sets of each of which a majority has to support this epoch."""
+        """The witness sets; a majority of each must vote for this epoch."""
         ids = tuple(store.id for store in self.witnesses)
         return tuple(dict.fromkeys((*self.base.quorums, ids)))
 
     def start(self) -> list[Outgoing]:
-        """Ask everyone concerned to prepare."""
-        return [Outgoing(store_id, Prepare(self.term)) for store_id in sorted(self._everyone())]
+        """Return the requests that ask all participants to prepare."""
+        return [Outgoing(store_id, Prepare(self.term)) for store_id in sorted(self._participants())]
 
     def receive(self, sender: str, message: Message, state: ControlState) -> list[Outgoing]:
-        """Go on with an answer from a store.
+        """Handle a response from a store.
 
-        Guards against answers that come late: those of another term, or to a phase that is not reached, count
-        for nothing.
+        Guards against delayed responses: those of another term, or to a phase that has not been reached, are
+        ignored.
 
         Args:
-            sender: The store's id.
-            message: Its answer.
+            sender: The id of the store.
+            message: Its response.
             state: The candidate's own state.
 
         Returns:
-            What is to be asked next.
+            The next requests to send.
         """
-        if self.newer or self.opened:
+        if self.newer_epoch or self.opened_epoch:
             return []
         match message:
             case Prepared() if message.term == self.term:
@@ -108,69 +109,73 @@
             case Installed() if message.term == self.term and self.installing:
                 self.installed.add(sender)
                 return self._propose()
-            case Accepted() if self.proposed and message.term == self.term:
-                return self._on_accepted(sender, self.proposed)
+            case Accepted() if self.proposed_epoch and message.term == self.term:
+                return self._on_accepted(sender, self.proposed_epoch)
         return []
 
-    def repeat(self, state: ControlState) -> list[Outgoing]:
-        """What is unanswered, once more, as links lose messages; whole states at doubled intervals only."""
-        self._repeats += 1
-        if self.proposed:
-            return self._ask_to_accept(self.proposed)
+    def resend(self, state: ControlState) -> list[Outgoing]:
+        """Return the unanswered requests to resend; whole states are resent at doubling intervals."""
+        self._resend_count += 1
+        if self.proposed_epoch:
+            return self._ask_to_accept(self.proposed_epoch)
         if self.installing:
-            is_power_of_two = not self._repeats & (self._repeats - 1)
+            is_power_of_two = not self._resend_count & (self._resend_count - 1)
             missing = set(self.installing) - self.installed
             return self._ask_to_install(sorted(missing), state) if is_power_of_two else []
-        missing = self._everyone() - set(self.prepared)
+        missing = self._participants() - set(self.prepared)
         return [
             *(Outgoing(store_id, Prepare(self.term)) for store_id in sorted(missing)),
-            *self._begin_installing(state, is_patient=False),
+            *self._begin_installing(state, may_wait=False),
         ]
 
-    def _everyone(self) -> set[str]:
-        return {store_id for quorum in self.quorums for store_id in quorum} | self.unanimous
+    def _participants(self) -> set[str]:
+        return {store_id for quorum in self.quorums for store_id in quorum} | self.required_voters
 
     def _on_prepared(self, sender: str, message: Prepared, state: ControlState) -> list[Outgoing]:
         """Count a promise.
 
-        Guards against a base that is not the newest epoch: what was acknowledged in a newer one may not be
-        held here, so this attempt ends.
+        Guards against a base that is not the newest epoch: this store may lack writes that were acknowledged
+        in a newer one, so the attempt ends.
         """
         known = message.accepted_epoch
         if known and known.term > self.base.term:
-            self.newer = known
+            self.newer_epoch = known
             return []
         if known and known.term == self.base.term and not known.earlier_quorums:
-            self.base = known  # it is known there that this epoch is open
+            self.base = known  # the sender knows that this epoch is open
         self.prepared[sender] = (message.installed_term, message.sequence)
-        return self._begin_installing(state, is_patient=True)
+        return self._begin_installing(state, may_wait=True)
 
-    def _begin_installing(self, state: ControlState, is_patient: bool) -> list[Outgoing]:
-        """Choose the replicas once enough have prepared, and send the state to them if they lack it.
+    def _begin_installing(self, state: ControlState, may_wait: bool) -> list[Outgoing]:
+        """Choose the replicas once enough stores have prepared, and send the state to them if any lacks it.
 
-        A patient candidate waits for stores that hold its state already and stay, as long as some have yet to
-        answer. Where all chosen ones hold the state, the epoch is proposed at once.
+        If all chosen replicas hold the state, the epoch is proposed at once.
+
+        Args:
+            state: The candidate's own state.
+            may_wait: Whether to wait, while some stores have not answered, until all chosen replicas can be
+                stores that already hold the state and are not shutting down.
         """
-        held = self.prepared.get(self.me.id)
-        if self.installing or held is None or not self._is_prepared():
+        own_position = self.prepared.get(self.me.id)
+        if self.installing or own_position is None or not self._has_required_promises():
             return []
-        holding = {store_id for store_id, position in self.prepared.items() if position == held}
-        chosen = self._choose_replicas(holding)
-        best = holding - self.leaving
-        is_best = len(chosen) == self.replica_count and best.issuperset(chosen[1:])
-        if is_patient and not is_best and self._everyone() - set(self.prepared):
+        holders = {store_id for store_id, position in self.prepared.items() if position == own_position}
+        chosen = self._choose_replicas(holders)
+        preferred = holders - self.leaving
+        has_preferred = len(chosen) == self.replica_count and preferred.issuperset(chosen[1:])
+        if may_wait and not has_preferred and self._participants() - set(self.prepared):
             return []
         self.installing = chosen
-        if holding.issuperset(chosen):
-            return self._propose(held)
+        if holders.issuperset(chosen):
+            return self._propose(own_position)
         return self._ask_to_install(chosen, state)
 
-    def _choose_replicas(self, holding: set[str]) -> tuple[str, ...]:
+    def _choose_replicas(self, holders: set[str]) -> tuple[str, ...]:
         live = [store for store in self.witnesses if store.id in self.prepared]
-        return choose_replicas(self.me, live, holding, self.leaving, self.replica_count)
+        return choose_replicas(self.me, live, holders, self.leaving, self.replica_count)
 
-    def _is_prepared(self) -> bool:
-        return supported(self.prepared, self.quorums) and self.unanimous.issubset(self.prepared)
+    def _has_required_promises(self) -> bool:
+        return has_majorities(self.prepared, self.quorums) and self.required_voters.issubset(self.prepared)
 
     def _ask_to_install(self, replicas: Iterable[str], state: ControlState) -> list[Outgoing]:
         return [Outgoing(store_id, Install(self.term, state)) for store_id in replicas]
@@ -178,34 +183,34 @@
     def _on_accepted(self, sender: str, proposed: Epoch) -> list[Outgoing]:
         is_first = not self.accepted
         self.accepted.add(sender)
-        if supported(self.accepted, self.quorums):
-            self.opened = proposed.committed()
+        if has_majorities(self.accepted, self.quorums):
+            self.opened_epoch = proposed.committed()
             return []
         return self._ask_to_accept(proposed) if is_first and self.is_bootstrap else []
 
     def _ask_to_accept(self, proposed: Epoch) -> list[Outgoing]:
-        """Ask those that have not accepted yet.
+        """Return the requests to the stores that have not accepted the epoch yet.
 
-        Guards against a founder that loses power and bootstraps once more: the first epoch is on its own disk
-        before anyone else votes, so that it knows whether anyone may have.
+        Guards against a founder that loses power and bootstraps again: it syncs its own vote for the first
+        epoch before any other store votes, so that its disk tells whether others may have voted.
         """
-        asked = self._everyone() - self.accepted
-        if self.is_bootstrap and self.me.id in asked:
-            asked = {self.me.id}
-        return [Outgoing(store_id, Accept(proposed)) for store_id in sorted(asked)]
+        recipients = self._participants() - self.accepted
+        if self.is_bootstrap and self.me.id in recipients:
+            recipients = {self.me.id}
+        return [Outgoing(store_id, Accept(proposed)) for store_id in sorted(recipients)]
 
     def _propose(self, base_state: Position | None = None) -> list[Outgoing]:
         """Propose the epoch once all its replicas hold the state.
 
-        Guards against the loss of the candidate's disk as the epoch opens: what was acknowledged before is on
-        every replica by then.
+        Guards against the loss of the candidate's disk when the epoch opens: by then every replica holds all
+        acknowledged writes.
 
         Args:
-            base_state: The state that all replicas held as they prepared, where that is so.
+            base_state: The state that all replicas held when they prepared, if they held the same one.
         """
-        if self.proposed or not (base_state or self.installed.issuperset(self.installing)):
+        if self.proposed_epoch or not (base_state or self.installed.issuperset(self.installing)):
             return []
-        self.proposed = Epoch(
+        self.proposed_epoch = Epoch(
             term=self.term,
             primary=self.me.id,
             replicas=self.installing,
@@ -214,4 +219,4 @@
             base_state=base_state,
             core=self.base.core or self.me.id,
         )
-        return self._ask_to_accept(self.proposed)
+        return self._ask_to_accept(self.proposed_epoch)
--- a/fordtrestle/replication/epoch_plan.py
+++ b/fordtrestle/replication/epoch_plan.py
@@ -1,4 +1,4 @@
-"""The epoch that is to be opened next. Pure."""
+"""The plan for the next epoch. Pure."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochPlan:
-    """What a candidate is to open.
+    """The epoch that a candidate should open.
 
     Attributes:
-        base: The epoch that it is opened on top of.
-        witnesses: The witnesses that it is to have.
-        reason: What it is opened for.
-        unanimous: Ids of stores that all have to answer a `Prepare`, besides the majorities.
+        base: The epoch that it succeeds.
+        witnesses: Its witnesses.
+        reason: Why it is opened.
+        required_voters: Ids of stores that must all prepare, in addition to the majorities.
     """
 
     base: Epoch
     witnesses: tuple[Store, ...]
     reason: Reason
-    unanimous: frozenset[str] = frozenset()
+    required_voters: frozenset[str] = frozenset()
--- a/fordtrestle/replication/events.py
+++ b/fordtrestle/replication/events.py
@@ -1,7 +1,7 @@
-"""What operators are to know of a store's part in the replication: typed, a bounded number at a time. Pure.
+"""Typed replication events for operators, in a bounded buffer. Pure.
 
-None is recorded once a heartbeat: each stands for a change, or for a wait that is reported again at doubled
-intervals. The names of an event's fields are keys of its line on the log, and stay.
+An event is recorded for a change, or for a wait, which is reported again at doubling intervals; none is
+recorded per heartbeat. The field names of an event are the keys of its log line and must not change.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-MAX_PENDING_EVENTS = 256  # that wait to be drained: the oldest go first
-MIN_WAIT_REPORT_BACKOFF_S = 1.0  # until a wait is reported first, and again: doubled up to
+MAX_PENDING_EVENTS = 256  # not drained yet; the oldest are dropped
+MIN_WAIT_REPORT_BACKOFF_S = 1.0  # before the first report of a wait; doubles with each report
 MAX_WAIT_REPORT_BACKOFF_S = 64.0
 
 
 class Reason(StrEnum):
-    """What an epoch is opened for, or ended by."""
+    """Why an epoch is opened, an epoch change fails or a primary steps down."""
 
     BOOTSTRAP = "the core is being bootstrapped"
     PRIMARY_LOST = "a majority suspects the primary"
@@ -31,7 +31,7 @@
 
 
 class WaitReason(StrEnum):
-    """What a store waits for."""
+    """What a store is waiting for."""
 
     FOUNDER = "the store that bootstraps the core"
     STORES = "enough stores to bootstrap the core"
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochChangeStarted:
-    """This store has started an epoch change with this number."""
+    """This store has started an epoch change; `number` is that of its term."""
 
     number: int
     why: Reason
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochChangeFailed:
-    """An epoch change was given up; `answered` had prepared by then."""
+    """An epoch change of this store was abandoned; `answered` are the stores that had prepared."""
 
     number: int
     why: Reason
@@ -60,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EpochOpened:
-    """This store is primary of a new epoch."""
+    """This store has become the primary of a new epoch."""
 
     number: int
     core: str
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SteppedDown:
-    """This store is primary no more."""
+    """This store is no longer primary."""
 
     number: int
     why: Reason
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateSent:
-    """The whole state went to a store that lags, or to a replica to be."""
+    """The whole state was sent to a lagging store or to a replica of the next epoch."""
 
     store: str
     sequence: int
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WriteLate:
-    """A write is not on all replicas in time; `missing` have not said that they hold it."""
+    """A write was not replicated in time; `missing` are the replicas that have not acknowledged it."""
 
     sequence: int
     missing: tuple[str, ...]
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiting:
-    """This store can't serve as it is meant to; `missing` are control addresses that are not heard."""
+    """This store is waiting; `missing` are the seeds (control addresses) that have not been heard."""
 
     wait: WaitReason
     since_s: float
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ForeignStoreSeen:
-    """A store of another core announced itself: two cores were bootstrapped, and neither takes it in."""
+    """A store of another core announced itself: two cores were bootstrapped; it is not admitted."""
 
     store: str
     address: str
@@ -128,48 +128,48 @@
 
 @dataclass(slots=True)
 class Events:
-    """The events that are not drained yet, and how many there were of each kind, by the class's name."""
+    """The events that are not drained yet, and the number of events recorded, by class name."""
 
     counts: dict[str, int] = field(default_factory=dict)
     _pending: list[Event] = field(default_factory=list)
     _wait: WaitReason | None = None
-    _wait_began: float = 0.0
+    _wait_started_at: float = 0.0
     _report_at: float = 0.0
     _backoff_s: float = MIN_WAIT_REPORT_BACKOFF_S
 
     def record(self, event: Event) -> None:
-        """Keep an event until it is drained, or until too many newer ones are there."""
+        """Add an event; beyond `MAX_PENDING_EVENTS` the oldest is dropped."""
         name = type(event).__name__
         self.counts[name] = self.counts.get(name, 0) + 1
         self._pending.append(event)
         del self._pending[:-MAX_PENDING_EVENTS]
 
     def drain(self) -> list[Event]:
-        """The events since the last call."""
+        """Return and remove the pending events."""
         drained, self._pending = self._pending, []
         return drained
 
     def is_wait_due(self, wait: WaitReason | None, now: float) -> bool:
-        """Take note of what the store waits for, and say whether that is to be reported now.
+        """Update what the store is waiting for, and return whether to report it now.
 
         Args:
-            wait: What it waits for, if anything; another reason than before starts the intervals anew.
-            now: The time in s of a steady clock.
+            wait: What it is waiting for, or None; a change restarts the intervals.
+            now: The current time in seconds of a monotonic clock.
         """
         if wait is not self._wait:
-            self._wait, self._wait_began = wait, now
+            self._wait, self._wait_started_at = wait, now
             self._backoff_s, self._report_at = MIN_WAIT_REPORT_BACKOFF_S, now + MIN_WAIT_REPORT_BACKOFF_S
         return wait is not None and now >= self._report_at
 
     def record_wait(self, wait: WaitReason, heard: int, missing: tuple[str, ...], now: float) -> None:
-        """Report a wait that is due, and have it due again after twice the interval.
+        """Record a wait that is due, and double the interval until its next report.
 
         Args:
-            wait: What the store waits for, as it was handed to `is_wait_due`.
+            wait: What the store is waiting for, as passed to `is_wait_due`.
             heard: How many other stores are live.
-            missing: Control addresses that are not heard.
-            now: The time in s of a steady clock.
+            missing: The seeds (control addresses) that have not been heard.
+            now: The current time in seconds of a monotonic clock.
         """
         self._backoff_s = min(MAX_WAIT_REPORT_BACKOFF_S, 2 * self._backoff_s)
         self._report_at = now + self._backoff_s
-        self.record(Waiting(wait, now - self._wait_began, heard, missing))
+        self.record(Waiting(wait, now - self._wait_started_at, heard, missing))
--- a/fordtrestle/replication/failure_detector.py
+++ b/fordtrestle/replication/failure_detector.py
@@ -1,6 +1,7 @@
-"""What a store knows of the primary, and when it asks the others whether they suspect it, too. Pure.
+"""Failure detector for the primary: decides when a store suspects it and starts a pre-vote. Pure.
 
-A time-out detector in the sense of Chandra and Toueg (1996): it may be wrong, and only costs time then.
+An unreliable, timeout-based detector as described by Chandra and Toueg (1996): a false suspicion costs time,
+not safety.
 """
 
 from __future__ import annotations
@@ -9,85 +10,88 @@
 
 from fordtrestle.replication.epochs import Epoch, Store
 
-ELECTION_TIMEOUT_S = 1.2  # four heartbeats and more: without one for so long a store asks for pre-votes
-RETURN_RETRY_S = 0.2  # between the pre-votes of a primary that has started anew: nobody else is primary
-ELECTION_RANK_DELAY_S = 0.4  # later by so much for each backup before it, so that they do not collide
-ELECTION_JITTER_S = 0.2  # drawn on top, for the same reason
+ELECTION_TIMEOUT_S = 1.2  # more than four heartbeats; after this long without one a store starts a pre-vote
+RESTARTED_PRIMARY_RETRY_S = (
+    0.2  # between the pre-votes of a primary that has started anew: nobody else is primary
+)
+ELECTION_RANK_DELAY_S = 0.4  # added for each backup ranked before the store, to avoid competing candidates
+ELECTION_JITTER_S = 0.2  # maximum random delay added, for the same reason
 
 
 class PrimaryFailureDetector:
-    """One store's view of the primary. Times are s of a steady clock.
+    """Detects the loss of the primary, for one store. Times are in seconds of a monotonic clock.
 
     Attributes:
-        heard_at: When the primary was heard last, or this process started.
-        is_leaving: Whether this store shuts down: others go first.
-        is_returning: Whether this store was primary and has started anew, so that nobody else is primary of
-            that epoch.
+        last_heard_at: When the last heartbeat arrived, or when this process started.
+        is_leaving: Whether this store is shutting down; it then starts a pre-vote only after the others.
+        is_restarted_primary: Whether this store was primary of the newest epoch before it restarted, so that
+            no other store is primary of that epoch.
     """
 
     def __init__(self, me: str, accepted_epoch: Epoch | None, draw: Callable[[], float], now: float) -> None:
-        self.heard_at = now
+        self.last_heard_at = now
         self.is_leaving = False
-        self.is_returning = bool(accepted_epoch and accepted_epoch.primary == me)
+        self.is_restarted_primary = bool(accepted_epoch and accepted_epoch.primary == me)
         self._me = me
         self._draw = draw  # uniform in [0, 1)
-        self._heard_from: Store | None = None
-        self._lost = ""  # id of a primary that has ended, or whose machine holds another store by now
-        self._ask_at = now
+        self._primary: Store | None = None
+        self._lost_id = ""  # id of a primary that ended, or whose machine now holds another store
+        self._election_at = now
         self.reset_timer(accepted_epoch, now)
 
     def on_heartbeat(self, primary: Store | None, now: float) -> None:
-        """The primary has sent a heartbeat."""
-        self.heard_at, self._heard_from, self._lost = now, primary, ""
+        """Record a heartbeat from the primary."""
+        self.last_heard_at, self._primary, self._lost_id = now, primary, ""
 
-    def on_leading(self) -> None:
-        """This store is primary itself."""
-        self._heard_from, self._lost, self.is_returning = None, "", False
+    def on_elected(self) -> None:
+        """Reset the detector: this store has become primary."""
+        self._primary, self._lost_id, self.is_restarted_primary = None, "", False
 
     def reachable_primary(self, now: float) -> Store | None:
-        """The primary, where it was heard lately and has not said that it ends."""
-        primary = self._heard_from
-        if primary is None or primary.id == self._lost or now - self.heard_at > ELECTION_TIMEOUT_S:
+        """Return the primary if it was heard within the election timeout and is not lost, else None."""
+        primary = self._primary
+        if primary is None or primary.id == self._lost_id or now - self.last_heard_at > ELECTION_TIMEOUT_S:
             return None
         return primary
 
     def reset_timer(self, accepted_epoch: Epoch | None, now: float) -> None:
-        """Start the election time-out anew.
+        """Restart the election timeout.
 
-        Guards against candidates that collide: each backup waits longer than the one before it, and by a
-        draw.
+        Guards against competing candidates: each backup waits longer than the one ranked before it, plus a
+        random delay.
         """
         rank = self._rank(accepted_epoch)
         timeout_s = ELECTION_TIMEOUT_S + ELECTION_RANK_DELAY_S * rank + ELECTION_JITTER_S * self._draw()
-        self._ask_at = now + (RETURN_RETRY_S if self.is_returning else timeout_s)
+        self._election_at = now + (RESTARTED_PRIMARY_RETRY_S if self.is_restarted_primary else timeout_s)
 
-    def is_due(self, now: float) -> bool:
-        """Whether the election time-out has passed, so that the others are to be asked."""
-        return now >= self._ask_at
+    def is_election_due(self, now: float) -> bool:
+        """Return whether the election timeout has passed, so that this store should start a pre-vote."""
+        return now >= self._election_at
 
     def mark_lost(self, primary: str, now: float) -> None:
-        """Take the primary for ended: ask soon.
+        """Mark the primary as lost, and bring the next pre-vote forward.
 
-        Guards against voiding the own pre-vote: the timer is moved once for each loss, since each new attempt
-        makes the grants of the one before void.
+        Moves the timer only once per loss: each new attempt voids the grants of the one before it, so this
+        store would otherwise void its own pre-vote.
         """
-        if primary == self._lost:
+        if primary == self._lost_id:
             return
-        self._lost = primary
+        self._lost_id = primary
         if not self.is_leaving:
-            self._ask_at = min(self._ask_at, now + ELECTION_JITTER_S * self._draw())
+            self._election_at = min(self._election_at, now + ELECTION_JITTER_S * self._draw())
 
-    def suspects(self, accepted_epoch: Epoch | None, asker: str, now: float) -> bool:
-        """Whether this store suspects the primary as well as the one that asks.
+    def suspects(self, accepted_epoch: Epoch | None, candidate: str, now: float) -> bool:
+        """Return whether this store agrees with the candidate of a pre-vote that the primary is lost.
 
-        A primary that asks has started anew, and is none any more; a store always agrees with itself.
+        A primary that requests a pre-vote has restarted and is no longer primary. A store always agrees with
+        itself.
         """
         primary = accepted_epoch.primary if accepted_epoch else ""
-        has_ended = bool(primary) and primary in (asker, self._lost)
-        return asker == self._me or has_ended or now - self.heard_at > ELECTION_TIMEOUT_S
+        has_ended = bool(primary) and primary in (candidate, self._lost_id)
+        return candidate == self._me or has_ended or now - self.last_heard_at > ELECTION_TIMEOUT_S
 
     def _rank(self, accepted_epoch: Epoch | None) -> int:
-        """How many backups ask before this store; one that shuts down goes behind all."""
+        """Return how many backups start a pre-vote before this store; one that is shutting down goes last."""
         if accepted_epoch is None:
             return 0
         backups = [store for store in accepted_epoch.replicas if store != accepted_epoch.primary]
--- a/fordtrestle/replication/membership.py
+++ b/fordtrestle/replication/membership.py
@@ -1,4 +1,4 @@
-"""Which stores belong to the core: who is there, when it bootstraps, when this store may end. Pure."""
+"""Membership in the core: announcements, bootstrapping, and when this store may shut down. Pure."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Membership:
-    """One store's part in the forming and changing of the core. Times are s of a steady clock."""
+    """Tracks the members of the core for one store. Times are in seconds of a monotonic clock."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._seeds = seeds
 
     def announcement(self) -> Announce:
-        """What this store says of itself."""
+        """Return the announcement that this store sends to all other stores."""
         context, durable = self._context, self._context.durable
         is_leaving = context.detector.is_leaving
         return Announce(
@@ -40,9 +40,9 @@
         )
 
     def on_announce(self, message: Announce, now: float) -> None:
-        """Take note of a store, unless it is of another core, which is reported once."""
+        """Record an announcement; one of a store of another core is ignored, and reported once."""
         context, core, store = self._context, self._context.durable.core, message.store
-        if context.peers.is_newly_foreign(message, core):
+        if context.peers.mark_foreign(message, core):
             context.events.record(ForeignStoreSeen(store.id, store.address, message.core))
         if context.peers.is_foreign(message, core):
             return
@@ -50,7 +50,7 @@
         self._check_for_lost_primary(store, now)
 
     def on_connection_lost(self, store_id: str, now: float) -> None:
-        """The connection to a store has ended and does not come back: it has ended, or is cut off."""
+        """Mark a store as disconnected, and as lost if it is the primary: its connection ended for good."""
         context = self._context
         if store_id not in context.peers.ids():
             return
@@ -60,23 +60,24 @@
             context.detector.mark_lost(store_id, now)
 
     def plan_bootstrap(self, now: float) -> EpochPlan | None:
-        """The first epoch of the core, where this store is to open it now."""
+        """Return the plan of the core's first epoch if this store should open it now, else None."""
         context = self._context
         if context.durable.accepted_epoch or context.detector.is_leaving:
             return None
-        heard = context.peers.announced(now)
-        plan = self._bootstrap.plan(context.durable.is_founder, heard, self._seeds(), now)
+        announcements = context.peers.live_announcements(now)
+        plan = self._bootstrap.plan(context.durable.is_founder, announcements, self._seeds(), now)
         if plan is None:
             return None
-        return EpochPlan(no_epoch(context.me), plan.witnesses, Reason.BOOTSTRAP, plan.unanimous)
+        return EpochPlan(no_epoch(context.me), plan.witnesses, Reason.BOOTSTRAP, plan.required_voters)
 
     def can_leave(self, now: float) -> bool:
-        """Whether this store may end: as far as it knows, an epoch is open that needs it no more.
+        """Return whether this store may exit: as far as it knows, the open epoch no longer needs it.
 
-        It is needed as a replica, and as a witness while another store waits for its slot. Guards against two
-        races: with a candidate that this store has promised a newer term, whose epoch may need it; and with
-        others that shut down at the same time. Where all others have said that they end, too, there is
-        nothing to wait for; those that are not heard have not said so.
+        A replica is needed, and so is a witness while another store is waiting for its slot. Guards against
+        two races: with a candidate that this store has promised a newer term, whose epoch may need it; and
+        with other stores that shut down at the same time. If all other stores have announced that they are
+        shutting down, there is nothing to wait for. A store that is not heard has not
+        announced this.
         """
         context, epoch = self._context, self._context.epoch
         staying = context.peers.ids() - context.peers.leaving() - {context.me.id}
@@ -90,17 +91,17 @@
         return context.me.id not in needed
 
     def record_wait(self, now: float) -> None:
-        """Let operators know what this store waits for, at growing intervals."""
+        """Record an event that tells operators what this store is waiting for, at growing intervals."""
         context = self._context
         reason = self._wait_reason(now)
         if not context.events.is_wait_due(reason, now) or reason is None:
             return
-        heard = context.peers.announced(now)
-        missing = tuple(self._bootstrap.missing_seeds(heard, self._seeds()))
-        context.events.record_wait(reason, len(heard), missing, now)
+        announcements = context.peers.live_announcements(now)
+        missing = tuple(self._bootstrap.missing_seeds(announcements, self._seeds()))
+        context.events.record_wait(reason, len(announcements), missing, now)
 
     def _check_for_lost_primary(self, store: Store, now: float) -> None:
-        """Notice another store in the primary's machine: the primary's disk was lost."""
+        """Mark the primary as lost if another store announces itself from its machine: its disk was lost."""
         accepted = self._context.durable.accepted_epoch
         primary = accepted.store(accepted.primary) if accepted else None
         if primary and primary.id != store.id and primary.address == store.address:
--- a/fordtrestle/replication/messages.py
+++ b/fordtrestle/replication/messages.py
@@ -1,7 +1,8 @@
-"""Messages that stores exchange about epochs and writes, and the records that they put on disk. Pure.
+"""Messages between stores about epochs and writes, and the records that stores keep on disk. Pure.
 
-The protocol is primary-backup replication whose reconfigurations a majority of witnesses agrees on (Vertical
-Paxos, Lamport, Malkhi and Zhou 2009). How a message or record may change: `docs/design/versions.md`.
+The protocol is primary-backup replication; a majority of witnesses must agree on each reconfiguration
+(Vertical Paxos, Lamport, Malkhi and Zhou 2009). `docs/design/versions.md` describes how messages and records
+may change.
 """
 
 from __future__ import annotations
@@ -17,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Announce:
-    """A store is up: sent to all stores at a fixed interval.
+    """Announces that a store is up; sent to all stores at a fixed interval.
 
     Attributes:
         store: The sender.
         counts_for_quorum: Whether its machine may become a witness.
-        is_leaving: Whether it shuts down and waits for others to take its slot.
-        core: Identity of the core that it belongs to; empty while it knows of no epoch.
-        is_founder: Whether it was told to bootstrap the core, and has not voted yet.
+        is_leaving: Whether it is shutting down and waits for another store to take its slot.
+        core: Id of the core that it belongs to; empty while it knows of no epoch.
+        is_founder: Whether it was told to bootstrap the core and has not voted yet.
     """
 
     store: Store
@@ -36,12 +37,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """From the primary to all stores: its epoch is open.
+    """Announces to all stores that the primary's epoch is open.
 
     Attributes:
         epoch: The epoch.
-        number: Rises with each heartbeat.
-        committed_sequence: The sequence up to which writes are committed; unknown to older versions.
+        number: Increases with each heartbeat of the primary.
+        committed_sequence: The newest committed sequence; older versions do not send it.
     """
 
     epoch: Epoch
@@ -51,9 +52,9 @@
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatAck:
-    """The witness has prepared nothing newer than this term.
+    """Acknowledges a heartbeat: the witness has prepared no term newer than this one.
 
-    `installed_term` and `sequence` tell which state it holds, as in `Prepared`.
+    `installed_term` and `sequence` identify the state that the witness holds, as in `Prepared`.
     """
 
     term: Term
@@ -64,21 +65,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Resign:
-    """The primary of this term has stepped down: nobody has to wait for its election time-out."""
+    """Tells that the primary of this term stepped down: no store must wait for its election timeout."""
 
     term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class PreVote:
-    """A store suspects its primary: would a `Prepare` be granted (Raft dissertation, 9.6)?"""
+    """Asks whether a `Prepare` would be granted (Raft dissertation, 9.6): the sender suspects the primary."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class PreVoteGrant:
-    """The witness suspects the primary as well; `prepared_term` is the term to exceed."""
+    """Grants a pre-vote: the witness also suspects the primary; `prepared_term` is the term to exceed."""
 
     attempt: int
     prepared_term: Term
@@ -87,17 +88,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Prepare:
-    """Asks a witness to promise that it takes no part in any older term (Paxos' phase 1)."""
+    """Asks a witness to promise to reject requests of any older term (phase 1 of Paxos)."""
 
     term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class Prepared:
-    """The promise, the newest epoch that the witness has accepted, and which state it holds.
+    """Contains the promise, the newest epoch that the witness has accepted, and the state that it holds.
 
-    A state is identified by the term that it was installed under and its sequence: two stores that have both
-    alike hold the same state.
+    A state is identified by its sequence and the term under which it was installed: two stores for which both
+    are equal hold the same state.
     """
 
     term: Term
@@ -108,7 +109,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """The whole state, for a replica of the epoch that a candidate opens, or for a store that lags."""
+    """Carries the whole state to a replica of an epoch that is being opened, or to a lagging store."""
 
     term: Term
     state: ControlState
@@ -116,28 +117,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Installed:
-    """The state of that `Install` is on disk."""
+    """Confirms that the state of the `Install` is on disk."""
 
     term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class Accept:
-    """Asks a witness to hold this epoch as the newest (Paxos' phase 2)."""
+    """Asks a witness to accept this epoch as the newest (phase 2 of Paxos)."""
 
     epoch: Epoch
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The epoch of that `Accept` is on disk."""
+    """Confirms that the epoch of the `Accept` is on disk."""
 
     term: Term
 
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """One write of the epoch of that term, for its replicas and for the witnesses that follow."""
+    """Carries one write of the epoch of this term to its replicas and to its other witnesses."""
 
     term: Term
     sequence: int
@@ -146,7 +147,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CommitNotice:
-    """From the primary of that term to its witnesses: all replicas hold the writes up to `sequence`."""
+    """Tells the witnesses of this term that all replicas hold the writes up to `sequence`."""
 
     term: Term
     sequence: int
@@ -154,7 +155,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """All writes up to `sequence` are on disk."""
+    """Confirms that all writes up to `sequence` are on disk."""
 
     term: Term
     sequence: int
@@ -162,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The witness has prepared a newer term than the one that it was asked about."""
+    """Rejects a request: the witness has prepared a newer term than that of the request."""
 
     term: Term
     prepared_term: Term
@@ -171,7 +172,7 @@
 VoteRequest = Prepare | Install | Accept | Append
 VoteResponse = Prepared | Installed | Accepted | Appended
 
-# By the part of a store that handles them.
+# Grouped by the role of a store that handles them.
 ToWitness = Heartbeat | CommitNotice | Resign | PreVote | VoteRequest
 ToPrimary = HeartbeatAck | Appended
 ToCandidate = PreVoteGrant | Rejected | Prepared | Installed | Accepted
@@ -179,7 +180,7 @@
 
 
 class Outgoing(NamedTuple):
-    """A message, and the id of the store that it goes to."""
+    """A message and the id of the store that it is sent to."""
 
     receiver: str
     message: Message
@@ -187,7 +188,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Vote:
-    """On disk: the term that this store has prepared and the epoch that it has accepted as a witness."""
+    """Record of the term that this store has prepared and the epoch that it has accepted as a witness."""
 
     store: str
     prepared_term: Term
@@ -196,7 +197,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """On disk: the whole state, as of the term under which it was installed."""
+    """Record of the whole state and the term under which it was installed."""
 
     term: Term
     state: ControlState
@@ -204,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """On disk: one write, which follows the snapshot or entry before it."""
+    """Record of one write, which follows the snapshot or entry before it."""
 
     term: Term
     sequence: int
@@ -213,7 +214,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Founder:
-    """On disk: this store was told to bootstrap the core. Void once it has accepted an epoch."""
+    """Record that this store was told to bootstrap the core; void once the store has accepted an epoch."""
 
     store: str
 
--- a/fordtrestle/replication/node.py
+++ b/fordtrestle/replication/node.py
@@ -1,12 +1,12 @@
-"""One store in the replication of control state, as its callers see it. Pure.
+"""One store that replicates the control state: the interface for its callers. Pure.
 
-Messages, the time and what the disk has synced are handed in; `drain` gives records to sync, and what may be
-sent or acknowledged only after that sync.
+Callers pass in messages, the time and the age of the oldest sync. `drain` returns the records to sync, and
+the messages that may be sent only after that sync.
 
-The algorithm is primary-backup replication whose reconfigurations a majority of witnesses agrees on (Vertical
-Paxos, Lamport, Malkhi and Zhou 2009), with witnesses that vote and need not hold the state (Harp, Liskov et
-al. 1991) and with pre-votes (the Raft dissertation, 9.6). Each side of a store is a class of its own, in
-`witness.py`, `primary.py`, `candidate.py` and `membership.py`; what they share is in `context.py`.
+The algorithm is primary-backup replication; a majority of witnesses must agree on each reconfiguration
+(Vertical Paxos, Lamport, Malkhi and Zhou 2009). Witnesses vote and need not hold the state (Harp, Liskov et
+al. 1991), and elections start with a pre-vote (the Raft dissertation, 9.6). Each role of a store is a class
+in `witness.py`, `primary.py`, `candidate.py` or `membership.py`; `context.py` contains what the roles share.
 """
 
 from __future__ import annotations
@@ -29,7 +29,9 @@
 from fordtrestle.replication.state import Change, ControlState
 from fordtrestle.replication.witness import Witness
 
-STALLED_SYNC_S = 0.6  # a sync that takes longer: the primary sends nothing, so that another takes over
+STALLED_SYNC_S = (
+    0.6  # while a sync takes longer, a primary sends no heartbeats, so that another store takes over
+)
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +40,8 @@
 
     Attributes:
         sequence: Its position in the order of writes.
-        tenure: Of the primary that began it: another may give the position to another write.
+        tenure: The tenure of the primary that started it; in another tenure the same sequence may belong to
+            a different write.
     """
 
     sequence: int
@@ -46,10 +49,10 @@
 
 
 class Node:
-    """All that one store knows and does. Times are s of a steady clock.
+    """A replicated store. Times are in seconds of a monotonic clock.
 
-    It hands messages and ticks to the side that they are for, and answers its callers' questions; `primary`,
-    `candidate`, `membership` and `context` are open to tests.
+    Dispatches messages and ticks to the roles of the store, and answers its callers' queries. `primary`,
+    `candidate`, `membership` and `context` are public for tests.
     """
 
     def __init__(
@@ -63,16 +66,16 @@
         now: float,
         seeds: Callable[[], Collection[str]] = tuple,
     ) -> None:
-        """Make a store of what its disk holds.
+        """Create the store from its durable state.
 
         Args:
             me: This store.
-            durable: What its disk holds.
+            durable: The state restored from its disk.
             tolerated_failures: How many machines may be lost at once.
             counts_for_quorum: Whether this store may become a witness.
-            draw: Gives numbers that are uniform in [0, 1).
-            now: The time.
-            seeds: Gives the control addresses that the settings name now.
+            draw: Returns random numbers, uniform in [0, 1).
+            now: The current time.
+            seeds: Returns the control addresses currently listed in the settings.
         """
         self.me = me
         self.durable = durable
@@ -90,7 +93,7 @@
         self.membership = Membership(self.context, self.primary, self.candidate, bootstrap, seeds)
         self._witness = Witness(self.context, self.primary, self.candidate)
 
-    # questions of callers
+    # Queries
 
     @property
     def epoch(self) -> Epoch | None:
@@ -99,21 +102,21 @@
 
     @property
     def events(self) -> Events:
-        """What operators are to know."""
+        """The events to report to operators."""
         return self.context.events
 
     @property
     def is_primary(self) -> bool:
-        """Whether this store acts as primary, as far as it knows."""
+        """Whether this store is primary, as far as it knows."""
         return self.primary.leadership is not None
 
     @property
     def is_ready(self) -> bool:
-        """Whether as many stores hold the state as have to before anything is acknowledged.
+        """Whether this store is primary and enough stores hold the state to acknowledge writes.
 
-        Guards against the race with a candidate that has heard of the epoch from a minority alone: a majority
-        of witnesses has to hold that it is open, or the next candidate would need the witness sets before
-        it, of which this store may be the last one.
+        Guards against a race with a candidate that has learned of the epoch from a minority only: a majority
+        of witnesses must have recorded that the epoch is open. Otherwise the next candidate would need votes
+        of the earlier witness sets, of which this store may be the last member.
         """
         leadership = self.primary.leadership
         return bool(
@@ -126,20 +129,20 @@
 
     @property
     def newest_epoch(self) -> Epoch | None:
-        """The newest epoch that this store knows, open or only accepted."""
+        """The newest epoch that this store knows, whether open or only accepted."""
         return self.epoch or self.durable.accepted_epoch
 
     @property
     def committed_state(self) -> ControlState | None:
-        """The newest state that is known to be on all replicas, of a primary; None otherwise."""
+        """The newest state that all replicas are known to hold, if this store is primary; None otherwise."""
         leadership = self.primary.leadership
         return leadership.committed_state if leadership else None
 
     @property
     def committed_sequence(self) -> int:
-        """The sequence up to which the writes that this store holds are known to be committed.
+        """The newest sequence known to be committed, among the writes that this store holds.
 
-        A store that lags may have heard of more than it holds.
+        A lagging store may have learned of committed writes that it does not hold yet.
         """
         leadership = self.primary.leadership
         if leadership:
@@ -148,39 +151,39 @@
 
     @property
     def newest_write(self) -> PendingWrite:
-        """The newest write that this store holds: what rests on its state holds once that is committed."""
+        """The newest write that this store holds; a read of its state is valid once that is committed."""
         return PendingWrite(self.durable.state.sequence, self.primary.tenure)
 
     def is_current(self, write: PendingWrite) -> bool:
-        """Whether this store has been primary ever since that write was its newest."""
+        """Return whether this store is primary, in the same tenure as that of the write."""
         return self.is_primary and write.tenure == self.primary.tenure
 
     def has_committed(self, write: PendingWrite) -> bool:
-        """Whether a write of this tenure, with all before it, is on all replicas."""
+        """Return whether a write of the current tenure, with all before it, is held by all replicas."""
         leadership = self.primary.leadership
         if leadership is None or write.tenure != self.primary.tenure:
             return False
         return leadership.committed_sequence >= write.sequence
 
     def reachable_primary(self, now: float) -> Store | None:
-        """Another store that was primary lately; None where callers had better try any store."""
+        """Return another store that was primary recently, or None: callers may then try any store."""
         return self.context.detector.reachable_primary(now)
 
     def can_leave(self, now: float) -> bool:
-        """Whether this store may end: as far as it knows, an epoch is open that needs it no more."""
+        """Return whether this store may exit: as far as it knows, the open epoch no longer needs it."""
         return self.membership.can_leave(now)
 
     def announcement(self) -> Announce:
-        """What this store says of itself."""
+        """Return the announcement that this store sends to all other stores."""
         return self.membership.announcement()
 
-    # requests of callers
+    # Commands
 
     def propose(self, change: Change, now: float) -> PendingWrite | None:
-        """Begin a write.
+        """Start replicating a write.
 
         Returns:
-            The write, acknowledged once it is committed; None where this store can't take any.
+            The write, to be acknowledged once it is committed; None if this store cannot accept writes.
         """
         sequence = self.primary.propose(change, now) if self.is_ready else None
         return None if sequence is None else PendingWrite(sequence, self.primary.tenure)
@@ -188,39 +191,39 @@
     def begin_confirmation(self, now: float) -> int:
         """Ask all witnesses whether this is still the newest epoch (the read index of Raft, 6.4).
 
-        Guards against a primary that was cut off, or stood still, and answers a read from an old state.
+        Guards against a primary that was partitioned or paused and would answer a read from an old state.
 
         Returns:
-            The number of the heartbeat that tells; to be handed to `is_confirmed`.
+            The number of the heartbeat to confirm, to be passed to `is_confirmed`.
         """
-        if self.candidate.epoch_change:  # the epoch that is being opened will tell
+        if self.candidate.epoch_change:  # the next heartbeat, sent when the epoch opens, will confirm it
             return self.primary.next_heartbeat_number
         return self.primary.send_heartbeats(now)
 
     def is_confirmed(self, number: int) -> bool:
-        """Whether a majority has answered this heartbeat, or one that was sent later."""
+        """Return whether a majority has acknowledged this heartbeat or a later one."""
         leadership = self.primary.leadership
-        return leadership is not None and leadership.confirmed_number >= number
+        return leadership is not None and leadership.confirmed_heartbeat >= number
 
     def leave(self, now: float) -> None:
-        """Prepare to end: stay until `can_leave`, as a voter and with the state, but lead no more."""
+        """Start a graceful shutdown: step down, but keep voting and holding the state until `can_leave`."""
         self.context.detector.is_leaving = True
         self.primary.resign(Reason.LEAVING, now)
 
-    # what happens to this store
+    # Inputs and effects
 
     def drain(self) -> Effects:
-        """What is to be synced and then sent, once each."""
+        """Return and clear the pending effects: records to sync, then messages to send."""
         effects, self.context.effects = self.context.effects, Effects()
         return effects
 
     def tick(self, now: float, syncing_s: float = 0.0) -> None:
-        """Let timers act.
+        """Run the timers.
 
         Args:
-            now: The time.
-            syncing_s: For how long the disk has been at the oldest sync. Where that is too long, the primary
-                sends no heartbeats: another store takes over from one whose disk hangs.
+            now: The current time.
+            syncing_s: How long the oldest sync in progress has taken. Above `STALLED_SYNC_S` the primary
+                sends no heartbeats, so that another store takes over from one whose disk hangs.
         """
         is_stalled = syncing_s > STALLED_SYNC_S
         if self.candidate.epoch_change:
@@ -232,7 +235,7 @@
         self.membership.record_wait(now)
 
     def receive(self, sender: str, message: Message, now: float) -> None:
-        """Hand a message from a store, which may be this one, to the side that it is for."""
+        """Dispatch a message, which may come from this store itself, to the role that handles it."""
         if isinstance(message, Announce):
             self.membership.on_announce(message, now)
         elif isinstance(message, ToPrimary):
@@ -243,18 +246,18 @@
             self._witness.receive(sender, message, now)
 
     def on_connection_lost(self, store_id: str, now: float) -> None:
-        """The connection to a store has ended and does not come back."""
+        """Mark a store as disconnected: its connection ended for good."""
         self.membership.on_connection_lost(store_id, now)
 
     def _maintain(self, now: float) -> None:
-        """Change the epoch where that is needed, or handle that the primary is missing."""
+        """As primary, start an epoch change if one is needed; otherwise handle a missing primary."""
         plan = self.primary.maintain_epoch(now) if self.is_primary else self._handle_missing_primary(now)
         if plan:
             self.candidate.start(plan, now)
 
     def _handle_missing_primary(self, now: float) -> EpochPlan | None:
-        """Bootstrap the core where there is none, or ask for pre-votes where the primary is suspected."""
+        """Plan the bootstrap if there is no core, or start a pre-vote if the primary is suspected."""
         plan = self.membership.plan_bootstrap(now)
-        if plan is None and self.context.detector.is_due(now):
+        if plan is None and self.context.detector.is_election_due(now):
             self.candidate.start_pre_vote(now)
         return plan
--- a/fordtrestle/replication/primary.py
+++ b/fordtrestle/replication/primary.py
@@ -1,4 +1,4 @@
-"""The primary's side of one store: it replicates writes, sends heartbeats and steps down. Pure."""
+"""The primary role of a store: replicates writes, sends heartbeats and steps down. Pure."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 from fordtrestle.replication.reconfiguration import CoreView, plan_next_epoch
 from fordtrestle.replication.state import Change
 
-HEARTBEAT_INTERVAL_S = 0.25  # four and more fit into an election time-out
+HEARTBEAT_INTERVAL_S = 0.25  # more than four fit into an election timeout
 
 
 class Primary:
-    """What a store does while it is primary of an epoch. Times are s of a steady clock."""
+    """Leads an epoch while this store is its primary. Times are in seconds of a monotonic clock."""
 
     def __init__(self, context: StoreContext, now: float) -> None:
-        self.leadership: Leadership | None = None  # while this store is primary
+        self.leadership: Leadership | None = None  # None unless this store is primary
         self.tenure = 0  # how often this store has stepped down
         self._context = context
         self._heartbeat_at = now
-        self._heartbeat_number = 0  # of the newest heartbeat
+        self._heartbeat_number = 0  # of the newest heartbeat sent
 
     @property
     def next_heartbeat_number(self) -> int:
@@ -41,18 +41,18 @@
     def begin_epoch(
         self, epoch: Epoch, *, is_committed: bool, reason: Reason, took_s: float, now: float
     ) -> None:
-        """Lead an epoch that was opened.
+        """Become the primary of an epoch that was opened.
 
         Args:
             epoch: The epoch.
-            is_committed: Whether no earlier witness set has to be asked about it.
-            reason: What it was opened for.
-            took_s: How long opening it took.
-            now: The time.
+            is_committed: Whether no votes of earlier witness sets are needed to open a later epoch.
+            reason: Why it was opened.
+            took_s: How long the epoch change took, in seconds.
+            now: The current time.
         """
         context = self._context
         context.epoch = epoch
-        context.detector.on_leading()
+        context.detector.on_elected()
         state = context.durable.state
         sequence = state.sequence
         self.leadership = Leadership(
@@ -66,13 +66,13 @@
         context.events.record(EpochOpened(number, epoch.core, reason, epoch.replicas, witnesses, took_s))
 
     def propose(self, change: Change, now: float) -> int | None:
-        """Begin to replicate a write.
+        """Start replicating a write.
 
-        Guards against the race with a newer candidate: where this store has prepared a newer term, its own
-        disk refuses the write as any other replica's does.
+        Guards against a race with a newer candidate: if this store has prepared a newer term, it rejects its
+        own write as any other replica would.
 
         Returns:
-            The sequence of the write, or None where this store can't take any.
+            The sequence of the write, or None if this store cannot accept writes.
         """
         leadership, context = self.leadership, self._context
         if leadership is None:
@@ -84,13 +84,13 @@
         leadership.begin_append(context.durable.state, now)
         context.sync(records)
         context.send(context.me.id, Appended(term, sequence))
-        for store_id in leadership.epoch.witness_ids:  # those that are no replicas follow, to step in at once
+        for store_id in leadership.epoch.witness_ids:  # non-replicas too, so that they can step in at once
             if store_id != context.me.id:
                 context.send(store_id, Append(term, sequence, change))
         return sequence
 
     def receive(self, sender: str, message: ToPrimary, now: float) -> None:
-        """Take in a message that is meant for the primary."""
+        """Handle a message that is addressed to the primary."""
         match message:
             case HeartbeatAck():
                 self.on_heartbeat_ack(sender, message, now)
@@ -98,7 +98,7 @@
                 self.on_appended(sender, message)
 
     def on_heartbeat_ack(self, sender: str, message: HeartbeatAck, now: float) -> None:
-        """Count the answer of a witness, and send it the whole state where it lags."""
+        """Count a heartbeat acknowledgement, and send the whole state to the witness if it lags."""
         leadership, context = self.leadership, self._context
         if leadership is None or message.term != leadership.epoch.term:
             return
@@ -107,25 +107,25 @@
         held = message.sequence if message.installed_term == term else -1
         if held >= 0 and context.durable.installed_term == term:
             self._count_appended(leadership, sender, held)
-        follows = sender in leadership.epoch.witness_ids
-        if follows and leadership.catch_up.is_due(sender, held, state.sequence, now):
+        is_witness = sender in leadership.epoch.witness_ids
+        if is_witness and leadership.catch_up.is_due(sender, held, state.sequence, now):
             context.send(sender, Install(term, state))
 
     def on_appended(self, sender: str, message: Appended) -> None:
-        """Count the writes that a replica holds.
+        """Count the writes that a store has appended.
 
-        Guards against answers that come late: those of another term count for nothing.
+        Guards against delayed responses: those of another term are ignored.
         """
         leadership = self.leadership
         if leadership and message.term == leadership.epoch.term == self._context.durable.installed_term:
             self._count_appended(leadership, sender, message.sequence)
 
     def is_heartbeat_due(self, now: float) -> bool:
-        """Whether the interval since the last heartbeat has passed."""
+        """Return whether the heartbeat interval has passed since the last heartbeat."""
         return now >= self._heartbeat_at
 
     def send_heartbeats(self, now: float) -> int:
-        """Send a heartbeat to all stores that are known, if this store is primary.
+        """Send a heartbeat to all known stores, if this store is primary.
 
         Returns:
             The number of the newest heartbeat.
@@ -140,25 +140,25 @@
         return self._heartbeat_number
 
     def maintain_epoch(self, now: float) -> EpochPlan | None:
-        """Step down where no majority answers, else look whether another epoch is needed.
+        """Step down if the majority is lost; otherwise check whether a new epoch is needed.
 
         Returns:
-            The epoch that is to be opened next, or None where this one serves.
+            The plan for the next epoch, or None if the current epoch can continue.
         """
         leadership, context = self.leadership, self._context
         if leadership is None:
             return None
-        if leadership.is_out_of_touch(now):
-            # Others hear of it where only the way back to this store is cut.
+        if leadership.has_lost_majority(now):
+            # If only the path back to this store is broken, the others still receive the resignation.
             self.resign(Reason.OUT_OF_TOUCH, now)
             return None
-        if leadership.is_stalled(now) and leadership.record_late():
+        if leadership.is_stalled(now) and leadership.record_late_write():
             lagging = tuple(sorted(leadership.lagging()))
             context.events.record(WriteLate(context.durable.state.sequence, lagging))
-        return plan_next_epoch(self._view(leadership, now))
+        return plan_next_epoch(self._core_view(leadership, now))
 
     def resign(self, reason: Reason, now: float) -> None:
-        """Step down, and let the witnesses know, so that none waits for its election time-out."""
+        """Step down, and notify the witnesses so that they need not wait for an election timeout."""
         leadership, context = self.leadership, self._context
         if leadership is None:
             return
@@ -168,7 +168,7 @@
         self.step_down(reason, now)
 
     def step_down(self, reason: Reason, now: float) -> None:
-        """Lead no more, and wait for another primary; what is under way is left without an answer."""
+        """Stop leading, and wait for another primary. Writes in flight are not acknowledged."""
         context = self._context
         if self.leadership:
             context.events.record(SteppedDown(self.leadership.epoch.term.number, reason))
@@ -177,23 +177,23 @@
         context.await_primary(now)
 
     def _count_appended(self, leadership: Leadership, replica: str, sequence: int) -> None:
-        """Count a replica's writes, and let followers know at once of what is committed by them."""
+        """Count a store's writes, and notify the other witnesses at once if that committed any."""
         if leadership.on_appended(replica, sequence):
             notice = CommitNotice(leadership.epoch.term, leadership.committed_sequence)
             for store_id in leadership.epoch.witness_ids:
                 if store_id != self._context.me.id:
                     self._context.send(store_id, notice)
 
-    def _view(self, leadership: Leadership, now: float) -> CoreView:
+    def _core_view(self, leadership: Leadership, now: float) -> CoreView:
         context, epoch = self._context, leadership.epoch
         others = [store_id for store_id in epoch.witness_ids if store_id != epoch.primary]
-        peers, heard_at = context.peers, context.detector.heard_at
+        peers, heard_at = context.peers, context.detector.last_heard_at
         return CoreView(
             epoch=epoch,
             live=frozenset({epoch.primary} | peers.live(now)),
             leaving=peers.leaving(),
             joining=tuple(peers.joining(epoch.witness_ids, now)),
-            giving_up=tuple(peers.giving_up(others, heard_at, now)),
+            replaceable=tuple(peers.replaceable(others, heard_at, now)),
             is_write_stalled=leadership.is_stalled(now),
             witness_count=context.witness_count,
             replica_count=context.replica_count,
--- a/fordtrestle/replication/state.py
+++ b/fordtrestle/replication/state.py
@@ -1,4 +1,4 @@
-"""The state that survives: configuration, evacuated zones, calls that were applied, coordination. Pure."""
+"""The replicated state: configuration, evacuated zones, applied calls, coordination. Pure."""
 
 from __future__ import annotations
 
@@ -7,16 +7,14 @@
 from fordtrestle.coordination.changes import CoordinationChange
 from fordtrestle.coordination.state import EMPTY, CoordinationState
 
-MAX_APPLIED_CALLS = 2048  # calls remembered, so that one sent again is acknowledged again
-DIGEST_PREFIX_BYTES = (
-    4  # of the digest of a call from before those: one with another prefix was never applied
-)
-MAX_DIGEST_PREFIXES = 1_000_000  # three years at 900 changes a day; then they begin anew
+MAX_APPLIED_CALLS = 2048  # remembered, so that a repeated call is acknowledged again
+DIGEST_PREFIX_BYTES = 4  # kept of older calls; a call with an unknown prefix was never applied
+MAX_DIGEST_PREFIXES = 1_000_000  # three years at 900 changes a day; then the list is cleared
 
 
 @dataclass(frozen=True, slots=True)
 class AppliedCall:
-    """A call that changed the configuration, by its digest, and the generation that it built on."""
+    """The digest of a call that changed the configuration, and the generation that it was based on."""
 
     digest: bytes
     base: int
@@ -27,9 +25,9 @@
     """A new configuration.
 
     Attributes:
-        digest: Digest of the call that brought it.
-        generation: Its generation.
-        document: The whole configuration as JSON, also after a patch.
+        digest: Digest of the call that set it.
+        generation: The generation of the configuration.
+        document: The whole configuration as JSON, even if the call was a patch.
     """
 
     digest: bytes
@@ -39,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Evacuation:
-    """A zone is evacuated (`active`) or taken back into service."""
+    """Evacuates a zone (`active`) or returns it to service."""
 
     zone: str
     active: bool
@@ -48,26 +46,26 @@
 Change = ConfigChange | Evacuation | CoordinationChange
 
 
-def _holds_prefix(prefixes: bytes, wanted: bytes) -> bool:
-    """Whether a digest's prefix is among others, which stand one behind the other."""
-    at = prefixes.find(wanted)
-    while at >= 0 and at % DIGEST_PREFIX_BYTES:
-        at = prefixes.find(wanted, at + 1)
-    return at >= 0
+def _contains_prefix(prefixes: bytes, prefix: bytes) -> bool:
+    """Return whether a digest prefix is among concatenated prefixes of `DIGEST_PREFIX_BYTES` each."""
+    index = prefixes.find(prefix)
+    while index >= 0 and index % DIGEST_PREFIX_BYTES:
+        index = prefixes.find(prefix, index + 1)
+    return index >= 0
 
 
 @dataclass(frozen=True, slots=True)
 class ControlState:
-    """Everything that was decided, in the order of `sequence`.
+    """The state after the writes up to `sequence`.
 
     Attributes:
-        sequence: The number of writes up to here.
+        sequence: The number of writes applied so far.
         generation: The generation of the configuration.
         document: The configuration as JSON.
-        evacuated: The evacuated zones, the newest last.
-        applied_calls: The newest calls, in their order.
-        forgotten_base: The newest generation that a call built on of which nothing is known any more.
-        digest_prefixes: First bytes of the digests of the calls before `applied_calls`, in their order.
+        evacuated: The evacuated zones, newest last.
+        applied_calls: The newest applied calls, oldest first.
+        forgotten_base: The newest base generation of the calls that are no longer known even by a prefix.
+        digest_prefixes: Concatenated digest prefixes of the calls before `applied_calls`, oldest first.
         coordination: Locks, counters and keys.
     """
 
@@ -81,24 +79,24 @@
     coordination: CoordinationState = EMPTY
 
     def has_applied(self, digest: bytes) -> bool:
-        """Whether this very call is known to have been applied."""
+        """Return whether the call with this digest is known to have been applied."""
         return any(call.digest == digest for call in self.applied_calls)
 
     def may_have_applied(self, digest: bytes, base: int) -> bool:
-        """Whether a call may have been applied before those that are known by their digests.
+        """Return whether a call may have been applied before the calls whose full digests are known.
 
-        Guards against refusing a call that was applied long ago, and is sent again after an outage. One of
-        `MAX_DIGEST_PREFIXES` / 2 ** 32, 0.02%, of those that were not applied is held to be.
+        Guards against refusing a call that was applied long ago and is repeated after an outage. At
+        most `MAX_DIGEST_PREFIXES` / 2 ** 32, 0.02%, of the calls that were not applied are false positives.
 
         Args:
-            digest: The call's digest.
-            base: The generation that it builds on.
+            digest: The digest of the call.
+            base: The generation that the call is based on.
         """
         prefix = digest[:DIGEST_PREFIX_BYTES]
-        return base <= self.forgotten_base or _holds_prefix(self.digest_prefixes, prefix)
+        return base <= self.forgotten_base or _contains_prefix(self.digest_prefixes, prefix)
 
     def apply(self, change: Change) -> ControlState:
-        """The state after one more change."""
+        """Return the state after one more change."""
         after = replace(self, sequence=self.sequence + 1)
         match change:
             case ConfigChange():
@@ -111,10 +109,10 @@
                 return replace(after, coordination=coordination)
 
     def _with_configuration(self, change: ConfigChange) -> ControlState:
-        """This state with another configuration, and its call remembered.
+        """Return this state with a new configuration, and with its call remembered.
 
-        The oldest calls are cut to prefixes of their digests; once there are too many of these, they are
-        forgotten, and calls that build on generations from before are of unknown outcome.
+        The oldest calls are reduced to digest prefixes. Once there are too many prefixes they are cleared,
+        and the outcome of a call based on a generation of that time is unknown.
         """
         calls = (*self.applied_calls, AppliedCall(change.digest, self.generation))
         applied_calls, older = calls[-MAX_APPLIED_CALLS:], calls[:-MAX_APPLIED_CALLS]
--- a/fordtrestle/replication/voting.py
+++ b/fordtrestle/replication/voting.py
@@ -1,4 +1,4 @@
-"""What one store answers as a witness and as a replica: records to sync first, then the answer. Pure."""
+"""Decides how a store votes as a witness and as a replica: the records to sync, and the response. Pure."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantedVote:
-    """The request was granted: `records` have to be synced before the response is sent."""
+    """A granted vote request; `records` must be synced before the response is sent."""
 
     term: Term
     records: Sequence[Record]
@@ -35,16 +35,16 @@
 def cast_vote(durable: Durable, request: VoteRequest) -> GrantedVote | Rejected | None:
     """Vote on a request of a candidate or primary.
 
-    Guards against the race of two candidates, or of a candidate and an older primary: once a newer term was
-    prepared, whatever an older one asks for is rejected, also where it was sent earlier and comes late.
+    Guards against a race between two candidates, or between a candidate and an older primary: once a newer
+    term is prepared, all requests of older terms are rejected, including delayed ones.
 
     Args:
-        durable: What this store holds; changed where the vote is granted.
-        request: What it is asked for.
+        durable: The durable state of this store; changed if the vote is granted.
+        request: The request.
 
     Returns:
-        The vote with its records, the rejection for a newer term, or None where the request does not fit
-        what this store holds (a write that is ahead of its state): that is no fault, and is not answered.
+        The granted vote with its records, the rejection because of a newer term, or None if the request does
+        not fit the state of this store (a write ahead of its state): that is no error and gets no response.
     """
     response: VoteResponse
     match request:
--- a/fordtrestle/replication/witness.py
+++ b/fordtrestle/replication/witness.py
@@ -1,6 +1,6 @@
-"""The witness's and replica's side of one store: it votes, and follows the primary. Pure.
+"""The witness and replica roles of a store: votes, and follows the primary. Pure.
 
-A witness votes and holds epochs; a replica holds the state, too (Harp, Liskov et al. 1991).
+A witness votes and stores epochs; a replica also holds the state (Harp, Liskov et al. 1991).
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class Witness:
-    """What a store answers to primaries and candidates. Times are s of a steady clock."""
+    """Handles requests of primaries and candidates. Times are in seconds of a monotonic clock."""
 
     def __init__(self, context: StoreContext, primary: Primary, candidate: Candidate) -> None:
         self._context = context
@@ -33,7 +33,7 @@
         self._candidate = candidate
 
     def receive(self, sender: str, message: ToWitness, now: float) -> None:
-        """Take in a message from a primary or candidate."""
+        """Handle a message from a primary or candidate."""
         match message:
             case Heartbeat():
                 self._on_heartbeat(sender, message, now)
@@ -47,7 +47,7 @@
                 self._on_vote_request(sender, message, now)
 
     def _on_vote_request(self, sender: str, request: VoteRequest, now: float) -> None:
-        """Vote, and yield to another store that acts under the term of the vote."""
+        """Vote on a request; if it is granted to another store, yield to the term of that store."""
         context = self._context
         vote = cast_vote(context.durable, request)
         if not isinstance(vote, GrantedVote):
@@ -60,10 +60,10 @@
         context.send(sender, vote.response)
 
     def _on_heartbeat(self, sender: str, message: Heartbeat, now: float) -> None:
-        """Follow a primary, unless it is of another core.
+        """Follow the primary that sent a heartbeat, unless it belongs to another core.
 
-        Guards against an older primary that was cut off: it is told of the newer term that this store has
-        prepared, and steps down.
+        Guards against an older primary that was partitioned: the rejection reports the newer term that this
+        store has prepared, and the primary steps down.
         """
         context, durable, epoch = self._context, self._context.durable, message.epoch
         core = durable.core
@@ -83,13 +83,13 @@
         self._yield_to(epoch.term, now)
 
     def _on_resign(self, term: Term, now: float) -> None:
-        """The primary has stepped down: ask soon; a resignation from an older epoch counts for nothing."""
+        """Mark the primary as lost after its resignation; one from another epoch is ignored."""
         accepted = self._context.durable.accepted_epoch
         if accepted and accepted.term == term:
             self._context.detector.mark_lost(accepted.primary, now)
 
     def _on_pre_vote(self, sender: str, message: PreVote, now: float) -> None:
-        """Grant a pre-vote where this store suspects the primary, too, and is not primary itself."""
+        """Grant a pre-vote if this store also suspects the primary and is not primary itself."""
         context, durable = self._context, self._context.durable
         is_suspected = context.detector.suspects(durable.accepted_epoch, sender, now)
         if is_suspected and not (self._primary.leadership and sender != context.me.id):
@@ -97,8 +97,8 @@
             context.send(sender, grant)
 
     def _yield_to(self, term: Term, now: float) -> None:
-        """Another store acts under this term: an older primary or candidate here is one no more."""
-        self._context.detector.is_returning = False
+        """Give up being an older primary or candidate: another store acts under this term."""
+        self._context.detector.is_restarted_primary = False
         change = self._candidate.epoch_change
         if change and term > change.term:
             self._candidate.abandon(Reason.NEWER_TERM, now)
--- a/fordtrestle/replication/witness_plan.py
+++ b/fordtrestle/replication/witness_plan.py
@@ -1,4 +1,4 @@
-"""Which stores are the witnesses of the next epoch. Pure."""
+"""Chooses the witnesses of the next epoch. Pure."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 
 
 def plan_witnesses(
-    epoch: Epoch, joining: Iterable[Store], giving_up: Sequence[str], witness_count: int
+    epoch: Epoch, joining: Iterable[Store], replaceable: Sequence[str], witness_count: int
 ) -> tuple[Store, ...]:
-    """The witnesses that the next epoch should have.
+    """Return the witnesses that the next epoch should have.
 
-    A store in the machine of another takes that one's slot: its disk was lost. Others fill up to
-    `witness_count`, or take the slot of one that gives it up: with the slot of a lost store filled first, the
-    loss of the new one as well leaves a majority. Stores of zones without a witness go first, and take a slot
-    from a zone that has several, so that the loss of a zone leaves a majority.
+    A joining store takes the slot of a witness on the same machine, whose disk was lost. Otherwise it takes a
+    replaceable slot, or adds one up to `witness_count`. Slots of lost witnesses are reassigned first, so that
+    a majority remains if the new witness is lost as well. Stores of zones without a witness go first, and may
+    take a slot from a zone with several witnesses, so that a majority survives the loss of a zone.
 
     Args:
-        epoch: The epoch that is there.
-        joining: Stores that wait for a slot.
-        giving_up: Ids of witnesses whose slots may be given away, in this order.
+        epoch: The current epoch.
+        joining: Stores that are waiting for a slot.
+        replaceable: Ids of the witnesses whose slots may be reassigned, in order of preference.
         witness_count: How many witnesses a complete core has.
     """
     planned = list(epoch.witnesses)
@@ -29,7 +29,7 @@
         zones = {witness.zone for witness in planned}
         joiner = min(waiting, key=lambda store: (store.zone in zones, store.id))
         waiting.remove(joiner)
-        slot = slot_for(joiner, planned, giving_up, epoch.replicas)
+        slot = slot_for(joiner, planned, replaceable, epoch.replicas)
         if slot is not None:
             planned[slot] = joiner
         elif len(planned) < witness_count:
@@ -38,14 +38,17 @@
 
 
 def slot_for(
-    joiner: Store, planned: Sequence[Store], giving_up: Sequence[str], replicas: Sequence[str]
+    joiner: Store, planned: Sequence[Store], replaceable: Sequence[str], replicas: Sequence[str]
 ) -> int | None:
-    """The index of the witness whose slot a store may take, or None; a replica's is not given to a zone."""
+    """Return the index of the slot that a store may take, or None.
+
+    To spread witnesses over zones, a store may take the slot of a crowded zone, but never that of a replica.
+    """
     ids = [store.id for store in planned]
     for index, store in enumerate(planned):
         if store.address == joiner.address:
             return index
-    for store_id in giving_up:
+    for store_id in replaceable:
         if store_id in ids:
             return ids.index(store_id)
     zones = [store.zone for store in planned]
--- a/fordtrestle/storage/__init__.py
+++ b/fordtrestle/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The append-only log on the disk of a control process."""
+"""The append-only record log of a control process."""
--- a/fordtrestle/storage/errors.py
+++ b/fordtrestle/storage/errors.py
@@ -1,14 +1,14 @@
-"""Errors of the disk of a control process. Pure."""
+"""Errors of the record log of a control process. Pure."""
 
 from __future__ import annotations
 
 
 class StorageError(Exception):
-    """The disk did not take or give what was asked. The cause, an `OSError`, is chained."""
+    """A disk operation failed. The `OSError` that caused it is chained."""
 
 
 class UnknownFormatError(StorageError):
-    """The file was written by a version of the program whose format this one does not read.
+    """The file has a format that this version of the program cannot read.
 
-    It is no fault of the disk, so trying again does not help, and nothing is chained.
+    This is not a disk error: a retry does not help, and no cause is chained.
     """
--- a/fordtrestle/storage/records.py
+++ b/fordtrestle/storage/records.py
@@ -1,4 +1,4 @@
-"""The frame of a record on disk: length, checksum, payload. Pure."""
+"""Framing of records on disk: length, checksum, payload. Pure."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-_HEADER = struct.Struct(">II")  # payload bytes; CRC-32 over that length and the payload
+_HEADER = struct.Struct(">II")  # payload length in bytes; CRC-32 of that length and the payload
 HEADER_BYTES = _HEADER.size
 
-# A longer length is corrupt: the longest record, a snapshot, takes several MB (docs/design/control.md).
+# A greater length is corrupt: the longest record, a snapshot, takes several MB (docs/design/control.md).
 MAX_RECORD_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class ScannedRecord:
-    """A complete record of a file.
+    """A complete record read from a file.
 
     Attributes:
-        payload: What was framed.
-        end: The offset behind the record, in bytes.
+        payload: The payload.
+        end: The file offset after the record, in bytes.
     """
 
     payload: bytes
@@ -28,15 +28,15 @@
 
 
 def frame(payload: bytes) -> bytes:
-    """One record as it stands in the file."""
+    """Return the payload framed as a record."""
     return _HEADER.pack(len(payload), _checksum(payload)) + payload
 
 
 def scan(data: bytes) -> Iterator[ScannedRecord]:
-    """Yield all complete records from the start of a file.
+    """Yield the complete records from the start of a file.
 
-    Ends at the first record that is torn or corrupt, also where complete ones follow it. Those were never
-    synced, since a sync covers the whole file: nothing that rests on them was sent.
+    Stops at the first torn or corrupt record, even if complete ones follow it. Those were never synced, since
+    a sync covers the whole file, so no message that depends on them was sent.
 
     Args:
         data: The bytes of the file.
@@ -55,6 +55,6 @@
 
 
 def _checksum(payload: bytes) -> int:
-    """CRC-32 over length and payload: a run of zeros would pass as empty records without the length."""
+    """Return the CRC-32 of length and payload; without the length, zeros would pass as empty records."""
     length = struct.pack(">I", len(payload))
     return zlib.crc32(payload, zlib.crc32(length))
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -64,23 +64,23 @@
 )
 
 GUARDS: dict[str, Guard] = {
-    "the file is synced before what it holds is read": _removal(
+    "the log file is synced before its records are returned": _removal(
         LOG, LOG_TESTS, "            os.fsync(self._file)\n"
     ),
-    "its name is synced before what it holds is read": _removal(
+    "the log directory is synced before the records are returned": _removal(
         LOG,
         LOG_TESTS,
-        "            os.fsync(self._file)\n            self._sync_folder()\n",
+        "            os.fsync(self._file)\n            self._sync_directory()\n",
         "            os.fsync(self._file)\n",
     ),
     "an append is synced": _removal(LOG, LOG_TESTS, "            os.fdatasync(self._file)\n"),
     "a rewritten file is synced before its name": _removal(LOG, LOG_TESTS, "            os.fsync(new)\n"),
     "a rewritten file's name is synced before an append": _removal(
-        LOG, LOG_TESTS, "            if not self._is_folder_synced:\n", "            if False:\n"
+        LOG, LOG_TESTS, "            if not self._is_directory_synced:\n", "            if False:\n"
     ),
     "a torn tail is truncated": _removal(LOG, LOG_TESTS, "            os.ftruncate(self._file, self.size)\n"),
     "a refused append is truncated before the next": _removal(
-        LOG, LOG_TESTS, "            if self._has_refused_tail:\n", "            if False:\n"
+        LOG, LOG_TESTS, "            if self._has_failed_tail:\n", "            if False:\n"
     ),
     "a record's checksum is compared": _removal(
         "storage/records.py",
@@ -157,12 +157,12 @@
     "a call whose digest prefix is known may have been applied": _removal(
         "replication/state.py",
         CONTROL_API_TESTS,
-        " or _holds_prefix(self.digest_prefixes, prefix)",
+        " or _contains_prefix(self.digest_prefixes, prefix)",
     ),
     "a call whose digest prefix is not known is refused": _removal(
         "replication/state.py",
         CONTROL_API_TESTS,
-        "base <= self.forgotten_base or _holds_prefix(self.digest_prefixes, prefix)",
+        "base <= self.forgotten_base or _contains_prefix(self.digest_prefixes, prefix)",
         "base < self.applied_calls[0].base",
     ),
     "digest prefixes are bounded": _removal(
@@ -207,7 +207,7 @@
     "a late write is reported once": _removal(
         "replication/leadership.py",
         "tests/replication/test_events.py",
-        "        return reported != self.append_since\n",
+        "        return reported != self.oldest_write_started_at\n",
         "        return True\n",
     ),
     "applied calls are remembered": _removal(
@@ -312,19 +312,19 @@
     "a write that may be carried out later is not refused": _removal(
         COORDINATION_SERVICE, COORDINATION_CASES, "else OutcomeUnknown()", "else Unavailable()"
     ),
-    "another tenure's writes prove nothing": _removal(
+    "writes of another tenure do not count as committed": _removal(
         "replication/node.py",
         COORDINATION_CASES,
         "        if leadership is None or write.tenure != self.primary.tenure:\n",
         "        if leadership is None:\n",
     ),
-    "another term's commits prove nothing": _removal(
+    "commits of another term are ignored": _removal(
         "replication/context.py",
         COORDINATION_CASES,
         "        if term == self.durable.installed_term:\n",
         "        if True:\n",
     ),
-    "a store that lags knows no more than it holds": _removal(
+    "a lagging store reports no commit beyond its own state": _removal(
         "replication/node.py",
         COORDINATION_CASES,
         "return min(self.context.committed_sequence, self.durable.state.sequence)",
@@ -384,16 +384,19 @@
     "callers are redirected only to a primary that was heard lately": _removal(
         "replication/failure_detector.py",
         CONTROL_API_TESTS,
-        " or now - self.heard_at > ELECTION_TIMEOUT_S:\n            return None",
+        " or now - self.last_heard_at > ELECTION_TIMEOUT_S:\n            return None",
         ":\n            return None",
     ),
     "nobody is redirected to a primary that resigned": _removal(
-        "replication/failure_detector.py", CONTROL_API_TESTS, " or primary.id == self._lost or now", " or now"
+        "replication/failure_detector.py",
+        CONTROL_API_TESTS,
+        " or primary.id == self._lost_id or now",
+        " or now",
     ),
     "a withdrawal is acknowledged once a majority holds it": _removal(
         "control_api/withdrawals.py",
         CONTROL_API_TESTS,
-        "            while not majority(pending.holders, witnesses):\n",
+        "            while not is_majority(pending.holders, witnesses):\n",
         "            while False:\n",
     ),
     "another process confirms only what it holds": _removal(
@@ -431,7 +434,7 @@
         "            self.resign(Reason.OUT_OF_TOUCH, now)",
         "            self.step_down(Reason.OUT_OF_TOUCH, now)",
     ),
-    "a store that shuts down stays until it is needed no more": _removal(
+    "a store that shuts down stays until it is no longer needed": _removal(
         MEMBERSHIP, HARD_CASES, "        return context.me.id not in needed\n", "        return True\n"
     ),
     "replicas that shut down are replaced": _removal(
@@ -449,29 +452,29 @@
     "stores that shut down are replicas last": _removal(
         "replication/epochs.py", HARD_CASES, "store.id in leaving, store.id not in", "store.id not in"
     ),
-    "a store that lags is sent the state": _removal(
+    "a lagging witness is sent the state": _removal(
         PRIMARY,
         HARD_CASES,
-        "        if follows and leadership",
+        "        if is_witness and leadership",
         "        if False and leadership",
     ),
-    "witnesses that are no replicas follow": _removal(
+    "witnesses that are not replicas receive writes": _removal(
         PRIMARY,
         HARD_CASES,
-        "        for store_id in leadership.epoch.witness_ids:  # those",
-        "        for store_id in leadership.epoch.replicas:  # those",
+        "        for store_id in leadership.epoch.witness_ids:  # non-replicas",
+        "        for store_id in leadership.epoch.replicas:  # non-replicas",
     ),
     "the founder votes first": _removal(
         EPOCH_CHANGE,
         BOOTSTRAP_TESTS,
-        "        if self.is_bootstrap and self.me.id in asked:\n",
+        "        if self.is_bootstrap and self.me.id in recipients:\n",
         "        if False:\n",
     ),
-    "all of a core prepare before it bootstraps without a founder": _removal(
-        EPOCH_CHANGE, BOOTSTRAP_TESTS, " and self.unanimous.issubset(self.prepared)"
+    "all stores prepare before a core bootstraps without a founder": _removal(
+        EPOCH_CHANGE, BOOTSTRAP_TESTS, " and self.required_voters.issubset(self.prepared)"
     ),
     "a core does not bootstrap without a founder while a seed is missing": _removal(
-        BOOTSTRAP, BOOTSTRAP_TESTS, " or self.missing_seeds(heard, seeds):", ":"
+        BOOTSTRAP, BOOTSTRAP_TESTS, " or self.missing_seeds(announcements, seeds):", ":"
     ),
     "a core does not bootstrap without its founder while it is there": _removal(
         BOOTSTRAP,
@@ -479,19 +482,19 @@
         "if has_founder or not self._counts_for_quorum",
         "if not self._counts_for_quorum",
     ),
-    "no core is bootstrapped beside one that is heard": _removal(
-        BOOTSTRAP, BOOTSTRAP_TESTS, " or any(other.core for other in heard):", ":"
+    "no core is bootstrapped while another one is heard": _removal(
+        BOOTSTRAP, BOOTSTRAP_TESTS, " or any(other.core for other in announcements):", ":"
     ),
     "no core is bootstrapped with fewer stores than a complete one has": _removal(
         BOOTSTRAP, BOOTSTRAP_TESTS, "if not is_complete or any(", "if any("
     ),
-    "that a store is the founder is on disk before anything else": _removal(
+    "the founder record is written first": _removal(
         "replication/durable.py",
         BOOTSTRAP_TESTS,
         "[*founder, self._vote(), Snapshot(self.installed_term, self.state)]",
         "[self._vote(), Snapshot(self.installed_term, self.state), *founder]",
     ),
-    "stores of another core are not taken in": _removal(
+    "stores of another core are not admitted": _removal(
         MEMBERSHIP,
         BOOTSTRAP_TESTS,
         "        if context.peers.is_foreign(message, core):\n",
@@ -524,7 +527,7 @@
     "a file of an unknown format is left as it is": _removal(
         LOG,
         LOG_TESTS,
-        "        if found not in READABLE_FORMATS:\n",
+        "        if format_version not in READABLE_FORMATS:\n",
         "        if False:\n",
     ),
     "a request's answer has its id": _removal(
--- a/tests/replication/deployment.py
+++ b/tests/replication/deployment.py
@@ -7,7 +7,7 @@
 
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.effects import Effects
-from fordtrestle.replication.epochs import Epoch, Store, majority
+from fordtrestle.replication.epochs import Epoch, Store, is_majority
 from fordtrestle.replication.messages import Message, Record
 from fordtrestle.replication.node import Node
 from fordtrestle.replication.state import Evacuation
@@ -163,7 +163,7 @@
             accepted = held.accepted_epoch if held else None
             if accepted and accepted.term == epoch.term and not accepted.earlier_quorums:
                 knowing.add(held.store)
-        return majority(knowing, epoch.witness_ids)
+        return is_majority(knowing, epoch.witness_ids)
 
     # what happens
 
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -12,7 +12,7 @@
 from fordtrestle.replication import pre_vote as pre_vote_module
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epoch_change import EpochChange
-from fordtrestle.replication.epochs import NO_TERM, Epoch, majority
+from fordtrestle.replication.epochs import NO_TERM, Epoch, is_majority
 from fordtrestle.replication.node import Node
 from fordtrestle.replication.primary import Primary
 from tests.replication.deployment import Machine
@@ -76,7 +76,7 @@
 def _any_candidate_may_open(patch: pytest.MonkeyPatch) -> None:
     def take(self, sender, message, state):
         self.prepared[sender] = (message.installed_term, message.sequence)
-        return self._begin_installing(state, is_patient=True)
+        return self._begin_installing(state, may_wait=True)
 
     patch.setattr(EpochChange, "_on_prepared", take)
 
@@ -119,7 +119,7 @@
 
 
 def _one_vote_opens(patch: pytest.MonkeyPatch) -> None:
-    patch.setattr(epoch_change_module, "supported", lambda voted, quorums: bool(voted))
+    patch.setattr(epoch_change_module, "has_majorities", lambda voted, quorums: bool(voted))
 
 
 def _reads_are_not_confirmed(patch: pytest.MonkeyPatch) -> None:
@@ -156,10 +156,12 @@
         return 2 * sum(witness in voted for witness in witnesses) >= len(witnesses) - 1
 
     patch.setattr(
-        epoch_change_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums)
+        epoch_change_module, "has_majorities", lambda voted, quorums: all(half(voted, q) for q in quorums)
     )
-    patch.setattr(pre_vote_module, "supported", lambda voted, quorums: all(half(voted, q) for q in quorums))
-    assert majority(("a",), ("a",))
+    patch.setattr(
+        pre_vote_module, "has_majorities", lambda voted, quorums: all(half(voted, q) for q in quorums)
+    )
+    assert is_majority(("a",), ("a",))
 
 
 FOUND_BY_SEARCH: dict[str, Removal] = {
--- a/tests/replication/test_bootstrap.py
+++ b/tests/replication/test_bootstrap.py
@@ -81,14 +81,14 @@
     assert not begins([*announces(B, C), *announces(D, core="a")])
     assert not begins(announces(B), [ME.control]), "two of three"
     plan = begins(announces(B, C))
-    assert plan.unanimous == {"a", "b", "c"}
+    assert plan.required_voters == {"a", "b", "c"}
     assert set(plan.witnesses) == {ME, B, C}
     assert Bootstrap(B, 1, True, 0.0).plan(False, announces(ME, C), SEEDS, 99.0) is None, "another goes first"
 
 
-def unanimous() -> EpochChange:
+def required_voters() -> EpochChange:
     ids = frozenset("abc")
-    return EpochChange(ME, Term(5, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0, unanimous=ids)
+    return EpochChange(ME, Term(5, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0, required_voters=ids)
 
 
 def prepared_message(accepted: Epoch | None) -> Prepared:
@@ -100,22 +100,22 @@
 
 
 def test_core_without_a_founder_needs_the_promise_of_all():
-    change = unanimous()
+    change = required_voters()
     for store_id in ("a", "b"):
         assert not change.receive(store_id, prepared_message(None), ControlState())
-    assert not change.repeat(ControlState())[1:], "C is asked again, and nobody to accept"
+    assert not change.resend(ControlState())[1:], "C is asked again, and nobody to accept"
     assert change.receive("c", prepared_message(None), ControlState())
-    assert change.proposed
-    assert not change.newer
+    assert change.proposed_epoch
+    assert not change.newer_epoch
 
 
 def test_core_is_not_bootstrapped_over_an_epoch_that_one_store_knows():
-    change = unanimous()
+    change = required_voters()
     for store_id in ("a", "b"):
         change.receive(store_id, prepared_message(None), ControlState())
     assert not change.receive("c", prepared_message(epoch(B, C)), ControlState())
-    assert change.newer == epoch(B, C)
-    assert not change.proposed
+    assert change.newer_epoch == epoch(B, C)
+    assert not change.proposed_epoch
 
 
 def test_founder_votes_before_it_asks_others():
@@ -125,7 +125,7 @@
         prepared = Prepared(Term(1, "a"), None, Term(0, ""), 0)
         asked += change.receive(store_id, prepared, ControlState())
     assert [receiver for receiver, _ in asked] == ["a"]
-    assert [receiver for receiver, _ in change.repeat(ControlState())] == ["a"]
+    assert [receiver for receiver, _ in change.resend(ControlState())] == ["a"]
     asked = change.receive("a", Accepted(change.term), ControlState())
     assert [receiver for receiver, _ in asked] == ["b", "c"]
 
--- a/tests/replication/test_epoch_change.py
+++ b/tests/replication/test_epoch_change.py
@@ -23,11 +23,11 @@
     peers = PeerTable()
     for store, at in ((A, 10.0), (B, 5.0), (C, 10.0)):
         peers.on_announce(Announce(store, True, store is C), at)
-    giving_up = peers.giving_up(EPOCH.witness_ids, 0.0, 10.0)
-    assert giving_up == ["b", "c"]
-    assert plan_witnesses(EPOCH, [D], giving_up, 3) == (A, D, C)
-    assert set(plan_witnesses(EPOCH, [D, E], giving_up, 3)) == {A, D, E}
-    assert peers.giving_up(EPOCH.witness_ids, 0.0, 5.0 + REPLACEMENT_TIMEOUT_S) == ["c"]
+    replaceable = peers.replaceable(EPOCH.witness_ids, 0.0, 10.0)
+    assert replaceable == ["b", "c"]
+    assert plan_witnesses(EPOCH, [D], replaceable, 3) == (A, D, C)
+    assert set(plan_witnesses(EPOCH, [D, E], replaceable, 3)) == {A, D, E}
+    assert peers.replaceable(EPOCH.witness_ids, 0.0, 5.0 + REPLACEMENT_TIMEOUT_S) == ["c"]
 
 
 def test_joining_store_gets_no_slot_that_is_not_given_up():
@@ -72,12 +72,12 @@
     patient.receive("a", prepared("a"), state)
     assert patient.receive("b", prepared("b", behind), state) == [], "C may hold it"
     assert kinds(patient.receive("c", prepared("c"), state)) == {Accept}
-    assert patient.proposed.replicas == ("a", "c")
-    assert patient.proposed.base_state == HELD_STATE
+    assert patient.proposed_epoch.replicas == ("a", "c")
+    assert patient.proposed_epoch.base_state == HELD_STATE
     tired = epoch_change()
     tired.receive("a", prepared("a"), state)
     tired.receive("b", prepared("b", behind), state)
-    assert Install in kinds(tired.repeat(state))
+    assert Install in kinds(tired.resend(state))
 
 
 def test_candidate_goes_on_at_once_where_all_have_answered():
@@ -101,5 +101,5 @@
     trial = epoch_change()
     for store in "abc":
         trial.receive(store, prepared(store, (Term(1, store), 1)), state)
-    sent = [bool(trial.repeat(state)) for _ in range(16)]
+    sent = [bool(trial.resend(state)) for _ in range(16)]
     assert [number for number, was in enumerate(sent, start=1) if was] == [1, 2, 4, 8, 16]
--- a/tests/replication/test_failure_detector.py
+++ b/tests/replication/test_failure_detector.py
@@ -11,7 +11,7 @@
     ELECTION_JITTER_S,
     ELECTION_RANK_DELAY_S,
     ELECTION_TIMEOUT_S,
-    RETURN_RETRY_S,
+    RESTARTED_PRIMARY_RETRY_S,
     PrimaryFailureDetector,
 )
 
@@ -29,29 +29,29 @@
 @pytest.mark.parametrize(
     ("store_id", "due_s"),
     [
-        ("a", RETURN_RETRY_S),
+        ("a", RESTARTED_PRIMARY_RETRY_S),
         ("b", ELECTION_TIMEOUT_S),
         ("c", ELECTION_TIMEOUT_S + ELECTION_RANK_DELAY_S),
     ],
 )
 def test_stores_ask_one_after_the_other_and_a_returning_primary_first(detector_of, store_id, due_s):
     detector = detector_of(store_id)
-    assert not detector.is_due(due_s - MOMENT_S)
-    assert detector.is_due(due_s)
+    assert not detector.is_election_due(due_s - MOMENT_S)
+    assert detector.is_election_due(due_s)
 
 
 def test_store_that_shuts_down_asks_after_all_others(detector_of):
     detector = detector_of("b")
     detector.is_leaving = True
     detector.reset_timer(EPOCH, 0.0)
-    assert not detector.is_due(ELECTION_TIMEOUT_S + 2 * ELECTION_RANK_DELAY_S - MOMENT_S)
-    assert detector.is_due(ELECTION_TIMEOUT_S + 2 * ELECTION_RANK_DELAY_S)
+    assert not detector.is_election_due(ELECTION_TIMEOUT_S + 2 * ELECTION_RANK_DELAY_S - MOMENT_S)
+    assert detector.is_election_due(ELECTION_TIMEOUT_S + 2 * ELECTION_RANK_DELAY_S)
 
 
 def test_jitter_delays_the_question():
     detector = PrimaryFailureDetector("b", EPOCH, lambda: 0.5, 0.0)
-    assert not detector.is_due(ELECTION_TIMEOUT_S + 0.5 * ELECTION_JITTER_S - MOMENT_S)
-    assert detector.is_due(ELECTION_TIMEOUT_S + 0.5 * ELECTION_JITTER_S)
+    assert not detector.is_election_due(ELECTION_TIMEOUT_S + 0.5 * ELECTION_JITTER_S - MOMENT_S)
+    assert detector.is_election_due(ELECTION_TIMEOUT_S + 0.5 * ELECTION_JITTER_S)
 
 
 def test_primary_that_was_heard_is_reachable_until_the_election_timeout(detector_of):
@@ -68,10 +68,10 @@
     detector.mark_lost("a", 0.6)
     assert detector.suspects(EPOCH, "c", 0.6)
     assert detector.reachable_primary(0.6) is None
-    assert detector.is_due(0.6)
+    assert detector.is_election_due(0.6)
     detector.reset_timer(EPOCH, 0.6)
     detector.mark_lost("a", 0.7)
-    assert not detector.is_due(0.7), "a second report moves the timer no more"
+    assert not detector.is_election_due(0.7), "a second report moves the timer no more"
 
 
 def test_primary_that_asks_itself_is_suspected(detector_of):
--- a/tests/replication/test_hard_cases.py
+++ b/tests/replication/test_hard_cases.py
@@ -112,7 +112,7 @@
         durable = machine.node.durable
         prepared = wire.Prepared(change.term, accepted, durable.installed_term, durable.state.sequence)
         answers += change.receive(machine.node.me.id, prepared, a.node.durable.state)
-    answers += change.repeat(a.node.durable.state)
+    answers += change.resend(a.node.durable.state)
     if any(isinstance(message, wire.Install | wire.Accept) for _, message in answers):
         raise InvariantError("a store that lacks an acknowledged write installs its state elsewhere")
 
@@ -264,7 +264,7 @@
     assert b.node.is_primary
     assert b.now - began < 0.5
     assert b.node.durable.state.evacuated == ("z0",)
-    assert b.node.context.detector._lost == "" == c.node.context.detector._lost, (
+    assert b.node.context.detector._lost_id == "" == c.node.context.detector._lost_id, (
         "a later epoch of it is suspected as any other"
     )
 
--- a/tests/replication/test_pre_vote.py
+++ b/tests/replication/test_pre_vote.py
@@ -24,39 +24,39 @@
 
 
 def test_all_witnesses_are_asked_and_without_an_epoch_all_known_stores(durable):
-    asked = PreVoteTally().ask(durable, ("x",), is_repeat=False)
+    asked = PreVoteTally().request(durable, ("x",), is_resend=False)
     assert asked == [(store_id, PreVote(1)) for store_id in "abc"]
-    assert PreVoteTally().ask(Durable("b"), ("x",), is_repeat=False) == [("x", PreVote(1))]
+    assert PreVoteTally().request(Durable("b"), ("x",), is_resend=False) == [("x", PreVote(1))]
 
 
 def test_repeated_question_keeps_its_grants_and_a_new_one_voids_them(durable):
     tally = PreVoteTally()
-    tally.ask(durable, (), is_repeat=False)
-    assert not tally.is_granted("b", grant(1), "b", EPOCH)
-    tally.ask(durable, (), is_repeat=True)
+    tally.request(durable, (), is_resend=False)
+    assert not tally.count_grant("b", grant(1), "b", EPOCH)
+    tally.request(durable, (), is_resend=True)
     assert tally.is_current(grant(1))
-    assert tally.is_granted("c", grant(1), "b", EPOCH), "two of three"
-    tally.ask(durable, (), is_repeat=False)
+    assert tally.count_grant("c", grant(1), "b", EPOCH), "two of three"
+    tally.request(durable, (), is_resend=False)
     assert not tally.is_current(grant(1))
     assert tally.is_current(grant(2))
 
 
 def test_store_that_is_no_replica_is_never_granted_an_epoch_change(durable):
     tally = PreVoteTally()
-    tally.ask(durable, (), is_repeat=False)
-    assert not any(tally.is_granted(store_id, grant(1), "c", EPOCH) for store_id in "abc")
+    tally.request(durable, (), is_resend=False)
+    assert not any(tally.count_grant(store_id, grant(1), "c", EPOCH) for store_id in "abc")
 
 
 def test_cancelled_question_counts_no_grants(durable):
     tally = PreVoteTally()
-    tally.ask(durable, (), is_repeat=False)
+    tally.request(durable, (), is_resend=False)
     tally.cancel()
     assert not tally.is_current(grant(1))
-    assert not tally.is_granted("b", grant(1), "b", EPOCH)
+    assert not tally.count_grant("b", grant(1), "b", EPOCH)
 
 
 def test_next_term_exceeds_the_newest_that_a_witness_has_prepared(durable):
     tally = PreVoteTally()
-    tally.ask(durable, (), is_repeat=False)
-    tally.is_granted("c", grant(1, Term(9, "c")), "b", EPOCH)
+    tally.request(durable, (), is_resend=False)
+    tally.count_grant("c", grant(1, Term(9, "c")), "b", EPOCH)
     assert tally.newest_term == Term(9, "c")
--- a/tests/replication/test_reconfiguration.py
+++ b/tests/replication/test_reconfiguration.py
@@ -22,7 +22,7 @@
         live=frozenset("abc"),
         leaving=frozenset(),
         joining=(),
-        giving_up=(),
+        replaceable=(),
         is_write_stalled=False,
         witness_count=3,
         replica_count=2,
@@ -50,7 +50,7 @@
 
 
 def test_joining_store_takes_the_slot_that_is_given_up(view):
-    plan = plan_next_epoch(replace(view, live=frozenset("abd"), joining=(D,), giving_up=("c",)))
+    plan = plan_next_epoch(replace(view, live=frozenset("abd"), joining=(D,), replaceable=("c",)))
     assert plan is not None
     assert plan.reason is Reason.WITNESSES_CHANGE
     assert plan.witnesses == (A, B, D)
--- a/tests/replication/test_stored.py
+++ b/tests/replication/test_stored.py
@@ -75,7 +75,7 @@
 
 def test_write_that_is_read_but_not_synced_is_lost(monkeypatch):
     monkeypatch.setattr(Disk, "fsync", lambda self, descriptor: None)
-    monkeypatch.setattr(RecordLog, "_sync_folder", lambda self: None)
+    monkeypatch.setattr(RecordLog, "_sync_directory", lambda self: None)
     with disks():
         core = StoredServingCore()
         with pytest.raises(InvariantError):
--- a/tests/storage/disk.py
+++ b/tests/storage/disk.py
@@ -137,7 +137,7 @@
         if isinstance(what, File):
             self._call("fsync", lambda: self._sync_file(what))
         else:
-            self._call("fsync-folder", self._sync_folder)
+            self._call("fsync-directory", self._sync_directory)
 
     def rename(self, old: Path, new: Path) -> None:
         def effect() -> None:
@@ -158,7 +158,7 @@
                 if known is file:
                     self.synced_names.setdefault(name, file)
 
-    def _sync_folder(self) -> None:
+    def _sync_directory(self) -> None:
         self.synced_names = dict(self.names)
 
     def _file(self, descriptor: int) -> File:
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -14,11 +14,11 @@
 from fordtrestle.storage import log as log_module
 from fordtrestle.storage.errors import StorageError, UnknownFormatError
 from fordtrestle.storage.log import (
+    FILE_NAME,
     FORMAT,
     HEADER,
     MAGIC,
-    NAME,
-    NEW_NAME,
+    NEW_FILE_NAME,
     RecordLog,
 )
 from fordtrestle.storage.records import frame, scan
@@ -68,7 +68,7 @@
 
 def test_appends_continue_behind_a_truncated_tail(tmp_path):
     write(tmp_path, [b"one"])
-    with open(tmp_path / NAME, "ab") as file:
+    with open(tmp_path / FILE_NAME, "ab") as file:
         file.write(frame(b"torn")[:-1])
     write(tmp_path, [b"two"])
     assert reopened(tmp_path) == [b"one", b"two"]
@@ -86,9 +86,9 @@
 
 def test_an_unfinished_rewrite_changes_nothing(tmp_path):
     write(tmp_path, [b"one"])
-    (tmp_path / NEW_NAME).write_bytes(frame(b"half")[:-2])
+    (tmp_path / NEW_FILE_NAME).write_bytes(frame(b"half")[:-2])
     assert reopened(tmp_path) == [b"one"]
-    assert not (tmp_path / NEW_NAME).exists()
+    assert not (tmp_path / NEW_FILE_NAME).exists()
 
 
 @pytest.fixture
@@ -152,14 +152,14 @@
     disk.calls.clear()
     log.rewrite([b"all"])
     calls = [call for call, before in zip(disk.calls, [None, *disk.calls], strict=False) if call != before]
-    assert calls == ["open", "pwrite", "fsync", "rename", "fsync-folder"]
+    assert calls == ["open", "pwrite", "fsync", "rename", "fsync-directory"]
 
 
 @pytest.mark.parametrize("seed", range(8))
 def test_a_folder_that_was_not_synced_is_synced_before_the_next_append(disk, seed):
     disk.rng.seed(seed)
     log, _ = opened(disk)
-    with refusing(disk, "fsync-folder"), pytest.raises(StorageError):
+    with refusing(disk, "fsync-directory"), pytest.raises(StorageError):
         log.rewrite([b"all"])
     log.append([b"two"])
     disk.lose_power()
@@ -197,7 +197,7 @@
 def test_a_name_that_a_killed_process_did_not_sync_is_synced_as_its_file_is_read(disk):
     log, _ = opened(disk)
     log.append([b"one"])
-    with refusing(disk, "fsync-folder"), pytest.raises(StorageError):
+    with refusing(disk, "fsync-directory"), pytest.raises(StorageError):
         log.rewrite([b"all"])
     disk.kill()
     log, found = opened(disk)
@@ -242,14 +242,14 @@
 
 def test_a_file_of_an_unknown_format_is_refused_and_unchanged(tmp_path):
     later = frame(MAGIC + b"3") + b"whatever a later version writes"
-    (tmp_path / NAME).write_bytes(later)
+    (tmp_path / FILE_NAME).write_bytes(later)
     with pytest.raises(UnknownFormatError, match=r"format 3; this version reads 1, 2"):
         RecordLog(tmp_path).open()
-    assert (tmp_path / NAME).read_bytes() == later
+    assert (tmp_path / FILE_NAME).read_bytes() == later
 
 
 def test_a_file_without_a_header_is_read_and_gets_one_with_its_rewrite(tmp_path):
-    (tmp_path / NAME).write_bytes(frame(b"one"))
+    (tmp_path / FILE_NAME).write_bytes(frame(b"one"))
     log = RecordLog(tmp_path)
     assert log.open() == [b"one"]
     log.append([b"two"])
@@ -258,7 +258,7 @@
     log.open()
     log.rewrite([b"all"])
     log.close()
-    assert (tmp_path / NAME).read_bytes().startswith(HEADER)
+    assert (tmp_path / FILE_NAME).read_bytes().startswith(HEADER)
     assert reopened(tmp_path) == [b"all"]
 
 
@@ -270,7 +270,7 @@
 
 @pytest.mark.parametrize("length", range(len(HEADER) + 3))
 def test_a_torn_header_is_truncated(tmp_path, length):
-    (tmp_path / NAME).write_bytes((HEADER + frame(b"one"))[:length])
+    (tmp_path / FILE_NAME).write_bytes((HEADER + frame(b"one"))[:length])
     log = RecordLog(tmp_path)
     assert log.open() == []
     log.append([b"two"])
@@ -279,7 +279,7 @@
 
 
 def test_a_file_of_an_older_format_says_so_until_it_is_rewritten(tmp_path):
-    (tmp_path / NAME).write_bytes(frame(MAGIC + b"1") + frame(b"one"))
+    (tmp_path / FILE_NAME).write_bytes(frame(MAGIC + b"1") + frame(b"one"))
     log = RecordLog(tmp_path)
     assert log.open() == [b"one"]
     assert log.is_outdated
--- a/tests/stored/test_files.py
+++ b/tests/stored/test_files.py
@@ -22,7 +22,7 @@
 from fordtrestle.replication.durable import Durable
 from fordtrestle.replication.epochs import Epoch, Store, Term
 from fordtrestle.replication.state import ConfigChange, Evacuation
-from fordtrestle.storage.log import NAME, RecordLog
+from fordtrestle.storage.log import FILE_NAME, RecordLog
 from rig.cluster.history import gaps, parse
 from tests.loopback import loopback, until
 from tests.stored.samples import DOCUMENT, gains_defaults_only, plain
@@ -54,7 +54,7 @@
     log.append(map(codec.encode, durable.append(TERM, 2, Evacuation("z-1", True)) or ()))
     for sequence, change in enumerate(COORDINATION_CHANGES, start=3):
         log.append(map(codec.encode, durable.append(TERM, sequence, change) or ()))
-    shutil.copy(folder / NAME, folder / "before-rewrite.log")
+    shutil.copy(folder / FILE_NAME, folder / "before-rewrite.log")
     log.rewrite(map(codec.encode, durable.snapshot()))
     log.append(map(codec.encode, durable.append(TERM, 6, Evacuation("z-1", False)) or ()))
     log.append(map(codec.encode, durable.append(TERM, 7, ConfigChange(b"e" * 32, 8, LATER)) or ()))
@@ -71,11 +71,11 @@
     ],
 )
 def test_a_control_file_of_then_restores_the_same_store(name, values, tmp_path):
-    shutil.copy(DATA / name, tmp_path / NAME)
+    shutil.copy(DATA / name, tmp_path / FILE_NAME)
     log = RecordLog(tmp_path)
     records = [codec.decode(payload) for payload in log.open()]
     log.close()
-    assert (tmp_path / NAME).read_bytes() == (DATA / name).read_bytes()
+    assert (tmp_path / FILE_NAME).read_bytes() == (DATA / name).read_bytes()
     recorded = json.loads((DATA / values).read_text())
     assert gains_defaults_only(recorded["records"], [plain(record) for record in records])
     durable = Durable.restore(records)
@@ -85,7 +85,7 @@
 
 def test_a_control_file_is_written_as_it_was_then(tmp_path):
     write_control_file(tmp_path).close()
-    assert (tmp_path / NAME).read_bytes() == (DATA / "control-2.log").read_bytes()
+    assert (tmp_path / FILE_NAME).read_bytes() == (DATA / "control-2.log").read_bytes()
     before = (tmp_path / "before-rewrite.log").read_bytes()
     assert before == (DATA / "control-before-rewrite-2.log").read_bytes()
 
