--- a/tests/control_api/world.py
+++ b/tests/control_api/world.py
@@ -123,7 +123,7 @@
             if acknowledged:
                 self._begin(self._change(self.rng.choice(acknowledged)))
 
-    def ask(self, machine: Machine) -> None:
+    def begin_read(self, machine: Machine) -> None:
         if len(self.calls) < MAX_CALLS:
             self._begin(self._read())
 
--- a/tests/coordination/world.py
+++ b/tests/coordination/world.py
@@ -81,7 +81,7 @@
             session = self.rng.choice((self._hold, self._hold, self._number, self._put, self._put, self._get))
             self.sessions.add(asyncio.get_running_loop().create_task(session()))
 
-    def ask(self, machine: Machine) -> None:
+    def begin_read(self, machine: Machine) -> None:
         self._watch(machine.node, self.rng.choice(GROUPS))
         if len(self.sessions) < MAX_SESSIONS:
             self.sessions.add(asyncio.get_running_loop().create_task(self._refresh(machine.node)))
--- a/tests/replication/conftest.py
+++ b/tests/replication/conftest.py
@@ -1,4 +1,4 @@
-"""Fixtures of the replication's tests."""
+"""Fixtures of the replication tests."""
 
 from __future__ import annotations
 
@@ -9,5 +9,5 @@
 
 @pytest.fixture
 def core() -> ServingCore:
-    """Three stores that serve, with A as primary."""
+    """Three serving stores, with A as primary."""
     return ServingCore()
--- a/tests/replication/deployment.py
+++ b/tests/replication/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment of control stores whose messages, syncs and clocks a test moves one by one. No I/O."""
+"""A simulated deployment of control stores; tests advance messages, syncs and clocks one by one. No I/O."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 from fordtrestle.replication.state import Evacuation
 
 FOUNDER = "10.0.0.0:1"
-SEEDS = 3  # that settings name, however many stores there are
-GRACE_S = 6.0  # for which a store that shuts down may stay
+SEED_COUNT = 3  # listed in the settings, regardless of the number of stores
+SHUTDOWN_GRACE_S = 6.0  # after which a store that is shutting down is ended
 
 
 @dataclass
 class Machine:
-    """One machine: its disk outlives its process."""
+    """A machine with one store. Its disk survives a restart of the process."""
 
     address: str
     disk: list[Record] = field(default_factory=list)
     node: Node | None = None
     queue: list[Effects] = field(default_factory=list)
     now: float = 0.0
-    wiped: bool = False  # and not yet a witness again
+    is_wiped: bool = False  # until it is a witness again
     leaving_since: float | None = None
-    is_decommissioned: bool = False  # once it has left
+    is_decommissioned: bool = False  # whether it is removed after its store has shut down
     start_count: int = 0
 
 
@@ -41,7 +41,7 @@
 
 @dataclass
 class Write:
-    """A change that was asked for, and whether it was acknowledged."""
+    """A change that was proposed, and whether it was acknowledged."""
 
     zone: str
     term: object
@@ -52,21 +52,23 @@
 
 
 class Deployment:
-    """Machines with a store each; `machines` are tolerated to be lost at once, of 2 * machines + 1."""
+    """2 * tolerated_failures + 1 machines with a store each."""
 
-    def __init__(self, rng: random.Random, machines: int) -> None:
+    def __init__(self, rng: random.Random, tolerated_failures: int) -> None:
         self.rng = rng
-        self.tolerated_failures = machines
-        self.machines = [Machine(f"10.0.0.{index}:1") for index in range(2 * machines + 1)]
+        self.tolerated_failures = tolerated_failures
+        self.machines = [Machine(f"10.0.0.{index}:1") for index in range(2 * tolerated_failures + 1)]
         self.pending: list[Envelope] = []
-        self.partitioned: set[tuple[str, str]] = set()  # ids of senders and receivers
+        self.partitioned: set[tuple[str, str]] = set()  # (sender id, receiver id) of links that drop messages
         self.writes: list[Write] = []
         self.stores = self.addresses = 0
-        self.reads: list[tuple[Node, int, list[Write]]] = []  # node, number, what was acknowledged by then
+        self.reads: list[
+            tuple[Node, int, list[Write]]
+        ] = []  # node, heartbeat number, writes acknowledged by then
         for machine in self.machines:
             self.start(machine)
 
-    # machines
+    # Machines
 
     def new_store(self, machine: Machine) -> Durable:
         self.stores += 1
@@ -93,79 +95,82 @@
         machine.leaving_since, machine.is_decommissioned = None, False
 
     def draw(self) -> float:
-        """A draw for a store; a method of ours, so that a copy of the world draws from its own source."""
+        """Draw a random number for a store. As a method, a copied world uses its own random source."""
         return self.rng.random()
 
     def seeds(self) -> list[str]:
-        """The control addresses that settings name."""
-        return [machine.address for machine in self.machines[:SEEDS]]
+        """Return the control addresses that the settings list."""
+        return [machine.address for machine in self.machines[:SEED_COUNT]]
 
     def stop(self, machine: Machine) -> None:
-        """Power is lost: of what was not synced some first records may have reached the disk."""
+        """Lose power: a random prefix of the records that were not synced reaches the disk."""
         unsynced = [record for effects in machine.queue for record in effects.records]
         machine.disk += unsynced[: self.rng.randint(0, len(unsynced))]
         machine.node, machine.queue = None, []
 
     def wipe(self, machine: Machine) -> None:
         machine.node, machine.queue, machine.disk = None, [], []
-        machine.wiped = True
-
-    def may_wipe(self, machine: Machine) -> bool:
-        """Whether the loss of this disk is still within what is tolerated."""
-        self.readmit()
-        lost = sum(other.wiped for other in self.machines if other is not machine)
-        bound = max(lost + 1, len(self.lost_witnesses(but=machine)))
-        is_formed = any(held.accepted_epoch for other in self.machines if (held := self.on_disk(other)))
+        machine.is_wiped = True
+
+    def can_wipe(self, machine: Machine) -> bool:
+        """Return whether losing this disk stays within the tolerated failures."""
+        self.clear_readmitted()
+        lost = sum(other.is_wiped for other in self.machines if other is not machine)
+        bound = max(lost + 1, len(self.lost_witnesses(machine=machine)))
+        is_formed = any(held.accepted_epoch for other in self.machines if (held := self.restore_disk(other)))
         return (
-            bound <= self.tolerated_failures and not machine.wiped and (self.is_complete() or not is_formed)
+            bound <= self.tolerated_failures
+            and not machine.is_wiped
+            and (self.is_complete() or not is_formed)
         )
 
-    def lost_witnesses(self, but: Machine) -> set[str]:
-        """The witnesses whose disks are lost, once that of one machine is, too.
+    def lost_witnesses(self, machine: Machine) -> set[str]:
+        """Return the witnesses whose disks are lost, counting the disk of one more machine.
 
-        They are those of the newest epoch that is open, or of one that may be and has lost more.
+        Considers the newest open epoch and accepted epochs of the same or a newer term, which may be open as
+        well, and returns the largest set.
         """
-        others = [held for m in self.machines if m is not but and (held := self.on_disk(m))]
+        others = [held for m in self.machines if m is not machine and (held := self.restore_disk(m))]
         left = {held.store for held in others}
-        own = self.on_disk(but)
-        newest = self.newest()
+        own = self.restore_disk(machine)
+        newest = self.newest_epoch()
         known = [held.accepted_epoch for held in (*others, *([own] if own else ())) if held.accepted_epoch]
         epochs = [epoch for epoch in known if newest is None or epoch.term >= newest.term]
         lost = [set(epoch.witness_ids) - left for epoch in (*epochs, *([newest] if newest else ()))]
         return max(lost, key=len, default=set())
 
-    def on_disk(self, machine: Machine) -> Durable | None:
-        """What is on a machine's disk."""
+    def restore_disk(self, machine: Machine) -> Durable | None:
+        """Restore the store from a machine's disk, or return None."""
         return Durable.restore(machine.disk)
 
-    def newest(self) -> Epoch | None:
-        """The newest epoch that is open."""
+    def newest_epoch(self) -> Epoch | None:
+        """Return the newest open epoch, or None."""
         opened = [m.node.epoch for m in self.machines if m.node and m.node.epoch]
         return max(opened, key=lambda epoch: epoch.term, default=None)
 
-    def readmit(self) -> None:
-        epoch = self.newest()
+    def clear_readmitted(self) -> None:
+        epoch = self.newest_epoch()
         for machine in self.machines:
-            if machine.wiped and machine.node and epoch and machine.node.me.id in epoch.witness_ids:
+            if machine.is_wiped and machine.node and epoch and machine.node.me.id in epoch.witness_ids:
                 accepted = machine.node.durable.accepted_epoch
-                machine.wiped = not (accepted and accepted.term >= epoch.term)
+                machine.is_wiped = not (accepted and accepted.term >= epoch.term)
 
     def is_complete(self) -> bool:
-        """Whether all witnesses are there, and most know on disk that the epoch is open."""
-        epoch = self.newest()
+        """Return whether the newest epoch is complete, and recorded as open on the disks of a majority."""
+        epoch = self.newest_epoch()
         if epoch is None or len(epoch.replicas) <= self.tolerated_failures:
             return False
         if len(epoch.witnesses) <= 2 * self.tolerated_failures:
             return False
         knowing = set()
         for machine in self.machines:
-            held = self.on_disk(machine)
+            held = self.restore_disk(machine)
             accepted = held.accepted_epoch if held else None
             if accepted and accepted.term == epoch.term and not accepted.earlier_quorums:
                 knowing.add(held.store)
         return is_majority(knowing, epoch.witness_ids)
 
-    # what happens
+    # Events
 
     def pump(self, machine: Machine) -> None:
         effects = machine.node.drain()
@@ -209,35 +214,37 @@
 
     def propose(self, machine: Machine) -> None:
         zone = f"z{len(self.writes)}"
-        ticket = machine.node.propose(Evacuation(zone, True), machine.now)
-        if ticket:
+        write = machine.node.propose(Evacuation(zone, True), machine.now)
+        if write:
             term = machine.node.durable.installed_term
-            self.writes.append(Write(zone, term, ticket.sequence, machine.address, machine.node))
+            self.writes.append(Write(zone, term, write.sequence, machine.address, machine.node))
         self.pump(machine)
 
-    def ask(self, machine: Machine) -> None:
-        asked = machine.node.begin_confirmation(machine.now)
-        self.reads.append((machine.node, asked, [write for write in self.writes if write.acknowledged]))
+    def begin_read(self, machine: Machine) -> None:
+        number = machine.node.begin_confirmation(machine.now)
+        self.reads.append((machine.node, number, [write for write in self.writes if write.acknowledged]))
         del self.reads[:-20]
         self.pump(machine)
 
-    def let_leave(self) -> None:
-        """End the stores that may leave, and those whose grace is over."""
+    def end_leaving_machines(self) -> None:
+        """End the stores that may leave, and those whose grace period has passed."""
         for machine in list(self.machines):
             if machine.leaving_since is None or machine.node is None:
                 continue
             if machine.node.can_leave(machine.now):
-                self.end(machine, is_lost=False)
-            elif machine.now - machine.leaving_since > GRACE_S:
-                self.end(machine, is_lost=True)
+                self.end_process(machine, is_lost=False)
+            elif machine.now - machine.leaving_since > SHUTDOWN_GRACE_S:
+                self.end_process(machine, is_lost=True)
 
-    def end(self, machine: Machine, is_lost: bool) -> None:
-        """A process has ended by itself; its machine is removed with it, if that is tolerated or no loss."""
-        newest = self.newest()
+    def end_process(self, machine: Machine, is_lost: bool) -> None:
+        """End a process; remove its machine if it is decommissioned and that is tolerated or no loss."""
+        newest = self.newest_epoch()
         is_witness = newest is None or machine.node.me.id in newest.witness_ids
-        no_loss = not (is_witness or is_lost or self.lost_witnesses(but=machine)) and self.is_complete()
-        may_go = machine.is_decommissioned and (no_loss or self.may_wipe(machine))
+        is_no_loss = (
+            not (is_witness or is_lost or self.lost_witnesses(machine=machine)) and self.is_complete()
+        )
+        can_remove = machine.is_decommissioned and (is_no_loss or self.can_wipe(machine))
         self.stop(machine)
         machine.leaving_since, machine.is_decommissioned = None, False
-        if may_go:
+        if can_remove:
             self.machines.remove(machine)
--- a/tests/replication/guards.py
+++ b/tests/replication/guards.py
@@ -1,4 +1,4 @@
-"""Guards of the replication, each with a way to take it out: the search has to find what breaks then."""
+"""Guards of the replication, each with a patch that removes it; the tests must then detect a violation."""
 
 from __future__ import annotations
 
@@ -74,11 +74,11 @@
 
 
 def _any_candidate_may_open(patch: pytest.MonkeyPatch) -> None:
-    def take(self, sender, message, state):
+    def patched(self, sender, message, state):
         self.prepared[sender] = (message.installed_term, message.sequence)
         return self._begin_installing(state, may_wait=True)
 
-    patch.setattr(EpochChange, "_on_prepared", take)
+    patch.setattr(EpochChange, "_on_prepared", patched)
 
 
 def _state_is_not_installed_first(patch: pytest.MonkeyPatch) -> None:
@@ -94,12 +94,12 @@
 def _one_replica_is_enough(patch: pytest.MonkeyPatch) -> None:
     original = Primary.on_appended
 
-    def take(self, sender, message):
+    def patched(self, sender, message):
         if self.leadership and message.term == self.leadership.epoch.term:
             for replica in self.leadership.epoch.replicas:
                 original(self, replica, message)
 
-    patch.setattr(Primary, "on_appended", take)
+    patch.setattr(Primary, "on_appended", patched)
 
 
 def _messages_overtake_the_disk(patch: pytest.MonkeyPatch) -> None:
@@ -134,12 +134,12 @@
     original = Durable.restore.__func__
 
     def restore(cls, records):
-        found = original(cls, records)
-        if found and found.accepted_epoch:
-            found.prepared_term = found.accepted_epoch.term
-        elif found:
-            found.prepared_term = NO_TERM
-        return found
+        restored = original(cls, records)
+        if restored and restored.accepted_epoch:
+            restored.prepared_term = restored.accepted_epoch.term
+        elif restored:
+            restored.prepared_term = NO_TERM
+        return restored
 
     patch.setattr(Durable, "restore", classmethod(restore))
 
--- a/tests/replication/serving_core.py
+++ b/tests/replication/serving_core.py
@@ -1,4 +1,4 @@
-"""A core of three stores that serves, whose messages and syncs a test lets through one by one."""
+"""A serving core of three stores; tests control its messages and syncs one by one."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ServingCore(World):
-    """Three stores that serve, of which A is primary, B its backup and C the third witness."""
+    """Three serving stores: A is primary, B its backup and C the third witness."""
 
     def __init__(self) -> None:
         super().__init__(seed=5)
@@ -27,22 +27,22 @@
                 self.tick(machine, 0.05)
                 self.announce(machine)
             self.exchange_all()
-        if not all(self.follows(machine) for machine in self.machines):
+        if not all(self.is_caught_up(machine) for machine in self.machines):
             raise InvariantError("a store never catches up")
 
-    def follows(self, machine: Machine) -> bool:
-        """Whether a store holds the primary's state."""
+    def is_caught_up(self, machine: Machine) -> bool:
+        """Return whether a store holds the primary's state."""
         held, newest = machine.node.durable, self.a.node.durable
         return (held.installed_term, held.state) == (newest.installed_term, newest.state)
 
     def exchange_all(
-        self, *among: Machine, lost: Callable[[Envelope], bool] = lambda envelope: False
+        self, *participants: Machine, lost: Callable[[Envelope], bool] = lambda envelope: False
     ) -> None:
-        """Sync and deliver until nothing is left, between these machines; other messages are lost."""
-        among = among or tuple(self.machines)
-        ids = {machine.node.me.id for machine in among if machine.node}
+        """Sync and deliver messages between these machines until none are left; drop all others."""
+        participants = participants or tuple(self.machines)
+        ids = {machine.node.me.id for machine in participants if machine.node}
         while True:
-            for machine in among:
+            for machine in participants:
                 while machine.node and machine.queue:
                     self.sync(machine)
             if not self.pending:
@@ -52,34 +52,36 @@
                 if envelope.sender in ids and envelope.receiver in ids and not lost(envelope):
                     self.deliver(envelope)
 
-    def run_candidate(self, machine: Machine, *among: Machine) -> None:
-        """Let a machine open the next epoch as far as these others let it."""
+    def run_candidate(self, machine: Machine, *participants: Machine) -> None:
+        """Start an epoch change on a machine, and exchange messages with these other machines."""
         accepted = machine.node.durable.accepted_epoch
         machine.node.candidate.start(
             EpochPlan(accepted, accepted.witnesses, Reason.PRIMARY_LOST), machine.now
         )
         self.pump(machine)
-        self.exchange_all(machine, *among)
+        self.exchange_all(machine, *participants)
         change = machine.node.candidate.epoch_change
-        if change and not change.installing:  # it waits for stores that hold its state
+        if change and not change.installing:  # it is waiting for stores that hold its state
             self.tick(machine, RESEND_INTERVAL_S)
-            self.exchange_all(machine, *among)
+            self.exchange_all(machine, *participants)
 
-    def acknowledge(self, machine: Machine, *among: Machine) -> bool:
-        """Write at a machine that takes itself for primary; whether it was acknowledged."""
+    def acknowledge(self, machine: Machine, *participants: Machine) -> bool:
+        """Write at a machine that considers itself primary; return whether the write was acknowledged."""
         before = len(self.writes)
         self.propose(machine)
-        self.exchange_all(machine, *among)
+        self.exchange_all(machine, *participants)
         self.check()
         return len(self.writes) > before and self.writes[-1].acknowledged
 
     def take_messages(self, kind: type) -> list:
-        """Take messages of a kind off the links."""
+        """Remove and return the pending envelopes with messages of a type."""
         taken = [envelope for envelope in self.pending if isinstance(envelope.message, kind)]
         self.pending = [envelope for envelope in self.pending if envelope not in taken]
         return taken
 
     def heal_and_check(self) -> None:
-        """Let all heal and hold what was acknowledged against it."""
+        """Heal all machines, and check that the primary holds all acknowledged writes."""
         primary = self.heal()
-        self.expect(primary, [write for write in self.writes if write.acknowledged], "the primary lacks")
+        self.expect_writes(
+            primary, [write for write in self.writes if write.acknowledged], "the primary lacks"
+        )
--- a/tests/replication/stored.py
+++ b/tests/replication/stored.py
@@ -1,7 +1,7 @@
-"""The world of control stores over the record log of the program.
+"""The simulated deployment of control stores with the program's record log on simulated disks.
 
-Each store is on a disk that loses what was not synced (`tests/storage/disk.py`). Processes are killed, or
-machines lose power, at any call to the disk.
+Each disk loses unsynced writes at a power loss (`tests/storage/disk.py`). Processes are killed, or machines
+lose power, at any disk call.
 """
 
 from __future__ import annotations
@@ -20,38 +20,38 @@
 from tests.replication.world import World
 from tests.storage.disk import Disk, StoppedError
 
-MAX_DISK_CALLS = 8  # to the disk, in which a process is ended
+MAX_DISK_CALLS = 8  # within which a process is ended
 
 
 class StoredWorld(World):
-    """Play it within `disks()`."""
+    """A world whose stores write record logs. Must run within `disks()`."""
 
     current: Disk
 
-    def __init__(self, seed: int, machines: int = 1) -> None:
+    def __init__(self, seed: int, tolerated_failures: int = 1) -> None:
         self.disks: dict[str, Disk] = {}
         self.logs: dict[str, RecordLog] = {}
-        super().__init__(seed, machines)
+        super().__init__(seed, tolerated_failures)
 
     @contextlib.contextmanager
-    def on(self, machine: Machine) -> Iterator[RecordLog]:
-        """The log of a machine, on its disk."""
+    def open_log_of(self, machine: Machine) -> Iterator[RecordLog]:
+        """Yield the log of a machine, and direct `os` calls to its disk."""
         self.disks.setdefault(machine.address, Disk(self.rng.getrandbits(32)))
         StoredWorld.current = self.disks[machine.address]
         yield self.logs.setdefault(machine.address, RecordLog(Path("data")))
 
     def start(self, machine: Machine) -> None:
         self.logs.pop(machine.address, None)
-        with self.on(machine) as log:
+        with self.open_log_of(machine) as log:
             machine.disk = [decode(record) for record in log.open()]
             is_new = Durable.restore(machine.disk) is None
         super().start(machine)
         if is_new:
-            with self.on(machine) as log:
+            with self.open_log_of(machine) as log:
                 log.append(map(encode, machine.disk))
 
     def sync(self, machine: Machine) -> None:
-        """Write the oldest effects; the process may end amid that, by a kill or with its machine's power."""
+        """Write the oldest effects; the process may be killed, or its machine lose power, meanwhile."""
         records = machine.queue[0].records
         try:
             if records:
@@ -63,16 +63,16 @@
         super().sync(machine)
 
     def _write(self, machine: Machine, records: list) -> None:
-        with self.on(machine) as log:
+        with self.open_log_of(machine) as log:
             disk = self.disks[machine.address]
             if self.rng.random() < self.fault_rate / 3:
                 disk.stop_at = len(disk.calls) + self.rng.randint(1, MAX_DISK_CALLS)
             refused = self.rng.random() < self.fault_rate / 10
-            disk.refuse = {self.rng.choice(("pwrite", "fdatasync"))} if refused else set()
+            disk.failing_calls = {self.rng.choice(("pwrite", "fdatasync"))} if refused else set()
             try:
                 log.append(map(encode, records))
             except StorageError:
-                disk.refuse = set()
+                disk.failing_calls = set()
                 log.rewrite(map(encode, machine.node.durable.snapshot()))
             disk.stop_at = None
 
@@ -99,13 +99,13 @@
         up = [machine for machine in self.machines if machine.node]
         if up:
             machine = self.rng.choice(up)
-            with self.on(machine) as log:
+            with self.open_log_of(machine) as log:
                 log.rewrite(map(encode, machine.node.durable.snapshot()))
             machine.disk = list(machine.node.durable.snapshot())
 
 
-class _Current:
-    """The calls of `os`, at the disk of the machine that is at work."""
+class _CurrentDisk:
+    """Forwards `os` calls to the disk of the current machine."""
 
     def __getattr__(self, name: str) -> object:
         return getattr(StoredWorld.current, name)
@@ -113,9 +113,9 @@
 
 @contextlib.contextmanager
 def disks() -> Iterator[None]:
-    """Let record logs write to the disks of the world."""
+    """Redirect the record logs to the disks of the world."""
     machine_os = log_module.os
-    log_module.os = _Current()  # type: ignore[assignment]
+    log_module.os = _CurrentDisk()  # type: ignore[assignment]
     try:
         yield
     finally:
--- a/tests/replication/test_bootstrap.py
+++ b/tests/replication/test_bootstrap.py
@@ -1,4 +1,4 @@
-"""A core forms whatever is lost meanwhile, as far as losses are tolerated, and never a second one."""
+"""A core forms despite any tolerated losses during its bootstrap, and never a second core."""
 
 from __future__ import annotations
 
@@ -14,28 +14,28 @@
 from tests.replication.deployment import Machine
 from tests.replication.world import TICK_S, World
 
-STEPS = range(0, 240, 6)  # of the bootstrap, at which something is lost; it takes some 150
+STEPS = range(0, 240, 6)  # steps of the bootstrap after which a fault occurs; a bootstrap takes about 150
 
 
 class FormingCore(World):
-    """Stores that have just started for the first time, of which the first one was told to bootstrap."""
+    """Stores that have just started for the first time; the first one is told to bootstrap the core."""
 
-    def __init__(self, seed: int, machines: int) -> None:
-        super().__init__(seed, machines)
+    def __init__(self, seed: int, tolerated_failures: int) -> None:
+        super().__init__(seed, tolerated_failures)
         self.fault_rate = 0.0
 
-    def go(self, steps: int) -> None:
-        """Let so many things happen, in an order that the seed draws."""
+    def run_steps(self, steps: int) -> None:
+        """Take random steps."""
         for _ in range(steps):
             self.step()
 
     def run(self, seconds: float) -> None:
-        """Let the machines that are up run."""
+        """Run the machines that are up for a time."""
         for _ in range(int(seconds / TICK_S)):
             self.run_tick()
 
-    def empty(self, *machines: Machine) -> None:
-        """These have lost their disks, or were never given the time to write to them."""
+    def stop_with_empty_disks(self, *machines: Machine) -> None:
+        """Stop these machines with empty disks: lost, or never written to."""
         for machine in machines:
             machine.node, machine.queue, machine.disk = None, [], []
 
@@ -43,13 +43,13 @@
         return [machine for machine in self.machines if machine.node and machine.node.is_ready]
 
     def recorded_waits(self) -> list[Waiting]:
-        """The waits that all have recorded."""
+        """Return the waits that the machines that are up have recorded."""
         events = [event for machine in self.machines if machine.node for event in machine.node.events.drain()]
         return [event for event in events if isinstance(event, Waiting)]
 
 
 def isolate(world: World, machine: Machine) -> None:
-    """Nothing passes between this machine and the others."""
+    """Partition a machine from all others."""
     for other in world.machines:
         world.partitioned |= {
             (machine.node.me.id, other.node.me.id),
@@ -57,36 +57,38 @@
         }
 
 
-# Single parts come first: a run without a guard stops at its first failing test.
+# Unit tests come first: a run without a guard stops at its first failing test.
 
 
 ME, B, C, D, E = (Store(name, f"10.0.0.{n}:1", f"10.0.0.{n}:2", f"z-{n}") for n, name in enumerate("abcde"))
 SEEDS = [store.control for store in (ME, B, C)]
 
 
-def announces(*stores: Store, **fields) -> list[Announce]:
+def announcements_of(*stores: Store, **fields) -> list[Announce]:
     return [Announce(store, True, False, **{"core": "", **fields}) for store in stores]
 
 
 def test_complete_core_without_a_founder_waits_for_each_seed_and_for_founders():
-    def begins(heard, seeds=SEEDS):
+    def plan_for(announcements, seeds=SEEDS):
         bootstrap = Bootstrap(ME, 1, True, 0.0)
-        tries = [bootstrap.plan(False, heard, seeds, at) for at in (0.0, UNANIMOUS_DELAY_S)]
-        assert tries[0] is None
-        return tries[1]
-
-    assert not begins(announces(B, D)), "a seed is missing: it may know more"
-    assert not begins([*announces(B), *announces(C, is_founder=True)])
-    assert not begins([*announces(B), *announces(C, core="a")])
-    assert not begins([*announces(B, C), *announces(D, core="a")])
-    assert not begins(announces(B), [ME.control]), "two of three"
-    plan = begins(announces(B, C))
+        plans = [bootstrap.plan(False, announcements, seeds, at) for at in (0.0, UNANIMOUS_DELAY_S)]
+        assert plans[0] is None
+        return plans[1]
+
+    assert not plan_for(announcements_of(B, D)), "a seed is missing; it may know of an epoch"
+    assert not plan_for([*announcements_of(B), *announcements_of(C, is_founder=True)])
+    assert not plan_for([*announcements_of(B), *announcements_of(C, core="a")])
+    assert not plan_for([*announcements_of(B, C), *announcements_of(D, core="a")])
+    assert not plan_for(announcements_of(B), [ME.control]), "only two of three stores"
+    plan = plan_for(announcements_of(B, C))
     assert plan.required_voters == {"a", "b", "c"}
     assert set(plan.witnesses) == {ME, B, C}
-    assert Bootstrap(B, 1, True, 0.0).plan(False, announces(ME, C), SEEDS, 99.0) is None, "another goes first"
+    assert Bootstrap(B, 1, True, 0.0).plan(False, announcements_of(ME, C), SEEDS, 99.0) is None, (
+        "not the smallest id"
+    )
 
 
-def required_voters() -> EpochChange:
+def unanimous_change() -> EpochChange:
     ids = frozenset("abc")
     return EpochChange(ME, Term(5, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0, required_voters=ids)
 
@@ -100,17 +102,17 @@
 
 
 def test_core_without_a_founder_needs_the_promise_of_all():
-    change = required_voters()
+    change = unanimous_change()
     for store_id in ("a", "b"):
         assert not change.receive(store_id, prepared_message(None), ControlState())
-    assert not change.resend(ControlState())[1:], "C is asked again, and nobody to accept"
+    assert not change.resend(ControlState())[1:], "only C is asked again, and no store to accept"
     assert change.receive("c", prepared_message(None), ControlState())
     assert change.proposed_epoch
     assert not change.newer_epoch
 
 
 def test_core_is_not_bootstrapped_over_an_epoch_that_one_store_knows():
-    change = required_voters()
+    change = unanimous_change()
     for store_id in ("a", "b"):
         change.receive(store_id, prepared_message(None), ControlState())
     assert not change.receive("c", prepared_message(epoch(B, C)), ControlState())
@@ -120,90 +122,90 @@
 
 def test_founder_votes_before_it_asks_others():
     change = EpochChange(ME, Term(1, "a"), no_epoch(ME), (ME, B, C), 2, frozenset(), 0.0)
-    asked = []
+    requests = []
     for store_id in ("a", "b", "c"):
         prepared = Prepared(Term(1, "a"), None, Term(0, ""), 0)
-        asked += change.receive(store_id, prepared, ControlState())
-    assert [receiver for receiver, _ in asked] == ["a"]
+        requests += change.receive(store_id, prepared, ControlState())
+    assert [receiver for receiver, _ in requests] == ["a"]
     assert [receiver for receiver, _ in change.resend(ControlState())] == ["a"]
-    asked = change.receive("a", Accepted(change.term), ControlState())
-    assert [receiver for receiver, _ in asked] == ["b", "c"]
+    requests = change.receive("a", Accepted(change.term), ControlState())
+    assert [receiver for receiver, _ in requests] == ["b", "c"]
 
 
 def test_founder_record_survives_a_power_loss_and_is_void_with_the_first_vote():
     durable = Durable("a", must_bootstrap=True)
     records: list[Record] = list(durable.snapshot())
     for length in range(1, len(records) + 1):
-        assert Durable.restore(records[:length]).is_founder, "whichever first records reached the disk"
+        assert Durable.restore(records[:length]).is_founder, "any prefix of the records may be on disk"
     records += durable.accept(epoch(ME, B, C))
     assert not Durable.restore(records).is_founder
     assert not Durable.restore(durable.snapshot()).must_bootstrap
 
 
-# whole cores
+# Whole cores
 
 
-@pytest.mark.parametrize("machines", [0, 1, 2, 3])
-def test_founder_opens_the_first_epoch_with_all_stores(machines):
-    world = FormingCore(1, machines)
+@pytest.mark.parametrize("tolerated_failures", [0, 1, 2, 3])
+def test_founder_opens_the_first_epoch_with_all_stores(tolerated_failures):
+    world = FormingCore(1, tolerated_failures)
     world.run(1.0)
     (primary,) = world.ready()
     epoch = primary.node.epoch
     assert primary.address == "10.0.0.0:1"
     assert epoch.core == primary.node.me.id
-    assert (len(epoch.witnesses), len(epoch.replicas)) == (2 * machines + 1, machines + 1)
+    assert (len(epoch.witnesses), len(epoch.replicas)) == (2 * tolerated_failures + 1, tolerated_failures + 1)
 
 
-@pytest.mark.parametrize("machines", [1, 2])
-def test_core_forms_after_a_power_loss_before_anything_is_on_disk(machines):
-    """The settings say only at the first start that a core is to be bootstrapped; nobody knows of it now."""
-    world = FormingCore(1, machines)
-    world.empty(*world.machines)
+@pytest.mark.parametrize("tolerated_failures", [1, 2])
+def test_core_forms_after_a_power_loss_before_anything_is_on_disk(tolerated_failures):
+    """No store knows that it is the founder: `bootstrap` only applies at the first start."""
+    world = FormingCore(1, tolerated_failures)
+    world.stop_with_empty_disks(*world.machines)
     world.heal()
 
 
-@pytest.mark.parametrize("machines", [1, 2])
+@pytest.mark.parametrize("tolerated_failures", [1, 2])
 @pytest.mark.parametrize("seed", range(3))
-def test_core_forms_when_all_lose_power_at_any_step(machines, seed):
+def test_core_forms_when_all_lose_power_at_any_step(tolerated_failures, seed):
     for steps in STEPS:
-        world = FormingCore(seed, machines)
-        world.go(steps)
+        world = FormingCore(seed, tolerated_failures)
+        world.run_steps(steps)
         for machine in world.machines:
             world.stop(machine)
         world.heal()
 
 
-@pytest.mark.parametrize("machines", [1, 2])
+@pytest.mark.parametrize("tolerated_failures", [1, 2])
 @pytest.mark.parametrize("seed", range(3))
-def test_core_forms_when_the_founder_and_others_lose_their_disks_at_any_step(machines, seed):
+def test_core_forms_when_the_founder_and_others_lose_their_disks_at_any_step(tolerated_failures, seed):
     for steps in STEPS:
-        world = FormingCore(seed, machines)
-        world.go(steps)
-        for machine in world.machines[:machines]:
+        world = FormingCore(seed, tolerated_failures)
+        world.run_steps(steps)
+        for machine in world.machines[:tolerated_failures]:
             world.wipe(machine)
-        for machine in world.machines[machines:]:
+        for machine in world.machines[tolerated_failures:]:
             world.stop(machine)
         world.heal()
 
 
-@pytest.mark.parametrize("machines", [1, 2])
-def test_core_forms_once_when_the_founder_is_isolated_at_any_step(machines):
+@pytest.mark.parametrize("tolerated_failures", [1, 2])
+def test_core_forms_once_when_the_founder_is_isolated_at_any_step(tolerated_failures):
     for steps in STEPS:
-        world = FormingCore(2, machines)
-        world.go(steps)
+        world = FormingCore(2, tolerated_failures)
+        world.run_steps(steps)
         isolate(world, world.machines[0])
         world.run(6.0)
         assert len(world.ready()) <= 1
         world.heal()
 
 
-@pytest.mark.parametrize("machines", [1, 2])
-def test_incomplete_core_is_not_bootstrapped_and_reports_who_is_missing(machines):
-    """Not even with one less: if its witnesses lost a disk until the last one comes, no majority was left."""
-    for missing in (1, 1 + machines):
-        world = FormingCore(1, machines)
+@pytest.mark.parametrize("tolerated_failures", [1, 2])
+def test_incomplete_core_is_not_bootstrapped_and_reports_who_is_missing(tolerated_failures):
+    """Even with one store missing: a disk lost before that store joins would leave no majority."""
+    for missing in (1, 1 + tolerated_failures):
+        world = FormingCore(1, tolerated_failures)
         late = world.machines[1 : 1 + missing]
-        world.empty(*late)
+        world.stop_with_empty_disks(*late)
         world.run(20.0)
         assert not world.ready()
         waits = [wait for wait in world.recorded_waits() if wait.wait is WaitReason.STORES]
@@ -216,7 +218,7 @@
 
 
 def test_founder_beside_a_core_joins_it():
-    """Its disk was lost, and its settings still say `bootstrap`."""
+    """The founder lost its disk, and its settings still say `bootstrap`."""
     world = FormingCore(1, 1)
     world.run(1.0)
     a = world.machines[0]
@@ -224,7 +226,7 @@
     world.run(0.5)
     core = a.node.durable.core
     world.wipe(a)
-    a.start_count = 0  # so that it is told to bootstrap again
+    a.start_count = 0  # it is told to bootstrap again
     world.start(a)
     assert a.node.durable.is_founder
     world.run(8.0)
@@ -256,12 +258,12 @@
 
 
 def test_two_cores_that_hear_each_other_stay_apart_and_report_it():
-    """Two were bootstrapped by mistake, each with a state of its own: none takes the other's stores in."""
+    """Two cores were bootstrapped by mistake, each with its own state; neither admits the other's stores."""
     one, other = FormingCore(1, 0), FormingCore(2, 0)
     other.machines[0].address = "10.0.9.0:1"
     for world in (one, other):
         world.stores += 10 * (world is other)
-        world.empty(world.machines[0])
+        world.stop_with_empty_disks(world.machines[0])
         world.machines[0].start_count = 0
         world.machines[0].address = "10.0.0.0:1"
         world.start(world.machines[0])
@@ -280,5 +282,5 @@
 
 
 def _newer(machine: Machine) -> Epoch:
-    """An epoch of that machine's core, newer than any."""
+    """Return an epoch of that machine's core that is newer than any other."""
     return Epoch(Term(99, "z"), "z", ("z",), (machine.node.me,), core=machine.node.me.id)
--- a/tests/replication/test_control_changes.py
+++ b/tests/replication/test_control_changes.py
@@ -1,4 +1,4 @@
-"""Hundreds of changes cost the last no more than the first, and the file stays short."""
+"""Hundreds of configuration changes: the log file stays short, and a restart restores all of them."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 
 
 def test_the_file_stays_short_and_a_start_finds_all_changes(tmp_path):
-    took, most = asyncio.run(changes(tmp_path, 300, 3_000))
-    assert len(took) == 300
-    assert most < 400_000, "256 KiB, three snapshots and a write"
+    durations, max_bytes = asyncio.run(changes(tmp_path, 300, 3_000))
+    assert len(durations) == 300
+    assert max_bytes < 400_000, "256 KiB, three snapshots and a write"
     assert start(tmp_path)[1] == 300
 
 
 def test_a_long_configuration_does_not_fill_the_disk(tmp_path):
-    _, most = asyncio.run(changes(tmp_path, 12, 400_000))
-    assert most < 256 * 1024 + 5 * 500_000
+    _, max_bytes = asyncio.run(changes(tmp_path, 12, 400_000))
+    assert max_bytes < 256 * 1024 + 5 * 500_000
     assert start(tmp_path)[1] == 12
 
 
@@ -30,7 +30,7 @@
 
 
 class Scripted:
-    """A command handler that gives these results in turn."""
+    """A command handler that returns the given statuses in turn."""
 
     def __init__(self, *statuses):
         self.statuses = list(statuses)
--- a/tests/replication/test_control_times.py
+++ b/tests/replication/test_control_times.py
@@ -1,4 +1,4 @@
-"""How long orders wait: for an acknowledgement, and for a primary after each loss, in virtual time."""
+"""Latency of writes, and time until a primary serves again after each loss, in virtual time."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     assert max(acknowledged(delay_s, seed=1)) <= 2 * delay_s + 2 * SYNC_S + 1e-9
 
 
-# Tighter where an ended link shows the loss, and where the primary itself announces that it steps down.
+# Tighter if a closed connection reveals the loss, or if the primary announces that it steps down.
 BOUNDS_S = {
     HALVES: 2.2,
     "primary killed": 1.0,
@@ -21,8 +21,8 @@
 }
 
 
-# Measured with 55 ms one way are 0.59 to 1.73 s in the median; a primary that starts anew, or announces
-# that it shuts down, is not waited for as one that is lost.
+# With a one-way delay of 55 ms the medians are 0.59 to 1.73 s. A primary that restarts, or announces that it
+# shuts down, does not cost the election timeout of a lost one.
 @pytest.mark.parametrize("loss", LOSSES)
 def test_primary_serves_again_within_a_bound_after_each_loss(loss):
     waited_for = ("back after 0.5 s", "resigns")
@@ -30,7 +30,7 @@
     assert max(outage(loss, 0.055, seed) for seed in range(5)) < bound
 
 
-# Another machine comes a second after the loss, or the one that is to leave waits a second for it.
+# A new machine joins one second after the loss, or the leaving machine waits one second for it.
 @pytest.mark.parametrize("loss", REPAIRS)
 def test_next_loss_is_tolerated_within_a_bound_after_each_loss(loss):
     bound = 0.8 if "backup killed" in loss or "backup gone" in loss else 2.0
--- a/tests/replication/test_double_losses.py
+++ b/tests/replication/test_double_losses.py
@@ -1,8 +1,8 @@
-"""Five stores of which two may be lost: losses by two, and the next two at any moment of what follows them.
+"""Five stores tolerate two losses: two stores fail, and two more disks are lost at any moment of the repair.
 
-Each row does something to two stores that serve; after some steps in an order that is drawn two disks are
-lost, as far as that is tolerated (`World.may_wipe`), and all others lose power. Nothing acknowledged may be
-lost, and a primary has to serve once all are back.
+Each scenario disturbs two serving stores. After some random steps two disks are lost, as far as that is
+tolerated (`World.can_wipe`), and all other machines lose power. No acknowledged write may be lost, and a
+primary must serve once all machines are back.
 """
 
 from __future__ import annotations
@@ -23,10 +23,14 @@
 
 
 class FiveStores(World):
-    """Five stores that serve, with writes acknowledged; `order`: the primary, other replicas, the rest."""
+    """Five serving stores with acknowledged writes.
+
+    Attributes:
+        order: The machines: first the primary, then the other replicas, then the rest.
+    """
 
     def __init__(self, seed: int) -> None:
-        super().__init__(seed, machines=2)
+        super().__init__(seed, tolerated_failures=2)
         self.fault_rate = 0.0
         primary = self.heal()
         replicas = primary.epoch.replicas
@@ -35,27 +39,27 @@
             return machine.node is not primary, machine.node.me.id not in replicas
 
         self.order = sorted(self.machines, key=rank)
-        self.go(200)
+        self.run_steps(200)
         while self.acknowledged() < WRITES:
             self.step()
 
     def acknowledged(self) -> int:
         return sum(write.acknowledged for write in self.writes)
 
-    def go(self, steps: int) -> None:
+    def run_steps(self, steps: int) -> None:
         for _ in range(steps):
             self.step()
 
     def lose(self, machine: Machine) -> None:
-        """The disk is lost, if that is tolerated; else the power alone."""
-        if self.may_wipe(machine):
+        """Lose a disk if that is tolerated, else only the power."""
+        if self.can_wipe(machine):
             self.wipe(machine)
         else:
             self.stop(machine)
 
     def replace(self, machine: Machine) -> None:
-        """Another machine replaces one that is lost for good, if that loss is tolerated."""
-        if self.may_wipe(machine):
+        """Replace a machine that is lost for good, if that loss is tolerated."""
+        if self.can_wipe(machine):
             self.machines.remove(machine)
             machine.node = None
             self._add()
@@ -88,7 +92,7 @@
     return lambda world: [world.replace(world.order[slot]) for slot in slots] and None
 
 
-def plan(*slots: int) -> Callable[[FiveStores], None]:
+def replace_planned(*slots: int) -> Callable[[FiveStores], None]:
     return lambda world: [world.replace_as_planned(world.order[slot]) for slot in slots] and None
 
 
@@ -105,10 +109,10 @@
     for slot in (1, 2):
         world.stop(world.order[slot])
     for machine in world.machines:
-        machine.now += 3.0  # past the time-out: their slots are given away
+        machine.now += 3.0  # after the replacement timeout: their slots are reassigned
     world._add()
     world._add()
-    world.go(150)
+    world.run_steps(150)
     for slot in (1, 2):
         world.start(world.order[slot])
 
@@ -119,7 +123,7 @@
         machine.node.leave(machine.now)
         machine.leaving_since = machine.now
         world.pump(machine)
-    world.go(60)
+    world.run_steps(60)
     for machine in world.machines:
         if machine.node is None:
             world.start(machine)
@@ -128,11 +132,11 @@
 def three_killed_and_restarted(world: FiveStores) -> None:
     kill(0, 1, 2)(world)
     for slot in (0, 1, 2):
-        world.go(40)
+        world.run_steps(40)
         world.start(world.order[slot])
 
 
-ROWS: dict[str, Callable[[FiveStores], None]] = {
+SCENARIOS: dict[str, Callable[[FiveStores], None]] = {
     "the primary and a backup killed": kill(0, 1),
     "both backups killed": kill(1, 2),
     "the primary and a backup wiped": wipe(0, 1),
@@ -141,7 +145,7 @@
     "the primary and another isolated": isolate_all(0, 3),
     "the primary and a backup gone, others elsewhere": replace(0, 1),
     "two that are no replicas gone, others elsewhere": replace(3, 4),
-    "two replaced as planned": plan(0, 1),
+    "two replaced as planned": replace_planned(0, 1),
     "one replaced as planned, one gone": one_of_each,
     "two come back to slots given away": come_back_to_slots_given_away,
     "rolled by two": roll_by_two,
@@ -154,37 +158,39 @@
     return FiveStores(seed)
 
 
-@pytest.mark.parametrize("name", ROWS)
+@pytest.mark.parametrize("name", SCENARIOS)
 def test_next_two_losses_at_any_moment_lose_nothing_acknowledged(name):
-    later = 0  # acknowledged after the first losses
+    later_writes = 0  # acknowledged after the first losses
     for seed in range(SEEDS):
         for moment in MOMENTS:
             world = copy.deepcopy(serving(seed))
             before = world.acknowledged()
-            ROWS[name](world)
-            world.go(moment)
-            later += world.acknowledged() - before
+            SCENARIOS[name](world)
+            world.run_steps(moment)
+            later_writes += world.acknowledged() - before
             for machine in world.rng.sample(world.machines, 2):
                 world.lose(machine)
             for machine in world.machines:
                 world.stop(machine)
             primary = world.heal()
             writes = [write for write in world.writes if write.acknowledged]
-            world.expect(primary, writes, f"after {name}, {moment} steps, seed {seed}, the primary lacks")
-    assert later
+            world.expect_writes(
+                primary, writes, f"after {name}, {moment} steps, seed {seed}, the primary lacks"
+            )
+    assert later_writes
 
 
 def test_drawn_moments_lie_before_and_after_the_repair():
-    """Some of the moments lie before the next epoch, some behind it, and disks are lost at many."""
-    before = behind = lost = 0
+    """The drawn moments cover times before and after the next epoch, and disks are lost at many of them."""
+    before = after = lost = 0
     for moment in MOMENTS:
         world = copy.deepcopy(serving(0))
-        epoch = world.newest()
+        epoch = world.newest_epoch()
         kill(1, 2)(world)
-        world.go(moment)
-        is_behind = world.newest().term > epoch.term
-        before, behind = before + (not is_behind), behind + is_behind
-        lost += sum(world.may_wipe(machine) for machine in world.machines)
+        world.run_steps(moment)
+        is_after = world.newest_epoch().term > epoch.term
+        before, after = before + (not is_after), after + is_after
+        lost += sum(world.can_wipe(machine) for machine in world.machines)
     assert before
-    assert behind
+    assert after
     assert lost
--- a/tests/replication/test_durable.py
+++ b/tests/replication/test_durable.py
@@ -1,4 +1,4 @@
-"""What a store restores from its disk, also after a disk that refused writes."""
+"""A store is restored from its disk, also after the disk refused writes."""
 
 from __future__ import annotations
 
@@ -11,17 +11,18 @@
 
 
 def state(*zones):
-    """The state after these zones were emptied."""
-    found = ControlState()
+    """Return the state after these zones were evacuated."""
+    restored = ControlState()
     for zone in zones:
-        found = found.apply(Evacuation(zone, True))
-    return found
+        restored = restored.apply(Evacuation(zone, True))
+    return restored
 
 
 def test_entries_of_an_older_term_behind_a_snapshot_are_void():
-    """A disk refused writes, and a snapshot took their place.
+    """Entries of the previous primary follow a snapshot.
 
-    Writes of the primary before were still to come behind it when power was lost.
+    The disk refused writes, a snapshot replaced them, and older entries were still written after it before
+    the power loss.
     """
     records = [Vote("s", NEW, None), Snapshot(NEW, state("z-1")), Entry(OLD, 2, Evacuation("z-old", True))]
     assert Durable.restore(records).state == state("z-1")
--- a/tests/replication/test_epoch_change.py
+++ b/tests/replication/test_epoch_change.py
@@ -1,4 +1,4 @@
-"""Which stores an epoch should have: what a candidate and a primary choose among."""
+"""Choice of the witnesses and replicas of an epoch by a primary and a candidate."""
 
 from __future__ import annotations
 
@@ -49,8 +49,8 @@
     assert choose_replicas(A, [A, B, C, D], {"b", "c", "d"}, (), 2) == ("a", "b")
     assert choose_replicas(A, [A, B, C, D], {"c"}, (), 2) == ("a", "c")
     assert choose_replicas(A, [A, B, C, D], {"b", "c"}, {"b"}, 2) == ("a", "c")
-    assert choose_replicas(A, [A, B, D], {"b", "d"}, {"b"}, 2) == ("a", "d"), "a zone twice"
-    assert choose_replicas(A, [A, B], {"b"}, {"b"}, 2) == ("a", "b"), "nobody else is there"
+    assert choose_replicas(A, [A, B, D], {"b", "d"}, {"b"}, 2) == ("a", "d"), "both replicas in one zone"
+    assert choose_replicas(A, [A, B], {"b"}, {"b"}, 2) == ("a", "b"), "no other store is live"
 
 
 def epoch_change(leaving=frozenset()):
@@ -70,7 +70,7 @@
     behind = (Term(2, "b"), 5)
     patient = epoch_change()
     patient.receive("a", prepared("a"), state)
-    assert patient.receive("b", prepared("b", behind), state) == [], "C may hold it"
+    assert patient.receive("b", prepared("b", behind), state) == [], "C may hold the state"
     assert kinds(patient.receive("c", prepared("c"), state)) == {Accept}
     assert patient.proposed_epoch.replicas == ("a", "c")
     assert patient.proposed_epoch.base_state == HELD_STATE
--- a/tests/replication/test_events.py
+++ b/tests/replication/test_events.py
@@ -1,4 +1,4 @@
-"""What a store reports: each change once, each wait at doubled intervals, a bounded number in all."""
+"""A store records each change once and each wait at doubling intervals, and bounds its pending events."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def drain_events(core: ServingCore) -> None:
-    """Drop what was recorded while the core formed."""
+    """Drop the events recorded while the core formed."""
     for machine in core.machines:
         machine.node.events.drain()
 
@@ -63,13 +63,13 @@
     run(core, core.b, core.c, seconds=4.0)
     recorded = core.b.node.events.drain()
     assert [type(event) for event in recorded] == [EpochChangeStarted, EpochOpened], (
-        "no wait is long enough to be reported"
+        "no wait should be long enough to be reported"
     )
     assert {event.why for event in recorded} == {Reason.PRIMARY_LOST}
 
 
 def test_primary_that_replaces_a_lost_backup_records_the_state_that_it_sends(core):
-    assert core.acknowledge(core.a, core.b)  # C lacks it
+    assert core.acknowledge(core.a, core.b)  # C lacks the write
     drain_events(core)
     core.stop(core.b)
     run(core, core.a, core.c, seconds=3.0)
@@ -84,7 +84,7 @@
     drain_events(core)
     core.propose(core.a)
     core.exchange_all(core.a)
-    for _ in range(40):  # C answers heartbeats, and nobody announces itself: no other epoch can be opened
+    for _ in range(40):  # C answers heartbeats; without announcements no other epoch can be opened
         core.tick(core.a, 0.05)
         core.exchange_all(core.a, core.c)
     late = [event for event in core.a.node.events.drain() if isinstance(event, WriteLate)]
--- a/tests/replication/test_exhaustive.py
+++ b/tests/replication/test_exhaustive.py
@@ -1,9 +1,9 @@
-"""All interleavings of a few steps of three stores.
+"""Exhaustive exploration of all interleavings of a few steps of three stores.
 
-They begin where a write is proposed, or where a new store is about to take the slot of one whose disk was
-lost. A step syncs one store's oldest records, delivers the oldest message of one link, cuts a store's power
-(what was not synced is lost), starts it again, wipes its disk, or lets a store suspect its primary. States
-that were reached before are not explored again.
+The exploration starts where a write is proposed, or where a new store is about to take the slot of one whose
+disk was lost. A step syncs a store's oldest records, delivers the oldest message of a link, cuts a store's
+power (unsynced records are lost), restarts it, wipes its disk, or makes a store suspect its primary. States
+that were seen before are not explored again.
 """
 
 from __future__ import annotations
@@ -26,15 +26,15 @@
 Step = tuple[str, int]
 
 
-def start() -> ServingCore:
-    """A primary with a write that nobody has synced."""
+def start_with_write() -> ServingCore:
+    """Return a core whose primary has proposed a write that no store has synced."""
     core = ServingCore()
     core.propose(core.a)
     return core
 
 
-def start_of_a_change() -> ServingCore:
-    """A primary with an acknowledged write that has just begun to admit a store in the place of C's."""
+def start_with_epoch_change() -> ServingCore:
+    """Return a core whose primary, with an acknowledged write, has just started to replace C's store."""
     core = ServingCore()
     assert core.acknowledge(core.a, core.b)
     core.wipe(core.c)
@@ -45,8 +45,8 @@
     return core
 
 
-def steps(world: World) -> Iterator[Step]:
-    """What may happen next."""
+def possible_steps(world: World) -> Iterator[Step]:
+    """Yield the steps that are possible next."""
     links = {(envelope.sender, envelope.receiver) for envelope in world.pending}
     for index in range(len(links)):
         yield "deliver", index
@@ -58,14 +58,14 @@
             yield "sync", index
         if world.crashes < MAX_CRASHES:
             yield "stop", index
-            if world.may_wipe(machine):
+            if world.can_wipe(machine):
                 yield "wipe", index
         if not machine.node.is_primary:
             yield "suspect", index
 
 
 def apply_step(world: World, step: Step) -> None:
-    """Let a step happen."""
+    """Apply a step, and check the invariants."""
     kind, index = step
     machine = world.machines[index] if kind != "deliver" else None
     if kind == "deliver":
@@ -89,46 +89,46 @@
     world.check()
 
 
-def state_of_candidate(node: Node) -> tuple[object, ...]:
-    """What distinguishes a candidate from another one, with the time at which it sends once more."""
+def candidate_key(node: Node) -> tuple[object, ...]:
+    """Return the parts that identify the state of a candidate, including its next resend time."""
     candidate = node.candidate
     return candidate.epoch_change, candidate.reason, node.context.pre_votes, candidate._resend_at
 
 
-def state_of(world: World) -> str:
-    """What distinguishes a state from another one, but for clocks."""
+def state_key(world: World) -> str:
+    """Return a string that identifies the state of a world, apart from clocks."""
     parts = [str(world.pending), str([write.acknowledged for write in world.writes])]
     for machine in world.machines:
         node = machine.node
-        inner = node and (node.durable, node.is_primary, node.is_ready, state_of_candidate(node))
-        parts.append(f"{machine.disk}{machine.queue}{inner}{machine.wiped}")
+        inner = node and (node.durable, node.is_primary, node.is_ready, candidate_key(node))
+        parts.append(f"{machine.disk}{machine.queue}{inner}{machine.is_wiped}")
     return "|".join(parts)
 
 
-def explore(depth: int, begin: Callable[[], ServingCore] = start) -> int:
-    """Go through all interleavings of so many steps; how many states were reached.
+def explore(depth: int, make_core: Callable[[], ServingCore] = start_with_write) -> int:
+    """Explore all interleavings of up to `depth` steps, and return the number of distinct states.
 
     Raises:
-        InvariantError: What has to hold did not.
+        InvariantError: An invariant was violated.
     """
-    first = begin()
+    first = make_core()
     first.crashes = 0
-    level, reached = [first], {state_of(first)}
+    level, seen = [first], {state_key(first)}
     for _ in range(depth):
         following = []
         for world in level:
-            for step in list(steps(world)):
-                after = copy.deepcopy(world)
-                apply_step(after, step)
-                state = state_of(after)
-                if state not in reached:
-                    reached.add(state)
-                    following.append(after)
+            for step in list(possible_steps(world)):
+                next_world = copy.deepcopy(world)
+                apply_step(next_world, step)
+                state = state_key(next_world)
+                if state not in seen:
+                    seen.add(state)
+                    following.append(next_world)
         level = following
     for world in level[:: max(1, len(level) // 50)]:
         acknowledged = [write for write in world.writes if write.acknowledged]
-        world.expect(world.heal(), acknowledged, "the primary after all healed lacks")
-    return len(reached)
+        world.expect_writes(world.heal(), acknowledged, "after healing, the primary lacks")
+    return len(seen)
 
 
 def test_interleavings_after_a_write_lose_nothing_acknowledged():
@@ -136,7 +136,7 @@
 
 
 def test_interleavings_of_a_change_of_witnesses_lose_nothing_acknowledged():
-    assert explore(CHANGE_DEPTH, start_of_a_change) > 300
+    assert explore(CHANGE_DEPTH, start_with_epoch_change) > 300
 
 
 def test_exploration_without_two_guards_finds_a_loss(monkeypatch):
--- a/tests/replication/test_failure_detector.py
+++ b/tests/replication/test_failure_detector.py
@@ -1,4 +1,4 @@
-"""When a store suspects the primary, and when it asks for pre-votes."""
+"""A store suspects the primary and starts a pre-vote at the right time."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture
 def detector_of() -> Callable[[str], PrimaryFailureDetector]:
-    """Makes the detector of a store that starts at 0 s, without jitter."""
+    """Return a factory for the detector of a store that starts at 0 s, without jitter."""
     return lambda store_id: PrimaryFailureDetector(store_id, EPOCH, lambda: 0.0, 0.0)
 
 
@@ -71,7 +71,7 @@
     assert detector.is_election_due(0.6)
     detector.reset_timer(EPOCH, 0.6)
     detector.mark_lost("a", 0.7)
-    assert not detector.is_election_due(0.7), "a second report moves the timer no more"
+    assert not detector.is_election_due(0.7), "a second report does not move the timer"
 
 
 def test_primary_that_asks_itself_is_suspected(detector_of):
--- a/tests/replication/test_hard_cases.py
+++ b/tests/replication/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Schedules that the search meets too seldom, each played with its guard, and without it."""
+"""Schedules that the random search reaches too rarely, each run with and without its guard."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def _two_candidates(core: ServingCore, restart: bool) -> None:
-    """C has prepared B's term. A, whose term is older, must not get C's vote any more."""
+    """C has prepared B's term, so A, whose term is older, must not get C's vote."""
     a, b, c = core.a, core.b, core.c
     base = b.node.durable.accepted_epoch
     b.node.context.pre_votes.newest_term = Term(base.term.number, "")
@@ -59,7 +59,7 @@
 
 
 def no_older_epoch_is_accepted(core: ServingCore) -> None:
-    """B's epoch is older than the one that C has accepted from A: it comes late, and A is lost."""
+    """B's epoch reaches C late, after C has accepted a newer one from A, and then A is lost."""
     a, b, c = core.a, core.b, core.c
     base = b.node.durable.accepted_epoch
     b.node.candidate.start(EpochPlan(base, base.witnesses, Reason.PRIMARY_LOST), b.now)
@@ -88,7 +88,7 @@
 
 
 def a_replica_rejects_writes_of_older_epochs(core: ServingCore) -> None:
-    """B has opened an epoch with C; what A, partitioned, sends under the old one is not acknowledged."""
+    """B has opened an epoch with C; writes that A sends under the old epoch are not acknowledged."""
     a, b, c = core.a, core.b, core.c
     b.node.context.pre_votes.newest_term = a.node.durable.prepared_term
     core.run_candidate(b, c)
@@ -99,7 +99,7 @@
 
 
 def only_a_replica_of_the_newest_epoch_opens_the_next(core: ServingCore) -> None:
-    """A asks to open on top of an epoch that is no more the newest one: C knows better."""
+    """A attempts to succeed an epoch that is no longer the newest; C reports the newer one."""
     a, b, c = core.a, core.b, core.c
     old = a.node.durable.accepted_epoch
     core.run_candidate(b, c)
@@ -114,21 +114,21 @@
         answers += change.receive(machine.node.me.id, prepared, a.node.durable.state)
     answers += change.resend(a.node.durable.state)
     if any(isinstance(message, wire.Install | wire.Accept) for _, message in answers):
-        raise InvariantError("a store that lacks an acknowledged write installs its state elsewhere")
+        raise InvariantError("a store that lacks an acknowledged write installs its state on another store")
 
 
 def a_read_is_confirmed_after_it_was_asked(core: ServingCore) -> None:
-    """A is partitioned and still takes itself for primary: it must not answer reads."""
+    """A is partitioned and still considers itself primary, so it must not answer reads."""
     a, b, c = core.a, core.b, core.c
     core.run_candidate(b, c)
     assert core.acknowledge(b, c)
-    core.ask(a)
+    core.begin_read(a)
     core.exchange_all(a)
     core.check()
 
 
 def nothing_is_sent_before_it_is_synced(core: ServingCore) -> None:
-    """B loses power with a write that it has not synced, and then A its disk."""
+    """B loses power with a write that it has not synced, and then A loses its disk."""
     a, b = core.a, core.b
     core.propose(a)
     while a.queue:
@@ -148,9 +148,9 @@
 
 
 def the_state_is_on_all_replicas_before_the_epoch(core: ServingCore) -> None:
-    """C has missed a write, and becomes a replica in the place of B, which is down.
+    """C has missed a write, and replaces B, which is down, as a replica.
 
-    The state for C gets lost on its way, and A loses its disk.
+    The state for C is lost in transit, and then A loses its disk.
     """
     a, b, c = core.a, core.b, core.c
     assert core.acknowledge(a, b)
@@ -170,13 +170,13 @@
 
 
 def earlier_witnesses_vote_until_it_is_committed(core: ServingCore) -> None:
-    """A, partitioned from B, takes a new store for a witness in the place of C, which is down.
+    """A, partitioned from B, replaces C, which is down, by a new store as witness.
 
-    B and C know of nothing.
+    B and C do not learn of this.
     """
     a, b, c = core.a, core.b, core.c
     core.stop(c)
-    new = Machine("10.0.0.9:1", now=a.now, wiped=True)
+    new = Machine("10.0.0.9:1", now=a.now, is_wiped=True)
     core.machines.append(new)
     core.start(new)
     base = a.node.durable.accepted_epoch
@@ -197,13 +197,13 @@
 
 
 def nothing_is_acknowledged_with_too_few_replicas(core: ServingCore) -> None:
-    """A's replica and the third witness are lost one after the other: what A takes then, it holds alone."""
+    """A's replica and the third witness are lost in turn, so that A alone would hold its next writes."""
     a = core.a
     epoch = a.node.durable.accepted_epoch
     alone = replace(epoch, replicas=(a.node.me.id,))
     a.node.primary.begin_epoch(alone, is_committed=True, reason=Reason.REPLICA_LOST, took_s=0.0, now=a.now)
     if core.acknowledge(a):
-        raise InvariantError("a write is acknowledged that one disk alone holds")
+        raise InvariantError("a write that only one disk holds is acknowledged")
 
 
 SCHEDULES: dict[str, Callable[[ServingCore], None]] = {
@@ -265,12 +265,12 @@
     assert b.now - began < 0.5
     assert b.node.durable.state.evacuated == ("z0",)
     assert b.node.context.detector._lost_id == "" == c.node.context.detector._lost_id, (
-        "a later epoch of it is suspected as any other"
+        "it can be suspected again in a later epoch"
     )
 
 
 def shut_down(core: ServingCore, machine: Machine) -> None:
-    """Let a machine's process end as the platform does, once it may or its grace is over."""
+    """Shut down a machine's process as the platform does, once it may leave or its grace period is over."""
     machine.node.leave(machine.now)
     core.pump(machine)
     began = machine.now
@@ -284,7 +284,7 @@
 
 
 def lose_disks(core: ServingCore, *machines: Machine) -> None:
-    """The machines are lost for good, and what was on their disks with them."""
+    """Lose machines for good, with their disks."""
     for machine in machines:
         core.stop(machine)
         machine.disk = []
@@ -292,10 +292,10 @@
 
 def test_primary_that_shuts_down_stays_until_an_epoch_without_it_holds_the_state(core):
     a, b, c = core.a, core.b, core.c
-    assert core.acknowledge(a, b)  # C has missed it
+    assert core.acknowledge(a, b)  # C has missed the write
     shut_down(core, a)
     lose_disks(core, a)
-    core.wipe(b)  # the next loss comes at once
+    core.wipe(b)  # the next loss follows at once
     core.check()
     assert c.node.durable.state.evacuated == ("z0",)
     assert c.node.me.id in c.node.durable.accepted_epoch.replicas
@@ -313,7 +313,7 @@
 
 def test_store_that_shuts_down_gives_its_slot_to_a_joining_one_before_it_ends(core):
     a, b, c = core.a, core.b, core.c
-    new = Machine("10.0.0.9:1", now=a.now, wiped=True)
+    new = Machine("10.0.0.9:1", now=a.now, is_wiped=True)
     core.machines.append(new)
     core.start(new)
     for machine in (c, a):
@@ -323,7 +323,7 @@
         if machine is c:
             newest = a.node.durable.accepted_epoch
             assert {store.id for store in newest.witnesses} == {m.node.me.id for m in (a, b, new)}
-            another = Machine("10.0.0.10:1", now=a.now, wiped=True)
+            another = Machine("10.0.0.10:1", now=a.now, is_wiped=True)
             core.machines.append(another)
             core.start(another)
             new = another
@@ -342,7 +342,7 @@
 
 
 def test_partitioned_store_that_shuts_down_stays_while_others_have_not_said_so(core):
-    """It hears nobody, which does not mean that nobody stays: it may be needed once the partition ends."""
+    """It hears no other store, but others may stay and need it once the partition ends."""
     a, b, c = core.a, core.b, core.c
     a.now += LIVENESS_TIMEOUT_S + 0.1
     a.node.leave(a.now)
@@ -351,19 +351,19 @@
         other.node.leave(other.now)
         core.pump(other)
         core.announce(other)
-    assert a.node.can_leave(a.now), "the others have said that they leave, too"
+    assert a.node.can_leave(a.now), "the others have announced that they are leaving, too"
 
 
 def test_witness_that_lags_is_sent_the_state_before_it_is_needed(core):
     a, b, c = core.a, core.b, core.c
     assert core.acknowledge(a, b)
-    assert not core.follows(c)
+    assert not core.is_caught_up(c)
     for _ in range(20):
         for machine in core.machines:
             core.announce(machine)
             core.tick(machine, 0.05)
         core.exchange_all()
-    assert core.follows(c)
+    assert core.is_caught_up(c)
     assert a.node.durable.accepted_epoch.replicas == (a.node.me.id, b.node.me.id)
     assert core.acknowledge(a, b, c)
-    assert core.follows(c), "it takes writes as they come from here on"
+    assert core.is_caught_up(c), "it receives each write from now on"
--- a/tests/replication/test_pre_vote.py
+++ b/tests/replication/test_pre_vote.py
@@ -1,4 +1,4 @@
-"""Which pre-votes count, and when a store may start an epoch change."""
+"""Pre-vote grants are counted correctly, and only a replica may start an epoch change."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def durable() -> Durable:
-    """A store that has accepted the epoch."""
+    """Return the durable state of a store that has accepted the epoch."""
     return Durable("b", prepared_term=EPOCH.term, accepted_epoch=EPOCH)
 
 
--- a/tests/replication/test_reconfiguration.py
+++ b/tests/replication/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""When a primary plans another epoch, what for, and with which witnesses."""
+"""A primary plans a new epoch when needed, with the right reason and witnesses."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @pytest.fixture
 def view() -> CoreView:
-    """A core of three stores in which nothing is wrong."""
+    """Return the view of a healthy core of three stores."""
     return CoreView(
         epoch=EPOCH,
         live=frozenset("abc"),
--- a/tests/replication/test_search.py
+++ b/tests/replication/test_search.py
@@ -1,8 +1,8 @@
-"""A search over schedules of crashes, lost disks, cuts, and messages and syncs in any order.
+"""Randomized search over schedules of crashes, lost disks, partitions and reordered messages and syncs.
 
-Nothing acknowledged is ever lost, no read lacks what was acknowledged before it was asked, and once nothing
-is broken any more a primary serves. Where a guard is taken out the search has to find what breaks
-(`guards.py`); guards that it meets too seldom have a schedule of their own in `test_hard_cases.py`.
+No acknowledged write may be lost, no read may lack a write acknowledged before it, and a primary must serve
+once all faults have ended. With a guard removed, the search must find a violation (`guards.py`). Guards that
+random schedules exercise too rarely have their own schedules in `test_hard_cases.py`.
 """
 
 from __future__ import annotations
@@ -14,30 +14,30 @@
 
 STEPS = 1500
 SEEDS = 60
-MAX_SEEDS = 1500  # that it may take to find what a missing guard breaks
+MAX_SEEDS = 1500  # within which the violation of a removed guard must be found
 
 
-def play(seed: int, machines: int, kind: type[World] = World) -> int:
-    """Play one schedule and let it heal; how many writes were acknowledged."""
-    world = kind(seed, machines)
+def play(seed: int, tolerated_failures: int, kind: type[World] = World) -> int:
+    """Run one random schedule, heal, and return the number of acknowledged writes."""
+    world = kind(seed, tolerated_failures)
     for _ in range(STEPS):
         world.step()
     primary = world.heal()
     acknowledged = [write for write in world.writes if write.acknowledged]
-    world.expect(primary, acknowledged, "the primary after all healed lacks")
+    world.expect_writes(primary, acknowledged, "after healing, the primary lacks")
     return len(acknowledged)
 
 
 def play_until_broken() -> None:
-    """Play schedules of three stores, and now and then of five, until one breaks an invariant."""
+    """Run schedules of three stores, and every fourth time of five, until one violates an invariant."""
     for seed in range(MAX_SEEDS):
         play(seed, 1 + (seed % 4 == 3))
 
 
-@pytest.mark.parametrize("machines", [1, 2])
+@pytest.mark.parametrize("tolerated_failures", [1, 2])
 @pytest.mark.parametrize("part", range(4))
-def test_drawn_schedules_lose_nothing_acknowledged(machines, part):
-    acknowledged = [play(seed, machines) for seed in range(part * SEEDS, (part + 1) * SEEDS)]
+def test_drawn_schedules_lose_nothing_acknowledged(tolerated_failures, part):
+    acknowledged = [play(seed, tolerated_failures) for seed in range(part * SEEDS, (part + 1) * SEEDS)]
     assert sum(acknowledged) > SEEDS / 2
 
 
--- a/tests/replication/test_stored.py
+++ b/tests/replication/test_stored.py
@@ -1,4 +1,4 @@
-"""The search over the record log of the program, on disks that lose what was not synced."""
+"""Randomized search with the program's record log, on disks that lose unsynced writes."""
 
 from __future__ import annotations
 
@@ -12,14 +12,16 @@
 from tests.storage.disk import Disk
 
 SEEDS = 40
-MAX_SEEDS = 300  # that it may take to find that appends are not synced
+MAX_SEEDS = 300  # within which missing syncs of appends must be found
 
 
-@pytest.mark.parametrize("machines", [1, 2])
+@pytest.mark.parametrize("tolerated_failures", [1, 2])
 @pytest.mark.parametrize("part", range(2))
-def test_disks_that_lose_unsynced_writes_lose_nothing_acknowledged(machines, part):
+def test_disks_that_lose_unsynced_writes_lose_nothing_acknowledged(tolerated_failures, part):
     with disks():
-        acknowledged = [play(seed, machines, StoredWorld) for seed in range(part * SEEDS, (part + 1) * SEEDS)]
+        acknowledged = [
+            play(seed, tolerated_failures, StoredWorld) for seed in range(part * SEEDS, (part + 1) * SEEDS)
+        ]
     assert sum(acknowledged) > SEEDS / 2
 
 
@@ -30,17 +32,17 @@
 
 
 def play_until_broken() -> None:
-    """Play schedules of three stores until one breaks an invariant."""
+    """Run schedules of three stores until one violates an invariant."""
     for seed in range(MAX_SEEDS):
         play(seed, 1, StoredWorld)
 
 
 class StoredServingCore(ServingCore, StoredWorld):
-    """Three stores that serve, on disks that lose what was not synced."""
+    """Three serving stores, on disks that lose unsynced writes."""
 
 
 def acknowledge_what_was_read_at_a_start(core: StoredServingCore) -> None:
-    """B is killed as it writes, acknowledges what it reads again, and loses power; then A loses its disk."""
+    """Kill B during a write. B acknowledges what it reads at its restart, loses power; A loses its disk."""
     a, b = core.a, core.b
     core.propose(a)
     while a.queue:
@@ -48,10 +50,10 @@
     appends = [envelope for envelope in core.pending if envelope.receiver == b.node.me.id]
     core.pending = [envelope for envelope in core.pending if envelope.receiver != b.node.me.id]
     disk = core.disks[b.address]
-    disk.rng.random = lambda: 0.9  # whole writes, and no effect of the call at which the process ends
+    disk.rng.random = lambda: 0.9  # writes are complete; the call at which the process ends has no effect
     for envelope in appends:
         core.deliver(envelope)
-    disk.stop_at = len(disk.calls) + 2  # behind the write, before its sync
+    disk.stop_at = len(disk.calls) + 2  # after the write, before its sync
     core._end = lambda machine: disk.kill()
     core.sync(b)
     assert b.node is None
@@ -61,7 +63,7 @@
     core.exchange_all(a, b)
     core.check()
     assert core.writes[-1].acknowledged
-    disk.rng.random = lambda: 0.1  # at a loss of power all later writes are lost
+    disk.rng.random = lambda: 0.1  # at a power loss all unsynced writes are lost
     core._end = lambda machine: disk.lose_power()
     core.stop(b)
     core.wipe(a)
--- a/tests/replication/world.py
+++ b/tests/replication/world.py
@@ -1,8 +1,8 @@
-"""A deployment of control stores in which anything may happen between two steps.
+"""A deployment of control stores with random faults between steps.
 
-Messages wait, cross, get lost and come twice, syncs wait, machines lose power at any point and disks are
-wiped. Clocks run at their own pace each. `World.step` takes one action by a draw. `World.check` says what
-must hold at every moment.
+Messages are delayed, reordered, lost and duplicated, syncs are delayed, machines lose power at any point and
+disks are wiped. Each machine's clock runs at its own speed. `World.step` takes one random action;
+`World.check` asserts the invariants that must hold after every step.
 """
 
 from __future__ import annotations
@@ -13,9 +13,9 @@
 from tests.replication.deployment import Deployment, Machine, Write
 
 MAX_PENDING = 400
-MAX_SPARES = 2  # machines beyond those that are wanted
+MAX_SPARE_MACHINES = 2  # beyond a complete core
 TICK_S = 0.05
-EXCHANGES = 6  # of messages and syncs in a tick of an undisturbed deployment
+EXCHANGES_PER_TICK = 6  # rounds of syncs and deliveries per tick without faults
 FAULTS = (
     *(
         "drop",
@@ -34,23 +34,23 @@
 
 
 class InvariantError(AssertionError):
-    """Something that must never happen has happened."""
+    """An invariant was violated."""
 
 
 class World(Deployment):
-    """`machines` are tolerated to be lost at once, of 2 * machines + 1."""
+    """2 * tolerated_failures + 1 machines, driven by random actions and faults."""
 
-    def __init__(self, seed: int, machines: int = 1) -> None:
+    def __init__(self, seed: int, tolerated_failures: int = 1) -> None:
         rng = random.Random(seed)
         self.fault_rate = rng.choice((0.003, 0.01, 0.03, 0.1))
         self.weights = {kind: rng.choice((0.0, 0.2, 1.0, 3.0)) for kind in FAULTS} | {"restart": 3.0}
         self.newest_first = False
-        super().__init__(rng, machines)
+        super().__init__(rng, tolerated_failures)
 
     def step(self) -> None:
-        """One action, drawn; what is likely keeps the system going, the rest disturbs it."""
+        """Take one random action: usually regular progress, sometimes a fault."""
         rng = self.rng
-        self.let_leave()
+        self.end_leaving_machines()
         if rng.random() < self.fault_rate:
             self.inject_fault()
             self.check()
@@ -70,12 +70,12 @@
         elif kind < 0.98 and up:
             self.propose(rng.choice(up))
         elif up:
-            self.ask(rng.choice(up))
+            self.begin_read(rng.choice(up))
         del self.pending[:-MAX_PENDING]
         self.check()
 
     def inject_fault(self) -> None:
-        """Something that an undisturbed deployment does not do; how often each, differs from seed to seed."""
+        """Inject a random fault; the relative frequency of each kind depends on the seed."""
         kinds = list(self.weights)
         kind = self.rng.choices(kinds, [self.weights[kind] for kind in kinds])[0]
         getattr(self, f"_{kind}")()
@@ -113,7 +113,7 @@
 
     def _wipe(self) -> None:
         machine = self.rng.choice(self.machines)
-        if self.may_wipe(machine):
+        if self.can_wipe(machine):
             self.wipe(machine)
 
     def _partition_pair(self) -> None:
@@ -125,7 +125,7 @@
             self.partitioned = {(one, other)} if self.rng.random() < 0.5 else {(one, other), (other, one)}
 
     def _partition_halves(self) -> None:
-        """Partition some from all others, both ways or one way."""
+        """Partition some stores from all others, in one or both directions."""
         ids = [machine.node.me.id for machine in self.machines if machine.node]
         if self.partitioned:
             self.partitioned.clear()
@@ -138,7 +138,7 @@
                     self.partitioned |= {(other, one)} if ways[1] else set()
 
     def _rewrite(self) -> None:
-        """A disk that had got long, or refused, is given a snapshot, which may be ahead of what waits."""
+        """Rewrite a long or failed log as a snapshot, which may include records that wait for a sync."""
         up = [machine for machine in self.machines if machine.node]
         if up:
             machine = self.rng.choice(up)
@@ -153,16 +153,16 @@
             self.pump(machine)
 
     def _add(self) -> None:
-        """A machine comes that nobody has asked for: one that is down may find its place given away."""
-        if len(self.machines) < 2 * self.tolerated_failures + 1 + MAX_SPARES:
+        """Add a spare machine; the slot of a machine that is down may be reassigned to it."""
+        if len(self.machines) < 2 * self.tolerated_failures + 1 + MAX_SPARE_MACHINES:
             self.addresses += 1
             now = max(machine.now for machine in self.machines)
-            machine = Machine(f"10.0.1.{self.addresses}:1", now=now, wiped=True)
+            machine = Machine(f"10.0.1.{self.addresses}:1", now=now, is_wiped=True)
             self.machines.append(machine)
             self.start(machine)
 
     def _replace(self) -> None:
-        """Another machine replaces one: planned, before that one shuts down, or after it is lost."""
+        """Replace a machine: either planned, before it shuts down, or after its loss."""
         up = [machine for machine in self.machines if machine.node and machine.leaving_since is None]
         if not up:
             return
@@ -172,13 +172,13 @@
             machine.node.leave(machine.now)
             machine.leaving_since, machine.is_decommissioned = machine.now, True
             self.pump(machine)
-        elif len(self.machines) > 1 and self.may_wipe(machine):
+        elif len(self.machines) > 1 and self.can_wipe(machine):
             self.machines.remove(machine)
             machine.node = None
             self._add()
 
     def _disconnect(self) -> None:
-        """A link ends, whether its other side has or not."""
+        """Report a lost connection to a store, whether or not the other store has ended."""
         up = [machine for machine in self.machines if machine.node]
         if len(up) > 1:
             one, other = self.rng.sample(up, 2)
@@ -186,10 +186,10 @@
             self.pump(one)
 
     def _reorder(self) -> None:
-        """The newest messages go first for a while: the older ones are late."""
+        """Toggle delivery of the newest messages first, which delays older ones."""
         self.newest_first = not self.newest_first
 
-    # what must hold
+    # Invariants
 
     def check(self) -> None:
         for write in self.writes:
@@ -200,31 +200,31 @@
             if alive and state and state.sequence >= write.sequence and write.zone in state.evacuated:
                 write.acknowledged = True
         acknowledged = [write for write in self.writes if write.acknowledged]
-        for node, asked, before in self.reads:
-            if any(machine.node is node for machine in self.machines) and node.is_confirmed(asked):
-                self.expect(node, before, "a confirmed read lacks")
+        for node, number, before in self.reads:
+            if any(machine.node is node for machine in self.machines) and node.is_confirmed(number):
+                self.expect_writes(node, before, "a confirmed read lacks")
         for machine in self.machines:
             node = machine.node
             if node and node.is_primary and node.is_ready and self._is_newest(node):
-                self.expect(node, acknowledged, "the newest primary lacks")
+                self.expect_writes(node, acknowledged, "the newest primary lacks")
 
     def _is_newest(self, node: Node) -> bool:
-        newest = self.newest()
+        newest = self.newest_epoch()
         return bool(newest and node.epoch and node.epoch.term == newest.term)
 
-    def expect(self, node: Node, writes: list[Write], what: str) -> None:
+    def expect_writes(self, node: Node, writes: list[Write], failure: str) -> None:
         held = node.durable.state.evacuated
         for write in writes:
             if write.zone not in held:
-                raise InvariantError(f"{what} {write.zone}")
+                raise InvariantError(f"{failure} {write.zone}")
 
     def run_tick(self) -> None:
-        """A tick of all machines that are up, with all that they say delivered at once."""
+        """Tick all running machines, and deliver all their messages at once."""
         up = [machine for machine in self.machines if machine.node]
         for machine in up:
             self.tick(machine, TICK_S)
             self.announce(machine)
-        for _ in range(EXCHANGES):
+        for _ in range(EXCHANGES_PER_TICK):
             for machine in up:
                 while machine.queue:
                     self.sync(machine)
@@ -234,7 +234,7 @@
         self.check()
 
     def heal(self, seconds: float = 30.0) -> Node:
-        """Let all machines run undisturbed; the primary that comes of it."""
+        """Run all machines without faults until a primary serves, and return its node."""
         self.partitioned.clear()
         for machine in self.machines:
             if machine.leaving_since is not None:
@@ -252,4 +252,4 @@
                 for m in self.machines
             ):
                 return ready[0]
-        raise InvariantError("no primary serves although nothing is broken any more")
+        raise InvariantError("no primary serves after all faults have ended")
--- a/tests/storage/disk.py
+++ b/tests/storage/disk.py
@@ -1,11 +1,11 @@
-"""A disk that loses what was not synced at a loss of power.
+"""A simulated disk that loses unsynced changes at a power loss.
 
-Of each file it loses the writes since its last sync, of the folder the names that were put or taken away.
+A file loses the writes since its last sync, and the directory the names that were added or removed since its
+last sync.
 
-`Disk.calls` stands in the place of `os` in `fordtrestle.storage.log`. A process that is killed loses nothing
-(`kill`). At a loss of power (`lose_power`) each write that was not synced is there, missing or torn, and each
-change of a name that was not synced is there or not, on its own (DEPLOY: disk). `stop_at` ends the process at
-a call, before or after it had its effect.
+A `Disk` replaces `os` in `fordtrestle.storage.log`. Killing the process (`kill`) loses nothing. At a power
+loss (`lose_power`) each unsynced write is kept, lost or torn, and each unsynced change of a name is kept or
+lost, independently (DEPLOY: disk). `stop_at` ends the process at a call, before or after the call took effect.
 """
 
 from __future__ import annotations
@@ -16,22 +16,20 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-FOLDER = "the folder"
+DIRECTORY = "the directory"
 
 
 class StoppedError(BaseException):
-    """The process ended amid a call to the disk. No `except` of the program may hold it up."""
+    """The process ended during a disk call. A `BaseException`, so that the program does not catch it."""
 
 
 @dataclass(eq=False)
 class File:
-    """One file: what the disk has for sure, and what was written since."""
+    """A file: its synced content, its current content and the unsynced writes in between."""
 
     synced: bytes = b""
     data: bytearray = field(default_factory=bytearray)
-    writes: list[tuple[int, bytes]] = field(
-        default_factory=list
-    )  # a negative offset: truncated to that length
+    writes: list[tuple[int, bytes]] = field(default_factory=list)  # offset -1 - n: truncation to n bytes
 
     def write(self, at: int, data: bytes) -> None:
         self.writes.append((at, bytes(data)))
@@ -67,7 +65,7 @@
 
 
 class Disk:
-    """One machine's disk, and the calls that a process on it makes."""
+    """The disk of one machine, with the `os` calls that a process makes on it."""
 
     O_RDWR, O_CREAT, O_TRUNC, O_RDONLY = os.O_RDWR, os.O_CREAT, os.O_TRUNC, os.O_RDONLY
 
@@ -76,20 +74,20 @@
         self.names: dict[str, File] = {}  # as the process sees them
         self.synced_names: dict[str, File] = {}
         self.calls: list[str] = []
-        self.stop_at: int | None = None  # the number of the call at which the process ends
-        self.refuse: set[str] = set()  # calls that fail with ENOSPC
+        self.stop_at: int | None = None  # number of the call at which the process ends
+        self.failing_calls: set[str] = set()  # fail with ENOSPC
         self._open: dict[int, File | str] = {}
-        self._next = 100
+        self._next_descriptor = 100
 
-    # what happens to the machine
+    # Events
 
     def kill(self) -> None:
-        """The process ends; the files stay as they are."""
+        """End the process; the files keep their content."""
         self._open.clear()
         self.stop_at = None
 
     def lose_power(self) -> None:
-        """What was not synced may be gone, each write and each name on its own."""
+        """Lose or keep each unsynced write and each unsynced change of a name independently."""
         self.kill()
         for name in {*self.names, *self.synced_names}:
             if self.names.get(name) is not self.synced_names.get(name) and self.rng.random() < 0.5:
@@ -98,22 +96,22 @@
         for file in set(self.names.values()):
             file.lose(self.rng)
 
-    # the calls of `os`
+    # Calls of `os`
 
-    def makedirs(self, folder: Path, exist_ok: bool) -> None:
+    def makedirs(self, directory: Path, exist_ok: bool) -> None:
         self._call("makedirs")
 
     def open(self, path: Path, flags: int, mode: int = 0) -> int:
-        self._next += 1
+        self._next_descriptor += 1
         if not flags & (os.O_RDWR | os.O_CREAT):
-            self._open[self._next] = FOLDER
-            return self._next
+            self._open[self._next_descriptor] = DIRECTORY
+            return self._next_descriptor
         self._call("open")
         file = self.names.setdefault(path.name, File())
         if flags & os.O_TRUNC:
             file.truncate(0)
-        self._open[self._next] = file
-        return self._next
+        self._open[self._next_descriptor] = file
+        return self._next_descriptor
 
     def close(self, descriptor: int) -> None:
         del self._open[descriptor]
@@ -133,9 +131,9 @@
         self._call("fdatasync", self._file(descriptor).sync)
 
     def fsync(self, descriptor: int) -> None:
-        what = self._open[descriptor]
-        if isinstance(what, File):
-            self._call("fsync", lambda: self._sync_file(what))
+        target = self._open[descriptor]
+        if isinstance(target, File):
+            self._call("fsync", lambda: self._sync_file(target))
         else:
             self._call("fsync-directory", self._sync_directory)
 
@@ -151,7 +149,7 @@
         self._call("unlink", lambda: self.names.pop(path.name))
 
     def _sync_file(self, file: File) -> None:
-        """A new file lasts through its own sync; one that was given another name needs the folder's."""
+        """Sync a file, and its name if it is new; a renamed file also needs a sync of the directory."""
         file.sync()
         if file not in self.synced_names.values():
             for name, known in self.names.items():
@@ -168,7 +166,7 @@
 
     def _call(self, name: str, effect=lambda: None) -> None:
         self.calls.append(name)
-        if name in self.refuse:
+        if name in self.failing_calls:
             raise OSError(errno.ENOSPC, "full")
         stops = self.stop_at is not None and len(self.calls) >= self.stop_at
         if not stops or self.rng.random() < 0.5:
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -1,4 +1,4 @@
-"""The record log on disks that tear, refuse and forget: synced records are read again, all and in order."""
+"""The record log on disks that tear, fail and lose writes: all synced records are read again, in order."""
 
 from __future__ import annotations
 
@@ -24,17 +24,17 @@
 from fordtrestle.storage.records import frame, scan
 from tests.storage.disk import Disk, StoppedError
 
-FOLDER = Path("data")
+DIRECTORY = Path("data")
 
 
-def write(folder, payloads):
-    with RecordLog(folder) as log:
+def write(directory, payloads):
+    with RecordLog(directory) as log:
         log.open()
         log.append(payloads)
 
 
-def reopened(folder):
-    with RecordLog(folder) as log:
+def reopen(directory):
+    with RecordLog(directory) as log:
         return log.open()
 
 
@@ -44,26 +44,26 @@
     log.append([b"one", b""])
     log.append([b"two"])
     log.close()
-    assert reopened(tmp_path / "data") == [b"one", b"", b"two"]
+    assert reopen(tmp_path / "data") == [b"one", b"", b"two"]
 
 
 @given(st.lists(st.binary(max_size=40), max_size=6), st.data())
 def test_a_torn_tail_is_truncated_at_the_last_complete_record(payloads, data):
     complete = b"".join(map(frame, payloads))
     torn_at = data.draw(st.integers(0, len(complete)))
-    found = [record.payload for record in scan(complete[:torn_at])]
-    assert found == payloads[: len(found)]
-    assert torn_at < len(complete) or found == payloads
+    records = [record.payload for record in scan(complete[:torn_at])]
+    assert records == payloads[: len(records)]
+    assert torn_at < len(complete) or records == payloads
 
 
 @given(st.lists(st.binary(min_size=1, max_size=20), min_size=2, max_size=5), st.data())
-def test_a_corrupt_record_ends_what_is_read(payloads, data):
+def test_reading_stops_at_a_corrupt_record(payloads, data):
     corrupt = bytearray(b"".join(map(frame, payloads)))
     offset = data.draw(st.integers(0, len(corrupt) - 1))
     corrupt[offset] ^= data.draw(st.integers(1, 255))
-    found = [record.payload for record in scan(bytes(corrupt))]
-    assert found == payloads[: len(found)]
-    assert len(found) < len(payloads)
+    records = [record.payload for record in scan(bytes(corrupt))]
+    assert records == payloads[: len(records)]
+    assert len(records) < len(payloads)
 
 
 def test_appends_continue_behind_a_truncated_tail(tmp_path):
@@ -71,7 +71,7 @@
     with open(tmp_path / FILE_NAME, "ab") as file:
         file.write(frame(b"torn")[:-1])
     write(tmp_path, [b"two"])
-    assert reopened(tmp_path) == [b"one", b"two"]
+    assert reopen(tmp_path) == [b"one", b"two"]
 
 
 def test_a_rewrite_replaces_all_records_and_appends_continue(tmp_path):
@@ -81,74 +81,74 @@
     log.rewrite([b"all"])
     log.append([b"three"])
     log.close()
-    assert reopened(tmp_path) == [b"all", b"three"]
+    assert reopen(tmp_path) == [b"all", b"three"]
 
 
 def test_an_unfinished_rewrite_changes_nothing(tmp_path):
     write(tmp_path, [b"one"])
     (tmp_path / NEW_FILE_NAME).write_bytes(frame(b"half")[:-2])
-    assert reopened(tmp_path) == [b"one"]
+    assert reopen(tmp_path) == [b"one"]
     assert not (tmp_path / NEW_FILE_NAME).exists()
 
 
 @pytest.fixture
 def disk(monkeypatch):
-    """A disk that loses what was not synced, in the place of the machine's."""
+    """Replace the machine's disk by one that loses unsynced writes."""
     disk = Disk()
     monkeypatch.setattr(log_module, "os", disk)
     return disk
 
 
 @contextlib.contextmanager
-def refusing(disk, *calls):
-    """The disk refuses these calls, and takes them again afterwards."""
-    disk.refuse = set(calls)
+def failing(disk, *calls):
+    """Make these disk calls fail within the context."""
+    disk.failing_calls = set(calls)
     yield
-    disk.refuse = set()
+    disk.failing_calls = set()
 
 
-def opened(disk):
-    """The file as a process that has just started finds it."""
-    log = RecordLog(FOLDER)
+def open_log(disk):
+    """Open the log as a newly started process does; return the log and its records."""
+    log = RecordLog(DIRECTORY)
     return log, log.open()
 
 
-@pytest.mark.parametrize("refused", ["pwrite", "fdatasync"])
-def test_a_refused_append_leaves_the_records_as_they_were(disk, refused):
-    log, _ = opened(disk)
+@pytest.mark.parametrize("failing_call", ["pwrite", "fdatasync"])
+def test_a_failed_append_leaves_the_records_as_they_were(disk, failing_call):
+    log, _ = open_log(disk)
     log.append([b"one"])
-    with refusing(disk, refused), pytest.raises(StorageError):
+    with failing(disk, failing_call), pytest.raises(StorageError):
         log.append([b"two"])
     log.append([b"three"])
     disk.lose_power()
-    assert opened(disk)[1] == [b"one", b"three"]
+    assert open_log(disk)[1] == [b"one", b"three"]
 
 
-def test_no_record_of_a_refused_append_is_read_behind_the_next_one(disk):
-    log, _ = opened(disk)
-    with refusing(disk, "fdatasync", "ftruncate"):
+def test_no_record_of_a_failed_append_is_read_behind_the_next_one(disk):
+    log, _ = open_log(disk)
+    with failing(disk, "fdatasync", "ftruncate"):
         with pytest.raises(StorageError):
             log.append([b"one", b"two"])
         with pytest.raises(StorageError):
             log.append([b"six"])
     log.append([b"six"])
     disk.kill()
-    assert opened(disk)[1] == [b"six"]
+    assert open_log(disk)[1] == [b"six"]
 
 
-@pytest.mark.parametrize("refused", ["pwrite", "fsync", "rename"])
-def test_a_refused_rewrite_leaves_the_old_file_in_force(disk, refused):
-    log, _ = opened(disk)
+@pytest.mark.parametrize("failing_call", ["pwrite", "fsync", "rename"])
+def test_a_failed_rewrite_leaves_the_old_file_valid(disk, failing_call):
+    log, _ = open_log(disk)
     log.append([b"one"])
-    with refusing(disk, refused), pytest.raises(StorageError):
+    with failing(disk, failing_call), pytest.raises(StorageError):
         log.rewrite([b"all"])
     log.append([b"two"])
     disk.lose_power()
-    assert opened(disk)[1] == [b"one", b"two"]
+    assert open_log(disk)[1] == [b"one", b"two"]
 
 
-def test_a_rewrite_syncs_the_file_before_its_name_and_the_folder_after_it(disk):
-    log, _ = opened(disk)
+def test_a_rewrite_syncs_the_file_before_its_name_and_the_directory_after_it(disk):
+    log, _ = open_log(disk)
     disk.calls.clear()
     log.rewrite([b"all"])
     calls = [call for call, before in zip(disk.calls, [None, *disk.calls], strict=False) if call != before]
@@ -156,88 +156,88 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_folder_that_was_not_synced_is_synced_before_the_next_append(disk, seed):
+def test_a_directory_that_was_not_synced_is_synced_before_the_next_append(disk, seed):
     disk.rng.seed(seed)
-    log, _ = opened(disk)
-    with refusing(disk, "fsync-directory"), pytest.raises(StorageError):
+    log, _ = open_log(disk)
+    with failing(disk, "fsync-directory"), pytest.raises(StorageError):
         log.rewrite([b"all"])
     log.append([b"two"])
     disk.lose_power()
-    assert opened(disk)[1] == [b"all", b"two"]
+    assert open_log(disk)[1] == [b"all", b"two"]
 
 
 def test_no_record_behind_a_corrupt_one_is_read_once_that_is_overwritten(disk):
-    log, _ = opened(disk)
+    log, _ = open_log(disk)
     log.append([b"one", b"two"])
     (file,) = disk.names.values()
     file.data[len(frame(b"one")) - 1] ^= 1
     disk.kill()
-    log, found = opened(disk)
-    assert found == []
+    log, records = open_log(disk)
+    assert records == []
     log.append([b"six"])
     disk.kill()
-    assert opened(disk)[1] == [b"six"]
+    assert open_log(disk)[1] == [b"six"]
 
 
-def test_records_that_a_killed_process_did_not_sync_are_synced_as_they_are_read(disk):
-    log, _ = opened(disk)
+def test_records_that_a_killed_process_did_not_sync_are_synced_when_they_are_read(disk):
+    log, _ = open_log(disk)
     log.append([b"one"])
-    disk.stop_at = len(disk.calls) + 2  # the write has its effect, and the sync has not
-    disk.rng.random = lambda: 0.9  # no part of a write alone, no effect of the call that stops
+    disk.stop_at = len(disk.calls) + 2  # the write takes effect, but the sync does not
+    disk.rng.random = lambda: 0.9  # writes are complete; the call that stops the process has no effect
     with pytest.raises(StoppedError):
         log.append([b"two"])
     del disk.rng.random
     disk.kill()
-    log, found = opened(disk)
-    assert found == [b"one", b"two"]
+    log, records = open_log(disk)
+    assert records == [b"one", b"two"]
     disk.lose_power()
-    assert opened(disk)[1] == found
+    assert open_log(disk)[1] == records
 
 
-def test_a_name_that_a_killed_process_did_not_sync_is_synced_as_its_file_is_read(disk):
-    log, _ = opened(disk)
+def test_a_name_that_a_killed_process_did_not_sync_is_synced_when_its_file_is_read(disk):
+    log, _ = open_log(disk)
     log.append([b"one"])
-    with refusing(disk, "fsync-directory"), pytest.raises(StorageError):
+    with failing(disk, "fsync-directory"), pytest.raises(StorageError):
         log.rewrite([b"all"])
     disk.kill()
-    log, found = opened(disk)
-    assert found == [b"all"]
+    log, records = open_log(disk)
+    assert records == [b"all"]
     for _ in range(20):
         disk.lose_power()
-    assert opened(disk)[1] == found
+    assert open_log(disk)[1] == records
 
 
 @given(seed=st.integers(0, 2**32), data=st.data())
-def test_records_that_were_written_or_read_survive_any_loss_of_power(seed, data):
-    """Any calls, each ended at any point by a kill or a loss of power."""
+def test_records_that_were_written_or_read_survive_any_power_loss(seed, data):
+    """Runs arbitrary calls, each ended at any point by a kill or a power loss."""
     disk = Disk(seed)
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(log_module, "os", disk)
-        log, expected = opened(disk)
+        log, expected = open_log(disk)
         for number in range(data.draw(st.integers(1, 8))):
             payloads = [f"{number}.{part}".encode() * part for part in range(data.draw(st.integers(1, 4)))]
             is_rewrite = data.draw(st.booleans())
-            may_hold = (
+            possible_records = (
                 [payloads] if is_rewrite else [expected + payloads[: n + 1] for n in range(len(payloads))]
             )
             if data.draw(st.booleans()):
                 disk.stop_at = len(disk.calls) + data.draw(st.integers(1, 6))
             try:
                 (log.rewrite if is_rewrite else log.append)(payloads)
-                expected = may_hold[-1]
+                expected = possible_records[-1]
                 if disk.stop_at is None and data.draw(st.booleans()):
                     continue
             except StoppedError:
-                may_hold.append(expected)
+                possible_records.append(expected)
                 expected = None
             data.draw(st.sampled_from([disk.kill, disk.lose_power]))()
-            log, found = opened(disk)
-            assert found == expected if expected is not None else found in may_hold
-            expected = found
+            log, records = open_log(disk)
+            assert records == expected if expected is not None else records in possible_records
+            expected = records
             if data.draw(st.booleans()):
                 disk.lose_power()
-                log, found = opened(disk)
-                assert found == expected, "what was read was not on disk yet"
+                log, records = open_log(disk)
+                assert records == expected, "records that were read were not synced"
 
 
 def test_a_file_of_an_unknown_format_is_refused_and_unchanged(tmp_path):
@@ -254,16 +254,16 @@
     assert log.open() == [b"one"]
     log.append([b"two"])
     log.close()
-    assert reopened(tmp_path) == [b"one", b"two"]
+    assert reopen(tmp_path) == [b"one", b"two"]
     log.open()
     log.rewrite([b"all"])
     log.close()
     assert (tmp_path / FILE_NAME).read_bytes().startswith(HEADER)
-    assert reopened(tmp_path) == [b"all"]
+    assert reopen(tmp_path) == [b"all"]
 
 
 def test_a_version_without_headers_refuses_one():
-    """It reads each record as a message: what it can't read as one it leaves alone."""
+    """It decodes each record as a message, and leaves the file alone if it cannot."""
     with pytest.raises(CodecError):
         decode(MAGIC + FORMAT)
 
@@ -275,7 +275,7 @@
     assert log.open() == []
     log.append([b"two"])
     log.close()
-    assert reopened(tmp_path) == [b"two"]
+    assert reopen(tmp_path) == [b"two"]
 
 
 def test_a_file_of_an_older_format_says_so_until_it_is_rewritten(tmp_path):
--- a/tests/stored/__init__.py
+++ b/tests/stored/__init__.py
@@ -1,1 +1,1 @@
-"""Bytes that the program wrote once, kept as data: what landed has to be read, and written the same again."""
+"""Recorded bytes: the program must still read them, and write the current formats identically."""
--- a/tests/stored/samples.py
+++ b/tests/stored/samples.py
@@ -1,4 +1,4 @@
-"""One sample of every message and record that goes over wires or onto disks, each field set."""
+"""A sample of every message and record type that is sent or stored, with every field set."""
 
 from __future__ import annotations
 
@@ -27,13 +27,13 @@
 EPOCH = epochs.Epoch(TERM, "s2", ("s2", "s1"), STORES, (("s1", "s2", "s9"),), (OLDER, 11), "s1")
 CONFIG_CHANGE = state.ConfigChange(b"d" * 32, 7, DOCUMENT)
 EVACUATION = state.Evacuation("z-1", True)
-TAKEN = state.AppliedCall(b"d" * 32, 6)
+APPLIED_CALL = state.AppliedCall(b"d" * 32, 6)
 LOCK = coordination.Lock("a1", 9, 2500.0, 12)
 STORED = coordination.StoredValue("v-2", 2)
 KEY_EVENT = coordination.KeyEvent("g.k", "v-2", 2, 11)
 GROUP = coordination.KeyGroup(2, 1, {"g.k": STORED}, (KEY_EVENT,), 12)
 COORDINATION = coordination.CoordinationState({"l-1": LOCK}, {"n-1": 5}, {"g.": GROUP}, 12)
-STATE = state.ControlState(12, 7, DOCUMENT, ("z-1",), (TAKEN,), 2, b"old1old2", COORDINATION)
+STATE = state.ControlState(12, 7, DOCUMENT, ("z-1",), (APPLIED_CALL,), 2, b"old1old2", COORDINATION)
 ACQUIRE = commands.AcquireLock("l-1", "a1", 2500.0)
 GRANTED = answers.LockGranted(9)
 VIEW = items.ControlView(12, 7, DOCUMENT, ("z-1",))
@@ -95,7 +95,7 @@
     replication.Resign(TERM),
     ANNOUNCE,
     replication.HeartbeatAck(TERM, 5, OLDER, 11),
-    TAKEN,
+    APPLIED_CALL,
     STATE,
     gossip.Confirm(21, ITEM),
     gossip.Confirmed(21),
@@ -144,35 +144,41 @@
 )
 
 
-def plain(value: Any) -> Any:
-    """A value as JSON holds it; a record is the list of its fields' values, whatever their names."""
+def to_plain(value: Any) -> Any:
+    """Convert a value to JSON types; a record becomes its tag and its field values, without names."""
     if isinstance(value, IntEnum):
         return int(value)
     if isinstance(value, bytes):
         return {"bytes": value.hex()}
     if isinstance(value, list | tuple):
-        return [plain(part) for part in value]
+        return [to_plain(part) for part in value]
     if isinstance(value, Mapping):
-        return {name: plain(part) for name, part in value.items()}
+        return {name: to_plain(part) for name, part in value.items()}
     if value is None or isinstance(value, bool | int | float | str):
         return value
-    return {"tag": BY_TYPE[type(value)].tag, "values": [plain(getattr(value, f.name)) for f in fields(value)]}
+    return {
+        "tag": BY_TYPE[type(value)].tag,
+        "values": [to_plain(getattr(value, f.name)) for f in fields(value)],
+    }
 
 
-def gains_defaults_only(then: Any, now: Any) -> bool:
-    """Whether a value of today, as `plain` holds it, is one of then whose records have got fields behind.
+def gains_defaults_only(recorded: Any, current: Any) -> bool:
+    """Return whether a current value equals a recorded one, except for fields appended to its records since.
 
-    Those have the defaults that stand for their absence.
+    The appended fields must have their defaults. Both values are in the form that `to_plain` returns.
     """
-    if isinstance(then, dict) and "tag" in then:
-        kind = BY_TAG[then["tag"]].kind
-        added = fields(kind)[len(then["values"]) :]
-        of_then, defaults = now["values"][: len(then["values"])], [plain(field.default) for field in added]
+    if isinstance(recorded, dict) and "tag" in recorded:
+        kind = BY_TAG[recorded["tag"]].kind
+        added = fields(kind)[len(recorded["values"]) :]
+        recorded_part, defaults = (
+            current["values"][: len(recorded["values"])],
+            [to_plain(field.default) for field in added],
+        )
         return (
-            now["tag"] == then["tag"]
-            and now["values"][len(then["values"]) :] == defaults
-            and gains_defaults_only(then["values"], of_then)
+            current["tag"] == recorded["tag"]
+            and current["values"][len(recorded["values"]) :] == defaults
+            and gains_defaults_only(recorded["values"], recorded_part)
         )
-    if isinstance(then, list):
-        return len(then) == len(now) and all(map(gains_defaults_only, then, now))
-    return bool(then == now)
+    if isinstance(recorded, list):
+        return len(recorded) == len(current) and all(map(gains_defaults_only, recorded, current))
+    return bool(recorded == current)
--- a/tests/stored/test_files.py
+++ b/tests/stored/test_files.py
@@ -1,4 +1,4 @@
-"""Files that the program wrote once are read, and what is written today has the same bytes."""
+"""Recorded files are still read, and the program writes files with identical bytes."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 from fordtrestle.storage.log import FILE_NAME, RecordLog
 from rig.cluster.history import gaps, parse
 from tests.loopback import loopback, until
-from tests.stored.samples import DOCUMENT, gains_defaults_only, plain
+from tests.stored.samples import DOCUMENT, gains_defaults_only, to_plain
 
 DATA = Path(__file__).parent / "data"
 STORE = Store("s1", "10.0.0.1:7000", "10.0.0.1:7001", "z-1")
@@ -35,14 +35,16 @@
     AdvanceCounter("n-1"),
     WriteKey("g.k", "v-1", 0),
 )
-LATER = b'{"generation": 8, "routes": [], "services": [{"name": "pool"}]}'
+LATER_DOCUMENT = b'{"generation": 8, "routes": [], "services": [{"name": "pool"}]}'
 
 
-def write_control_file(folder: Path) -> RecordLog:
-    """A control store that is founded, takes a configuration, an evacuation and its end, is rewritten, and
-    takes one more configuration.
+def write_control_file(directory: Path) -> RecordLog:
+    """Write the log of a control store through bootstrap, writes, a rewrite and more writes.
+
+    The writes are a configuration, an evacuation and coordination changes before the rewrite, and the end of
+    the evacuation and another configuration after it.
     """
-    log = RecordLog(folder)
+    log = RecordLog(directory)
     log.open()
     durable = Durable("s1", must_bootstrap=True)
     log.append(map(codec.encode, durable.snapshot()))
@@ -54,10 +56,10 @@
     log.append(map(codec.encode, durable.append(TERM, 2, Evacuation("z-1", True)) or ()))
     for sequence, change in enumerate(COORDINATION_CHANGES, start=3):
         log.append(map(codec.encode, durable.append(TERM, sequence, change) or ()))
-    shutil.copy(folder / FILE_NAME, folder / "before-rewrite.log")
+    shutil.copy(directory / FILE_NAME, directory / "before-rewrite.log")
     log.rewrite(map(codec.encode, durable.snapshot()))
     log.append(map(codec.encode, durable.append(TERM, 6, Evacuation("z-1", False)) or ()))
-    log.append(map(codec.encode, durable.append(TERM, 7, ConfigChange(b"e" * 32, 8, LATER)) or ()))
+    log.append(map(codec.encode, durable.append(TERM, 7, ConfigChange(b"e" * 32, 8, LATER_DOCUMENT)) or ()))
     return log
 
 
@@ -70,20 +72,20 @@
         ("control-2.log", "control-2.json"),
     ],
 )
-def test_a_control_file_of_then_restores_the_same_store(name, values, tmp_path):
+def test_a_recorded_control_file_restores_the_same_store(name, values, tmp_path):
     shutil.copy(DATA / name, tmp_path / FILE_NAME)
     log = RecordLog(tmp_path)
     records = [codec.decode(payload) for payload in log.open()]
     log.close()
     assert (tmp_path / FILE_NAME).read_bytes() == (DATA / name).read_bytes()
     recorded = json.loads((DATA / values).read_text())
-    assert gains_defaults_only(recorded["records"], [plain(record) for record in records])
+    assert gains_defaults_only(recorded["records"], [to_plain(record) for record in records])
     durable = Durable.restore(records)
     assert durable is not None
-    assert gains_defaults_only(recorded["restored"], [plain(record) for record in durable.snapshot()])
+    assert gains_defaults_only(recorded["restored"], [to_plain(record) for record in durable.snapshot()])
 
 
-def test_a_control_file_is_written_as_it_was_then(tmp_path):
+def test_a_control_file_is_written_identically_to_the_recorded_one(tmp_path):
     write_control_file(tmp_path).close()
     assert (tmp_path / FILE_NAME).read_bytes() == (DATA / "control-2.log").read_bytes()
     before = (tmp_path / "before-rewrite.log").read_bytes()
@@ -98,33 +100,37 @@
 )
 
 
-def keeper(folder: Path) -> tuple[EndpointListStore, list[tuple[object, ...]]]:
-    """A keeper of lists in a folder, and what it has told."""
-    told: list[tuple[object, ...]] = []
+def list_store(directory: Path) -> tuple[EndpointListStore, list[tuple[object, ...]]]:
+    """Create an endpoint list store in a directory; return it and the calls of its `on_stored`."""
+    stored_calls: list[tuple[object, ...]] = []
     loop = asyncio.get_running_loop()
     return EndpointListStore(
-        loop, PosixFileStore(str(folder)), lambda *row: told.append(row), lambda *row: None, {"a": "b"}
-    ), told
+        loop,
+        PosixFileStore(str(directory)),
+        lambda *row: stored_calls.append(row),
+        lambda *row: None,
+        {"a": "b"},
+    ), stored_calls
 
 
 @loopback
-async def test_lists_and_the_number_of_starts_of_then_are_read(tmp_path):
+async def test_recorded_lists_and_incarnation_are_read(tmp_path):
     shutil.copytree(DATA / "lists", tmp_path / "lists")
-    kept, _ = keeper(tmp_path / "lists")
-    found = kept.load(["a"])
-    kept.close()
-    assert found.incarnation == 2
-    assert found.lists == {"a": LISTED}
-    assert found.log_lines == []
+    lists, _ = list_store(tmp_path / "lists")
+    loaded = lists.load(["a"])
+    lists.close()
+    assert loaded.incarnation == 2
+    assert loaded.lists == {"a": LISTED}
+    assert loaded.log_lines == []
 
 
 @loopback
-async def test_lists_and_the_number_of_starts_are_written_as_they_were_then(tmp_path):
-    kept, told = keeper(tmp_path / "lists")
-    kept.load(["a"])
-    kept.save("a", LISTED, "digest")
-    await until(lambda: told)
-    kept.close()
+async def test_lists_and_incarnation_are_written_identically_to_the_recorded_ones(tmp_path):
+    lists, stored_calls = list_store(tmp_path / "lists")
+    lists.load(["a"])
+    lists.save("a", LISTED, "digest")
+    await until(lambda: stored_calls)
+    lists.close()
     written = {path.name: path.read_bytes() for path in (tmp_path / "lists").iterdir()}
     assert written == {path.name: path.read_bytes() for path in (DATA / "lists").iterdir()}
 
@@ -136,14 +142,14 @@
 ]
 
 
-def test_a_trace_of_then_is_read_and_written_the_same(tmp_path):
+def test_a_recorded_trace_is_read_and_written_identically(tmp_path):
     assert list(trace.TraceReader(DATA / "requests.trace")) == REQUESTS
     trace.write(tmp_path / "requests.trace", REQUESTS, 3_000_000)
     assert (tmp_path / "requests.trace").read_bytes() == (DATA / "requests.trace").read_bytes()
 
 
-def test_a_compressed_trace_of_then_is_read_and_written_with_the_same_content(tmp_path):
-    """The compressed bytes themselves are the zlib library's, which differ from one release to another."""
+def test_a_recorded_compressed_trace_is_read_and_written_with_the_same_content(tmp_path):
+    """Compares the content: the compressed bytes differ between releases of the zlib library."""
     assert list(trace.TraceReader(DATA / "requests.trace.gz")) == REQUESTS
     trace.write(tmp_path / "requests.trace.gz", REQUESTS, 3_000_000)
     written = gzip.decompress((tmp_path / "requests.trace.gz").read_bytes())
@@ -151,7 +157,7 @@
 
 
 def write_events(path: Path) -> None:
-    """An event of each kind, each with all that it may say. Has to run in an event loop."""
+    """Write an event of each kind with all its fields. Must run in an event loop."""
     events = Events(asyncio.get_running_loop(), str(path), 100_000, "n0", lambda: 12.5)
     events.started(3)
     events.learned("settings:a", 0, "d1", "file")
@@ -165,7 +171,7 @@
 
 
 @loopback
-async def test_an_event_file_of_then_is_read_and_written_the_same(tmp_path):
+async def test_a_recorded_event_file_is_read_and_written_identically(tmp_path):
     recorded = (DATA / "events.jsonl").read_bytes()
     read = list(parse(recorded, "events.jsonl"))
     assert len(read) == 9
--- a/tests/stored/test_messages.py
+++ b/tests/stored/test_messages.py
@@ -1,4 +1,4 @@
-"""Every message and record type: bytes that were recorded once are read, and written the same again."""
+"""Every message and record type: recorded bytes are decoded, and encoded identically again."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 from fordtrestle.peer import codec
 from fordtrestle.peer.wire_types import BY_TYPE
-from tests.stored.samples import SAMPLES, gains_defaults_only, plain
+from tests.stored.samples import SAMPLES, gains_defaults_only, to_plain
 
 DATA = Path(__file__).parent / "data"
 RECORDED = json.loads((DATA / "messages-2.json").read_text())
-RECORDED_BEFORE = json.loads((DATA / "messages-1.json").read_text())  # by the first version
+RECORDED_V1 = json.loads((DATA / "messages-1.json").read_text())  # of the first version
 
 
 def test_every_type_has_a_sample():
@@ -22,17 +22,17 @@
 
 
 @pytest.mark.parametrize("index", range(len(SAMPLES)), ids=[type(sample).__name__ for sample in SAMPLES])
-def test_recorded_bytes_have_the_same_values_and_are_written_the_same_again(index):
+def test_recorded_bytes_have_the_same_values_and_are_written_identically(index):
     row, sample = RECORDED[index], SAMPLES[index]
     data = bytes.fromhex(row["data"])
     message = codec.decode(data)
     assert message == sample
-    assert plain(message) == row["values"]
+    assert to_plain(message) == row["values"]
     assert codec.encode(message) == data
     assert codec.encode(sample) == data
 
 
-@pytest.mark.parametrize("row", RECORDED_BEFORE, ids=[str(row["values"]["tag"]) for row in RECORDED_BEFORE])
-def test_bytes_of_the_version_before_have_the_same_values_and_defaults_behind_them(row):
+@pytest.mark.parametrize("row", RECORDED_V1, ids=[str(row["values"]["tag"]) for row in RECORDED_V1])
+def test_bytes_of_the_first_version_have_the_same_values_and_defaults_for_added_fields(row):
     message = codec.decode(bytes.fromhex(row["data"]))
-    assert gains_defaults_only(row["values"], plain(message))
+    assert gains_defaults_only(row["values"], to_plain(message))
--- a/tests/stored/test_transcripts.py
+++ b/tests/stored/test_transcripts.py
@@ -1,4 +1,4 @@
-"""What our HTTP endpoints answer, as approved transcripts; more stand in `control_api` and `ingress`."""
+"""Approved transcripts of the HTTP endpoints; `control_api` and `ingress` contain more."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 
 def test_names_of_the_metrics_of_replication():
-    """An event's class may be renamed, the metric that counts it may not."""
+    """An event class may be renamed, but its metric keeps its name."""
     events = Events()
     for kind in get_args(Event):
         events.record(object.__new__(kind))
@@ -99,10 +99,10 @@
 async def test_health_answers_of_the_program_in_service(snapshot):
     answers = [lambda number: Refuse(number, 0.0, Cause.COLD), lambda number: Fail(number, Cause.NO_TIME)]
     module = Scripted(request=lambda now, arrival: [answers.pop(0)(arrival.request)])
-    told = []
+    responses = []
     async with running(balancer=module) as sidecar:
         for target in ("", "", "/health/ready", "/health/ready?counts"):
             app = await App.connect(sidecar.address)
             answer = await (app.ask("GET", target, X_Call_Id=None) if target else app.ask())
-            told.append((target, answer.start, sorted(answer.headers.items()), answer.body))
-    assert told == snapshot
+            responses.append((target, answer.start, sorted(answer.headers.items()), answer.body))
+    assert responses == snapshot
