--- a/fordtrestle/replication/bootstrap.py
+++ b/fordtrestle/replication/bootstrap.py
@@ -4,8 +4,8 @@
 tolerated_failures disks before the remaining stores join would leave the core without a majority for ever.
 
 The founder is the store whose settings say `bootstrap`; its disk records this until it has voted for an
-epoch. The founder opens the first epoch and syncs its own vote before it asks any other store, so as long as
-the founder has not voted, no store has.
+epoch. The founder opens the first epoch. It syncs its own vote for it before it asks any other store to
+accept it, so as long as the founder has not voted, no store has.
 
 If the founder's record is lost, with its disk or by a power loss before the sync, no single store can
 distinguish a core that never formed from one that it has forgotten. The stores of a complete core together
--- a/fordtrestle/replication/candidate.py
+++ b/fordtrestle/replication/candidate.py
@@ -11,7 +11,7 @@
 from fordtrestle.replication.messages import PreVoteGrant, Rejected, ToCandidate
 from fordtrestle.replication.primary import Primary
 
-RESEND_INTERVAL_S = 0.4  # covers a round trip and a sync
+RESEND_INTERVAL_S = 0.4  # between resends of a request: covers a round trip and a sync
 EPOCH_CHANGE_TIMEOUT_S = 2.5  # an epoch change that takes longer is abandoned and retried
 INSTALL_TIMEOUT_S = 20.0  # used instead while the whole state is sent to live replicas
 
--- a/fordtrestle/replication/epoch_change.py
+++ b/fordtrestle/replication/epoch_change.py
@@ -5,8 +5,8 @@
 newest epoch that these witnesses report, so that it holds all acknowledged writes. Third, all replicas of the
 new epoch hold the candidate's state before any witness is asked to accept the epoch.
 
-The first epoch of a core has an empty base (`epochs.no_epoch`). Its candidate votes for it before it asks any
-other store to vote (`bootstrap.py`).
+The first epoch of a core has an empty base (`epochs.no_epoch`). Its candidate accepts it on its own disk
+before it asks any other store to accept it (`bootstrap.py`).
 
 Source: Vertical Paxos, Lamport, Malkhi and Zhou 2009; the joint quorums follow Raft's joint consensus.
 """
@@ -114,7 +114,7 @@
         return []
 
     def resend(self, state: ControlState) -> list[Outgoing]:
-        """Return the unanswered requests to resend; whole states are resent at doubling intervals."""
+        """Return the unanswered requests, as links may lose messages; whole states at doubling intervals."""
         self._resend_count += 1
         if self.proposed_epoch:
             return self._ask_to_accept(self.proposed_epoch)
--- a/fordtrestle/replication/failure_detector.py
+++ b/fordtrestle/replication/failure_detector.py
@@ -11,9 +11,7 @@
 from fordtrestle.replication.epochs import Epoch, Store
 
 ELECTION_TIMEOUT_S = 1.2  # more than four heartbeats; after this long without one a store starts a pre-vote
-RESTARTED_PRIMARY_RETRY_S = (
-    0.2  # between the pre-votes of a primary that has started anew: nobody else is primary
-)
+RESTARTED_PRIMARY_RETRY_S = 0.2  # between pre-votes of a restarted primary: no other store is primary
 ELECTION_RANK_DELAY_S = 0.4  # added for each backup ranked before the store, to avoid competing candidates
 ELECTION_JITTER_S = 0.2  # maximum random delay added, for the same reason
 
--- a/fordtrestle/replication/primary.py
+++ b/fordtrestle/replication/primary.py
@@ -104,11 +104,11 @@
             return
         leadership.on_heartbeat_ack(sender, message.number, now)
         state, term = context.durable.state, leadership.epoch.term
-        held = message.sequence if message.installed_term == term else -1
-        if held >= 0 and context.durable.installed_term == term:
-            self._count_appended(leadership, sender, held)
+        held_sequence = message.sequence if message.installed_term == term else -1
+        if held_sequence >= 0 and context.durable.installed_term == term:
+            self._count_appended(leadership, sender, held_sequence)
         is_witness = sender in leadership.epoch.witness_ids
-        if is_witness and leadership.catch_up.is_due(sender, held, state.sequence, now):
+        if is_witness and leadership.catch_up.is_due(sender, held_sequence, state.sequence, now):
             context.send(sender, Install(term, state))
 
     def on_appended(self, sender: str, message: Appended) -> None:
--- a/fordtrestle/storage/log.py
+++ b/fordtrestle/storage/log.py
@@ -51,9 +51,7 @@
         self._new_path = directory / NEW_FILE_NAME
         self._file = -1  # descriptor; -1 while closed
         self._is_directory_synced = True
-        self._has_failed_tail = (
-            False  # whether a failed append may have left data after the last valid record
-        )
+        self._has_failed_tail = False  # whether a failed append may have left data after the last record
         self.size = 0
         self.is_outdated = False
 
--- a/tests/replication/deployment.py
+++ b/tests/replication/deployment.py
@@ -62,9 +62,8 @@
         self.partitioned: set[tuple[str, str]] = set()  # (sender id, receiver id) of links that drop messages
         self.writes: list[Write] = []
         self.stores = self.addresses = 0
-        self.reads: list[
-            tuple[Node, int, list[Write]]
-        ] = []  # node, heartbeat number, writes acknowledged by then
+        # Each: node, heartbeat number, writes acknowledged before the read.
+        self.reads: list[tuple[Node, int, list[Write]]] = []
         for machine in self.machines:
             self.start(machine)
 
@@ -117,7 +116,9 @@
         self.clear_readmitted()
         lost = sum(other.is_wiped for other in self.machines if other is not machine)
         bound = max(lost + 1, len(self.lost_witnesses(machine=machine)))
-        is_formed = any(held.accepted_epoch for other in self.machines if (held := self.restore_disk(other)))
+        is_formed = any(
+            durable.accepted_epoch for other in self.machines if (durable := self.restore_disk(other))
+        )
         return (
             bound <= self.tolerated_failures
             and not machine.is_wiped
@@ -130,11 +131,13 @@
         Considers the newest open epoch and accepted epochs of the same or a newer term, which may be open as
         well, and returns the largest set.
         """
-        others = [held for m in self.machines if m is not machine and (held := self.restore_disk(m))]
-        left = {held.store for held in others}
+        others = [durable for m in self.machines if m is not machine and (durable := self.restore_disk(m))]
+        left = {durable.store for durable in others}
         own = self.restore_disk(machine)
         newest = self.newest_epoch()
-        known = [held.accepted_epoch for held in (*others, *([own] if own else ())) if held.accepted_epoch]
+        known = [
+            durable.accepted_epoch for durable in (*others, *([own] if own else ())) if durable.accepted_epoch
+        ]
         epochs = [epoch for epoch in known if newest is None or epoch.term >= newest.term]
         lost = [set(epoch.witness_ids) - left for epoch in (*epochs, *([newest] if newest else ()))]
         return max(lost, key=len, default=set())
@@ -162,13 +165,13 @@
             return False
         if len(epoch.witnesses) <= 2 * self.tolerated_failures:
             return False
-        knowing = set()
+        stores_with_epoch = set()
         for machine in self.machines:
-            held = self.restore_disk(machine)
-            accepted = held.accepted_epoch if held else None
+            durable = self.restore_disk(machine)
+            accepted = durable.accepted_epoch if durable else None
             if accepted and accepted.term == epoch.term and not accepted.earlier_quorums:
-                knowing.add(held.store)
-        return is_majority(knowing, epoch.witness_ids)
+                stores_with_epoch.add(durable.store)
+        return is_majority(stores_with_epoch, epoch.witness_ids)
 
     # Events
 
--- a/tests/replication/serving_core.py
+++ b/tests/replication/serving_core.py
@@ -32,8 +32,8 @@
 
     def is_caught_up(self, machine: Machine) -> bool:
         """Return whether a store holds the primary's state."""
-        held, newest = machine.node.durable, self.a.node.durable
-        return (held.installed_term, held.state) == (newest.installed_term, newest.state)
+        own, newest = machine.node.durable, self.a.node.durable
+        return (own.installed_term, own.state) == (newest.installed_term, newest.state)
 
     def exchange_all(
         self, *participants: Machine, lost: Callable[[Envelope], bool] = lambda envelope: False
--- a/tests/replication/test_double_losses.py
+++ b/tests/replication/test_double_losses.py
@@ -96,7 +96,7 @@
     return lambda world: [world.replace_as_planned(world.order[slot]) for slot in slots] and None
 
 
-def one_of_each(world: FiveStores) -> None:
+def replace_one_planned_one_lost(world: FiveStores) -> None:
     world.replace_as_planned(world.order[1])
     world.replace(world.order[2])
 
@@ -105,7 +105,7 @@
     return lambda world: [isolate(world, world.order[slot]) for slot in slots] and None
 
 
-def come_back_to_slots_given_away(world: FiveStores) -> None:
+def return_after_slots_reassigned(world: FiveStores) -> None:
     for slot in (1, 2):
         world.stop(world.order[slot])
     for machine in world.machines:
@@ -117,7 +117,7 @@
         world.start(world.order[slot])
 
 
-def roll_by_two(world: FiveStores) -> None:
+def restart_two_at_a_time(world: FiveStores) -> None:
     for slot in (0, 1):
         machine = world.order[slot]
         machine.node.leave(machine.now)
@@ -141,15 +141,15 @@
     "both backups killed": kill(1, 2),
     "the primary and a backup wiped": wipe(0, 1),
     "both backups wiped": wipe(1, 2),
-    "two that are no replicas wiped": wipe(3, 4),
+    "two non-replicas wiped": wipe(3, 4),
     "the primary and another isolated": isolate_all(0, 3),
-    "the primary and a backup gone, others elsewhere": replace(0, 1),
-    "two that are no replicas gone, others elsewhere": replace(3, 4),
+    "the primary and a backup replaced after their loss": replace(0, 1),
+    "two non-replicas replaced after their loss": replace(3, 4),
     "two replaced as planned": replace_planned(0, 1),
-    "one replaced as planned, one gone": one_of_each,
-    "two come back to slots given away": come_back_to_slots_given_away,
-    "rolled by two": roll_by_two,
-    "three gone and back one by one": three_killed_and_restarted,
+    "one replaced as planned, one after its loss": replace_one_planned_one_lost,
+    "two return after their slots were reassigned": return_after_slots_reassigned,
+    "restarted two at a time": restart_two_at_a_time,
+    "three killed and restarted one by one": three_killed_and_restarted,
 }
 
 
--- a/tests/replication/test_epoch_change.py
+++ b/tests/replication/test_epoch_change.py
@@ -15,8 +15,8 @@
 
 
 def test_store_on_the_machine_of_a_lost_disk_takes_its_slot():
-    again = Store("b2", B.address, "", B.zone)
-    assert plan_witnesses(EPOCH, [D, again], [], 3) == (A, again, C)
+    replacement = Store("b2", B.address, "", B.zone)
+    assert plan_witnesses(EPOCH, [D, replacement], [], 3) == (A, replacement, C)
 
 
 def test_slot_of_a_lost_store_is_filled_before_that_of_one_that_shuts_down():
@@ -45,7 +45,7 @@
     assert plan_witnesses(replicas, [other], [], 3) == (A, near, C), "a replica keeps its slot"
 
 
-def test_replicas_stay_hold_the_state_and_lie_in_zones_of_their_own():
+def test_replicas_are_stores_that_stay_and_hold_the_state_in_different_zones():
     assert choose_replicas(A, [A, B, C, D], {"b", "c", "d"}, (), 2) == ("a", "b")
     assert choose_replicas(A, [A, B, C, D], {"c"}, (), 2) == ("a", "c")
     assert choose_replicas(A, [A, B, C, D], {"b", "c"}, {"b"}, 2) == ("a", "c")
@@ -57,7 +57,7 @@
     return EpochChange(A, Term(4, "a"), EPOCH, EPOCH.witnesses, 2, leaving, started_at=0.0)
 
 
-def prepared(from_, position=HELD_STATE):
+def prepared(sender, position=HELD_STATE):
     return Prepared(Term(4, "a"), EPOCH, *position)
 
 
@@ -65,41 +65,41 @@
     return {type(message) for _, message in messages}
 
 
-def test_candidate_waits_for_stores_that_hold_its_state_until_it_repeats():
+def test_candidate_waits_for_stores_that_hold_its_state_until_it_resends():
     state = ControlState(sequence=7)
     behind = (Term(2, "b"), 5)
-    patient = epoch_change()
-    patient.receive("a", prepared("a"), state)
-    assert patient.receive("b", prepared("b", behind), state) == [], "C may hold the state"
-    assert kinds(patient.receive("c", prepared("c"), state)) == {Accept}
-    assert patient.proposed_epoch.replicas == ("a", "c")
-    assert patient.proposed_epoch.base_state == HELD_STATE
-    tired = epoch_change()
-    tired.receive("a", prepared("a"), state)
-    tired.receive("b", prepared("b", behind), state)
-    assert Install in kinds(tired.resend(state))
-
-
-def test_candidate_goes_on_at_once_where_all_have_answered():
+    waiting = epoch_change()
+    waiting.receive("a", prepared("a"), state)
+    assert waiting.receive("b", prepared("b", behind), state) == [], "C may hold the state"
+    assert kinds(waiting.receive("c", prepared("c"), state)) == {Accept}
+    assert waiting.proposed_epoch.replicas == ("a", "c")
+    assert waiting.proposed_epoch.base_state == HELD_STATE
+    resending = epoch_change()
+    resending.receive("a", prepared("a"), state)
+    resending.receive("b", prepared("b", behind), state)
+    assert Install in kinds(resending.resend(state))
+
+
+def test_candidate_continues_at_once_if_all_have_answered():
     state = ControlState(sequence=7)
-    trial = epoch_change(leaving=frozenset(("b", "c")))
-    trial.receive("a", prepared("a"), state)
-    trial.receive("b", prepared("b"), state)
-    assert kinds(trial.receive("c", prepared("c"), state)) == {Accept}
+    change = epoch_change(leaving=frozenset(("b", "c")))
+    change.receive("a", prepared("a"), state)
+    change.receive("b", prepared("b"), state)
+    assert kinds(change.receive("c", prepared("c"), state)) == {Accept}
 
 
 def test_candidate_that_has_not_synced_its_own_promise_installs_nothing():
     state = ControlState(sequence=7)
-    trial = epoch_change()
-    trial.receive("b", prepared("b"), state)
-    assert trial.receive("c", prepared("c"), state) == []
-    assert kinds(trial.receive("a", prepared("a"), state)) == {Accept}
+    change = epoch_change()
+    change.receive("b", prepared("b"), state)
+    assert change.receive("c", prepared("c"), state) == []
+    assert kinds(change.receive("a", prepared("a"), state)) == {Accept}
 
 
-def test_states_are_sent_again_at_doubled_intervals():
+def test_states_are_resent_at_doubling_intervals():
     state = ControlState(sequence=7)
-    trial = epoch_change()
+    change = epoch_change()
     for store in "abc":
-        trial.receive(store, prepared(store, (Term(1, store), 1)), state)
-    sent = [bool(trial.resend(state)) for _ in range(16)]
+        change.receive(store, prepared(store, (Term(1, store), 1)), state)
+    sent = [bool(change.resend(state)) for _ in range(16)]
     assert [number for number, was in enumerate(sent, start=1) if was] == [1, 2, 4, 8, 16]
--- a/tests/replication/test_events.py
+++ b/tests/replication/test_events.py
@@ -110,7 +110,7 @@
     assert failed[0].answered == (a.node.me.id,)
 
 
-def test_wait_is_reported_at_doubled_intervals_and_anew_where_its_reason_changes():
+def test_wait_is_reported_at_doubling_intervals_that_restart_when_its_reason_changes():
     events, recorded = Events(), []
     for tenth in range(3000):
         at = tenth / 10
@@ -126,7 +126,7 @@
     assert events.is_wait_due(WaitReason.PRIMARY, 301.0)
 
 
-def test_events_that_nobody_drains_are_bounded():
+def test_events_that_are_not_drained_are_bounded():
     events = Events()
     for number in range(3 * MAX_PENDING_EVENTS):
         events.record(SteppedDown(number, Reason.NEWER_TERM))
--- a/tests/replication/test_hard_cases.py
+++ b/tests/replication/test_hard_cases.py
@@ -88,7 +88,7 @@
 
 
 def a_replica_rejects_writes_of_older_epochs(core: ServingCore) -> None:
-    """B has opened an epoch with C; writes that A sends under the old epoch are not acknowledged."""
+    """B has opened an epoch with C; writes of A, which was partitioned, are not acknowledged."""
     a, b, c = core.a, core.b, core.c
     b.node.context.pre_votes.newest_term = a.node.durable.prepared_term
     core.run_candidate(b, c)
--- a/tests/replication/test_reconfiguration.py
+++ b/tests/replication/test_reconfiguration.py
@@ -61,5 +61,5 @@
     assert plan_next_epoch(replace(view, live=frozenset("a"))) is None
 
 
-def test_replica_that_shuts_down_stays_where_nobody_else_can_take_its_part(view):
+def test_replica_that_shuts_down_stays_if_no_other_store_can_replace_it(view):
     assert plan_next_epoch(replace(view, leaving=frozenset("bc"))) is None
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -66,7 +66,7 @@
     assert len(records) < len(payloads)
 
 
-def test_appends_continue_behind_a_truncated_tail(tmp_path):
+def test_appends_continue_after_a_truncated_tail(tmp_path):
     write(tmp_path, [b"one"])
     with open(tmp_path / FILE_NAME, "ab") as file:
         file.write(frame(b"torn")[:-1])
@@ -124,7 +124,7 @@
     assert open_log(disk)[1] == [b"one", b"three"]
 
 
-def test_no_record_of_a_failed_append_is_read_behind_the_next_one(disk):
+def test_no_record_of_a_failed_append_is_read_after_the_next_one(disk):
     log, _ = open_log(disk)
     with failing(disk, "fdatasync", "ftruncate"):
         with pytest.raises(StorageError):
@@ -166,7 +166,7 @@
     assert open_log(disk)[1] == [b"all", b"two"]
 
 
-def test_no_record_behind_a_corrupt_one_is_read_once_that_is_overwritten(disk):
+def test_no_record_after_a_corrupt_one_is_read_once_that_is_overwritten(disk):
     log, _ = open_log(disk)
     log.append([b"one", b"two"])
     (file,) = disk.names.values()
@@ -278,7 +278,7 @@
     assert reopen(tmp_path) == [b"two"]
 
 
-def test_a_file_of_an_older_format_says_so_until_it_is_rewritten(tmp_path):
+def test_a_file_of_an_older_format_is_outdated_until_it_is_rewritten(tmp_path):
     (tmp_path / FILE_NAME).write_bytes(frame(MAGIC + b"1") + frame(b"one"))
     log = RecordLog(tmp_path)
     assert log.open() == [b"one"]
