--- a/fordtrestle/ingress/outcome_recorder.py
+++ b/fordtrestle/ingress/outcome_recorder.py
@@ -1,7 +1,7 @@
-"""What the results of sends prove of a request, of its servers and of their service.
+"""Records what the results of sends prove about a request, its servers and their service.
 
-`docs/design/admission.md` has the table. Only a rejection counts as load: a server that is absent says
-nothing about the load of the others, and must not make this sidecar reject requests.
+`docs/design/admission.md` contains the table. Only a rejection indicates load: an absent server provides no
+information about the load of the others, and must not cause this sidecar to reject requests.
 """
 
 from __future__ import annotations
@@ -27,32 +27,32 @@
 from fordtrestle.routing.router import Router
 from fordtrestle.routing.server import Server
 
-OVERLOAD_STATUSES = (429, 503)  # of a rejection: the server is full
+OVERLOAD_STATUSES = (429, 503)  # rejections with these statuses indicate an overloaded server
 
 
 class OutcomeRecorder:
     """Records the results of one request's sends."""
 
     def __init__(self, router: Router, prompt: Prompt, attempts: RequestAttempts) -> None:
-        """Begin with a request that has not been sent.
+        """Create a recorder for a request that has not been sent.
 
         Args:
-            router: Holds what is known of servers and services.
-            prompt: The request's.
-            attempts: The request's attempts, which are counted here.
+            router: Holds the state of servers and services.
+            prompt: The description of the request's prompt.
+            attempts: The attempts of the request, which this recorder updates.
         """
         self._router = router
         self._prompt = prompt
         self._attempts = attempts
 
-    def record(self, send: SendTo, result: SendResult, took_s: float, now: float) -> None:
+    def record(self, send: SendTo, result: SendResult, elapsed_s: float, now: float) -> None:
         """Record the result of one send.
 
         Args:
-            send: The decision that it was sent by.
-            result: What came of it.
-            took_s: The time from the send to the result.
-            now: s, loop clock.
+            send: The decision to send the request.
+            result: The result.
+            elapsed_s: The time from the send to the result, in seconds.
+            now: Seconds of the loop's clock.
         """
         server = send.server
         if not isinstance(result, ConnectFailed | NotSent):
@@ -60,7 +60,7 @@
             self._attempts.record_send(server.instance, rejected=is_rejected)
         match result:
             case Answered(response):
-                self._on_answer(send, response.status, took_s, now)
+                self._on_answer(send, response.status, elapsed_s, now)
             case RejectedByServer(status):
                 self._on_rejection(send, status, now)
             case ConnectFailed():
@@ -68,34 +68,34 @@
             case ConnectionBroken():
                 self._on_broken_connection(server, now)
             case DeadlineExceeded():
-                self._on_deadline_exceeded(server, now - took_s)
+                self._on_deadline_exceeded(server, now - elapsed_s)
 
-    def record_end(self, server: Server, failed: bool) -> None:
-        """Record whether a server failed a request that it took; it may be ejected for it."""
+    def record_outcome(self, server: Server, failed: bool) -> None:
+        """Record whether a server failed a request that it accepted, which may eject the server."""
         if self._router.record_outcome(server, failed, asyncio.get_running_loop().time()):
             eliot.log_message("servers:ejected", instance=server.instance)
 
     def record_broken_body(self, server: Server) -> None:
-        """Record that an answer broke off in its body: the server's head had counted as a success."""
-        self.record_end(server, failed=True)
+        """Record that the body of a response broke off, after its head was recorded as a success."""
+        self.record_outcome(server, failed=True)
         self._attempts.may_have_run = True
 
-    def _on_answer(self, send: SendTo, status: int, took_s: float, now: float) -> None:
+    def _on_answer(self, send: SendTo, status: int, elapsed_s: float, now: float) -> None:
         server, router = send.server, self._router
         server.on_answer(now)
         failed = status in FAILURE_STATUSES
         self._attempts.may_have_run |= failed
-        self.record_end(server, failed)
+        self.record_outcome(server, failed)
         router.admission.record_accepted(send.callee, now)
         target_s = send.route.latency_target_s
-        router.selector.on_answer(send.callee, server, self._prompt, took_s, target_s, now)
+        router.selector.on_answer(send.callee, server, self._prompt, elapsed_s, target_s, now)
 
     def _on_rejection(self, send: SendTo, status: int, now: float) -> None:
         send.server.on_answer(now)
         if status in OVERLOAD_STATUSES:
             self._router.admission.record_rejected(send.callee, now)
         elif status == MISDIRECTED_STATUS:
-            send.server.is_misdirected = True  # another incarnation is at its address
+            send.server.is_misdirected = True  # its address belongs to another incarnation
 
     def _on_connect_failure(self, server: Server, now: float) -> None:
         server.on_connection_failure(now)
@@ -103,11 +103,11 @@
 
     def _on_broken_connection(self, server: Server, now: float) -> None:
         server.on_connection_failure(now)
-        self.record_end(server, failed=True)
+        self.record_outcome(server, failed=True)
         self._attempts.may_have_run = True
 
     def _on_deadline_exceeded(self, server: Server, sent_at: float) -> None:
-        """Only silence counts: one that answers others meanwhile may have got a request that takes long."""
-        if server.has_answered_nothing_since(sent_at):
-            self.record_end(server, failed=True)
+        """Record a failure only if the server was silent: otherwise the request may just take long."""
+        if server.has_not_answered_since(sent_at):
+            self.record_outcome(server, failed=True)
         self._attempts.may_have_run = True
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -130,25 +130,25 @@
         COMMANDS,
         CONTROL_API_TESTS,
         "        if not await self._confirm_leadership():\n"
-        "            return self._not_done()\n        newest = await",
-        "        newest = await",
+        "            return self._failure()\n        committed = await",
+        "        committed = await",
     ),
-    "refusals are confirmed by a majority": _removal(
+    "rejections are confirmed by a majority": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
-        "        return evaluated if await self._confirm_leadership() else self._not_done()\n",
-        "        return evaluated\n",
+        "        return outcome if await self._confirm_leadership() else self._failure()\n",
+        "        return outcome\n",
     ),
     "evacuations are confirmed by a majority": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
-        "            return self._not_done()\n        if (request.zone",
+        "            return self._failure()\n        if (request.zone",
         "            pass\n        if (request.zone",
     ),
     "an applied call is acknowledged again": _removal(
         EVALUATION, CONTROL_API_TESTS, "    if state.has_applied(digest):\n", "    if False:\n"
     ),
-    "a call that may have been applied is not refused": _removal(
+    "a call that may have been applied is not rejected": _removal(
         EVALUATION,
         CONTROL_API_TESTS,
         "CommandStatus.UNKNOWN if may_be_applied else CommandStatus.STALE",
@@ -177,22 +177,22 @@
         "by_name.get(name) == row",
         "name in by_name",
     ),
-    "how rows name one another is checked whole": _removal(
+    "references between rows are checked on the whole document": _removal(
         "control_api/configuration.py",
         CONTROL_API_TESTS,
-        "    if reference_faults := _reference_faults(document):\n",
-        "    if reference_faults := _reference_faults(partial):\n",
+        "    if reference_errors := _reference_errors(document):\n",
+        "    if reference_errors := _reference_errors(partial):\n",
     ),
-    "a long configuration is read in steps": _removal(
+    "a long configuration is parsed in steps": _removal(
         "routing/view.py",
         "tests/routing/test_long_configurations.py",
         "        if len(control.document) > MAX_IMMEDIATE_PARSE_BYTES:\n",
         "        if False:\n",
     ),
-    "what is read is dropped for what is newer": _removal(
+    "a parse in progress is dropped for a newer configuration": _removal(
         "routing/view.py",
         "tests/routing/test_long_configurations.py",
-        "        self._unparsed = self._parse = None  # whatever is being parsed is older\n",
+        "        self._pending_control = self._parse = None  # drops any older configuration\n",
     ),
     "a wait is reported at growing intervals": _removal(
         "replication/events.py",
@@ -216,7 +216,7 @@
     "the base of a change is the current version": _removal(
         EVALUATION, CONTROL_API_TESTS, "    if request.base != state.generation:\n", "    if False:\n"
     ),
-    "numbers rise": _removal(
+    "generations rise": _removal(
         "control_api/configuration.py",
         CONTROL_API_TESTS,
         "    if generation <= current:\n",
@@ -228,13 +228,13 @@
         "        return leadership.committed_sequence >= write.sequence\n",
         "        return self.durable.state.sequence >= write.sequence\n",
     ),
-    "a change whose caller has left is not written": _removal(
+    "a change whose caller has disconnected is not written": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
-        "return await self._write(evaluated, newest) if request.is_caller_waiting() else self._not_done()",
-        "return await self._write(evaluated, newest)",
+        "return await self._write(outcome, committed) if request.is_caller_waiting() else self._failure()",
+        "return await self._write(outcome, committed)",
     ),
-    "an evacuation whose caller has left is not written": _removal(
+    "an evacuation whose caller has disconnected is not written": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "        if not request.is_caller_waiting() or self._replicator.now() > deadline:\n",
@@ -252,13 +252,13 @@
         "Lock(change.holder, sequence, change.hold_ms, sequence)",
         "Lock(change.holder, 1, change.hold_ms, sequence)",
     ),
-    "a new primary counts a lock's whole time": _removal(
+    "a new primary counts a lock's whole lease": _removal(
         "coordination/observation_clock.py",
         COORDINATION_LOCKS,
-        "known = _Lease(lock, now + lock.hold_ms / MS_PER_S)",
-        "known = _Lease(lock, now)",
+        "lease = _Lease(lock, now + lock.hold_ms / MS_PER_S)",
+        "lease = _Lease(lock, now)",
     ),
-    "a lock that is over is not renewed": _removal(
+    "an expired lock is not renewed": _removal(
         COORDINATION_EVALUATION,
         COORDINATION_LOCKS,
         "    if not is_held or remaining_ms <= 0:\n",
@@ -267,41 +267,41 @@
     "an extension never shortens": _removal(
         COORDINATION_EVALUATION, COORDINATION_LOCKS, "max(hold_ms, remaining_ms)", "hold_ms"
     ),
-    "a lock is given back under its own fence": _removal(
+    "a lock is released only under its own fence": _removal(
         COORDINATION_EVALUATION,
         COORDINATION_LOCKS,
         "FreeLock(command.name) if is_held else None",
         "FreeLock(command.name) if lock else None",
     ),
-    "a put that comes again is known by its history": _removal(
+    "a resent put is recognized by its history": _removal(
         "coordination/state.py",
         COORDINATION_KEYS,
         "            if event.value == value and event.key == key:\n",
         "            if False:\n",
     ),
-    "events are kept for their time": _removal(
+    "events are kept for the retention time": _removal(
         "coordination/observation_clock.py",
         COORDINATION_KEYS,
-        "        return revision if seen_at <= old_enough else 0\n",
+        "        return revision if seen_at <= newest_compactable_at else 0\n",
         "        return revision\n",
     ),
-    "events are told once they are committed": _removal(
+    "events are sent only once they are committed": _removal(
         "coordination/history.py", COORDINATION_KEYS, " and event.sequence <= committed_sequence", ""
     ),
-    "what is stored is bounded": _removal(
+    "stored characters are bounded": _removal(
         COORDINATION_EVALUATION, COORDINATION_KEYS, "MAX_STORED_CHARACTERS:\n", "10**9:\n"
     ),
     "a read is confirmed": _removal(
         COORDINATION_SERVICE,
         COORDINATION_CASES,
-        "return node.is_confirmed(asked) and node.has_committed(rests_on)",
-        "return node.has_committed(rests_on)",
+        "return node.is_confirmed(heartbeat_number) and node.has_committed(prerequisite)",
+        "return node.has_committed(prerequisite)",
     ),
-    "a read waits for what it rests on": _removal(
+    "a read waits for its prerequisite writes": _removal(
         COORDINATION_SERVICE,
         COORDINATION_CASES,
-        "return node.is_confirmed(asked) and node.has_committed(rests_on)",
-        "return node.is_confirmed(asked)",
+        "return node.is_confirmed(heartbeat_number) and node.has_committed(prerequisite)",
+        "return node.is_confirmed(heartbeat_number)",
     ),
     "a write is answered once it is committed": _removal(
         COORDINATION_SERVICE,
@@ -309,7 +309,7 @@
         "return evaluation.answer if node.has_committed(write) else OutcomeUnknown()",
         "return evaluation.answer",
     ),
-    "a write that may be carried out later is not refused": _removal(
+    "a write that may be executed later is not rejected": _removal(
         COORDINATION_SERVICE, COORDINATION_CASES, "else OutcomeUnknown()", "else Unavailable()"
     ),
     "writes of another tenure do not count as committed": _removal(
@@ -330,40 +330,40 @@
         "return min(self.context.committed_sequence, self.durable.state.sequence)",
         "return self.context.committed_sequence",
     ),
-    "a store that is cut off does not tell of events": _removal(
+    "a partitioned store sends no events": _removal(
         "control_api/read_index.py",
         "tests/control_api/test_watches.py",
         " and self._now() - newest.began_at <= lag_s",
         "",
     ),
-    "text that cannot be stored is refused": _removal(
+    "text that cannot be stored is rejected": _removal(
         "control_api/json_body.py",
         CONTROL_API_TESTS + "/test_exchanges.py",
         "    if not is_storable(raw):\n",
         "    if False:\n",
     ),
-    "commands that are forwarded are bounded": _removal(
+    "forwarded commands are bounded": _removal(
         "control_api/coordination_router.py",
         CONTROL_API_TESTS + "/test_coordination_router.py",
         "        if len(self._replies) >= MAX_FORWARDED:\n",
         "        if False:\n",
     ),
-    "open calls are answered before an endpoint closes": _removal(
+    "calls in flight are answered before an endpoint closes": _removal(
         "control_api/open_calls.py",
         CONTROL_API_TESTS + "/test_open_calls.py",
         "        while self._count:\n",
         "        while False:\n",
     ),
-    "a watch that finds nothing is confirmed": _removal(
+    "an empty answer to a watch is confirmed": _removal(
         "control_api/watches.py",
         "tests/control_api/test_watches.py",
-        "return found if confirmation.result() else Unavailable()",
-        "return found",
+        "return answer if confirmation.result() else Unavailable()",
+        "return answer",
     ),
-    "watches that are held are bounded": _removal(
+    "open watches are bounded": _removal(
         "control_api/watches.py",
         "tests/control_api/test_watches.py",
-        "        if self.held >= self._max_watches:\n",
+        "        if self.open_watches >= self._max_watches:\n",
         "        if False:\n",
     ),
     "a file of an older format is rewritten before anything is appended": _removal(
@@ -375,7 +375,7 @@
     "a configuration fits into a message": _removal(
         EVALUATION, CONTROL_API_TESTS, "    if len(encoded) > MAX_DOCUMENT_BYTES:\n", "    if False:\n"
     ),
-    "commands that wait are bounded": _removal(
+    "waiting commands are bounded": _removal(
         COMMANDS,
         CONTROL_API_TESTS,
         "        if self._waiting >= MAX_WAITING_COMMANDS:\n",
@@ -402,21 +402,21 @@
     "another process confirms only what it holds": _removal(
         "control_api/withdrawals.py",
         CONTROL_API_TESTS,
-        "        if held and held.version >= message.item.version:\n",
+        "        if stored and stored.version >= message.item.version:\n",
         "        if True:\n",
     ),
-    "a withdrawal that is confirmed is passed on": _removal(
+    "a confirmed withdrawal is passed on": _removal(
         "control_api/withdrawals.py",
         CONTROL_API_TESTS,
         "        self._gossip.publish([message.item], source=link)\n",
     ),
-    "an incarnation that was never heard of here may be gone": _removal(
+    "an unknown incarnation can be deregistered": _removal(
         "control_api/heartbeats.py",
         CONTROL_API_TESTS,
         "server_item(_unknown_server(instance, self._node), 0)",
         "server_item(replace(_unknown_server(instance, self._node), phase=Phase.SERVING), 0)",
     ),
-    "a successor watches the servers of a process that is down": _removal(
+    "a successor monitors the servers of a process that is down": _removal(
         "control_api/heartbeats.py",
         CONTROL_API_TESTS,
         "            if record.heard_by == self._node or is_successor_of(record.heard_by):\n",
@@ -530,18 +530,18 @@
         "        if format_version not in READABLE_FORMATS:\n",
         "        if False:\n",
     ),
-    "a request's answer has its id": _removal(
+    "a response must contain the id of its request": _removal(
         "forward/client.py",
         ENDS,
         "        if response.headers.get(REQUEST_ID) != outbound.request_id:\n",
         "        if False:\n",
     ),
-    "aiohttp sends nothing again by itself": _removal(
+    "aiohttp does not retry requests by itself": _removal(
         "forward/client.py",
         "tests/ingress/test_exchanges.py",
         "        self._session._retry_connection = False\n",
     ),
-    "an answer that is reset is not whole": _removal(
+    "a response whose connection was reset is incomplete": _removal(
         "forward/connections.py",
         ENDS,
         "        if exc is not None and payload is not None and not payload.is_eof():\n",
@@ -553,41 +553,41 @@
         "            return NotSent() if is_deadline_near else ConnectFailed()\n",
         "            return DeadlineExceeded()\n",
     ),
-    "an answer that breaks off is cut": _removal(
+    "an incomplete response is aborted": _removal(
         "ingress/relay.py",
         ENDS,
         "            self._request.transport.abort()\n",
         "            pass\n",
     ),
-    "only what may be repeated is sent again": _removal(
+    "only idempotent requests are retried after a run": _removal(
         "routing/request_attempts.py",
         ENDS,
         "        return route.is_idempotent and self.runs",
         "        return self.runs",
     ),
-    "an answer that broke off is no success of its server": _removal(
+    "a response that broke off counts as a failure of its server": _removal(
         "ingress/outcome_recorder.py",
         "tests/ingress/test_grey.py",
-        "        self.record_end(server, failed=True)\n"
+        "        self.record_outcome(server, failed=True)\n"
         "        self._attempts.may_have_run = True\n\n    def _on_answer(",
         "        self._attempts.may_have_run = True\n\n    def _on_answer(",
     ),
-    "a failure that a server answers counts against it": _removal(
+    "a failure status counts as a failure of the server": _removal(
         "ingress/outcome_recorder.py",
         "tests/ingress/test_grey.py",
         "        failed = status in FAILURE_STATUSES\n",
         "        failed = False\n",
     ),
-    "a connection that does not come up tells of absence alone": _removal(
+    "a failed connection counts as absence only": _removal(
         "ingress/outcome_recorder.py",
         "tests/ingress/test_grey.py",
         "        server.on_connection_failure(now)\n        self._attempts.connect_failures += 1\n",
-        "        self.record_end(server, failed=True)\n        self._attempts.connect_failures += 1\n",
+        "        self.record_outcome(server, failed=True)\n        self._attempts.connect_failures += 1\n",
     ),
-    "a time-out tells of a server only where it is silent": _removal(
+    "a passed deadline counts against a server only if it was silent": _removal(
         "ingress/outcome_recorder.py",
         "tests/ingress/test_grey.py",
-        "        if server.has_answered_nothing_since(sent_at):\n",
+        "        if server.has_not_answered_since(sent_at):\n",
         "        if True:\n",
     ),
     "servers whose heartbeats went to an earlier incarnation or to one that is down are watched": _removal(
@@ -601,36 +601,39 @@
         "    version = (int(record.phase), sequence, int(record.is_unresponsive))\n",
         "    version = (sequence, int(record.phase), int(record.is_unresponsive))\n",
     ),
-    "what befalls all servers ejects none": _removal(
-        OUTLIERS, OUTLIERS_TESTS, "max(MIN_FAILURE_SHARE, TIMES_OTHERS * median(shares))", "MIN_FAILURE_SHARE"
+    "a fault of all servers ejects none": _removal(
+        OUTLIERS,
+        OUTLIERS_TESTS,
+        "max(MIN_FAILURE_SHARE, MIN_RATIO_TO_MEDIAN * median(shares))",
+        "MIN_FAILURE_SHARE",
     ),
     "one failure ejects no server": _removal(
         OUTLIERS, OUTLIERS_TESTS, "    if server.decayed(now).bad < MIN_FAILURES:\n        return False\n"
     ),
-    "the greater part of a region's servers stays in use": _removal(
+    "at most a share of a region's servers is excluded": _removal(
         EJECTION,
         OUTLIERS_TESTS,
         "    return ranked[: int(MAX_EJECTED_SHARE * region_size)]\n",
         "    return ranked\n",
     ),
-    "own evidence goes before what was told": _removal(
+    "own ejections rank above those of a control process": _removal(
         EJECTION,
         OUTLIERS_TESTS,
         "        return now < self.own_ejection.until, max(",
         "        return False, max(",
     ),
-    "a sidecar that has just started takes up no old ejections": _removal(
+    "a sidecar that has just started ignores ejections": _removal(
         "routing/view.py", OUTLIERS_TESTS, "as record if self.knows_peers(now):", "as record:"
     ),
-    "one zone alone ejects no server for all": _removal(
+    "reports of one zone eject no server": _removal(
         FLEET_OUTLIERS, FLEET_OUTLIERS_TESTS, " or len(zones) < MIN_ZONES:", ":"
     ),
-    "other regions alone eject no server for all": _removal(
+    "reports of other regions alone eject no server": _removal(
         FLEET_OUTLIERS,
         FLEET_OUTLIERS_TESTS,
         "        if region not in {self._regions.get(zone) for zone in zones}:\n            return False\n",
     ),
-    "no request is sent to more servers than allowed": _removal(
+    "no request is run by more servers than allowed": _removal(
         "routing/request_attempts.py",
         "tests/ingress",
         "return route.is_idempotent and self.runs < route.max_attempts",
@@ -666,13 +669,13 @@
         "        if node in self._suspects:\n",
         "        if False:\n",
     ),
-    "closing waits for no unused connection": _removal(
+    "closing does not wait for idle connections": _removal(
         INGRESS_SERVER,
         CLOSING,
-        "await self._server.shutdown(FINAL_WRITE_S)",
+        "await self._server.shutdown(FINAL_WRITE_TIMEOUT_S)",
         "await self._server.shutdown(0.0)",
     ),
-    "a draining server ends unused connections": _removal(
+    "a draining server closes idle connections": _removal(
         INGRESS_SERVER,
         CLOSING,
         "                    connection.force_close()\n",
@@ -691,25 +694,25 @@
         "        return self._phase is IngressPhase.DRAINING\n",
         "        return False\n",
     ),
-    "a body that is complete too late is not forwarded": _removal(
+    "a body that is complete after the drain began is not forwarded": _removal(
         INGRESS_SERVER, CLOSING, "            self._check_not_draining()  # again", "            # again"
     ),
-    "open requests are given up in time": _removal(
-        INGRESS_SERVER, CLOSING, "            limit.reschedule(abort_at)\n", "            pass\n"
+    "open requests are aborted in time": _removal(
+        INGRESS_SERVER, CLOSING, "            abort_timeout.reschedule(abort_at)\n", "            pass\n"
     ),
-    "a response leaves before its connection counts as unused": _removal(
+    "a response is written before its connection counts as idle": _removal(
         INGRESS_SERVER,
         CLOSING,
         "                await self._write(request, response)\n",
         "                await asyncio.sleep(0)\n",
     ),
-    "a stream that was given up does not look complete": _removal(
+    "an aborted stream does not look complete": _removal(
         "ingress/request_handler.py",
         CLOSING,
-        "            relay.abort()  # the client has gone",
-        "            # the client has gone",
+        "            relay.abort()  # the client disconnected",
+        "            # the client disconnected",
     ),
-    "streams are taken only while they can be finished": _removal(
+    "streams are accepted only if they can be completed": _removal(
         "routing/router.py",
         CLOSING,
         "        if not self.drain_policy.accepts("
@@ -814,43 +817,43 @@
         '    early = listen_early("front")\n',
         "    early = None\n",
     ),
-    "who leaves is named while its region has nobody else": _removal(
+    "a leaving sidecar is selected if its region has no other": _removal(
         SIDECAR_SELECTOR,
         SIDECAR_SELECTOR_TESTS,
-        "            or _nearest(self._linked_with(Availability.LEAVING), client)\n",
+        "            or _nearest(self._linked_with_availability(Availability.LEAVING), client)\n",
     ),
     "a closing sidecar is its region's last resort": _removal(
         SIDECAR_SELECTOR,
         SIDECAR_SELECTOR_TESTS,
-        "            or _within(self._linked_with(Availability.CLOSING), {client.region})\n",
+        "            or _in_regions(self._linked_with_availability(Availability.CLOSING), {client.region})\n",
     ),
-    "a host with homes is not led elsewhere": _removal(
+    "clients of a host with home regions are not directed elsewhere": _removal(
         SIDECAR_SELECTOR,
         SIDECAR_SELECTOR_TESTS,
-        "            or (is_settled and _within(linked_ready, allowed))\n",
+        "            or (is_settled and _in_regions(linked_ready, allowed))\n",
         "            or (is_settled and linked_ready)\n",
     ),
-    "homes may be left once all are down": _removal(
+    "clients are directed elsewhere if all home regions are down": _removal(
         SIDECAR_SELECTOR,
         SIDECAR_SELECTOR_TESTS,
         "            or (is_settled and self._are_all_down(allowed) and (linked_ready or ready))\n",
     ),
-    "only one of those that end together goes at once": _removal(
-        SIDECAR_SELECTOR, SIDECAR_SELECTOR_TESTS, " and other.node > me.node", ""
+    "sidecars that shut down together close one after another": _removal(
+        SIDECAR_SELECTOR, SIDECAR_SELECTOR_TESTS, " and other.node > own_record.node", ""
     ),
-    "a host's homes are those of all its routes": _removal(
+    "a host's home regions are those shared by all its routes": _removal(
         "routing/home_regions.py",
         DIRECTORY,
-        "by_host.get(host, homes) & homes",
-        "by_host.get(host, homes) | homes",
+        "by_host.get(host, home_regions) & home_regions",
+        "by_host.get(host, home_regions) | home_regions",
     ),
-    "the directory reads long configurations beside the loop": _removal(
+    "the directory parses configurations in a thread": _removal(
         "ingress/directory.py",
         DIRECTORY,
         "await asyncio.to_thread(parse_home_regions, control.document)",
         "parse_home_regions(control.document)",
     ),
-    "the directory goes by the newest configuration": _removal(
+    "the directory uses the newest configuration": _removal(
         "ingress/directory.py",
         "tests/ingress/test_directory.py",
         "control.sequence != self._sequence",
--- a/tests/routing/test_view.py
+++ b/tests/routing/test_view.py
@@ -1,4 +1,4 @@
-"""How the view follows the items of the catalog."""
+"""How the view applies the items of the catalog."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from tests.routing.records import ZONES, make_document, make_record
 
 
-def test_the_view_follows_items_and_an_evacuation_alone_keeps_the_routes():
+def test_the_view_applies_items_and_an_evacuation_alone_keeps_the_routes():
     view = View(ZONES, heartbeat_s=1.0, started_at=0.0)
     view.apply([control_item(ControlView(1, 1, make_document({"name": "r", "path_prefix": "/"}), ()))], 0.0)
     table = view.table
@@ -30,12 +30,12 @@
     down = MemberRecord("front-1", "sidecar", "z-1", "r-1", "p", "f", Availability.DOWN)
     view.apply([member_item(down, 1, 1)], 1.0)
     view.expire(DOWN_RETENTION_S)
-    assert view.sidecars == {"front-1"}, "it may be behind a cut, and spend its part of the budgets"
+    assert view.sidecars == {"front-1"}, "it may be partitioned, and spend its share of the budgets"
     view.expire(DOWN_RETENTION_S + 2.0)
     assert not view.sidecars
 
 
-def test_servers_of_a_zone_that_is_taken_back_count_as_warming_up_until_their_next_heartbeats():
+def test_servers_count_as_warming_up_after_an_evacuation_until_their_next_heartbeats():
     view = View(ZONES, heartbeat_s=1.2, started_at=0.0)
     view.apply([server_item(make_record("i-1"), 1), server_item(make_record("i-2", "z-2"), 1)], 0.0)
     view.apply([control_item(ControlView(1, 1, b"", ("z-1",)))], 0.0)
