--- a/tests/replication/test_reconfiguration.py
+++ b/tests/replication/test_reconfiguration.py
@@ -1,4 +1,4 @@
-"""When a primary plans another epoch, what for, and with which witnesses."""
+"""A primary plans a new epoch when needed, with the right reason and witnesses."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 @pytest.fixture
 def view() -> CoreView:
-    """A core of three stores in which nothing is wrong."""
+    """Return the view of a healthy core of three stores."""
     return CoreView(
         epoch=EPOCH,
         live=frozenset("abc"),
         leaving=frozenset(),
         joining=(),
-        giving_up=(),
+        replaceable=(),
         is_write_stalled=False,
         witness_count=3,
         replica_count=2,
@@ -50,7 +50,7 @@
 
 
 def test_joining_store_takes_the_slot_that_is_given_up(view):
-    plan = plan_next_epoch(replace(view, live=frozenset("abd"), joining=(D,), giving_up=("c",)))
+    plan = plan_next_epoch(replace(view, live=frozenset("abd"), joining=(D,), replaceable=("c",)))
     assert plan is not None
     assert plan.reason is Reason.WITNESSES_CHANGE
     assert plan.witnesses == (A, B, D)
@@ -61,5 +61,5 @@
     assert plan_next_epoch(replace(view, live=frozenset("a"))) is None
 
 
-def test_replica_that_shuts_down_stays_where_nobody_else_can_take_its_part(view):
+def test_replica_that_shuts_down_stays_if_no_other_store_can_replace_it(view):
     assert plan_next_epoch(replace(view, leaving=frozenset("bc"))) is None
