--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -45,7 +45,7 @@
 MECHANISMS = {
     "local refusal by the window": Mechanism(
         "fordtrestle/admission/admission_control.py",
-        "        if self._draw() >= throttle.drop_chance(now * MS_PER_S):\n",
+        "        if self._uniform() >= throttle.drop_chance(now * MS_PER_S):\n",
         "        if True:\n",
     ),
     "fewest own in flight": Mechanism(
--- a/fordtrestle/admission/constants.py
+++ b/fordtrestle/admission/constants.py
@@ -2,6 +2,6 @@
 
 from __future__ import annotations
 
-# Part of a fleet-wide budget that sidecars divide among themselves. The rest is a reserve: for some seconds
-# after a sidecar starts or fails their views of how many share the budget differ.
+# The share of a fleet-wide budget that sidecars divide among themselves. The rest is a reserve: for some
+# seconds after a sidecar starts or fails, sidecars disagree on how many share the budget.
 BUDGET_MARGIN = 0.7
--- a/fordtrestle/admission/retry_budget.py
+++ b/fordtrestle/admission/retry_budget.py
@@ -1,6 +1,6 @@
-"""The retry budget: how many attempts beyond a request's first the fleet may send. Pure.
+"""The retry budget: how many retries the fleet may send. Pure.
 
-Source: Google SRE book, chapter 21, "Handling Overload" (retry budgets a client and a request).
+Source: Google SRE book, chapter 21, "Handling Overload" (retry budgets per client and per request).
 """
 
 from __future__ import annotations
@@ -9,22 +9,22 @@
 
 from fordtrestle.admission.constants import BUDGET_MARGIN
 
-MAX_REMEMBERED = 4096  # requests and retries remembered a callee: a bound on memory
+MAX_REMEMBERED = 4096  # requests and retries that are remembered per callee; bounds the memory
 
 
 class RetryBudget:
-    """Bounds the retries of each callee to a ratio of its requests plus a part of the fleet's allowance.
+    """Bounds the retries to each callee to a ratio of its requests plus a share of the fleet's allowance.
 
-    Each sidecar counts its own requests and retries alone. Their parts add up to no more than the fleet's
-    budget, so that retries can't multiply the load of a service that fails.
+    Each sidecar counts only its own requests and retries. The shares of all sidecars add up to no more than
+    the fleet's budget, so that retries cannot multiply the load of a failing service.
     """
 
     def __init__(self, ratio: float, allowance: float, window_s: float) -> None:
-        """Begin with empty windows.
+        """Start with empty windows.
 
         Args:
-            ratio: Retries allowed for each request.
-            allowance: Retries a window that the whole fleet may send besides.
+            ratio: The allowed retries per request.
+            allowance: Further retries per window, for the whole fleet.
             window_s: Length of the sliding window, in seconds.
         """
         self._ratio = ratio
@@ -34,19 +34,19 @@
         self._retries: dict[str, deque[float]] = {}
 
     def record_request(self, callee: str, now: float) -> None:
-        """Count a client's request; `now` in seconds of a monotonic clock."""
+        """Count a client's request; `now` is in seconds of a monotonic clock."""
         self._within_window(self._requests, callee, now).append(now)
 
     def try_acquire(self, callee: str, sidecars: int, now: float) -> bool:
-        """Take one retry out of the budget.
+        """Take one retry from the budget if it allows one.
 
         Args:
             callee: The service that the retry goes to.
             sidecars: How many sidecars share the allowance.
-            now: Seconds of a monotonic clock.
+            now: The time in seconds of a monotonic clock.
 
         Returns:
-            Whether the budget had room; only then the retry is counted.
+            Whether the retry may be sent; only then is it counted.
         """
         requests = len(self._within_window(self._requests, callee, now))
         retries = self._within_window(self._retries, callee, now)
--- a/fordtrestle/admission/warm_up_budget.py
+++ b/fordtrestle/admission/warm_up_budget.py
@@ -11,23 +11,23 @@
 from fordtrestle.admission.constants import BUDGET_MARGIN
 from fordtrestle.dissemination.rendezvous import ranked
 
-WINDOW_S = 1.0  # rates of servers that warm up are configured in requests a second
+WINDOW_S = 1.0  # the rates of warming servers are configured in requests per second
 
 
 class WarmUpBudget:
-    """Bounds this sidecar's requests to each warming server to its part of the rate that the server bears.
+    """Bounds this sidecar's requests to each warming server to its share of the server's rate.
 
-    Where there are more sidecars than the bound has requests, only as many may send to a server as it has:
-    those that rendezvous hashing draws for it. All sidecars agree on them without asking each other, so that
-    many that start at one moment do not overload a server together.
+    If there are more sidecars than the bound allows requests, only as many sidecars as requests may send to a
+    server; rendezvous hashing selects them. All sidecars agree on the selection without communicating, so
+    that many sidecars that start at the same moment do not overload a server together.
     """
 
     def __init__(self, overshoot: float, slack: float, node: str) -> None:
-        """Begin without requests sent.
+        """Start without requests.
 
         Args:
-            overshoot: Factor by which the rate of a warming server may be exceeded.
-            slack: Requests a second that it may get on top of that.
+            overshoot: The factor by which the rate of a warming server may be exceeded.
+            slack: Requests per second that a server may get on top of that.
             node: The name of this sidecar.
         """
         self._overshoot = overshoot
@@ -36,16 +36,16 @@
         self._sent: dict[str, deque[float]] = {}
 
     def try_acquire(self, instance: str, rate_per_s: float, sidecars: Collection[str], now: float) -> bool:
-        """Take one request to a warming server out of the budget.
+        """Take one request to a warming server from the budget if it allows one.
 
         Args:
             instance: The server.
-            rate_per_s: Requests a second that it bears while it warms up.
+            rate_per_s: The requests per second that the server can handle while it warms up.
             sidecars: The names of all sidecars that may send to it.
-            now: Seconds of a monotonic clock.
+            now: The time in seconds of a monotonic clock.
 
         Returns:
-            Whether the budget had room within the last second; only then the request is counted.
+            Whether the request may be sent; only then is it counted.
         """
         bound = BUDGET_MARGIN * (rate_per_s * self._overshoot + self._slack)
         senders = ranked(instance, {*sidecars, self._node})[: max(1, int(bound))]
@@ -60,6 +60,6 @@
         return True
 
     def retain(self, instances: Collection[str]) -> None:
-        """Drop the counts of all servers but these."""
+        """Drop the counts of all other servers."""
         for instance in set(self._sent) - set(instances):
             del self._sent[instance]
--- a/fordtrestle/balancer/__init__.py
+++ b/fordtrestle/balancer/__init__.py
@@ -1,7 +1,7 @@
 """Decisions of a sidecar balancer for service-to-service calls.
 
-The names below are loaded when they are first asked for: the system uses the throttle alone, and its
-processes are not to pay for the other modules as they start.
+The public names are loaded on first access: the processes of the system use only the throttle, and must not
+load the other modules when they start.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Return a public name of the package, and load its module (PEP 562).
+    """Load the module of a public name and return the name's value (PEP 562).
 
     Raises:
         AttributeError: The package has no such name.
--- a/fordtrestle/balancer/attempts.py
+++ b/fordtrestle/balancer/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: sending one, how long to wait for it, and what its end tells of connections and zones. Pure."""
+"""Attempts: how they are sent, how long to wait for them, and the counting of those in flight. Pure."""
 
 from __future__ import annotations
 
@@ -8,21 +8,21 @@
 from fordtrestle.balancer.baselines import ServiceTimes
 from fordtrestle.balancer.connections import ConnectionHealth
 from fordtrestle.balancer.ejection import OutlierEjection
-from fordtrestle.balancer.outcomes import ANSWERS, CONNECT_FAILED, NEVER_RAN, OWN_ENDS, RESET
+from fordtrestle.balancer.outcomes import ANSWERS, CONNECT_FAILED, ENDED_LOCALLY, NEVER_RAN, RESET
 from fordtrestle.balancer.own_load import OwnLoad
 from fordtrestle.balancer.requests import Request
 from fordtrestle.balancer.servers import Attempt, Server
 from fordtrestle.balancer.shedding import MIN_OVERLOAD_SLOWDOWN, LoadShedder
 from fordtrestle.balancer.zones import ZoneFailover
 
-STALL_SHARE = 0.5  # of the latency target: a server with an attempt out for longer may be hung
-TRIAL_ANSWERS = 3.0  # a first attempt that may be repeated gets at least so many usual answers' time
+STALL_SHARE = 0.5  # of the latency target; a server with an attempt in flight for longer may be hung
+MIN_TRIAL_ANSWERS = 3.0  # minimum timeout of an attempt that can be retried, in typical answer times
 
-DUE_TIMER = "due:"  # an attempt reaches its latency target
+DUE_TIMER = "due:"  # token prefix: an attempt reaches its latency target
 
 
 class AttemptSender:
-    """Sends attempts and counts them where they are in flight."""
+    """Sends attempts, and reports their start and end to the parts that count them."""
 
     def __init__(
         self,
@@ -35,7 +35,7 @@
         zones: ZoneFailover,
         connections: ConnectionHealth,
     ) -> None:
-        """No attempt is in flight; what is to be done is added to `actions`."""
+        """Start without attempts in flight; actions are appended to `actions`."""
         self._actions = actions
         self._own = own
         self._times = times
@@ -45,14 +45,14 @@
         self._connections = connections
 
     def send(self, now: float, request: Request, server: Server) -> None:
-        """Send a request to a server."""
-        timeout, begin_within, bound = self._timeout(now, request), math.inf, request.binding_attempt()
-        if bound and request.profile.semantics == "token":  # it may wait for its connection
-            begin_within = bound.sent_at + request.profile.key_ttl - now
-        unused_ms = now - server.last_used_at if server.last_used_at and not server.in_flight else 0.0
+        """Send a request to a server as a new attempt."""
+        timeout, begin_within, binding = self._timeout(now, request), math.inf, request.binding_attempt()
+        if binding and request.profile.semantics == "token":  # the attempt may first wait for its connection
+            begin_within = binding.sent_at + request.profile.key_ttl - now
+        idle_ms = now - server.last_used_at if server.last_used_at and not server.in_flight else 0.0
         target_ms = request.profile.objective
-        attempt = Attempt(server, now, now + STALL_SHARE * target_ms, unused_ms)
-        if unused_ms > self._connections.trusted_idle_ms(now) or self._zones.is_suspected_or_partitioned(
+        attempt = Attempt(server, now, now + STALL_SHARE * target_ms, idle_ms)
+        if idle_ms > self._connections.trusted_idle_ms(now) or self._zones.is_suspected_or_partitioned(
             server
         ):
             self._actions.append(model.CloseIdle(server.name))
@@ -80,15 +80,15 @@
         spent_ms: float,
         servers: dict[str, Server],
     ) -> None:
-        """Count an attempt as ended.
+        """Record the end of an attempt, and what it shows about connections and zones.
 
         Args:
             now: The time in ms.
-            request: Whose it was.
-            attempt: Which one.
-            status: How it ended.
-            spent_ms: How long it took.
-            servers: All known servers.
+            request: The attempt's request.
+            attempt: The attempt.
+            status: Its outcome, as a `model.Outcome`.
+            spent_ms: How long it took, in ms.
+            servers: All known servers, by name.
         """
         server = attempt.server
         attempt.is_in_flight, attempt.may_have_run = False, status not in NEVER_RAN
@@ -98,8 +98,8 @@
             server.idle_connections += 1
         elif status == RESET:
             server.idle_connections = 0
-        is_telling = attempt.is_new_connection and status not in OWN_ENDS
-        if is_telling and not self._zones.is_partitioned(now, server):
+        has_connect_result = attempt.is_new_connection and status not in ENDED_LOCALLY
+        if has_connect_result and not self._zones.is_partitioned(now, server):
             self._connections.record_connect(status == CONNECT_FAILED)
         server.attempts.pop(attempt, None)
         self._zones.on_outcome(now, attempt, status, spent_ms, servers)
@@ -107,17 +107,19 @@
         request.in_flight -= 1
 
     def _timeout(self, now: float, request: Request) -> float:
-        """How long to wait for an attempt, in ms, before it is better spent elsewhere."""
-        useful, profile = request.useful_until(), request.profile
-        whole = max(0.0, (useful if useful > now else request.give_up_at) - now)
-        is_quick = self._shedder.slowdown(now) < MIN_OVERLOAD_SLOWDOWN
+        """Return for how many ms to wait for an attempt before it is better to try another server."""
+        useful_until, profile = request.useful_until(), request.profile
+        remaining_ms = max(0.0, (useful_until if useful_until > now else request.give_up_at) - now)
+        has_no_overload = self._shedder.slowdown(now) < MIN_OVERLOAD_SLOWDOWN
         may_repeat = profile.harmless and len(request.attempts) + 1 < request.max_attempts
-        if may_repeat and is_quick and self._ejection.had_unresponsive_server(now):
-            # Guards against hung and silent servers, also where they hold up a key's queue. Only after one
-            # was met and while answers are quick: in an overload repeats would add to it.
+        if may_repeat and has_no_overload and self._ejection.had_unresponsive_server(now):
+            # Guards against hung and silent servers, which also block the queue of a key. Applies only after
+            # such a server was detected and while answers are quick: in an overload retries would add to it.
             typical_ms = self._times.typical_ms()
-            trial = max(STALL_SHARE * profile.objective, TRIAL_ANSWERS * typical_ms)
-            repeat_ends = trial + typical_ms
-            if repeat_ends < whole and (profile.semantics == "pure" or repeat_ends < profile.key_ttl):
-                return trial
-        return whole
+            trial_ms = max(STALL_SHARE * profile.objective, MIN_TRIAL_ANSWERS * typical_ms)
+            repeat_end_ms = trial_ms + typical_ms
+            if repeat_end_ms < remaining_ms and (
+                profile.semantics == "pure" or repeat_end_ms < profile.key_ttl
+            ):
+                return trial_ms
+        return remaining_ms
--- a/fordtrestle/balancer/eligibility.py
+++ b/fordtrestle/balancer/eligibility.py
@@ -1,6 +1,7 @@
-"""The rules of sending: whether a server is fit, and whether a request may be sent to it. Pure.
+"""The rules of sending: whether a server is eligible, and whether a request may be sent to it. Pure.
 
-Every send, refusal and failure passes here; the benches break these rules on purpose and see it noticed.
+Every send, refusal and failure is checked here. Benchmarks break these rules on purpose, to verify that they
+detect it.
 """
 
 from __future__ import annotations
@@ -15,20 +16,20 @@
 
 
 class Eligibility:
-    """Says why a request may not be sent, or not to a server."""
+    """Tells why a server is not eligible, or why a request may not be sent to it."""
 
     def __init__(self, settings: model.Settings, zones: ZoneFailover, order: KeyOrder) -> None:
         self._zones = zones
-        self._order = order
+        self._key_order = order
         self.apply_settings(settings)
 
     def apply_settings(self, settings: model.Settings) -> None:
-        """Go by these settings."""
+        """Apply changed settings."""
         self._may_try_in_parallel = settings.parallel_tries
 
-    def unfit_cause(self, now: float, server: Server) -> Cause | None:
-        """Why a server may not be drawn, if so; one that was ejected gets a single trial."""
-        if now < server.rest_until or not server.is_usable:
+    def ineligible_cause(self, now: float, server: Server) -> Cause | None:
+        """Return why a server may not be selected, or None; an ejected server gets a single trial."""
+        if now < server.unavailable_until or not server.is_usable:
             return Cause.RESTING
         if self._zones.is_partitioned(now, server):
             return Cause.CUT_OFF
@@ -36,19 +37,19 @@
             return Cause.FULL_ROOM
         return Cause.RESTING if server.ejections and server.in_flight else None
 
-    def barred_cause(self, now: float, request: Request, server: Server) -> Cause | None:
-        """Why a request may not be sent to a server, if so."""
+    def forbidden_cause(self, now: float, request: Request, server: Server) -> Cause | None:
+        """Return why a request may not be sent to a server, or None."""
         if request.is_done or now >= request.give_up_at:
             return Cause.NO_TIME
         if len(request.attempts) >= request.max_attempts:
             return Cause.ATTEMPTS
         if request.in_flight and not self._may_try_in_parallel:
             return Cause.ATTEMPTS
-        if request.is_ordered and not self._order.may_send(now, request):
+        if request.is_ordered and not self._key_order.may_send(now, request):
             return Cause.NO_TIME
-        bound, profile, group = request.binding_attempt(), request.profile, request.profile.group
-        if bound is not None and profile.semantics != "pure":
-            lost = profile.semantics == "side_effect" or now - bound.sent_at >= profile.key_ttl
-            if lost or (group != "all" and server.group(group) != bound.server.group(group)):
+        binding, profile, group = request.binding_attempt(), request.profile, request.profile.group
+        if binding is not None and profile.semantics != "pure":
+            lost = profile.semantics == "side_effect" or now - binding.sent_at >= profile.key_ttl
+            if lost or (group != "all" and server.group(group) != binding.server.group(group)):
                 return Cause.MAY_HAVE_RUN
         return None
--- a/fordtrestle/balancer/evidence.py
+++ b/fordtrestle/balancer/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence: what an outcome tells of the service, of its server, and of this sidecar itself. Pure."""
+"""Evidence: what an outcome shows about the service, its server, and this sidecar itself. Pure."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from fordtrestle.balancer.ejection import OutlierEjection
 from fordtrestle.balancer.locality import LocalPreference
 from fordtrestle.balancer.outage import OutageDetector
-from fordtrestle.balancer.outcomes import CONNECT_FAILED, FULL, OK, OWN_ENDS, TIMEOUT
+from fordtrestle.balancer.outcomes import CONNECT_FAILED, ENDED_LOCALLY, FULL, OK, TIMEOUT
 from fordtrestle.balancer.own_load import OwnLoad
 from fordtrestle.balancer.requests import Request
 from fordtrestle.balancer.servers import Attempt
@@ -22,15 +22,15 @@
 from fordtrestle.balancer.throttle import Throttle
 from fordtrestle.balancer.zones import ZoneFailover
 
-LATE_ACCEPT = 0.5  # of an accept: an answer past its latency target shows a service that is falling behind
-# A time-out shows a service that is behind only past so many times the baseline of its class and work: sooner
-# its client gave up, whatever the service did.
-PATIENT_SLOWDOWN = 3.0
-STOOD_STILL_MS = 100.0  # a timer later than this shows a stall of one's own; a tick is far less
+LATE_ACCEPT = 0.5  # of an accept: an answer past its latency target shows that the service is falling behind
+# A timeout is evidence of a slow service only after this multiple of the baseline for its class and work.
+# Before that, the client gave up too early.
+MIN_TIMEOUT_SLOWDOWN = 3.0
+MIN_OWN_STALL_MS = 100.0  # a timer that is this late shows a stall of this sidecar; a tick is far shorter
 
 
 class Evidence:
-    """Charges each outcome to the server's own health, to the service, or to nothing."""
+    """Attributes each outcome to the server, to the service, or to neither."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         own: OwnLoad,
         subset: Subset,
     ) -> None:
-        """All that learns by outcomes is told here."""
+        """Keep references to the parts that learn from outcomes."""
         self._throttle = throttle
         self._shedder = shedder
         self._outage = outage
@@ -61,21 +61,23 @@
         self.apply_settings(settings)
 
     def apply_settings(self, settings: model.Settings) -> None:
-        """Go by these settings."""
+        """Apply changed settings."""
         self._connect_timeout = settings.connect_timeout
 
     def record_outcome(
         self, now: float, request: Request, attempt: Attempt, status: int, spent_ms: float
     ) -> None:
-        """Take in how an attempt ended, after `spent_ms`."""
+        """Record the outcome of an attempt that took `spent_ms`."""
         server, target_ms = attempt.server, request.profile.objective
-        if status in OWN_ENDS or self._connections.met_dropped(now, attempt, status, spent_ms):
-            return  # its client went, or it was spoilt on our side: that is no evidence of the service
+        if status in ENDED_LOCALLY or self._connections.used_dropped_connection(
+            now, attempt, status, spent_ms
+        ):
+            return  # the client left, or the cause is on the sidecar's side: no evidence of the service
         slowdown = self._learn_baseline(now, request, status, spent_ms)
-        if status == TIMEOUT and spent_ms < target_ms and slowdown < PATIENT_SLOWDOWN:
-            return  # its client waits for less than answers take
+        if status == TIMEOUT and spent_ms < target_ms and slowdown < MIN_TIMEOUT_SLOWDOWN:
+            return  # the client gave up before answers usually arrive
         if self._zones.is_unresponsive(status, spent_ms) and self._zones.is_partitioned(now, server):
-            return  # nobody there was asked: no overload, and no fault of this one
+            return  # a partition, and the attempt reached no server: neither an overload nor a server fault
         is_late = spent_ms > target_ms
         self._learn_load(now, request, attempt, status, spent_ms, slowdown)
         self._locality.record_outcome(server, request.traffic_class, status != OK or is_late)
@@ -87,16 +89,16 @@
         self._throttle.add(now, 0.0 if status != OK else LATE_ACCEPT if is_late else 1.0)
 
     def record_overdue(self, now: float, request: Request, attempt: Attempt) -> None:
-        """An attempt still out at its latency target tells of the service then.
+        """Record an attempt that is still in flight at its latency target.
 
-        It does not wait for the client to give up.
+        The service is known to be slow at that time already, not only when the client gives up.
         """
         target_ms = request.profile.objective
         baseline = self._times.baselines[request.traffic_class]
         if baseline.slowdown(target_ms, request.work) < OVERLOAD_SLOWDOWN:
-            return  # answers usually take about so long
-        if now - attempt.sent_at - target_ms > STOOD_STILL_MS:
-            return  # this sidecar itself stood still: that is no evidence
+            return  # answers usually take about that long
+        if now - attempt.sent_at - target_ms > MIN_OWN_STALL_MS:
+            return  # this sidecar itself stalled: no evidence of the service
         if self._zones.is_partitioned(now, attempt.server):
             return
         self._shedder.record_unanswered(now)
@@ -104,7 +106,7 @@
             self._ejection.record_fault(now, attempt.server, True, attempt.sent_at)
 
     def _learn_baseline(self, now: float, request: Request, status: int, spent_ms: float) -> float:
-        """How many times longer than its class's baseline it took; the baseline follows answers."""
+        """Update the class's baseline from an answer, and return the attempt's slowdown against it."""
         baseline = self._times.baselines[request.traffic_class]
         if status == OK:
             answers = self._own.rate_per_ms(now) * PACE_MEMORY_MS
@@ -115,7 +117,7 @@
     def _learn_load(
         self, now: float, request: Request, attempt: Attempt, status: int, spent_ms: float, slowdown: float
     ) -> None:
-        """What an answer, a rejection or a time-out tells of how loaded the service and its servers are."""
+        """Update the load of the service and of its server from an answer, a rejection or a timeout."""
         if status not in (OK, FULL, TIMEOUT):
             return
         server, target_ms = attempt.server, request.profile.objective
@@ -124,15 +126,15 @@
         elif status == FULL:
             self._shedder.record_outcome(now, UNANSWERED_SLOWDOWN)
         elif spent_ms < target_ms or request.profile.late_worth <= 0.0:
-            self._shedder.record_unanswered(now)  # where late answers earn, it counted at its target
+            self._shedder.record_unanswered(now)  # if late answers have value, it was counted at its target
         took_ms = max(spent_ms, 0.0 if status == OK else target_ms)
         answers = self._own.rate_per_ms(now) * PACE_MEMORY_MS
         self._times.record_answer(
-            server.pace, server.kind_pace, took_ms, request.work, answers, self._subset.recent_servers
+            server.pace, server.kind_pace, took_ms, request.work, answers, self._subset.recent_server_count
         )
 
     def _record_accept(self, now: float) -> None:
-        """The service takes work: an outage is over, and what was learned in it, or before, is void."""
+        """Record that the service accepted work; the window and the pause of an outage are then forgotten."""
         lasted_ms = self._outage.record_accept(now)
         if lasted_ms is not None:
             self._throttle.clear()
--- a/fordtrestle/balancer/locality.py
+++ b/fordtrestle/balancer/locality.py
@@ -1,6 +1,7 @@
-"""Local preference: where crossings cost, requests stay in the local zone until it fails. Pure.
+"""Local preference: if crossing zones has a cost, requests stay in the local zone until it fails. Pure.
 
-Requests spill over as the local zone misses latency targets by more than a crossing costs.
+Requests spill over to remote zones when the local zone's extra failures and late answers cost more than a
+crossing.
 """
 
 from __future__ import annotations
@@ -8,40 +9,40 @@
 from fordtrestle.balancer import model
 from fordtrestle.balancer.servers import Server
 
-MIN_CROSSING_PRICE = 0.05  # below this the queue that a preference builds costs more
-CROSSING_MARGIN = 0.5  # one request moved away also shortens the queue of those that stay
-SPILL_GAIN = 0.15  # of the spilled share, per outcome
-REMOTE_FAILURE_GAIN = 1.0 - 0.9  # weight of the newest: few outcomes of remote zones are seen
+MIN_CROSSING_PRICE = 0.05  # with a lower price, the queues that a local preference builds up cost more
+CROSSING_MARGIN = 0.5  # less than 1, since a request that crosses also shortens the local queue
+SPILL_GAIN = 0.15  # change of the remote share per outcome
+REMOTE_FAILURE_GAIN = 1.0 - 0.9  # weight of the latest outcome; there are few outcomes of remote zones
 
 
 class LocalPreference:
-    """Holds which part of each class goes to remote zones.
+    """Adjusts which share of each class goes to remote zones.
 
     Attributes:
         is_on: Whether local servers are preferred at all.
     """
 
     def __init__(self, settings: model.Settings) -> None:
-        self._spill: list[float] = []  # part of each class that crosses
-        self._remote_failures = 0.0  # fading share
+        self._remote_shares: list[float] = []  # by class
+        self._remote_failures = 0.0  # exponentially weighted share
         self.apply_settings(settings)
 
     def apply_settings(self, settings: model.Settings) -> None:
-        """Go by these settings; what spills over stays."""
+        """Apply changed settings; the remote shares are kept."""
         price = settings.prices.get("CrossZone", 0.0)
         self.is_on = settings.zones > 1 and price >= MIN_CROSSING_PRICE
         self._zone = settings.locality
-        # What a crossing costs, as a share of what a request of each class is worth.
+        # The cost of a crossing, as a share of the value of a request of each class.
         weights = [profile.worth for profile in settings.profiles]
         self._margins = [CROSSING_MARGIN * price * max(weights) / (weight or 1.0) for weight in weights]
-        self._spill += [0.0] * (len(weights) - len(self._spill))
+        self._remote_shares += [0.0] * (len(weights) - len(self._remote_shares))
 
     def remote_share(self, traffic_class: int) -> float:
-        """The part of a class that goes to remote zones."""
-        return self._spill[traffic_class]
+        """Return the share of a class that goes to remote zones."""
+        return self._remote_shares[traffic_class]
 
     def record_outcome(self, server: Server, traffic_class: int, failed: bool) -> None:
-        """Take in an outcome; a late answer has failed, too."""
+        """Record an outcome; the caller counts a late answer as failed."""
         if not self.is_on:
             return
         failures = float(failed)
@@ -49,4 +50,4 @@
             self._remote_failures += REMOTE_FAILURE_GAIN * (failures - self._remote_failures)
         else:
             step = SPILL_GAIN * (failures - self._remote_failures - self._margins[traffic_class])
-            self._spill[traffic_class] = min(1.0, max(0.0, self._spill[traffic_class] + step))
+            self._remote_shares[traffic_class] = min(1.0, max(0.0, self._remote_shares[traffic_class] + step))
--- a/fordtrestle/balancer/model.py
+++ b/fordtrestle/balancer/model.py
@@ -1,4 +1,4 @@
-"""Plain typed values that the decision module takes and gives: no decisions."""
+"""Events, actions and settings of the decision module: plain typed values without decisions."""
 
 from __future__ import annotations
 
@@ -23,34 +23,34 @@
 
 
 class Cause(IntEnum):
-    """Why a request was refused or failed; each answer has one.
+    """Why a request was refused or failed; each final answer has exactly one cause.
 
-    Of several that hold, that its time is over comes first; for one that may have run, then that its attempts
-    are used up, or else that no rule lets it be sent again; and then the first check that turned it away: the
-    lots (of THROTTLE, SHED and PRESSURE the one that asks for the most), the trials of an OUTAGE, the draw.
-    Where servers were kept from the draw for several reasons, the last of them as listed here is blamed: its
-    server came nearest to being sent to.
+    If several causes apply, NO_TIME takes precedence. For a request that may have run, ATTEMPTS comes next,
+    then MAY_HAVE_RUN. Otherwise the first check that rejected the request is the cause: the bound on trials
+    during an OUTAGE, the random refusal (THROTTLE, SHED or PRESSURE, whichever asks for the largest share),
+    or the selection of candidates. If servers were excluded from the selection for different reasons, the
+    reason that is listed last here is the cause, because its server came closest to being chosen.
     """
 
-    DRAIN = 0  # no server of the list takes requests: none is told, or all of them leave
-    ATTEMPTS = 1  # none is left, or each server that it may go to was tried
-    MAY_HAVE_RUN = 2  # and no rule lets it be sent again, or not there
-    NO_TIME = 3  # left; or it would come too late: too heavy, or its turn too far off
-    RESTING = 4  # the server was ejected, turned all away or refused connections, and has its one trial out
-    CUT_OFF = 5  # the server's zone is silent while another is not
-    FULL_ROOM = 6  # the server holds as many of ours as it takes
-    COLD = 7  # the server is cold, and has had what it may have of this fleet
-    OUTAGE = 8  # nothing at all is accepted, and its trials are out
-    THROTTLE = 9  # the window's requests exceed what was accepted too far
-    SHED = 10  # servers turn work away: what is worth least goes
-    PRESSURE = 11  # this sidecar itself is pressed
+    DRAIN = 0  # no server accepts requests: the list is empty, or every server is leaving
+    ATTEMPTS = 1  # all attempts are used up, or every server that the request may go to was tried
+    MAY_HAVE_RUN = 2  # an attempt may have run, and no rule allows a retry, or none on this server
+    NO_TIME = 3  # expired, or would be answered too late: too much work, or too far back in its key's queue
+    RESTING = 4  # the server is ejected, rejected all or refused connections, or its one trial is in flight
+    CUT_OFF = 5  # the server's zone does not respond while another one does
+    FULL_ROOM = 6  # the server has as many of this sidecar's requests in flight as it accepts
+    COLD = 7  # the server is warming up, and is sent only a limited part of this fleet's requests
+    OUTAGE = 8  # no server accepts anything, and the allowed trial requests are in flight
+    THROTTLE = 9  # requests in the throttle's window exceed its accepts by too much
+    SHED = 10  # the servers are overloaded, and the requests of least value are shed
+    PRESSURE = 11  # this sidecar itself is overloaded
 
 
 class Send(NamedTuple):
-    """Start an attempt; it times out after `timeout` milliseconds.
+    """Starts an attempt, which times out after `timeout` milliseconds.
 
-    One whose first byte is not written `begin_within` milliseconds from now must not begin any more: its
-    outcome is ABANDONED.
+    If its first byte is not written within `begin_within` milliseconds from now, the attempt must not begin,
+    and its outcome is ABANDONED.
     """
 
     request: int
@@ -60,7 +60,7 @@
 
 
 class Refuse(NamedTuple):
-    """Final answer: refused, and a client's retry does no harm."""
+    """Refuses a request as its final answer: the client can safely retry it, after `retry_after` ms."""
 
     request: int
     retry_after: float
@@ -68,57 +68,57 @@
 
 
 class Fail(NamedTuple):
-    """Final answer: failed, with no promise about effects."""
+    """Fails a request as its final answer: it may or may not have had effects."""
 
     request: int
     cause: Cause = Cause.DRAIN
 
 
 class Cancel(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Stops waiting for one attempt; `attempt` is its index among the request's attempts."""
 
     request: int
     attempt: int
 
 
 class Timer(NamedTuple):
-    """Ask for a timer event with this token after `delay` milliseconds."""
+    """Requests a timer event with this token after `delay` milliseconds."""
 
     delay: float
     token: str
 
 
 class Fetch(NamedTuple):
-    """Ask discovery for the whole list once."""
+    """Requests the complete server list from discovery once."""
 
 
 class Watch(NamedTuple):
-    """Ask discovery to send changes from now on, or to stop."""
+    """Subscribes to changes of the server list, or ends the subscription."""
 
     on: bool
 
 
 class Probe(NamedTuple):
-    """Ask one server how it is."""
+    """Sends a health probe to one server."""
 
     server: str
 
 
 class CloseIdle(NamedTuple):
-    """Close the idle connections to a server."""
+    """Closes the idle connections to a server."""
 
     server: str
 
 
 class Tell(NamedTuple):
-    """Send a message to one peer, or to all when `peer` is None."""
+    """Sends a message to one peer, or to all peers if `peer` is None."""
 
     peer: int | None
     data: bytes
 
 
 class Log(NamedTuple):
-    """A line for on-call staff."""
+    """Writes a log line for operators."""
 
     text: str
 
@@ -127,7 +127,7 @@
 
 
 class Listing(NamedTuple):
-    """One entry of a server list."""
+    """One server of a server list; `started` is a clock time in milliseconds, 0 if it is unknown."""
 
     server: str
     zone: int = 0
@@ -139,7 +139,7 @@
 
 
 class Arrival(NamedTuple):
-    """A client's request, with the clock time at which the client gives up."""
+    """A client's request; `give_up_at` is the clock time in milliseconds at which the client gives up."""
 
     request: int
     traffic_class: int
@@ -153,7 +153,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Profile:
-    """One request class."""
+    """The settings of one request class; times are in milliseconds."""
 
     objective: float
     deadline: float
@@ -163,18 +163,21 @@
     late_worth: float
     streaming: bool
     worth: float
-    in_turn: bool  # requests with one key run one at a time, in the order taken
-    gone: bool = False  # of settings that have changed: the class keeps its place, and no attempt is begun
+    in_turn: bool  # requests with the same key run one at a time, in the order of arrival
+    gone: bool = False  # removed by a change of settings: the class keeps its index, and starts no attempts
 
     @property
     def harmless(self) -> bool:
-        """Whether one that may have run may be sent again to any server, by its client, too."""
+        """Whether a request that may have run can be retried on any server, also by its client."""
         return self.semantics == "pure" or (self.semantics == "token" and self.group == "all")
 
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """What an instance is told at its start; names are deliberately not kept."""
+    """The settings of one sidecar; times are in milliseconds.
+
+    The names of classes, zones and kinds are deliberately not kept.
+    """
 
     profiles: tuple[Profile, ...]
     me: int
@@ -205,22 +208,26 @@
     warm_up: float
     fall_multiple: float
     overload_for: float
-    release_within: float  # 0: idle connections to a leaving server may stay
+    release_within: float  # 0: idle connections to a leaving server may stay open
     settle_after_doubt: float
-    tail: float  # the part of the goal that few misses decide
+    tail: float  # weight of KeptPromises in the goal, which few misses decide
     weighted: bool
 
     @classmethod
     def parse(cls, raw: Mapping[str, Any]) -> Settings:
-        """Read the settings; `ValueError` names the first senseless field."""
+        """Parse the settings from plain values.
+
+        Raises:
+            ValueError: A field is missing or invalid; the message names the first such field.
+        """
         if not isinstance(raw, Mapping):
-            raise ValueError("settings: expected an object")
+            raise ValueError(f"settings: expected an object, not {raw!r}")
         limits = _part(raw, "PolicyLimits")
         rules = _part(raw, "Rules")
         report = _part(raw, "Report")
         profiles = _rows(raw, "Profiles")
         if not profiles:
-            raise ValueError("Profiles: at least one request class is needed")
+            raise ValueError("Profiles: expected at least one request class")
         zones = max(1, len(_list(raw, "FailureDomains")))
         fields = tuple(f for f in _list(report, "Fields", "Report.") if isinstance(f, str))
         return cls(
@@ -271,7 +278,7 @@
 
 
 def _goal(raw: Mapping[str, Any], part: str) -> float:
-    """The share of the goal that rests on one of its parts; its other figures are no weights."""
+    """Return the weight of one part of the goal, from 0 to 1; fields that are not parts are no weights."""
     goal = _part(raw, "Goal")
     whole = sum(_number(goal, name, 0.0, at="Goal.") for name in GOAL_PARTS)
     return _number(goal, part, 0.0, at="Goal.") / whole if whole else 0.0
@@ -297,7 +304,7 @@
     if part is None:
         return {}
     if not isinstance(part, Mapping):
-        raise ValueError(f"{name}: expected an object")
+        raise ValueError(f"{name}: expected an object, not {part!r}")
     return part
 
 
@@ -306,7 +313,7 @@
     if rows is None:
         return []
     if not isinstance(rows, list):
-        raise ValueError(f"{at}{name}: expected a list")
+        raise ValueError(f"{at}{name}: expected a list, not {rows!r}")
     return rows
 
 
@@ -314,7 +321,7 @@
     rows = _list(raw, name)
     for i, row in enumerate(rows):
         if not isinstance(row, Mapping):
-            raise ValueError(f"{name}[{i}]: expected an object")
+            raise ValueError(f"{name}[{i}]: expected an object, not {row!r}")
     return rows
 
 
@@ -330,20 +337,20 @@
     if value is None:
         value = default
     if value is None:
-        raise ValueError(f"{at}{name}: missing")
+        raise ValueError(f"{at}{name}: expected a number, but the field is missing")
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise ValueError(f"{at}{name}: expected a number")
-    # Only a default may be infinite: a given figure that is would overflow or never end.
-    given_endless = math.isinf(value) and value is not default
-    if given_endless or not low <= value <= high:
-        raise ValueError(f"{at}{name}: {value} is out of range")
+        raise ValueError(f"{at}{name}: expected a number, not {value!r}")
+    # Only a default may be infinite: an infinite value in the settings would overflow, or loop forever.
+    is_given_infinite = math.isinf(value) and value is not default
+    if is_given_infinite or not low <= value <= high:
+        raise ValueError(f"{at}{name}: expected a finite number in [{low}, {high}], not {value}")
     return float(value)
 
 
 def _flag(raw: Mapping[str, Any], name: str, at: str) -> bool:
     value = raw.get(name, False)
     if not isinstance(value, bool | None):
-        raise ValueError(f"{at}{name}: expected true or false")
+        raise ValueError(f"{at}{name}: expected true or false, not {value!r}")
     return bool(value)
 
 
@@ -354,5 +361,5 @@
     if value is None:
         value = default
     if value not in words:
-        raise ValueError(f"{at}{name}: expected one of {', '.join(words)}")
+        raise ValueError(f"{at}{name}: expected one of {', '.join(words)}, not {value!r}")
     return str(value)
--- a/fordtrestle/balancer/outcomes.py
+++ b/fordtrestle/balancer/outcomes.py
@@ -1,6 +1,6 @@
-"""How attempts end, as plain numbers and by what an end tells. Pure.
+"""Outcomes of attempts as plain integers, and sets of outcomes with a common meaning. Pure.
 
-Plain numbers, since the outcome of each attempt is compared several times.
+Plain integers are used since the outcome of each attempt is compared several times.
 """
 
 from __future__ import annotations
@@ -10,6 +10,6 @@
 OK, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, ABANDONED = map(int, model.Outcome)
 
 NEVER_RAN = frozenset((FULL, CONNECT_FAILED, ABANDONED))
-OWN_ENDS = frozenset((CANCELLED, ABANDONED))  # ended on our side: they are no evidence of the service
-MAY_RUN_STILL = frozenset((TIMEOUT, RESET, CANCELLED))  # the server may be at it still
-ANSWERS = frozenset((OK, ERROR, FULL))  # a whole answer came, and the connection can be used again
+ENDED_LOCALLY = frozenset((CANCELLED, ABANDONED))  # no evidence of the service
+MAY_STILL_RUN = frozenset((TIMEOUT, RESET, CANCELLED))  # the server may still work on the request
+ANSWERS = frozenset((OK, ERROR, FULL))  # a complete answer arrived, and the connection can be reused
--- a/fordtrestle/balancer/slow_start.py
+++ b/fordtrestle/balancer/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: a server that has just started gets the share that it is sure to carry. Pure."""
+"""Slow start: a server that has just started gets only the load that it can safely carry. Pure."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from fordtrestle.balancer.subset import Subset
 from fordtrestle.balancer.throttle import Throttle
 
-MIN_WARMTH = 0.02  # a server that gets nothing never shows that it is up
-COLD_SHARE = 0.5  # of what topples a cold server, were all warm ones fully loaded
-# What is thought to be accepted before there is evidence, of so many requests: one that has just started
-# knows little of the service.
+MIN_WARMTH = 0.02  # a server that gets no requests never shows that it is up
+COLD_SHARE = 0.5  # of the load at which a cold server fails, if all warm servers were fully loaded
+# The assumed accepts and requests before there is evidence: a sidecar that has just started knows little of
+# the service.
 PRIOR_ACCEPTS, PRIOR_REQUESTS = 1.0, 3.0
 
 
 class SlowStart:
-    """Works out how warm servers are, and whether a request may go to a cold one."""
+    """Computes how warm servers are, and decides whether a request may go to a cold one."""
 
     def __init__(
         self,
@@ -30,38 +30,38 @@
         eligibility: Eligibility,
         throttle: Throttle,
         outage: OutageDetector,
-        draw: Callable[[], float],
+        uniform: Callable[[], float],
     ) -> None:
-        """Ready for any server.
+        """Keep references to the parts that slow start depends on.
 
         Args:
             now: The time in ms.
             settings: The sidecar's settings.
-            subset: The servers that are drawn from.
-            eligibility: Says which servers are fit.
-            throttle: Its window tells how much is accepted.
-            outage: Its trials have a bound of their own.
-            draw: Random numbers from 0 to 1.
+            subset: The servers that requests are sent to.
+            eligibility: Tells which servers are eligible.
+            throttle: Its window gives the share of requests that is accepted.
+            outage: During an outage its own bound on trials replaces slow start.
+            uniform: Returns random numbers in [0, 1).
         """
         self._subset = subset
         self._eligibility = eligibility
         self._throttle = throttle
         self._outage = outage
-        self._draw = draw
-        # The last that was worked out: of what (time, request, servers, reach), and whether.
+        self._uniform = uniform
+        # The last decision, and what it was made for: time, request, number of servers, reach.
         self._asked = now, 0, 0, 0
         self._is_admitted = True
         self.apply_settings(settings)
 
     def apply_settings(self, settings: model.Settings) -> None:
-        """Go by these settings."""
+        """Apply changed settings."""
         self._warm_up_ms = settings.warm_up
         self._cold_from = settings.cold_from
         self._fall_multiple = settings.fall_multiple
         self._zone_count = settings.zones
 
     def warmth(self, now: float, server: Server) -> float:
-        """The share of its capacity that a started server is sure to have, up to 1."""
+        """Return the share of its full capacity that a server safely has since its start, up to 1."""
         if server.started_at <= 0.0 or self._warm_up_ms <= 0.0:
             return 1.0
         age_ms = max(0.0, now - server.started_at)
@@ -71,43 +71,46 @@
         return max(MIN_WARMTH, cold + (1.0 - cold) * age_ms / self._warm_up_ms)
 
     def capacity(self, now: float, server: Server) -> float:
-        """What a server carries now."""
+        """Return a server's current capacity, for comparison among servers."""
         capacity = server.capacity()
         return capacity * self.warmth(now, server) if server.started_at > 0.0 else capacity
 
     def admits(self, now: float, request: Request, server: Server, ring: list[Server], reach: int) -> bool:
-        """Whether a request may go to a server, if that is cold.
+        """Return whether a request may go to a server as far as slow start is concerned.
 
-        Guards against a mass restart, drains or ejections that leave few others to be drawn: the less is fit
-        of what there was lately, the fewer may go. Sidecars act alike, so that what hundreds send adds up to
-        the same. A request has one coin for all servers and repeats, since more coins would send more.
+        Guards against overloading cold servers when a mass restart, drains or ejections leave few others: the
+        less of the recent capacity is available, the fewer requests may go to a cold server. All sidecars act
+        alike, so that the sum over hundreds of sidecars is bounded in the same way. A request has a single
+        random number for all servers and retries, since further ones would admit more.
 
         Args:
             now: The time in ms.
             request: The request.
             server: The server.
-            ring: The servers that it was drawn from.
-            reach: How many of them, from the first on.
+            ring: The servers that it was selected from.
+            reach: How many of them, from the first on, can be selected.
         """
         if self.warmth(now, server) >= 1.0 or self._outage.is_ongoing:
             return True
-        asked = now, request.id, len(ring), reach
-        if asked != self._asked:
-            left = self._fit_share(now, ring, reach)
-            # What is turned away is sent again, here or by its client, and counts in the sum too.
+        query = now, request.id, len(ring), reach
+        if query != self._asked:
+            available_share = self._fit_share(now, ring, reach)
+            # Rejected requests are retried, here or by the client, and add to the load too.
             accepts = self._throttle.accepts + PRIOR_ACCEPTS
-            left *= accepts / (self._throttle.requests + PRIOR_REQUESTS)
-            request.slow_start_draw = request.slow_start_draw or self._draw()
-            self._asked = asked
-            self._is_admitted = request.slow_start_draw < self._fall_multiple * COLD_SHARE * left
+            available_share *= accepts / (self._throttle.requests + PRIOR_REQUESTS)
+            request.slow_start_sample = request.slow_start_sample or self._uniform()
+            self._asked = query
+            self._is_admitted = request.slow_start_sample < self._fall_multiple * COLD_SHARE * available_share
         return self._is_admitted
 
     def _fit_share(self, now: float, ring: list[Server], reach: int) -> float:
-        """What is fit now, of the capacity that there was lately."""
-        servers, unfit_cause = self._subset.servers, self._eligibility.unfit_cause
-        full = sum(other.capacity() for other in ring[:reach])
-        fit = sum(self.capacity(now, other) for other in ring[:reach] if unfit_cause(now, other) is None)
-        share = fit / full * len(servers) / self._subset.recent_servers
-        if ring is self._subset.local:  # all of this zone keep to it, however few are left there
+        """Return the share of the recent capacity that is available now."""
+        servers, ineligible_cause = self._subset.servers, self._eligibility.ineligible_cause
+        total = sum(other.capacity() for other in ring[:reach])
+        eligible = sum(
+            self.capacity(now, other) for other in ring[:reach] if ineligible_cause(now, other) is None
+        )
+        share = eligible / total * len(servers) / self._subset.recent_server_count
+        if ring is self._subset.local:  # all sidecars of the zone use it, however few servers remain
             share *= min(1.0, len(ring) * self._zone_count / len(servers))
         return share
--- a/fordtrestle/balancer/subset.py
+++ b/fordtrestle/balancer/subset.py
@@ -1,7 +1,7 @@
-"""Subsetting: each sidecar keeps to a few servers: few connections, and something learned of each. Pure.
+"""Subsetting: each sidecar uses a few servers, so that it needs few connections and learns about each. Pure.
 
-All sidecars lay the known servers on one ring, by name; each starts at a place of its own, spread evenly
-(deterministic subsetting of Google's SRE book, chapter 20, on a ring, so that a changed list moves little).
+All sidecars place the known servers on the same ring, ordered by name, and start at evenly spread positions
+(deterministic subsetting of Google's SRE book, chapter 20; with a ring, a changed list changes few subsets).
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 from fordtrestle.balancer.servers import Server
 
 SUBSET_SERVERS = 8
-PRICED_SUBSET_SERVERS = 4  # where open connections cost: full tables also slow servers down
-SERVERS_PER_IN_FLIGHT = 2  # a busy sidecar widens with its own requests in flight
-GOLDEN_RATIO = (math.sqrt(5.0) - 1.0) / 2.0  # spreads sidecars' starting places evenly
-RECENT_SERVERS_MS = 60_000.0  # in which a larger number of servers is forgotten
+PRICED_SUBSET_SERVERS = 4  # if open connections have a cost; full connection tables also slow servers down
+SERVERS_PER_IN_FLIGHT = 2  # further servers for each of the sidecar's own requests in flight
+GOLDEN_RATIO = (math.sqrt(5.0) - 1.0) / 2.0  # spreads the start positions of sidecars evenly
+RECENT_SERVERS_MS = 60_000.0  # time constant in which a larger number of servers is forgotten
 
 
 class Subset:
-    """The servers that may be drawn, in the order in which this sidecar prefers them.
+    """The usable servers, in the order in which this sidecar prefers them.
 
-    Servers that are gone keep their places on the ring, so a crash moves few subsets. Zones are mixed: a
-    local zone may have more traffic than its own servers can carry.
+    Servers that have left keep their positions on the ring, so that a crash changes few subsets. Zones are
+    mixed, since a local zone may have more traffic than its own servers can carry.
 
     Attributes:
-        servers: All usable servers, from this sidecar's place on the ring on.
+        servers: All usable servers, from this sidecar's position on the ring on.
         local: Those of its own zone.
         remote: Those of other zones.
         groups: Those of each zone and cell.
         top_weight: The largest weight among them.
-        recent_servers: How many there were of late, at least 1.
+        recent_server_count: The recent maximum of their number, which decays; at least 1.
     """
 
     def __init__(self, now: float, settings: model.Settings) -> None:
@@ -40,30 +40,30 @@
         self.remote: list[Server] = []
         self.groups: dict[tuple[str, int], list[Server]] = {}
         self.top_weight = 1.0
-        self.recent_servers = 1.0
-        self._recent_at = now
+        self.recent_server_count = 1.0
+        self._recent_count_at = now
         self.apply_settings(settings, ())
 
     def apply_settings(self, settings: model.Settings, known: Iterable[Server]) -> None:
-        """Go by these settings, with all known servers."""
-        self._place = settings.me * GOLDEN_RATIO % 1.0
+        """Apply changed settings to all known servers."""
+        self._ring_position = settings.me * GOLDEN_RATIO % 1.0
         self._zone = settings.locality
         self._size = PRICED_SUBSET_SERVERS if settings.prices.get("Connection") else SUBSET_SERVERS
         self._lay_out(known)
 
     def update(self, now: float, known: Iterable[Server]) -> None:
-        """Draw from these servers from now on, as far as they are usable."""
+        """Replace the known servers; those that are not usable are left out."""
         self._lay_out(known)
-        faded = self.recent_servers * math.exp((self._recent_at - now) / RECENT_SERVERS_MS)
-        self.recent_servers, self._recent_at = max(1.0, len(self.servers), faded), now
+        faded = self.recent_server_count * math.exp((self._recent_count_at - now) / RECENT_SERVERS_MS)
+        self.recent_server_count, self._recent_count_at = max(1.0, len(self.servers), faded), now
 
     def reach(self, servers: Sized, attempts: int, in_flight: int) -> int:
-        """How many of these, from the first on, a request is drawn to.
+        """Return how many of these servers, from the first on, a request may be sent to.
 
         Args:
-            servers: A list that is drawn from: all servers, or some of them in their order.
-            attempts: How many the request has had: each widens the reach.
-            in_flight: Own attempts that are out.
+            servers: All usable servers, or some of them in their order.
+            attempts: The number of attempts that the request has had; each one widens the reach.
+            in_flight: This sidecar's attempts in flight.
         """
         reach = self._size * (1 + attempts)
         if self._size > PRICED_SUBSET_SERVERS:
@@ -72,7 +72,7 @@
 
     def _lay_out(self, known: Iterable[Server]) -> None:
         ring = sorted(known, key=lambda server: server.name)
-        start = int(self._place * len(ring))
+        start = int(self._ring_position * len(ring))
         self.servers = [server for server in ring[start:] + ring[:start] if server.is_usable]
         self.local = [server for server in self.servers if server.zone == self._zone]
         self.remote = [server for server in self.servers if server.zone != self._zone]
--- a/fordtrestle/balancer/throttle.py
+++ b/fordtrestle/balancer/throttle.py
@@ -1,27 +1,27 @@
-"""Client-side throttling: refuse locally while the service turns requests away. Pure.
+"""Client-side throttling: requests are refused locally while the service rejects requests. Pure.
 
-The adaptive throttling of Google's SRE book (chapter 21): over a window of the last requests, a new one is
-refused with the chance max(0, (requests - protection - K accepts) / (requests + 1)). Local refusals count as
-requests, so that the chance settles; what the service accepts brings it down again.
+This is the adaptive throttling of Google's SRE book (chapter 21): given a window of recent requests, a new
+one is refused with the probability max(0, (requests - protection - K accepts) / (requests + 1)). Local
+refusals count as requests, so that the probability converges; accepted requests reduce it again.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-WINDOW_MS = 10_000.0  # the book's two minutes would outlast every overload: evidence ages sooner
-WINDOW_SAMPLES = 60  # and a window that is rarely added to is told by so many of the newest
-MIN_WINDOW_MS = 4000.0  # but by no fewer ms: sixty samples of a busy sidecar span a fifth of a second
-K = 2.0  # requests a service may be asked for each that it accepts, before any is refused
-PROTECTION = 3.0  # requests that pass whatever came of them: a few failures are chance
+WINDOW_MS = 10_000.0  # the book's two minutes are longer than any overload; evidence is outdated sooner
+WINDOW_SAMPLES = 60  # maximum number of requests in the window once it spans MIN_WINDOW_MS
+MIN_WINDOW_MS = 4000.0  # the sixty latest requests of a busy sidecar span only a fifth of a second
+K = 2.0  # requests per accepted request that may be sent before any is refused
+PROTECTION = 3.0  # requests that are not counted, since a few failures may be chance
 
 
 class Throttle:
-    """The window of requests and accepts, and the chance of refusal that follows from it.
+    """Client-side throttle with a sliding window of requests and accepts.
 
     Attributes:
-        requests: How many requests the window holds, local refusals among them.
-        accepts: What of them was accepted; one may count in part.
+        requests: The number of requests in the window, including local refusals.
+        accepts: How many of them were accepted; a request may count in part.
     """
 
     def __init__(self, age_ms: float = WINDOW_MS, samples: int = WINDOW_SAMPLES) -> None:
@@ -32,24 +32,24 @@
         self._entries: deque[tuple[float, float]] = deque()  # time and accepts of each request, oldest first
 
     def add(self, now: float, accepted: float) -> None:
-        """Count a request, of which so much was accepted: 0 not at all, 1 wholly."""
+        """Count a request; `accepted` is from 0 (not accepted) to 1 (fully accepted)."""
         self._entries.append((now, accepted))
         self.requests += 1
         self.accepts += accepted
         self.trim(now)
 
     def clear(self) -> None:
-        """Forget all: what was counted is no evidence any more."""
+        """Empty the window, when its entries are no longer evidence."""
         self._entries.clear()
         self.requests = 0
         self.accepts = 0.0
 
     def failure_share(self) -> float:
-        """The share of requests that were not accepted; a lone one is no evidence."""
+        """Return the share of requests that were not accepted; a single failure does not count."""
         return max(0.0, self.requests - self.accepts - 1.0) / max(1, self.requests)
 
     def trim(self, now: float) -> None:
-        """Drop the entries that are too old, or too many and old enough."""
+        """Drop entries that are too old, and those over the maximum number that are old enough."""
         entries = self._entries
         while entries:
             added_at = entries[0][0]
@@ -60,6 +60,6 @@
             self.requests -= 1
 
     def drop_chance(self, now: float) -> float:
-        """The chance, from 0 to 1, with which a request is to be refused now."""
+        """Return the probability, from 0 to 1, with which to refuse a request now."""
         self.trim(now)
         return max(0.0, (self.requests - PROTECTION - K * self.accepts) / (self.requests + 1))
--- a/fordtrestle/balancer/wirehost.py
+++ b/fordtrestle/balancer/wirehost.py
@@ -1,4 +1,4 @@
-"""The wire adapter: translates lines to events and actions to lines."""
+"""The wire adapter: translates lines of the simulator's wire to events, and actions to lines."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 
 class BalancerError(Exception):
-    """What ends the adapter."""
+    """The base of the errors that end the adapter."""
 
 
 class WireError(BalancerError):
-    """A line that is not wire."""
+    """A line is not valid on the wire."""
 
 
 class ModuleError(BalancerError):
-    """The decision module raised."""
+    """The decision module raised an exception."""
 
 
 _FORMATS: dict[type, Callable[[Any], str]] = {
@@ -46,17 +46,17 @@
 
 
 def _members(line: str, text: str = "") -> dict[str, str]:
-    """The name=value pairs of a line; the member `text` runs to its end."""
+    """Parse the name=value pairs of a line; the value of `text`, if given, extends to the end of the line."""
     tail = None
     if text:
         line, found, tail = line.partition(f" {text}=")
         if not found:
-            raise WireError(f"{text} is missing")
+            raise WireError(f"expected {text}=value, which is missing")
     members = {}
     for part in line.split(" ")[1:]:
         name, found, value = part.partition("=")
         if not found:
-            raise WireError(f"{part!r} is not name=value")
+            raise WireError(f"expected name=value, not {part!r}")
         members[name] = value
     if tail is not None:
         members[text] = tail
@@ -68,7 +68,7 @@
     for pair in text.split(","):
         name, found, value = pair.partition(":")
         if not found:
-            raise WireError(f"Report: {pair!r} is not name:value")
+            raise WireError(f"Report: expected name:value, not {pair!r}")
         report[name] = float(value)
     return report
 
@@ -78,7 +78,7 @@
 
 
 class Host:
-    """The instances of one process, and the batch being read."""
+    """Serves the balancer instances of one process, batch by batch."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self._source = source
@@ -106,13 +106,17 @@
         }
 
     def run(self) -> int:
-        """Answer batches until the input ends; the exit code."""
+        """Answer batches until the input ends.
+
+        Returns:
+            The exit code of the process.
+        """
         try:
             while self._batch():
                 pass
         except (WireError, ValueError, KeyError) as error:
-            what = f"{error.args[0]} is missing" if isinstance(error, KeyError) else error
-            print(f"line {self._line_number}: {what}", file=sys.stderr)
+            message = f"{error.args[0]} is missing" if isinstance(error, KeyError) else error
+            print(f"line {self._line_number}: {message}", file=sys.stderr)
             return 1
         except ModuleError as error:
             self._fatal(error)
@@ -131,7 +135,7 @@
         if line is None:
             return False
         if line.partition(" ")[0] != "sync":
-            raise WireError(f"expected sync, found {line[:60]!r}")
+            raise WireError(f"expected sync, not {line[:60]!r}")
         members = _members(line)
         self._now, sequence = float(members["Now"]), int(members["seq"])
         self._instance = self._speaker = None
@@ -140,7 +144,7 @@
         while True:
             line = self._read()
             if line is None:
-                raise WireError("the batch ends without over_to_you")
+                raise WireError("the input ends without over_to_you, which was expected to end the batch")
             kind = line.partition(" ")[0]
             if kind == "over_to_you":
                 break
@@ -162,14 +166,18 @@
 
     def _balancer(self) -> Balancer:
         if self._instance is None:
-            raise WireError("an event before any context")
+            raise WireError("event before any context: expected a context line first")
         balancer = self._balancers.get(self._instance)
         if balancer is None:
-            raise WireError(f"{self._instance} is not born")
+            raise WireError(f"{self._instance} is not born: expected a born line first")
         return balancer
 
     def _call(self, method: Callable[..., Iterable[model.Action]], *args: Any) -> None:
-        """Call the module; what it raises is its own fault, not the wire's."""
+        """Call the decision module and append its actions to the reply.
+
+        Raises:
+            ModuleError: The module raised an exception, which is its own fault and not that of the wire.
+        """
         try:
             actions = method(self._now, *args)
         except Exception as error:
@@ -187,7 +195,7 @@
 
     def _born(self, line: str) -> None:
         if self._instance is None:
-            raise WireError("an event before any context")
+            raise WireError("event before any context: expected a context line first")
         members = _members(line, "Setup")
         settings = model.Settings.parse(json.loads(members["Setup"]))
         seed = int(members["RngSeed"])
@@ -203,7 +211,7 @@
         for _ in range(int(members["Elements"])):
             item = self._read()
             if item is None or item.partition(" ")[0] != "item":
-                raise WireError("a list is short of entries")
+                raise WireError(f"expected {members['Elements']} item lines, but the list has fewer")
             entries.append(self._item(_members(item)))
         self._lists[int(members["List"])] = entries
 
@@ -211,7 +219,7 @@
         get = members.get
         state = get("StageState", "active")
         if state not in STATES:
-            raise WireError(f"StageState: {state!r} is not known")
+            raise WireError(f"StageState: expected one of {', '.join(STATES)}, not {state!r}")
         return model.Listing(
             server=members["Server"],
             zone=int(get("RegionPart", 0)),
@@ -226,12 +234,12 @@
         members = _members(line)
         form = members["Form"]
         if form not in FORMS:
-            raise WireError(f"Form: {form!r} is not known")
+            raise WireError(f"Form: expected one of {', '.join(FORMS)}, not {form!r}")
         entries: list[model.Listing] = []
         if form != "refused":
             number = int(members["List"])
             if number not in self._lists:
-                raise WireError(f"list {number} was not given")
+                raise WireError(f"expected snapshot_rows of list {number} before its use")
             entries = self._lists[number]
         self._call(self._balancer().server_list, form, entries)
 
@@ -302,16 +310,16 @@
 def _status(members: dict[str, str]) -> int:
     status = int(members["Status"])
     if not 0 <= status <= model.Outcome.ABANDONED:
-        raise WireError(f"Status: {status} is not known")
+        raise WireError(f"Status: expected 0 to {int(model.Outcome.ABANDONED)}, not {status}")
     return status
 
 
 def main() -> int:
-    """Serve the wire on standard input and output."""
+    """Serve the wire on standard input and output, and return the exit code."""
     try:
         return Host(sys.stdin, sys.stdout).run()
     except BrokenPipeError:
-        # The reader has gone: leave nothing for the interpreter to flush.
+        # The reader has closed its end: redirect the output, so that the flush at exit does not fail.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return 0
 
--- a/tests/balancer/test_causes.py
+++ b/tests/balancer/test_causes.py
@@ -96,7 +96,7 @@
     made.server_list(0.0, "all", [Listing(f"s{n}", zone=n // 2) for n in range(4)])
     for server in made._subset.servers:
         made._zones._zone(server).record_response(0.0)
-    made._zones._zones[1].unresponsive.update({"s2": 10.0, "s3": 10.0})
+    made._zones._zones[1].failed_connects.update({"s2": 10.0, "s3": 10.0})
     made._zones._zones[0].record_response(100.0)
     made.server_list(200.0, "changes", [Listing("s0", state="leaving"), Listing("s1", state="leaving")])
     assert causes(made, 3, 200.0) == {Cause.CUT_OFF: 3}
@@ -173,9 +173,9 @@
 def test_of_servers_kept_away_the_one_nearest_to_being_sent_to_is_blamed():
     made = balancer(servers=0, **WARMING)
     made.server_list(0.0, "all", listing(3, started=1.0))
-    made._servers["s0"].rest_until = made._servers["s1"].rest_until = 500.0
+    made._servers["s0"].unavailable_until = made._servers["s1"].unavailable_until = 500.0
     assert set(causes(made)) == {Cause.COLD}
-    made._servers["s2"].rest_until = 500.0
+    made._servers["s2"].unavailable_until = 500.0
     assert set(causes(made)) == {Cause.RESTING}
 
 
--- a/tests/balancer/test_departures.py
+++ b/tests/balancer/test_departures.py
@@ -45,7 +45,7 @@
 def test_when_all_look_bad_none_is_ejected_beyond_the_share():
     made = balancer("unsafe", servers=8)
     serve(made, 40, lambda s: (Outcome.ERROR, 1.0))
-    resting = [s for s in made._servers.values() if s.rest_until > 2000.0]
+    resting = [s for s in made._servers.values() if s.unavailable_until > 2000.0]
     assert len(resting) <= 4
 
 
@@ -54,7 +54,7 @@
     serve(made, 1, lambda s: (Outcome.ERROR, 1.0), now=0.0)
     made.server_list(0.0, "changes", [])
     server = made._servers["s0"]
-    after = server.rest_until + 1.0
+    after = server.unavailable_until + 1.0
     assert of_type(made.request(after, arrival(50, after)), Send)
     assert not of_type(made.request(after, arrival(51, after)), Send)
 
@@ -230,8 +230,8 @@
         made.outcome(10.0 * number + 5.0, number, 0, Outcome.OK, 5.0, True, report)
     fresh = {of_type(made.request(70.0, arrival(100 + i, 70.0)), Send)[0].server for i in range(2)}
     assert fresh == {"s1"}
-    aged = made._load.of(10_000.0, made._servers["s0"])
-    assert aged < made._load.of(70.0, made._servers["s0"])
+    aged = made._server_load.estimate(10_000.0, made._servers["s0"])
+    assert aged < made._server_load.estimate(70.0, made._servers["s0"])
 
 
 def test_a_report_that_is_not_a_number_is_not_believed():
@@ -356,7 +356,7 @@
     now = 401.0 * step
     (send,) = of_type(made.request(now, arrival(1000, now)), Send)
     made.outcome(now + 1.0, 1000, 0, Outcome.ERROR, 1.0)
-    assert (made._servers[send.server].rest_until > now) is ejected
+    assert (made._servers[send.server].unavailable_until > now) is ejected
 
 
 def test_a_busy_sidecar_still_ejects_a_server_that_fails_all():
@@ -385,7 +385,7 @@
         lambda s: (Outcome.ERROR if s in faulty and next(lucky) % 2 else Outcome.OK, 20.0),
         step=4.0,
     )
-    assert sum(server.rest_until > 2400.0 for server in made._servers.values()) <= 2
+    assert sum(server.unavailable_until > 2400.0 for server in made._servers.values()) <= 2
 
 
 def test_a_server_that_holds_a_crowd_passes_its_keys_down_the_order():
@@ -393,7 +393,7 @@
     made = warm(servers=6)
     for name in ("s0", "s1"):
         made._servers[name].in_flight = 20
-    made._own.in_flight = 40
+    made._own_load.in_flight = 40
     for key in range(40):
         (send,) = of_type(made.request(0.0, Arrival(key, 0, 1000.0, key=key)), Send)
         assert send.server not in ("s0", "s1")
@@ -420,7 +420,7 @@
             first = line.pop(0)
             made.outcome(now, first, len(made._requests[first].attempts) - 1, Outcome.OK, 6.0, True)
     assert turned < 10
-    assert made._servers["s0"].rest_until == 0.0
+    assert made._servers["s0"].unavailable_until == 0.0
 
 
 def fleet_of_sidecars(count, servers, keys, rates, **changes):
@@ -467,7 +467,7 @@
     arc = made._subset.servers[:16]
     assert usual <= {server.name for server in arc}
     for server in arc:
-        server.rest_until = 1e9
+        server.unavailable_until = 1e9
     others = set(sends_for(made, key=1, count=20, first=20, now=12_000.0))
     assert not others & {server.name for server in arc}
     assert len(others) <= 5, "a key stays warm where it moves to"
--- a/tests/balancer/test_endurance.py
+++ b/tests/balancer/test_endurance.py
@@ -31,7 +31,7 @@
         one.server_list(0.0, "remembered", listing(servers))
         if break_it:
             one._slow_start.warmth = lambda now, server: 4.0
-            one._load.of = lambda now, server: 0.0 if server.name == "s0" else 1.0
+            one._server_load.estimate = lambda now, server: 0.0 if server.name == "s0" else 1.0
         made.append(one)
     now, number, hits = 0.0, 0, []
     pending = []
@@ -88,7 +88,7 @@
             made.outcome(now + 7.0, wave, hop, Outcome.CANCELLED, 2.0, True)
         made.server_list(now + 10.0, "changes", [Listing(f"n{wave}", state="left")])
     assert len(made._servers) < 40
-    assert len(made._ejection._resting) < 40
+    assert len(made._ejection._ejected_servers) < 40
     assert not made._requests
 
 
@@ -110,7 +110,7 @@
         made.server_list(now + 100.0, "changes", [Listing(f"n{wave}", zone=1, state="left")])
     assert tried >= 20
     assert len(made._servers) < 10
-    assert sum(len(zone.unresponsive) for zone in made._zones._zones.values()) < 10
+    assert sum(len(zone.failed_connects) for zone in made._zones._zones.values()) < 10
 
 
 def test_a_gone_server_with_work_out_is_still_accounted_for():
--- a/tests/balancer/test_failures.py
+++ b/tests/balancer/test_failures.py
@@ -47,7 +47,7 @@
     assert timer.delay == 100.0
     (send,) = [a for a in made.timer(110.0, timer.token) if isinstance(a, Send)]
     made.outcome(120.0, send.request, 0, Outcome.OK, 10.0, last=True)
-    assert not made._order.queues
+    assert not made._key_order.queues
     assert not made._requests
 
 
@@ -67,7 +67,7 @@
     refused = [n for n in range(40) if of_type(made.request(200.0, keyed(n, 200.0, key=99)), Refuse)]
     assert refused
     assert refused[0] < 10
-    assert len(made._order.queues[99].waiting) < 10
+    assert len(made._key_order.queues[99].waiting) < 10
 
 
 def test_idle_connections_are_closed_on_a_drain_and_after_a_late_outcome():
@@ -355,14 +355,14 @@
     play_cut(made, set(), 60)
     idle = {name for name, server in made._servers.items() if server.zone == 1 and server.idle_connections}
     closed = set()
-    take = made._take
+    take = made._take_actions
 
     def noted():
         actions = take()
         closed.update(action.server for action in of_type(actions, CloseIdle))
         return actions
 
-    made._take = noted
+    made._take_actions = noted
     play_cut(made, {1}, 60, now=7200.0)
     assert idle
     assert idle <= closed
--- a/tests/balancer/test_rules_property.py
+++ b/tests/balancer/test_rules_property.py
@@ -383,7 +383,7 @@
     world.advance(world.now + 3000.0)
     assert all(request["ended"] for request in world.requests.values())
     assert not world.balancer._requests or any(r["begun_out"] for r in open_streams(world))
-    assert not world.balancer._order.queues or world.balancer._requests
+    assert not world.balancer._key_order.queues or world.balancer._requests
 
 
 def open_streams(world):
--- a/tests/balancer/test_settle.py
+++ b/tests/balancer/test_settle.py
@@ -144,7 +144,7 @@
     )  # a retry would run beside the other
     assert sent_by(made.outcome(40.0, 3 - first, 0, Outcome.OK, 40.0, True)) == [3]
     made.outcome(50.0, 3, 0, Outcome.OK, 10.0, True)
-    assert not made._order.queues
+    assert not made._key_order.queues
     assert not made._requests
 
 
@@ -187,7 +187,7 @@
         made._shedder._arrivals_by_tenant[0],
         made._shedder._mix,
     )
-    prices, made._locality._spill = {"CrossZone": 0.5}, [0.4]
+    prices, made._locality._remote_shares = {"CrossZone": 0.5}, [0.4]
     made.settle(30.0, told("safe", ("safe", {"Worth": 3.0}), Tenants=more, Prices=prices))
     assert made._shedder._tenant_shares == [0.25, 0.75]
     assert made._locality.is_on
@@ -197,7 +197,7 @@
     assert of_type(made.request(30.0, Arrival(50, 1, 1030.0, 1)), Send)
     made.outcome(40.0, 50, 0, Outcome.OK, 10.0, True)
     assert made._times.baselines[1].ms_per_work(0.0, 0.0) == 10.0
-    assert made._locality._spill[0] == 0.4
+    assert made._locality._remote_shares[0] == 0.4
     assert len(made._locality._margins) == 2
 
 
@@ -211,7 +211,11 @@
     assert made._subset.local == []
 
 
-BY_CLASS_OR_TENANT = {"_spill", "baselines", "_arrivals_by_tenant"}  # compared as far as the first two
+BY_CLASS_OR_TENANT = {
+    "_remote_shares",
+    "baselines",
+    "_arrivals_by_tenant",
+}  # only the first two are compared
 
 
 def state(made):
@@ -327,7 +331,7 @@
 
 def test_a_class_that_is_missing_is_refused_whole():
     made = changed(["unsafe", "safe"])
-    with pytest.raises(ValueError, match="1 classes: 2 have their places"):
+    with pytest.raises(ValueError, match="expected at least 2 classes, not 1"):
         made.settle(10.0, told("safe"))
     assert made._settings == told("unsafe", "safe")
     assert ended(made) is Fail
--- a/tests/proxy/daemon/test_memory_bounds.py
+++ b/tests/proxy/daemon/test_memory_bounds.py
@@ -53,5 +53,5 @@
         assert not pool._dialer.connecting
         assert not module._requests
         assert len(module._affinity._key_counts) <= len(module._affinity._keys) <= affinity.KEY_MEMORY
-        assert module._ejection._resting.keys() <= module._servers.keys()
+        assert module._ejection._ejected_servers.keys() <= module._servers.keys()
         assert alive() <= before
