--- a/fordtrestle/admission/cross_region_share.py
+++ b/fordtrestle/admission/cross_region_share.py
@@ -11,7 +11,7 @@
 GAIN = 0.1  # weight of the latest answer in the mean delay, which covers about ten answers
 STEP = 0.03  # change of the share per answer: about twenty answers for the whole range
 MAX_SHARE = 0.6  # the local region keeps enough requests to detect its recovery
-SLOW_DELAY = 0.25  # of the latency target; with a shorter local delay, no requests cross
+SLOW_DELAY = 0.25  # of the latency target; with a shorter local delay, the share decreases
 MIN_ADVANTAGE = 0.05  # of the latency target, by which the other regions must be faster; prevents flapping
 # The share of the remote delay that is forgotten with each local answer: remote answers are few, and a single
 # slow one would otherwise prevent further requests to other regions.
--- a/fordtrestle/balancer/balancer.py
+++ b/fordtrestle/balancer/balancer.py
@@ -188,7 +188,7 @@
         request = Request(
             arrival.request, traffic_class, key, profile, now, give_up_at, max_attempts, self._max_retry_after
         )
-        # Only finite figures may reach a timeout: the class's deadline replaces others, and a work of 1.
+        # Figures that are not finite must not reach a timeout: they are replaced by the deadline and by 1.
         request.work = arrival.work if arrival.work and 0.0 < arrival.work < math.inf else 1.0
         request.is_ordered = profile.in_turn and key is not None
         self._requests[request.id] = request
@@ -299,7 +299,7 @@
         return self._take_actions()
 
     def client_gone(self, now: float, request_id: int) -> list[model.Action]:
-        """Close a request whose client has disconnected; it needs no answer."""
+        """Close a request whose client has left; it needs no answer."""
         request = self._requests.get(request_id)
         if request is not None and not request.is_done:
             self._close(request)
--- a/fordtrestle/balancer/ejection.py
+++ b/fordtrestle/balancer/ejection.py
@@ -97,7 +97,7 @@
             server.rejections = min(server.rejections + 1, MAX_REJECTION_DOUBLINGS)
 
     def record_refused_connection(self, now: float, server: Server) -> None:
-        """Record that a server refused a connection: it is left out for a short time.
+        """Record that a server refused a connection: it is tried again soon, and left out until then.
 
         A server with open connections or requests in flight is not left out: servers with a full connection
         table refuse new connections while the open ones still work.
--- a/fordtrestle/balancer/model.py
+++ b/fordtrestle/balancer/model.py
@@ -222,10 +222,10 @@
         """
         if not isinstance(raw, Mapping):
             raise ValueError(f"settings: expected an object, not {raw!r}")
-        limits = _part(raw, "PolicyLimits")
-        rules = _part(raw, "Rules")
-        report = _part(raw, "Report")
-        profiles = _rows(raw, "Profiles")
+        limits = _object(raw, "PolicyLimits")
+        rules = _object(raw, "Rules")
+        report = _object(raw, "Report")
+        profiles = _objects(raw, "Profiles")
         if not profiles:
             raise ValueError("Profiles: expected at least one request class")
         zones = max(1, len(_list(raw, "FailureDomains")))
@@ -237,39 +237,39 @@
             locality=int(_number(raw, "Locality", 0.0, high=zones - 1)),
             zones=zones,
             kinds=max(1, len(_list(raw, "Kinds"))),
-            discovery=_word(raw, "Discovery", ("automatic", "subscribe"), "automatic"),
-            warm_keys=_flag(_part(raw, "Domain"), "WarmKeys", "Domain."),
+            discovery=_choice(raw, "Discovery", ("automatic", "subscribe"), "automatic"),
+            warm_keys=_flag(_object(raw, "Domain"), "WarmKeys", "Domain."),
             allowances=tuple(
-                _number(row, "AllowancePerS", math.inf, at=f"Tenants[{i}].")
-                for i, row in enumerate(_rows(raw, "Tenants"))
+                _number(row, "AllowancePerS", math.inf, path=f"Tenants[{i}].")
+                for i, row in enumerate(_objects(raw, "Tenants"))
             ),
             over_share_worth=_number(raw, "OverShareWorth", 1.0),
-            worth_by_work=_word(raw, "WorthBy", ("request", "work"), "request") == "work",
-            worst_class=_goal(raw, "WorstClass"),
-            max_attempts=int(_number(limits, "MaxAttempts", 1.0, 1.0, at="PolicyLimits.")),
-            max_retry_after=_number(limits, "MaxRetryAfter", 0.0, at="PolicyLimits."),
+            worth_by_work=_choice(raw, "WorthBy", ("request", "work"), "request") == "work",
+            worst_class=_goal_weight(raw, "WorstClass"),
+            max_attempts=int(_number(limits, "MaxAttempts", 1.0, 1.0, path="PolicyLimits.")),
+            max_retry_after=_number(limits, "MaxRetryAfter", 0.0, path="PolicyLimits."),
             may_cancel=_flag(limits, "MayCancel", "PolicyLimits."),
             may_probe=_flag(limits, "MayProbe", "PolicyLimits."),
             parallel_tries=_flag(limits, "ParallelTries", "PolicyLimits."),
             peer_messages=_flag(limits, "PeerMessages", "PolicyLimits."),
             retry_after=_flag(limits, "RetryAfter", "PolicyLimits."),
-            connect_timeout=_number(limits, "ConnectTimeout", 250.0, at="PolicyLimits."),
-            idle_close=_number(limits, "IdleClose", 15000.0, at="PolicyLimits."),
+            connect_timeout=_number(limits, "ConnectTimeout", 250.0, path="PolicyLimits."),
+            idle_close=_number(limits, "IdleClose", 15000.0, path="PolicyLimits."),
             prices={
                 name: float(value)
-                for name, value in _part(raw, "Prices").items()
+                for name, value in _object(raw, "Prices").items()
                 if isinstance(value, int | float)
             },
-            report_how=_word(report, "How", ("inline", "on_probe", "off"), "off", "Report."),
+            report_how=_choice(report, "How", ("inline", "on_probe", "off"), "off", "Report."),
             report_fields=fields,
-            ask_within=_number(rules, "AskWithin", 10000.0, 1.0, at="Rules."),
+            ask_within=_number(rules, "AskWithin", 10000.0, 1.0, path="Rules."),
             cold_from=_number(rules, "ColdFrom", 1.0, 0.0, 1.0, "Rules."),
-            warm_up=_number(rules, "WarmUp", 0.0, at="Rules."),
-            fall_multiple=_number(rules, "FallMultiple", 1.0, at="Rules."),
-            overload_for=_number(rules, "OverloadFor", 0.0, at="Rules."),
-            release_within=_number(rules, "ReleaseWithin", 0.0, at="Rules."),
-            settle_after_doubt=_number(rules, "SettleAfterDoubt", 0.0, at="Rules."),
-            tail=_goal(raw, "KeptPromises"),
+            warm_up=_number(rules, "WarmUp", 0.0, path="Rules."),
+            fall_multiple=_number(rules, "FallMultiple", 1.0, path="Rules."),
+            overload_for=_number(rules, "OverloadFor", 0.0, path="Rules."),
+            release_within=_number(rules, "ReleaseWithin", 0.0, path="Rules."),
+            settle_after_doubt=_number(rules, "SettleAfterDoubt", 0.0, path="Rules."),
+            tail=_goal_weight(raw, "KeptPromises"),
             weighted=raw.get("WeightKind", "off") != "off",
         )
 
@@ -277,29 +277,29 @@
 GOAL_PARTS = ("Whole", "WorstWindow", "WorstClass", "WorstTenant", "KeptPromises")
 
 
-def _goal(raw: Mapping[str, Any], part: str) -> float:
+def _goal_weight(raw: Mapping[str, Any], part: str) -> float:
     """Return the weight of one part of the goal, from 0 to 1; fields that are not parts are no weights."""
-    goal = _part(raw, "Goal")
-    whole = sum(_number(goal, name, 0.0, at="Goal.") for name in GOAL_PARTS)
-    return _number(goal, part, 0.0, at="Goal.") / whole if whole else 0.0
+    goal = _object(raw, "Goal")
+    total = sum(_number(goal, name, 0.0, path="Goal.") for name in GOAL_PARTS)
+    return _number(goal, part, 0.0, path="Goal.") / total if total else 0.0
 
 
-def _profile(row: Mapping[str, Any], at: str) -> Profile:
-    deadline = _number(row, "Deadline", None, 1e-3, at=at)
+def _profile(row: Mapping[str, Any], path: str) -> Profile:
+    deadline = _number(row, "Deadline", None, 1e-3, path=path)
     return Profile(
-        objective=_number(row, "Objective", deadline, 1e-3, at=at),
+        objective=_number(row, "Objective", deadline, 1e-3, path=path),
         deadline=deadline,
-        semantics=_word(row, "Semantics", ("pure", "token", "side_effect"), None, at),
-        group=_word(row, "Group", ("all", "zone", "cell"), "cell", at),
-        key_ttl=_number(row, "KeyTtl", 0.0, at=at),
-        late_worth=_number(row, "LateWorth", 0.0, at=at),
-        streaming=_flag(row, "Streaming", at),
-        worth=_number(row, "Worth", 1.0, at=at),
-        in_turn=_flag(row, "InTurn", at),
+        semantics=_choice(row, "Semantics", ("pure", "token", "side_effect"), None, path),
+        group=_choice(row, "Group", ("all", "zone", "cell"), "cell", path),
+        key_ttl=_number(row, "KeyTtl", 0.0, path=path),
+        late_worth=_number(row, "LateWorth", 0.0, path=path),
+        streaming=_flag(row, "Streaming", path),
+        worth=_number(row, "Worth", 1.0, path=path),
+        in_turn=_flag(row, "InTurn", path),
     )
 
 
-def _part(raw: Mapping[str, Any], name: str) -> Mapping[str, Any]:
+def _object(raw: Mapping[str, Any], name: str) -> Mapping[str, Any]:
     part = raw.get(name)
     if part is None:
         return {}
@@ -308,16 +308,16 @@
     return part
 
 
-def _list(raw: Mapping[str, Any], name: str, at: str = "") -> list[Any]:
+def _list(raw: Mapping[str, Any], name: str, path: str = "") -> list[Any]:
     rows = raw.get(name)
     if rows is None:
         return []
     if not isinstance(rows, list):
-        raise ValueError(f"{at}{name}: expected a list, not {rows!r}")
+        raise ValueError(f"{path}{name}: expected a list, not {rows!r}")
     return rows
 
 
-def _rows(raw: Mapping[str, Any], name: str) -> list[Mapping[str, Any]]:
+def _objects(raw: Mapping[str, Any], name: str) -> list[Mapping[str, Any]]:
     rows = _list(raw, name)
     for i, row in enumerate(rows):
         if not isinstance(row, Mapping):
@@ -331,35 +331,35 @@
     default: float | None,
     low: float = 0.0,
     high: float = math.inf,
-    at: str = "",
+    path: str = "",
 ) -> float:
     value = raw.get(name, default)
     if value is None:
         value = default
     if value is None:
-        raise ValueError(f"{at}{name}: expected a number, but the field is missing")
+        raise ValueError(f"{path}{name}: expected a number, but the field is missing")
     if isinstance(value, bool) or not isinstance(value, int | float):
-        raise ValueError(f"{at}{name}: expected a number, not {value!r}")
+        raise ValueError(f"{path}{name}: expected a number, not {value!r}")
     # Only a default may be infinite: an infinite value in the settings would overflow, or loop forever.
     is_given_infinite = math.isinf(value) and value is not default
     if is_given_infinite or not low <= value <= high:
-        raise ValueError(f"{at}{name}: expected a finite number in [{low}, {high}], not {value}")
+        raise ValueError(f"{path}{name}: expected a finite number in [{low}, {high}], not {value}")
     return float(value)
 
 
-def _flag(raw: Mapping[str, Any], name: str, at: str) -> bool:
+def _flag(raw: Mapping[str, Any], name: str, path: str) -> bool:
     value = raw.get(name, False)
     if not isinstance(value, bool | None):
-        raise ValueError(f"{at}{name}: expected true or false, not {value!r}")
+        raise ValueError(f"{path}{name}: expected true or false, not {value!r}")
     return bool(value)
 
 
-def _word(
-    raw: Mapping[str, Any], name: str, words: tuple[str, ...], default: str | None, at: str = ""
+def _choice(
+    raw: Mapping[str, Any], name: str, choices: tuple[str, ...], default: str | None, path: str = ""
 ) -> str:
     value = raw.get(name, default)
     if value is None:
         value = default
-    if value not in words:
-        raise ValueError(f"{at}{name}: expected one of {', '.join(words)}, not {value!r}")
+    if value not in choices:
+        raise ValueError(f"{path}{name}: expected one of {', '.join(choices)}, not {value!r}")
     return str(value)
--- a/fordtrestle/balancer/outage.py
+++ b/fordtrestle/balancer/outage.py
@@ -1,4 +1,4 @@
-"""Outage detection: an outage begins when nothing is accepted, and ends when a trial request is. Pure.
+"""Outage detection: an outage begins when nothing is accepted, and ends when a trial is accepted. Pure.
 
 During an outage the throttle's window contains only failures and gives no information, so a few trial
 requests are sent instead. All sidecars act alike, so that each may send its share of a server's trials.
@@ -33,7 +33,7 @@
         self.is_ongoing, self._trial_at = True, now
         return True
 
-    def allows_trial(self, now: float, in_flight: int, servers_share: float, sample: float) -> bool:
+    def allows_trial(self, now: float, in_flight: int, servers_per_sidecar: float, sample: float) -> bool:
         """Return whether a trial may be sent, and count it if the bound on trials in flight is exceeded.
 
         Trials whose connections are refused end at once, so they do not delay further ones.
@@ -41,14 +41,14 @@
         Args:
             now: The time in ms.
             in_flight: This sidecar's attempts in flight.
-            servers_share: The number of servers divided by the number of sidecars.
+            servers_per_sidecar: The number of servers divided by the number of sidecars.
             sample: A random number in [0, 1), which rounds this sidecar's share of the trials in flight.
         """
-        gained = (now - self._trial_at) * TRIALS_PER_S / 1000.0 * servers_share
-        is_full = in_flight >= MAX_UNANSWERED_TRIALS * servers_share + sample
-        if is_full and gained >= 1.0:
+        earned_trials = (now - self._trial_at) * TRIALS_PER_S / 1000.0 * servers_per_sidecar
+        is_full = in_flight >= MAX_UNANSWERED_TRIALS * servers_per_sidecar + sample
+        if is_full and earned_trials >= 1.0:
             self._trial_at = now
-        return not is_full or gained >= 1.0
+        return not is_full or earned_trials >= 1.0
 
     def record_failure(self, now: float) -> None:
         """Record an attempt that was not accepted."""
--- a/fordtrestle/balancer/own_load.py
+++ b/fordtrestle/balancer/own_load.py
@@ -35,8 +35,8 @@
     def rate_per_ms(self, now: float) -> float:
         """Return the recent rate of sends per millisecond."""
         span = RATE_MEMORY_MS * (1.0 - math.exp((self._counting_since - now) / RATE_MEMORY_MS))
-        known_ms = max(MIN_RATE_SPAN_MS, span)
-        return self._sends * math.exp((self.last_send_at - now) / RATE_MEMORY_MS) / known_ms
+        bounded_span_ms = max(MIN_RATE_SPAN_MS, span)
+        return self._sends * math.exp((self.last_send_at - now) / RATE_MEMORY_MS) / bounded_span_ms
 
     def skip(self, span_ms: float) -> None:
         """Exclude a time span in which nothing could be sent from the rate."""
--- a/fordtrestle/balancer/shedding.py
+++ b/fordtrestle/balancer/shedding.py
@@ -129,7 +129,7 @@
         self.record_outcome(now, 1.0 + (UNANSWERED_SLOWDOWN - 1.0) * overload)
 
     def slowdown(self, now: float) -> float:
-        """Return the ratio of the time that answers take to their baseline, at least 1."""
+        """Return the ratio of the time that answers take to their baseline; 1 if outcomes are long past."""
         trust = math.exp(min(0.0, (self._slowdown_at + NO_OUTCOME_MS - now) / SLOWDOWN_MEMORY_MS))
         return 1.0 + (self._slowdown - 1.0) * trust
 
@@ -156,11 +156,14 @@
             return 0.0
         mix = self._mix
         work_to_refuse = share * sum(entry.work for entry in mix.values())
-        order = sorted((not over, entry.value / entry.work, kind) for (kind, over), entry in mix.items())
-        within_share = [kind for is_within, _, kind in order if is_within]
-        for _, _, kind in order[: len(order) - len(within_share)]:
-            work = mix[kind, True].work
-            if kind == traffic_class and is_over_share:
+        order = sorted(
+            (not is_over, entry.value / entry.work, class_index)
+            for (class_index, is_over), entry in mix.items()
+        )
+        within_share = [class_index for is_within, _, class_index in order if is_within]
+        for _, _, class_index in order[: len(order) - len(within_share)]:
+            work = mix[class_index, True].work
+            if class_index == traffic_class and is_over_share:
                 return work_to_refuse / work
             work_to_refuse -= work
             if work_to_refuse <= 0.0:
@@ -185,15 +188,15 @@
         value_of_all = sum(entry.value for entry in self._mix.values()) or 1.0  # all may have no value
         chance, least_cost, taken_work, lost_value = 0.0, math.inf, 0.0, 0.0
         is_among_taken = False
-        for kind in classes:
-            entry = self._mix[kind, False]
+        for class_index in classes:
+            entry = self._mix[class_index, False]
             taken_work += entry.work
             lost_value += entry.value
-            is_among_taken = is_among_taken or kind == traffic_class
-            part = work_to_refuse / taken_work
-            cost = part * ((1.0 - self._worst_class) * lost_value / value_of_all + self._worst_class)
-            if cost < least_cost and (part <= 1.0 or kind == classes[-1]):
-                least_cost, chance = cost, part if is_among_taken else 0.0
+            is_among_taken = is_among_taken or class_index == traffic_class
+            share = work_to_refuse / taken_work
+            cost = share * ((1.0 - self._worst_class) * lost_value / value_of_all + self._worst_class)
+            if cost < least_cost and (share <= 1.0 or class_index == classes[-1]):
+                least_cost, chance = cost, share if is_among_taken else 0.0
         return chance
 
     def cause(self, throttle_share: float) -> Cause:
--- a/fordtrestle/balancer/subset.py
+++ b/fordtrestle/balancer/subset.py
@@ -49,11 +49,11 @@
         self._ring_position = settings.me * GOLDEN_RATIO % 1.0
         self._zone = settings.locality
         self._size = PRICED_SUBSET_SERVERS if settings.prices.get("Connection") else SUBSET_SERVERS
-        self._lay_out(known)
+        self._rebuild(known)
 
     def update(self, now: float, known: Iterable[Server]) -> None:
         """Replace the known servers; those that are not usable are left out."""
-        self._lay_out(known)
+        self._rebuild(known)
         faded = self.recent_server_count * math.exp((self._recent_count_at - now) / RECENT_SERVERS_MS)
         self.recent_server_count, self._recent_count_at = max(1.0, len(self.servers), faded), now
 
@@ -70,7 +70,7 @@
             reach += SERVERS_PER_IN_FLIGHT * in_flight
         return min(reach, len(servers))
 
-    def _lay_out(self, known: Iterable[Server]) -> None:
+    def _rebuild(self, known: Iterable[Server]) -> None:
         ring = sorted(known, key=lambda server: server.name)
         start = int(self._ring_position * len(ring))
         self.servers = [server for server in ring[start:] + ring[:start] if server.is_usable]
--- a/fordtrestle/balancer/zones.py
+++ b/fordtrestle/balancer/zones.py
@@ -30,7 +30,7 @@
     last_response_at: float = -math.inf  # when one of its servers last answered, or accepted a connection
     attempts: dict[Attempt, None] = field(default_factory=dict)  # those in flight, oldest first
     unanswered_servers: set[str] = field(default_factory=set)  # with a timeout since the last response
-    # By server, the send time of the first attempt since then whose new connection was never established.
+    # By server, the send time of the first attempt since the last response whose connection never came up.
     failed_connects: dict[str, float] = field(default_factory=dict)
     last_trial_at: float = -math.inf
 
@@ -48,19 +48,19 @@
             now: The time in ms.
             failed_by: The latest time, in ms, at which such a connection was started.
         """
-        since = [attempt for attempt in self.attempts if attempt.sent_at >= self.last_response_at]
-        if any(attempt.is_new_connection and attempt.sent_at < failed_by for attempt in since):
+        recent = [attempt for attempt in self.attempts if attempt.sent_at >= self.last_response_at]
+        if any(attempt.is_new_connection and attempt.sent_at < failed_by for attempt in recent):
             self.record_response(now)
             return False
-        unanswered = {attempt.server.name for attempt in since if now >= attempt.stalls_at}
+        unanswered = {attempt.server.name for attempt in recent if now >= attempt.stalls_at}
         return len(unanswered | self.unanswered_servers | self.failed_connects.keys()) >= UNRESPONSIVE_SERVERS
 
     def needs_trial(self) -> bool:
         """Return whether too few new connections are in progress to decide about a partition."""
-        trying = {
+        connecting = {
             a.server.name for a in self.attempts if a.is_new_connection and a.sent_at >= self.last_response_at
         }
-        return len(trying | self.failed_connects.keys()) < UNRESPONSIVE_SERVERS
+        return len(connecting | self.failed_connects.keys()) < UNRESPONSIVE_SERVERS
 
 
 class ZoneFailover:
@@ -99,7 +99,7 @@
         for zone in self._zones.values():
             zone.unanswered_servers = {name for name in zone.unanswered_servers if name in known}
             zone.failed_connects = {
-                name: since for name, since in zone.failed_connects.items() if name in known
+                name: sent_at for name, sent_at in zone.failed_connects.items() if name in known
             }
 
     def on_send(self, attempt: Attempt) -> None:
@@ -157,12 +157,12 @@
         self._checked_at = now
         zones = self._zones
         # If no zone has responded since, this sidecar itself may be cut off, which is no evidence of a zone.
-        last_response_at = max((zone.last_response_at for zone in zones.values()), default=-math.inf)
-        silent = {name: zone.failed_connects.values() for name, zone in zones.items()}
+        latest_response_at = max((zone.last_response_at for zone in zones.values()), default=-math.inf)
+        connect_times = {name: zone.failed_connects.values() for name, zone in zones.items()}
         partitioned = {
             name
-            for name, since in silent.items()
-            if len(since) >= UNRESPONSIVE_SERVERS and min(since) < last_response_at
+            for name, times in connect_times.items()
+            if len(times) >= UNRESPONSIVE_SERVERS and min(times) < latest_response_at
         }
         failed_by = now - FAILED_CONNECT_TIMEOUTS * self._connect_timeout
         self._suspected = {name for name, zone in zones.items() if zone.is_suspected(now, failed_by)}
--- a/tests/balancer/recording.py
+++ b/tests/balancer/recording.py
@@ -108,18 +108,18 @@
 class FleetRecorder(Recorder):
     """A recorder that adds what the simulated servers and clients lack: reports, work, tenants."""
 
-    def __init__(self, *made: Any, told: Mapping[str, Any]) -> None:
-        super().__init__(*made)
-        self._told, self._rng = told, random.Random(f"told/{made[1]}")
+    def __init__(self, *arguments: Any, extras: Mapping[str, Any]) -> None:
+        super().__init__(*arguments)
+        self._extras, self._rng = extras, random.Random(f"told/{arguments[1]}")
 
     def request(self, now, arrival):
-        if self._told.get("work"):
+        if self._extras.get("work"):
             arrival = arrival._replace(work=round(self._rng.uniform(10.0, 90.0), 3))
-        tenants = self._told.get("tenants", 1)
+        tenants = self._extras.get("tenants", 1)
         return super().request(now, arrival._replace(tenant=self._rng.randrange(tenants)))
 
     def outcome(self, now, request_id, hop, status, spent=0.0, last=False, report=None):
-        if self._told.get("reports") and self._rng.random() < REPORTED_SHARE:
+        if self._extras.get("reports") and self._rng.random() < REPORTED_SHARE:
             report = {"queue": float(self._rng.randrange(6)), "util": round(self._rng.random(), 3)}
         return super().outcome(now, request_id, hop, status, spent, last, report)
 
@@ -131,12 +131,12 @@
             "Semantics": "token" if name == "port-check" else "side_effect",
             "Group": "zone",
             "KeyTtl": 1200.0,
-            "Objective": aim,
+            "Objective": latency_target_ms,
             "Deadline": deadline,
             "LateWorth": 0.5,
             "Worth": worth,
         }
-        for name, _, _, _, aim, deadline, worth in fleet_size.CLASSES
+        for name, _, _, _, latency_target_ms, deadline, worth in fleet_size.CLASSES
     ]
     raw: dict[str, Any] = {
         "Profiles": profiles,
@@ -274,18 +274,18 @@
 
 def record_fleet_day(name: str, seed: int) -> list[Any]:
     """Record the events of the first sidecars on a day of a fleet."""
-    happens, changes, told = SITES[name]
+    run_day, changes, extras = SITES[name]
     rows: list[Any] = []
-    made = iter(range(10**6))
+    numbers = iter(range(10**6))
 
     def balancer(now: float, settings: Settings, own_seed: int) -> Any:
         raw = _site(settings.me, changes)
         if settings.me >= RECORDED_SIDECARS:
             return Balancer(now, Settings.parse(raw), own_seed)
-        return FleetRecorder(rows, next(made), now, raw, own_seed, told=told)
+        return FleetRecorder(rows, next(numbers), now, raw, own_seed, extras=extras)
 
     day = Day(SIZE, seed, balancer)
-    happens(day)
+    run_day(day)
     day.play()
     return rows
 
@@ -389,13 +389,13 @@
     ]
     steps += ["unknown_ids", "discovery_refused", "restart"]
     rows: list[Any] = []
-    made = iter(range(10**6))
+    numbers = iter(range(10**6))
     for number in range(sites):
         rng = random.Random(f"rules/{number}")
         raw = _rules_site(rng)
 
         def recorder(now: float, _: Settings, seed: int, raw: dict[str, Any] = raw) -> Recorder:
-            return Recorder(rows, next(made), now, raw, seed)
+            return Recorder(rows, next(numbers), now, raw, seed)
 
         with patch.object(test_rules_property, "Balancer", recorder):
             test_rules_property.play(test_rules_property.World(raw, number), rng.choices(steps, k=60))
--- a/tests/balancer/test_cold_sum.py
+++ b/tests/balancer/test_cold_sum.py
@@ -51,19 +51,19 @@
     rules = {"ColdFrom": 0.3, "WarmUp": 8000.0, "FallMultiple": 3.0, "OverloadFor": 2000.0}
     sent = 0
     for seed in range(20):
-        made = Balancer(0.0, Settings.parse(raw_settings("safe", Rules=rules)), seed)
-        made.server_list(0.0, "all", listing(6))
+        instance = Balancer(0.0, Settings.parse(raw_settings("safe", Rules=rules)), seed)
+        instance.server_list(0.0, "all", listing(6))
         number = 0
         for step in range(60):  # nothing is accepted
             number += 1
             now = 20.0 * step
-            for send in of_type(made.request(now, Arrival(number, 0, now + 1000.0)), Send):
+            for send in of_type(instance.request(now, Arrival(number, 0, now + 1000.0)), Send):
                 assert send.request == number
                 for hop in range(4):
-                    made.outcome(now + 1.0 + hop, number, hop, 4, 1.0)
-        made.server_list(1300.0, "all", [Listing(f"s{i}", started=1300.0) for i in range(6)])
+                    instance.outcome(now + 1.0 + hop, number, hop, 4, 1.0)
+        instance.server_list(1300.0, "all", [Listing(f"s{i}", started=1300.0) for i in range(6)])
         for step in range(3):
             number += 1
             now = 1310.0 + 30.0 * step
-            sent += len(of_type(made.request(now, Arrival(number, 0, now + 1000.0)), Send))
+            sent += len(of_type(instance.request(now, Arrival(number, 0, now + 1000.0)), Send))
     assert sent >= 30
--- a/tests/balancer/test_crowd.py
+++ b/tests/balancer/test_crowd.py
@@ -12,7 +12,7 @@
 from tests.balancer.helpers import arrival, balancer, of_type, raw_settings
 
 
-def play(made, answer_time_ms, count, now=0.0, step=20.0, lost_share=0.0, rng=None, timeout_ms=1000.0):
+def play(instance, answer_time_ms, count, now=0.0, step=20.0, lost_share=0.0, rng=None, timeout_ms=1000.0):
     """Send `count` requests, one each `step` ms.
 
     They are answered after `answer_time_ms()`, except for a random share `lost_share`, which time out after
@@ -26,38 +26,38 @@
     for _ in range(count):
         now += step
         number = int(now * 100.0)
-        actions = made.request(now, arrival(number, now))
+        actions = instance.request(now, arrival(number, now))
         refused += len(of_type(actions, Refuse))
         for _ in of_type(actions, Send):
             took_ms = timeout_ms if rng.random() < lost_share else answer_time_ms()
             status = Outcome.OK if took_ms < timeout_ms else Outcome.TIMEOUT
             for timer in of_type(actions, Timer) if status == Outcome.TIMEOUT else ():
-                made.timer(now + timer.delay, timer.token)
-            made.outcome(now + took_ms, number, 0, status, took_ms, last=True)
+                instance.timer(now + timer.delay, timer.token)
+            instance.outcome(now + took_ms, number, 0, status, took_ms, last=True)
     return refused, now
 
 
-def overload(made, now=0.0, count=200):
+def overload(instance, now=0.0, count=200):
     """Make a service with a latency target of 200 ms answer in 180 ms after it has answered in 40 ms."""
-    _, now = play(made, lambda: 40.0, 200, now)
-    assert made._shedder.level(now) == 0.0
-    refused, now = play(made, lambda: 180.0, count, now)
+    _, now = play(instance, lambda: 40.0, 200, now)
+    assert instance._shedder.level(now) == 0.0
+    refused, now = play(instance, lambda: 180.0, count, now)
     assert refused > 0.3 * count
     return now
 
 
 def test_an_overload_is_shed_and_after_its_end_nothing_is():
-    made = balancer("safe")
-    now = overload(made)
-    _, now = play(made, lambda: 40.0, 100, now)
-    assert play(made, lambda: 40.0, 400, now)[0] == 0, "all requests are admitted within two seconds"
+    instance = balancer("safe")
+    now = overload(instance)
+    _, now = play(instance, lambda: 40.0, 100, now)
+    assert play(instance, lambda: 40.0, 400, now)[0] == 0, "all requests are admitted within two seconds"
 
 
 def test_requests_that_are_shed_are_no_evidence_that_the_service_rejects():
     # The throttle's window counted requests that were shed, and went on refusing after the overload.
-    made = balancer("safe")
-    now = overload(made, count=400)
-    assert made._throttle.drop_chance(now) == 0.0
+    instance = balancer("safe")
+    now = overload(instance, count=400)
+    assert instance._throttle.drop_chance(now) == 0.0
 
 
 def test_without_any_outcome_the_evidence_of_an_overload_decays():
@@ -70,27 +70,27 @@
 
 def test_a_few_hung_attempts_shed_nothing_if_the_others_are_quick():
     late_pays = {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0, "LateWorth": 0.5}
-    made = balancer(Profiles=[late_pays])
-    refused, now = play(made, lambda: 40.0, 2000, lost_share=0.02)
+    instance = balancer(Profiles=[late_pays])
+    refused, now = play(instance, lambda: 40.0, 2000, lost_share=0.02)
     assert refused < 20
-    assert made._shedder._slowdown_at > 0.0
+    assert instance._shedder._slowdown_at > 0.0
     timers = [
-        timer for number in range(10) for timer in of_type(made.request(now, arrival(number, now)), Timer)
+        timer for number in range(10) for timer in of_type(instance.request(now, arrival(number, now)), Timer)
     ]
     for timer in timers:  # hung attempts do count: ten in a row show an overload
-        made.timer(now + 200.0, timer.token)
-    assert made._shedder.level(now + 200.0) > 0.1
+        instance.timer(now + 200.0, timer.token)
+    assert instance._shedder.level(now + 200.0) > 0.1
 
 
 def test_timeouts_show_an_overload_also_if_late_answers_have_no_value():
     # Such an attempt ends just past its latency target, and was taken to have been counted at that target.
-    made = balancer("safe")
-    _, now = play(made, lambda: 40.0, 200)
+    instance = balancer("safe")
+    _, now = play(instance, lambda: 40.0, 200)
     for number in range(40):
         now += 20.0
-        for _ in of_type(made.request(now, arrival(number, now)), Send):
-            made.outcome(now + 200.2, number, 0, Outcome.TIMEOUT, 200.2, last=True)
-    assert made._shedder.level(now) > 0.3
+        for _ in of_type(instance.request(now, arrival(number, now)), Send):
+            instance.outcome(now + 200.2, number, 0, Outcome.TIMEOUT, 200.2, last=True)
+    assert instance._shedder.level(now) > 0.3
 
 
 def test_a_third_of_lost_attempts_is_no_overload_while_the_others_are_quick():
@@ -98,9 +98,9 @@
     # were refused instead of 7%.
     for late_worth, timeout_ms in ((0.0, 200.2), (0.5, 1000.0)):
         profile = {"Semantics": "pure", "Objective": 200.0, "Deadline": 1000.0, "LateWorth": late_worth}
-        made = balancer(Profiles=[profile])
-        _, now = play(made, lambda: 40.0, 200)
-        refused, now = play(made, lambda: 40.0, 600, now, lost_share=0.33, timeout_ms=timeout_ms)
+        instance = balancer(Profiles=[profile])
+        _, now = play(instance, lambda: 40.0, 200)
+        refused, now = play(instance, lambda: 40.0, 600, now, lost_share=0.33, timeout_ms=timeout_ms)
         assert refused < 30
 
 
@@ -113,39 +113,39 @@
 
 
 def test_a_service_that_is_permanently_twice_as_slow_is_not_overloaded():
-    made = balancer("safe")
-    _, now = play(made, lambda: 40.0, 200)
-    assert play(made, lambda: 80.0, 500, now)[0] == 0
+    instance = balancer("safe")
+    _, now = play(instance, lambda: 40.0, 200)
+    assert play(instance, lambda: 80.0, 500, now)[0] == 0
 
 
 def test_requests_to_a_service_that_is_permanently_far_slower_are_admitted_again_in_the_end():
-    made = balancer("safe")
-    _, now = play(made, lambda: 20.0, 200)
-    _, now = play(made, lambda: 120.0, 20_000, now)
-    assert play(made, lambda: 120.0, 500, now)[0] == 0
+    instance = balancer("safe")
+    _, now = play(instance, lambda: 20.0, 200)
+    _, now = play(instance, lambda: 120.0, 20_000, now)
+    assert play(instance, lambda: 120.0, 500, now)[0] == 0
 
 
 def test_quick_answers_are_no_overload_however_much_they_differ():
     # Loopback servers answer in 1 ms, or in 20 ms next to a busy process; the latency target is 200 ms.
-    made = balancer("safe")
-    _, now = play(made, lambda: 1.0, 200)
-    assert play(made, lambda: 20.0, 500, now)[0] == 0
+    instance = balancer("safe")
+    _, now = play(instance, lambda: 1.0, 200)
+    assert play(instance, lambda: 20.0, 500, now)[0] == 0
 
 
 def test_a_lasting_overload_is_shed_as_long_as_it_lasts():
-    made = balancer("safe")
-    _, now = play(made, lambda: 40.0, 200)
+    instance = balancer("safe")
+    _, now = play(instance, lambda: 40.0, 200)
     for _ in range(10):  # twelve seconds each
-        refused, now = play(made, lambda: 190.0, 600, now)
+        refused, now = play(instance, lambda: 190.0, 600, now)
         assert refused > 60
 
 
 def test_answers_that_take_no_time_are_accepted():
     # When the clock did not advance during a request, the level and the paces divided by zero.
-    made = balancer("safe")
-    refused, now = play(made, lambda: 0.0, 200, step=1.0)
+    instance = balancer("safe")
+    refused, now = play(instance, lambda: 0.0, 200, step=1.0)
     assert refused == 0
-    assert made._shedder.level(now) == 0.0
+    assert instance._shedder.level(now) == 0.0
 
 
 def test_a_few_answers_that_are_quick_by_chance_do_not_become_the_baseline():
@@ -153,9 +153,9 @@
     refused = 0
     for seed in range(20):
         rng = random.Random(seed)
-        made = balancer("safe", seed=seed)
+        instance = balancer("safe", seed=seed)
         refused += play(
-            made, lambda rng=rng: min(190.0, rng.expovariate(1.0 / 45.0)), 500, step=125.0, rng=rng
+            instance, lambda rng=rng: min(190.0, rng.expovariate(1.0 / 45.0)), 500, step=125.0, rng=rng
         )[0]
     assert refused < 20 * 500 * 0.002
 
@@ -165,37 +165,37 @@
     seed=st.integers(0, 10_000),
     typical_ms=st.floats(5.0, 60.0),
     step=st.sampled_from([2.0, 20.0, 200.0, 1000.0]),
-    trouble=st.sampled_from(["none", "crowd", "lost", "full"]),
+    trouble=st.sampled_from(["none", "overload", "lost", "full"]),
 )
 def test_no_request_to_a_healthy_service_is_refused_whatever_happened_a_minute_ago(
     seed, typical_ms, step, trouble
 ):
     rng = random.Random(seed)
-    made = balancer("safe", seed=seed)
-    _, now = play(made, lambda: rng.uniform(0.5, 1.5) * typical_ms, 150, step=step, rng=rng)
-    if trouble == "crowd":
-        _, now = play(made, lambda: 190.0, 150, now, step, rng=rng)
+    instance = balancer("safe", seed=seed)
+    _, now = play(instance, lambda: rng.uniform(0.5, 1.5) * typical_ms, 150, step=step, rng=rng)
+    if trouble == "overload":
+        _, now = play(instance, lambda: 190.0, 150, now, step, rng=rng)
     elif trouble == "lost":
-        _, now = play(made, lambda: typical_ms, 150, now, step, lost_share=0.9, rng=rng)
+        _, now = play(instance, lambda: typical_ms, 150, now, step, lost_share=0.9, rng=rng)
     elif trouble == "full":
         for number in range(150):
             now += step
-            for hop, _ in enumerate(of_type(made.request(now, arrival(number, now)), Send)):
-                made.outcome(now + 2.0, number, hop, Outcome.FULL, 2.0, last=True)
+            for hop, _ in enumerate(of_type(instance.request(now, arrival(number, now)), Send)):
+                instance.outcome(now + 2.0, number, hop, Outcome.FULL, 2.0, last=True)
     now += 60_000.0
-    assert play(made, lambda: rng.uniform(0.5, 1.5) * typical_ms, 300, now, step, rng=rng)[0] == 0
+    assert play(instance, lambda: rng.uniform(0.5, 1.5) * typical_ms, 300, now, step, rng=rng)[0] == 0
 
 
 def test_a_request_is_sent_every_two_seconds_whatever_asks_for_refusals():
     # Sixty local refusals filled the window, and the next request was sent only by chance.
     longest = 0.0
     for seed in range(30):
-        made, last, now = balancer("safe", seed=seed), 0.0, 0.0
+        instance, last, now = balancer("safe", seed=seed), 0.0, 0.0
         for number in range(100):
             now += 200.0
-            made._throttle.add(now, 0.0)
-            made._shedder.record_outcome(now, UNANSWERED_SLOWDOWN)
-            if of_type(made.request(now, arrival(number, now)), Send):
+            instance._throttle.add(now, 0.0)
+            instance._shedder.record_outcome(now, UNANSWERED_SLOWDOWN)
+            if of_type(instance.request(now, arrival(number, now)), Send):
                 longest, last = max(longest, now - last), now
-                made.outcome(now + 1.0, number, 0, Outcome.ERROR, 1.0, last=True)
+                instance.outcome(now + 1.0, number, 0, Outcome.ERROR, 1.0, last=True)
     assert 1000.0 < longest <= 2200.0
--- a/tests/balancer/test_departures.py
+++ b/tests/balancer/test_departures.py
@@ -142,15 +142,15 @@
 
 def test_failures_widen_the_selection_beyond_the_subset():
     instance = balancer("safe", servers=40)
-    small = set(serve(instance, 60, lambda s: (Outcome.OK, 20.0), step=500.0))
+    subset = set(serve(instance, 60, lambda s: (Outcome.OK, 20.0), step=500.0))
     wide = serve(
         instance,
         30,
-        lambda s: (Outcome.FULL, 1.0) if s in small else (Outcome.OK, 20.0),
+        lambda s: (Outcome.FULL, 1.0) if s in subset else (Outcome.OK, 20.0),
         now=100_000.0,
         step=500.0,
     )
-    assert set(wide) - small
+    assert set(wide) - subset
 
 
 def test_a_sidecar_does_not_overload_the_servers_of_its_own_zone():
@@ -200,12 +200,12 @@
 
 def servers_of_key(key, removed=()):
     """Return the servers that a dozen sidecars send a key to, without the `removed` ones."""
-    total_sends = set()
+    servers = set()
     for seed in range(12):
         instance = affinity_balancer(seed=seed)
         instance.server_list(0.0, "changes", [Listing(name, state="left") for name in removed])
-        total_sends |= set(sends_of_key(instance, key=key, count=1))
-    return total_sends
+        servers |= set(sends_of_key(instance, key=key, count=1))
+    return servers
 
 
 def test_keys_of_a_lost_server_move_and_other_keys_stay():
@@ -231,10 +231,10 @@
 def test_reports_break_ties_and_decay_towards_the_mean():
     # On penang-north, reports were ignored, and requests went to loaded servers.
     instance = balancer("safe", servers=2, **REPORTS)
-    running = {"s0": 9.0, "s1": 0.0}
+    in_flight = {"s0": 9.0, "s1": 0.0}
     for number in range(6):
         (send,) = of_type(instance.request(10.0 * number, arrival(number)), Send)
-        report = {"inflight": running[send.server]}
+        report = {"inflight": in_flight[send.server]}
         instance.outcome(10.0 * number + 5.0, number, 0, Outcome.OK, 5.0, True, report)
     fresh = {of_type(instance.request(70.0, arrival(100 + i, 70.0)), Send)[0].server for i in range(2)}
     assert fresh == {"s1"}
@@ -252,23 +252,27 @@
 
 def test_timeouts_without_an_overload_shed_little_if_servers_report_their_load():
     # On penang-north, timeouts of 14% at slow servers caused half of all requests to be refused.
-    calm, many_cores, crowded = (balancer("safe", servers=8, **REPORTS) for _ in range(3))
+    calm, many_cores, loaded = (balancer("safe", servers=8, **REPORTS) for _ in range(3))
     for number in range(60):
         now = 100.0 * number
         slow = 190.0 if number > 20 else 50.0
-        for instance, running, spent in ((calm, 0.0, 50.0), (many_cores, 9.0, 50.0), (crowded, 9.0, slow)):
+        for instance, in_flight, spent in (
+            (calm, 0.0, 50.0),
+            (many_cores, 9.0, 50.0),
+            (loaded, 9.0, slow),
+        ):
             if not of_type(instance.request(now, arrival(number, now)), Send):
                 continue
             late = number % 6 == 0
             status = Outcome.TIMEOUT if late else Outcome.OK
-            report = None if late else {"inflight": running}
+            report = None if late else {"inflight": in_flight}
             instance.outcome(now + spent, number, 0, status, spent, True, report)
     assert calm._shedder.level(6000.0) < 0.2
     # For a customer with four cores per server, 15% were refused on a day without failures.
     assert many_cores._shedder.level(6000.0) < 0.2, (
         "requests in flight are no overload while answers are quick"
     )
-    assert crowded._shedder.level(6000.0) > 0.5
+    assert loaded._shedder.level(6000.0) > 0.5
 
 
 def refusal_chances(weights, share, worst_class):
--- a/tests/balancer/test_failures.py
+++ b/tests/balancer/test_failures.py
@@ -147,11 +147,9 @@
     for number in range(200):
         now = 100.0 * number
         instance.request(now, arrival(number, now))
-        sends_to_silent = number % 6 == 0
-        status = Outcome.TIMEOUT if sends_to_silent else Outcome.OK
-        instance.outcome(
-            now + 50.0, number, 0, status, 200.0 if sends_to_silent else 30.0, last=not sends_to_silent
-        )
+        is_lost = number % 6 == 0
+        status = Outcome.TIMEOUT if is_lost else Outcome.OK
+        instance.outcome(now + 50.0, number, 0, status, 200.0 if is_lost else 30.0, last=not is_lost)
     assert instance._shedder.level(20_000.0) < 0.05
 
 
@@ -177,12 +175,12 @@
     for number in range(10, 40):
         instance.request(100.0, arrival(number, 100.0))
         instance.outcome(130.0, number, 0, Outcome.OK, 30.0, last=True)
-    (silent_zones,) = of_type(instance.request(200.0, arrival(50, 200.0)), Send)
+    (unresponsive,) = of_type(instance.request(200.0, arrival(50, 200.0)), Send)
     instance.outcome(1200.0, 50, 0, Outcome.TIMEOUT, 1000.0)
     (once,) = of_type(instance.request(1300.0, arrival(51, 1300.0)), Send)
     assert once.timeout == 1000.0, "a single timeout may be due to a burst of this sidecar"
     instance.outcome(1330.0, 51, 0, Outcome.OK, 30.0, last=True)
-    instance._ejection.record_fault(1400.0, instance._servers[silent_zones.server], True, 1400.0)
+    instance._ejection.record_fault(1400.0, instance._servers[unresponsive.server], True, 1400.0)
     (after,) = of_type(instance.request(1500.0, arrival(2, 1500.0)), Send)
     assert after.timeout < 300.0
 
@@ -204,9 +202,9 @@
     instance.request(2000.0, arrival(2, 2000.0))
     actions = instance.outcome(2001.0, 2, 0, Outcome.RESET, 1.0)
     assert instance._servers["s0"].error_weight == 0.0
-    (retries,) = of_type(actions, Send)  # over a new connection
+    (retry,) = of_type(actions, Send)  # over a new connection
     instance.outcome(2020.0, 2, 1, Outcome.OK, 20.0, last=True)
-    assert retries.server == "s0"
+    assert retry.server == "s0"
     soon = instance.request(2500.0, arrival(3, 2500.0))
     assert of_type(soon, Send)
     assert not of_type(soon, CloseIdle)
@@ -338,8 +336,8 @@
             zone = int(send.server[1])
             sent.append((now, zone))
             if zone in silent_zones and instance._requests[first].attempts[-1].is_new_connection:
-                retries = instance.outcome(now, first, 0, Outcome.CONNECT_FAILED, 250.0)
-                assert [int(to.server[1]) in silent_zones for to in of_type(retries, Send)] == [False]
+                actions = instance.outcome(now, first, 0, Outcome.CONNECT_FAILED, 250.0)
+                assert [int(to.server[1]) in silent_zones for to in of_type(actions, Send)] == [False]
                 instance.outcome(now, first, 1, Outcome.OK, 40.0, last=True)
             elif zone in silent_zones:
                 waiting[first] = now
--- a/tests/balancer/test_library.py
+++ b/tests/balancer/test_library.py
@@ -26,10 +26,10 @@
 def test_the_throttle_is_loaded_without_the_other_modules():
     """Guards against slow starts of the system's processes, which do not use the decision module."""
     code = "import sys, fordtrestle.balancer.throttle; print(*(m for m in sys.modules if 'fordtrestle' in m))"
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", code], cwd=README.parent, capture_output=True, text=True, check=True
     )
-    assert set(done.stdout.split()) == {
+    assert set(process.stdout.split()) == {
         "fordtrestle",
         "fordtrestle.balancer",
         "fordtrestle.balancer.throttle",
@@ -65,41 +65,41 @@
 
 
 def test_events_of_unknown_requests_and_servers_are_ignored():
-    made = balancer("safe")
-    made.request(0.0, arrival(1))
-    assert made.outcome(5.0, 1, 0, Outcome.OK, 5.0, last=True) == []
-    assert made.outcome(6.0, 1, 0, Outcome.TIMEOUT) == []
-    assert made.outcome(6.0, 2, 0, Outcome.OK) == []
-    assert made.client_gone(6.0, 1) == []
-    assert made.timer(6.0, "something else") == []
-    assert made.probe_result(6.0, "never heard of", Outcome.OK) == []
+    instance = balancer("safe")
+    instance.request(0.0, arrival(1))
+    assert instance.outcome(5.0, 1, 0, Outcome.OK, 5.0, last=True) == []
+    assert instance.outcome(6.0, 1, 0, Outcome.TIMEOUT) == []
+    assert instance.outcome(6.0, 2, 0, Outcome.OK) == []
+    assert instance.client_gone(6.0, 1) == []
+    assert instance.timer(6.0, "something else") == []
+    assert instance.probe_result(6.0, "never heard of", Outcome.OK) == []
 
 
 def test_a_server_that_first_appears_among_changes_is_added():
-    made = balancer("safe", servers=0)
-    made.server_list(1.0, "changes", [Listing("new"), Listing("old", state="left")])
-    (send,) = of_type(made.request(2.0, arrival(1)), Send)
+    instance = balancer("safe", servers=0)
+    instance.server_list(1.0, "changes", [Listing("new"), Listing("old", state="left")])
+    (send,) = of_type(instance.request(2.0, arrival(1)), Send)
     assert send.server == "new"
 
 
 def test_a_server_that_a_complete_list_lacks_has_left():
-    made = balancer("safe", servers=3)
-    made.server_list(1.0, "all", listing(1))
-    sends = [of_type(made.request(2.0, arrival(i)), Send)[0].server for i in range(10)]
+    instance = balancer("safe", servers=3)
+    instance.server_list(1.0, "all", listing(1))
+    sends = [of_type(instance.request(2.0, arrival(i)), Send)[0].server for i in range(10)]
     assert set(sends) == {"s0"}
 
 
 @pytest.mark.parametrize("bad", [float("nan"), float("inf"), -float("inf")])
 def test_figures_that_are_not_finite_do_not_lose_requests(bad):
-    made = balancer("safe", servers=0)
-    made.server_list(0.0, "all", [Listing("a", weight=bad, started=bad), Listing("b")])
+    instance = balancer("safe", servers=0)
+    instance.server_list(0.0, "all", [Listing("a", weight=bad, started=bad), Listing("b")])
     for number in range(30):
         now = 10.0 * number
         request = arrival(number, now)._replace(give_up_at=bad, work=bad, key=number)
-        (send,) = of_type(made.request(now, request), Send)
+        (send,) = of_type(instance.request(now, request), Send)
         assert 0.0 < send.timeout <= 1000.0
-        made.outcome(now + 5.0, number, 0, Outcome.OK, bad, True, {"inflight": bad})
-    assert not made._requests
+        instance.outcome(now + 5.0, number, 0, Outcome.OK, bad, True, {"inflight": bad})
+    assert not instance._requests
 
 
 def test_a_request_of_an_unknown_class_is_an_error():
--- a/tests/balancer/test_settle.py
+++ b/tests/balancer/test_settle.py
@@ -23,24 +23,24 @@
     raw = raw_settings(*(c if isinstance(c, str) else c[0] for c in classes), **changes)
     for row, given_class in zip(raw["Profiles"], classes, strict=True):
         row.update({} if isinstance(given_class, str) else given_class[1])
-    made = Settings.parse(raw)
-    profiles = [dataclasses.replace(row, gone=number in gone) for number, row in enumerate(made.profiles)]
-    return dataclasses.replace(made, profiles=tuple(profiles))
+    parsed = Settings.parse(raw)
+    profiles = [dataclasses.replace(row, gone=number in gone) for number, row in enumerate(parsed.profiles)]
+    return dataclasses.replace(parsed, profiles=tuple(profiles))
 
 
 def reconfigured(before, *after, now=10.0, **limits):
     """Build a balancer with one request in flight, whose settings change meanwhile."""
-    made = Balancer(0.0, make_settings(*before, **limits), 1)
-    made.server_list(0.0, "all", [Listing(f"s{i}", zone=i % 2, cell=i // 2) for i in range(8)])
-    assert of_type(made.request(0.0, arrival(1)), Send)
+    instance = Balancer(0.0, make_settings(*before, **limits), 1)
+    instance.server_list(0.0, "all", [Listing(f"s{i}", zone=i % 2, cell=i // 2) for i in range(8)])
+    assert of_type(instance.request(0.0, arrival(1)), Send)
     for settings_ in after:
-        assert made.settle(now, settings_) == []
-    return made
+        assert instance.settle(now, settings_) == []
+    return instance
 
 
-def end_attempt(made, status=Outcome.RESET, now=20.0, hop=0, spent=20.0):
+def end_attempt(instance, status=Outcome.RESET, now=20.0, hop=0, spent=20.0):
     """End an attempt of request 1, and return the type of the only action that is no timer."""
-    (action,) = (a for a in made.outcome(now, 1, hop, status, spent) if not isinstance(a, Timer))
+    (action,) = (a for a in instance.outcome(now, 1, hop, status, spent) if not isinstance(a, Timer))
     return type(action)
 
 
@@ -77,23 +77,25 @@
 
 def test_a_keyed_retry_stays_in_the_group_that_both_settings_allow():
     for group, other_group in (("all", "cell"), ("cell", "all")):
-        made = reconfigured([("keyed", {"Group": group})], make_settings(("keyed", {"Group": other_group})))
-        first = made._requests[1].attempts[0].server
-        (send,) = of_type(made.outcome(20.0, 1, 0, Outcome.RESET, 20.0), Send)
-        assert made._servers[send.server].cell == first.cell
+        instance = reconfigured(
+            [("keyed", {"Group": group})], make_settings(("keyed", {"Group": other_group}))
+        )
+        first = instance._requests[1].attempts[0].server
+        (send,) = of_type(instance.outcome(20.0, 1, 0, Outcome.RESET, 20.0), Send)
+        assert instance._servers[send.server].cell == first.cell
 
 
 def test_a_lower_limit_of_attempts_applies_to_open_requests_and_a_higher_one_does_not():
     limits = {"PolicyLimits": {"MaxAttempts": 3}}
-    one = make_settings("safe", PolicyLimits={"MaxAttempts": 1})
-    assert end_attempt(reconfigured(["safe"], one, **limits)) is Refuse
-    assert end_attempt(reconfigured(["safe"], one, make_settings("safe", **limits), **limits)) is Refuse
+    single = make_settings("safe", PolicyLimits={"MaxAttempts": 1})
+    assert end_attempt(reconfigured(["safe"], single, **limits)) is Refuse
+    assert end_attempt(reconfigured(["safe"], single, make_settings("safe", **limits), **limits)) is Refuse
     assert (
         end_attempt(reconfigured(["safe"], make_settings("safe", **limits), PolicyLimits={"MaxAttempts": 1}))
         is Refuse
     )
-    made = reconfigured(["safe"], make_settings("safe", PolicyLimits={"MaxAttempts": 2}), **limits)
-    assert [end_attempt(made), end_attempt(made, hop=1, now=30.0)] == [Send, Refuse]
+    instance = reconfigured(["safe"], make_settings("safe", PolicyLimits={"MaxAttempts": 2}), **limits)
+    assert [end_attempt(instance), end_attempt(instance, hop=1, now=30.0)] == [Send, Refuse]
 
 
 def test_a_refusal_states_the_shorter_of_both_retry_times():
@@ -102,29 +104,37 @@
             {**LIMITS, "MaxAttempts": 1, "MaxRetryAfter": max_retry_after_ms}
             for max_retry_after_ms in (before, after)
         ]
-        made = reconfigured(["safe"], make_settings("safe", PolicyLimits=limits[1]), PolicyLimits=limits[0])
-        assert made.outcome(20.0, 1, 0, Outcome.RESET, 20.0)[-1] == Refuse(1, retry_after_ms, Cause.ATTEMPTS)
+        instance = reconfigured(
+            ["safe"], make_settings("safe", PolicyLimits=limits[1]), PolicyLimits=limits[0]
+        )
+        assert instance.outcome(20.0, 1, 0, Outcome.RESET, 20.0)[-1] == Refuse(
+            1, retry_after_ms, Cause.ATTEMPTS
+        )
 
 
 def test_a_removed_class_starts_no_attempts_and_its_open_requests_get_one_final_answer():
     for status, answer in ((Outcome.CONNECT_FAILED, Refuse), (Outcome.RESET, Fail)):
-        made = reconfigured(["unsafe", "safe"], make_settings("unsafe", "safe", gone=[0]))
-        assert end_attempt(made, status) is answer
-        assert not made._requests
-        assert made.outcome(30.0, 1, 0, status, 20.0) == []
-    (refused,) = made.request(30.0, arrival(2, 30.0))
+        instance = reconfigured(["unsafe", "safe"], make_settings("unsafe", "safe", gone=[0]))
+        assert end_attempt(instance, status) is answer
+        assert not instance._requests
+        assert instance.outcome(30.0, 1, 0, status, 20.0) == []
+    (refused,) = instance.request(30.0, arrival(2, 30.0))
     assert isinstance(refused, Refuse)
-    assert of_type(made.request(30.0, arrival(3, 30.0, traffic_class=1)), Send)
-    made.settle(40.0, make_settings("unsafe", "safe"))  # the class is added again
-    assert of_type(made.request(40.0, arrival(4, 40.0)), Send)
+    assert of_type(instance.request(30.0, arrival(3, 30.0, traffic_class=1)), Send)
+    instance.settle(40.0, make_settings("unsafe", "safe"))  # the class is added again
+    assert of_type(instance.request(40.0, arrival(4, 40.0)), Send)
 
 
 def test_a_request_of_a_removed_class_is_no_trial_of_a_partitioned_zone():
     limits = {"PolicyLimits": {"MaxAttempts": 4, "ConnectTimeout": 50.0}}
     for gone, sent in (([], 1), ([0], 0)):
-        made = reconfigured(["safe"], make_settings("safe", gone=gone, **limits), **limits)
-        made._zones._partitioned, made._zones._checked_at, made._zones._zones[1] = {1}, 2000.0, Zone()
-        assert len(of_type(made.request(2000.0, arrival(2, 2000.0)), Send)) == sent
+        instance = reconfigured(["safe"], make_settings("safe", gone=gone, **limits), **limits)
+        instance._zones._partitioned, instance._zones._checked_at, instance._zones._zones[1] = (
+            {1},
+            2000.0,
+            Zone(),
+        )
+        assert len(of_type(instance.request(2000.0, arrival(2, 2000.0)), Send)) == sent
 
 
 IN_TURN = ("safe", {"InTurn": True})
@@ -140,81 +150,83 @@
 
 @pytest.mark.parametrize("first", [1, 2])
 def test_when_order_per_key_begins_new_requests_wait_for_those_that_already_run_concurrently(first):
-    made = balancer("safe")
+    instance = balancer("safe")
     for number in (1, 2):
-        assert sent_requests(made.request(0.0, keyed_arrival(number))) == [number]
-    made.settle(10.0, make_settings(IN_TURN))
-    assert not sent_requests(made.request(20.0, keyed_arrival(3, 20.0)))
+        assert sent_requests(instance.request(0.0, keyed_arrival(number))) == [number]
+    instance.settle(10.0, make_settings(IN_TURN))
+    assert not sent_requests(instance.request(20.0, keyed_arrival(3, 20.0)))
     assert not sent_requests(
-        made.outcome(30.0, first, 0, Outcome.ERROR, 30.0)
+        instance.outcome(30.0, first, 0, Outcome.ERROR, 30.0)
     )  # a retry would run concurrently with the other request
-    assert sent_requests(made.outcome(40.0, 3 - first, 0, Outcome.OK, 40.0, True)) == [3]
-    made.outcome(50.0, 3, 0, Outcome.OK, 10.0, True)
-    assert not made._key_order.queues
-    assert not made._requests
+    assert sent_requests(instance.outcome(40.0, 3 - first, 0, Outcome.OK, 40.0, True)) == [3]
+    instance.outcome(50.0, 3, 0, Outcome.OK, 10.0, True)
+    assert not instance._key_order.queues
+    assert not instance._requests
 
 
 @pytest.mark.parametrize("status", [Outcome.OK, Outcome.ERROR])
 def test_a_queue_that_existed_before_waits_with_its_next_request_and_its_retries(status):
-    made = Balancer(0.0, make_settings(IN_TURN, "safe"), 1)
-    made.server_list(0.0, "all", [Listing(f"s{i}") for i in range(8)])
+    instance = Balancer(0.0, make_settings(IN_TURN, "safe"), 1)
+    instance.server_list(0.0, "all", [Listing(f"s{i}") for i in range(8)])
     for number, traffic_class, sent in ((1, 0, [1]), (2, 0, []), (3, 1, [3])):
-        assert sent_requests(made.request(0.0, keyed_arrival(number, traffic_class=traffic_class))) == sent
-    made.settle(10.0, make_settings(IN_TURN, IN_TURN))
-    assert not sent_requests(made.outcome(20.0, 1, 0, status, 20.0, status == Outcome.OK))
-    assert sent_requests(made.outcome(30.0, 3, 0, Outcome.OK, 30.0, True)) == [2]
+        assert (
+            sent_requests(instance.request(0.0, keyed_arrival(number, traffic_class=traffic_class))) == sent
+        )
+    instance.settle(10.0, make_settings(IN_TURN, IN_TURN))
+    assert not sent_requests(instance.outcome(20.0, 1, 0, status, 20.0, status == Outcome.OK))
+    assert sent_requests(instance.outcome(30.0, 3, 0, Outcome.OK, 30.0, True)) == [2]
 
 
 def test_a_key_is_blocked_for_the_longer_of_both_times():
     for before, after in ((100.0, 500.0), (500.0, 100.0)):
         rules = [{"SettleAfterDoubt": rest} for rest in (before, after)]
-        made = balancer("safe", Rules=rules[0])
-        made.settle(0.0, make_settings(IN_TURN, Rules=rules[0]))
-        made.request(0.0, keyed_arrival(1))
-        made.outcome(50.0, 1, 0, Outcome.TIMEOUT, 50.0, True)
-        made.settle(60.0, make_settings(IN_TURN, Rules=rules[1]))
-        assert not sent_requests(made.request(70.0, keyed_arrival(2, 70.0)))
+        instance = balancer("safe", Rules=rules[0])
+        instance.settle(0.0, make_settings(IN_TURN, Rules=rules[0]))
+        instance.request(0.0, keyed_arrival(1))
+        instance.outcome(50.0, 1, 0, Outcome.TIMEOUT, 50.0, True)
+        instance.settle(60.0, make_settings(IN_TURN, Rules=rules[1]))
+        assert not sent_requests(instance.request(70.0, keyed_arrival(2, 70.0)))
         for due, sent in ((540.0, []), (551.0, [2])):
-            assert sent_requests(made.timer(due, "turn:7")) == sent
+            assert sent_requests(instance.timer(due, "turn:7")) == sent
 
 
 # --- learned state, and state that is derived from settings -----------------------------------------
 
 
 def test_added_tenants_and_classes_get_state_of_their_own():
-    made = balancer("safe", Tenants=[{"AllowancePerS": 5.0}])
+    instance = balancer("safe", Tenants=[{"AllowancePerS": 5.0}])
     for number in range(20):
-        made.request(number, Arrival(number, 0, 1000.0 + number))
+        instance.request(number, Arrival(number, 0, 1000.0 + number))
     more = [{"AllowancePerS": 1.0}, {"AllowancePerS": 3.0}]
     learned = (
-        made._throttle,
-        made._servers,
-        made._requests,
-        made._shedder._arrivals_by_tenant[0],
-        made._shedder._mix,
+        instance._throttle,
+        instance._servers,
+        instance._requests,
+        instance._shedder._arrivals_by_tenant[0],
+        instance._shedder._mix,
     )
-    prices, made._locality._remote_shares = {"CrossZone": 0.5}, [0.4]
-    made.settle(30.0, make_settings("safe", ("safe", {"Worth": 3.0}), Tenants=more, Prices=prices))
-    assert made._shedder._tenant_shares == [0.25, 0.75]
-    assert made._locality.is_on
-    assert learned[:3] == (made._throttle, made._servers, made._requests)
-    assert made._shedder._arrivals_by_tenant == [learned[3], 0.0]
-    assert made._shedder._mix == {}
-    assert of_type(made.request(30.0, Arrival(50, 1, 1030.0, 1)), Send)
-    made.outcome(40.0, 50, 0, Outcome.OK, 10.0, True)
-    assert made._times.baselines[1].ms_per_work(0.0, 0.0) == 10.0
-    assert made._locality._remote_shares[0] == 0.4
-    assert len(made._locality._margins) == 2
+    prices, instance._locality._remote_shares = {"CrossZone": 0.5}, [0.4]
+    instance.settle(30.0, make_settings("safe", ("safe", {"Worth": 3.0}), Tenants=more, Prices=prices))
+    assert instance._shedder._tenant_shares == [0.25, 0.75]
+    assert instance._locality.is_on
+    assert learned[:3] == (instance._throttle, instance._servers, instance._requests)
+    assert instance._shedder._arrivals_by_tenant == [learned[3], 0.0]
+    assert instance._shedder._mix == {}
+    assert of_type(instance.request(30.0, Arrival(50, 1, 1030.0, 1)), Send)
+    instance.outcome(40.0, 50, 0, Outcome.OK, 10.0, True)
+    assert instance._times.baselines[1].ms_per_work(0.0, 0.0) == 10.0
+    assert instance._locality._remote_shares[0] == 0.4
+    assert len(instance._locality._margins) == 2
 
 
 def test_a_ring_position_and_a_shorter_time_to_close_connections_apply_at_once():
-    made = balancer("safe", servers=8, Me=0)
-    made.server_list(5.0, "changes", [Listing("s1", state="leaving")])
-    actions = made.settle(10.0, make_settings("safe", Me=3, Locality=1, Rules={"ReleaseWithin": 100.0}))
+    instance = balancer("safe", servers=8, Me=0)
+    instance.server_list(5.0, "changes", [Listing("s1", state="leaving")])
+    actions = instance.settle(10.0, make_settings("safe", Me=3, Locality=1, Rules={"ReleaseWithin": 100.0}))
     assert actions == [CloseIdle("s1"), Timer(40.0, "close:s1")]
-    assert made._subset.servers[0].name != "s0"
-    assert len(made._subset.servers) == 7
-    assert made._subset.local == []
+    assert instance._subset.servers[0].name != "s0"
+    assert len(instance._subset.servers) == 7
+    assert instance._subset.local == []
 
 
 BY_CLASS_OR_TENANT = {
@@ -224,7 +236,7 @@
 }  # only the first two are compared
 
 
-def state(made):
+def state(instance):
     """Return all state of a balancer and its parts, as text by its attribute path."""
     collected, seen = {}, set()
 
@@ -239,7 +251,7 @@
         elif not callable(value):
             collected[path] = repr(value)
 
-    collect("balancer", made)
+    collect("balancer", instance)
     assert not [path for path, text in collected.items() if " object at 0x" in text]
     return collected
 
@@ -336,11 +348,11 @@
 
 
 def test_settings_with_a_missing_class_are_rejected_and_change_nothing():
-    made = reconfigured(["unsafe", "safe"])
+    instance = reconfigured(["unsafe", "safe"])
     with pytest.raises(ValueError, match="expected at least 2 classes, not 1"):
-        made.settle(10.0, make_settings("safe"))
-    assert made._settings == make_settings("unsafe", "safe")
-    assert end_attempt(made) is Fail
+        instance.settle(10.0, make_settings("safe"))
+    assert instance._settings == make_settings("unsafe", "safe")
+    assert end_attempt(instance) is Fail
 
 
 INVALID_FIELDS = ("me", "allowances", "report_fields", "prices", "max_attempts", "max_retry_after", "zones")
@@ -351,14 +363,14 @@
     good = make_settings(
         "safe", "unsafe", Tenants=[{"AllowancePerS": 5.0}] * 2, Prices={"CrossZone": 1.0}, Me=2
     )
-    made = Balancer(0.0, good, 1)
-    made.server_list(0.0, "all", [Listing(f"s{i}", zone=i % 2) for i in range(8)])
-    made.request(0.0, arrival(1, traffic_class=1))
-    before = state(made)
+    instance = Balancer(0.0, good, 1)
+    instance.server_list(0.0, "all", [Listing(f"s{i}", zone=i % 2) for i in range(8)])
+    instance.request(0.0, arrival(1, traffic_class=1))
+    before = state(instance)
     more = (*good.profiles, dataclasses.replace(good.profiles[0], worth=9.0))
     other = dataclasses.replace(good, me=5, locality=1, profiles=more, over_share_worth=0.5)
     invalid = (None,) if field == "allowances" else None
     with pytest.raises((TypeError, AttributeError)):
-        made.settle(10.0, dataclasses.replace(other, **{field: invalid}))
-    assert state(made) == before
-    assert end_attempt(made) is Fail
+        instance.settle(10.0, dataclasses.replace(other, **{field: invalid}))
+    assert state(instance) == before
+    assert end_attempt(instance) is Fail
--- a/tests/balancer/test_throttle.py
+++ b/tests/balancer/test_throttle.py
@@ -52,14 +52,14 @@
 
 
 def test_requests_are_refused_while_none_is_accepted_and_local_refusals_count():
-    made = balancer("safe")
-    window = made._throttle
+    instance = balancer("safe")
+    window = instance._throttle
     for _ in range(20):
         window.add(0.0, 0.0)
     before = window.requests
     refused = 0
-    for i in range(40):
-        actions = made.request(0.0, arrival(i))
+    for number in range(40):
+        actions = instance.request(0.0, arrival(number))
         if of_type(actions, Refuse):
             refused += 1
             assert not of_type(actions, Send)
@@ -72,24 +72,24 @@
     [Outcome.ERROR, Outcome.FULL, Outcome.TIMEOUT, Outcome.CONNECT_FAILED, Outcome.RESET],
 )
 def test_five_outcomes_are_not_accepted(status):
-    made = balancer("unsafe")
-    made.request(0.0, arrival(1))
-    made.outcome(10.0, 1, 0, status, 10.0)
-    assert made._throttle.requests == 1
-    assert made._throttle.accepts == 0.0
+    instance = balancer("unsafe")
+    instance.request(0.0, arrival(1))
+    instance.outcome(10.0, 1, 0, status, 10.0)
+    assert instance._throttle.requests == 1
+    assert instance._throttle.accepts == 0.0
 
 
 def test_the_server_with_the_fewest_requests_in_flight_is_chosen():
-    made = balancer("safe", servers=2)
+    instance = balancer("safe", servers=2)
     counts = {"s0": 0, "s1": 0}
-    for i in range(20):
-        (send,) = of_type(made.request(0.0, arrival(i)), Send)
+    for number in range(20):
+        (send,) = of_type(instance.request(0.0, arrival(number)), Send)
         counts[send.server] += 1
         assert abs(counts["s0"] - counts["s1"]) <= 1
 
 
 def test_a_request_without_any_server_is_refused_at_once():
-    made = balancer("unsafe", servers=0)
-    actions = made.request(0.0, arrival(1))
+    instance = balancer("unsafe", servers=0)
+    actions = instance.request(0.0, arrival(1))
     assert of_type(actions, Refuse)
     assert not of_type(actions, Fail)
--- a/tests/balancer/test_turned_away.py
+++ b/tests/balancer/test_turned_away.py
@@ -100,8 +100,8 @@
 
 
 def balancer(kind, sidecars, servers, seed):
-    payload = raw_settings(*CLASSES[kind], Balancers=sidecars, Rules=RULES)
-    instance = Balancer(0.0, Settings.parse(payload), seed)
+    raw = raw_settings(*CLASSES[kind], Balancers=sidecars, Rules=RULES)
+    instance = Balancer(0.0, Settings.parse(raw), seed)
     instance.server_list(0.0, "remembered", listing(servers))
     return instance
 
--- a/tests/balancer/test_wirehost.py
+++ b/tests/balancer/test_wirehost.py
@@ -71,13 +71,13 @@
 
 
 def test_a_day_is_answered_and_ends_at_eof():
-    done = run(day([0]))
-    assert (done.returncode, done.stderr) == (0, "")
-    replies = re.findall(r"^yield seq=(\d+)$", done.stdout, re.M)
+    process = run(day([0]))
+    assert (process.returncode, process.stderr) == (0, "")
+    replies = re.findall(r"^yield seq=(\d+)$", process.stdout, re.M)
     assert replies == [str(n) for n in range(40)]
-    sent = re.findall(r"^relay RequestId=(\d+) Server=s\.\d Timeout=[\d.]+$", done.stdout, re.M)
+    sent = re.findall(r"^relay RequestId=(\d+) Server=s\.\d Timeout=[\d.]+$", process.stdout, re.M)
     assert len(sent) > 10
-    assert done.stdout.startswith("yield seq=0\n")
+    assert process.stdout.startswith("yield seq=0\n")
 
 
 def test_the_output_does_not_depend_on_the_hash_seed():
@@ -85,7 +85,7 @@
     assert run(text, "1").stdout == run(text, "2").stdout
 
 
-def spoken(output):
+def actions_by_instance(output):
     """Return the actions of each instance, in order."""
     by_instance, speaker = {}, None
     for line in output.splitlines():
@@ -97,18 +97,18 @@
 
 
 def test_actions_do_not_depend_on_the_other_instances_of_the_process():
-    together = spoken(run(day([0, 1, 2])).stdout)
+    together = actions_by_instance(run(day([0, 1, 2])).stdout)
     for i in range(3):
-        assert spoken(run(day([i])).stdout) == {f"sidecar/{i}": together[f"sidecar/{i}"]}
+        assert actions_by_instance(run(day([i])).stdout) == {f"sidecar/{i}": together[f"sidecar/{i}"]}
 
 
 def test_lists_are_resolved_in_event_order_and_an_instance_restarts_in_a_batch():
     other = "snapshot_rows List=3 Elements=1\nitem Server=s.9\n"
     body = LIST + born(0) + "kill\n" + other + born(0)
-    ask = "context SidecarId=sidecar/0\narrival RequestId=1 Band=0 GiveUpAt=900\n"
-    done = run(batch(1, body) + batch(2, ask))
-    assert done.returncode == 0
-    assert set(re.findall(r"Server=(\S+)", done.stdout)) == {"s.9"}
+    request = "context SidecarId=sidecar/0\narrival RequestId=1 Band=0 GiveUpAt=900\n"
+    process = run(batch(1, body) + batch(2, request))
+    assert process.returncode == 0
+    assert set(re.findall(r"Server=(\S+)", process.stdout)) == {"s.9"}
 
 
 @pytest.mark.parametrize(
@@ -127,19 +127,19 @@
     ],
 )
 def test_malformed_input_ends_with_a_single_error_line(text, line, message):
-    done = run(text)
-    assert done.returncode == 1
-    assert len(done.stderr.splitlines()) == 1
-    assert done.stderr.startswith(f"line {line}: ")
-    assert message in done.stderr
-    assert "Traceback" not in done.stderr + done.stdout
+    process = run(text)
+    assert process.returncode == 1
+    assert len(process.stderr.splitlines()) == 1
+    assert process.stderr.startswith(f"line {line}: ")
+    assert message in process.stderr
+    assert "Traceback" not in process.stderr + process.stdout
 
 
 def test_an_exception_inside_the_module_is_fatal_with_its_text():
     body = LIST + born(0) + "arrival RequestId=1 Band=7 GiveUpAt=900\n"
-    done = run(batch(1, body))
-    assert done.returncode == 1
-    assert re.search(r"^fatal ReasonText=ValueError: request 1: no class 7$", done.stdout, re.M)
+    process = run(batch(1, body))
+    assert process.returncode == 1
+    assert re.search(r"^fatal ReasonText=ValueError: request 1: no class 7$", process.stdout, re.M)
 
 
 def test_a_closed_output_ends_the_adapter_without_an_error():
