--- a/tests/load/standin.py
+++ b/tests/load/standin.py
@@ -1,4 +1,4 @@
-"""A scripted server on the loopback, a thread a connection, and the loads that tests send it."""
+"""A scripted HTTP server on the loopback, with a thread per connection, and helpers that send it a load."""
 
 from __future__ import annotations
 
@@ -12,22 +12,25 @@
 from fordtrestle.load import schedule, spec
 from fordtrestle.load.generator import Generator
 
-RESET = object()  # in place of an answer: the connection is reset
-CLOSE = object()  # closed without a word
+RESET = object()  # a step of a script: reset the connection
+CLOSE = object()  # a step of a script: close the connection without a response
 NO_LINGER = struct.pack("ii", 1, 0)
 
 
-def answer(status=200, body=b"hi", fields=""):
+def response(status=200, body=b"hi", fields=""):
     return f"HTTP/1.1 {status} scripted\r\n{fields}Content-Length: {len(body)}\r\n\r\n".encode() + body
 
 
-class StandIn:
-    """Answers each request by `script(number, request)`: bytes, RESET, CLOSE, or a float to sleep first."""
+class ScriptedServer:
+    """Handles each request with the steps that `script(number, head)` returns, a list or a single one.
 
-    def __init__(self, script=lambda number, request: answer()):
+    A step is bytes to send, a float (seconds to sleep), RESET or CLOSE. `number` counts requests from 0.
+    """
+
+    def __init__(self, script=lambda number, head: response()):
         self._script = script
         self._lock = threading.Lock()
-        self.requests = []  # the head of each, as text
+        self.requests = []  # the heads of all requests, as text
         self.connections = 0
         self._listener = socket.create_server(("127.0.0.1", 0), backlog=512)
         self._open = set()
@@ -55,7 +58,7 @@
 
     def _serve(self, sock):
         with contextlib.suppress(OSError), sock, sock.makefile("rb") as file:
-            while (head := self._head(file)) is not None:
+            while (head := self._read_head(file)) is not None:
                 with self._lock:
                     number = len(self.requests)
                     self.requests.append(head)
@@ -71,19 +74,19 @@
         self._open.discard(sock)
 
     def _steps(self, number, head):
-        made = self._script(number, head)
-        return made if isinstance(made, list) else [made]
+        steps = self._script(number, head)
+        return steps if isinstance(steps, list) else [steps]
 
     @staticmethod
-    def _head(file):
-        rows = []
-        while (row := file.readline()) not in (b"\r\n", b""):
-            rows.append(row.decode())
-        if not rows or not row:
+    def _read_head(file):
+        lines = []
+        while (line := file.readline()) not in (b"\r\n", b""):
+            lines.append(line.decode())
+        if not lines or not line:
             return None
-        size = next((int(r.split(":")[1]) for r in rows if r.lower().startswith("content-length")), 0)
+        size = next((int(r.split(":")[1]) for r in lines if r.lower().startswith("content-length")), 0)
         file.read(size)
-        return "".join(rows)
+        return "".join(lines)
 
 
 LOAD = """
@@ -103,22 +106,22 @@
 """
 
 
-def load(port, *, rate=100, length_s=0.2, run="", semantics="pure", budget_ms=20_000, more=""):
-    """The text of a load; a lag of 10 s is sound and a budget is long, since tests bound no time."""
+def load_toml(port, *, rate=100, length_s=0.2, run="", semantics="pure", budget_ms=20_000, more=""):
+    """Return the text of a load file; its lag bound (10 s) and budget are long, as tests bound no time."""
     run = f"lag_p99_most_ms = 10000\n{run}"
     return LOAD.format(**locals())
 
 
-def sent(port, beside=Path("."), **figures):
-    """Send a load; the run and its samples."""
+def run_load(port, folder=Path("."), **options):
+    """Send a load and return the run and its samples."""
     samples = []
-    made = schedule.make_schedule(spec.parse(load(port, **figures), "test"), beside)
-    return Generator(made, on_sample=samples.append).run(), samples
+    plan = schedule.make_schedule(spec.parse(load_toml(port, **options), "test"), folder)
+    return Generator(plan, on_sample=samples.append).run(), samples
 
 
-def field(head, name):
-    """A field of a request's head; None without it."""
-    for row in head.split("\r\n"):
-        if row.lower().startswith(f"{name.lower()}: "):
-            return row.partition(": ")[2]
+def header(head, name):
+    """Return the value of a header in the head of a request; None if it is absent."""
+    for line in head.split("\r\n"):
+        if line.lower().startswith(f"{name.lower()}: "):
+            return line.partition(": ")[2]
     return None
--- a/tests/load/test_arrivals.py
+++ b/tests/load/test_arrivals.py
@@ -1,4 +1,4 @@
-"""Schedules: the same for a seed, the rate that was asked for, in order, and lazy."""
+"""Schedules of send times: reproducible by seed, at the requested rate, in order, and lazy."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 def test_a_ramp_reaches_its_rate_and_stays_there():
     schedule = even_times(arrivals.ramp(0.0, 100.0, 10.0), 12.0)
-    assert count(schedule, 0, 5) == 125  # a quarter of 500
+    assert count(schedule, 0, 5) == 125  # a quarter of the 500 up to 10 s
     assert count(schedule, 5, 10) == 375
     assert count(schedule, 10, 12) == 200
 
@@ -77,8 +77,8 @@
 def test_poisson_gaps_are_exponential():
     schedule = poisson_times(arrivals.constant(1000.0), 50.0)
     gaps = sorted(b - a for a, b in pairwise(schedule))
-    far = max(abs(1.0 - math.exp(-gap / 1000.0) - i / len(gaps)) for i, gap in enumerate(gaps))
-    assert far < 1.95 / math.sqrt(len(gaps))  # Kolmogorov-Smirnov at 0.1%; the seed is fixed
+    distance = max(abs(1.0 - math.exp(-gap / 1000.0) - i / len(gaps)) for i, gap in enumerate(gaps))
+    assert distance < 1.95 / math.sqrt(len(gaps))  # Kolmogorov-Smirnov at 0.1%; the seed is fixed
 
 
 def test_poisson_follows_the_rate_of_its_pieces():
--- a/tests/load/test_mix.py
+++ b/tests/load/test_mix.py
@@ -1,4 +1,4 @@
-"""The mix of requests: stated shares, keys by Zipf's law, and independent draws."""
+"""The mix of requests: shares by weight, keys by Zipf's law, and independent draws."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 SIZES = ((10, 1.0), (2000, 1.0))
 
 
-def made(count=20_000, seed=1, **more):
+def draw_requests(count=20_000, seed=1, **more):
     return list(Mix(CLASSES, TENANTS, SIZES, **more).requests(range(count), random.Random(seed).random))
 
 
 def test_classes_and_tenants_come_by_their_shares():
-    rows = made()
+    rows = draw_requests()
     classes = Counter(row.class_name for row in rows)
     assert classes["look"] / len(rows) == pytest.approx(0.75, abs=0.015)
     assert Counter(row.tenant for row in rows)["acme"] / len(rows) == pytest.approx(0.5, abs=0.015)
@@ -27,7 +27,7 @@
 
 
 def test_requests_of_a_class_without_a_body_have_size_0():
-    rows = made()
+    rows = draw_requests()
     assert {row.size for row in rows if row.class_name == "look"} == {0}
     assert {row.size for row in rows if row.class_name == "pay"} == {10, 2000}
 
@@ -36,9 +36,9 @@
     draw = random.Random(3).random
     keys = zipf_choice(1000, 1.0)
     ranks = Counter(keys.pick(draw) for _ in range(50_000))
-    whole = sum(1.0 / n for n in range(1, 1001))
+    weight_sum = sum(1.0 / n for n in range(1, 1001))
     for rank in (0, 1, 9):
-        assert ranks[rank] / 50_000 == pytest.approx(1.0 / (rank + 1) / whole, rel=0.1)
+        assert ranks[rank] / 50_000 == pytest.approx(1.0 / (rank + 1) / weight_sum, rel=0.1)
     assert max(ranks) < 1000
 
 
@@ -49,16 +49,19 @@
 
 
 def test_a_lower_share_of_keys_leaves_the_other_keys_as_they_were():
-    whole, half = made(keys=zipf_choice(50, 1.0)), made(keys=zipf_choice(50, 1.0), keyed_share=0.5)
+    full, half = (
+        draw_requests(keys=zipf_choice(50, 1.0)),
+        draw_requests(keys=zipf_choice(50, 1.0), keyed_share=0.5),
+    )
     assert sum(not row.key for row in half) / len(half) == pytest.approx(0.5, abs=0.015)
     assert all(
         b.key in ("", a.key) and a._replace(key="") == b._replace(key="")
-        for a, b in zip(whole, half, strict=True)
+        for a, b in zip(full, half, strict=True)
     )
 
 
 def test_same_draws_same_requests():
-    assert made(seed=4) == made(seed=4) != made(seed=5)
+    assert draw_requests(seed=4) == draw_requests(seed=4) != draw_requests(seed=5)
 
 
 def test_extreme_draws_pick_an_index_within_range():
--- a/tests/load/test_recorder.py
+++ b/tests/load/test_recorder.py
@@ -1,4 +1,4 @@
-"""Statistics: exact in any order, by intended second, and worth only within the aim."""
+"""Statistics: independent of order, by second of the intended time, and weighted by the latency target."""
 
 from __future__ import annotations
 
@@ -40,14 +40,14 @@
     )
 
 
-def recorded(rows):
-    made = Recorder(CLASSES, TENANTS)
+def record_all(rows):
+    result = Recorder(CLASSES, TENANTS)
     for row in rows:
-        made.add(row)
-    return made
+        result.add(row)
+    return result
 
 
-def some(count=3000, seed=1):
+def random_samples(count=3000, seed=1):
     rng = random.Random(seed)
     outcomes = (Outcome.SERVED, Outcome.SERVED, Outcome.REFUSED, Outcome.UNANSWERED, Outcome.NO_ROOM)
     return [
@@ -62,26 +62,26 @@
     ]
 
 
-def figures(made):
-    made.close_seconds()
-    parts = [made.whole, *made.classes.values(), *made.tenants.values()]
+def statistics(result):
+    result.close_seconds()
+    parts = [result.whole, *result.classes.values(), *result.tenants.values()]
     return (
         [part.summary() for part in parts],
-        made.seconds(),
-        made.whole.latency.encode(),
-        made.service.summary(),
+        result.seconds(),
+        result.whole.latency.encode(),
+        result.service.summary(),
     )
 
 
 def test_samples_in_any_order_give_the_same_statistics():
-    rows = some()
+    rows = random_samples()
     other = rows[:]
     random.Random(2).shuffle(other)
-    assert figures(recorded(rows)) == figures(recorded(other))
+    assert statistics(record_all(rows)) == statistics(record_all(other))
 
 
 def test_worth_in_aim_is_of_served_requests_and_worth_asked_of_all():
-    made = recorded(
+    result = record_all(
         [
             sample(latency_ms=100.0),
             sample(latency_ms=100.1),
@@ -90,65 +90,65 @@
             sample(Outcome.NO_ROOM, class_index=1),
         ]
     )
-    assert (made.whole.worth_in_aim, made.whole.worth_asked) == (6.0, 17.0)
-    assert made.classes["look"].share_in_aim() == 0.5
-    assert made.whole.summary()["not_sent"] == 1
+    assert (result.whole.worth_in_aim, result.whole.worth_asked) == (6.0, 17.0)
+    assert result.classes["look"].share_in_aim() == 0.5
+    assert result.whole.summary()["not_sent"] == 1
 
 
 def test_quantiles_have_four_digits():
-    made = recorded([sample(latency_ms=n / 10.0) for n in range(1, 10_001)])
+    result = record_all([sample(latency_ms=n / 10.0) for n in range(1, 10_001)])
     for name, true in (("p50", 500.0), ("p99", 990.0), ("p999", 999.0), ("max", 1000.0)):
-        assert made.whole.latency.summary()[name] == pytest.approx(true, rel=1e-4)
+        assert result.whole.latency.summary()[name] == pytest.approx(true, rel=1e-4)
 
 
 def test_latency_includes_unanswered_requests_and_excludes_refused_ones():
-    made = recorded(
+    result = record_all(
         [sample(), sample(Outcome.UNANSWERED, latency_ms=500.0), sample(Outcome.REFUSED, latency_ms=900.0)]
     )
-    assert made.whole.latency.summary()["max"] == pytest.approx(500.0, rel=1e-4)
-    assert made.whole.latency.count == 2
+    assert result.whole.latency.summary()["max"] == pytest.approx(500.0, rel=1e-4)
+    assert result.whole.latency.count == 2
 
 
 def test_lag_is_of_sent_requests_and_retries():
-    made = recorded(
+    result = record_all(
         [sample(lag_ms=1.0), sample(Outcome.NO_ROOM, lag_ms=9.0), sample(Outcome.RETRY, lag_ms=3.0)]
     )
-    assert made.lag.count == 2
-    assert made.retries == 1
-    assert made.whole.asked == 2
-    assert made.lag.summary()["max"] == pytest.approx(3.0, rel=1e-4)
+    assert result.lag.count == 2
+    assert result.retries == 1
+    assert result.whole.asked == 2
+    assert result.lag.summary()["max"] == pytest.approx(3.0, rel=1e-4)
 
 
 def test_requests_belong_to_the_second_of_their_intended_time():
-    made = recorded([sample(at_us=at) for at in (0, 999_999, 1_000_000, 2_500_000)])
-    made.close_seconds(2.0)
-    assert [(row["second"], row["asked"]) for row in made.seconds()] == [(0, 2), (1, 1)]
-    assert made.latest_second()["second"] == 1
-    made.add(sample(at_us=5))
-    assert made.late_samples == 1
-    assert made.whole.asked == 5
-    made.close_seconds()
-    assert [row["second"] for row in made.seconds()] == [0, 1, 2]
+    result = record_all([sample(at_us=at) for at in (0, 999_999, 1_000_000, 2_500_000)])
+    result.close_seconds(2.0)
+    assert [(row["second"], row["asked"]) for row in result.seconds()] == [(0, 2), (1, 1)]
+    assert result.latest_second()["second"] == 1
+    result.add(sample(at_us=5))
+    assert result.late_samples == 1
+    assert result.whole.asked == 5
+    result.close_seconds()
+    assert [row["second"] for row in result.seconds()] == [0, 1, 2]
 
 
 def test_statistics_of_no_samples_are_none():
-    assert set(recorded([]).whole.latency.summary().values()) == {None}
-    assert recorded([]).whole.share_in_aim() is None
+    assert set(record_all([]).whole.latency.summary().values()) == {None}
+    assert record_all([]).whole.share_in_aim() is None
 
 
 def test_durations_out_of_range_are_counted_at_its_ends():
-    made = Histogram()
+    result = Histogram()
     for value in (0, -5, 10**15):
-        made.add(value)
-    assert made.count == 3
-    assert made.percentiles_ms([0.0, 100.0]) == [0.001, pytest.approx(600_000.0, rel=1e-4)]
+        result.add(value)
+    assert result.count == 3
+    assert result.percentiles_ms([0.0, 100.0]) == [0.001, pytest.approx(600_000.0, rel=1e-4)]
 
 
 def test_an_encoded_histogram_is_the_librarys_own():
-    made = Histogram()
+    result = Histogram()
     for n in range(1000):
-        made.add(n * 1_000_000)
-    other = HdrHistogram.decode(made.encode())
+        result.add(n * 1_000_000)
+    other = HdrHistogram.decode(result.encode())
     assert other.get_total_count() == 1000
     assert other.get_max_value() >= 998_900
 
@@ -160,24 +160,27 @@
 
 
 def test_frames_are_decoded_from_any_pieces():
-    rows = some(50)
+    rows = random_samples(50)
     body = b"".join(RECORD.pack(*row) for row in rows)
     data = FRAME.pack(SAMPLES, len(body)) + body + FRAME.pack(SUMMARY, 2) + b"{}"
-    frames, found = FrameDecoder(), []
+    frames, decoded = FrameDecoder(), []
     for at in range(0, len(data), 7):
-        found += frames.feed(data[at : at + 7])
-    assert [what for what, _ in found] == [SAMPLES, SUMMARY]
-    assert list(decode_samples(found[0][1])) == rows
-    assert found[1][1] == b"{}"
+        decoded += frames.feed(data[at : at + 7])
+    assert [frame_type for frame_type, _ in decoded] == [SAMPLES, SUMMARY]
+    assert list(decode_samples(decoded[0][1])) == rows
+    assert decoded[1][1] == b"{}"
 
 
 def test_closed_seconds_keep_no_histogram():
-    """The library's histograms are in cycles; without a collection each second would keep some megabytes."""
-    made = recorded([sample(at_us=second * 1_000_000) for second in range(5)])
-    kept = [weakref.ref(part.latency._counts) for part in made._open_seconds.values()]
+    """Guards against a memory leak: histograms of the library are reference cycles of some megabytes.
+
+    Without an explicit garbage collection each closed second would keep its own.
+    """
+    result = record_all([sample(at_us=second * 1_000_000) for second in range(5)])
+    references = [weakref.ref(part.latency._counts) for part in result._open_seconds.values()]
     gc.disable()
     try:
-        made.close_seconds()
-        assert [ref() for ref in kept] == [None] * 5
+        result.close_seconds()
+        assert [ref() for ref in references] == [None] * 5
     finally:
         gc.enable()
--- a/tests/load/test_report.py
+++ b/tests/load/test_report.py
@@ -1,4 +1,4 @@
-"""Reports and the command line: the stated schema, exit codes, and one line for what is wrong."""
+"""Reports and the command line: the documented schema, exit codes, and one line for each error."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 from fordtrestle.load.generator import Run
 from fordtrestle.load.recorder import Recorder
 from fordtrestle.load.samples import Outcome, Sample
-from tests.load.standin import StandIn, answer, load
+from tests.load.standin import ScriptedServer, load_toml, response
 
 ROOT = Path(__file__).resolve().parents[2]
 FIELDS = {
@@ -29,8 +29,8 @@
 }
 
 
-def made(samples=(), **more):
-    plan = schedule.make_schedule(spec.parse(load(1, **more), "test"), Path("."))
+def report_of(samples=(), **more):
+    plan = schedule.make_schedule(spec.parse(load_toml(1, **more), "test"), Path("."))
     run = Run(Recorder(plan.spec.classes, plan.tenants))
     for row in samples:
         run.recorder.add(row)
@@ -38,15 +38,15 @@
     return report.make_report(run, plan, "x.toml")
 
 
-def served(latency_ms, at_us=0):
+def served_sample(latency_ms, at_us=0):
     return Sample(Outcome.SERVED, 1, 0, 0, 200, at_us, 1000, round(latency_ms * 1e6), round(latency_ms * 1e6))
 
 
-SOME = [served(ms, ms * 20_000) for ms in range(1, 200)]
+SAMPLES = [served_sample(ms, ms * 20_000) for ms in range(1, 200)]
 
 
 def test_the_schema_is_the_documented_one():
-    summary = json.loads(json.dumps(made(SOME), allow_nan=False))
+    summary = json.loads(json.dumps(report_of(SAMPLES), allow_nan=False))
     assert set(summary) == FIELDS
     assert (summary["format"], summary["version"]) == (
         "fordtrestle-load-report",
@@ -61,8 +61,8 @@
     page = (ROOT / "docs/operate/load.md").read_text()
     source = (ROOT / "fordtrestle/load/spec.py").read_text()
     keys = set(re.findall(r'(?:_number|_integer)\((?:table|run|target), "(\w+)"', source))
-    asks = "choice|text|boolean|identifiers|numbers|address"
-    keys |= set(re.findall(rf'(?:table|run|target|root)\.(?:{asks})\(\s*"(\w+)"', source))
+    readers = "choice|text|boolean|identifiers|numbers|address"
+    keys |= set(re.findall(rf'(?:table|run|target|root)\.(?:{readers})\(\s*"(\w+)"', source))
     keys |= set(re.findall(r'(?:rate|length)\("(\w+)"', source))
     assert len(keys) > 35
     assert not {key for key in keys if f"`{key}`" not in page}
@@ -77,19 +77,19 @@
         ("[bounds]\nnot_sent_most = 0", True),
     ],
 )
-def test_bounds_are_judged(more, good):
-    summary = made(SOME, more=more)
+def test_bounds_are_checked_against_the_measured_values(more, good):
+    summary = report_of(SAMPLES, more=more)
     assert report.meets_bounds(summary) is good
     assert len(summary["bounds"]) == 1
     assert ("NOT MET" in report.format_table(summary)) is not good
 
 
-def test_what_could_not_be_measured_meets_no_bound():
-    assert not report.meets_bounds(made([], more="[bounds]\np99_most_ms = 500"))
+def test_a_value_that_was_not_measured_meets_no_bound():
+    assert not report.meets_bounds(report_of([], more="[bounds]\np99_most_ms = 500"))
 
 
-def test_the_table_says_what_must_not_be_missed():
-    summary = made([*SOME, Sample(Outcome.NO_ROOM, 0, 0, 0, 0, 0, 0, 0, 0)])
+def test_the_table_shows_unsent_requests_an_early_stop_and_an_unsound_run():
+    summary = report_of([*SAMPLES, Sample(Outcome.NO_ROOM, 0, 0, 0, 0, 0, 0, 0, 0)])
     summary.update(cut=True, unsound_because=["sends were late"])
     text = report.format_table(summary)
     assert "NOT SENT 1" in text
@@ -99,17 +99,17 @@
 
 
 @pytest.mark.parametrize("suffix", plot.SUFFIXES)
-def test_plots_are_drawn_also_of_next_to_nothing(tmp_path, suffix):
+def test_plots_are_drawn_with_and_without_samples(tmp_path, suffix):
     pytest.importorskip("matplotlib")
-    for number, samples in enumerate(([], SOME)):
+    for number, samples in enumerate(([], SAMPLES)):
         path = tmp_path / f"{number}{suffix}"
-        plot.plot(made(samples), path)
+        plot.plot(report_of(samples), path)
         assert path.stat().st_size > 5000
 
 
-def test_the_same_report_is_the_same_picture(tmp_path):
+def test_the_same_report_gives_the_same_plot(tmp_path):
     pytest.importorskip("matplotlib")
-    summary = made(SOME)
+    summary = report_of(SAMPLES)
     for name in ("a.svg", "b.svg"):
         plot.plot(summary, tmp_path / name)
     assert (tmp_path / "a.svg").read_bytes() == (tmp_path / "b.svg").read_bytes()
@@ -118,14 +118,14 @@
 # --- the command line -----------------------------------------------------------
 
 
-def put(path, text):
+def write_file(path, text):
     path.write_text(text)
     return str(path)
 
 
 def test_a_load_is_sent_and_reported(tmp_path, capsys):
-    file = put(tmp_path / "l.toml", load(1, more="[bounds]\nnot_sent_most = 0"))
-    with StandIn() as server:
+    file = write_file(tmp_path / "l.toml", load_toml(1, more="[bounds]\nnot_sent_most = 0"))
+    with ScriptedServer() as server:
         code = cli.main(
             ["load", file, "--to", f"127.0.0.1:{server.port}", "--json", str(tmp_path / "r.json")]
         )
@@ -136,18 +136,20 @@
     assert "ends: served 20" in capsys.readouterr().out
 
 
-def test_a_bound_that_is_not_met_and_an_unsound_run_end_with_1(tmp_path, capsys):
-    with StandIn(lambda number, head: answer(500)) as server:
-        text = load(server.port, length_s=0.05, more="[bounds]\nin_aim_share_least = 0.5")
-        assert cli.main(["load", put(tmp_path / "a.toml", text), "--json"]) == 1
+def test_exit_code_is_1_for_a_bound_that_is_not_met_and_for_an_unsound_run(tmp_path, capsys):
+    with ScriptedServer(lambda number, head: response(500)) as server:
+        text = load_toml(server.port, length_s=0.05, more="[bounds]\nin_aim_share_least = 0.5")
+        assert cli.main(["load", write_file(tmp_path / "a.toml", text), "--json"]) == 1
         assert json.loads(capsys.readouterr().out)["bounds"][0]["met"] is False
-        text = load(server.port, length_s=0.05).replace("lag_p99_most_ms = 10000", "lag_p99_most_ms = 0.001")
-        assert cli.main(["load", put(tmp_path / "b.toml", text)]) == 1
+        text = load_toml(server.port, length_s=0.05).replace(
+            "lag_p99_most_ms = 10000", "lag_p99_most_ms = 0.001"
+        )
+        assert cli.main(["load", write_file(tmp_path / "b.toml", text)]) == 1
     assert "UNSOUND: sends were late" in capsys.readouterr().out
 
 
 def test_check_trace_and_write(tmp_path, capsys):
-    file = put(tmp_path / "l.toml", load(1))
+    file = write_file(tmp_path / "l.toml", load_toml(1))
     assert cli.main(["load", "check", file]) == 0
     assert capsys.readouterr().out == f"{file}: good: 20 requests in 0.2 s, 100.0 a second\n"
     path = str(tmp_path / "t.trace.gz")
@@ -175,15 +177,17 @@
     ],
 )
 def test_bad_input_is_one_line_code_2_and_nothing_sent(tmp_path, capsys, arguments, expected):
-    with StandIn() as server:
+    with ScriptedServer() as server:
         files = {
             "none": str(tmp_path / "none"),
-            "trace": put(tmp_path / "t", "#fordtrestle-trace 1\nx a - - 1 0\n"),
+            "trace": write_file(tmp_path / "t", "#fordtrestle-trace 1\nx a - - 1 0\n"),
         }
-        files["good"] = put(tmp_path / "good.toml", load(server.port))
-        files["bad"] = put(tmp_path / "bad.toml", load(server.port, budget_ms=0))
-        text = re.sub(r"\[arrivals.*?(?=\[class)", '[trace]\nfile = "t"\n', load(server.port), flags=re.S)
-        files["damaged"] = put(tmp_path / "d.toml", text.replace("length_s = 0.2\n", ""))
+        files["good"] = write_file(tmp_path / "good.toml", load_toml(server.port))
+        files["bad"] = write_file(tmp_path / "bad.toml", load_toml(server.port, budget_ms=0))
+        text = re.sub(
+            r"\[arrivals.*?(?=\[class)", '[trace]\nfile = "t"\n', load_toml(server.port), flags=re.S
+        )
+        files["damaged"] = write_file(tmp_path / "d.toml", text.replace("length_s = 0.2\n", ""))
         code = cli.main(["load", *(word.format(**files) for word in arguments)])
     captured = capsys.readouterr()
     assert code == 2
@@ -193,10 +197,10 @@
     assert not server.connections
 
 
-def test_sigint_cuts_a_run_and_what_was_measured_is_reported(tmp_path):
-    """From the terminal the signal goes to the whole group, workers too."""
-    with StandIn() as server:
-        file = put(tmp_path / "l.toml", load(server.port, length_s=600))
+def test_sigint_stops_a_run_early_and_the_measurements_so_far_are_reported(tmp_path):
+    """A terminal sends SIGINT to the whole process group, which includes the workers."""
+    with ScriptedServer() as server:
+        file = write_file(tmp_path / "l.toml", load_toml(server.port, length_s=600))
         arguments = [sys.executable, "-m", "fordtrestle", "load", file, "--json"]
         child = subprocess.Popen(arguments, cwd=ROOT, stdout=subprocess.PIPE, start_new_session=True)
         while len(server.requests) < 20:
@@ -211,14 +215,14 @@
     assert summary["whole"]["outcomes"]["served"] >= 15
 
 
-def test_a_terminal_sees_a_live_line(tmp_path):
-    with StandIn() as server:
-        file = put(tmp_path / "l.toml", load(server.port, length_s=1.3, budget_ms=20_000))
-        ours, theirs = pty.openpty()
+def test_progress_is_shown_on_a_terminal(tmp_path):
+    with ScriptedServer() as server:
+        file = write_file(tmp_path / "l.toml", load_toml(server.port, length_s=1.3, budget_ms=20_000))
+        terminal, child_end = pty.openpty()
         arguments = [sys.executable, "-m", "fordtrestle", "load", file]
-        done = subprocess.run(arguments, cwd=ROOT, stdout=subprocess.PIPE, stderr=theirs, timeout=30)
-        os.close(theirs)
-        seen = os.read(ours, 4096).decode()
-        os.close(ours)
-    assert done.returncode == 0
-    assert re.search(r"1 s  \d+ ended  0 not served", seen)
+        completed = subprocess.run(arguments, cwd=ROOT, stdout=subprocess.PIPE, stderr=child_end, timeout=30)
+        os.close(child_end)
+        shown = os.read(terminal, 4096).decode()
+        os.close(terminal)
+    assert completed.returncode == 0
+    assert re.search(r"1 s  \d+ ended  0 not served", shown)
--- a/tests/load/test_spec.py
+++ b/tests/load/test_spec.py
@@ -1,4 +1,4 @@
-"""The load file: strict, all errors at once, and the same schedule for the same seed."""
+"""The load file: strict keys and values, all errors at once, and the same schedule for the same seed."""
 
 from __future__ import annotations
 
@@ -77,15 +77,15 @@
 
 
 def test_a_valid_file_is_read():
-    made = spec.parse(GOOD, "f.toml")
-    assert (made.length_s, made.seed, made.workers, made.keys.count) == (4.0, 3, 2, 100)
-    assert [(c.name, c.semantics, c.aim_ms, c.worth) for c in made.classes] == [
+    parsed = spec.parse(GOOD, "f.toml")
+    assert (parsed.length_s, parsed.seed, parsed.workers, parsed.keys.count) == (4.0, 3, 2, 100)
+    assert [(c.name, c.semantics, c.aim_ms, c.worth) for c in parsed.classes] == [
         ("look", "pure", 100.0, 1.0),
         ("pay", "unsafe", 1000.0, 5.0),
     ]
-    assert made.bounds.p99_most_ms == 100.0
-    assert made.bounds.in_aim_share_least is None
-    assert made.retries.on == ("refused", "failed")
+    assert parsed.bounds.p99_most_ms == 100.0
+    assert parsed.bounds.in_aim_share_least is None
+    assert parsed.retries.on == ("refused", "failed")
 
 
 @pytest.mark.parametrize(
@@ -135,7 +135,7 @@
 def test_all_errors_are_reported_at_once():
     lines = errors_of(GOOD.replace("seed = 3", "seed = -3").replace("budget_ms = 1000", "budget = 1"))
     assert [line.split(": ")[1] for line in lines] == ["run.seed", "class.pay.budget_ms", "class.pay.budget"]
-    assert len(errors_of("")) == 4  # the target, a length, a class, arrivals
+    assert len(errors_of("")) == 4  # target, length, class and arrivals are missing
 
 
 @pytest.mark.parametrize(
@@ -162,11 +162,11 @@
 
 
 def test_the_same_seed_gives_the_same_schedule_byte_for_byte(tmp_path):
-    made = spec.parse(GOOD, "f")
+    parsed = spec.parse(GOOD, "f")
     files = []
     for number, seed in enumerate((3, 3, 4)):
         path = tmp_path / f"{number}.trace.gz"
-        trace.write(path, schedule.make_schedule(replace(made, seed=seed), tmp_path).requests(), 4_000_000)
+        trace.write(path, schedule.make_schedule(replace(parsed, seed=seed), tmp_path).requests(), 4_000_000)
         files.append(path.read_bytes())
     assert files[0] == files[1] != files[2]
 
@@ -181,17 +181,17 @@
     assert len(a) > 800
 
 
-def write(path, rows, length_us=2_000_000):
+def write_trace(path, rows, length_us=2_000_000):
     trace.write(path, rows, length_us)
 
 
 def test_a_trace_replaces_arrivals(tmp_path):
     rows = [Request(i * 1000, "look", "acme", "", 500_000, 0) for i in range(100)]
-    write(tmp_path / "t.trace", rows)
+    write_trace(tmp_path / "t.trace", rows)
     text = TRACE.replace('file = "t.trace"', 'file = "t.trace"\nspeed = 2\nloop = 3')
-    made = schedule.make_schedule(spec.parse(text, "f"), tmp_path)
-    assert (made.length_us, made.tenants) == (3_000_000, ("acme",))
-    assert [row.at_us for row in islice(made.requests(), 99, 102)] == [49_500, 1_000_000, 1_000_500]
+    parsed = schedule.make_schedule(spec.parse(text, "f"), tmp_path)
+    assert (parsed.length_us, parsed.tenants) == (3_000_000, ("acme",))
+    assert [row.at_us for row in islice(parsed.requests(), 99, 102)] == [49_500, 1_000_000, 1_000_500]
 
 
 @pytest.mark.parametrize(
@@ -204,10 +204,10 @@
 def test_a_trace_that_does_not_match_the_load_is_rejected_before_anything_is_sent(
     tmp_path, class_name, more, expected
 ):
-    write(tmp_path / "t.trace", [Request(0, class_name, "", "", 1, 0)])
-    made = spec.parse(TRACE.replace('"t.trace"', f'"t.trace"{more}'), "f")
+    write_trace(tmp_path / "t.trace", [Request(0, class_name, "", "", 1, 0)])
+    parsed = spec.parse(TRACE.replace('"t.trace"', f'"t.trace"{more}'), "f")
     with pytest.raises(TraceError, match=expected):
-        schedule.make_schedule(made, tmp_path)
+        schedule.make_schedule(parsed, tmp_path)
 
 
 def test_spin_ms_is_read_and_must_not_be_negative():
--- a/tests/load/test_trace.py
+++ b/tests/load/test_trace.py
@@ -1,4 +1,4 @@
-"""Traces: what is written is read back, and damage is reported by line and field."""
+"""Traces: written requests are read back unchanged, and errors name the line and the field."""
 
 from __future__ import annotations
 
@@ -115,8 +115,8 @@
         trace.write(path, rows)
 
 
-def offsets(path, **cut):
-    return [row.at_us for row in replay(path, ReplayRange(**cut), 3_000_000)]
+def offsets(path, **options):
+    return [row.at_us for row in replay(path, ReplayRange(**options), 3_000_000)]
 
 
 def test_a_replay_is_sped_up_looped_and_cut(path):
@@ -129,10 +129,12 @@
     assert offsets(path, from_us=11) == [2_499_989]
 
 
-@pytest.mark.parametrize("cut", [{"speed": 0.0}, {"loop": 0}, {"from_us": 5, "to_us": 5}, {"from_us": -1}])
-def test_invalid_ranges_are_rejected(cut):
+@pytest.mark.parametrize(
+    "options", [{"speed": 0.0}, {"loop": 0}, {"from_us": 5, "to_us": 5}, {"from_us": -1}]
+)
+def test_invalid_ranges_are_rejected(options):
     with pytest.raises(ValueError, match=r"a finite speed above 0|a range that ends after its start"):
-        ReplayRange(**cut)
+        ReplayRange(**options)
 
 
 NAMES = st.from_regex(trace.NAME, fullmatch=True)
--- a/tests/load/test_wire.py
+++ b/tests/load/test_wire.py
@@ -1,4 +1,4 @@
-"""Bytes of requests and responses: as the protocol has them, and malformed ones are rejected."""
+"""Requests are encoded and responses parsed as the protocol defines; malformed responses are rejected."""
 
 from __future__ import annotations
 
@@ -35,10 +35,10 @@
     assert encode("pure").endswith(b"user=7f3a\r\n\r\n")
 
 
-def test_a_retry_has_a_new_id_the_same_key_and_says_so():
-    made = RequestTemplate(HEADS["keyed"], "keyed", "", "", "t0", 0)
-    first, again = made.encode_attempt("id1", 1500, False), made.encode_attempt("id2", 700, True)
-    assert again == first.replace(b"id1", b"id2").replace(b"1500u\r\n", b"700u\r\nX-Again: 1\r\n")
+def test_a_retry_has_a_new_id_the_same_key_and_a_marker():
+    template = RequestTemplate(HEADS["keyed"], "keyed", "", "", "t0", 0)
+    first, retry = template.encode_attempt("id1", 1500, False), template.encode_attempt("id2", 700, True)
+    assert retry == first.replace(b"id1", b"id2").replace(b"1500u\r\n", b"700u\r\nX-Again: 1\r\n")
     assert b"X-Caller" not in first
     assert b"Cookie" not in first
 
@@ -51,7 +51,7 @@
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 
-def read(*parts):
+def read_response(*parts):
     reader = ResponseReader()
     reader.begin()
     for part in parts:
@@ -60,7 +60,7 @@
 
 
 def test_responses_are_read_byte_by_byte_and_one_after_the_other():
-    reader = read(*(OK[i : i + 1] for i in range(len(OK))))
+    reader = read_response(*(OK[i : i + 1] for i in range(len(OK))))
     assert (reader.is_complete, reader.status, reader.can_keep_alive) == (True, 200, True)
     reader.begin()
     assert not reader.has_received
@@ -69,7 +69,7 @@
 
 
 def test_chunked_and_interim_responses_are_read():
-    reader = read(
+    reader = read_response(
         b"HTTP/1.1 100 Continue\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n",
     )
@@ -81,9 +81,9 @@
 
 
 def test_only_a_response_without_length_is_complete_at_the_connections_end():
-    assert read(b"HTTP/1.1 200 OK\r\n\r\nhi").on_connection_closed()
-    assert not read(OK[:-1]).on_connection_closed()
-    assert not read(b"HTTP/1.1 200 OK\r\nContent-").on_connection_closed()
+    assert read_response(b"HTTP/1.1 200 OK\r\n\r\nhi").on_connection_closed()
+    assert not read_response(OK[:-1]).on_connection_closed()
+    assert not read_response(b"HTTP/1.1 200 OK\r\nContent-").on_connection_closed()
 
 
 @pytest.mark.parametrize(
@@ -97,23 +97,23 @@
 )
 def test_malformed_and_too_large_responses_are_rejected(data):
     with pytest.raises(ResponseError):
-        read(data)
+        read_response(data)
 
 
 @pytest.mark.parametrize("text", [b"Wed, 21 Oct 2015 07:28:00 GMT", b"nan", b"-1", b"inf"])
 def test_a_retry_after_that_is_no_number_of_seconds_is_ignored(text):
-    answer = b"HTTP/1.1 503 no\r\nRetry-After: %b\r\nContent-Length: 0\r\n\r\n" % text
-    assert read(answer).retry_after_s is None
+    data = b"HTTP/1.1 503 no\r\nRetry-After: %b\r\nContent-Length: 0\r\n\r\n" % text
+    assert read_response(data).retry_after_s is None
 
 
 def test_a_closed_parser_leaves_no_cycle():
-    reader = read(OK)
-    met = weakref.ref(reader)
+    reader = read_response(OK)
+    reference = weakref.ref(reader)
     gc.disable()
     try:
         reader.close()
         del reader
-        assert met() is None
+        assert reference() is None
     finally:
         gc.enable()
 
