--- a/fordtrestle/replication/membership.py
+++ b/fordtrestle/replication/membership.py
@@ -76,8 +76,7 @@
         A replica is needed, and so is a witness while another store is waiting for its slot. Guards against
         two races: with a candidate that this store has promised a newer term, whose epoch may need it; and
         with other stores that shut down at the same time. If all other stores have announced that they are
-        shutting down, there is nothing to wait for. A store that is not heard has not
-        announced this.
+        shutting down, there is nothing to wait for; a store that is not heard has not announced this.
         """
         context, epoch = self._context, self._context.epoch
         staying = context.peers.ids() - context.peers.leaving() - {context.me.id}
--- a/tests/storage/test_log.py
+++ b/tests/storage/test_log.py
@@ -26,8 +26,8 @@
 
 DIRECTORY = Path("data")
 
-# With `derandomize`, Hypothesis derives the draws of a `@given` test from the source of its function. Rewording
-# one changes its draws, so that it may no longer notice that a guard is removed.
+# With `derandomize`, Hypothesis derives the draws of a `@given` test from the source of its function. A test
+# that is reworded has other draws, and may no longer notice that a guard is removed.
 
 
 def write(directory, payloads):
