--- a/tests/balancer/test_crowd.py
+++ b/tests/balancer/test_crowd.py
@@ -163,27 +163,25 @@
 @settings(max_examples=40, deadline=None)
 @given(
     seed=st.integers(0, 10_000),
-    typical_ms=st.floats(5.0, 60.0),
+    usual=st.floats(5.0, 60.0),
     step=st.sampled_from([2.0, 20.0, 200.0, 1000.0]),
-    trouble=st.sampled_from(["none", "overload", "lost", "full"]),
+    trouble=st.sampled_from(["none", "crowd", "lost", "full"]),
 )
-def test_no_request_to_a_healthy_service_is_refused_whatever_happened_a_minute_ago(
-    seed, typical_ms, step, trouble
-):
+def test_a_healthy_service_is_refused_nothing_whatever_was_a_minute_ago(seed, usual, step, trouble):
     rng = random.Random(seed)
-    instance = balancer("safe", seed=seed)
-    _, now = play(instance, lambda: rng.uniform(0.5, 1.5) * typical_ms, 150, step=step, rng=rng)
-    if trouble == "overload":
-        _, now = play(instance, lambda: 190.0, 150, now, step, rng=rng)
+    made = balancer("safe", seed=seed)
+    _, now = play(made, lambda: rng.uniform(0.5, 1.5) * usual, 150, step=step, rng=rng)
+    if trouble == "crowd":
+        _, now = play(made, lambda: 190.0, 150, now, step, rng=rng)
     elif trouble == "lost":
-        _, now = play(instance, lambda: typical_ms, 150, now, step, lost_share=0.9, rng=rng)
+        _, now = play(made, lambda: usual, 150, now, step, lost_share=0.9, rng=rng)
     elif trouble == "full":
         for number in range(150):
             now += step
-            for hop, _ in enumerate(of_type(instance.request(now, arrival(number, now)), Send)):
-                instance.outcome(now + 2.0, number, hop, Outcome.FULL, 2.0, last=True)
+            for hop, _ in enumerate(of_type(made.request(now, arrival(number, now)), Send)):
+                made.outcome(now + 2.0, number, hop, Outcome.FULL, 2.0, last=True)
     now += 60_000.0
-    assert play(instance, lambda: rng.uniform(0.5, 1.5) * typical_ms, 300, now, step, rng=rng)[0] == 0
+    assert play(made, lambda: rng.uniform(0.5, 1.5) * usual, 300, now, step, rng=rng)[0] == 0
 
 
 def test_a_request_is_sent_every_two_seconds_whatever_asks_for_refusals():
--- a/tests/dissemination/test_catalog.py
+++ b/tests/dissemination/test_catalog.py
@@ -73,7 +73,7 @@
 
 
 @given(st.lists(ITEMS, max_size=30), st.randoms())
-def test_the_order_in_which_items_arrive_does_not_matter(items, random):
+def test_the_order_in_which_items_come_does_not_matter(items, random):
     one, other = Catalog(), Catalog()
     one.merge(items, 0.0)
     random.shuffle(items)
--- a/tests/forward/test_events.py
+++ b/tests/forward/test_events.py
@@ -21,16 +21,16 @@
 
 
 @given(st.lists(st.integers(0, len(b"".join(EVENTS))), max_size=8))
-def test_a_stream_in_any_chunks_yields_all_events_and_only_complete_ones(cuts):
+def test_a_stream_in_any_pieces_gives_all_its_events_and_complete_ones_only(cuts):
     stream = b"".join(EVENTS)
-    splitter, forwarded = EventSplitter(), b""
+    splitter, passed = EventSplitter(), b""
     positions = [0, *sorted(cuts), len(stream)]
     ends = [len(b"".join(EVENTS[:count])) for count in range(len(EVENTS) + 1)]
     for start, end in itertools.pairwise(positions):
-        forwarded += splitter.feed(stream[start:end])
-        assert stream.startswith(forwarded)
-        assert any(len(forwarded) in (at, at - 1) for at in ends)
-    assert forwarded + splitter.take_incomplete() == stream
+        passed += splitter.feed(stream[start:end])
+        assert stream.startswith(passed)
+        assert any(len(passed) in (at, at - 1) for at in ends)
+    assert passed + splitter.take_incomplete() == stream
     assert splitter.last_id == "3"
 
 
--- a/tests/peer/test_frames.py
+++ b/tests/peer/test_frames.py
@@ -30,21 +30,21 @@
 
 
 @given(st.binary(max_size=2000))
-def test_a_frame_contains_its_payload(payload):
-    header = struct.unpack(">I", encode_frame(payload)[:4])[0]
+def test_a_frame_holds_its_payload(payload):
+    head = struct.unpack(">I", encode_frame(payload)[:4])[0]
     body = encode_frame(payload)[4:]
-    assert (decompress(body) if header >> 31 else body) == payload
-    assert len(body) == header & 0x7FFFFFFF
+    assert (decompress(body) if head >> 31 else body) == payload
+    assert len(body) == head & 0x7FFFFFFF
 
 
 @given(st.lists(st.binary(min_size=1, max_size=600), max_size=5), st.lists(st.integers(0, 3000), max_size=6))
-def test_payloads_are_decoded_in_order_wherever_the_bytes_are_split(payloads, splits):
+def test_payloads_come_in_order_wherever_the_bytes_are_cut(payloads, cuts):
     data = KEEPALIVE_FRAME.join(map(encode_frame, payloads)) + KEEPALIVE_FRAME
-    decoder, decoded = FrameDecoder(), []
-    for start, end in itertools.pairwise([0, *sorted(splits), max(len(data), 3000)]):
+    decoder, found = FrameDecoder(), []
+    for start, end in itertools.pairwise([0, *sorted(cuts), max(len(data), 3000)]):
         decoder.receive_data(data[start:end])
-        decoded += payloads_of(decoder)
-    assert decoded == payloads
+        found += payloads_of(decoder)
+    assert found == payloads
 
 
 def test_a_payload_is_compressed_from_the_minimum_size_on():
@@ -91,6 +91,6 @@
 
 
 @given(st.binary(max_size=200))
-def test_arbitrary_bytes_raise_no_error_other_than_codec_errors(data):
+def test_arbitrary_bytes_raise_no_other_error_than_the_codecs(data):
     with contextlib.suppress(CodecError):
         decode(data)
--- a/tests/routing/test_json_members.py
+++ b/tests/routing/test_json_members.py
@@ -28,10 +28,10 @@
 
 
 @given(st.dictionaries(st.text(max_size=6), VALUES, max_size=5), LAYOUTS)
-def test_all_members_and_rows_are_yielded_in_order(document, layout):
-    assembled = assemble(json.dumps(document, **layout))
+def test_all_members_and_rows_come_in_their_order(document, layout):
+    told = assemble(json.dumps(document, **layout))
     expected = {name: value if isinstance(value, list) else [value] for name, value in document.items()}
-    assert assembled == {name: rows for name, rows in expected.items() if rows}
+    assert told == {name: rows for name, rows in expected.items() if rows}
 
 
 @pytest.mark.parametrize("text", ["", "[]", "7", '{"a" 1}', '{"a":1', '{"a":[1 2]}', '{"a":[1', '{"a":}'])
