--- a/fordtrestle/load/errors.py
+++ b/fordtrestle/load/errors.py
@@ -10,7 +10,7 @@
 
 
 class SpecError(LoadError):
-    """Raised when a load file is not valid.
+    """Raised when a load file is not valid, or can't be read.
 
     Attributes:
         lines: All errors of the file, one line each.
@@ -26,7 +26,7 @@
 
 
 class GeneratorError(LoadError):
-    """Raised when a run can't begin, before anything was sent; the text says why."""
+    """Raised when a load can't be sent, or written as a trace; nothing was sent, and the text says why."""
 
 
 class ResponseError(LoadError):
--- a/fordtrestle/load/wire.py
+++ b/fordtrestle/load/wire.py
@@ -14,7 +14,7 @@
 
 MAX_RESPONSE_BODY_BYTES = 2 * 1024 * 1024  # bodies are counted, not stored
 MAX_RESPONSE_HEAD_BYTES = 64 * 1024  # bounds what a malformed response makes the parser read
-MAX_RETRY_AFTER_S = 1e9  # a value that is not below this is ignored
+MAX_RETRY_AFTER_S = 1e9  # a longer wait can't be meant and is ignored
 FILLER = b"0123456789abcde\n"
 METHODS = {"pure": b"GET", "keyed": b"POST", "unsafe": b"POST"}
 FIRST_FINAL_STATUS = 200  # lower statuses are interim responses (RFC 9110, 15.2)
--- a/fordtrestle/load/worker.py
+++ b/fordtrestle/load/worker.py
@@ -24,7 +24,7 @@
 
 MIN_SPARE_NS = 80_000  # background work is done only if the next send is at least this far away
 MAX_SLEEP_NS = 20_000_000
-MAX_BATCH = 32  # sends in a row before events are handled, and events in a row before sends
+MAX_BATCH = 32  # sends in a row, and events per poll, so that neither starves the other
 
 clock_ns = time.monotonic_ns
 
@@ -153,7 +153,8 @@
     def _send_retry(self, request: RequestState, due_ns: int, now_ns: int) -> None:
         """Send a retry with the remaining budget.
 
-        If it can't be sent and no other attempt is in flight, the request is finished with its last outcome.
+        If it can't be sent and no other attempt is in flight, the request is finished with the outcome of its
+        last response, or as unanswered.
         """
         request.is_retry_planned = False
         remaining_us = (request.due_ns + request.budget_ns - now_ns) // 1000
--- a/fordtrestle/load/worker_process.py
+++ b/fordtrestle/load/worker_process.py
@@ -51,6 +51,6 @@
 
 
 def _raise_descriptor_limit() -> None:
-    """Raise the limit of open files to the hard_limit limit, since each connection needs a descriptor."""
+    """Raise the limit of open files to the hard limit, since each connection needs a descriptor."""
     hard_limit = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
     resource.setrlimit(resource.RLIMIT_NOFILE, (hard_limit, hard_limit))
--- a/tests/load/test_accuracy.py
+++ b/tests/load/test_accuracy.py
@@ -19,9 +19,8 @@
 def test_the_distance_is_the_kolmogorov_smirnov_statistic():
     assert distance_to_even([(i + 0.5) / 100 for i in range(100)], 1.0) == pytest.approx(0.005)
     assert distance_to_even([0.0] * 10, 1.0) == 1.0
-    assert (
-        distance_to_even([x / 100 * 0.9 for x in range(100)], 1.0) > 0.09
-    )  # the last tenth of the interval is missing
+    # The last tenth of the interval is missing.
+    assert distance_to_even([x / 100 * 0.9 for x in range(100)], 1.0) > 0.09
     assert distance_to_even([], 1.0) == 1.0
 
 
--- a/tests/load/test_generator.py
+++ b/tests/load/test_generator.py
@@ -95,7 +95,7 @@
     assert outcome_counts(samples) == {"UNREACHABLE": 20}
 
 
-def test_a_request_that_crossed_a_close_is_sent_once_more():
+def test_a_request_that_races_with_a_close_is_resent_once():
     """The server resets a connection as its second request arrives, without announcing the close.
 
     The client must resend such a request once, and not count the resend as a retry.
@@ -133,7 +133,7 @@
     return [head for head in heads if header(head, "X-Again") is None]
 
 
-def test_a_retry_has_a_new_id_the_same_key_and_belongs_to_its_first_try():
+def test_a_retry_has_a_new_id_the_same_key_and_belongs_to_its_first_attempt():
     def script(number, head):
         return response() if header(head, "X-Again") else response(503, fields="Retry-After: 0.03\r\n")
 
@@ -143,9 +143,8 @@
     assert run.recorder.retries == 4
     served = [s for s in samples if s.outcome == Outcome.SERVED]
     assert {s.attempts for s in served} == {2}
-    assert all(
-        s.latency_ns - s.service_ns >= 30_000_000 for s in served
-    )  # latency counts from the intended time
+    # Latency counts from the intended time, service time from the send of the retry.
+    assert all(s.latency_ns - s.service_ns >= 30_000_000 for s in served)
     assert len({header(head, "X-Call-Id") for head in server.requests}) == 8
     keys = Counter(header(head, "Idempotency-Key") for head in server.requests)
     assert set(keys.values()) == {2}
@@ -199,9 +198,8 @@
 
 def test_bytes_without_a_request_close_the_connection():
     with ScriptedServer(lambda number, head: [response(), 0.02, b"stray"]) as server:
-        run, samples = run_load(
-            server.port, rate=2, length_s=2.5
-        )  # the stray bytes arrive before the next request is due
+        # The stray bytes arrive before the next request is due.
+        run, samples = run_load(server.port, rate=2, length_s=2.5)
     assert outcome_counts(samples) == {"SERVED": 5}
     assert run.counts["stray"] >= 4
     assert server.connections == 5
--- a/tests/load/test_recorder.py
+++ b/tests/load/test_recorder.py
@@ -75,9 +75,9 @@
 
 def test_samples_in_any_order_give_the_same_statistics():
     rows = random_samples()
-    other = rows[:]
-    random.Random(2).shuffle(other)
-    assert statistics(record_all(rows)) == statistics(record_all(other))
+    shuffled = rows[:]
+    random.Random(2).shuffle(shuffled)
+    assert statistics(record_all(rows)) == statistics(record_all(shuffled))
 
 
 def test_worth_in_aim_is_of_served_requests_and_worth_asked_of_all():
@@ -148,9 +148,9 @@
     result = Histogram()
     for n in range(1000):
         result.add(n * 1_000_000)
-    other = HdrHistogram.decode(result.encode())
-    assert other.get_total_count() == 1000
-    assert other.get_max_value() >= 998_900
+    library_histogram = HdrHistogram.decode(result.encode())
+    assert library_histogram.get_total_count() == 1000
+    assert library_histogram.get_max_value() >= 998_900
 
 
 def test_a_missing_library_names_the_extra(monkeypatch):
