--- a/rig/model.py
+++ b/rig/model.py
@@ -1,8 +1,9 @@
-"""One port server as a pure model: events and the clock's milliseconds in, values out.
+"""Deterministic model of one port server.
 
-A request holds a slot from when it gets one to its end: first it needs a core for its work, then it waits
-on others for its `io_ms`. Requests wait for a slot in a bounded queue, and for a core in their order. Nothing
-here knows sockets or reads a clock, and nothing is drawn: the same events give the same values.
+Callers pass events with the current time in milliseconds and get values back. A request holds a slot from
+admission to completion: it first needs a core for its work, then waits on other systems for its `io_ms`.
+Requests wait for a slot in a bounded queue, and for a core in the order of arrival. The model opens no
+sockets, reads no clock and draws no random numbers: the same events give the same values.
 """
 
 from __future__ import annotations
@@ -18,96 +19,102 @@
 Refusal = Literal["", "full", "draining", "connections", "over", "down"]
 End = Literal["done", "over"]
 
-REPEAT_SHARE = 0.05  # of its work, for a repeat whose first is done: the answer is still at hand
-PRESSURE_MOST = 20_000  # arrivals that are kept to tell whether a cold server is overdriven
+REPEAT_WORK_SHARE = 0.05  # share of its work that a repeat of a completed request costs: its answer is stored
+MAX_RECENT_ARRIVALS = 20_000  # arrivals kept to decide whether a cold server is overloaded
 
 
 @dataclass(frozen=True, slots=True)
 class Make:
-    """What a port server is. Work is in milliseconds of a core of speed 1."""
+    """Properties of a port server. Work is in milliseconds of a core of speed 1."""
 
     cores: int = 1
     speed: float = 1.0
-    slots: int = 16  # requests at work at a time
-    queue: int = 300  # requests that wait for a slot; past it they are turned away
+    slots: int = 16  # requests processed concurrently
+    queue: int = 300  # requests that may wait for a slot; further ones are rejected
     connections: int = 1000
-    handshake_ms: float = 1.0  # work that a new connection costs
-    probe_ms: float = 1.0  # work that a probe costs
-    cold_from: float = 0.31  # share of its capacity when it has just started
-    warm_up_ms: float = 7800.0  # from then to all of it
-    fall_multiple: float = 3.0  # sent more than that, times its present capacity,
-    overload_ms: float = 2000.0  # in so long, it falls over while it is cold
-    key_saving: float = 0.0  # share of the work that a key met lately saves
-    key_memory_ms: float = 8000.0
-    keys: int = 400  # that it remembers
-    choke_at: int = 0  # requests waiting for each core that choke it; 0: it never chokes
-    choke_after_ms: float = 2000.0  # when so many wait for so long
-    choke_times: float = 2.5  # it is so many times slower,
-    choke_rest_ms: float = 3000.0  # until it has been idle for so long
-    report: tuple[str, ...] = ()  # of inflight, queue and util, in its answers
+    handshake_ms: float = 1.0  # work per new connection
+    probe_ms: float = 1.0  # work per health probe
+    cold_from: float = 0.31  # share of the full capacity right after the start
+    warm_up_ms: float = 7800.0  # time from the start to full capacity
+    fall_multiple: float = (
+        3.0  # a cold server fails if it is sent more than this multiple of its current capacity
+    )
+    overload_ms: float = 2000.0  # within this time
+    key_saving: float = 0.0  # share of the work saved for a recently used key
+    key_memory_ms: float = 8000.0  # time for which a used key counts as recent
+    keys: int = 400  # recent keys that are remembered
+    choke_at: int = 0  # waiting requests per core above which the server chokes; 0 disables choking
+    choke_after_ms: float = 2000.0  # time for which so many must wait before it chokes
+    choke_times: float = 2.5  # slowdown factor of a choked server
+    choke_rest_ms: float = 3000.0  # idle time after which it recovers
+    report: tuple[str, ...] = ()  # fields of its load reports: any of inflight, queue and util
 
     def __post_init__(self) -> None:
-        """`ValueError` names the first senseless figure."""
+        """Check the fields.
+
+        Raises:
+            ValueError: If a field is out of range.
+        """
         for name in ("cores", "slots", "connections", "keys"):
             if getattr(self, name) < 1:
-                raise ValueError(f"{name}: {getattr(self, name)}")
+                raise ValueError(f"{name} must be at least 1, got {getattr(self, name)}")
         for name in ("speed", "cold_from", "fall_multiple", "overload_ms", "choke_times"):
             if not 0.0 < getattr(self, name) < math.inf:
-                raise ValueError(f"{name}: {getattr(self, name)}")
+                raise ValueError(f"{name} must be positive and finite, got {getattr(self, name)}")
         if self.cold_from > 1.0 or not 0.0 <= self.key_saving < 1.0:
-            raise ValueError("cold_from is a share, and so is key_saving")
+            raise ValueError("cold_from must be in (0, 1] and key_saving in [0, 1)")
         if min(self.queue, self.choke_at, self.handshake_ms, self.probe_ms, self.warm_up_ms) < 0:
-            raise ValueError("no figure is negative")
+            raise ValueError("queue, choke_at, handshake_ms, probe_ms and warm_up_ms must not be negative")
         if not set(self.report) <= {"inflight", "queue", "util"}:
-            raise ValueError(f"report: {self.report}")
+            raise ValueError(f"report may contain inflight, queue and util, got {self.report}")
 
     def share(self, age_ms: float, cold: bool = True) -> float:
-        """The share of its capacity that it has so long after its start."""
+        """Return the share of its full capacity that a server has `age_ms` after its start."""
         if not cold or age_ms >= self.warm_up_ms:
             return 1.0
         return self.cold_from + (1.0 - self.cold_from) * max(0.0, age_ms) / self.warm_up_ms
 
     def budget_ms(self, age_ms: float) -> float:
-        """The work that may be sent to it in `overload_ms` up to that age without its falling over."""
+        """Return the work in milliseconds that a server of that age survives within `overload_ms`."""
         return self.fall_multiple * self.cores * self.speed * self.share(age_ms) * self.overload_ms
 
 
 class Repeats:
-    """What the servers of one data centre remember together: keys whose work is under way or was done."""
+    """Idempotency keys of running and completed work, shared by the servers of one data centre."""
 
-    def __init__(self, window_ms: float, most: int = 20_000) -> None:
+    def __init__(self, window_ms: float, max_keys: int = 20_000) -> None:
         self._window_ms = window_ms
-        self._most = most
-        self._met: OrderedDict[str, tuple[float, bool]] = OrderedDict()
+        self._max_keys = max_keys
+        self._states: OrderedDict[str, tuple[float, bool]] = OrderedDict()
 
     @property
     def size(self) -> int:
-        """How many keys it holds."""
-        return len(self._met)
+        """The number of stored keys."""
+        return len(self._states)
 
-    def met(self, token: str, now_ms: float) -> Literal["", "running", "done"]:
-        """What is known of a key: nothing, or that its work is under way or done within the window."""
-        at_ms, done = self._met.get(token, (-math.inf, False))
+    def state_of(self, token: str, now_ms: float) -> Literal["", "running", "done"]:
+        """Return the state of the work under a key, or "" if none began within the window."""
+        at_ms, done = self._states.get(token, (-math.inf, False))
         if now_ms - at_ms > self._window_ms:
             return ""
         return "done" if done else "running"
 
     def begin(self, token: str, now_ms: float) -> None:
-        """Its work begins: the window counts from here."""
-        self._met.pop(token, None)
-        self._met[token] = (now_ms, False)
-        while len(self._met) > self._most:
-            self._met.popitem(last=False)
+        """Record that the work under a key begins; its window starts now."""
+        self._states.pop(token, None)
+        self._states[token] = (now_ms, False)
+        while len(self._states) > self._max_keys:
+            self._states.popitem(last=False)
 
     def finish(self, token: str) -> None:
-        """Its work is done."""
-        if token in self._met:
-            self._met[token] = (self._met[token][0], True)
+        """Record that the work under a key is complete."""
+        if token in self._states:
+            self._states[token] = (self._states[token][0], True)
 
     def forget(self, token: str) -> None:
-        """Its work was given up: the next one is no repeat."""
-        if token in self._met and not self._met[token][1]:
-            del self._met[token]
+        """Remove the key of cancelled work, so that the next request under it is no repeat."""
+        if token in self._states and not self._states[token][1]:
+            del self._states[token]
 
 
 @dataclass(slots=True, eq=False)
@@ -116,20 +123,20 @@
 
     work_ms: float
     io_ms: float = 0.0
-    key: str = ""  # what it is about: a key met lately costs less
-    token: str = ""  # by which its repeats are dropped; empty where they are not
-    over_ms: float = math.inf  # when its caller stops waiting
+    key: str = ""  # resource that it concerns: a recently used key costs less work
+    token: str = ""  # idempotency key; empty if repeats are not detected
+    deadline_ms: float = math.inf  # time at which its caller stops waiting
     holds_slot: bool = True
     state: State = "new"
-    repeat: bool = False  # its effect was dropped
-    first: bool = False  # it is the one that the group's memory holds
-    began_ms: float | None = None  # when it got a core
+    repeat: bool = False  # it had no effect since other work under its token ran
+    first: bool = False  # `Repeats` stores its token for this job
+    began_ms: float | None = None  # time at which it got a core
     finish_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Ended:
-    """A job that has come to its end at a time: done, or never begun since its caller waits no more."""
+    """End of a job: done, or "over" if its deadline passed before it began."""
 
     job: Job
     end: End
@@ -138,19 +145,25 @@
 
 @dataclass(slots=True)
 class Choke:
-    """Whether a server is choked: it turns slow when crowded, and recovers once it has been idle."""
+    """Tracks whether a server is choked: overload slows it down until it has been idle for a while."""
 
     make: Make
     on: bool = False
-    since_ms: float | None = None  # crowded, or idle where it is choked already
+    since_ms: float | None = None  # start of the current overload or, if choked, of the current idle time
 
-    def look(self, now_ms: float, waiting: int, in_hand: int) -> None:
-        """Take what waits for a core or a slot and what is in hand at a time."""
+    def update(self, now_ms: float, waiting: int, in_flight: int) -> None:
+        """Update the state.
+
+        Args:
+            now_ms: Current time in milliseconds.
+            waiting: Jobs that wait for a slot or a core.
+            in_flight: Requests in flight, waiting ones included.
+        """
         if not self.make.choke_at:
             return
-        crowded = waiting > self.make.choke_at * self.make.cores
-        stirring = in_hand == 0 if self.on else crowded
-        if not stirring:
+        is_overloaded = waiting > self.make.choke_at * self.make.cores
+        is_due_to_change = in_flight == 0 if self.on else is_overloaded
+        if not is_due_to_change:
             self.since_ms = None
         elif self.since_ms is None:
             self.since_ms = now_ms
@@ -160,32 +173,34 @@
 
 @dataclass(slots=True)
 class Pressure:
-    """What a server was sent in the last while, in milliseconds of work."""
+    """Sliding window over the work sent to a server, in milliseconds of work."""
 
     span_ms: float
     total_ms: float = 0.0
     _sent: deque[tuple[float, float]] = field(default_factory=deque)
 
     def add(self, now_ms: float, work_ms: float) -> float:
-        """One more arrival; all that came in the span up to now, this one included."""
+        """Add an arrival and return the work within the span up to now, this arrival included."""
         self._sent.append((now_ms, work_ms))
         self.total_ms += work_ms
-        while self._sent and (self._sent[0][0] <= now_ms - self.span_ms or len(self._sent) > PRESSURE_MOST):
+        while self._sent and (
+            self._sent[0][0] <= now_ms - self.span_ms or len(self._sent) > MAX_RECENT_ARRIVALS
+        ):
             self.total_ms -= self._sent.popleft()[1]
         return self.total_ms
 
 
 class Machine:
-    """A port server between its start and its end. Times are milliseconds of one clock, and never go back."""
+    """A running port server. Times are milliseconds of one monotonic clock."""
 
     def __init__(self, make: Make, repeats: Repeats, start_ms: float, cold: bool = True) -> None:
         self.make = make
         self.start_ms = start_ms
         self.cold = cold
         self.draining = False
-        self.fallen_ms: float | None = None  # when it fell over
+        self.fallen_ms: float | None = None  # time at which overload made it fail
         self.connections = 0
-        self.in_hand = 0  # requests, waiting ones included
+        self.in_flight = 0  # requests, waiting ones included
         self._repeats = repeats
         self._choke = Choke(make)
         self._pressure = Pressure(make.overload_ms)
@@ -196,51 +211,62 @@
         self._order = itertools.count()
         self._slots = make.slots
         self._keys: OrderedDict[str, float] = OrderedDict()
-        self._stalled_ms = -math.inf  # it stands still until then
+        self._stalled_ms = -math.inf  # end of the current pause
 
     # --- events ------------------------------------------------------------------
 
     def connect(self, now_ms: float) -> bool:
-        """A new connection, which costs it work; False past the cap: requests on it are turned away."""
+        """Open a connection, which costs handshake work.
+
+        Returns:
+            False if the server is down or has reached its limit of connections. Requests on such a connection
+            are rejected.
+        """
         self.connections += 1
         if self.fallen_ms is not None or self.connections > self.make.connections:
             return False
         self._ready.append(Job(self.make.handshake_ms, holds_slot=False, state="ready"))
-        self._fill(now_ms)
+        self._assign(now_ms)
         return True
 
     def disconnect(self) -> None:
-        """A connection is gone."""
+        """Count a connection as closed."""
         self.connections -= 1
 
     def probe(self, now_ms: float) -> Job | None:
-        """A probe that costs it work and no slot; None where it is down or draining."""
+        """Begin a health probe, which needs no slot; return None if the server is down or draining."""
         if self.fallen_ms is not None or self.draining:
             return None
         job = Job(self.make.probe_ms, holds_slot=False, state="ready")
         self._ready.append(job)
-        self._fill(now_ms)
+        self._assign(now_ms)
         return job
 
     def offer(self, now_ms: float, job: Job, capped: bool = False) -> Refusal:
-        """A request whose last byte has come; why it is turned away, or nothing where it is taken.
+        """Accept or reject a request whose last byte has arrived.
+
+        Args:
+            now_ms: Current time in milliseconds.
+            job: The request.
+            capped: Whether it came on a connection beyond the limit.
 
-        `capped`: it came on a connection past the cap.
+        Returns:
+            The reason for a rejection, or "" if the request was accepted.
         """
-        self._look(now_ms)
-        self._press(now_ms, job.work_ms)
+        self._update_choke(now_ms)
+        self._add_pressure(now_ms, job.work_ms)
         refusal = self._refusal(now_ms, job, capped)
         if refusal:
             job.state = "gone"
             return refusal
-        self.in_hand += 1
+        self.in_flight += 1
         job.state = "waiting"
         self._waiting.append(job)
-        self._fill(now_ms)
+        self._assign(now_ms)
         return ""
 
     def cancel(self, now_ms: float, job: Job) -> None:
-        """Its connection is closed: work on it stops, and no end of it is told."""
+        """Cancel a job whose connection was closed; `advance` does not return it."""
         if job.state in ("new", "done", "gone"):
             return
         if job.state == "waiting":
@@ -255,19 +281,19 @@
         if job.first:
             self._repeats.forget(job.token)
         job.state = "gone"
-        self.in_hand -= job.holds_slot
-        self._fill(now_ms)
+        self.in_flight -= job.holds_slot
+        self._assign(now_ms)
 
     def stall(self, now_ms: float, for_ms: float) -> None:
-        """Stand still for so long: nothing goes on and nothing begins."""
+        """Pause the server for `for_ms`: running work makes no progress and no work begins."""
         until_ms = max(self._stalled_ms, now_ms + for_ms)
-        added = until_ms - max(self._stalled_ms, now_ms)
+        added_ms = until_ms - max(self._stalled_ms, now_ms)
         for job in self._running:
-            job.finish_ms += added
+            job.finish_ms += added_ms
         self._stalled_ms = until_ms
 
     def advance(self, now_ms: float) -> list[Ended]:
-        """All that has come to its end up to now, in order."""
+        """Advance to a time and return the jobs that have ended, in order."""
         ended: list[Ended] = []
         while (at_ms := self.next_ms()) is not None and at_ms <= now_ms:
             self._step(at_ms, ended)
@@ -276,7 +302,7 @@
     # --- values --------------------------------------------------------------------
 
     def next_ms(self) -> float | None:
-        """When something happens next if no event comes; None where nothing will."""
+        """Return the time of the next internal event, or None if there is none."""
         times = [job.finish_ms for job in self._running]
         while self._io and self._io[0][2].state != "io":
             heapq.heappop(self._io)
@@ -286,26 +312,26 @@
         return max(min(times), self._stalled_ms) if times else None
 
     def answers_from_ms(self, now_ms: float) -> float:
-        """When an answer that is due now can leave: not while it stands still."""
+        """Return when an answer due now can be sent: now, or the end of the current pause."""
         return max(now_ms, self._stalled_ms)
 
     def share(self, now_ms: float) -> float:
-        """The share of its capacity that it has."""
+        """Return the share of its full capacity that the server has."""
         return self.make.share(now_ms - self.start_ms, self.cold)
 
     @property
     def choked(self) -> bool:
-        """Whether it is slow since it was crowded."""
+        """Whether overload has slowed the server down."""
         return self._choke.on
 
     def report(self) -> dict[str, float]:
-        """Its load, in the fields that its answers carry."""
-        whole = {
-            "inflight": float(self.in_hand),
+        """Return the fields of its load report."""
+        all_fields = {
+            "inflight": float(self.in_flight),
             "queue": float(len(self._waiting)),
             "util": len(self._running) / self.make.cores,
         }
-        return {name: whole[name] for name in self.make.report}
+        return {name: all_fields[name] for name in self.make.report}
 
     # --- inside ----------------------------------------------------------------------
 
@@ -316,15 +342,15 @@
             return "draining"
         if capped:
             return "connections"
-        if job.over_ms <= now_ms:
+        if job.deadline_ms <= now_ms:
             return "over"
         return "full" if len(self._waiting) >= self.make.queue else ""
 
-    def _look(self, now_ms: float) -> None:
-        self._choke.look(now_ms, len(self._waiting) + len(self._ready), self.in_hand)
+    def _update_choke(self, now_ms: float) -> None:
+        self._choke.update(now_ms, len(self._waiting) + len(self._ready), self.in_flight)
 
-    def _press(self, now_ms: float, work_ms: float) -> None:
-        """All work that reaches it counts, also what it turns away."""
+    def _add_pressure(self, now_ms: float, work_ms: float) -> None:
+        """Count arriving work, also of rejected requests, and fail if a cold server gets too much."""
         total_ms, age_ms = self._pressure.add(now_ms, work_ms), now_ms - self.start_ms
         is_cold = self.cold and age_ms < self.make.warm_up_ms
         if is_cold and self.fallen_ms is None and total_ms > self.make.budget_ms(age_ms):
@@ -333,8 +359,8 @@
                 if job.first and job.state != "done":
                     self._repeats.forget(job.token)
                 job.state = "gone"
-            for part in (self._waiting, self._ready, self._running, self._io):
-                part.clear()
+            for jobs in (self._waiting, self._ready, self._running, self._io):
+                jobs.clear()
 
     def _step(self, now_ms: float, ended: list[Ended]) -> None:
         for job in [job for job in self._running if job.finish_ms <= now_ms]:
@@ -345,48 +371,48 @@
             job = heapq.heappop(self._io)[2]
             if job.state == "io":
                 self._end(job, "done", now_ms, ended)
-        self._fill(now_ms, ended)
+        self._assign(now_ms, ended)
 
     def _end(self, job: Job, end: End, now_ms: float, ended: list[Ended]) -> None:
         job.state = "done"
         if job.holds_slot:
             self._slots += 1
-            self.in_hand -= 1
+            self.in_flight -= 1
         if job.first:
             self._repeats.finish(job.token)
         ended.append(Ended(job, end, now_ms))
 
-    def _fill(self, now_ms: float, ended: list[Ended] | None = None) -> None:
-        """Slots to what waits for them, and cores. What is over is noted only where ends are taken."""
-        self._look(now_ms)
-        going = True
-        while going:
+    def _assign(self, now_ms: float, ended: list[Ended] | None = None) -> None:
+        """Assign slots and cores to waiting jobs; end jobs past their deadline only if `ended` is given."""
+        self._update_choke(now_ms)
+        has_started = True
+        while has_started:
             while self._slots and self._waiting:
                 job = self._waiting.popleft()
                 job.state = "ready"
                 self._slots -= 1
                 self._ready.append(job)
-            going = self._start(now_ms, ended)
+            has_started = self._start(now_ms, ended)
 
     def _start(self, now_ms: float, ended: list[Ended] | None) -> bool:
-        """Give a core to the next job; False where there is none to give or to take."""
+        """Assign a core to the next job; return False if no core or no job is available."""
         if not self._ready or len(self._running) >= self.make.cores or now_ms < self._stalled_ms:
             return False
-        if self._ready[0].over_ms <= now_ms:
+        if self._ready[0].deadline_ms <= now_ms:
             if ended is None:
-                return False  # `advance` takes it: it is due now
+                return False  # the next `advance` ends it
             self._end(self._ready.popleft(), "over", now_ms, ended)
             return True
         job = self._ready.popleft()
-        slower = self.make.choke_times if self._choke.on else 1.0
-        rate = self.make.speed * self.share(now_ms) / slower
+        slowdown = self.make.choke_times if self._choke.on else 1.0
+        rate = self.make.speed * self.share(now_ms) / slowdown
         job.state, job.began_ms = "running", now_ms
         job.finish_ms = now_ms + self._work_ms(job, now_ms) / rate
         self._running.append(job)
         return True
 
     def _work_ms(self, job: Job, now_ms: float) -> float:
-        """Its work, less for a key met lately and for a repeat. What it meets it remembers."""
+        """Return the work of a job, less for a recent key or a repeat, and remember its key and token."""
         work_ms = job.work_ms
         if job.key:
             if now_ms - self._keys.pop(job.key, -math.inf) <= self.make.key_memory_ms:
@@ -395,10 +421,10 @@
             while len(self._keys) > self.make.keys:
                 self._keys.popitem(last=False)
         if job.token:
-            met = self._repeats.met(job.token, now_ms)
-            job.repeat, job.first = bool(met), not met
-            if met == "done":
-                work_ms, job.io_ms = work_ms * REPEAT_SHARE, 0.0
-            elif not met:
+            state = self._repeats.state_of(job.token, now_ms)
+            job.repeat, job.first = bool(state), not state
+            if state == "done":
+                work_ms, job.io_ms = work_ms * REPEAT_WORK_SHARE, 0.0
+            elif not state:
                 self._repeats.begin(job.token, now_ms)
         return work_ms
--- a/rig/portservers.py
+++ b/rig/portservers.py
@@ -462,8 +462,8 @@
             raise ValueError("out of range")
         token = self._fields.get(b"idempotency-key", b"").decode("latin-1")
         budget = self._fields.get(b"x-budget", b"").decode("latin-1")
-        over_ms = self._server.now_ms + budget_ms(budget) if budget else float("inf")
-        return Job(work_ms, io_ms, asked.get("key", ""), token, over_ms)
+        deadline_ms = self._server.now_ms + budget_ms(budget) if budget else float("inf")
+        return Job(work_ms, io_ms, asked.get("key", ""), token, deadline_ms)
 
     def _opened_row(self, call: str, job: Job, path: str) -> Execution:
         unsafe = self._parser.get_method() == b"POST" and not job.token
--- a/rig/sim/policy.py
+++ b/rig/sim/policy.py
@@ -127,7 +127,7 @@
 
     sends: Counter[str] = field(default_factory=Counter)
     seconds: Counter[int] = field(default_factory=Counter)
-    most_in_hand: int = 0
+    max_in_flight: int = 0
     opened: int = 0
 
 
@@ -215,7 +215,7 @@
             asked.io_ms,
             key="" if asked.key is None else str(asked.key),
             token=repeat_token,
-            over_ms=attempt.request.give_up_ms,
+            deadline_ms=attempt.request.give_up_ms,
         )
         if self.machine.offer(world.now, job, capped=self.machine.connections > self.make.connections):
             world.ended(attempt, Outcome.FULL, world.half_ms)
@@ -223,7 +223,7 @@
         asked.runs += 1
         attempt.job = job
         self._jobs[id(job)] = attempt
-        world.counts.most_in_hand = max(world.counts.most_in_hand, self.machine.in_hand)
+        world.counts.max_in_flight = max(world.counts.max_in_flight, self.machine.in_flight)
         self._wake()
 
     def open(self, sidecar: Sidecar) -> None:
--- a/tests/rig/test_callers.py
+++ b/tests/rig/test_callers.py
@@ -241,7 +241,7 @@
     with servers(slots=100) as made:
         caller = Caller("n0", None, direct("robin", made))
         asking = asyncio.create_task(play(demand(40.0, classes=(slow,)), n0=caller))
-        await until(lambda: made[0].machine.in_hand > 3)
+        await until(lambda: made[0].machine.in_flight > 3)
         caller.crash()
         seen = await asking
         ends = Counter(one.last for one in seen.outcomes)
--- a/tests/rig/test_lock_in.py
+++ b/tests/rig/test_lock_in.py
@@ -154,7 +154,7 @@
     world.flow(Flow(50.0, 500.0), 10_000.0)
     world.run(12_000.0)
     assert 0.6 < world.shares()["served"] < 0.8
-    assert not world.hosts["a"].machine.in_hand
+    assert not world.hosts["a"].machine.in_flight
 
 
 def test_the_plain_policy_sends_to_the_fewest_held_and_again_only_what_never_ran():
--- a/tests/rig/test_portservers.py
+++ b/tests/rig/test_portservers.py
@@ -119,7 +119,7 @@
 async def test_what_is_over_before_it_has_a_core_is_turned_away_unrun():
     with server() as made:
         slow = asyncio.create_task(ask(made, "1", work=120.0))
-        await until(lambda: made.machine.in_hand == 1)
+        await until(lambda: made.machine.in_flight == 1)
         assert (await ask(made, "2", budget="20m")).status == 504
         assert (await slow).status == 200
         assert made.records.executions[1].fate == "turned away: over"
@@ -150,9 +150,9 @@
     with server() as made:
         kept = await Kept.open(made)
         kept.writer.write(call("1", work=60_000.0))
-        await until(lambda: made.machine.in_hand == 1)
+        await until(lambda: made.machine.in_flight == 1)
         kept.writer.transport.abort()
-        await until(lambda: made.machine.in_hand == 0)
+        await until(lambda: made.machine.in_flight == 0)
         assert (await ask(made, "2")).status == 200
         row = made.records.executions[0]
         assert (row.end, row.had_effect) == ("cut", True)
@@ -179,7 +179,7 @@
     with server() as made:
         kept = await Kept.open(made)
         kept.writer.write(call("1", kind="book", work=5000.0))
-        await until(lambda: made.machine and made.machine.in_hand == 1)
+        await until(lambda: made.machine and made.machine.in_flight == 1)
         made.die()
         assert await kept.ask("2") == "ended"
         assert (await ask(made, "3")).ended  # refused
