--- a/rig/coordination/__init__.py
+++ b/rig/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Histories of calls for locks, numbers, keys and watches, and what must not stand in them."""
+"""Histories of calls for locks, counters, keys and watches, and checks of their correctness."""
--- a/rig/coordination/history.py
+++ b/rig/coordination/history.py
@@ -1,4 +1,4 @@
-"""Recorded calls of applications, with their answers as far as there were any. Pure."""
+"""Recorded calls of applications with their answers, if any. This module is pure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Operation(Enum):
-    """What a call asked for."""
+    """Operation of a call."""
 
     ACQUIRE = auto()
     RENEW = auto()
@@ -23,17 +23,17 @@
 
 
 class Outcome(Enum):
-    """What the caller knows of its call."""
+    """Result of a call as its caller knows it."""
 
     DONE = auto()
-    REFUSED = auto()  # decided against: another holder, another revision, no such key, history forgotten
-    NOT_DONE = auto()  # promised not to be carried out
-    UNKNOWN = auto()  # carried out or not
+    REFUSED = auto()  # rejected: another holder, another revision, no such key, or discarded history
+    NOT_DONE = auto()  # guaranteed not to be executed
+    UNKNOWN = auto()  # executed or not
 
 
 @dataclass(frozen=True, slots=True)
 class ShownEvent:
-    """A put as a watch was sent it."""
+    """A put as a watch received it."""
 
     key: str
     value: str
@@ -42,22 +42,22 @@
 
 @dataclass(slots=True)
 class Call:
-    """One call. Times are s of one clock for all callers.
+    """A call. Times are seconds of one clock shared by all callers.
 
     Attributes:
-        operation: What it asked for.
+        operation: Its operation.
         target: The lock, counter, key or group.
-        sent: When it was sent.
-        ended: When its answer was there; infinite where none came.
-        outcome: What is known of it.
-        holder: Who asked for a lock.
-        hold_s: For how long.
-        fence: The fencing token that was sent or, by an acquisition, given.
-        value: The value that was put or read.
-        if_revision: The revision that a put asked for; None for any.
-        after: The revision that a watch resumed after.
-        number: The number or revision of the answer; of a refused put the key's revision.
-        events: What a watch was sent.
+        sent: Time at which it was sent.
+        ended: Time at which its answer arrived; infinite if none did.
+        outcome: Its result as far as the caller knows.
+        holder: Caller that requested a lock.
+        hold_s: Requested lease time of the lock.
+        fence: Fencing token that was sent or, for an acquisition, granted.
+        value: Value that was put or read.
+        if_revision: Revision on which a put is conditional; None for an unconditional put.
+        after: Revision after which a watch resumed.
+        number: Number or revision in the answer; for a refused put the revision of the key.
+        events: Events that a watch received.
     """
 
     operation: Operation
@@ -76,30 +76,30 @@
 
     @property
     def is_done(self) -> bool:
-        """Whether the caller knows that it was carried out."""
+        """Whether the caller knows that it was executed."""
         return self.outcome is Outcome.DONE
 
     @property
     def may_be_done(self) -> bool:
-        """Whether it may have been carried out."""
+        """Whether it may have been executed."""
         return self.outcome in (Outcome.DONE, Outcome.UNKNOWN)
 
     @property
     def group(self) -> str:
-        """The group of its key, or the group itself."""
+        """Group of its key, or of a watch its target."""
         return self.target if self.operation is Operation.WATCH else group_of(self.target)
 
 
 @dataclass(frozen=True, slots=True)
 class Breach:
-    """A rule that a history breaks, and by what."""
+    """A violation of a rule, with its details."""
 
     rule: str
     text: str
 
 
 def shown(calls: Sequence[Call]) -> Iterator[tuple[str, str, int]]:
-    """Each value that a caller was shown or acknowledged: key, value, revision."""
+    """Yield (key, value, revision) for each value that was read, acknowledged or sent to a watch."""
     for call in calls:
         if call.is_done and call.operation in (Operation.GET, Operation.PUT):
             yield call.target, call.value, call.number
--- a/rig/coordination/linearizability.py
+++ b/rig/coordination/linearizability.py
@@ -1,7 +1,7 @@
-"""Whether concurrent calls on one object can be put in an order that explains their answers. Pure.
+"""Linearizability check of concurrent calls on one object. This module is pure.
 
-The search is that of Wing and Gong (1993), with Lowe's memory of configurations that lead nowhere (2017): a
-call may be next if no other one that is still to come had ended before it was sent.
+The search is that of Wing and Gong (1993) with Lowe's cache of explored configurations (2017): a call may be
+next if no other remaining call ended before it was sent.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 from rig.coordination.history import Call
 
-MAX_CONFIGURATIONS = 400_000  # that are looked at, before a history counts as too hard to judge
-MAX_EFFECT_S = 5.0  # after a call was sent, in which it may take effect: nothing begins it later
+MAX_CONFIGURATIONS = 400_000  # explored before a history counts as undecided
+MAX_EFFECT_S = 5.0  # latest time after its sending at which a call without an answer may take effect
 
 Step = Callable[[Hashable, Call], Hashable | None]
-"""The state after a call, or None where the call can't have had its answer in that state."""
+"""Returns the state after a call, or None if its answer is impossible in the given state."""
 
 
 class UndecidedError(Exception):
-    """A history is too hard to judge within the bound."""
+    """Raised if a history has too many configurations to decide."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,17 +30,17 @@
 
 
 def is_linearizable(calls: Sequence[Call], initial: Hashable, step: Step) -> bool:
-    """Whether some order of the calls, each between its sending and its end, explains all answers.
+    """Return whether an order of the calls, each between its sending and its end, explains all answers.
 
     A call without a known outcome may take effect within `MAX_EFFECT_S` after it was sent, or never.
 
     Args:
         calls: The calls on one object.
-        initial: The object's state before them.
-        step: What a call does.
+        initial: State of the object before the calls.
+        step: Transition function of the object.
 
     Raises:
-        UndecidedError: There are too many orders to look at.
+        UndecidedError: If there are more than `MAX_CONFIGURATIONS` configurations.
     """
     ordered = sorted(calls, key=lambda call: call.sent)
     required = sum(1 << index for index, call in enumerate(ordered) if call.ended < math.inf)
@@ -62,11 +62,11 @@
 def _successors(
     configuration: _Configuration, ordered: Sequence[Call], step: Step
 ) -> Iterator[_Configuration]:
-    """The configurations after each call that may be next; the earliest sent is tried first."""
+    """Yield the configuration after each call that may be next; the search tries the earliest sent first."""
     left = [index for index in range(len(ordered)) if not configuration.done >> index & 1]
     first_end = min((ordered[index].ended for index in left), default=math.inf)
     done = (call.sent for index, call in enumerate(ordered) if configuration.done >> index & 1)
-    reached = max(done, default=-math.inf)  # what is next takes effect after this time
+    reached = max(done, default=-math.inf)  # the next call takes effect after this time
     for index in reversed(left):
         call = ordered[index]
         is_too_old = call.ended == math.inf and call.sent + MAX_EFFECT_S < reached
@@ -74,5 +74,5 @@
             continue
         state = step(configuration.state, call)
         is_without_effect = call.ended == math.inf and state == configuration.state
-        if state is not None and not is_without_effect:  # which is as if it never took effect
+        if state is not None and not is_without_effect:  # the latter equals a call that never took effect
             yield _Configuration(configuration.done | 1 << index, state)
--- a/rig/coordination/objects.py
+++ b/rig/coordination/objects.py
@@ -1,4 +1,4 @@
-"""Counters, groups of keys and locks as sequential objects, for the search of an order. Pure."""
+"""Sequential specifications of counters, groups of keys and locks. This module is pure."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def check_orders(calls: Sequence[Call]) -> list[Breach]:
-    """The objects whose calls no order explains."""
+    """Return a breach for each object whose calls are not linearizable or not decidable."""
     breaches = []
     for name, of_object, initial, step in _objects(calls):
         try:
@@ -47,7 +47,7 @@
 
 
 def _numbers(calls: Iterable[Call]) -> list[Call]:
-    """Gaps are allowed, so that calls without an answer say nothing."""
+    """Return the answered calls; gaps are allowed, so unanswered ones constrain nothing."""
     return [call for call in calls if call.operation is Operation.NUMBER and call.is_done]
 
 
@@ -62,14 +62,14 @@
 
 
 def _puts(calls: Sequence[Call]) -> list[Call]:
-    """Each put that was carried out as one call, from its first attempt to its first acknowledgement.
+    """Return refused puts, and each executed one as a call from first attempt to first acknowledgement.
 
-    One that nobody acknowledged counts where its value was shown: of others, nothing follows.
-    A refusal is left out where it names a revision whose put is not known (`rules.shown_values` judges it).
+    A put without an acknowledgement is included if its value was observed; otherwise it constrains nothing.
+    A refusal that names the revision of an unknown put is left out, since `rules.shown_values` checks it.
     """
     revisions = {(key, value): revision for key, value, revision in shown(calls)}
     given = {(key, revision) for (key, _), revision in revisions.items()}
-    carried_out: dict[tuple[str, str], Call] = {}
+    executed: dict[tuple[str, str], Call] = {}
     refusals = []
     for call in sorted((c for c in calls if c.operation is Operation.PUT), key=lambda call: call.sent):
         put = (call.target, call.value)
@@ -77,13 +77,13 @@
             if call.number == 0 or (call.target, call.number) in given:
                 refusals.append(call)
         elif call.may_be_done and put in revisions:
-            first = carried_out.setdefault(put, replace(call, number=revisions[put]))
-            carried_out[put] = replace(first, ended=min(first.ended, call.ended))
-    return [*carried_out.values(), *refusals]
+            first = executed.setdefault(put, replace(call, number=revisions[put]))
+            executed[put] = replace(first, ended=min(first.ended, call.ended))
+    return [*executed.values(), *refusals]
 
 
 def _count(state: Hashable, call: Call) -> Hashable | None:
-    """Gaps are allowed: calls without an answer may have taken numbers."""
+    """Return the new count; gaps are allowed, since unanswered calls may have used numbers."""
     assert isinstance(state, int)
     return call.number if call.number > state else None
 
@@ -94,7 +94,7 @@
     newest: frozenset[tuple[str, str, int]] = frozenset()  # key, value, revision
 
     def find(self, key: str) -> tuple[str, int]:
-        """The value and revision of a key; empty and 0 where there is none."""
+        """Return the value and revision of a key, or ("", 0) if it does not exist."""
         return next(((value, revision) for name, value, revision in self.newest if name == key), ("", 0))
 
 
@@ -106,8 +106,8 @@
         return state if (value, revision) == expected else None
     if call.outcome is Outcome.REFUSED:
         return state if call.number == revision != call.if_revision else None
-    is_on_another = call.if_revision is not None and call.if_revision != revision
-    if is_on_another or call.number <= state.revision:
+    is_conflict = call.if_revision is not None and call.if_revision != revision
+    if is_conflict or call.number <= state.revision:
         return None
     others = frozenset(known for known in state.newest if known[0] != call.target)
     return _Keys(call.number, others | {(call.target, call.value, call.number)})
@@ -117,7 +117,7 @@
 class _Lock:
     holder: str = ""
     fence: int = 0
-    counted_on_until: float = -math.inf  # by its holder; never freed before
+    guaranteed_until: float = -math.inf  # time until which its holder relies on it; it is never freed earlier
 
     @property
     def is_free(self) -> bool:
@@ -125,7 +125,7 @@
 
 
 def _lock_step(state: Hashable, call: Call) -> Hashable | None:
-    """A lock's time may end at any moment after its holder stops to count on it, not before."""
+    """Return the state after a lock call; a lease may expire once its holder stops relying on it."""
     assert isinstance(state, _Lock)
     match call.operation:
         case Operation.ACQUIRE:
@@ -134,7 +134,7 @@
             return _renew(state, call)
         case _:
             is_held = (state.holder, state.fence) == (call.holder, call.fence)
-            return replace(state, holder="", counted_on_until=-math.inf) if is_held else state
+            return replace(state, holder="", guaranteed_until=-math.inf) if is_held else state
 
 
 def _acquire(state: _Lock, call: Call) -> _Lock | None:
@@ -142,18 +142,18 @@
         return state if not state.is_free else None
     until = call.sent + call.hold_s
     if state.holder == call.holder and (not call.is_done or call.fence == state.fence):
-        return replace(state, counted_on_until=max(until, state.counted_on_until))
-    if not state.is_free and call.ended <= state.counted_on_until:
+        return replace(state, guaranteed_until=max(until, state.guaranteed_until))
+    if not state.is_free and call.ended <= state.guaranteed_until:
         return None
     if call.is_done:
         return _Lock(call.holder, call.fence, until) if call.fence > state.fence else None
-    return _Lock(call.holder, state.fence, -math.inf)  # nobody knows its fence, or counts on it
+    return _Lock(call.holder, state.fence, -math.inf)  # its fence is unknown and nobody relies on the lock
 
 
 def _renew(state: _Lock, call: Call) -> _Lock | None:
     is_held = (state.holder, state.fence) == (call.holder, call.fence)
     if call.outcome is Outcome.REFUSED:
-        return state if not is_held or call.ended > state.counted_on_until else None
+        return state if not is_held or call.ended > state.guaranteed_until else None
     if not is_held:
         return None if call.is_done else state
-    return replace(state, counted_on_until=max(call.sent + call.hold_s, state.counted_on_until))
+    return replace(state, guaranteed_until=max(call.sent + call.hold_s, state.guaranteed_until))
--- a/rig/coordination/rules.py
+++ b/rig/coordination/rules.py
@@ -1,4 +1,4 @@
-"""The rules of locks, numbers, keys and watches, each a check of its own over a recorded history. Pure."""
+"""Checks of recorded histories of locks, counters, keys and watches, one per rule. This module is pure."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 def check_history(calls: Sequence[Call], history_s: float) -> list[Breach]:
-    """All breaches of a history.
+    """Return all breaches of a history.
 
     Args:
         calls: The calls of all applications.
-        history_s: For how long a watch may resume after a revision that it was sent.
+        history_s: Seconds for which a watch may resume after a revision that it received.
     """
     by_sending = sorted(calls, key=lambda call: call.sent)
     checks: tuple[Check, ...] = (
@@ -40,15 +40,15 @@
 
 
 def _by_target(calls: Sequence[Call]) -> dict[str, list[Call]]:
-    found = defaultdict(list)
+    calls_by_target = defaultdict(list)
     for call in calls:
-        found[call.target].append(call)
-    return found
+        calls_by_target[call.target].append(call)
+    return calls_by_target
 
 
 @dataclass(frozen=True, slots=True)
 class _Hold:
-    """From when to when a caller counted itself holder."""
+    """Period in which a caller regarded itself as the holder of a lock."""
 
     holder: str
     fence: int
@@ -57,7 +57,7 @@
 
 
 def one_holder(calls: Sequence[Call]) -> Iterator[Breach]:
-    """ONE: no two callers count themselves holder of one lock at one moment."""
+    """Check ONE: no two callers regard themselves as the holder of a lock at the same time."""
     operations = (Operation.ACQUIRE, Operation.RENEW, Operation.RELEASE)
     for lock, of_lock in _by_target(_of(calls, *operations)).items():
         held = [hold for hold in _holds(of_lock) if hold.until > hold.since]
@@ -82,7 +82,11 @@
 
 
 def _holds_of(calls: Sequence[Call]) -> Iterator[_Hold]:
-    """A caller is holder from a 200 on, until its time since it sent its last good call, or its release."""
+    """Yield the holds of one caller.
+
+    A hold begins when a successful acquisition is answered. It ends when the release is sent, or `hold_s`
+    after the last successful call was sent.
+    """
     hold: _Hold | None = None
     for call in calls:
         if call.operation is Operation.RELEASE:
@@ -102,7 +106,7 @@
 
 
 def rising_fences(calls: Sequence[Call]) -> Iterator[Breach]:
-    """ONE: a fencing token exceeds those that other holders got before, and is given to one holder."""
+    """Check ONE: a fencing token exceeds earlier ones of other holders and is granted to one holder."""
     for lock, granted in _by_target([c for c in _of(calls, Operation.ACQUIRE) if c.is_done]).items():
         for call in granted:
             for other in granted:
@@ -115,13 +119,13 @@
 
 
 def rising_numbers(calls: Sequence[Call]) -> Iterator[Breach]:
-    """ORDER: a number exceeds all that were given before the call was sent, and is given once."""
+    """Check ORDER: a number exceeds all numbers returned before its call was sent, and is unique."""
     for name, given in _by_target([c for c in _of(calls, Operation.NUMBER) if c.is_done]).items():
         yield from _rising(name, given)
 
 
 def rising_revisions(calls: Sequence[Call]) -> Iterator[Breach]:
-    """ORDER: within a group a revision exceeds those given before its put was sent first."""
+    """Check ORDER: a revision exceeds those acknowledged in its group before its put was first sent."""
     first_sent: dict[tuple[str, str], float] = {}
     by_group: defaultdict[str, dict[tuple[str, str], Call]] = defaultdict(dict)
     for call in _of(calls, Operation.PUT):
@@ -146,7 +150,7 @@
 
 
 def _overwritten(puts: Sequence[Call]) -> Iterator[Breach]:
-    """A put on a revision succeeds over no later one of its key."""
+    """Check that no put of the same key lies between a conditional put and its expected revision."""
     for call in puts:
         if call.if_revision is None:
             continue
@@ -160,7 +164,7 @@
 
 
 def watches_in_order(calls: Sequence[Call]) -> Iterator[Breach]:
-    """ORDER: the events of a watch rise, and skip no put within their span."""
+    """Check ORDER: the events of a watch ascend and contain every put in their range."""
     puts = defaultdict(set)
     for call in _of(calls, Operation.PUT):
         if call.is_done:
@@ -173,14 +177,14 @@
             yield Breach("ORDER", f"{call.target}: a watch after {call.after} was sent {revisions}")
         due = {revision for revision in puts[call.target] if call.after < revision <= call.number}
         if due - set(revisions):
-            lacking = sorted(due - set(revisions))
+            missing = sorted(due - set(revisions))
             yield Breach(
-                "ORDER", f"{call.target}: a watch from {call.after} to {call.number} lacks {lacking}"
+                "ORDER", f"{call.target}: a watch from {call.after} to {call.number} lacks {missing}"
             )
 
 
 def fresh_reads(calls: Sequence[Call]) -> Iterator[Breach]:
-    """STALE: a read gives no revision below that of a put that was acknowledged before it was sent."""
+    """Check STALE: a read returns no revision below that of a put acknowledged before it was sent."""
     puts = _by_target([call for call in _of(calls, Operation.PUT) if call.is_done])
     for call in _of(calls, Operation.GET):
         if call.outcome not in (Outcome.DONE, Outcome.REFUSED):
@@ -191,7 +195,7 @@
 
 
 def shown_values(calls: Sequence[Call]) -> Iterator[Breach]:
-    """MIXED: what is shown was put to that key, under one revision; refusals name revisions of puts."""
+    """Check MIXED: an observed value was put to its key under one revision; refusals name known revisions."""
     put = {(call.target, call.value) for call in _of(calls, Operation.PUT)}
     revisions: dict[tuple[str, str], int] = {}
     for key, value, revision in shown(calls):
@@ -208,7 +212,7 @@
 
 
 def refused_values(calls: Sequence[Call]) -> Iterator[Breach]:
-    """REFUSED: nothing is shown of which each put was refused."""
+    """Check REFUSED: no value is observed if all of its puts were refused or not done."""
     may_be_done = {(call.target, call.value) for call in _of(calls, Operation.PUT) if call.may_be_done}
     put = {(call.target, call.value) for call in _of(calls, Operation.PUT)}
     for key, value, revision in shown(calls):
@@ -217,7 +221,7 @@
 
 
 def resumable_watches(calls: Sequence[Call], history_s: float) -> Iterator[Breach]:
-    """LOST: a watch may resume after a revision that it was sent less than the history's time before."""
+    """Check LOST: a watch can resume after a revision that it received less than `history_s` ago."""
     sent_at: dict[tuple[str, int], float] = {}
     for call in sorted(_of(calls, Operation.WATCH), key=lambda call: call.ended):
         if call.outcome is Outcome.REFUSED:
--- a/rig/servers.py
+++ b/rig/servers.py
@@ -1,6 +1,6 @@
-"""Stand-in port servers: scripted answers in scripted time, and a ledger of what they were sent.
+"""Scripted stand-ins for port servers, with a ledger of the requests that they received.
 
-`python -m rig.servers` hosts many listeners in one process; `Fleet` is that process as its owner sees it.
+`python -m rig.servers` hosts many listeners in one process; `Fleet` starts and controls that process.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from rig.messages import NOISE, Act, act_of, act_of_query, body_for
 
 BACKLOG = 4096
-RAW_MOST = 256 * 1024  # bytes of one request, its framing included
-PENDING_MOST = 64  # requests that wait on one connection
-CONNECTIONS_MOST = 4096  # of one server
-LEDGER_MOST = 1_000_000  # identities; past it requests are counted, not told apart
-REPEATS_MOST = 10_000  # repeats that are told one by one
-HALF_S = 0.01  # from half an answer to the reset
+MAX_REQUEST_BYTES = 256 * 1024  # including chunk framing
+MAX_PENDING = 64  # requests waiting on one connection
+MAX_CONNECTIONS = 4096  # of one server
+MAX_LEDGER_CALLS = 1_000_000  # call ids; requests with further ids are only counted
+MAX_REPORTED_REPEATS = 10_000  # repeated calls that a summary lists
+HALF_ANSWER_RESET_S = 0.01  # time from half an answer to the reset
 NO_LINGER = struct.pack("ii", 1, 0)
 
 Turns = Literal["last", "round"]
@@ -35,46 +35,46 @@
 
 @dataclass
 class Ledger:
-    """Which calls were received, how often, and whether a copy came while an earlier one was out."""
+    """Counts received calls, their repeats, and copies that arrived while another copy was in flight."""
 
     attempts: Counter[str] = field(default_factory=Counter)
-    unsafe: set[str] = field(default_factory=set)  # ids that were sent with POST and no key
-    out: Counter[str] = field(default_factory=Counter)
+    unsafe: set[str] = field(default_factory=set)  # ids sent by POST without an idempotency key
+    in_flight: Counter[str] = field(default_factory=Counter)
     received: int = 0
     overlaps: int = 0
     nameless: int = 0
-    unrecorded: int = 0  # past the ledger's bound
+    unrecorded: int = 0  # requests beyond `MAX_LEDGER_CALLS`
     connections: int = 0
 
     def begin(self, call_id: str, unsafe: bool) -> None:
-        """The last byte of a request has come."""
+        """Record a request whose last byte has arrived."""
         self.received += 1
         if not call_id:
             self.nameless += 1
             return
-        if len(self.attempts) >= LEDGER_MOST and call_id not in self.attempts:
+        if len(self.attempts) >= MAX_LEDGER_CALLS and call_id not in self.attempts:
             self.unrecorded += 1
             return
         self.attempts[call_id] += 1
         if unsafe:
             self.unsafe.add(call_id)
-        if self.out[call_id] > 0:
+        if self.in_flight[call_id] > 0:
             self.overlaps += 1
-        self.out[call_id] += 1
+        self.in_flight[call_id] += 1
 
     def end(self, call_id: str) -> None:
-        """It is answered, or its connection is gone."""
-        self.out[call_id] -= 1
-        if self.out[call_id] <= 0:
-            del self.out[call_id]
+        """Record that a request was answered or its connection closed."""
+        self.in_flight[call_id] -= 1
+        if self.in_flight[call_id] <= 0:
+            del self.in_flight[call_id]
 
     def summary(self) -> dict[str, Any]:
-        """The whole of it as JSON values."""
+        """Return all counts as JSON values."""
         repeats = {call: count for call, count in self.attempts.items() if count > 1}
         return {
             "received": self.received,
             "calls": len(self.attempts),
-            "repeats": dict(list(repeats.items())[:REPEATS_MOST]),
+            "repeats": dict(list(repeats.items())[:MAX_REPORTED_REPEATS]),
             "repeated": len(repeats),
             "unsafe_repeated": len(self.unsafe & repeats.keys()),
             "unsafe_most": max((self.attempts[call] for call in self.unsafe), default=0),
@@ -87,21 +87,21 @@
 
 @dataclass
 class Script:
-    """What requests get that bring no act along: each act in turn; then the last stays, or all go round."""
+    """Acts for requests that carry none: each in turn, then the last one forever or all of them again."""
 
     acts: Sequence[Act] = (Act(),)
     turns: Turns = "last"
     taken: int = 0
 
     def next(self) -> Act:
-        """The act for the next request."""
+        """Return the act for the next request."""
         index = self.taken % len(self.acts) if self.turns == "round" else min(self.taken, len(self.acts) - 1)
         self.taken += 1
         return self.acts[index]
 
 
 class Server:
-    """One listener: service time drawn evenly between two bounds, requests at a time, an idle time."""
+    """A listener with uniformly drawn service times, a concurrency limit and an idle timeout."""
 
     def __init__(
         self,
@@ -125,7 +125,7 @@
         self._sweeping: asyncio.TimerHandle | None = None
 
     async def start(self, port: int = 0) -> Server:
-        """Listen on a port of the loopback, for 0 one that the system chooses."""
+        """Listen on a loopback port; 0 lets the system assign one."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: ServerLink(self), "127.0.0.1", port, backlog=BACKLOG, reuse_address=True
@@ -136,7 +136,7 @@
         return self
 
     def stop(self) -> None:
-        """Close all."""
+        """Close the listener and all connections."""
         if self._listener is not None:
             self._listener.close()
         if self._sweeping is not None:
@@ -145,34 +145,34 @@
             link.abort()
 
     def opened(self, link: ServerLink) -> bool:
-        """A new connection; whether there is room for it."""
-        if len(self._links) >= CONNECTIONS_MOST:
+        """Register a new connection; return False if the limit is reached."""
+        if len(self._links) >= MAX_CONNECTIONS:
             return False
         self.ledger.connections += 1
         self._links.add(link)
         return True
 
     def closed(self, link: ServerLink) -> None:
-        """A connection is gone."""
+        """Remove a closed connection."""
         self._links.discard(link)
 
     def act(self, query: str) -> Act:
-        """What the request at hand gets: its own script, else the server's."""
+        """Return the act for a request: its own, 503 at the concurrency limit, or the next one scripted."""
         own = act_of_query(query) if query else None
         if own is None and self.inflight >= self.concurrency:
             return Act(status=503, rejected=True, delay_ms=0.0)
         return own or self.script.next()
 
     def delay_s(self, act: Act) -> float:
-        """How long it takes, in seconds."""
+        """Return the delay of an act in seconds."""
         return (self._rng.uniform(*self.work_ms) if act.delay_ms is None else act.delay_ms) / 1000.0
 
     def report(self) -> bytes:
-        """Its load, as answers carry it."""
+        """Return the load report header value."""
         return b"inflight=%d,queue=0" % self.inflight
 
     def _sweep(self) -> None:
-        """Close what has stood idle for too long."""
+        """Close connections past the idle timeout."""
         loop = asyncio.get_running_loop()
         for link in list(self._links):
             if link.idle_since is not None and loop.time() - link.idle_since >= self._idle_close_s:
@@ -181,7 +181,7 @@
 
 
 class ServerLink(asyncio.Protocol):
-    """One connection to a server; requests are worked on one after the other."""
+    """A connection to a server; its requests are processed one after the other."""
 
     def __init__(self, server: Server) -> None:
         self._server = server
@@ -191,7 +191,7 @@
         self._pending: deque[tuple[str, bool, str]] = deque()
         self._working: str | None = None
         self._timers: set[asyncio.TimerHandle] = set()
-        self._raw = 0
+        self._request_bytes = 0
         self._target = b""
         self._fields: dict[bytes, bytes] = {}
         self.idle_since: float | None = None
@@ -201,41 +201,41 @@
         self._transport.close()
 
     def abort(self) -> None:
-        """Reset it, whatever it holds."""
+        """Abort it, with any request in flight."""
         self._transport.abort()
 
     # --- called by the loop ----------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """A sidecar has connected."""
+        """Register the connection, or abort it over the limit."""
         self._transport = cast(asyncio.Transport, transport)
         self.idle_since = self._loop.time()
         if not self._server.opened(self):
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of requests; what is no request, or has no end, is reset."""
-        self._raw += len(data)
+        """Parse bytes of requests; abort on invalid or oversized ones and on too many pending ones."""
+        self._request_bytes += len(data)
         self.idle_since = None
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._transport.abort()
             return
-        if self._raw > RAW_MOST or len(self._pending) > PENDING_MOST:
+        if self._request_bytes > MAX_REQUEST_BYTES or len(self._pending) > MAX_PENDING:
             self._transport.abort()
             return
         self._next()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """The connection is gone, and what was worked on is out no more."""
+        """Cancel the timers and end the request in flight."""
         for timer in self._timers:
             timer.cancel()
         self._timers.clear()
-        self._done()
+        self._finish()
         self._pending.clear()
         self._server.closed(self)
-        del self._parser  # it refers back
+        del self._parser  # breaks a reference cycle
 
     # --- called by the parser --------------------------------------------------
 
@@ -252,10 +252,10 @@
         self._fields[name.lower()] = value
 
     def on_message_complete(self) -> None:
-        """Called by the parser: the server begins with the last byte."""
+        """Called by the parser: processing begins once the last byte has arrived."""
         call = self._fields.get(b"x-call-id", b"").decode("latin-1")
         unsafe = self._parser.get_method() == b"POST" and b"idempotency-key" not in self._fields
-        self._raw = 0
+        self._request_bytes = 0
         self._server.ledger.begin(call, unsafe)
         self._pending.append((call, unsafe, self._target.partition(b"?")[2].decode("latin-1")))
 
@@ -271,19 +271,19 @@
             act = Act(status=400, delay_ms=0.0)
         self._working = call
         self._server.inflight += 1
-        self._later(self._server.delay_s(act), self._carry_out, act, call)
+        self._later(self._server.delay_s(act), self._perform, act, call)
 
-    def _later(self, delay_s: float, what: Any, *args: Any) -> None:
-        """A timer that ends with the connection."""
+    def _later(self, delay_s: float, callback: Any, *args: Any) -> None:
+        """Call a function after a delay, unless the connection closes first."""
 
         def run() -> None:
             self._timers.discard(timer)
-            what(*args)
+            callback(*args)
 
         timer = self._loop.call_later(delay_s, run)
         self._timers.add(timer)
 
-    def _carry_out(self, act: Act, call: str) -> None:
+    def _perform(self, act: Act, call: str) -> None:
         if act.way == "silent":
             return
         if act.way == "reset":
@@ -292,25 +292,25 @@
         answer = self._answer(act, call)
         if act.way == "half":
             self._transport.write(answer[: len(answer) // 2])
-            # Later: a reset right away would take the half with it.
-            self._later(HALF_S, self._reset)
+            # Delayed, since an immediate reset would discard the half that was written.
+            self._later(HALF_ANSWER_RESET_S, self._reset)
             return
-        self._transport.write(answer + self._behind(act, call))
+        self._transport.write(answer + self._trailing_bytes(act, call))
         if act.copy_after_ms is not None:
             self._later(act.copy_after_ms / 1000.0, self._transport.write, answer)
-        self._done()
+        self._finish()
         if act.close:
             self._transport.close()
         self._next()
 
     def _reset(self) -> None:
-        """A close alone would send an end, and no reset, where all that came has been read."""
+        """Reset the connection: without SO_LINGER 0, a close would send FIN if all input has been read."""
         sock = self._transport.get_extra_info("socket")
         if sock is not None and not self._transport.is_closing():
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
         self._transport.abort()
 
-    def _done(self) -> None:
+    def _finish(self) -> None:
         if self._working is not None:
             self._server.inflight -= 1
             if self._working:
@@ -329,16 +329,16 @@
             body,
         )
 
-    def _behind(self, act: Act, call: str) -> bytes:
+    def _trailing_bytes(self, act: Act, call: str) -> bytes:
         if act.behind == "answer":
             return self._answer(Act(size_bytes=act.size_bytes), call)
         return NOISE if act.behind == "noise" else b""
 
 
 def hold_port() -> socket.socket:
-    """A socket with a port of the loopback on which servers may listen, end and come back.
+    """Return a bound loopback socket that reserves its port, so that a server can listen on it repeatedly.
 
-    It takes no connection itself. Guards against a port that another gets while no server listens.
+    The socket itself does not listen. It keeps others from getting the port while no server listens.
     """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -347,7 +347,7 @@
 
 
 class Fleet:
-    """Servers in a process of their own."""
+    """Scripted servers in a separate process."""
 
     def __init__(self, helper: Helper, addresses: list[str]) -> None:
         self._helper = helper
@@ -364,7 +364,11 @@
         idle_close_ms: float = 5000.0,
         ports: Sequence[int] = (),
     ) -> Fleet:
-        """Start `count` servers, the first ones on these ports; `ProgramError` if they can't be."""
+        """Start `count` servers, the first ones on the given ports.
+
+        Raises:
+            ProgramError: If they fail to start.
+        """
         arguments = ["--count", str(count), "--seed", str(seed), "--concurrency", str(concurrency)]
         arguments += ["--work-ms", str(work_ms[0]), str(work_ms[1]), "--idle-close-ms", str(idle_close_ms)]
         arguments += [word for port in ports for word in ("--port", str(port))]
@@ -376,31 +380,31 @@
             raise
 
     async def ledger(self) -> dict[str, Any]:
-        """What the servers were sent; see `Ledger.summary`."""
+        """Return the summary of the ledger; see `Ledger.summary`."""
         return dict(await self._helper.ask(do="ledger"))
 
     async def script(
         self, *acts: Act, turns: Turns = "last", work_ms: tuple[float, float] | None = None
     ) -> None:
-        """From now on every server answers by these acts, and in this time where one is given."""
+        """Set the script of every server, and its range of service times if given."""
         script = [act.as_json() for act in acts]
         await self._helper.ask(do="script", acts=script, turns=turns, work_ms=work_ms)
 
     async def clear(self) -> None:
-        """A new ledger."""
+        """Start a new ledger."""
         await self._helper.ask(do="clear")
 
     async def kill(self) -> None:
-        """End the process amid whatever it does."""
+        """Kill the process."""
         await self._helper.kill()
 
     async def stop(self) -> None:
-        """End the process."""
+        """Stop the process."""
         await self._helper.stop()
 
 
 class Host:
-    """The servers of one process, and the commands that it takes."""
+    """Runs the servers of one process and its commands."""
 
     def __init__(self, given: argparse.Namespace) -> None:
         self._ledger = Ledger()
@@ -417,14 +421,18 @@
         ]
 
     async def run(self) -> None:
-        """Serve until the owner hangs up."""
+        """Serve until the owner closes standard input."""
         for server, port in zip(self._servers, self._ports, strict=True):
             await server.start(port)
         say({"addresses": [server.address for server in self._servers]})
         await obey_until_hung_up(self.obey)
 
     def obey(self, do: str, **command: Any) -> Any:
-        """One command; `ValueError` where there is none of that name."""
+        """Run a command.
+
+        Raises:
+            ValueError: If there is no command of that name.
+        """
         match do:
             case "ledger":
                 return self._ledger.summary()
@@ -435,7 +443,7 @@
             case "script":
                 self._script(**command)
             case _:
-                raise ValueError(f"no command {do!r}")
+                raise ValueError(f"command must be ledger, clear or script, got {do!r}")
         return "done"
 
     def _script(self, acts: list[dict[str, Any]], turns: Turns, work_ms: list[float] | None) -> None:
@@ -447,10 +455,16 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    """The command line of a process of servers."""
+    """Return the parser of the command line."""
     made = argparse.ArgumentParser(prog="python -m rig.servers", description=__doc__)
     made.add_argument("--count", type=int, default=1, help="listeners")
-    made.add_argument("--port", type=int, action="append", default=[], help="of the first, the second...")
+    made.add_argument(
+        "--port",
+        type=int,
+        action="append",
+        default=[],
+        help="of the first, the second...",
+    )
     made.add_argument("--seed", default="1")
     made.add_argument(
         "--concurrency", type=int, default=4096, help="requests at a time; past it 503, rejected"
@@ -461,7 +475,7 @@
 
 
 def main() -> int:
-    """Host servers until standard input ends; the exit code."""
+    """Host servers until standard input ends; return the exit code."""
     given = parser().parse_args()
     prepare()
     asyncio.run(Host(given).run())
--- a/tests/rig/coordination/test_checker.py
+++ b/tests/rig/coordination/test_checker.py
@@ -1,4 +1,4 @@
-"""Each rule finds the history that breaks it, and sound histories break none."""
+"""Tests that each rule detects a history that breaks it, and that correct histories break none."""
 
 from __future__ import annotations
 
@@ -123,6 +123,6 @@
 
 
 @pytest.mark.parametrize("name", BROKEN)
-def test_a_broken_history_is_found_by_its_rule(name):
+def test_a_broken_history_is_detected_by_its_rule(name):
     rule, calls = BROKEN[name]
     assert rule in {breach.rule for breach in check_history(calls, HISTORY_S)}
--- a/tests/rig/test_portservers.py
+++ b/tests/rig/test_portservers.py
@@ -1,4 +1,4 @@
-"""Port servers of the model on sockets: each fault shows in what comes back and in what they note."""
+"""Tests of port servers on sockets: each fault shows in the answers and in the recorded executions."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 from tests.rig.waiting import PATIENCE_S, address_of, bounded, until
 
 QUICK = Make(handshake_ms=0.0, probe_ms=0.0)
-NEVER_S = 0.15  # that nothing comes is believed after so long
+SILENCE_S = 0.15  # time without an answer that counts as silence
 
 
 def call(number="1", kind="look", work=1.0, io=0.0, key="", budget="5000m"):
@@ -45,8 +45,8 @@
     return await ask_raw(address_of(made.address), call(*args, **changes), within_s)
 
 
-class Kept:
-    """A connection that is kept."""
+class Connection:
+    """A connection that is reused."""
 
     @classmethod
     async def open(cls, made):
@@ -59,18 +59,18 @@
         try:
             async with asyncio.timeout(within_s):
                 return await read_answer(self.reader)
-        except TimeoutError:  # which is an OSError too
+        except TimeoutError:  # before OSError, its base class
             return "silent"
         except (OSError, EOFError):
             return "ended"
 
 
 @bounded
-async def test_it_serves_with_the_body_of_the_call_and_notes_what_it_did():
+async def test_it_answers_with_the_body_of_the_call_and_records_the_execution():
     with server() as made:
-        kept = await Kept.open(made)
-        assert await kept.ask("7", kind="pay") == (200, body_for("7", 0))
-        assert await kept.ask("8", kind="book") == (200, body_for("8", 0))
+        connection = await Connection.open(made)
+        assert await connection.ask("7", kind="pay") == (200, body_for("7", 0))
+        assert await connection.ask("8", kind="book") == (200, body_for("8", 0))
         rows = made.records.executions
         assert [(r.call, r.semantics, r.token, r.end) for r in rows] == [
             ("7", "unsafe", "", "served"),
@@ -81,14 +81,14 @@
 
 
 @bounded
-async def test_what_is_no_call_is_404_or_a_probe():
+async def test_requests_without_a_call_id_are_probes_or_not_found():
     with server() as made:
         for path, status in [("/look", 404), ("/health/live", 200), ("/stats", 404)]:
-            asked = f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
-            assert (await ask_raw(address_of(made.address), asked, PATIENCE_S)).status == status
+            request = f"GET {path} HTTP/1.1\r\nHost: x\r\n\r\n".encode()
+            assert (await ask_raw(address_of(made.address), request, PATIENCE_S)).status == status
         made.drain()
-        asked = b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
-        assert (await ask_raw(address_of(made.address), asked, PATIENCE_S)).status == 503
+        request = b"GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"
+        assert (await ask_raw(address_of(made.address), request, PATIENCE_S)).status == 503
         assert (await ask(made, work="x")).status == 400
         assert (await ask(made, budget="5 s")).status == 400
         assert made.records.executions == []
@@ -102,9 +102,9 @@
 
 
 @bounded
-async def test_what_finds_the_queue_full_or_the_server_draining_is_turned_away_unrun():
+async def test_a_full_queue_or_a_draining_server_rejects_requests_without_running_them():
     with server(Make(slots=1, queue=0)) as made:
-        assert (await ask(made)).status == 503  # no queue at all: nothing is ever taken
+        assert (await ask(made)).status == 503  # without a queue, no request is accepted
         made.drain()
         assert (await ask(made, "2")).status == 503
         assert (await ask(made, "3", budget="0m")).status == 503
@@ -116,7 +116,7 @@
 
 
 @bounded
-async def test_what_is_over_before_it_has_a_core_is_turned_away_unrun():
+async def test_a_request_past_its_deadline_is_rejected_without_running():
     with server() as made:
         slow = asyncio.create_task(ask(made, "1", work=120.0))
         await until(lambda: made.machine.in_flight == 1)
@@ -126,9 +126,9 @@
 
 
 @bounded
-async def test_past_the_cap_a_connection_is_turned_away_and_closed():
+async def test_a_connection_beyond_the_limit_is_rejected_and_closed():
     with server(Make(connections=1)) as made:
-        first, second = await Kept.open(made), await Kept.open(made)
+        first, second = await Connection.open(made), await Connection.open(made)
         assert (await first.ask("1"))[0] == 200
         assert (await second.ask("2"))[0] == 503
         assert await second.ask("3") == "ended"
@@ -136,22 +136,22 @@
 
 
 @bounded
-async def test_connections_are_bounded_whatever_the_cap(monkeypatch):
-    monkeypatch.setattr("rig.portservers.LINKS_MOST", 2)
+async def test_open_connections_are_bounded_whatever_the_limit(monkeypatch):
+    monkeypatch.setattr("rig.portservers.MAX_LINKS", 2)
     with server() as made:
-        kept = [await Kept.open(made) for _ in range(2)]
+        connections = [await Connection.open(made) for _ in range(2)]
         await until(lambda: made.records.connections == 2)
         assert (await ask(made)).ended
-        assert (await kept[0].ask("2"))[0] == 200
+        assert (await connections[0].ask("2"))[0] == 200
 
 
 @bounded
-async def test_work_stops_when_the_connection_is_closed():
+async def test_closing_a_connection_cancels_its_work():
     with server() as made:
-        kept = await Kept.open(made)
-        kept.writer.write(call("1", work=60_000.0))
+        connection = await Connection.open(made)
+        connection.writer.write(call("1", work=60_000.0))
         await until(lambda: made.machine.in_flight == 1)
-        kept.writer.transport.abort()
+        connection.writer.transport.abort()
         await until(lambda: made.machine.in_flight == 0)
         assert (await ask(made, "2")).status == 200
         row = made.records.executions[0]
@@ -159,7 +159,7 @@
 
 
 @bounded
-async def test_repeats_of_a_key_are_dropped():
+async def test_repeats_of_an_idempotency_key_have_no_effect():
     with server() as made:
         for _ in range(2):
             assert (await ask(made, "1", kind="book")).status == 200
@@ -169,59 +169,59 @@
 @bounded
 async def test_idle_connections_are_closed():
     with server(idle_close_ms=50.0) as made:
-        kept = await Kept.open(made)
+        connection = await Connection.open(made)
         async with asyncio.timeout(PATIENCE_S):
-            assert await kept.reader.read() == b""
+            assert await connection.reader.read() == b""
 
 
 @bounded
-async def test_it_dies_and_comes_back_cold():
+async def test_it_dies_and_restarts_cold():
     with server() as made:
-        kept = await Kept.open(made)
-        kept.writer.write(call("1", kind="book", work=5000.0))
+        connection = await Connection.open(made)
+        connection.writer.write(call("1", kind="book", work=5000.0))
         await until(lambda: made.machine and made.machine.in_flight == 1)
         made.die()
-        assert await kept.ask("2") == "ended"
+        assert await connection.ask("2") == "ended"
         assert (await ask(made, "3")).ended  # refused
         made.start()
         answer = await ask(made, "1", kind="book")
         assert answer.status == 200
         assert made.machine.cold
         assert [start.server for start in made.records.starts] == ["s0"]
-        assert made.records.executions[-1].had_effect  # its first was given up with the process
+        assert made.records.executions[-1].had_effect  # the first one was cancelled with the process
 
 
 @bounded
-async def test_it_vanishes_without_a_word_and_resets_what_was_open_when_it_is_back():
+async def test_it_vanishes_silently_and_resets_old_connections_when_it_is_back():
     with server() as made:
-        kept = await Kept.open(made)
-        assert (await kept.ask("1"))[0] == 200
+        connection = await Connection.open(made)
+        assert (await connection.ask("1"))[0] == 200
         made.vanish()
-        assert await kept.ask("2", within_s=NEVER_S) == "silent"
-        assert await ask(made, "3", within_s=NEVER_S) == Raw(0, b"", pytest.approx(150, abs=100), False)
+        assert await connection.ask("2", within_s=SILENCE_S) == "silent"
+        assert await ask(made, "3", within_s=SILENCE_S) == Raw(0, b"", pytest.approx(150, abs=100), False)
         assert [(row.call, row.fate) for row in made.records.executions] == [("1", ""), ("2", "lost")]
         with pytest.raises(TimeoutError):
-            async with asyncio.timeout(NEVER_S):
-                await Kept.open(made)  # it does not even come up
+            async with asyncio.timeout(SILENCE_S):
+                await Connection.open(made)  # no new connection is established
         made.back()
-        assert await kept.ask("4") == "ended"
+        assert await connection.ask("4") == "ended"
         assert (await ask(made, "5")).status == 200
 
 
 @bounded
-async def test_it_stands_still():
+async def test_a_pause_delays_answers():
     with server() as made:
-        kept = await Kept.open(made)
+        connection = await Connection.open(made)
         made.stall(120.0)
         start = asyncio.get_running_loop().time()
-        assert (await kept.ask("1"))[0] == 200
+        assert (await connection.ask("1"))[0] == 200
         row = made.records.executions[0]
         assert row.ended_s - start > 0.1
         assert row.last_s - start < 0.1
 
 
 @bounded
-async def test_it_fails_a_share_quickly():
+async def test_it_fails_a_share_of_requests_quickly():
     with server() as made:
         made.fault("fail", 1.0)
         assert (await ask(made, work=5000.0)).status == 500
@@ -238,7 +238,7 @@
 async def test_it_loses_answers():
     with server() as made:
         made.fault("lose", 1.0)
-        assert (await ask(made, within_s=NEVER_S)).status == 0
+        assert (await ask(made, within_s=SILENCE_S)).status == 0
         row = made.records.executions[0]
         assert row.end == "unanswered"
         assert row.had_effect
@@ -250,34 +250,34 @@
         made.fault("spoil", 1.0)
         for number in range(12):
             answer = await ask(made, str(number))
-            assert answer.body == b""  # never a whole one
+            assert answer.body == b""  # no answer is complete
         assert {row.end for row in made.records.executions} == {"spoilt"}
 
 
 @bounded
-async def test_half_open_connections_swallow_what_comes_and_new_ones_work():
+async def test_half_open_connections_discard_input_and_new_ones_work():
     with server() as made:
-        kept = await Kept.open(made)
-        await kept.ask("1")
+        connection = await Connection.open(made)
+        await connection.ask("1")
         made.fault("half_open", 1.0)
         made.fault("half_open", 0.0)
-        assert await kept.ask("2", within_s=NEVER_S) == "silent"
+        assert await connection.ask("2", within_s=SILENCE_S) == "silent"
         assert (await ask(made, "3")).status == 200
         assert [row.fate for row in made.records.executions] == ["", "lost", ""]
 
 
 @bounded
-async def test_it_accepts_slowly_and_notes_by_how_much():
+async def test_it_accepts_slowly_and_records_the_delay():
     with server() as made:
         made.fault("slow_accept", 100.0)
-        kept = await Kept.open(made)
+        connection = await Connection.open(made)
         for number in "12":
-            assert (await kept.ask(number))[0] == 200
+            assert (await connection.ask(number))[0] == 200
         assert [row.read_late_ms for row in made.records.executions] == [100.0, 0.0]
 
 
 @bounded
-async def test_it_falls_over_when_cold_and_overdriven_and_stays_down():
+async def test_a_cold_overloaded_server_fails_and_stays_down():
     with server(Make(cold_from=0.5, fall_multiple=1.0, overload_ms=100.0), cold=True) as made:
         answers = await asyncio.gather(*(ask(made, str(n), work=30.0) for n in range(4)))
         assert all(answer.status == 0 for answer in answers)
@@ -289,7 +289,7 @@
 
 
 @bounded
-async def test_load_reports_where_they_are_asked_for():
+async def test_load_reports_are_sent_if_configured():
     with server(Make(report=("inflight", "queue"))) as made:
         reader, writer = await asyncio.open_connection(*address_of(made.address))
         writer.write(call())
@@ -299,12 +299,12 @@
 
 
 @bounded
-async def test_servers_in_a_process_of_their_own_share_what_drops_repeats():
+async def test_servers_of_one_process_share_the_detection_of_repeats():
     host = await PortHost.start("east", {"s0": QUICK, "s1": QUICK})
     try:
         for address in host.addresses.values():
-            asked = call("1", kind="book")
-            assert (await ask_raw(address_of(address), asked, PATIENCE_S)).status == 200
+            request = call("1", kind="book")
+            assert (await ask_raw(address_of(address), request, PATIENCE_S)).status == 200
         await host.act("s1", "die")
         await host.act("s1", "start")
         await host.act("s0", "fault", kind="fail", degree=1.0)
@@ -315,9 +315,9 @@
         ]
         assert await host.executions() == []
         await asyncio.sleep(0.03)
-        told = await host.summary()
-        assert [start["server"] for start in told["starts"]] == ["s1"]
-        assert told["lag"]["samples"] > 0
+        summary = await host.summary()
+        assert [start["server"] for start in summary["starts"]] == ["s1"]
+        assert summary["lag"]["samples"] > 0
         with pytest.raises(ProgramError, match="dance"):
             await host.act("s0", "dance")
     finally:
@@ -325,14 +325,14 @@
 
 
 @bounded
-async def test_the_lag_of_a_loop_shows():
+async def test_a_blocked_event_loop_shows_as_lag():
     watch = LagWatch().start()
     await asyncio.sleep(0.03)
-    time.sleep(0.08)  # the loop stands still
+    time.sleep(0.08)  # blocks the loop
     await asyncio.sleep(0.02)
     watch.stop()
-    told = watch.summary()
-    assert told["most_ms"] > 50.0
-    assert told["samples"] <= SAMPLES_MOST
+    summary = watch.summary()
+    assert summary["most_ms"] > 50.0
+    assert summary["samples"] <= SAMPLES_MOST
     watch.clear()
     assert watch.summary() == {"samples": 0, "p99_ms": 0.0, "most_ms": 0.0}
--- a/tests/rig/test_servers.py
+++ b/tests/rig/test_servers.py
@@ -1,4 +1,4 @@
-"""The stand-in servers: they echo, keep their ledger, and do what their script says."""
+"""Tests of the scripted servers: echoed ids, the ledger and the acts of a script."""
 
 from __future__ import annotations
 
@@ -25,35 +25,40 @@
 
 
 @bounded
-async def test_a_server_echoes_the_id_and_counts_what_comes_again():
+async def test_a_server_echoes_the_id_and_told_repeats():
     server = await serving()
     for call in ("1", "2", "1"):
         answer = await ask(server, call)
         assert (answer.status, answer.body) == (200, body_for(call, 0))
     await ask(server, "3", kind="pay")
     await ask(server, "3", kind="pay")
-    told = server.ledger.summary()
-    assert told["repeats"] == {"1": 2, "3": 2}
-    assert (told["received"], told["calls"], told["unsafe_repeated"], told["unsafe_most"]) == (5, 3, 1, 2)
-    assert told["overlaps"] == 0
+    counts = server.ledger.summary()
+    assert counts["repeats"] == {"1": 2, "3": 2}
+    assert (counts["received"], counts["calls"], counts["unsafe_repeated"], counts["unsafe_most"]) == (
+        5,
+        3,
+        1,
+        2,
+    )
+    assert counts["overlaps"] == 0
     server.stop()
 
 
 @bounded
-async def test_a_copy_that_comes_while_the_first_is_out_is_an_overlap():
+async def test_a_copy_that_arrives_while_the_first_is_in_flight_is_an_overlap():
     server = await serving(Act(delay_ms=60_000.0))
-    asked = [asyncio.create_task(ask(server)) for _ in range(2)]
+    tasks = [asyncio.create_task(ask(server)) for _ in range(2)]
     await until(lambda: server.ledger.received == 2)
     assert server.ledger.overlaps == 1
-    for task in asked:
+    for task in tasks:
         task.cancel()
-    await until(lambda: not server.ledger.out)
+    await until(lambda: not server.ledger.in_flight)
     assert server.inflight == 0
     server.stop()
 
 
 @bounded
-async def test_requests_on_one_connection_are_answered_in_their_order():
+async def test_requests_on_one_connection_are_answered_in_order():
     server = await serving()
     reader, writer = await asyncio.open_connection(*address_of(server.address))
     writer.write(
@@ -67,7 +72,7 @@
 
 
 @bounded
-async def test_the_acts_of_a_script():
+async def test_a_script_performs_its_acts_in_order():
     server = await serving(
         Act(status=503, rejected=True, behind="answer"),
         Act(behind="noise"),
@@ -77,38 +82,38 @@
     )
     whole = b"Content-Length: 2\r\n\r\n1\n"
 
-    async def bytes_until(wanted):
+    async def bytes_until(is_complete):
         reader, writer = await asyncio.open_connection(*address_of(server.address))
         writer.write(request("1"))
-        got = b""
+        received = b""
         try:
             async with asyncio.timeout(PATIENCE_S):
-                while wanted is None or not wanted(got):
+                while is_complete is None or not is_complete(received):
                     if not (data := await reader.read(65536)):
                         break
-                    got += data
+                    received += data
         except ConnectionResetError:
-            got += b"(reset)"
+            received += b"(reset)"
         writer.close()
-        return got
+        return received
 
-    first = await bytes_until(lambda got: whole in got)
+    first = await bytes_until(lambda received: whole in received)
     assert first.startswith(b"HTTP/1.1 503")
     assert b"X-Rejected: 1" in first
     assert first.count(b"HTTP/1.1 ") == 2
-    assert (await bytes_until(lambda got: NOISE in got)).endswith(whole + NOISE)
-    assert (await bytes_until(lambda got: got.count(whole) == 2)).count(b"HTTP/1.1 200") == 2
+    assert (await bytes_until(lambda received: NOISE in received)).endswith(whole + NOISE)
+    assert (await bytes_until(lambda received: received.count(whole) == 2)).count(b"HTTP/1.1 200") == 2
     half = await bytes_until(None)
     assert half.startswith(b"HTTP/1.1 200")
     assert 1000 < len(half) < 5000
     assert half.endswith(b"(reset)")
     assert await bytes_until(None) == b"(reset)"
-    assert await bytes_until(None) == b"(reset)"  # the last one stays
+    assert await bytes_until(None) == b"(reset)"  # the last act is repeated
     server.stop()
 
 
 @bounded
-async def test_a_server_without_a_place_left_turns_away():
+async def test_a_server_at_its_concurrency_limit_rejects_requests():
     server = await serving(Act(way="silent"), concurrency=1)
     task = asyncio.create_task(ask(server, "1"))
     await until(lambda: server.inflight == 1)
