--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -176,14 +176,14 @@
 
 def _of_class(name: str) -> Any:
     def keep(outcome: Outcome) -> bool:
-        return outcome.want.kind.name == name
+        return outcome.call.kind.name == name
 
     return keep
 
 
 def _of_tenant(name: str) -> Any:
     def keep(outcome: Outcome) -> bool:
-        return outcome.want.tenant == name
+        return outcome.call.tenant == name
 
     return keep
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -25,7 +25,7 @@
 from fordtrestle.balancer import model
 from fordtrestle.balancer.model import Settings
 from rig.model import Make
-from rig.sim.policy import Asked, Flow, World
+from rig.sim.policy import ClientRequest, Flow, World
 
 ZONES = ("north", "middle", "south")
 SERVERS, QUICK_SERVERS = 120, 36
@@ -197,7 +197,7 @@
         """Play it to its end; the figures, shares of 1 unless their names say more."""
         self.world.run(self.size.length_ms + GRACE_MS)
         rows = [asked for asked in self.world.asked if asked.at_ms < self.size.length_ms]
-        by_window: dict[int, list[Asked]] = {}
+        by_window: dict[int, list[ClientRequest]] = {}
         for asked in rows:
             by_window.setdefault(int(asked.at_ms // WINDOW_MS), []).append(asked)
         opened, requests = self.world.counts.opened, max(1, len(rows))
@@ -215,7 +215,7 @@
         }
 
 
-def _served(rows: list[Asked]) -> float:
+def _served(rows: list[ClientRequest]) -> float:
     """The worth served, late answers at half, over the worth asked for; worth goes by the work."""
     worth = {"served": 1.0, "late": 0.5}
     whole = sum(asked.flow.worth * asked.work_ms for asked in rows)
--- a/benchmarks/lock_in.py
+++ b/benchmarks/lock_in.py
@@ -60,7 +60,7 @@
 from fordtrestle.balancer.model import Settings
 from rig.model import Make
 from rig.sim.plain import Plain
-from rig.sim.policy import Asked, Decides, End, Flow, Host, World
+from rig.sim.policy import ClientRequest, DecisionModule, End, Flow, Host, World
 
 P95_MOST_S = 3.0
 KEPT_LEAST = 0.5
@@ -336,7 +336,7 @@
             kept=self._kept(after) if is_overload else None,
         )
 
-    def _kept(self, rows: Sequence[Asked]) -> float:
+    def _kept(self, rows: Sequence[ClientRequest]) -> float:
         """The worth served of what is asked for in an overload, over the best that its servers can do."""
         part = {"served": 1.0, "late": LATE_WORTH}
         served = sum(a.flow.worth * a.work_ms * part.get(a.end or "", 0.0) for a in rows)
@@ -349,12 +349,12 @@
         return served / best
 
 
-def in_time(asked: Asked) -> bool:
+def in_time(asked: ClientRequest) -> bool:
     """Whether a request's first try was answered with success within its aim."""
     return asked.end == "served" and asked.tries == 1
 
 
-def seconds_back(rows: Sequence[Asked], end_ms: float) -> float | None:
+def seconds_back(rows: Sequence[ClientRequest], end_ms: float) -> float | None:
     """Seconds from the trigger's end until all later windows are in time; None if the last one is not.
 
     `rows` are the requests that arrived since, by their time, to the end of the load.
@@ -461,7 +461,7 @@
 # --- all runs --------------------------------------------------------------------------
 
 
-def plain(now: float, settings: Settings, seed: int) -> Decides:
+def plain(now: float, settings: Settings, seed: int) -> DecisionModule:
     """The policy that refuses nothing, in the module's place."""
     return Plain(settings.max_attempts, seed)
 
--- a/rig/callers.py
+++ b/rig/callers.py
@@ -1,8 +1,9 @@
-"""The application side: open-loop calls by class, tenant and key, with the clients' own retries.
+"""Application clients: open-loop calls by class, tenant and key, with client-side retries.
 
-Each sidecar has a client of its own. What is wanted, and when, is drawn from a seed before the first call
-goes out, whatever serves it. A call's retries belong to its first try: its time counts from when the first
-was due. In direct mode a small balancer stands in for a sidecar and sends to the servers itself.
+Each sidecar has its own client. All calls and their times are drawn from a seed before the first one is sent
+and do not depend on what serves them. The latency of a call includes its retries and counts from the time at
+which its first try was due. In direct mode a small balancer takes the place of a sidecar and sends to the
+servers itself.
 """
 
 from __future__ import annotations
@@ -17,25 +18,34 @@
 from typing import Any, Literal
 
 from rig import ledger
-from rig.clients import Address, After, Asked, Pool, Result, give_up, quantile
+from rig.clients import Address, After, PendingRequest, Pool, Result, give_up, quantile
 from rig.messages import body_for, call_ids
 
 Mode = Literal["random", "robin"]
 
-GRACE_S = 0.15  # past its budget a try is looked at for so long, to tell late answers from none
+GRACE_S = 0.15  # wait after the budget of a try, to distinguish late answers from none
 CONNECT_S = 2.0
 DIRECT_CONNECT_S = 0.25
-CONNECTIONS = 256  # of one client
-DIRECT_CONNECTIONS = 64  # to one server
-RETRY_AFTER_MOST_S = 2.0
-CALLS_MOST = 1_000_000
-WORK_SHAPE = 4.0  # of the gamma distribution of work: its deviation is half of its mean
-WORK_MOST = 5.0  # times the mean
+CONNECTIONS = 256  # maximum of one client
+DIRECT_CONNECTIONS = 64  # maximum to one server in direct mode
+MAX_RETRY_AFTER_S = 2.0
+MAX_CALLS = 1_000_000
+WORK_SHAPE = 4.0  # shape of the gamma distribution of work: its standard deviation is half of its mean
+MAX_WORK_MULTIPLE = 5.0  # limit of drawn work, as a multiple of the mean
 
 
 @dataclass(frozen=True, slots=True)
 class CallClass:
-    """One class of calls. `share` of all calls; `keyed` ones carry a key, `unsafe` ones must run once."""
+    """A class of calls.
+
+    Attributes:
+        semantics: Calls that are "keyed" carry an idempotency key, "unsafe" ones must run at most once.
+        share: Its relative frequency among all calls.
+        aim_ms: Latency target.
+        deadline_ms: Time after which the client gives up.
+        worth: Priority weight for each unit of work.
+        late_worth: Part of the weight that counts if the answer misses the target but meets the deadline.
+    """
 
     name: str
     semantics: ledger.Semantics
@@ -50,7 +60,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """What clients want. `weights`: the part of each sidecar, from the busiest on."""
+    """Load that the clients generate. `weights` are the relative loads of the sidecars, the highest first."""
 
     rate_per_s: float
     duration_s: float
@@ -60,31 +70,35 @@
     seed: int = 1
     keys: int = 3000
     zipf: float = 1.0
-    swing: float = 0.25  # of the rate, in a slow wave
-    try_share: tuple[float, float] = (0.4, 0.8)  # of the deadline that one try may take
+    swing: float = 0.25  # amplitude of a slow sine wave, as a part of the rate
+    try_share: tuple[float, float] = (0.4, 0.8)  # time limit of one try as a part of the deadline
     retries: int = 2
     backoff_ms: tuple[float, float] = (30.0, 240.0)
 
     def __post_init__(self) -> None:
-        """`ValueError` for what makes no sense."""
+        """Check the fields.
+
+        Raises:
+            ValueError: If a field is out of range.
+        """
         if not (0.0 < self.rate_per_s < math.inf and 0.0 < self.duration_s < math.inf):
-            raise ValueError("a demand needs a rate and a duration")
-        if self.rate_per_s * self.duration_s > CALLS_MOST:
-            raise ValueError(f"more than {CALLS_MOST} calls")
+            raise ValueError("a demand needs a finite rate_per_s > 0 and a finite duration_s > 0")
+        if self.rate_per_s * self.duration_s > MAX_CALLS:
+            raise ValueError(f"rate_per_s * duration_s must be at most {MAX_CALLS} calls")
         if not (self.classes and self.tenants and self.weights and self.keys >= 1):
-            raise ValueError("a demand needs classes, tenants, weights and keys")
+            raise ValueError("a demand needs classes, tenants, weights and keys >= 1")
 
-    def wants(self, sidecars: Sequence[str]) -> list[Want]:
-        """All calls by the time that they are due; the same for a seed."""
+    def planned_calls(self, sidecars: Sequence[str]) -> list[PlannedCall]:
+        """Return all calls in the order of their times, reproducible by seed."""
         rng = random.Random(f"wants/{self.seed}")
         ids, tokens = call_ids(f"tries/{self.seed}"), call_ids(f"tokens/{self.seed}")
         key_of = _zipf(self.keys, self.zipf)
         weights = [self.weights[number % len(self.weights)] for number in range(len(sidecars))]
-        made: list[Want] = []
+        made: list[PlannedCall] = []
         for at_s in self._arrivals(rng):
             kind = rng.choices(self.classes, [one.share for one in self.classes])[0]
             made.append(
-                Want(
+                PlannedCall(
                     at_s=at_s,
                     sidecar=rng.choices(sidecars, weights)[0],
                     kind=kind,
@@ -103,17 +117,17 @@
         return made
 
     def _arrivals(self, rng: random.Random) -> Iterable[float]:
-        """A Poisson process whose rate goes up and down once, by thinning."""
-        now_s, most = 0.0, self.rate_per_s * (1.0 + self.swing)
-        while (now_s := now_s + rng.expovariate(most)) < self.duration_s:
+        """Generate a Poisson process by thinning; its rate follows one period of a sine wave."""
+        now_s, max_rate_per_s = 0.0, self.rate_per_s * (1.0 + self.swing)
+        while (now_s := now_s + rng.expovariate(max_rate_per_s)) < self.duration_s:
             wave = 1.0 + self.swing * math.sin(2.0 * math.pi * now_s / self.duration_s)
-            if rng.random() * most <= self.rate_per_s * wave:
+            if rng.random() * max_rate_per_s <= self.rate_per_s * wave:
                 yield now_s
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
-    """One call as it is wanted. `try_s`: how long one try may take."""
+class PlannedCall:
+    """A call as drawn from the seed. `try_s` is the time limit of one try."""
 
     at_s: float
     sidecar: str
@@ -125,15 +139,15 @@
     token: str
     try_s: float
     backoffs_s: tuple[float, ...]
-    ids: tuple[str, ...]  # of its tries
+    ids: tuple[str, ...]  # one for each try
 
     @property
     def worth(self) -> float:
-        """By the work, as the site counts it."""
+        """Priority weight of the call, as the site counts it: the weight of its class times its work."""
         return self.kind.worth * self.work_ms
 
     def message(self, number: int, budget_s: float) -> bytes:
-        """A try as the application writes it."""
+        """Return the HTTP request of a try."""
         method = "GET" if self.kind.semantics == "safe" else "POST"
         rows = [
             f"{method} /{self.kind.name}?work={self.work_ms:.2f}&io={self.io_ms:.2f}&key={self.key} HTTP/1.1",
@@ -152,9 +166,9 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of a call. `latency_ms` counts from when its first try was due."""
+    """Result of a call. `latency_ms` counts from the time at which its first try was due."""
 
-    want: Want
+    call: PlannedCall
     served: bool = False
     latency_ms: float = math.inf
     tries: int = 0
@@ -162,58 +176,58 @@
 
     @property
     def earned(self) -> float:
-        """Of its worth: all within the aim, a part before its client gives up, else nothing."""
-        if not self.served or self.latency_ms > self.want.kind.deadline_ms:
+        """Part of its weight that counts: 1 within the target, less up to the deadline, otherwise 0."""
+        if not self.served or self.latency_ms > self.call.kind.deadline_ms:
             return 0.0
-        return 1.0 if self.in_aim else self.want.kind.late_worth
+        return 1.0 if self.in_aim else self.call.kind.late_worth
 
     @property
     def in_aim(self) -> bool:
-        """Whether it was served within its aim."""
-        return self.served and self.latency_ms <= self.want.kind.aim_ms
+        """Whether it was served within its latency target."""
+        return self.served and self.latency_ms <= self.call.kind.aim_ms
 
 
 @dataclass
 class Score:
-    """Calls and what they earned."""
+    """Scores of a set of calls."""
 
     outcomes: Sequence[Outcome]
 
     def in_aim(self, keep: Callable[[Outcome], bool] = lambda outcome: True) -> float:
-        """Worth served within the aim over worth asked for; not a number where nothing was."""
+        """Return the weighted share of calls served within their latency target, or NaN for no calls."""
         return self._share(keep, lambda outcome: float(outcome.in_aim))
 
     def service(self, keep: Callable[[Outcome], bool] = lambda outcome: True) -> float:
-        """The same with late answers for a part."""
+        """Return the same share with answers after the target counted in part."""
         return self._share(keep, lambda outcome: outcome.earned)
 
     def worst_window(self, window_s: float = 10.0) -> float:
-        """The service of the worst whole window, by steps of a second."""
-        end_s = max((outcome.want.at_s for outcome in self.outcomes), default=0.0)
+        """Return the lowest service of any whole window; windows begin one second apart."""
+        end_s = max((outcome.call.at_s for outcome in self.outcomes), default=0.0)
         starts = range(max(1, math.floor(end_s - window_s) + 1))
         return min((self.service(_within(float(low), low + window_s)) for low in starts), default=math.nan)
 
     def latency_ms(self, kind: str, share: float) -> float:
-        """A quantile over the calls of a class that were served."""
-        served = [one.latency_ms for one in self.outcomes if one.served and one.want.kind.name == kind]
+        """Return a latency quantile over the served calls of a class."""
+        served = [one.latency_ms for one in self.outcomes if one.served and one.call.kind.name == kind]
         return quantile(served, share)
 
     def _share(self, keep: Callable[[Outcome], bool], part: Callable[[Outcome], float]) -> float:
         kept = [outcome for outcome in self.outcomes if keep(outcome)]
-        asked = sum(outcome.want.worth for outcome in kept)
-        return sum(outcome.want.worth * part(outcome) for outcome in kept) / asked if asked else math.nan
+        total = sum(outcome.call.worth for outcome in kept)
+        return sum(outcome.call.worth * part(outcome) for outcome in kept) / total if total else math.nan
 
 
 def _within(low_s: float, high_s: float) -> Callable[[Outcome], bool]:
-    return lambda outcome: low_s <= outcome.want.at_s < high_s
+    return lambda outcome: low_s <= outcome.call.at_s < high_s
 
 
 def _drawn(rng: random.Random, mean: float) -> float:
-    return mean * min(WORK_MOST, rng.gammavariate(WORK_SHAPE, 1.0 / WORK_SHAPE))
+    return mean * min(MAX_WORK_MULTIPLE, rng.gammavariate(WORK_SHAPE, 1.0 / WORK_SHAPE))
 
 
 def _zipf(count: int, power: float) -> Callable[[float], int]:
-    """From a number in [0, 1) to a key: the n-th has a share of 1 over n to a power."""
+    """Return a function from [0, 1) to a key index; the n-th key has a weight of 1 / n**power."""
     sums = list(itertools.accumulate(1.0 / number**power for number in range(1, count + 1)))
     return lambda share: min(count - 1, bisect.bisect_left(sums, share * sums[-1]))
 
@@ -223,10 +237,10 @@
 
 @dataclass
 class Direct:
-    """A small balancer of the rig's own for one sidecar's place: it knows the registry's list, and no more.
+    """Small balancer that takes the place of one sidecar and knows only the list of the registry.
 
-    `servers` gives the names and addresses of the active ones. It tries once more, at another server, what
-    never ran.
+    `servers` returns the names and addresses of the active servers. A request that never ran is retried once,
+    at another server.
     """
 
     mode: Mode
@@ -234,10 +248,10 @@
     rng: random.Random
     turn: int = 0
 
-    def pick(self, spared: str = "") -> tuple[str, Address] | None:
-        """The next server, another than the spared one if there is any; None where there is none."""
+    def pick(self, excluded: str = "") -> tuple[str, Address] | None:
+        """Return the next server, avoiding `excluded` if there is another, or None if there is no server."""
         known = sorted(self.servers())
-        left = [one for one in known if one[0] != spared] or known
+        left = [one for one in known if one[0] != excluded] or known
         if not left:
             return None
         if self.mode == "random":
@@ -251,23 +265,23 @@
 
 @dataclass(slots=True)
 class _Try:
-    """One try on its way."""
+    """A try in flight."""
 
     done: asyncio.Future[tuple[Result, int]]
-    asked: Asked
+    pending: PendingRequest
     sent_s: float | None = None
 
 
 class Caller:
-    """The client of one sidecar."""
+    """Client of one sidecar."""
 
     after: After = "keep"
 
     def __init__(self, name: str, address: Address | None, direct: Direct | None = None) -> None:
-        """At an address, or with a balancer of its own."""
+        """Create a client that sends to an address, or through its own balancer in direct mode."""
         self.name = name
         self.connect_s = DIRECT_CONNECT_S if direct else CONNECT_S
-        self.down = False  # in direct mode: as if its sidecar had crashed
+        self.down = False  # in direct mode: simulates a crashed sidecar
         self.strays = 0
         self.connections = 0
         self._direct = direct
@@ -275,33 +289,33 @@
         self._pools: dict[Address, Pool] = {}
         self._address = address
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._out: dict[Asked, _Try] = {}
+        self._out: dict[PendingRequest, _Try] = {}
 
-    async def ask(self, want: Want, number: int, budget_s: float) -> tuple[ledger.Asked, float]:
-        """One try, seen to its end, and how many seconds its answer asks to wait."""
+    async def ask(self, call: PlannedCall, number: int, budget_s: float) -> tuple[ledger.Asked, float]:
+        """Send a try and wait for its end; return its ledger row and its Retry-After in seconds."""
         if self._direct is None:
             assert self._address is not None
-            result, status, asked, sent_s = await self._send(want, number, budget_s, self._address)
+            result, status, pending, sent_s = await self._send(call, number, budget_s, self._address)
         else:
-            result, status, asked, sent_s = await self._balanced(want, number, budget_s, self._direct)
+            result, status, pending, sent_s = await self._balanced(call, number, budget_s, self._direct)
         now_s = self._loop.time()
         row = ledger.Asked(
-            call=want.ids[number],
-            origin=want.ids[0],
+            call=call.ids[number],
+            origin=call.ids[0],
             sidecar=self.name,
-            semantics=want.kind.semantics,
-            kind=want.kind.name,
-            token=want.token,
+            semantics=call.kind.semantics,
+            kind=call.kind.name,
+            token=call.token,
             sent_s=now_s if sent_s is None else sent_s,
             budget_s=budget_s,
             result=result.value,
             ended_s=now_s,
             status=status,
-            resends=asked.resends - asked.resends_left if asked is not None else 0,
-            first_sent_s=asked.first_sent_s if asked is not None else None,
-            resent_s=asked.resent_s if asked is not None else None,
+            resends=pending.resends - pending.resends_left if pending is not None else 0,
+            first_sent_s=pending.first_sent_s if pending is not None else None,
+            resent_s=pending.resent_s if pending is not None else None,
         )
-        return row, retry_after_s(asked) if asked is not None else 0.0
+        return row, retry_after_s(pending) if pending is not None else 0.0
 
     def close(self) -> None:
         """Close all connections."""
@@ -311,119 +325,119 @@
             task.cancel()
 
     def crash(self) -> None:
-        """In direct mode: what it holds is lost, and nothing is taken until `down` is False again."""
+        """Simulate a crash in direct mode: cut tries in flight and send no more until `down` is False."""
         self.down = True
         pools, self._pools = self._pools, {}
         for pool in pools.values():
             pool.close()
-        for asked in list(self._out):
-            self.end(asked, Result.CUT)
+        for pending in list(self._out):
+            self.end(pending, Result.CUT)
 
     async def _balanced(
-        self, want: Want, number: int, budget_s: float, direct: Direct
-    ) -> tuple[Result, int, Asked | None, float | None]:
-        """A try by the small balancer: once more at another server what never ran."""
-        end_s, spared, first_s = self._loop.time() + budget_s, "", None
+        self, call: PlannedCall, number: int, budget_s: float, direct: Direct
+    ) -> tuple[Result, int, PendingRequest | None, float | None]:
+        """Send a try through the balancer; retry it once at another server if it never ran."""
+        end_s, excluded, first_s = self._loop.time() + budget_s, "", None
         result, status = Result.REFUSED, 503
-        asked: Asked | None = None
+        pending: PendingRequest | None = None
         for _ in range(2):
-            picked = None if self.down else direct.pick(spared)
+            picked = None if self.down else direct.pick(excluded)
             if picked is None:
-                return (Result.UNSENT if self.down else Result.REFUSED), 0, asked, first_s
+                return (Result.UNSENT if self.down else Result.REFUSED), 0, pending, first_s
             left_s = max(0.001, end_s - self._loop.time())
-            result, status, asked, sent_s = await self._send(want, number, left_s, picked[1])
-            assert asked is not None
-            first_s, spared = first_s if first_s is not None else sent_s, picked[0]
-            if not (result is Result.UNSENT or b"x-rejected" in asked.noted):
+            result, status, pending, sent_s = await self._send(call, number, left_s, picked[1])
+            assert pending is not None
+            first_s, excluded = first_s if first_s is not None else sent_s, picked[0]
+            if not (result is Result.UNSENT or b"x-rejected" in pending.kept_headers):
                 break
         if self.down:
-            return Result.CUT, 0, asked, first_s
-        if result is Result.UNSENT or (asked is not None and b"x-rejected" in asked.noted):
-            return Result.REFUSED, status, asked, first_s  # none of its attempts ran
+            return Result.CUT, 0, pending, first_s
+        if result is Result.UNSENT or (pending is not None and b"x-rejected" in pending.kept_headers):
+            return Result.REFUSED, status, pending, first_s  # none of its attempts ran
         if result in (Result.CUT, Result.UNANSWERED):
-            return Result.FAILED, status, asked, first_s  # which a sidecar would have answered
-        return result, status, asked, first_s
+            return Result.FAILED, status, pending, first_s  # a sidecar would have answered it with an error
+        return result, status, pending, first_s
 
     async def _send(
-        self, want: Want, number: int, budget_s: float, address: Address
-    ) -> tuple[Result, int, Asked | None, float | None]:
-        """One request on one connection, seen to its end."""
+        self, call: PlannedCall, number: int, budget_s: float, address: Address
+    ) -> tuple[Result, int, PendingRequest | None, float | None]:
+        """Send one request and wait for its end."""
         pool = self._pools.get(address)
         if pool is None:
             cap = DIRECT_CONNECTIONS if self._direct else CONNECTIONS
             pool = self._pools[address] = Pool(self, cap, address)
         now_s = self._loop.time()
-        asked = Asked(
+        pending = PendingRequest(
             pool,
-            want.ids[number],
-            want.message(number, budget_s),
-            at_s=want.at_s,
+            call.ids[number],
+            call.message(number, budget_s),
+            at_s=call.at_s,
             due=now_s,
             resends=0 if self._direct else 1,
         )
-        made = _Try(self._loop.create_future(), asked)
-        self._out[asked] = made
-        grace_s = 0.0 if self._direct else GRACE_S  # a balancer answers by the end of the budget
-        asked.limit = self._loop.call_at(now_s + budget_s + grace_s, give_up, self, asked)
-        pool.ask(asked)
+        made = _Try(self._loop.create_future(), pending)
+        self._out[pending] = made
+        grace_s = 0.0 if self._direct else GRACE_S  # in direct mode, answers come by the end of the budget
+        pending.limit = self._loop.call_at(now_s + budget_s + grace_s, give_up, self, pending)
+        pool.send(pending)
         result, status = await made.done
-        return result, status, asked, asked.sent_s
+        return result, status, pending, pending.sent_s
 
     # --- what pools report -------------------------------------------------------------
 
     def turns(self) -> float:
-        """A connection is kept for good."""
+        """Return the number of requests per connection, which is unlimited."""
         return math.inf
 
     def spawn(self, work: Any) -> None:
-        """A task that lasts for `connect_s` at most."""
+        """Run a task that lasts for `connect_s` at most."""
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     def connected(self, change: int) -> None:
-        """A connection has come or gone."""
+        """Count a new connection; closed ones are not subtracted."""
         self.connections += max(0, change)
 
     def resent(self, first: bool) -> None:
-        """A request goes out once more, which its ledger row tells."""
+        """Do nothing: the ledger row of a request records its resends."""
 
     def stray(self) -> None:
-        """Bytes came that nobody had asked for."""
+        """Count a connection that received unsolicited bytes."""
         self.strays += 1
 
-    def unsent(self, asked: Asked) -> None:
-        """No connection for a request; one that had been sent before is cut for good."""
-        self.end(asked, Result.UNSENT if asked.sent_s is None else Result.CUT)
+    def unsent(self, pending: PendingRequest) -> None:
+        """End a request without a connection: as unsent, or as cut if it had been sent before."""
+        self.end(pending, Result.UNSENT if pending.sent_s is None else Result.CUT)
 
-    def answered(self, asked: Asked, status: int, body: bytes) -> None:
-        """A whole answer has come."""
+    def answered(self, pending: PendingRequest, status: int, body: bytes) -> None:
+        """End a request by its complete answer."""
         if status in (429, 503):
             result = Result.REFUSED
         elif status != 200:
             result = Result.FAILED
-        elif body != body_for(asked.call_id, 0):
+        elif body != body_for(pending.call_id, 0):
             result = Result.MIXED_UP
         else:
             result = Result.SERVED
-        self.end(asked, result, status)
+        self.end(pending, result, status)
 
-    def end(self, asked: Asked, result: Result, status: int = 0) -> None:
-        """The one end of a request."""
-        made = self._out.pop(asked, None)
+    def end(self, pending: PendingRequest, result: Result, status: int = 0) -> None:
+        """Record the result of a request, once."""
+        made = self._out.pop(pending, None)
         if made is None:
             return
-        asked.ended = True
-        if asked.limit is not None:
-            asked.limit.cancel()
+        pending.ended = True
+        if pending.limit is not None:
+            pending.limit.cancel()
         if not made.done.done():
             made.done.set_result((result, status))
 
 
-def retry_after_s(asked: Asked) -> float:
-    """What an answer asks to wait, bounded."""
+def retry_after_s(pending: PendingRequest) -> float:
+    """Return the Retry-After of an answer in seconds, at most `MAX_RETRY_AFTER_S`."""
     try:
-        return min(RETRY_AFTER_MOST_S, max(0.0, float(asked.noted.get(b"retry-after", b"0"))))
+        return min(MAX_RETRY_AFTER_S, max(0.0, float(pending.kept_headers.get(b"retry-after", b"0"))))
     except ValueError:
         return 0.0
 
@@ -433,7 +447,7 @@
 
 @dataclass
 class Seen:
-    """What all clients saw. `lag_ms`: how late each call was begun."""
+    """Results of all clients. `lag_ms` has the delay of each call behind its due time."""
 
     outcomes: list[Outcome] = field(default_factory=list)
     asked: list[ledger.Asked] = field(default_factory=list)
@@ -441,50 +455,50 @@
 
 
 class Callers:
-    """All clients of a demand."""
+    """Runs all clients of a demand."""
 
     def __init__(self, demand: Demand, callers: Mapping[str, Caller]) -> None:
-        self._wants = demand.wants(list(callers))
+        self._calls = demand.planned_calls(list(callers))
         self._duration_s = demand.duration_s
         self._callers = callers
         self._loop = asyncio.get_running_loop()
         self.seen = Seen()
 
     async def run(self) -> Seen:
-        """Ask for all that is wanted and see it to its end, which the deadlines of its classes bound."""
+        """Send all calls and wait for their ends, which the deadlines of their classes bound."""
         start_s = self._loop.time()
         async with asyncio.TaskGroup() as group:
-            for want in self._wants:
-                due_s = start_s + want.at_s
-                if (early_s := due_s - self._loop.time()) > 0.0:
-                    await asyncio.sleep(early_s)
+            for call in self._calls:
+                due_s = start_s + call.at_s
+                if (wait_s := due_s - self._loop.time()) > 0.0:
+                    await asyncio.sleep(wait_s)
                 self.seen.lag_ms.append((self._loop.time() - due_s) * 1000.0)
-                group.create_task(self._call(want, due_s))
+                group.create_task(self._call(call, due_s))
             await asyncio.sleep(max(0.0, start_s + self._duration_s - self._loop.time()))
         return self.seen
 
-    async def _call(self, want: Want, due_s: float) -> None:
-        """One call with its retries."""
-        outcome = Outcome(want)
+    async def _call(self, call: PlannedCall, due_s: float) -> None:
+        """Run a call with its retries."""
+        outcome = Outcome(call)
         self.seen.outcomes.append(outcome)
-        caller, end_s = self._callers[want.sidecar], due_s + want.kind.deadline_ms / 1000.0
-        for number in range(len(want.ids)):
+        caller, end_s = self._callers[call.sidecar], due_s + call.kind.deadline_ms / 1000.0
+        for number in range(len(call.ids)):
             left_s = end_s - self._loop.time()
             if left_s <= 0.005:
                 return
             outcome.tries += 1
-            row, wait_s = await caller.ask(want, number, min(want.try_s, left_s))
+            row, wait_s = await caller.ask(call, number, min(call.try_s, left_s))
             outcome.last = row.result
             if row.result != Result.UNSENT.value:
                 self.seen.asked.append(row)
             if row.result == Result.SERVED.value:
                 outcome.served, outcome.latency_ms = True, (row.ended_s - due_s) * 1000.0
                 return
-            if number == len(want.backoffs_s) or not may_retry(want.kind.semantics, row.result):
+            if number == len(call.backoffs_s) or not may_retry(call.kind.semantics, row.result):
                 return
-            await asyncio.sleep(max(wait_s, want.backoffs_s[number]))
+            await asyncio.sleep(max(wait_s, call.backoffs_s[number]))
 
 
 def may_retry(semantics: ledger.Semantics, result: str) -> bool:
-    """Whether a client tries again: what is safe always, all else only where it is sure that nothing ran."""
+    """Return whether a client may retry: safe calls always, others only if it is certain that nothing ran."""
     return semantics == "safe" or result in (Result.REFUSED.value, Result.UNSENT.value)
--- a/rig/clients.py
+++ b/rig/clients.py
@@ -1,4 +1,4 @@
-"""Healthy clients, open loop: arrivals wait for nothing, and latency counts from the intended time."""
+"""Open-loop HTTP clients: arrivals never wait for answers, and latency counts from the intended time."""
 
 from __future__ import annotations
 
@@ -17,29 +17,29 @@
 from rig.messages import Act, body_for, call_ids, request
 
 CONNECT_S = 2.0
-NOTED = (b"retry-after", b"x-rejected")  # headers of answers that are kept
-GRACE_MS = 500  # past its budget a request is looked at for so long: a late answer is told from none
-ANSWER_MOST = 2 * 1024 * 1024  # bytes
+KEPT_HEADERS = (b"retry-after", b"x-rejected")  # response headers that are recorded
+GRACE_MS = 500  # wait after the budget, to distinguish a late answer from none
+MAX_ANSWER_BYTES = 2 * 1024 * 1024
 Address = tuple[str, int]
 After = Literal["keep", "close", "hold"]
 
 
 class Result(StrEnum):
-    """How a request ended; each has exactly one."""
+    """Result of a request; each has exactly one."""
 
-    SERVED = "served"  # the whole of its own answer, in time
-    LATE = "late"  # the same, past the budget
+    SERVED = "served"  # complete and correct answer within the budget
+    LATE = "late"  # the same after the budget
     REFUSED = "refused"  # 429 or 503
     FAILED = "failed"  # any other status
-    MIXED_UP = "mixed up"  # a 200 with a body that is not this request's
-    CUT = "cut"  # its connection ended without a whole answer
-    UNANSWERED = "unanswered"  # nothing whole though it was written, up to the end of the grace
-    UNSENT = "unsent"  # no connection could be had for it
+    MIXED_UP = "mixed up"  # status 200 with a body that is not the one of this request
+    CUT = "cut"  # connection closed before the answer was complete
+    UNANSWERED = "unanswered"  # written, but no complete answer by the end of the grace time
+    UNSENT = "unsent"  # no connection could be opened for it
 
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """So many requests at one moment."""
+    """`count` requests at the same moment."""
 
     at_s: float
     count: int
@@ -47,12 +47,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What clients ask. `pools` clients share `connections`; each opens one more only if none is free.
-
-    `after` is what a client does with its connection once it is answered: keep it for its next request,
-    close it, or hold it and ask no more, so that each request is a new client's; at the cap one waits
-    until the other side closes a connection. `turns`: it is kept for so many requests, drawn evenly between
-    two bounds, and then closed.
+    """Load that clients generate.
+
+    Attributes:
+        pools: Number of clients. They share `connections`; each opens another one only if none is free.
+        after: What a client does with a connection after an answer: keep it for its next request, close it,
+            or hold it open and send nothing more, so that each request comes from a new client. At the limit
+            of connections, a request waits until the server closes one.
+        turns: Bounds of the number of requests after which a connection is closed, drawn uniformly.
     """
 
     rate_per_s: float
@@ -67,18 +69,18 @@
     resends: int = 1
     after: After = "keep"
     turns: tuple[int, int] | None = None
-    skip_s: float = 0.0  # requests intended before that are not counted
+    skip_s: float = 0.0  # requests intended before this time are not recorded
 
     def __post_init__(self) -> None:
         if min(self.pools, self.connections, self.budget_ms) < 1 or self.connections < self.pools:
-            raise ValueError("a plan needs a pool, a connection for each, and a budget")
+            raise ValueError("a plan needs pools >= 1, connections >= pools and budget_ms >= 1")
         if not (0.0 <= self.rate_per_s < math.inf and 0.0 < self.duration_s < math.inf):
-            raise ValueError("a plan needs a rate and a duration")
+            raise ValueError("a plan needs a finite rate_per_s >= 0 and a finite duration_s > 0")
         if self.turns is not None and not 1 <= self.turns[0] <= self.turns[1]:
-            raise ValueError("a connection is kept for one request at least")
+            raise ValueError(f"turns must be two bounds with 1 <= low <= high, got {self.turns}")
 
     def arrivals(self) -> list[float]:
-        """The intended times in seconds, a Poisson process and the bursts; the same for a seed."""
+        """Return the intended times in seconds: a Poisson process and the bursts, reproducible by seed."""
         rng, now, times = random.Random(f"arrivals/{self.seed}"), 0.0, []
         while self.rate_per_s > 0.0:
             now += rng.expovariate(self.rate_per_s)
@@ -92,9 +94,9 @@
 
 @dataclass(slots=True)
 class Record:
-    """One request as it ended."""
+    """Result of one request."""
 
-    at_s: float  # its intended time, from the start
+    at_s: float  # intended time since the start
     result: Result
     latency_ms: float
     status: int = 0
@@ -102,38 +104,38 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What all clients of a plan saw."""
+    """Results of all clients of a plan."""
 
     records: list[Record] = field(default_factory=list)
     statuses: Counter[int] = field(default_factory=Counter)
-    resent_new: int = 0  # cut as the first on its connection, and sent once more
-    resent_kept: int = 0  # the same on a connection that had answered before
+    resent_new: int = 0  # resends of requests that were the first on their connection
+    resent_kept: int = 0  # resends from connections that had answered before
     connections: int = 0
     connections_most: int = 0
-    stray: int = 0  # connections on which bytes came that nobody had asked for
-    lag_most_ms: float = 0.0  # between the intended time and when these clients got to it
+    stray: int = 0  # connections that received unsolicited bytes
+    lag_most_ms: float = 0.0  # largest delay of these clients behind an intended time
 
     def count(self, *results: Result) -> int:
-        """How many ended so."""
+        """Return the number of requests with any of these results."""
         return sum(record.result in results for record in self.records)
 
     @property
     def asked(self) -> int:
-        """How many there were."""
+        """The number of recorded requests."""
         return len(self.records)
 
     @property
     def in_time(self) -> float:
-        """The share that was served in time; 1 where nothing was asked."""
+        """The share of requests served within their budget; 1 if there were none."""
         return self.count(Result.SERVED) / self.asked if self.records else 1.0
 
     def latency_ms(self, share: float) -> float:
-        """A quantile over what was served, late ones included; not a number where nothing was."""
+        """Return a latency quantile of served requests, late ones included; NaN if there are none."""
         served = (Result.SERVED, Result.LATE)
         return quantile([r.latency_ms for r in self.records if r.result in served], share)
 
     def summary(self) -> dict[str, Any]:
-        """All figures as JSON values."""
+        """Return all figures as JSON values."""
         return {
             "asked": self.asked,
             "in_time": self.in_time,
@@ -153,7 +155,7 @@
 
 
 def quantile(values: Iterable[float], share: float) -> float:
-    """The nearest-rank quantile; not a number where there is none."""
+    """Return the nearest-rank quantile, or NaN for no values."""
     ordered = sorted(values)
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)] if ordered else math.nan
 
@@ -162,11 +164,11 @@
     return value if math.isfinite(value) else None
 
 
-class Asked:
-    """One request from its intended time to its end."""
+class PendingRequest:
+    """A request from its intended time to its end."""
 
     __slots__ = (
-        *("at_s", "call_id", "due", "ended", "limit", "link", "message", "noted", "pool", "resends"),
+        *("at_s", "call_id", "due", "ended", "limit", "link", "message", "kept_headers", "pool", "resends"),
         *("resends_left", "first_sent_s", "resent_s", "sent_s", "size"),
     )
 
@@ -184,22 +186,22 @@
         self.pool = pool
         self.call_id = call_id
         self.at_s = at_s
-        self.due = due  # its intended time on the loop's clock
+        self.due = due  # intended time on the clock of the event loop
         self.size = size
         self.message = message
-        self.resends = resends  # that it may have, should a close cross it
+        self.resends = resends  # times that it may be resent if its connection closes without an answer
         self.resends_left = resends
-        self.first_sent_s: float | None = None  # when it was first written to a connection,
-        self.sent_s: float | None = None  # and when last
-        self.resent_s: float | None = None  # when a close without a word had it sent again
-        self.noted: dict[bytes, bytes] = {}  # headers of its answer, those of `NOTED`
+        self.first_sent_s: float | None = None  # time of the first write to a connection
+        self.sent_s: float | None = None  # time of the last write
+        self.resent_s: float | None = None  # time at which a close without an answer led to a resend
+        self.kept_headers: dict[bytes, bytes] = {}  # response headers named in `KEPT_HEADERS`
         self.link: Link | None = None
         self.limit: asyncio.TimerHandle | None = None
         self.ended = False
 
     @classmethod
-    def planned(cls, pool: Pool, plan: Plan, call_id: str, at_s: float, due: float) -> Asked:
-        """The next one of a plan."""
+    def planned(cls, pool: Pool, plan: Plan, call_id: str, at_s: float, due: float) -> PendingRequest:
+        """Create the next request of a plan."""
         return cls(
             pool,
             call_id,
@@ -212,99 +214,99 @@
 
 
 class Owner(Protocol):
-    """Whom a pool of connections belongs to: it is told what becomes of requests and connections."""
+    """Owner of a pool, which reports the ends of requests and connections to it."""
 
-    connect_s: float  # a connection that is not up after so long is given up
+    connect_s: float  # timeout for opening a connection
 
     @property
     def after(self) -> After:
-        """What becomes of a connection once it has answered."""
+        """What to do with a connection after an answer."""
 
     def turns(self) -> float:
-        """How many requests the next connection is kept for."""
+        """Return the number of requests that the next connection is kept for."""
 
     def spawn(self, work: Any) -> None:
         """Run a task that lasts for `connect_s` at most."""
 
     def connected(self, change: int) -> None:
-        """A connection has come or gone."""
+        """Add a change to the number of open connections."""
 
     def resent(self, first: bool) -> None:
-        """A request goes out once more; `first`: it was the first on its connection."""
+        """Handle a resend; `first` says whether the request was the first on its connection."""
 
     def stray(self) -> None:
-        """Bytes came that nobody had asked for."""
+        """Handle a connection that received unsolicited bytes."""
 
-    def unsent(self, asked: Asked) -> None:
-        """No connection for a request."""
+    def unsent(self, pending: PendingRequest) -> None:
+        """Handle a request for which no connection could be opened."""
 
-    def answered(self, asked: Asked, status: int, body: bytes) -> None:
-        """A whole answer."""
+    def answered(self, pending: PendingRequest, status: int, body: bytes) -> None:
+        """Handle a complete answer."""
 
-    def end(self, asked: Asked, result: Result, status: int = 0) -> None:
-        """The one end of a request."""
+    def end(self, pending: PendingRequest, result: Result, status: int = 0) -> None:
+        """End a request."""
 
 
-def give_up(owner: Owner, asked: Asked) -> None:
-    """A request's time is over: it ends as unsent where it has no connection, else its connection is cut."""
-    link = asked.link
+def give_up(owner: Owner, pending: PendingRequest) -> None:
+    """Time a request out: report it as unsent if it has no connection, otherwise abort its connection."""
+    link = pending.link
     if link is None:
-        owner.unsent(asked)
+        owner.unsent(pending)
     else:
-        owner.end(asked, Result.UNANSWERED)
+        owner.end(pending, Result.UNANSWERED)
         link.abort()
 
 
 class Link(asyncio.Protocol):
-    """One connection of a client."""
+    """A connection of a client."""
 
-    def __init__(self, pool: Pool, first: Asked | None, turns: float) -> None:
+    def __init__(self, pool: Pool, first: PendingRequest | None, turns: float) -> None:
         self._pool = pool
         self._turns = turns
-        self._asked = first
+        self._pending = first
         self._parser = httptools.HttpResponseParser(self)
         self._transport: asyncio.Transport
         self._body = bytearray()
-        self._got = False  # anything of the answer at hand
-        self._whole = self._keeps = False
+        self._has_data = False  # whether any byte of the current answer has arrived
+        self._is_complete = self._keeps_alive = False
         self.lost = False
         self.answered = 0
 
-    def begin(self, asked: Asked) -> None:
-        """Write a request."""
-        self._asked, asked.link = asked, self
-        asked.sent_s = asyncio.get_running_loop().time()
-        if asked.first_sent_s is None:
-            asked.first_sent_s = asked.sent_s
-        self._got = self._whole = False
+    def begin(self, pending: PendingRequest) -> None:
+        """Send a request."""
+        self._pending, pending.link = pending, self
+        pending.sent_s = asyncio.get_running_loop().time()
+        if pending.first_sent_s is None:
+            pending.first_sent_s = pending.sent_s
+        self._has_data = self._is_complete = False
         self._body.clear()
-        self._transport.write(asked.message)
+        self._transport.write(pending.message)
 
     def close(self) -> None:
         """Close it between requests."""
         self._transport.close()
 
     def abort(self) -> None:
-        """Go away, whatever is open on it."""
-        self._asked = None
+        """Abort the connection without reporting its request as cut."""
+        self._pending = None
         self._transport.abort()
 
     @property
-    def spent(self) -> bool:
-        """Whether it has carried as many requests as it is kept for."""
+    def is_spent(self) -> bool:
+        """Whether it has answered as many requests as it is kept for."""
         return self.answered >= self._turns
 
     @property
-    def busy(self) -> bool:
-        """Whether a request is out on it."""
-        return self._asked is not None
+    def is_busy(self) -> bool:
+        """Whether a request is in flight on it."""
+        return self._pending is not None
 
     # --- called by the loop ----------------------------------------------------
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connected; the request that it was opened for goes out, if it still stands."""
+        """Send the request that the connection was opened for, unless that has ended."""
         self._transport = cast(asyncio.Transport, transport)
-        first, self._asked = self._asked, None
+        first, self._pending = self._pending, None
         self._pool.connected(self)
         if first is not None and not first.ended:
             self.begin(first)
@@ -312,66 +314,66 @@
             self._pool.free(self)
 
     def data_received(self, data: bytes) -> None:
-        """Bytes of an answer."""
-        if self._asked is None:
+        """Parse bytes of an answer; abort on invalid, oversized or unsolicited ones."""
+        if self._pending is None:
             self._pool.stray()
             self._transport.abort()
             return
-        self._got = True
+        self._has_data = True
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
             self._transport.abort()
             return
-        if self._whole:
+        if self._is_complete:
             self._answered()
-        elif len(self._body) > ANSWER_MOST:
+        elif len(self._body) > MAX_ANSWER_BYTES:
             self._transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Closed."""
+        """Report the request in flight as cut, then the connection as closed."""
         self.lost = True
-        asked, self._asked = self._asked, None
-        del self._parser  # it refers back
-        # First, so that what is sent once more has the place that this connection leaves.
-        if asked is not None:
-            asked.link = None
-            self._pool.cut(asked, nothing_came=not self._got, first=self.answered == 0)
+        pending, self._pending = self._pending, None
+        del self._parser  # breaks a reference cycle
+        # Before `gone`, so that a resend takes the place of this connection, ahead of waiting requests.
+        if pending is not None:
+            pending.link = None
+            self._pool.cut(pending, nothing_came=not self._has_data, first=self.answered == 0)
         self._pool.gone(self)
 
     # --- called by the parser --------------------------------------------------
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Called by the parser."""
-        if self._asked is not None and not self._whole and (known := name.lower()) in NOTED:
-            self._asked.noted[known] = value
+        if self._pending is not None and not self._is_complete and (known := name.lower()) in KEPT_HEADERS:
+            self._pending.kept_headers[known] = value
 
     def on_body(self, data: bytes) -> None:
         """Called by the parser."""
-        if not self._whole:
+        if not self._is_complete:
             self._body += data
 
     def on_message_complete(self) -> None:
         """Called by the parser."""
-        if self._whole:
+        if self._is_complete:
             self._pool.stray()
         elif self._parser.get_status_code() >= 200:
-            self._whole, self._keeps = True, self._parser.should_keep_alive()
+            self._is_complete, self._keeps_alive = True, self._parser.should_keep_alive()
 
     def _answered(self) -> None:
-        asked, self._asked = self._asked, None
-        assert asked is not None
-        asked.link = None
+        pending, self._pending = self._pending, None
+        assert pending is not None
+        pending.link = None
         self.answered += 1
-        if not self._keeps:
+        if not self._keeps_alive:
             self._transport.close()
-        self._pool.answered(asked, self._parser.get_status_code(), bytes(self._body))
+        self._pool.answered(pending, self._parser.get_status_code(), bytes(self._body))
         if not self._transport.is_closing():
             self._pool.free(self)
 
 
 class Pool:
-    """The connections of one client: the newest that is free, else one more up to the cap."""
+    """Connections of one client: a request gets the newest free one, or a new one up to the limit."""
 
     def __init__(self, clients: Owner, cap: int, address: Address) -> None:
         self._clients = clients
@@ -379,32 +381,32 @@
         self._cap = cap
         self._links: set[Link] = set()
         self._free: list[Link] = []
-        self._waiting: deque[Asked] = deque()  # as many as the plan has arrivals at most
+        self._waiting: deque[PendingRequest] = deque()  # bounded by the arrivals of the plan
         self._opening = 0
-        self._old: set[Link] = set()  # to be closed and opened anew once they come free
+        self._old: set[Link] = set()  # to be replaced by new ones once they are free
 
-    def ask(self, asked: Asked) -> None:
-        """Send a request as soon as a connection can be had."""
+    def send(self, pending: PendingRequest) -> None:
+        """Send a request as soon as a connection is available."""
         while self._free:
             link = self._free.pop()
             if not link.lost:
-                link.begin(asked)
+                link.begin(pending)
                 return
         if len(self._links) + self._opening < self._cap:
-            self._open(asked)
+            self._open(pending)
         else:
-            self._waiting.append(asked)
+            self._waiting.append(pending)
 
     def reconnect(self) -> None:
-        """Close all at once and open as many; what has a request out follows once it is answered."""
-        self._old = {link for link in self._links if link.busy}
+        """Replace all connections: idle ones now, the others once their request is answered."""
+        self._old = {link for link in self._links if link.is_busy}
         idle, self._free = self._free, []
         for link in idle:
             link.close()
             self._open(None)
 
     def close(self) -> None:
-        """Close all at the end; nothing is opened any more."""
+        """Abort all connections and open no more."""
         self._cap = 0
         self._waiting.clear()
         for link in list(self._links):
@@ -413,12 +415,12 @@
     # --- what links report -------------------------------------------------------
 
     def connected(self, link: Link) -> None:
-        """A connection is up."""
+        """Add an open connection."""
         self._links.add(link)
         self._clients.connected(+1)
 
     def free(self, link: Link) -> None:
-        """It carries nothing."""
+        """Reuse, replace or close a connection on which no request is in flight."""
         if link in self._old:
             self._old.discard(link)
             link.close()
@@ -426,15 +428,15 @@
         elif link.answered and self._clients.after != "keep":
             if self._clients.after == "close":
                 link.close()
-        elif link.spent:
+        elif link.is_spent:
             link.close()
-        elif (asked := self._next()) is not None:
-            link.begin(asked)
+        elif (pending := self._next()) is not None:
+            link.begin(pending)
         else:
             self._free.append(link)
 
     def gone(self, link: Link) -> None:
-        """It is closed: there is room for one more."""
+        """Remove a closed connection and open one for a waiting request."""
         self._links.discard(link)
         self._old.discard(link)
         self._clients.connected(-1)
@@ -442,56 +444,56 @@
             self._free.remove(link)
         self._open_for_waiting()
 
-    def answered(self, asked: Asked, status: int, body: bytes) -> None:
-        """A whole answer."""
-        self._clients.answered(asked, status, body)
+    def answered(self, pending: PendingRequest, status: int, body: bytes) -> None:
+        """Report a complete answer."""
+        self._clients.answered(pending, status, body)
 
-    def cut(self, asked: Asked, nothing_came: bool, first: bool) -> None:
-        """No whole answer: sent once more on a new connection if nothing of it came."""
-        if asked.ended:
+    def cut(self, pending: PendingRequest, nothing_came: bool, first: bool) -> None:
+        """Resend a request whose connection closed without a byte of its answer; otherwise end it as cut."""
+        if pending.ended:
             return
-        if nothing_came and asked.resends_left > 0:
-            asked.resends_left -= 1
-            asked.resent_s = asyncio.get_running_loop().time()
+        if nothing_came and pending.resends_left > 0:
+            pending.resends_left -= 1
+            pending.resent_s = asyncio.get_running_loop().time()
             self._clients.resent(first)
-            self._open(asked)
+            self._open(pending)
         else:
-            self._clients.end(asked, Result.CUT)
+            self._clients.end(pending, Result.CUT)
 
     def stray(self) -> None:
-        """Bytes that nobody asked for."""
+        """Report unsolicited bytes."""
         self._clients.stray()
 
-    def _next(self) -> Asked | None:
+    def _next(self) -> PendingRequest | None:
         while self._waiting:
-            asked = self._waiting.popleft()
-            if not asked.ended:
-                return asked
+            pending = self._waiting.popleft()
+            if not pending.ended:
+                return pending
         return None
 
     def _open_for_waiting(self) -> None:
-        if len(self._links) + self._opening < self._cap and (asked := self._next()) is not None:
-            self._open(asked)
+        if len(self._links) + self._opening < self._cap and (pending := self._next()) is not None:
+            self._open(pending)
 
-    def _open(self, asked: Asked | None) -> None:
+    def _open(self, pending: PendingRequest | None) -> None:
         self._opening += 1
-        self._clients.spawn(self._connect(asked, self._clients.turns()))
+        self._clients.spawn(self._connect(pending, self._clients.turns()))
 
-    async def _connect(self, asked: Asked | None, turns: float) -> None:
+    async def _connect(self, pending: PendingRequest | None, turns: float) -> None:
         loop, (host, port) = asyncio.get_running_loop(), self._address
         try:
             async with asyncio.timeout(self._clients.connect_s):
-                await loop.create_connection(lambda: Link(self, asked, turns), host, port)
+                await loop.create_connection(lambda: Link(self, pending, turns), host, port)
         except (OSError, TimeoutError):
-            if asked is not None:
-                self._clients.unsent(asked)
+            if pending is not None:
+                self._clients.unsent(pending)
         finally:
             self._opening -= 1
             self._open_for_waiting()
 
 
 class Clients:
-    """All clients of a plan."""
+    """Runs all clients of a plan."""
 
     connect_s = CONNECT_S
 
@@ -508,41 +510,41 @@
             shares[number] += 1
         self._pools = [Pool(self, share, address) for share in shares]
         self._tasks: set[asyncio.Task[None]] = set()
-        self._open: set[Asked] = set()
+        self._open: set[PendingRequest] = set()
         self._standing = 0
 
     async def run(self) -> Tally:
-        """Ask all that is planned and see each request to its end; bounded by the plan's own times."""
+        """Send all requests of the plan and wait for their ends, which their time limits bound."""
         start = self._loop.time()
         try:
             for at_s in self.plan.arrivals():
-                if (early := start + at_s - self._loop.time()) > 0.0:
-                    await asyncio.sleep(early)
+                if (wait_s := start + at_s - self._loop.time()) > 0.0:
+                    await asyncio.sleep(wait_s)
                 self._ask(at_s, start + at_s)
             await asyncio.sleep(max(0.0, start + self.plan.duration_s - self._loop.time()))
-            while self._open:  # each ends at the end of its grace at the latest
+            while self._open:  # each ends by the end of its grace time
                 await asyncio.sleep(0.005)
         finally:
             self._close()
         return self.tally
 
     def reconnect(self) -> None:
-        """All clients close their connections at once and connect anew."""
+        """Make all clients close their connections at once and reconnect."""
         for pool in self._pools:
             pool.reconnect()
 
     def _ask(self, at_s: float, due: float) -> None:
         self.tally.lag_most_ms = max(self.tally.lag_most_ms, (self._loop.time() - due) * 1000.0)
-        asked = Asked.planned(self._rng.choice(self._pools), self.plan, next(self._ids), at_s, due)
+        pending = PendingRequest.planned(self._rng.choice(self._pools), self.plan, next(self._ids), at_s, due)
         limit = due + (self.plan.budget_ms + GRACE_MS) / 1000.0
-        asked.limit = self._loop.call_at(limit, give_up, self, asked)
-        self._open.add(asked)
-        asked.pool.ask(asked)
+        pending.limit = self._loop.call_at(limit, give_up, self, pending)
+        self._open.add(pending)
+        pending.pool.send(pending)
 
     def _close(self) -> None:
-        for asked in self._open:
-            if asked.limit is not None:
-                asked.limit.cancel()
+        for pending in self._open:
+            if pending.limit is not None:
+                pending.limit.cancel()
         for pool in self._pools:
             pool.close()
         for task in list(self._tasks):
@@ -551,68 +553,68 @@
     # --- what pools report -------------------------------------------------------
 
     def spawn(self, work: Any) -> None:
-        """A task that lasts for `CONNECT_S` at most."""
+        """Run a task that lasts for `CONNECT_S` at most."""
         task = self._loop.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     @property
     def after(self) -> After:
-        """What becomes of a connection once it has answered."""
+        """What to do with a connection after an answer."""
         return self.plan.after
 
     def stray(self) -> None:
-        """Bytes came that nobody had asked for."""
+        """Count a connection that received unsolicited bytes."""
         self.tally.stray += 1
 
     def turns(self) -> float:
-        """How many requests the next connection is kept for."""
+        """Return the number of requests that the next connection is kept for."""
         return self._turns.randint(*self.plan.turns) if self.plan.turns is not None else math.inf
 
     def connected(self, change: int) -> None:
-        """A connection has come or gone."""
+        """Add a change to the number of open connections."""
         self._standing += change
         self.tally.connections += max(0, change)
         self.tally.connections_most = max(self.tally.connections_most, self._standing)
 
     def resent(self, first: bool) -> None:
-        """A request goes out once more; `first`: it was the first on its connection."""
+        """Count a resend; `first` says whether the request was the first on its connection."""
         if first:
             self.tally.resent_new += 1
         else:
             self.tally.resent_kept += 1
 
-    def unsent(self, asked: Asked) -> None:
-        """No connection for a request; one that had been sent before is cut for good."""
-        self.end(asked, Result.UNSENT if asked.resends_left == asked.resends else Result.CUT)
+    def unsent(self, pending: PendingRequest) -> None:
+        """End a request without a connection: as unsent, or as cut if it is a resend."""
+        self.end(pending, Result.UNSENT if pending.resends_left == pending.resends else Result.CUT)
 
-    def answered(self, asked: Asked, status: int, body: bytes) -> None:
-        """A whole answer has come."""
-        in_time = (self._loop.time() - asked.due) * 1000.0 <= self.plan.budget_ms
+    def answered(self, pending: PendingRequest, status: int, body: bytes) -> None:
+        """End a request by its complete answer."""
+        in_time = (self._loop.time() - pending.due) * 1000.0 <= self.plan.budget_ms
         if status in (429, 503):
             result = Result.REFUSED
         elif status != 200:
             result = Result.FAILED
-        elif body != body_for(asked.call_id, asked.size):
+        elif body != body_for(pending.call_id, pending.size):
             result = Result.MIXED_UP
         else:
             result = Result.SERVED if in_time else Result.LATE
-        self.end(asked, result, status)
+        self.end(pending, result, status)
 
-    def end(self, asked: Asked, result: Result, status: int = 0) -> None:
-        """The one end of a request."""
-        if asked.ended:
+    def end(self, pending: PendingRequest, result: Result, status: int = 0) -> None:
+        """Record the result of a request, once."""
+        if pending.ended:
             return
-        asked.ended = True
-        self._open.discard(asked)
-        if asked.limit is not None:
-            asked.limit.cancel()
-        if asked.at_s < self.plan.skip_s:
+        pending.ended = True
+        self._open.discard(pending)
+        if pending.limit is not None:
+            pending.limit.cancel()
+        if pending.at_s < self.plan.skip_s:
             return
         if status:
             self.tally.statuses[status] += 1
-        latency_ms = (self._loop.time() - asked.due) * 1000.0
-        self.tally.records.append(Record(asked.at_s, result, latency_ms, status))
+        latency_ms = (self._loop.time() - pending.due) * 1000.0
+        self.tally.records.append(Record(pending.at_s, result, latency_ms, status))
 
 
 # --- one exchange, byte for byte --------------------------------------------------
@@ -620,7 +622,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Raw:
-    """What came back for some bytes; `status` 0 and `ended` true: the connection ended without a word."""
+    """Answer to raw bytes.
+
+    `status` is 0 if no complete answer came; `ended` says whether the connection failed or was closed first.
+    """
 
     status: int
     body: bytes
@@ -629,7 +634,7 @@
 
 
 async def ask_raw(address: Address, data: bytes, within_s: float) -> Raw:
-    """Connect, write these bytes and read one answer; nothing is raised, what came is told."""
+    """Connect, write bytes and read one answer; failures are returned as a `Raw` and not raised."""
     loop = asyncio.get_running_loop()
     start, status, body, ended = loop.time(), 0, b"", False
     writer: asyncio.StreamWriter | None = None
@@ -639,7 +644,7 @@
             writer.write(data)
             status, body = await read_answer(reader)
     except (TimeoutError, ValueError, asyncio.LimitOverrunError):
-        pass  # first: a TimeoutError is an OSError too, and no end of the connection
+        pass  # before OSError, whose subclass TimeoutError is: a timeout is no close
     except (OSError, EOFError):
         ended = True
     finally:
@@ -649,11 +654,16 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> tuple[int, bytes]:
-    """One answer with a Content-Length; `EOFError` or `OSError` where the connection ends before."""
+    """Read one answer with a Content-Length.
+
+    Raises:
+        EOFError or OSError: If the connection ends before the answer is complete.
+        ValueError: If the answer is malformed or larger than `MAX_ANSWER_BYTES`.
+    """
     head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
-    first, *rows = head[:-4].split("\r\n")
-    names = {name.strip().lower(): value.strip() for name, _, value in (row.partition(":") for row in rows)}
-    size = int(names.get("content-length", "0"))
-    if size > ANSWER_MOST:
-        raise ValueError(f"an answer of {size} bytes")
-    return int(first.split(" ")[1]), await reader.readexactly(size)
+    status_line, *rows = head[:-4].split("\r\n")
+    headers = {name.strip().lower(): value.strip() for name, _, value in (row.partition(":") for row in rows)}
+    size = int(headers.get("content-length", "0"))
+    if size > MAX_ANSWER_BYTES:
+        raise ValueError(f"an answer may have {MAX_ANSWER_BYTES} bytes, got Content-Length {size}")
+    return int(status_line.split(" ")[1]), await reader.readexactly(size)
--- a/rig/sim/__init__.py
+++ b/rig/sim/__init__.py
@@ -1,1 +1,1 @@
-"""Virtual time: days that are played as fast as they can be computed, the same for a seed."""
+"""Simulation in virtual time: runs as fast as it can be computed and is reproducible by seed."""
--- a/rig/sim/policy.py
+++ b/rig/sim/policy.py
@@ -1,8 +1,8 @@
-"""The decision module in virtual time: many balancers, modelled port servers, open-loop clients. Pure.
+"""Simulation of the decision module: many balancers, modelled port servers and open-loop clients. Pure.
 
-No sockets and no clock: a heap of events in milliseconds. What the daemon does round the module (attempts,
-time-outs, pooled connections) is modelled here, as plainly as it can be; what the module decides is the
-module's own. The same seed and plan give the same day.
+It uses a heap of events in milliseconds instead of sockets and a clock. The work of the daemon around the
+module (attempts, timeouts, pooled connections) is modelled here in a simple form; decisions are made by the
+real module. The same seed and plan give the same run.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 End = Literal["served", "late", "refused", "failed", "unanswered"]
 
 CONNECT_MS = 250.0
-EVENTS_MOST = 50_000_000
+MAX_EVENTS = 50_000_000
 SWEEP_MS = 200.0
 
 
-class Decides(Protocol):
-    """A decision module, as the driver calls it."""
+class DecisionModule(Protocol):
+    """Interface of a decision module."""
 
     def request(self, now: float, arrival: model.Arrival) -> list[model.Action]: ...
 
@@ -51,35 +51,35 @@
 
 @dataclass(frozen=True, slots=True)
 class Flow:
-    """Requests of one kind: a Poisson process over a span, or even gaps. Times are milliseconds."""
+    """Requests of one kind, as a Poisson process or at even intervals. Times are milliseconds."""
 
     rate_per_s: float
     budget_ms: float
     work_ms: float = 5.0
     io_ms: float = 40.0
-    spread: float = 0.2  # of work and io: uniform within so much of the mean either way
+    spread: float = 0.2  # work and io are uniform within this share around their means
     traffic_class: int = 0
     tenant: int = 0
     from_ms: float = 0.0
     until_ms: float = math.inf
     even: bool = False
-    aim_ms: float = math.inf  # an answer later than that counts as late
-    retries: int = 0  # a client's own tries after the first, where the class allows them
-    wait_ms: float = 50.0  # before a retry; doubles
-    try_share: float = 1.0  # of the budget, for one try
-    honours: bool = True  # whether it waits as a refusal says
-    again: tuple[End, ...] = ("refused",)  # what it tries again after
-    sidecars: tuple[int, ...] = ()  # which it comes to; none: all
-    weights: tuple[float, ...] = ()  # of those; none: all alike
+    aim_ms: float = math.inf  # latency target: later answers count as late
+    retries: int = 0  # maximum of retries by the client
+    wait_ms: float = 50.0  # backoff before the first retry; it doubles
+    try_share: float = 1.0  # time limit of one try, as a share of the budget
+    honours: bool = True  # whether the client waits as long as a rejection asks
+    again: tuple[End, ...] = ("refused",)  # ends after which the client retries
+    sidecars: tuple[int, ...] = ()  # sidecars that receive the requests; empty for all
+    weights: tuple[float, ...] = ()  # relative loads of those sidecars; empty for equal ones
     keys: int = 0
-    key_zipf: float = 0.0  # exponent of their popularity; 0: all alike
+    key_zipf: float = 0.0  # Zipf exponent of key popularity; 0 for equal popularity
     worth: float = 1.0
     name: str = ""
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
-    """One client's request with all its tries."""
+class ClientRequest:
+    """A request of a client with all its tries."""
 
     flow: Flow
     at_ms: float
@@ -89,17 +89,17 @@
     key: int | None
     token: str
     tries: int = 0
-    open: bool = False  # a try is out
+    open: bool = False  # a try is in flight
     end: End | None = None
     ended_ms: float = math.inf
-    runs: int = 0  # how often its work was begun
+    runs: int = 0  # number of servers that accepted its work
 
 
 @dataclass(slots=True, eq=False)
 class Try:
-    """One request that a sidecar has taken."""
+    """A request that a sidecar has accepted: one try of a client."""
 
-    asked: Asked
+    client_request: ClientRequest
     id: int
     give_up_ms: float
     attempts: list[Attempt] = field(default_factory=list)
@@ -109,7 +109,7 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One send."""
+    """One send of a try to a server."""
 
     sidecar: Sidecar
     request: Try
@@ -118,12 +118,12 @@
     sent_ms: float
     job: Job | None = None
     out: bool = True
-    connected: bool = False  # it holds a connection of the host
+    connected: bool = False  # it occupies a connection to the host
 
 
 @dataclass(slots=True)
 class SendCounts:
-    """What servers were sent, by server name and by second."""
+    """Counts of requests sent to servers, by server name and by second."""
 
     sends: Counter[str] = field(default_factory=Counter)
     seconds: Counter[int] = field(default_factory=Counter)
@@ -132,7 +132,7 @@
 
 
 class Host:
-    """One port server and its ways to fail."""
+    """A port server with its faults."""
 
     def __init__(self, world: World, name: str, make: Make, listing: model.Listing) -> None:
         self._world = world
@@ -141,18 +141,18 @@
         self.listing = listing
         self.how: How = "up"
         self.error_share = 0.0
-        self.errs: Callable[[Asked], bool] = lambda _: False
+        self.errs: Callable[[ClientRequest], bool] = lambda _: False
         self.error_ms = 1.0
-        self.lost_share = 0.0  # of its answers, which nobody hears
+        self.lost_share = 0.0  # share of its answers that are lost
         self.machine = Machine(make, world.repeats, -1e9, cold=False)
-        self.held: dict[Sidecar, list[float]] = {}  # idle connections, by when each was last used
+        self.held: dict[Sidecar, list[float]] = {}  # last-used times of idle connections
         self._jobs: dict[int, Attempt] = {}
         self._wake_ms = math.inf
 
     # --- faults ------------------------------------------------------------
 
     def die(self, back_ms: float, cold: bool = True) -> None:
-        """Its process ends: connections are reset, new ones refused, until it is back."""
+        """Kill the process: connections are reset and new ones refused until `back_ms`."""
         for attempt in list(self._jobs.values()):
             self._world.ended(attempt, Outcome.RESET, self._world.half_ms)
         self._jobs.clear()
@@ -161,13 +161,13 @@
         self._world.at(back_ms, lambda: self.start(cold))
 
     def start(self, cold: bool = True) -> None:
-        """It listens again, with nothing left of before."""
+        """Start the process again with empty state."""
         self.machine = Machine(self.make, self._world.repeats, self._world.now, cold=cold)
         self.how = "up"
         self._wake_ms = math.inf
 
     def vanish(self, back_ms: float) -> None:
-        """Cut off without a word; what was in hand is done there, and its answers are lost."""
+        """Disconnect the host silently: work in flight completes, but its answers are lost."""
         self._jobs.clear()
         self.how = "silent"
 
@@ -177,7 +177,7 @@
         self._world.at(back_ms, back)
 
     def sweep(self, since_ms: float) -> None:
-        """Close what has been idle for longer."""
+        """Close connections that were last used before `since_ms`."""
         for sidecar, idle in list(self.held.items()):
             while idle and idle[0] < since_ms:
                 idle.pop(0)
@@ -186,54 +186,54 @@
                 del self.held[sidecar]
 
     def stand_still(self, for_ms: float) -> None:
-        """Its process stands still: the kernel takes what comes, nothing is answered."""
+        """Pause the process: the kernel accepts input, but nothing is answered."""
         self.machine.stall(self._world.now, for_ms)
         self._wake()
 
     # --- requests ----------------------------------------------------------
 
     def reached(self, attempt: Attempt, fresh: bool) -> None:
-        """A request's last byte has come."""
+        """Receive the last byte of a request; `fresh` says whether its connection is new."""
         if not attempt.out:
             return
-        world, asked = self._world, attempt.request.asked
+        world, client_request = self._world, attempt.request.client_request
         if self.how != "up":
             if self.how == "refusing":
                 status = Outcome.CONNECT_FAILED if fresh else Outcome.RESET
                 world.ended(attempt, status, world.half_ms)
-            return  # a silent one says nothing
+            return  # a silent host does not answer
         if world.is_cut(attempt.sidecar, self):
             return
         world.counts.sends[self.name] += 1
         world.counts.seconds[int(world.now // 1000.0)] += 1
-        if (self.error_share and world.rng.random() < self.error_share) or self.errs(asked):
+        if (self.error_share and world.rng.random() < self.error_share) or self.errs(client_request):
             world.ended(attempt, Outcome.ERROR, world.half_ms + self.error_ms)
             return
-        repeat_token = asked.token
+        repeat_token = client_request.token
         job = Job(
-            asked.work_ms,
-            asked.io_ms,
-            key="" if asked.key is None else str(asked.key),
+            client_request.work_ms,
+            client_request.io_ms,
+            key="" if client_request.key is None else str(client_request.key),
             token=repeat_token,
             deadline_ms=attempt.request.give_up_ms,
         )
         if self.machine.offer(world.now, job, capped=self.machine.connections > self.make.connections):
             world.ended(attempt, Outcome.FULL, world.half_ms)
             return
-        asked.runs += 1
+        client_request.runs += 1
         attempt.job = job
         self._jobs[id(job)] = attempt
         world.counts.max_in_flight = max(world.counts.max_in_flight, self.machine.in_flight)
         self._wake()
 
     def open(self, sidecar: Sidecar) -> None:
-        """A new connection: work for it."""
+        """Open a connection, which costs the server work."""
         self.machine.connect(self._world.now)
         self._world.counts.opened += 1
         self._wake()
 
     def drop(self, attempt: Attempt) -> None:
-        """An attempt was given up: its connection is closed."""
+        """Close the connection of an abandoned attempt."""
         if attempt.connected:
             attempt.connected = False
             self.machine.disconnect()
@@ -264,9 +264,9 @@
 
 
 class Sidecar:
-    """One balancer and what the daemon does round it."""
+    """A balancer with the work of the daemon around it."""
 
-    def __init__(self, world: World, number: int, balancer: Decides) -> None:
+    def __init__(self, world: World, number: int, balancer: DecisionModule) -> None:
         self._world = world
         self.number = number
         self.balancer = balancer
@@ -277,29 +277,35 @@
 
     @property
     def open_requests(self) -> list[Try]:
-        """Those that it has taken and not answered."""
+        """Accepted requests that are not answered."""
         return [request for request in self._requests.values() if not request.answered]
 
     def server_list(self, form: str, entries: Sequence[model.Listing]) -> None:
-        """News of the servers."""
+        """Pass a server list or its changes to the balancer."""
         self._act(self.balancer.server_list(self._world.now, form, entries))
 
-    def take(self, asked: Asked) -> None:
-        """A client's try comes in."""
-        world, flow = self._world, asked.flow
-        left = flow.budget_ms - (world.now - asked.at_ms)
-        wait = min(flow.budget_ms * flow.try_share if asked.tries <= flow.retries else left, left)
+    def take(self, client_request: ClientRequest) -> None:
+        """Accept a try of a client."""
+        world, flow = self._world, client_request.flow
+        left = flow.budget_ms - (world.now - client_request.at_ms)
+        wait = min(flow.budget_ms * flow.try_share if client_request.tries <= flow.retries else left, left)
         number = next(self._next)
-        self._requests[number] = made = Try(asked, number, world.now + wait)
-        asked.open = True
+        self._requests[number] = made = Try(client_request, number, world.now + wait)
+        client_request.open = True
         world.at(made.give_up_ms, lambda: self._gone(made))
         arrival = model.Arrival(
-            number, flow.traffic_class, made.give_up_ms, flow.tenant, asked.key, None, asked.tries > 1
+            number,
+            flow.traffic_class,
+            made.give_up_ms,
+            flow.tenant,
+            client_request.key,
+            None,
+            client_request.tries > 1,
         )
         self._act(self.balancer.request(world.now, arrival))
 
     def _gone(self, request: Try) -> None:
-        """Its client gives it up."""
+        """End a try at its deadline, if it is not answered."""
         if not request.answered:
             request.answered = True
             self._world.answered(request, "unanswered", 0.0)
@@ -347,7 +353,7 @@
         world.at(world.now + wait, lambda: self._expire(attempt))
         cut = world.is_cut(self, host)
         if idle := host.held.get(self):
-            idle.pop()  # the newest, as the pool does
+            idle.pop()  # the most recently used one, like the pool
             attempt.connected = True
             if not cut:
                 world.at(world.now + world.half_ms, lambda: host.reached(attempt, False))
@@ -361,7 +367,7 @@
         else:
             host.open(self)
             attempt.connected = True
-            # TCP's and TLS's round trips before the request itself.
+            # The round trips of TCP and TLS precede the request.
             world.at(world.now + 5.0 * world.half_ms, lambda: host.reached(attempt, True))
 
     def _expire(self, attempt: Attempt) -> None:
@@ -375,7 +381,7 @@
             self._world.at(self._world.now, lambda: self.ended(attempt, Outcome.CANCELLED))
 
     def ended(self, attempt: Attempt, status: Outcome) -> None:
-        """The one outcome of an attempt."""
+        """Process the outcome of an attempt, once."""
         if not attempt.out or not self.alive:
             return
         world, request = self._world, attempt.request
@@ -404,13 +410,13 @@
 
 
 class World:
-    """One day: hosts, sidecars and clients on one clock of milliseconds."""
+    """A simulation of hosts, sidecars and clients on one clock in milliseconds."""
 
     def __init__(
         self,
         makes: Mapping[str, Make],
         *,
-        balancer: Callable[[int, int], Decides],
+        balancer: Callable[[int, int], DecisionModule],
         sidecars: int = 1,
         seed: int = 1,
         half_ms: float = 0.2,
@@ -420,8 +426,19 @@
         window_ms: float = 1200.0,
         idle_ms: float = math.inf,
     ) -> None:
-        """`balancer` makes one for a sidecar's number and seed; `half_ms`: one way of the network;
-        `idle_ms`: when a connection that nobody uses is closed.
+        """Create the hosts and sidecars.
+
+        Args:
+            makes: Properties of the servers by name.
+            balancer: Creates a balancer from the number and the seed of a sidecar.
+            sidecars: Number of sidecars.
+            seed: Seed of all draws.
+            half_ms: One-way network delay.
+            kinds: Kinds of servers by name; 0 for others.
+            zones: Zones of servers by name; 0 for others.
+            listed: Whether the sidecars receive the list of servers at once.
+            window_ms: Time within which the servers detect repeats.
+            idle_ms: Time after which an idle connection is closed.
         """
         self.now = 0.0
         self.rng = random.Random(f"world/{seed}")
@@ -433,7 +450,7 @@
         self.silent_sends: Counter[str] = Counter()
         self.outcomes: Counter[Outcome] = Counter()
         self.log: list[tuple[float, int, str]] = []
-        self.asked: list[Asked] = []
+        self.asked: list[ClientRequest] = []
         self._heap: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self.hosts = {
@@ -447,9 +464,9 @@
         }
         self._make, self._seed, self._starts = balancer, seed, itertools.count()
         self._idle_ms = idle_ms
-        self.cuts: set[tuple[int, int]] = set()  # zones of sidecars and servers without a way between them
-        self.zone_of: Callable[[int], int] = lambda _: 0  # of a sidecar's number
-        self.connections_ms = 0.0  # held by all sidecars, summed over time
+        self.cuts: set[tuple[int, int]] = set()  # pairs of sidecar and server zones that are partitioned
+        self.zone_of: Callable[[int], int] = lambda _: 0  # zone of a sidecar by its number
+        self.connections_ms = 0.0  # connections of all sidecars, integrated over time
         self.sidecars = [self._sidecar(n) for n in range(sidecars)]
         if idle_ms < math.inf:
             self.at(SWEEP_MS, self._sweep)
@@ -468,17 +485,17 @@
         self.at(self.now + SWEEP_MS, self._sweep)
 
     def is_cut(self, sidecar: Sidecar, host: Host) -> bool:
-        """Whether nothing of one reaches the other."""
+        """Return whether a partition separates a sidecar from a host."""
         return bool(self.cuts) and (self.zone_of(sidecar.number), host.listing.zone) in self.cuts
 
     def cut(self, pairs: Iterable[tuple[int, int]], back_ms: float) -> None:
-        """No way between these zones until then; connections stay open and silent."""
+        """Partition pairs of zones until `back_ms`; connections stay open but silent."""
         pairs = set(pairs)
         self.cuts |= pairs
         self.at(back_ms, lambda: self.cuts.difference_update(pairs))
 
     def kill(self, number: int, back_ms: float, known: Sequence[model.Listing]) -> None:
-        """End a sidecar at once, with all that it had learned and taken; it comes back with that list."""
+        """Kill a sidecar, which loses its state and requests; it restarts with the list `known`."""
         old = self.sidecars[number]
         old.alive = False
         for host in self.hosts.values():
@@ -496,111 +513,117 @@
         self.at(back_ms, back)
 
     def add(self, name: str, make: Make, listing: model.Listing) -> None:
-        """A new server, cold; nobody is told of it yet."""
+        """Add a cold server without announcing it to the sidecars."""
         host = self.hosts[name] = Host(self, name, make, listing)
         host.start()
 
-    def at(self, when_ms: float, what: Callable[[], None]) -> None:
-        """Do that then; not before now."""
-        heapq.heappush(self._heap, (max(when_ms, self.now), next(self._order), what))
+    def at(self, when_ms: float, callback: Callable[[], None]) -> None:
+        """Schedule a callback at a time, or now if that has passed."""
+        heapq.heappush(self._heap, (max(when_ms, self.now), next(self._order), callback))
 
     def tell(
         self, form: str, entries: Sequence[model.Listing], sidecars: Iterable[int] | None = None
     ) -> None:
-        """Tell sidecars, all of them where none are named, of servers."""
+        """Send a server list to the given sidecars, or to all."""
         for number in range(len(self.sidecars)) if sidecars is None else sidecars:
             self.sidecars[number].server_list(form, entries)
 
     def ended(self, attempt: Attempt, status: Outcome, after_ms: float) -> None:
-        """An attempt's outcome, on its way."""
+        """Deliver the outcome of an attempt after a delay."""
         self.at(self.now + after_ms, lambda: self.end(attempt, status))
 
     def end(self, attempt: Attempt, status: Outcome) -> None:
-        """It has come."""
+        """Deliver the outcome of an attempt."""
         if attempt.out:
             attempt.sidecar.ended(attempt, status)
 
     def flow(self, flow: Flow, length_ms: float) -> None:
-        """Have clients ask; retries come by themselves."""
-        # Seeds were recorded while the class was called a band here: they are to draw the same days still.
+        """Schedule the requests of a flow; retries follow from their answers."""
+        # Recorded seeds must give the same draws as when this field was named `band`.
         drawn_by = str(flow).replace("traffic_class=", "band=")
         rng = random.Random(f"flow/{drawn_by}/{self.rng.random()}")
         now_ms = flow.from_ms
         gap_ms = 1000.0 / flow.rate_per_s
         until_ms = min(flow.until_ms, length_ms)
-        where = flow.sidecars or tuple(range(len(self.sidecars)))
-        odds = list(itertools.accumulate(flow.weights or [1.0] * len(where)))
-        popular = list(itertools.accumulate((k + 1) ** -flow.key_zipf for k in range(flow.keys)))
+        sidecars = flow.sidecars or tuple(range(len(self.sidecars)))
+        sidecar_weights = list(itertools.accumulate(flow.weights or [1.0] * len(sidecars)))
+        key_weights = list(itertools.accumulate((k + 1) ** -flow.key_zipf for k in range(flow.keys)))
         while (now_ms := now_ms + (gap_ms if flow.even else rng.expovariate(1.0 / gap_ms))) < until_ms:
-            asked = Asked(
+            client_request = ClientRequest(
                 flow,
                 now_ms,
-                rng.choices(where, cum_weights=odds)[0],
+                rng.choices(sidecars, cum_weights=sidecar_weights)[0],
                 flow.work_ms * rng.uniform(1.0 - flow.spread, 1.0 + flow.spread),
                 flow.io_ms * rng.uniform(1.0 - flow.spread, 1.0 + flow.spread),
-                rng.choices(range(flow.keys), cum_weights=popular)[0] if flow.keys else None,
+                rng.choices(range(flow.keys), cum_weights=key_weights)[0] if flow.keys else None,
                 f"t{len(self.asked)}",
             )
-            self.asked.append(asked)
-            self.at(now_ms, lambda asked=asked: self._try(asked))  # type: ignore[misc]
+            self.asked.append(client_request)
+            self.at(now_ms, lambda client_request=client_request: self._try(client_request))  # type: ignore[misc]
 
-    def _try(self, asked: Asked) -> None:
-        if asked.end is not None:
+    def _try(self, client_request: ClientRequest) -> None:
+        if client_request.end is not None:
             return
-        asked.tries += 1
-        sidecar = self.sidecars[asked.sidecar]
+        client_request.tries += 1
+        sidecar = self.sidecars[client_request.sidecar]
         if sidecar.alive:
-            sidecar.take(asked)
+            sidecar.take(client_request)
 
     def answered(self, request: Try, end: End, after_ms: float) -> None:
-        """The final answer of one try: its client is content, tries again, or ends."""
-        asked, flow = request.asked, request.asked.flow
-        if asked.end is not None:
+        """Handle the final answer of a try: its client retries or its request ends."""
+        client_request, flow = request.client_request, request.client_request.flow
+        if client_request.end is not None:
             return
         if end == "served":
-            asked.ended_ms = self.now + self.half_ms
-            late = asked.ended_ms - asked.at_ms > flow.aim_ms
-            asked.end = "late" if late else "served"
+            client_request.ended_ms = self.now + self.half_ms
+            late = client_request.ended_ms - client_request.at_ms > flow.aim_ms
+            client_request.end = "late" if late else "served"
             return
-        wait_ms = flow.wait_ms * 2.0 ** (asked.tries - 1)
+        wait_ms = flow.wait_ms * 2.0 ** (client_request.tries - 1)
         if flow.honours and after_ms > 0.0:
             wait_ms = max(wait_ms, after_ms)
-        in_time = self.now + wait_ms < asked.at_ms + flow.budget_ms
-        if asked.tries <= flow.retries and end in flow.again and in_time:
-            self.at(self.now + wait_ms, lambda: self._try(asked))
+        in_time = self.now + wait_ms < client_request.at_ms + flow.budget_ms
+        if client_request.tries <= flow.retries and end in flow.again and in_time:
+            self.at(self.now + wait_ms, lambda: self._try(client_request))
             return
-        asked.end, asked.ended_ms = end, self.now
+        client_request.end, client_request.ended_ms = end, self.now
 
     def run(self, until_ms: float) -> None:
-        """Play to that time."""
-        for _ in range(EVENTS_MOST):
+        """Run the simulation up to a time."""
+        for _ in range(MAX_EVENTS):
             if not self._heap or self._heap[0][0] > until_ms:
                 self.now = max(self.now, until_ms)
                 return
-            self.now, _, what = heapq.heappop(self._heap)
-            what()
-        raise AssertionError("the day has no end")
+            self.now, _, callback = heapq.heappop(self._heap)
+            callback()
+        raise AssertionError(f"the simulation did not end within {MAX_EVENTS} events")
 
-    # --- what clients saw ----------------------------------------------------
+    # --- results ----------------------------------------------------
 
     def shares(self, name: str | None = None) -> dict[str, float]:
-        """The share of requests by end, of one flow or of all."""
-        rows = [asked for asked in self.asked if name is None or asked.flow.name == name]
-        count = Counter(asked.end or "unanswered" for asked in rows)
+        """Return the share of requests by end, of one flow or of all."""
+        rows = [
+            client_request
+            for client_request in self.asked
+            if name is None or client_request.flow.name == name
+        ]
+        count = Counter(client_request.end or "unanswered" for client_request in rows)
         return {end: number / max(1, len(rows)) for end, number in count.items()}
 
     def seconds(self, name: str | None = None, end: End = "served") -> list[float]:
-        """The share that ended so, by the second of its arrival."""
-        asked: Counter[int] = Counter()
-        good: Counter[int] = Counter()
+        """Return the share of requests with an end by the second of their arrival."""
+        arrivals: Counter[int] = Counter()
+        matching: Counter[int] = Counter()
         for one in self.asked:
             if name is None or one.flow.name == name:
                 second = int(one.at_ms // 1000.0)
-                asked[second] += 1
-                good[second] += one.end == end
-        return [good[second] / max(1, asked[second]) for second in range(max(asked, default=-1) + 1)]
+                arrivals[second] += 1
+                matching[second] += one.end == end
+        return [
+            matching[second] / max(1, arrivals[second]) for second in range(max(arrivals, default=-1) + 1)
+        ]
 
 
 def fleet(count: int, **figures: Any) -> dict[str, Make]:
-    """So many alike servers, s0 and on."""
+    """Return the properties of `count` equal servers by name, from s0 on."""
     return {f"s{number}": Make(**figures) for number in range(count)}
--- a/tests/rig/test_callers.py
+++ b/tests/rig/test_callers.py
@@ -1,4 +1,4 @@
-"""The application side: what is wanted is drawn before, and clients retry only what they may."""
+"""Tests of the application clients: reproducible calls, and retries only where they are allowed."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 
 
 def demand(rate=200.0, duration=0.5, classes=(SAFE, KEYED, UNSAFE), **changes):
-    told = {"weights": (0.7, 0.3), "backoff_ms": (5.0, 10.0), "seed": 1, **changes}
-    return Demand(rate, duration, classes, TENANTS, **told)
+    fields = {"weights": (0.7, 0.3), "backoff_ms": (5.0, 10.0), "seed": 1, **changes}
+    return Demand(rate, duration, classes, TENANTS, **fields)
 
 
 @contextlib.contextmanager
@@ -39,8 +39,8 @@
             server.close()
 
 
-async def play(wanted, **callers):
-    made = Callers(wanted, callers)
+async def play(demanded, **callers):
+    made = Callers(demanded, callers)
     try:
         return await made.run()
     finally:
@@ -48,40 +48,40 @@
             caller.close()
 
 
-def test_what_is_wanted_is_the_same_for_a_seed():
+def test_planned_calls_are_reproducible_by_seed():
     names = ["n0", "n1"]
-    assert demand().wants(names) == demand().wants(names)
-    assert demand().wants(names) != demand(seed=2).wants(names)
-    calls = [call for want in demand().wants(names) for call in want.ids]
+    assert demand().planned_calls(names) == demand().planned_calls(names)
+    assert demand().planned_calls(names) != demand(seed=2).planned_calls(names)
+    calls = [call for planned in demand().planned_calls(names) for call in planned.ids]
     assert len(set(calls)) == len(calls)
 
 
-def test_the_mix_is_as_stated():
-    wants = demand(duration=40.0, swing=0.3).wants(["n0", "n1"])
-    count = len(wants)
+def test_planned_calls_match_the_demand():
+    planned_calls = demand(duration=40.0, swing=0.3).planned_calls(["n0", "n1"])
+    count = len(planned_calls)
     assert abs(count / 8000.0 - 1.0) < 0.05
     for share, part in [
-        (0.5, sum(want.kind is KEYED for want in wants)),
-        (0.7, sum(want.sidecar == "n0" for want in wants)),
-        (0.75, sum(want.tenant == "a" for want in wants)),
+        (0.5, sum(planned.kind is KEYED for planned in planned_calls)),
+        (0.7, sum(planned.sidecar == "n0" for planned in planned_calls)),
+        (0.75, sum(planned.tenant == "a" for planned in planned_calls)),
     ]:
         assert abs(part / count - share) < 0.03
-    halves = sum(want.at_s < 20.0 for want in wants) / count
-    assert 0.55 < halves < 0.65  # the wave's crest comes first
-    (_, most), *_ = Counter(want.key for want in wants).most_common()
-    assert 0.08 < most / count < 0.16  # 1 over the sum of 1/n for 3,000 keys
-    assert abs(sum(want.work_ms for want in wants) / count - 1.0) < 0.05
-    assert all(bool(want.token) is (want.kind is KEYED) for want in wants)
-    assert all(0.8 <= want.try_s <= 1.6 for want in wants)
+    halves = sum(planned.at_s < 20.0 for planned in planned_calls) / count
+    assert 0.55 < halves < 0.65  # the crest of the wave is in the first half
+    (_, most), *_ = Counter(planned.key for planned in planned_calls).most_common()
+    assert 0.08 < most / count < 0.16  # share of the first key: 1 over the sum of 1/n for 3,000 keys
+    assert abs(sum(planned.work_ms for planned in planned_calls) / count - 1.0) < 0.05
+    assert all(bool(planned.token) is (planned.kind is KEYED) for planned in planned_calls)
+    assert all(0.8 <= planned.try_s <= 1.6 for planned in planned_calls)
 
 
 @pytest.mark.parametrize("wrong", [{"rate": 0.0}, {"duration": float("inf")}, {"keys": 0}, {"rate": 1e9}])
-def test_senseless_demands_are_refused(wrong):
+def test_invalid_demands_are_rejected(wrong):
     with pytest.raises(ValueError):
         demand(**wrong)
 
 
-def test_clients_try_again_only_what_they_may():
+def test_unsafe_calls_are_retried_only_if_they_never_ran():
     for result in Result:
         sure = result in (Result.REFUSED, Result.UNSENT)
         assert may_retry("safe", result.value)
@@ -89,7 +89,7 @@
 
 
 @bounded
-async def test_all_is_served_and_each_call_runs_once():
+async def test_every_call_is_served_and_runs_once():
     with servers() as (server,):
         seen = await play(
             demand(), n0=Caller("n0", address_of(server.address)), n1=Caller("n1", address_of(server.address))
@@ -104,29 +104,29 @@
 
 
 @bounded
-async def test_a_refusal_is_tried_again_with_a_new_id_and_a_mark():
+async def test_a_rejected_call_is_retried_with_a_new_id_and_a_retry_header():
     with servers() as (server,):
         server.drain()
         seen = await play(demand(20.0), n0=Caller("n0", address_of(server.address)))
         assert {one.tries for one in seen.outcomes} == {3}
         assert {one.last for one in seen.outcomes} == {"refused"}
         assert len({row.call for row in seen.asked}) == 3 * len({row.origin for row in seen.asked})
-        want = seen.outcomes[0].want
-        assert b"X-Again: 1\r\n" in want.message(1, 1.0)
-        assert b"X-Again" not in want.message(0, 1.0)
+        planned = seen.outcomes[0].call
+        assert b"X-Again: 1\r\n" in planned.message(1, 1.0)
+        assert b"X-Again" not in planned.message(0, 1.0)
 
 
 @bounded
-async def test_what_may_have_run_is_not_tried_again_by_clients():
+async def test_clients_do_not_retry_calls_that_may_have_run():
     with servers() as (server,):
         server.fault("fail", 1.0)
         seen = await play(demand(60.0), n0=Caller("n0", address_of(server.address)))
-        tries = {one.want.kind.name: one.tries for one in seen.outcomes}
+        tries = {one.call.kind.name: one.tries for one in seen.outcomes}
         assert tries == {"look": 3, "book": 1, "pay": 1}
 
 
 @bounded
-async def test_a_sidecar_that_is_not_there_is_tried_again_and_takes_nothing():
+async def test_calls_to_an_unreachable_sidecar_are_unsent():
     with servers() as (server,):
         server.die()
         seen = await play(demand(20.0), n0=Caller("n0", address_of(server.address)))
@@ -135,7 +135,7 @@
 
 
 @bounded
-async def test_what_is_never_answered_is_told_so_after_its_budget():
+async def test_a_call_without_an_answer_is_unanswered_after_its_budget():
     with servers() as (server,):
         server.fault("lose", 1.0)
         quick = CallClass("pay", "unsafe", 1.0, 1.0, 0.0, 50.0, 100.0, 1.0)
@@ -145,7 +145,7 @@
 
 
 @bounded
-async def test_a_client_waits_as_long_as_a_refusal_asks():
+async def test_a_client_waits_for_the_retry_after_of_a_rejection():
     async def refuse(reader, writer):
         await reader.readuntil(b"\r\n\r\n")
         writer.write(b"HTTP/1.1 503 no\r\nRetry-After: 0.2\r\nContent-Length: 0\r\n\r\n")
@@ -163,7 +163,7 @@
 
 
 @bounded
-async def test_a_close_without_a_word_has_it_sent_once_more_and_that_is_noted():
+async def test_a_close_without_an_answer_leads_to_one_recorded_resend():
     served = []
 
     async def close_first(reader, writer):
@@ -182,14 +182,17 @@
 
 def test_scores():
     def outcome(kind, latency, work=1.0):
-        want = demand().wants(["n0"])[0]
-        changed = {name: getattr(want, name) for name in want.__slots__} | {"kind": kind, "work_ms": work}
-        return Outcome(type(want)(**changed), served=latency is not None, latency_ms=latency or 0.0)
+        planned = demand().planned_calls(["n0"])[0]
+        fields = {name: getattr(planned, name) for name in planned.__slots__} | {
+            "kind": kind,
+            "work_ms": work,
+        }
+        return Outcome(type(planned)(**fields), served=latency is not None, latency_ms=latency or 0.0)
 
     score = Score([outcome(KEYED, 400.0), outcome(KEYED, 600.0), outcome(UNSAFE, None, work=5.0)])
     assert score.in_aim() == pytest.approx(10.0 / 30.0)
     assert score.service() == pytest.approx(15.0 / 30.0)
-    assert score.service(lambda one: one.want.kind is UNSAFE) == 0.0
+    assert score.service(lambda one: one.call.kind is UNSAFE) == 0.0
     assert score.latency_ms("book", 0.5) == 400.0
     assert Score([outcome(KEYED, 2500.0)]).service() == 0.0
 
@@ -204,7 +207,7 @@
 
 @pytest.mark.parametrize("mode", ["random", "robin"])
 @bounded
-async def test_small_balancers_spread_and_try_another_one_for_what_never_ran(mode):
+async def test_small_balancers_spread_load_and_retry_what_never_ran_at_another_server(mode):
     with servers(3) as made:
         made[0].drain()
         made[1].die()
@@ -217,7 +220,7 @@
 
 
 @bounded
-async def test_a_small_balancer_does_not_send_again_what_may_have_run():
+async def test_a_small_balancer_does_not_retry_what_may_have_run():
     with servers(2) as made:
         for server in made:
             server.fault("fail", 1.0)
@@ -227,7 +230,7 @@
         assert len(made[0].records.executions) == len(seen.outcomes)
 
 
-def test_round_robin_goes_round_and_spares_one():
+def test_round_robin_takes_servers_in_turn_and_excludes_one():
     known = [(f"s{number}", ("127.0.0.1", number)) for number in range(3)]
     made = Direct("robin", lambda: known, random.Random(1))
     assert [made.pick()[0] for _ in range(4)] == ["s1", "s2", "s0", "s1"]
@@ -236,14 +239,14 @@
 
 
 @bounded
-async def test_a_small_balancer_that_crashes_loses_what_it_holds_and_takes_nothing():
+async def test_a_crashed_small_balancer_cuts_calls_in_flight_and_accepts_none():
     slow = CallClass("pay", "unsafe", 1.0, 1.0, 400.0, 2000.0, 4000.0, 1.0)
     with servers(slots=100) as made:
         caller = Caller("n0", None, direct("robin", made))
-        asking = asyncio.create_task(play(demand(40.0, classes=(slow,)), n0=caller))
+        playing = asyncio.create_task(play(demand(40.0, classes=(slow,)), n0=caller))
         await until(lambda: made[0].machine.in_flight > 3)
         caller.crash()
-        seen = await asking
+        seen = await playing
         ends = Counter(one.last for one in seen.outcomes)
         assert ends["cut"] > 3
         assert ends["unsent"] > 0
--- a/tests/rig/test_clients.py
+++ b/tests/rig/test_clients.py
@@ -1,4 +1,4 @@
-"""Healthy clients: open loop, latency from the intended time, one resend, and bodies told apart."""
+"""Tests of the open-loop clients: latency from the intended time, one resend, and checked bodies."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     return await Server(Ledger(), **{"work_ms": (0.0, 1.0), **changes}).start()
 
 
-class Breaking:
-    """A server that does one thing with the bytes of each request, by number."""
+class BreakingServer:
+    """Server that answers the n-th request with the n-th of these answers; None closes the connection."""
 
-    def __init__(self, *deeds):
-        self.deeds = deeds
-        self.taken = 0
+    def __init__(self, *answers):
+        self.answers = answers
+        self.received = 0
 
     async def start(self):
         self._server = await asyncio.start_server(self._take, "127.0.0.1", 0)
@@ -41,11 +41,11 @@
     async def _take(self, reader, writer):
         try:
             while await reader.readuntil(b"\r\n\r\n"):
-                deed = self.deeds[min(self.taken, len(self.deeds) - 1)]
-                self.taken += 1
-                if deed is None:
+                answer = self.answers[min(self.received, len(self.answers) - 1)]
+                self.received += 1
+                if answer is None:
                     break
-                writer.write(deed)
+                writer.write(answer)
         except (OSError, EOFError):
             pass
         writer.transport.abort()
@@ -54,7 +54,7 @@
         self._server.close()
 
 
-def test_the_arrivals_are_the_same_for_a_seed_and_hold_the_bursts():
+def test_arrivals_are_reproducible_by_seed_and_contain_the_bursts():
     plan = Plan(100.0, 10.0, seed=7, bursts=(Burst(3.0, 40),))
     times = plan.arrivals()
     assert times == Plan(100.0, 10.0, seed=7, bursts=(Burst(3.0, 40),)).arrivals() == sorted(times)
@@ -63,7 +63,7 @@
     assert times != Plan(100.0, 10.0, seed=8).arrivals()
 
 
-def test_a_plan_that_can_not_be_is_refused():
+def test_invalid_plans_are_rejected():
     for wrong in (
         {"rate_per_s": -1.0},
         {"pools": 0},
@@ -82,7 +82,7 @@
 
 
 @bounded
-async def test_all_is_served_and_connections_are_kept():
+async def test_every_request_is_served_and_connections_are_reused():
     server = await serving()
     tally = await run(server)
     assert tally.in_time == 1.0
@@ -93,8 +93,8 @@
 
 
 @bounded
-async def test_a_server_that_stalls_shows_in_the_tail_of_all_that_should_have_been_sent():
-    """Guards against a closed loop, which would send nothing during a stall and measure one slow request."""
+async def test_a_stall_shows_in_the_latency_of_every_request_due_during_it():
+    """Guard against a closed loop, which sends nothing during a stall and so measures one slow request."""
     server = await serving()
     server.script.acts = (*[Act()] * 20, Act(delay_ms=300.0), Act())
     tally = await run(server, connections=1)
@@ -106,20 +106,20 @@
 
 
 @bounded
-async def test_a_connection_that_ends_with_no_answer_costs_one_resend():
-    server = await Breaking(None, HEAD + b"ok").start()
+async def test_a_connection_closed_without_an_answer_leads_to_one_resend():
+    server = await BreakingServer(None, HEAD + b"ok").start()
     tally = await run(server, rate_per_s=0.0, duration_s=0.1, bursts=(Burst(0.0, 1),))
-    assert (server.taken, tally.resent_new, tally.resent_kept) == (2, 1, 0)
-    assert tally.count(Result.MIXED_UP) == 1  # a whole 200, and not the body of this call
+    assert (server.received, tally.resent_new, tally.resent_kept) == (2, 1, 0)
+    assert tally.count(Result.MIXED_UP) == 1  # a complete 200 whose body is not that of this call
     server.stop()
-    server = await Breaking(None).start()
+    server = await BreakingServer(None).start()
     tally = await run(server, rate_per_s=0.0, duration_s=0.1, bursts=(Burst(0.0, 1),))
-    assert (server.taken, tally.count(Result.CUT)) == (2, 1)
+    assert (server.received, tally.count(Result.CUT)) == (2, 1)
     server.stop()
 
 
 @bounded
-async def test_half_an_answer_is_cut_with_no_resend():
+async def test_half_an_answer_is_cut_without_a_resend():
     server = await serving()
     server.script.acts = (Act(way="half", size_bytes=900),)
     tally = await run(server, rate_per_s=0.0, duration_s=0.1, bursts=(Burst(0.0, 3),))
@@ -128,7 +128,7 @@
 
 
 @bounded
-async def test_refused_failed_late_and_unanswered_are_told_apart():
+async def test_refused_failed_late_and_unanswered_requests_are_distinguished():
     server = await serving()
     acts = (Act(status=503), Act(status=429), Act(status=502), Act(delay_ms=450.0), Act(way="silent"), Act())
     server.script.acts = acts
@@ -148,7 +148,7 @@
 
 
 @bounded
-async def test_the_cap_holds_and_what_waits_for_a_connection_waits_on_its_own_time():
+async def test_connections_are_capped_and_waiting_for_one_counts_as_latency():
     server = await serving(work_ms=(50.0, 50.0))
     tally = await run(server, rate_per_s=0.0, duration_s=0.1, connections=4, bursts=(Burst(0.0, 12),))
     assert (tally.connections_most, server.ledger.connections) == (4, 4)
@@ -158,7 +158,7 @@
 
 
 @bounded
-async def test_ever_new_clients_ask_once_and_hold_their_connection():
+async def test_new_clients_send_one_request_and_hold_their_connection():
     server = await serving()
     plan = {"rate_per_s": 0.0, "duration_s": 0.1, "budget_ms": 300, "bursts": (Burst(0.0, 12),)}
     tally = await run(server, connections=8, after="hold", **plan)
@@ -167,7 +167,7 @@
 
 
 @bounded
-async def test_clients_may_connect_for_each_request():
+async def test_clients_can_connect_for_each_request():
     server = await serving()
     tally = await run(server, after="close", connections=8)
     assert tally.in_time == 1.0
@@ -176,7 +176,7 @@
 
 
 @bounded
-async def test_a_connection_is_kept_for_some_requests():
+async def test_a_connection_is_kept_for_the_drawn_number_of_requests():
     server = await serving()
     tally = await run(server, turns=(2, 4), connections=8)
     assert tally.in_time == 1.0
--- a/tests/rig/test_lock_in.py
+++ b/tests/rig/test_lock_in.py
@@ -15,7 +15,7 @@
 from rig.helper import ROOT
 from rig.model import Make
 from rig.sim.plain import Plain
-from rig.sim.policy import Asked, Flow, World
+from rig.sim.policy import ClientRequest, Flow, World
 
 NOT_LASTING = [name for name in TRIGGERS if name != "overload"]
 
@@ -39,7 +39,7 @@
     made = []
     for number in range(count):
         since_s = number * gap_ms / 1000.0
-        asked = Asked(flow, end_ms + 1000.0 * since_s, 0, 1.0, 1.0, None, "", tries=1)
+        asked = ClientRequest(flow, end_ms + 1000.0 * since_s, 0, 1.0, 1.0, None, "", tries=1)
         asked.end = "refused" if bad(since_s) else "served"
         made.append(asked)
     return made
