--- a/benchmarks/points.py
+++ b/benchmarks/points.py
@@ -19,7 +19,7 @@
 from benchmarks.common import BAD_INPUT, DONE, chosen, make_ready, options, table, write_json
 from rig.balancers import stage
 from rig.clients import Address, Burst, Clients, Plan, Raw, Result, Tally, ask_raw
-from rig.crowds import PIPELINED, Crowd, Size, take_in_little
+from rig.crowds import PIPELINED, Crowd, Size, limit_receive_buffer
 from rig.messages import Act, call_ids, request
 from rig.process import Program, ProgramError, reserve_core, sampled
 
@@ -103,7 +103,7 @@
     """Connect a client whose kernel takes in next to nothing either."""
     loop, sock = asyncio.get_running_loop(), socket.socket()
     sock.setblocking(False)
-    take_in_little(sock)
+    limit_receive_buffer(sock)
     async with asyncio.timeout(CONNECT_S):
         await loop.sock_connect(sock, address)
         _, reader = await loop.create_connection(lambda: Unread(data), sock=sock)
--- a/rig/balancers.py
+++ b/rig/balancers.py
@@ -1,4 +1,4 @@
-"""The program under test: the sidecar of some checkout."""
+"""Starts the program under test from a checkout."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A program under test that is ready."""
+    """A program under test that is ready to serve."""
 
     program: Program
     host: str
@@ -68,13 +68,13 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Where the application connects."""
+        """Address that applications connect to."""
         return self.host, self.port
 
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """A program under test and what stands round it."""
+    """A program under test with its servers and discovery."""
 
     target: Target
     fleet: Fleet
@@ -82,7 +82,7 @@
 
 
 def config_for(known: dict[str, Any], registry: str, sockets: int, **changes: Any) -> dict[str, Any]:
-    """The configuration of a sidecar that knows this list; `changes` go into its settings."""
+    """Return the configuration of a sidecar with an initial server list; `changes` override its settings."""
     return {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -96,7 +96,11 @@
 
 @contextlib.asynccontextmanager
 async def sidecar(tree: Path, config: dict[str, Any], core: int | None = None) -> AsyncIterator[Target]:
-    """The sidecar of a checkout, ready, with its limits, on this core if any; `ProgramError` if not."""
+    """Run the sidecar of a checkout with its limits, on a given core if any, and wait until it is ready.
+
+    Raises:
+        ProgramError: If it does not get ready.
+    """
     sockets = int(config["limits"]["sockets"])
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         path = Path(folder) / "config.json"
@@ -114,7 +118,11 @@
 
 @contextlib.asynccontextmanager
 async def serving(tree: Path, operator: str, sockets: int = SOCKETS) -> AsyncIterator[Target]:
-    """A checkout's program by an operator file alone with one front, ready; `ProgramError` if not."""
+    """Run the program of a checkout with an operator file that has one front, and wait until it is ready.
+
+    Raises:
+        ProgramError: If it does not get ready.
+    """
     with tempfile.TemporaryDirectory(prefix="rig-") as folder:
         path = Path(folder) / "operator.toml"
         path.write_text(operator)
@@ -130,14 +138,14 @@
 
 @contextlib.asynccontextmanager
 async def _ready(program: Program, sockets: int, path: Path) -> AsyncIterator[Target]:
-    """Wait until a program is ready; it is stopped at the block's end, whatever happens."""
+    """Wait until a program is ready; stop it at the end of the block in any case."""
     try:
         port = await program.port(READY_S)
-        host, bound = "127.0.0.1", time.monotonic() + READY_S
+        host, deadline = "127.0.0.1", time.monotonic() + READY_S
         while not await answers_ready(host, port):
             if program.code is not None:
                 raise program.ended()
-            if time.monotonic() > bound:
+            if time.monotonic() > deadline:
                 raise ProgramError(f"process {program.pid} is not ready after {READY_S:g} s")
         yield Target(program, host, port, sockets, path)
     finally:
@@ -145,7 +153,7 @@
 
 
 async def answers_ready(host: str, port: int) -> bool:
-    """Whether a program says that it is ready."""
+    """Return whether a program answers its readiness probe with 200."""
     answer = await ask_raw((host, port), b"GET /health/ready HTTP/1.1\r\nHost: rig\r\n\r\n", 1.0)
     return answer.status == 200
 
@@ -161,7 +169,11 @@
     core: int | None = None,
     **changes: Any,
 ) -> AsyncIterator[Stage]:
-    """Servers, discovery and a program under test between them, all ready; `ProgramError` if not."""
+    """Run servers, discovery and a program under test that uses them, and wait until it is ready.
+
+    Raises:
+        ProgramError: If a part does not start.
+    """
     fleet = await Fleet.start(servers, seed=seed, work_ms=work_ms)
     rows = entries(fleet.addresses)
     registry = Registry(rows)
@@ -176,7 +188,7 @@
 
 
 def revision(tree: Path) -> str:
-    """The checkout's commit, with a `+` where files differ from it; `-` where that can't be told."""
+    """Return the commit of a checkout, with a `+` if files differ from it, or `-` if it is unknown."""
     try:
         head = _git(tree, "rev-parse", "--short", "HEAD")
         return head + ("+" if _git(tree, "status", "--porcelain", "--untracked-files=no") else "")
--- a/rig/crowds.py
+++ b/rig/crowds.py
@@ -1,7 +1,7 @@
-"""Crowds of bad clients, in processes of their own.
+"""Connection floods of misbehaving clients, in separate processes.
 
-`python -m rig.crowds` runs one crowd on one epoll loop; `Crowd` is one or more such processes as their
-owner sees them. A crowd connects at a stated rate for as long as fewer than its standing number are open.
+`python -m rig.crowds` runs a flood on one epoll loop; `Crowd` starts and controls one or more such processes.
+A flood connects at a given rate while fewer than its maximum number of connections are open.
 """
 
 from __future__ import annotations
@@ -24,33 +24,33 @@
 from rig.helper import Helper, obey, prepare, say
 from rig.messages import UNKNOWN_TENANT, Act, call_ids, request
 
-PIPELINED = 16  # requests that a slow reader sends at once
-ANSWER_BYTES = 64 * 1024  # of each answer that it does not read
-SMALL_BUFFER = 4096  # bytes that its kernel takes in
-SEGMENT = 1400  # bytes, as on a real network
-READ_MOST = 64 * 1024
-TURN_S = 0.01  # the longest that a turn of the loop waits
-CATCH_UP_S = 0.05  # of connections that were due while the loop was late
-COMMAND_MOST = 64 * 1024
-RATE_MOST = 100_000.0
-STANDING_MOST = 18_000
+PIPELINED = 16  # requests that a slow reader sends together
+ANSWER_BYTES = 64 * 1024  # size of each answer that it does not read
+RECEIVE_BUFFER_BYTES = 4096  # of a slow reader
+SEGMENT_BYTES = 1400  # as on a real network
+MAX_READ_BYTES = 64 * 1024
+POLL_TIMEOUT_S = 0.01
+CATCH_UP_S = 0.05  # maximum backlog of due connections after a late loop
+MAX_COMMAND_BYTES = 64 * 1024
+MAX_RATE_PER_S = 100_000.0
+MAX_STANDING = 18_000
 EVENTS = select.EPOLLIN | select.EPOLLRDHUP
 NO_LINGER = struct.pack("ii", 1, 0)
 
 
 @dataclass(frozen=True, slots=True)
-class Manner:
-    """How one kind of bad client behaves. `opening` is what it writes once it is connected."""
+class Behaviour:
+    """Behaviour of a kind of client. `opening` creates the bytes that it writes once it is connected."""
 
-    opening: Callable[[Makings], bytes]
-    asks: bool = True  # it may expect a word
+    opening: Callable[[RequestSource], bytes]
+    asks: bool = True  # it may expect an answer
     reads: bool = True
-    leaves_when_answered: bool = False
-    keep_s: float = 60.0  # then it leaves by itself
+    closes_when_answered: bool = False
+    keep_s: float = 60.0  # time after which it disconnects
 
 
-class Makings:
-    """What openings are made of, seeded."""
+class RequestSource:
+    """Seeded source of the requests in openings."""
 
     def __init__(self, seed: str) -> None:
         self.rng = random.Random(seed)
@@ -58,35 +58,35 @@
         self.turn = 0
 
     def call(self, **changes: Any) -> bytes:
-        """A request with an identity of its own."""
+        """Return a request with a new call id."""
         return request(next(self.ids), **changes)
 
 
-def _garbage(makings: Makings) -> bytes:
-    return makings.rng.randbytes(makings.rng.randrange(1, 400))
+def _garbage(source: RequestSource) -> bytes:
+    return source.rng.randbytes(source.rng.randrange(1, 400))
 
 
-def _half(makings: Makings) -> bytes:
-    """Half a head, and every other time a head with half a body."""
-    makings.turn += 1
-    whole = makings.call(kind="pay", body=b"x" * 200)
-    return whole[:60] if makings.turn % 2 else whole[:-100]
+def _half(source: RequestSource) -> bytes:
+    """Return half a head and, in every other call, a head with half a body."""
+    source.turn += 1
+    whole = source.call(kind="pay", body=b"x" * 200)
+    return whole[:60] if source.turn % 2 else whole[:-100]
 
 
-def _unread(makings: Makings) -> bytes:
+def _unread(source: RequestSource) -> bytes:
     act = Act(size_bytes=ANSWER_BYTES)
-    return b"".join(makings.call(act=act) for _ in range(PIPELINED))
+    return b"".join(source.call(act=act) for _ in range(PIPELINED))
 
 
 MANNERS = {
-    "silent": Manner(lambda makings: b"", asks=False),
-    "garbage": Manner(_garbage, leaves_when_answered=True, keep_s=5.0),
-    "turned_away": Manner(
-        lambda makings: makings.call(tenant=UNKNOWN_TENANT), leaves_when_answered=True, keep_s=5.0
+    "silent": Behaviour(lambda source: b"", asks=False),
+    "garbage": Behaviour(_garbage, closes_when_answered=True, keep_s=5.0),
+    "turned_away": Behaviour(
+        lambda source: source.call(tenant=UNKNOWN_TENANT), closes_when_answered=True, keep_s=5.0
     ),
-    "half": Manner(_half),
-    "slow_readers": Manner(_unread, asks=False, reads=False, keep_s=5.0),
-    "once": Manner(lambda makings: makings.call(), keep_s=600.0),
+    "half": Behaviour(_half),
+    "slow_readers": Behaviour(_unread, asks=False, reads=False, keep_s=5.0),
+    "once": Behaviour(lambda source: source.call(), keep_s=600.0),
 }
 ALL = "all"
 KINDS = (*MANNERS, ALL)
@@ -94,27 +94,27 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What a crowd of one kind has seen so far."""
+    """Counts of a flood of one kind."""
 
     tried: int = 0
     connected: int = 0
-    refused: int = 0  # never came up
-    answered: int = 0  # any word came back
-    cut: int = 0  # closed by the other side after an opening, with no word
-    closed: int = 0  # closed by the other side
+    refused: int = 0  # connection attempts that failed
+    answered: int = 0  # connections that received any byte
+    cut: int = 0  # closed by the server after an opening without an answer
+    closed: int = 0  # closed by the server
     left: int = 0  # closed by the client
-    no_port: int = 0  # this machine had no port or descriptor left
+    no_port: int = 0  # attempts without a free port or descriptor on this machine
     open: int = 0
     statuses: Counter[str] = field(default_factory=Counter)
 
     def summary(self) -> dict[str, Any]:
-        """As JSON values."""
+        """Return the counts as JSON values."""
         names = ("tried", "connected", "refused", "answered", "cut", "closed", "left", "no_port", "open")
         return {**{name: getattr(self, name) for name in names}, "statuses": dict(self.statuses)}
 
 
 def added(parts: Sequence[dict[str, Any]]) -> dict[str, Any]:
-    """The counts of several crowds together."""
+    """Return the sums of several counts."""
     total: dict[str, Any] = {**Counts().summary(), "statuses": Counter()}
     for part in parts:
         for name, value in part.items():
@@ -126,7 +126,7 @@
 
 
 class Client:
-    """One bad client's connection."""
+    """A connection of a client."""
 
     __slots__ = ("answered", "due", "sock", "squad", "unsent", "up")
 
@@ -143,33 +143,33 @@
     """All clients of one kind in this process."""
 
     def __init__(self, kind: str, rate_per_s: float, standing: int, seed: str) -> None:
-        self.manner = MANNERS[kind]
+        self.behaviour = MANNERS[kind]
         self.rate_per_s = rate_per_s
         self.standing = standing
         self.counts = Counts()
-        self._makings = Makings(f"{seed}/{kind}")
-        self._due = 0.0  # connections that may be made now, a fraction included
+        self._source = RequestSource(f"{seed}/{kind}")
+        self._due = 0.0  # connections due now, including a fraction
         self._refilled = time.monotonic()
-        self.ages: deque[Client] = deque()  # oldest first, those gone included for a while
+        self.ages: deque[Client] = deque()  # oldest first; closed ones are removed later
 
     def opening(self) -> bytes:
-        """What the next client writes."""
-        return self.manner.opening(self._makings)
+        """Return the bytes that the next client writes."""
+        return self.behaviour.opening(self._source)
 
     def may_connect(self, now: float) -> int:
-        """How many may connect now, at the rate; what is missed is made good for a moment only."""
-        most = max(1.0, self.rate_per_s * CATCH_UP_S)
-        self._due = min(most, self._due + (now - self._refilled) * self.rate_per_s)
+        """Return how many connections are due; at most `CATCH_UP_S` of missed ones are made up for."""
+        max_due = max(1.0, self.rate_per_s * CATCH_UP_S)
+        self._due = min(max_due, self._due + (now - self._refilled) * self.rate_per_s)
         self._refilled = now
         return max(0, min(int(self._due), self.standing - self.counts.open))
 
     def spend(self) -> None:
-        """One connection is tried."""
+        """Count one connection attempt."""
         self._due -= 1.0
 
 
 class Loop:
-    """All clients of this process on one epoll; nothing in it waits for longer than a turn."""
+    """Runs all clients of this process on one epoll, which waits for `POLL_TIMEOUT_S` at most."""
 
     def __init__(self, address: tuple[str, int], squads: Sequence[Squad]) -> None:
         self._address = address
@@ -179,41 +179,41 @@
         self._command = b""
 
     def run(self, commands: int) -> None:
-        """Go on until the descriptor that commands come by is closed."""
+        """Run until the descriptor of commands is closed."""
         os.set_blocking(commands, False)
         self._epoll.register(commands, select.EPOLLIN)
-        going = True
-        while going:
+        is_running = True
+        while is_running:
             now = time.monotonic()
             for squad in self._squads:
-                self._come(squad, now)
-                self._leave_in_time(squad, now)
-            for number, event in self._epoll.poll(TURN_S):
+                self._connect(squad, now)
+                self._close_expired(squad, now)
+            for number, event in self._epoll.poll(POLL_TIMEOUT_S):
                 if number == commands:
-                    going = self._commanded(commands)
+                    is_running = self._run_commands(commands)
                 elif (client := self._clients.get(number)) is not None:
-                    self._stirred(client, event)
+                    self._on_event(client, event)
         for client in list(self._clients.values()):
             self._drop(client)
 
     def counts(self) -> dict[str, Any]:
-        """What all squads have seen."""
+        """Return the sums of all counts."""
         return added([squad.counts.summary() for squad in self._squads])
 
-    def _commanded(self, commands: int) -> bool:
-        """Read what the owner has to say; whether to go on."""
-        data = os.read(commands, COMMAND_MOST)
+    def _run_commands(self, commands: int) -> bool:
+        """Read and run commands; return whether to continue."""
+        data = os.read(commands, MAX_COMMAND_BYTES)
         *lines, self._command = (self._command + data).split(b"\n")
         for line in lines:
             obey(line, self._obey)
-        return bool(data) and len(self._command) < COMMAND_MOST
+        return bool(data) and len(self._command) < MAX_COMMAND_BYTES
 
     def _obey(self, do: str) -> Any:
         if do == "counts":
             return self.counts()
-        raise ValueError(f"no command {do!r}")
+        raise ValueError(f"command must be counts, got {do!r}")
 
-    def _come(self, squad: Squad, now: float) -> None:
+    def _connect(self, squad: Squad, now: float) -> None:
         for _ in range(squad.may_connect(now)):
             squad.spend()
             squad.counts.tried += 1
@@ -222,8 +222,8 @@
             except OSError:
                 squad.counts.no_port += 1
                 return
-            if not squad.manner.reads:
-                take_in_little(sock)
+            if not squad.behaviour.reads:
+                limit_receive_buffer(sock)
             failed = sock.connect_ex(self._address)
             if failed not in (0, errno.EINPROGRESS):
                 sock.close()
@@ -232,13 +232,13 @@
                 else:
                     squad.counts.refused += 1
                 continue
-            client = Client(sock, squad, now + squad.manner.keep_s)
+            client = Client(sock, squad, now + squad.behaviour.keep_s)
             self._clients[sock.fileno()] = client
             squad.ages.append(client)
             squad.counts.open += 1
             self._epoll.register(sock.fileno(), select.EPOLLOUT)
 
-    def _leave_in_time(self, squad: Squad, now: float) -> None:
+    def _close_expired(self, squad: Squad, now: float) -> None:
         ages = squad.ages
         while ages and (ages[0].sock.fileno() < 0 or ages[0].due <= now):
             client = ages.popleft()
@@ -246,16 +246,16 @@
                 squad.counts.left += 1
                 self._drop(client)
 
-    def _stirred(self, client: Client, event: int) -> None:
+    def _on_event(self, client: Client, event: int) -> None:
         if event & select.EPOLLOUT:
             self._write(client)
-        elif event & select.EPOLLIN and client.squad.manner.reads:
+        elif event & select.EPOLLIN and client.squad.behaviour.reads:
             self._read(client)
         elif event & (select.EPOLLHUP | select.EPOLLERR | select.EPOLLRDHUP):
             self._closed(client)
 
     def _write(self, client: Client) -> None:
-        """Connected, or room for more of the opening."""
+        """Complete a connection, or write more of the opening."""
         counts = client.squad.counts
         if not client.up:
             if client.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
@@ -274,12 +274,12 @@
             self._closed(client)
             return
         if not client.unsent:
-            events = EVENTS if client.squad.manner.reads else select.EPOLLRDHUP
+            events = EVENTS if client.squad.behaviour.reads else select.EPOLLRDHUP
             self._epoll.modify(client.sock.fileno(), events)
 
     def _read(self, client: Client) -> None:
         try:
-            data = client.sock.recv(READ_MOST)
+            data = client.sock.recv(MAX_READ_BYTES)
         except BlockingIOError:
             return
         except OSError:
@@ -292,37 +292,37 @@
             client.answered = True
             counts.answered += 1
             counts.statuses[_status(data)] += 1
-        if client.squad.manner.leaves_when_answered:
+        if client.squad.behaviour.closes_when_answered:
             counts.left += 1
             self._drop(client)
 
     def _closed(self, client: Client) -> None:
         counts = client.squad.counts
         counts.closed += 1
-        if not client.answered and client.squad.manner.asks:
+        if not client.answered and client.squad.behaviour.asks:
             counts.cut += 1
         self._drop(client)
 
     def _drop(self, client: Client) -> None:
-        """Close with a reset: no port is left behind to wait for a minute."""
+        """Close with a reset, so that no port stays in TIME_WAIT for a minute."""
         del self._clients[client.sock.fileno()]
         client.squad.counts.open -= 1
         client.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
-        client.sock.close()  # epoll forgets it with that
+        client.sock.close()  # also removes it from epoll
 
 
-def take_in_little(sock: socket.socket) -> None:
-    """Make a socket that is still to connect a slow reader's, on its own side and on the other.
+def limit_receive_buffer(sock: socket.socket) -> None:
+    """Limit the receive buffer and segment size of a socket before it connects.
 
-    Guards against the loopback's segments of 64 KiB, for which the other side's kernel takes in 2.6 MB
-    that no real network would let it: answers would never pile up in the process.
+    With the 64 KiB segments of the loopback, the kernel of the other side accepts 2.6 MB, which no real
+    network allows. Answers would then never accumulate in the process under test.
     """
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, SEGMENT)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG, SEGMENT_BYTES)
 
 
 def _status(data: bytes) -> str:
-    """The status that an answer begins with, or what it is else."""
+    """Return the status code of an answer, or "no HTTP"."""
     parts = data[:32].split(b" ")
     is_http = data.startswith(b"HTTP/1.") and len(parts) > 1 and parts[1].isdigit()
     return parts[1].decode() if is_http else "no HTTP"
@@ -330,18 +330,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How many of a crowd connect a second, and how many may be open at once."""
+    """Rate of connections and maximum of open ones."""
 
     rate_per_s: float
     standing: int
 
     def __post_init__(self) -> None:
-        if not 0.0 < self.rate_per_s <= RATE_MOST or not 1 <= self.standing <= STANDING_MOST:
-            raise ValueError(f"no such crowd: {self.rate_per_s:g} a second, {self.standing} open")
+        if not 0.0 < self.rate_per_s <= MAX_RATE_PER_S or not 1 <= self.standing <= MAX_STANDING:
+            raise ValueError(
+                f"a crowd needs 0 < rate <= {MAX_RATE_PER_S:g} a second and 1 to {MAX_STANDING} open"
+                f" connections, got {self.rate_per_s:g} and {self.standing}"
+            )
 
 
 class Crowd:
-    """A crowd as its owner sees it: one process or more."""
+    """Controls the processes of a flood."""
 
     def __init__(self, helpers: Sequence[Helper]) -> None:
         self._helpers = helpers
@@ -350,7 +353,11 @@
     async def start(
         cls, address: tuple[str, int], sizes: dict[str, Size], *, seed: int = 1, processes: int = 2
     ) -> Crowd:
-        """Start crowds of these kinds, which share the processes; `ProgramError` if they can't be."""
+        """Start floods by kind, which share the processes.
+
+        Raises:
+            ProgramError: If they fail to start.
+        """
         helpers: list[Helper] = []
         made = cls(helpers)
         try:
@@ -368,44 +375,50 @@
         return made
 
     async def counts(self) -> dict[str, Any]:
-        """What all have seen so far; see `Counts`."""
+        """Return the sums of the counts; see `Counts`."""
         return added(await asyncio.gather(*(helper.ask(do="counts") for helper in self._helpers)))
 
     async def stop(self) -> None:
-        """All go away at once."""
+        """Stop all processes."""
         await asyncio.gather(*(helper.stop() for helper in self._helpers))
 
 
 def spread(kind: str, whole: Size, apart: Mapping[str, Size]) -> dict[str, Size]:
-    """The sizes of each kind in a crowd; `all` is every kind, each with its part of what it is alone.
+    """Return the sizes by kind in a flood.
+
+    Args:
+        kind: A kind, or `all` for a mixture in which each kind has an equal part of its own size.
+        whole: The size of a kind.
+        apart: Sizes of kinds that differ from `whole`.
 
-    `apart` holds those that differ from `whole`; `ValueError` for an unknown kind.
+    Raises:
+        ValueError: If the kind is unknown.
     """
     if kind == ALL:
         sizes = {name: apart.get(name, whole) for name in MANNERS}
         parts = len(MANNERS)
         return {n: Size(s.rate_per_s / parts, max(1, s.standing // parts)) for n, s in sizes.items()}
     if kind not in MANNERS:
-        raise ValueError(f"no crowd {kind!r}")
+        raise ValueError(f"unknown kind of crowd {kind!r}, expected one of {', '.join(MANNERS)}")
     return {kind: apart.get(kind, whole)}
 
 
 def _squad(text: str) -> tuple[str, Size]:
     kind, rate, standing = text.split(":")
     if kind not in MANNERS:
-        raise ValueError(f"no crowd {kind!r}")
+        raise ValueError(f"unknown kind of crowd {kind!r}, expected one of {', '.join(MANNERS)}")
     return kind, Size(float(rate), int(standing))
 
 
 def _address(text: str) -> tuple[str, int]:
     host, _, port = text.rpartition(":")
     if not host.startswith("127."):
-        raise ValueError("only the loopback")
+        raise ValueError(f"address must be on the loopback, got {text!r}")
     return host, int(port)
 
 
 def parser() -> argparse.ArgumentParser:
-    """The command line of a process of bad clients."""
+    """Return the parser of the command line."""
     made = argparse.ArgumentParser(prog="python -m rig.crowds", description=__doc__)
     made.add_argument("--address", type=_address, required=True, help="host:port on the loopback")
     made.add_argument("--squad", type=_squad, action="append", default=[], metavar="KIND:RATE:STANDING")
@@ -414,7 +427,7 @@
 
 
 def main() -> int:
-    """Run a crowd until standard input ends; the exit code."""
+    """Run a flood until standard input ends; return the exit code."""
     given = parser().parse_args()
     prepare()
     squads = [Squad(kind, size.rate_per_s, size.standing, given.seed) for kind, size in given.squad]
--- a/rig/demo.py
+++ b/rig/demo.py
@@ -1,7 +1,7 @@
-"""A first look: four servers, the program before them, and a load; one server is killed and comes back.
+"""Demonstration: four servers behind the program, under load; one server is killed and restarted.
 
-`python -m rig.demo [--seconds N] [--seed N]`, or `make demo`. Of 20 s the server is killed at second 8 and
-comes back at second 14. The load is sent by `fordtrestle load`; its report and plot are kept in a folder that
+`python -m rig.demo [--seconds N] [--seed N]`, or `make demo`. In 20 s, the server is killed at second 8 and
+restarted at second 14. The load is sent by `fordtrestle load`; its report and plot are kept in a folder that
 is named at the end. Exit codes: 0 shown, 1 nothing was served before, while it was away or after, 2 bad input
 or a program that can't be started or ends too early, 130 ended by Ctrl-C.
 """
@@ -32,10 +32,10 @@
 
 SHOWN, NOT_SERVED, BAD_INPUT, INTERRUPTED = 0, 1, 2, 130
 SERVERS = 4
-KILLED = 1  # the second one
-SECONDS, SECONDS_LEAST, SECONDS_MOST = 20.0, 5.0, 600.0
-GONE, BACK = 8.0 / SECONDS, 14.0 / SECONDS  # shares of the time
-LIVE_WIDTH = 72  # of the load generator's line
+KILLED = 1  # index of the server that is killed
+SECONDS, MIN_SECONDS, MAX_SECONDS = 20.0, 5.0, 600.0
+GONE, BACK = 8.0 / SECONDS, 14.0 / SECONDS  # as shares of the length
+LIVE_WIDTH = 72  # of the line of the load generator
 UNSOUND = "  this machine was too busy to send in time: believe what was served, not the latencies"
 REPORT, PLOT, SPEC = "report.json", "report.svg", "load.toml"
 
@@ -133,7 +133,7 @@
 
 
 def load_of(seconds: float, seed: int, address: str) -> str:
-    """The file of the load that goes to an address for so many seconds."""
+    """Return the load file for an address and a length in seconds."""
     return LOAD.format(
         address=address,
         length_s=seconds,
@@ -146,46 +146,50 @@
 
 
 class Stand:
-    """A server in a process of its own, and the port that is kept for it while it is away."""
+    """A server in its own process, whose port stays reserved while it is down."""
 
     def __init__(self, name: str, seed: int) -> None:
         self.name = name
         self._seed = seed
-        self._held = hold_port()
+        self._port_holder = hold_port()
         self._fleet: Fleet | None = None
-        self._last_received = 0  # requests that its ledger held when it was last asked
-        self._left = 0  # requests of the one that was killed, not yet told
-        self._asking = asyncio.Lock()  # it takes one command at a time
+        self._last_received = 0  # requests in its ledger at the last query
+        self._unreported = 0  # unreported requests of the killed process
+        self._asking = asyncio.Lock()  # the process accepts one command at a time
 
     @property
     def address(self) -> str:
-        """Where it listens."""
-        host, port = self._held.getsockname()
+        """Address that it listens on."""
+        host, port = self._port_holder.getsockname()
         return f"{host}:{port}"
 
     async def start(self) -> None:
-        """Start it, with nothing remembered; `ProgramError` if it can't be."""
-        self._fleet = await Fleet.start(1, seed=self._seed, ports=[self._held.getsockname()[1]])
+        """Start it with empty state.
+
+        Raises:
+            ProgramError: If it fails to start.
+        """
+        self._fleet = await Fleet.start(1, seed=self._seed, ports=[self._port_holder.getsockname()[1]])
 
     async def kill(self) -> None:
-        """End it amid whatever it does."""
+        """Kill it."""
         async with self._asking:
-            self._left += await self._new()
+            self._unreported += await self._new()
             fleet, self._fleet, self._last_received = self._fleet, None, 0
             if fleet is not None:
                 await fleet.kill()
 
     async def stop(self) -> None:
-        """End it, and keep its port no more."""
+        """Stop it and release its port."""
         fleet, self._fleet = self._fleet, None
         if fleet is not None:
             await fleet.stop()
-        self._held.close()
+        self._port_holder.close()
 
     async def received(self) -> int:
-        """How many requests it was sent since this was last asked; 0 while it is away."""
+        """Return the number of requests received since the last call; 0 while it is down."""
         async with self._asking:
-            new, self._left = self._left + await self._new(), 0
+            new, self._unreported = self._unreported + await self._new(), 0
         return new
 
     async def _new(self) -> int:
@@ -197,24 +201,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What a line showed, so many seconds from the first request on."""
+    """Data of a line, `second` seconds after the first request."""
 
     second: int
-    received: list[int]  # by each server since the line before
+    received: list[int]  # by each server since the previous line
 
 
 @dataclass(frozen=True, slots=True)
 class Part:
-    """The requests that were due in some whole seconds. `p99_ms`: that of the worst of them."""
+    """Requests that were due in a set of whole seconds. `p99_ms` is that of the worst second."""
 
     asked: int
     served: int
-    in_aim: float  # share of the worth asked for
+    in_aim: float  # weighted share served within the latency target
     p99_ms: float
 
     @classmethod
     def of(cls, seconds: Sequence[dict[str, Any]]) -> Part:
-        """From a report's rows."""
+        """Create it from rows of a report."""
         worth = sum(row["worth_asked"] for row in seconds)
         return cls(
             sum(row["asked"] for row in seconds),
@@ -226,7 +230,7 @@
 
 @dataclass
 class Seen:
-    """All that was seen. `gone_unix_s`, `back_unix_s`: when the server was killed and back."""
+    """All results. `gone_unix_s` and `back_unix_s` are the times of the kill and of the restart."""
 
     rows: list[Row] = field(default_factory=list)
     gone_unix_s: float = math.inf
@@ -237,17 +241,17 @@
 
     @property
     def gone_s(self) -> float:
-        """When the server was killed, from the first intended moment."""
+        """Time of the kill in seconds since the start of the load."""
         return self.gone_unix_s - float(self.report["started_unix_s"])
 
     @property
     def back_s(self) -> float:
-        """When it was back, from the first intended moment."""
+        """Time of the restart in seconds since the start of the load."""
         return self.back_unix_s - float(self.report["started_unix_s"])
 
     @property
     def parts(self) -> dict[str, Part]:
-        """By whole seconds; those of the kill and of the return are counted as away."""
+        """Results before, during and after the absence, which includes the seconds of kill and restart."""
         rows = self.report["seconds"]
         before = [row for row in rows if row["second"] + 1 <= self.gone_s]
         after = [row for row in rows if row["second"] >= self.back_s]
@@ -260,42 +264,46 @@
 
 
 class Demo:
-    """One demonstration on a program that stands ready. `say` is told each line."""
+    """A demonstration with a running program. `say` is called with each line."""
 
     def __init__(self, seconds: float, stands: Sequence[Stand], loading: Loading, say: Say) -> None:
         self._stands = stands
         self._say = say
         self._loading = loading
-        self._whole_s = seconds
+        self._length_s = seconds
         self._loop = asyncio.get_running_loop()
-        self._start = math.nan  # of the load, by the loop's clock
+        self._start = math.nan  # start of the load on the clock of the event loop
         self._begun = asyncio.Event()
-        self._news: list[str] = []  # since the last line
+        self._news: list[str] = []  # events since the last line
         self.seen = Seen()
 
     async def run(self) -> None:
-        """Play it until the load ends; `ProgramError`, alone or in a group, where a part ends early."""
+        """Run until the load ends.
+
+        Raises:
+            ProgramError: If a part ends early; alone or in an exception group.
+        """
         names = "".join(stand.name.rjust(5) for stand in self._stands)
         self._say("the load generator's line".ljust(LIVE_WIDTH) + names + "   requests sent to each")
         async with asyncio.TaskGroup() as group:
-            striking = group.create_task(self._strike(self._stands[KILLED]))
+            kill_task = group.create_task(self._kill_and_restart(self._stands[KILLED]))
             await self._rows()
-            striking.cancel()  # it has ended, unless the load did so too early
+            kill_task.cancel()  # has already ended, unless the load ended too early
         self.seen.table = await self._loading.end()
 
-    async def _strike(self, stand: Stand) -> None:
-        """Kill a server, and start it anew."""
-        await self._until(GONE * self._whole_s)
+    async def _kill_and_restart(self, stand: Stand) -> None:
+        """Kill a server and restart it."""
+        await self._until(GONE * self._length_s)
         self.seen.gone_unix_s = time.time()
         await stand.kill()
         self._news.append(f"{stand.name} is killed")
-        await self._until(BACK * self._whole_s)
+        await self._until(BACK * self._length_s)
         await stand.start()
         self.seen.back_unix_s = time.time()
         self._news.append(f"{stand.name} is back")
 
     async def _rows(self) -> None:
-        """A line for each of the load generator's, the first of which tells when it began."""
+        """Write a line for each line of the load generator; the first one gives the start time."""
         async for second, live in self._loading.lines():
             if not self._begun.is_set():
                 self._start = self._loop.time() - second
@@ -312,7 +320,7 @@
 
 
 def summary(seen: Seen, name: str) -> list[str]:
-    """What there was to see, in a few lines; `name` is the server's that was killed."""
+    """Return the results in a few lines; `name` is the killed server."""
     lines = [f"{name} was away from second {seen.gone_s:.1f} to {seen.back_s:.1f}; by whole seconds:"]
     for when, part in seen.parts.items():
         served = f"{part.served} of {part.asked} served"
@@ -330,7 +338,7 @@
 
 
 def where(folder: Path) -> list[str]:
-    """Where the report and the plot lie."""
+    """Return lines with the paths of the report and the plot."""
     plot = folder / PLOT
     missing = "none: it needs matplotlib, the extra `plot`"
     return [f"report: {folder / REPORT}", f"plot:   {plot if plot.exists() else missing}"]
@@ -338,7 +346,11 @@
 
 @contextlib.asynccontextmanager
 async def standing(seed: int) -> AsyncIterator[list[Stand]]:
-    """The servers, each in a process of its own; `ProgramError` if they can't be."""
+    """Run the servers, each in its own process.
+
+    Raises:
+        ProgramError: If one fails to start.
+    """
     stands = [Stand(f"s{number + 1}", seed + number) for number in range(SERVERS)]
     try:
         for stand in stands:
@@ -350,7 +362,7 @@
 
 @contextlib.asynccontextmanager
 async def loading(seconds: float, seed: int, target: Target, folder: Path) -> AsyncIterator[Loading]:
-    """The load generator at work on a program; what it measured lies in the folder."""
+    """Run the load generator against a program; its results go into the folder."""
     spec = folder / SPEC
     spec.write_text(load_of(seconds, seed, f"{target.host}:{target.port}"), encoding="utf-8")
     words = [str(spec), "--to", f"{target.host}:{target.port}", "--json", str(folder / REPORT)]
@@ -364,7 +376,11 @@
 
 
 async def play(seconds: float, seed: int, say: Say, folder: Path) -> Seen:
-    """The whole demonstration; `ProgramError`, alone or in a group, if it can't be."""
+    """Run the whole demonstration.
+
+    Raises:
+        ProgramError: If a part fails; alone or in an exception group.
+    """
     async with standing(seed) as stands:
         rows = (SERVER.format(name=stand.name, address=stand.address) for stand in stands)
         async with serving(ROOT, OPERATOR + "".join(rows)) as target:
@@ -384,20 +400,20 @@
 
 def _seconds(text: str) -> float:
     seconds = float(text)
-    if not SECONDS_LEAST <= seconds <= SECONDS_MOST:
-        raise argparse.ArgumentTypeError(f"{text}: not from {SECONDS_LEAST:g} to {SECONDS_MOST:g}")
+    if not MIN_SECONDS <= seconds <= MAX_SECONDS:
+        raise argparse.ArgumentTypeError(f"must be from {MIN_SECONDS:g} to {MAX_SECONDS:g}, got {text}")
     return seconds
 
 
 def _seed(text: str) -> int:
     seed = int(text)
     if not 0 <= seed < 2**63:
-        raise argparse.ArgumentTypeError(f"{text}: not from 0 to 2^63 - 1")
+        raise argparse.ArgumentTypeError(f"must be from 0 to 2^63 - 1, got {text}")
     return seed
 
 
 def parser() -> argparse.ArgumentParser:
-    """The command line."""
+    """Return the parser of the command line."""
     made = argparse.ArgumentParser(prog="python -m rig.demo", description=__doc__)
     made.add_argument("--seconds", type=_seconds, default=SECONDS, help="how long the load lasts")
     made.add_argument("--seed", type=_seed, default=1)
@@ -410,7 +426,7 @@
 
 @contextlib.contextmanager
 def _kept() -> Iterator[Path]:
-    """A folder that stays where a report lies in it."""
+    """Create a folder that is removed unless it contains a report."""
     folder = Path(tempfile.mkdtemp(prefix="fordtrestle-demo-"))
     try:
         yield folder
@@ -431,7 +447,7 @@
 
 
 def main() -> int:
-    """Show it; the exit code."""
+    """Run the demonstration; return the exit code."""
     given = parser().parse_args()
     with _kept() as folder:
         try:
--- a/rig/faults.py
+++ b/rig/faults.py
@@ -1,17 +1,17 @@
-"""Schedules of faults: read from TOML or made in Python, expanded by a seed into a timeline of steps.
+"""Fault schedules, from TOML or Python, which a seed expands into a timeline of steps.
 
     seed = 1
     duration_s = 30.0
 
     [[fault]]
-    kind = "die"              # and come back cold
+    kind = "die"              # and restart cold
     at_s = 5.0
-    lasts_s = [7.7, 21.0]     # a figure, or two bounds between which it is drawn for each target
+    lasts_s = [7.7, 21.0]     # a number, or two bounds between which it is drawn for each target
     share = 0.23              # of the servers; or servers = ["s3", "s7"]
 
 The same schedule and seed give the same steps, byte for byte, whatever is under test. Bad input raises
 `ScheduleError`, whose text is one line that names the file, the line and the field.
-`python -m rig.faults FILE` prints the timeline; exit code 2 for a schedule that is none.
+`python -m rig.faults FILE` prints the timeline; the exit code is 2 for an invalid schedule.
 """
 
 from __future__ import annotations
@@ -27,47 +27,50 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-DURATION_MOST_S = 3600.0
-FAULTS_MOST = 1000
-STEPS_MOST = 100_000
+MAX_DURATION_S = 3600.0
+MAX_FAULTS = 1000
+MAX_STEPS = 100_000
 SHOWN, BAD_INPUT = 0, 2
 
 Bounds = tuple[float, float]
 
 SERVER_KINDS = (
-    "die",  # its process ends; it comes back cold
-    "vanish",  # says nothing; later it is back, and resets what was open
-    "fail",  # fails a share quickly
-    "stall",  # stands still for a moment, every few seconds
-    "drain",  # is told to leave, then has left
+    "die",  # its process ends and later restarts cold
+    "vanish",  # is unreachable; once it is back, it resets open connections
+    "fail",  # fails a share of requests quickly
+    "stall",  # pauses briefly every few seconds
+    "drain",  # drains and then leaves
     "lose",  # loses a share of its answers
-    "spoil",  # spoils a share of its answers
-    "half_open",  # a share of its connections swallows what comes
-    "slow_accept",  # serves a new connection late
+    "spoil",  # sends a share of its answers malformed
+    "half_open",  # discards the input of a share of its connections
+    "slow_accept",  # serves new connections with a delay
 )
 REGISTRY_KINDS = ("registry_delay", "registry_silence")
 SIDECAR_KINDS = ("sidecar_crash",)
 KINDS = (*SERVER_KINDS, *REGISTRY_KINDS, *SIDECAR_KINDS)
-DEGREES = ("fail", "lose", "spoil", "half_open")  # of a share of requests or connections
+DEGREES = ("fail", "lose", "spoil", "half_open")  # kinds with a share of requests or connections
 
-# How long after what becomes of a server the registry changes its list, in seconds.
-NOTICE_S: Bounds = (1.0, 4.5)  # that a process has ended
-SILENT_NOTICE_S: Bounds = (4.4, 12.0)  # that a machine has vanished
-ADD_S: Bounds = (0.28, 1.6)  # that one has started
+# Delay of a change of the registry list after the event, in seconds.
+NOTICE_S: Bounds = (1.0, 4.5)  # the end of a process
+SILENT_NOTICE_S: Bounds = (4.4, 12.0)  # a vanished machine
+ADD_S: Bounds = (0.28, 1.6)  # a start
 
 
 class ScheduleError(ValueError):
-    """A schedule that is none; its text is one line."""
+    """Raised for an invalid schedule; its text is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One fault. Fields that its kind has no use for stay as they are.
-
-    `lasts_s`: how long it lasts, for `drain` from being told to leave to having left. `degree`: the share
-    of requests, answers or connections. `pause_ms` and `every_s`: of each pause and from one to the next.
-    `delay_ms`: of an accepted connection, or of the registry's news. `away_s`: how long a server that was
-    drained stays away, 0 for good.
+    """A fault. Fields that its kind does not use are ignored.
+
+    Attributes:
+        lasts_s: Duration; for `drain` the time from the start of the drain until the server leaves.
+        degree: Share of requests, answers or connections.
+        pause_ms: Length of each pause.
+        every_s: Time between pauses.
+        delay_ms: Delay of an accepted connection, or of changes from the registry.
+        away_s: Time for which a drained server stays away; 0 for good.
     """
 
     kind: str
@@ -82,22 +85,22 @@
     away_s: float = 0.0
 
     def wrong(self) -> tuple[str, str] | None:
-        """The first field that makes no sense, and why; None where all do."""
+        """Return the first invalid field and the reason, or None."""
         if self.kind not in KINDS:
             return "kind", f"no kind {self.kind!r}; there are {', '.join(KINDS)}"
-        if not 0.0 <= self.at_s <= DURATION_MOST_S:
-            return "at_s", f"{self.at_s:g} is not from 0 to {DURATION_MOST_S:g}"
+        if not 0.0 <= self.at_s <= MAX_DURATION_S:
+            return "at_s", f"{self.at_s:g} is not from 0 to {MAX_DURATION_S:g}"
         if not 0.0 <= self.share <= 1.0:
             return "share", f"{self.share:g} is not from 0 to 1"
-        if not 0.0 <= self.away_s <= DURATION_MOST_S:
-            return "away_s", f"{self.away_s:g} is not from 0 to {DURATION_MOST_S:g}"
+        if not 0.0 <= self.away_s <= MAX_DURATION_S:
+            return "away_s", f"{self.away_s:g} is not from 0 to {MAX_DURATION_S:g}"
         if self.kind not in REGISTRY_KINDS and bool(self.share) == bool(self.targets):
             return "share", "either a share or names of targets"
         limits = {
-            "lasts_s": (0.0, DURATION_MOST_S),
+            "lasts_s": (0.0, MAX_DURATION_S),
             "degree": (0.0, 1.0),
             "pause_ms": (0.0, 60_000.0),
-            "every_s": (0.05, DURATION_MOST_S),
+            "every_s": (0.05, MAX_DURATION_S),
             "delay_ms": (0.0, 60_000.0),
         }
         for name, (least, most) in limits.items():
@@ -108,8 +111,10 @@
 
 
 class Step(NamedTuple):
-    """One thing that is done at a time. `what`: an act of `rig.portservers`, `list`, `registry`, `kill` or
-    `restart`; `target`: a server, a sidecar or empty.
+    """An action at a time.
+
+    `what` is an act of `rig.portservers`, `list`, `registry`, `kill` or `restart`. `target` is a server, a
+    sidecar or empty.
     """
 
     at_s: float
@@ -118,36 +123,44 @@
     figures: tuple[tuple[str, Any], ...] = ()
 
     def line(self) -> str:
-        """As the timeline shows it."""
+        """Return its line in the timeline."""
         figures = " ".join(f"{name}={value}" for name, value in self.figures)
         return f"{self.at_s:8.3f} s  {self.what:<9} {self.target:<6} {figures}".rstrip()
 
     @property
     def options(self) -> dict[str, Any]:
-        """Its figures by name."""
+        """Its options by name."""
         return dict(self.figures)
 
 
 @dataclass(frozen=True, slots=True)
 class Schedule:
-    """Faults of one run."""
+    """Faults of a run."""
 
     duration_s: float
     faults: tuple[Fault, ...] = ()
     seed: int = 1
 
     def __post_init__(self) -> None:
-        """`ScheduleError` for what makes no sense."""
-        if not 0.0 < self.duration_s <= DURATION_MOST_S:
-            raise ScheduleError(f"duration_s: {self.duration_s:g} is not from 0 to {DURATION_MOST_S:g}")
-        if len(self.faults) > FAULTS_MOST:
-            raise ScheduleError(f"fault: {len(self.faults)} of them, {FAULTS_MOST} at most")
+        """Check the fields.
+
+        Raises:
+            ScheduleError: If a field is invalid.
+        """
+        if not 0.0 < self.duration_s <= MAX_DURATION_S:
+            raise ScheduleError(f"duration_s: {self.duration_s:g} is not from 0 to {MAX_DURATION_S:g}")
+        if len(self.faults) > MAX_FAULTS:
+            raise ScheduleError(f"fault: {len(self.faults)} of them, {MAX_FAULTS} at most")
         for number, fault in enumerate(self.faults, 1):
             if wrong := fault.wrong():
                 raise ScheduleError(f"fault {number}: {wrong[0]}: {wrong[1]}")
 
     def steps(self, servers: Sequence[str], sidecars: Sequence[str] = ()) -> list[Step]:
-        """All steps in the order of time, within the duration; `ScheduleError` for an unknown target."""
+        """Return all steps within the duration in the order of time.
+
+        Raises:
+            ScheduleError: If a target is unknown or there are too many steps.
+        """
         made: list[Step] = []
         for number, fault in enumerate(self.faults):
             rng = random.Random(f"fault/{self.seed}/{number}")
@@ -162,12 +175,12 @@
             for target in fault.targets or sorted(rng.sample(list(known), count)):
                 made += EXPAND[fault.kind](fault, target, rng, self.duration_s)
         made = [step for step in made if step.at_s <= self.duration_s]
-        if len(made) > STEPS_MOST:
-            raise ScheduleError(f"fault: {len(made)} steps, {STEPS_MOST} at most")
+        if len(made) > MAX_STEPS:
+            raise ScheduleError(f"fault: {len(made)} steps, {MAX_STEPS} at most")
         return sorted(made, key=lambda step: (step.at_s, step.target, step.what))
 
     def timeline(self, servers: Sequence[str], sidecars: Sequence[str] = ()) -> str:
-        """The steps to read, one a line; the same for the same seed, byte for byte."""
+        """Return the steps as text, one per line; the same seed gives the same bytes."""
         return "".join(step.line() + "\n" for step in self.steps(servers, sidecars))
 
 
@@ -272,14 +285,14 @@
 
 @dataclass(slots=True)
 class _Reader:
-    """One text that is read; it knows where each field stands."""
+    """Parser of a schedule that finds the line of each field for errors."""
 
     name: str
     text: str
     lines: list[str] = field(default_factory=list)
 
     def wrong(self, why: str, key: str = "", number: int = 0) -> ScheduleError:
-        """An error at a field: `number` counts the faults from 1, 0 is what stands before them."""
+        """Return an error at a field of fault `number`, from 1 on; 0 is for fields before the faults."""
         where = f"{self.name}:{self._line(key, number)}: "
         return ScheduleError(where + (f"{key}: " if key else "") + " ".join(why.split()))
 
@@ -294,7 +307,11 @@
         return header
 
     def parse(self) -> Schedule:
-        """The schedule; `ScheduleError` if it is none."""
+        """Return the schedule.
+
+        Raises:
+            ScheduleError: If the text is invalid.
+        """
         try:
             raw = tomllib.loads(self.text)
         except tomllib.TOMLDecodeError as error:
@@ -308,8 +325,8 @@
         if not isinstance(seed, int) or isinstance(seed, bool):
             raise self.wrong("not a whole number", "seed")
         duration_s = self._figure(raw, "duration_s", 0)
-        if not 0.0 < duration_s <= DURATION_MOST_S:
-            raise self.wrong(f"{duration_s:g} is not from 0 to {DURATION_MOST_S:g}", "duration_s")
+        if not 0.0 < duration_s <= MAX_DURATION_S:
+            raise self.wrong(f"{duration_s:g} is not from 0 to {MAX_DURATION_S:g}", "duration_s")
         rows = raw.get("fault", [])
         if not isinstance(rows, list) or not all(isinstance(row, dict) for row in rows):
             raise self.wrong("each stands under [[fault]]", "fault")
@@ -372,22 +389,30 @@
 
 
 def parse(text: str, name: str = "schedule") -> Schedule:
-    """A schedule from TOML; `ScheduleError` says in one line where it is wrong."""
+    """Parse a schedule from TOML.
+
+    Raises:
+        ScheduleError: If it is invalid; the text names the place in one line.
+    """
     return _Reader(name, text).parse()
 
 
 def load(path: Path) -> Schedule:
-    """A schedule from a file; `ScheduleError` says in one line where it is wrong."""
+    """Read a schedule from a file.
+
+    Raises:
+        ScheduleError: If it is unreadable or invalid; the text names the place in one line.
+    """
     try:
         return parse(path.read_text(encoding="utf-8"), str(path))
     except OSError as error:
         raise ScheduleError(f"{path}: {error.strerror}") from error
     except UnicodeDecodeError as error:
-        raise ScheduleError(f"{path}: no UTF-8 at byte {error.start}") from error
+        raise ScheduleError(f"{path}: invalid UTF-8 at byte {error.start}") from error
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Print the timeline of a file; the exit code."""
+    """Print the timeline of a file; return the exit code."""
     made = argparse.ArgumentParser(prog="python -m rig.faults", description=__doc__)
     made.add_argument("file", type=Path)
     made.add_argument("--servers", type=int, default=33, help="named s0, s1 and on")
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -1,7 +1,7 @@
-"""A whole fleet: port servers by data centre, one registry, several programs under test, and their clients.
+"""A fleet of port servers by data centre, one registry, several programs under test, and their clients.
 
-A run plays a demand and a schedule of faults on it, and gives what the clients and the servers saw, with
-the ledger of both. The same seed gives the same servers, calls and faults whatever is under test.
+A run applies a demand and a fault schedule to the fleet and returns the records of clients and servers with
+their ledger. The same seed gives the same servers, calls and faults for any program under test.
 """
 
 from __future__ import annotations
@@ -38,50 +38,50 @@
 
 ZONES = ("north", "middle", "south")
 READY_S = 15.0
-SETTLE_S = 0.4  # from the last answer to when all records are read
-STRIKE_LATE_MS = 50.0  # a step that is later than that makes a run unsound
-LAG_MOST_MS = 5.0  # at the 99th percentile, of each part of the rig
+SETTLE_S = 0.4  # from the last answer to the reading of all records
+MAX_STEP_DELAY_MS = 50.0  # a fault step with a larger delay makes a run unsound
+MAX_LAG_MS = 5.0  # 99th percentile of each part of the rig
 
 CLASSES = (
     CallClass("port-check", "keyed", 0.63, 35.0, 84.0, 600.0, 2000.0, 10.0),
     CallClass("port-commit", "unsafe", 0.37, 43.5, 106.0, 1500.0, 5000.0, 2.0),
 )
 TENANTS = {f"t{number}": share for number, share in enumerate((17, 16, 16, 14, 12, 11, 5, 5, 4))}
-WEIGHTS = (0.3, 0.22, 0.17, 0.13, 0.1, 0.08)  # most clients send little, and some far more
+WEIGHTS = (0.3, 0.22, 0.17, 0.13, 0.1, 0.08)  # relative load of the sidecars, which is uneven
 KEY_WINDOW_MS = 1200.0
 DRAIN_GRACE_MS = 500.0
-WARM_UP_MS = 7800.0  # the latest that the rules tell of; each server is warm sooner
+WARM_UP_MS = 7800.0  # upper bound in the rules; each server is warm sooner
 COLD_FROM = 0.31
 FALL_MULTIPLE, OVERLOAD_MS = 3.0, 2000.0
 IDLE_CLOSE_MS = 5000.0
-QUOTA = 1.3  # of the expected rate, that all tenants together may have
+QUOTA = 1.3  # allowance of all tenants together, as a multiple of the expected rate
 
 
 @dataclass(frozen=True, slots=True)
 class Site:
-    """How large a fleet is, and what is drawn for it."""
+    """Size of a fleet, and the seed of its drawn properties."""
 
     servers: int = 33
     sidecars: int = 6
     seed: int = 1
-    choke_at: int = 0  # requests waiting that choke a server; 0: none ever chokes
+    choke_at: int = 0  # waiting requests per core above which a server chokes; 0 disables choking
 
     @property
     def server_names(self) -> list[str]:
-        """s0, s1 and on."""
+        """Names of the servers: s0, s1 and so on."""
         return [f"s{number}" for number in range(self.servers)]
 
     @property
     def sidecar_names(self) -> list[str]:
-        """n0, n1 and on."""
+        """Names of the sidecars: n0, n1 and so on."""
         return [f"n{number}" for number in range(self.sidecars)]
 
     def zone(self, number: int) -> str:
-        """The data centre of the n-th server or sidecar."""
+        """Return the data centre of the n-th server or sidecar."""
         return ZONES[number % len(ZONES)]
 
     def makes(self) -> dict[str, tuple[str, Make]]:
-        """The kind and make of each server, by name."""
+        """Return the kind and properties of each server by name."""
         rng = random.Random(f"site/{self.seed}")
         fast = round(0.44 * self.servers)
         kinds = ["full"] * fast + ["slow"] * (self.servers - fast)
@@ -109,8 +109,8 @@
 
 
 def settings(site: Site, me: int, rate_per_s: float) -> dict[str, Any]:
-    """What the platform tells one sidecar of the site."""
-    whole = sum(TENANTS.values())
+    """Return the settings of a sidecar of the site."""
+    total_share = sum(TENANTS.values())
     return {
         "Profiles": [
             {
@@ -129,7 +129,11 @@
         "Locality": me % len(ZONES),
         "Kinds": ["full", "slow"],
         "Tenants": [
-            {"Name": name, "Share": share / whole, "AllowancePerS": share / whole * rate_per_s * QUOTA}
+            {
+                "Name": name,
+                "Share": share / total_share,
+                "AllowancePerS": share / total_share * rate_per_s * QUOTA,
+            }
             for name, share in TENANTS.items()
         ],
         "OverShareWorth": 0.1,
@@ -177,33 +181,37 @@
 
 
 class Stand:
-    """One program under test, its port kept while it is away."""
+    """A program under test, whose port stays reserved while it is down."""
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.program: Program | None = None
         self._ended_cpu_s = 0.0
-        self._held = hold_port()
+        self._port_holder = hold_port()
         self._folder = tempfile.TemporaryDirectory(prefix="rig-")
 
     @property
     def address(self) -> Address:
-        """Where it listens."""
-        host, port = self._held.getsockname()
+        """Address that it listens on."""
+        host, port = self._port_holder.getsockname()
         return str(host), int(port)
 
     @property
     def path(self) -> Path:
-        """A folder of its own."""
+        """Its temporary folder."""
         return Path(self._folder.name)
 
     async def start(self, known: Sequence[Entry]) -> None:
-        """Start it, with this list in hand, and wait until it is ready; `ProgramError` if it can't be."""
+        """Start it with an initial server list and wait until it is ready.
+
+        Raises:
+            ProgramError: If it fails to start or does not get ready.
+        """
         self.program = await self._launch(known)
         await self.program.until(lambda: answers_ready(*self.address), READY_S, f"({self.name}) is not ready")
 
     async def kill(self) -> None:
-        """End it amid whatever it does."""
+        """Kill it."""
         if self.program is not None:
             self._ended_cpu_s = self.cpu_s
             program, self.program = self.program, None
@@ -211,15 +219,15 @@
             await program.stop()
 
     async def stop(self) -> None:
-        """End it in order, and keep its port no more."""
+        """Stop it gracefully and release its port."""
         if self.program is not None:
             await self.program.stop()
-        self._held.close()
+        self._port_holder.close()
         self._folder.cleanup()
 
     @property
     def cpu_s(self) -> float:
-        """What it has spent so far, with what it had spent before each kill."""
+        """CPU time so far, including that before each kill."""
         if self.program is not None:
             with contextlib.suppress(ProcessLookupError):
                 return self._ended_cpu_s + self.program.usage().cpu_s
@@ -230,7 +238,7 @@
 
 
 class SidecarStand(Stand):
-    """The sidecar of a checkout."""
+    """The sidecar of a checkout as the program under test."""
 
     def __init__(self, name: str, tree: Path, config: Mapping[str, Any]) -> None:
         super().__init__(name)
@@ -245,7 +253,7 @@
             **self._config,
             "name": self.name,
             "listen": f"{host}:{port}",
-            "seed": f"{self._config['seed']}{self._starts:04x}",  # new with each start
+            "seed": f"{self._config['seed']}{self._starts:04x}",  # differs for each start
             "known": listed(1, list(known)),
         }
         path = self.path / "config.json"
@@ -258,40 +266,40 @@
         )
 
 
-# --- the whole ---------------------------------------------------------------------------------
+# --- the fleet ---------------------------------------------------------------------------------
 
 
 @dataclass
 class Run:
-    """What one run showed."""
+    """Results of a run."""
 
     score: Score
     call_ledger: ledger.Ledger
     breaches: dict[str, list[ledger.Breach]]
     falls: list[tuple[str, float]]
     lag_p99_ms: dict[str, float]  # of each part of the rig
-    strike_late_ms: float  # the most that a step was late
+    strike_late_ms: float  # largest delay of a step
     cpu_s: float  # of all programs under test
-    rig_cpu_s: float  # of all else, this process included
+    rig_cpu_s: float  # of the rig, this process included
     wall_s: float
     unrecorded: int
 
     @property
     def unsound(self) -> list[str]:
-        """Why the rig itself can't be believed; empty where it can."""
-        late = [f"{part} late by {ms:.1f} ms" for part, ms in self.lag_p99_ms.items() if ms > LAG_MOST_MS]
-        if self.strike_late_ms > STRIKE_LATE_MS:
+        """Reasons for which the measurements of the rig are invalid; empty if they are valid."""
+        late = [f"{part} late by {ms:.1f} ms" for part, ms in self.lag_p99_ms.items() if ms > MAX_LAG_MS]
+        if self.strike_late_ms > MAX_STEP_DELAY_MS:
             late.append(f"a fault late by {self.strike_late_ms:.0f} ms")
         return [*late, *([f"{self.unrecorded} executions not noted"] if self.unrecorded else [])]
 
     @property
     def broken(self) -> int:
-        """How many breaches there are."""
+        """Number of breaches."""
         return sum(len(found) for found in self.breaches.values())
 
 
 class Yard:
-    """A fleet that stands. Made by `standing`."""
+    """A running fleet, created by `standing`."""
 
     def __init__(self, site: Site, peer: Peer) -> None:
         self.site = site
@@ -307,10 +315,14 @@
         self._loop = asyncio.get_running_loop()
         self._tasks: set[asyncio.Task[None]] = set()
         self._errors: list[BaseException] = []
-        self._lists: dict[str, list[Entry]] = {}  # what each sidecar knew when it was killed
+        self._lists: dict[str, list[Entry]] = {}  # server list of each sidecar at its kill
 
     async def start(self, tree: Path, rate_per_s: float) -> None:
-        """Start all; `ProgramError` if a part can't be."""
+        """Start all parts.
+
+        Raises:
+            ProgramError: If a part fails to start.
+        """
         makes = self.site.makes()
         for zone in ZONES:
             own = {name: make for name, (_, make) in makes.items() if self._zones[name] == zone}
@@ -333,7 +345,7 @@
         self.callers = {name: Caller(name, stand.address) for name, stand in self.stands.items()}
 
     async def stop(self) -> None:
-        """End all."""
+        """Stop all parts."""
         for task in list(self._tasks):
             task.cancel()
         for caller in self.callers.values():
@@ -346,19 +358,19 @@
         await asyncio.gather(*(host.stop() for host in self.hosts.values()), return_exceptions=True)
 
     async def play(self, demand: Demand, schedule: Schedule) -> Run:
-        """Play a demand and a schedule from now on, and read all records at the end."""
+        """Run a demand and a schedule from now on, and return all records."""
         steps = schedule.steps(self.site.server_names, self.site.sidecar_names)
         callers = Callers(demand, self.callers)
         lag = LagWatch().start()
         began, spent_s = time.monotonic(), time.process_time()
-        strikes = asyncio.create_task(self._strikes(steps))
+        steps_task = asyncio.create_task(self._run_steps(steps))
         try:
             seen = await callers.run()
             await asyncio.sleep(SETTLE_S)
         finally:
-            strikes.cancel()
+            steps_task.cancel()
             lag.stop()
-        if strikes.done() and not strikes.cancelled() and (error := strikes.exception()) is not None:
+        if steps_task.done() and not steps_task.cancelled() and (error := steps_task.exception()) is not None:
             raise error
         if self._errors:
             raise self._errors[0]
@@ -368,7 +380,7 @@
 
     # --- faults ----------------------------------------------------------------------
 
-    async def _strikes(self, steps: Sequence[Step]) -> None:
+    async def _run_steps(self, steps: Sequence[Step]) -> None:
         start_s = self._loop.time()
         for step in steps:
             await asyncio.sleep(max(0.0, start_s + step.at_s - self._loop.time()))
@@ -377,7 +389,11 @@
             await self.strike(step)
 
     async def strike(self, step: Step) -> None:
-        """Carry out one step; `ProgramError` if a helper can't."""
+        """Apply a step.
+
+        Raises:
+            ProgramError: If a helper rejects it.
+        """
         match step.what:
             case "list":
                 self.board.change(step.target, step.options["status"])
@@ -389,7 +405,7 @@
             case "kill":
                 await self._kill(step.target)
             case "restart":
-                self._beside(self._restart(step.target))
+                self._run_concurrently(self._restart(step.target))
             case _:
                 if step.what == "start":
                     self.board.started(step.target)
@@ -399,19 +415,19 @@
         self.crashes.append(ledger.Crash(name, self._loop.time()))
         if name in self.stands:
             self._lists[name] = self.board.list_at(name)
-            self._beside(self.stands[name].kill())
+            self._run_concurrently(self.stands[name].kill())
         else:
             self.callers[name].crash()
 
     async def _restart(self, name: str) -> None:
-        """With nothing but its last list."""
+        """Restart a sidecar with only its last list."""
         if name in self.stands:
             await self.stands[name].start(self._lists[name])
         else:
             self.callers[name].down = False
 
-    def _beside(self, work: Coroutine[Any, Any, None]) -> None:
-        """Something that takes longer than the next step may wait; its error ends the run."""
+    def _run_concurrently(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run a coroutine concurrently, so that it does not delay the next step; its error ends the run."""
 
         def done(task: asyncio.Task[None]) -> None:
             self._tasks.discard(task)
@@ -451,7 +467,7 @@
     async def _run(self, seen: Seen, lag: LagWatch, wall_s: float) -> Run:
         for caller in self.callers.values():
             caller.close()
-        await asyncio.sleep(SETTLE_S / 4.0)  # servers note what was cut
+        await asyncio.sleep(SETTLE_S / 4.0)  # lets the servers record the cut requests
         call_ledger = ledger.Ledger(
             asked=seen.asked,
             notifications=self.board.notifications,
@@ -491,7 +507,11 @@
 
 @contextlib.asynccontextmanager
 async def standing(tree: Path, peer: Peer, site: Site, rate_per_s: float) -> AsyncIterator[Yard]:
-    """A fleet that stands ready; `ProgramError` if it can't be."""
+    """Run a fleet and wait until it is ready.
+
+    Raises:
+        ProgramError: If a part fails to start.
+    """
     yard = Yard(site, peer)
     try:
         await yard.start(tree, rate_per_s)
--- a/tests/rig/test_ablation.py
+++ b/tests/rig/test_ablation.py
@@ -1,4 +1,4 @@
-"""Each mechanism of the ablation stands where the table says, and a play is read as it was printed."""
+"""Tests that the ablation table matches the source and that printed figures are parsed."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     compile(text.replace(mechanism.lines, mechanism.without), mechanism.file, "exec")
 
 
-def test_a_copy_lacks_the_mechanism_and_nothing_else(tmp_path):
+def test_a_copy_lacks_only_the_mechanism(tmp_path):
     mechanism = MECHANISMS["urgency of short prompts"]
     copy_without(mechanism, tmp_path)
     assert (tmp_path / mechanism.file).read_text() != (ROOT / mechanism.file).read_text()
@@ -26,10 +26,10 @@
     assert (tmp_path / other).read_text() == (ROOT / other).read_text()
 
 
-def test_a_play_gives_the_figure_that_it_prints_or_none(tmp_path):
+def test_a_play_returns_the_printed_figure_or_none(tmp_path):
     figure = re.compile(r"^score (\S+)", re.MULTILINE)
-    says = f"{sys.executable} -c \"print('score 0.{{seed}}')\""
-    assert play(tmp_path, "25", says, figure) == 0.25
+    command = f"{sys.executable} -c \"print('score 0.{{seed}}')\""
+    assert play(tmp_path, "25", command, figure) == 0.25
     assert play(tmp_path, "25", f"{sys.executable} -c pass", figure) is None
 
 
--- a/tests/rig/test_benchmarks.py
+++ b/tests/rig/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""The benchmarks: what they judge, how they end, and one row played for real."""
+"""Tests of the benchmarks: bounds, exit codes and one real run of a row."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
     return made.not_met
 
 
-def test_a_row_that_meets_all_bounds():
+def test_a_row_can_meet_all_bounds():
     assert judged(row()) == []
     assert judged(row(served=99, others=[Result.REFUSED])) == []
 
@@ -67,11 +67,11 @@
     assert missed.startswith(bound)
 
 
-def test_nothing_served_is_not_a_good_p99():
+def test_a_row_without_served_requests_misses_the_p99():
     assert len(judged(row(served=0, others=[Result.UNSENT]))) == 2
 
 
-def test_the_cost_of_a_connection_is_what_is_spent_more_than_without_the_crowd():
+def test_the_cost_of_a_connection_is_the_extra_cpu_time_with_the_crowd():
     made, base = row(crowd={"connected": 1000}), row()
     base.cpu_s = 0.4
     made.compare(base)
@@ -81,7 +81,7 @@
     assert made.summary()["not_met"] == []
 
 
-def test_every_scenario_is_within_its_bounds_of_size():
+def test_every_scenario_is_within_its_size_limits():
     for name, make in crowds.SCENARIOS.items():
         scenario = make(name, SETTING)
         assert sum(size.standing for size in scenario.crowd.values()) <= 3 * 384
@@ -119,7 +119,7 @@
 
 @believed
 @bounded
-async def test_a_row_is_played_and_told():
+async def test_a_row_runs_and_is_summarized():
     (made,) = await crowds.run(["none"], SETTING, ROOT)
     if made.tally.lag_most_ms > crowds.LAG_MOST_MS:
         UNSOUND.append(f"clients were late by {made.tally.lag_most_ms:.0f} ms")
--- a/tests/rig/test_crowds.py
+++ b/tests/rig/test_crowds.py
@@ -1,4 +1,4 @@
-"""The crowds: each kind does what it says, within its rate and its standing number."""
+"""Tests of connection floods: the behaviour of each kind, its rate and its maximum of connections."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class Listener:
-    """Takes connections and what they say; answers, or closes, each once something has come."""
+    """Server that records input and answers it, or closes the connection."""
 
     def __init__(self, answer=b"", close=False):
-        self.said = []
+        self.received = []
         self.ended = 0
-        self.taken = 0
+        self.accepted = 0
         self._answer, self._close = answer, close
 
     async def start(self):
-        self._server = await asyncio.start_server(self._take, "127.0.0.1", 0)
+        self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = self._server.sockets[0].getsockname()
         return self
 
-    async def _take(self, reader, writer):
-        self.taken += 1
+    async def _serve(self, reader, writer):
+        self.accepted += 1
         try:
             while data := await reader.read(65536):
-                self.said.append(data)
+                self.received.append(data)
                 if self._close:
                     break
                 writer.write(self._answer)
@@ -48,7 +48,7 @@
 
 
 async def counted(made, holds):
-    """The counts as soon as they are so; the test fails if that does not come."""
+    """Wait until a condition on the counts holds, and return them."""
     async with asyncio.timeout(PATIENCE_S):
         while not holds(counts := await made.counts()):
             await asyncio.sleep(0.01)
@@ -56,11 +56,11 @@
 
 
 @bounded
-async def test_silent_ones_come_up_to_their_number_and_come_again_when_closed():
+async def test_silent_clients_connect_up_to_their_maximum_and_stay_open():
     listener = await Listener().start()
     made = await crowd(listener.address, "silent")
     counts = await counted(made, lambda counts: counts["open"] == counts["connected"] == 12)
-    assert (counts["tried"], counts["answered"], counts["closed"], listener.said) == (12, 0, 0, [])
+    assert (counts["tried"], counts["answered"], counts["closed"], listener.received) == (12, 0, 0, [])
     await made.stop()
     async with asyncio.timeout(PATIENCE_S):
         while listener.ended < 12:
@@ -70,7 +70,7 @@
 
 @pytest.mark.parametrize("kind", ["garbage", "turned_away"])
 @bounded
-async def test_some_come_again_as_soon_as_they_are_answered_or_closed(kind):
+async def test_some_kinds_reconnect_as_soon_as_they_are_answered_or_closed(kind):
     for listener in (Listener(answer=b"HTTP/1.1 400 Bad\r\n\r\n"), Listener(close=True)):
         await listener.start()
         made = await crowd(listener.address, kind)
@@ -79,29 +79,29 @@
         await made.stop()
         listener.stop()
         if kind == "turned_away":
-            assert b"X-Caller: nobody" in listener.said[0]
+            assert b"X-Caller: nobody" in listener.received[0]
 
 
 @bounded
-async def test_halves_are_half_a_head_and_half_a_body():
+async def test_half_clients_send_half_a_head_or_half_a_body():
     listener = await Listener().start()
     made = await crowd(listener.address, "half")
     await counted(made, lambda counts: counts["open"] == 12)
     async with asyncio.timeout(PATIENCE_S):
-        while len(listener.said) < 12:
+        while len(listener.received) < 12:
             await asyncio.sleep(0.01)
-    heads = [data for data in listener.said if b"\r\n\r\n" not in data]
+    heads = [data for data in listener.received if b"\r\n\r\n" not in data]
     assert len(heads) == 6
-    assert all(data.endswith(b"\r\n\r\n" + b"x" * 100) for data in listener.said if data not in heads)
+    assert all(data.endswith(b"\r\n\r\n" + b"x" * 100) for data in listener.received if data not in heads)
     await made.stop()
     listener.stop()
 
 
 @bounded
-async def test_slow_readers_ask_for_much_and_read_nothing():
+async def test_slow_readers_request_large_answers_and_read_nothing():
     server = await Server(Ledger(), work_ms=(0.0, 1.0)).start()
     made = await crowd(address_of(server.address), "slow_readers", standing=3)
-    # What the crowd counts is told now and then, and may be older than what the server has got by then.
+    # The counts of the flood are reported at intervals and may be older than those of the server.
     counts = await counted(
         made, lambda counts: server.ledger.received == 3 * PIPELINED and counts["open"] == 3
     )
@@ -111,7 +111,7 @@
 
 
 @bounded
-async def test_who_asks_once_holds_its_connection_and_a_new_one_comes_when_it_is_closed():
+async def test_once_clients_hold_their_connection_and_are_replaced_when_it_closes():
     server = await Server(Ledger(), work_ms=(0.0, 1.0), idle_close_ms=400.0).start()
     made = await crowd(address_of(server.address), "once", standing=4)
     counts = await counted(made, lambda counts: counts["closed"] >= 4 and counts["connected"] >= 8)
@@ -124,7 +124,7 @@
 
 
 @bounded
-async def test_the_rate_is_kept():
+async def test_the_connection_rate_is_limited():
     listener = await Listener().start()
     start = asyncio.get_running_loop().time()
     made = await crowd(listener.address, "garbage", rate=40.0, standing=100)
@@ -135,7 +135,7 @@
     listener.stop()
 
 
-def test_a_mixture_holds_every_kind_and_no_more_than_its_whole():
+def test_a_mixture_contains_every_kind_within_the_size():
     apart = {"once": Size(200.0, 128)}
     parts = spread("all", Size(1000.0, 1152), apart)
     assert set(parts) == set(MANNERS) == set(KINDS) - {"all"}
@@ -151,6 +151,6 @@
 
 
 @bounded
-async def test_a_crowd_stays_on_the_loopback():
+async def test_a_crowd_connects_only_to_the_loopback():
     with pytest.raises(ProgramError):
         await crowd(("10.0.0.1", 80), "silent")
--- a/tests/rig/test_demo.py
+++ b/tests/rig/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration: it shows a server's end and return, and a Ctrl-C ends all that it started."""
+"""Tests of the demonstration: a server is killed and restarted, and Ctrl-C stops all processes."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def children(pid):
-    """The processes that one has started and that still run, and all that these have."""
+    """Return the ids of the running descendants of a process."""
     mine = [int(word) for word in Path(f"/proc/{pid}/task/{pid}/children").read_text().split()]
     return mine + [late for child in mine for late in children(child)]
 
@@ -40,7 +40,7 @@
 
 
 def second(number, served=10, in_aim=10.0, p99=60.0):
-    """A row of a report: of ten requests so many are served."""
+    """Return a row of a report in which `served` of ten requests are served."""
     return {
         "second": number,
         "asked": 10,
@@ -53,7 +53,7 @@
 
 @pytest.fixture
 def given(monkeypatch, tmp_path):
-    """Give the demonstration a command line; its folder is one of the test's."""
+    """Return a setter of the command line; folders are created in that of the test."""
     monkeypatch.setattr("tempfile.tempdir", str(tmp_path))
     return lambda *words: monkeypatch.setattr("sys.argv", ["demo", *words])
 
@@ -66,7 +66,7 @@
 
 
 def patient(text, times=10):
-    """The same text with aims, budgets and deadlines that a busy machine meets, too."""
+    """Multiply targets, budgets and deadlines in a text, so that a busy machine meets them as well."""
 
     def longer(found):
         return f"{found[1]}{int(found[2]) * times}"
@@ -75,15 +75,16 @@
 
 
 def is_served(seen):
-    """Whether nearly all is served before the kill, while the server is away and since it is back."""
+    """Return whether nearly all requests were served before, during and after the absence."""
     return all(0.9 * part.asked <= part.served and part.asked > 30 for part in seen.parts.values())
 
 
 @pytest.fixture(scope="module")
 def played(tmp_path_factory):
-    """A whole demonstration: what was seen and told, and its folder. The server comes back early, so that
-    there are whole seconds after that also where a process takes long to start. One that shows too little
-    is played again where the load generator says that it was late itself.
+    """Run a whole demonstration; return its results, output lines and folder.
+
+    The server is restarted early, so that whole seconds follow even if its process starts slowly. A run that
+    served too little is repeated if the load generator reports that it was late itself.
     """
     with pytest.MonkeyPatch.context() as patched:
         patched.setattr(demo, "OPERATOR", patient(demo.OPERATOR))
@@ -91,14 +92,14 @@
         patched.setattr(demo, "GONE", 2.4 / PLAYED_S)
         patched.setattr(demo, "BACK", 4.8 / PLAYED_S)
         for _ in range(MAX_PLAYS):
-            folder, told = tmp_path_factory.mktemp("demo"), []
-            seen = asyncio.run(demo.play(PLAYED_S, 2, told.append, folder))
+            folder, output = tmp_path_factory.mktemp("demo"), []
+            seen = asyncio.run(demo.play(PLAYED_S, 2, output.append, folder))
             if seen.report["sound"] or is_served(seen):
                 break
-    return seen, "\n".join(told).splitlines(), folder
+    return seen, "\n".join(output).splitlines(), folder
 
 
-def test_it_is_served_before_during_and_after_the_kill(played):
+def test_requests_are_served_before_during_and_after_the_absence(played):
     seen = played[0]
     assert seen.gone_s > 2.3
     assert seen.gone_s + 2.3 < seen.back_s
@@ -106,7 +107,7 @@
     assert is_served(seen), parts
     assert all(0.0 < part.in_aim <= 1.0 and 40.0 < part.p99_ms < 11_000.0 for part in parts)
     assert sum(part.asked for part in parts) == seen.report["whole"]["asked"]
-    # The server had its part until it was killed, and the others all while it was away.
+    # The server received requests until it was killed, and only the others while it was down.
     before = [row.received for row in seen.rows if row.second < seen.gone_s]
     away = [row.received for row in seen.rows if seen.gone_s + 1.0 < row.second < seen.back_s]
     assert all(map(sum, zip(*before, strict=True)))
@@ -114,8 +115,8 @@
     assert seen.peaks.descriptors > 0
 
 
-class Hand:
-    """A server and the load's lines in virtual time: what was done to it, and when."""
+class FakeStand:
+    """Fake server and load generator in virtual time that records calls with their times."""
 
     name, address = "s2", "127.0.0.1:1"
 
@@ -145,21 +146,21 @@
 
 
 @virtual
-async def test_the_server_is_killed_and_started_at_their_shares_of_the_time():
-    hand, told = Hand(), []
-    made = demo.Demo(7.0, [hand] * demo.SERVERS, hand, told.append)
+async def test_the_server_is_killed_and_restarted_at_its_shares_of_the_length():
+    fake, output = FakeStand(), []
+    made = demo.Demo(7.0, [fake] * demo.SERVERS, fake, output.append)
     await made.run()
-    assert hand.done == [("kill", 2.8), ("start", 4.9)]
+    assert fake.done == [("kill", 2.8), ("start", 4.9)]
     assert made.seen.table == "the table"
     assert [row.second for row in made.seen.rows] == list(range(1, 8))
     assert all(row.received == [1] * demo.SERVERS for row in made.seen.rows)
-    (killed,) = [line for line in told if line.endswith("s2 is killed")]
-    (back,) = [line for line in told if line.endswith("s2 is back")]
+    (killed,) = [line for line in output if line.endswith("s2 is killed")]
+    (back,) = [line for line in output if line.endswith("s2 is back")]
     assert killed.startswith("3 s")
     assert back.startswith("5 s")
 
 
-def test_each_line_shows_the_load_the_servers_and_the_news(played):
+def test_each_line_shows_the_load_the_servers_and_the_events(played):
     lines = played[1]
     rows = [line for line in lines if " ended  " in line]
     assert [row.split()[0] for row in rows] == [str(row.second) for row in played[0].rows]
@@ -168,24 +169,24 @@
     assert sum(row.endswith("s2 is back") for row in rows) == 1
 
 
-def test_it_ends_with_the_table_a_summary_and_where_the_report_lies(played):
+def test_it_ends_with_the_table_a_summary_and_the_path_of_the_report(played):
     seen, lines, folder = played
     assert any(line.startswith("class look") for line in lines)
     assert any("ends: served" in x for x in lines)
-    summed = [line.split(":")[0].strip() for line in lines if "of the worth in aim" in line]
-    assert summed == ["before", "while it is away", "since it is back"]
+    parts = [line.split(":")[0].strip() for line in lines if "of the worth in aim" in line]
+    assert parts == ["before", "while it is away", "since it is back"]
     assert lines[-2] == f"report: {folder / 'report.json'}"
-    told = json.loads((folder / "report.json").read_text())
-    assert set(told) == FIELDS
-    assert (told["format"], told["version"]) == ("fordtrestle-load-report", 1)
-    assert (told["length_s"], told["seed"], told["cut"]) == (PLAYED_S, 2, False)
-    assert set(told["classes"]) == {"look", "book", "pay"}
-    assert set(told["tenants"]) == {"acme"}
-    assert told["whole"]["asked"] == sum(row["asked"] for row in told["seconds"]) > 500
-    assert told == seen.report
+    output = json.loads((folder / "report.json").read_text())
+    assert set(output) == FIELDS
+    assert (output["format"], output["version"]) == ("fordtrestle-load-report", 1)
+    assert (output["length_s"], output["seed"], output["cut"]) == (PLAYED_S, 2, False)
+    assert set(output["classes"]) == {"look", "book", "pay"}
+    assert set(output["tenants"]) == {"acme"}
+    assert output["whole"]["asked"] == sum(row["asked"] for row in output["seconds"]) > 500
+    assert output == seen.report
 
 
-def test_the_plot_is_there_where_it_can_be_drawn(played):
+def test_the_plot_is_written_if_matplotlib_is_installed(played):
     _, lines, folder = played
     if importlib.util.find_spec("matplotlib") is None:
         assert "extra `plot`" in lines[-1]
@@ -194,12 +195,12 @@
         assert "<svg" in (folder / "report.svg").read_text()
 
 
-def test_without_a_plot_it_is_said_what_that_needs(tmp_path):
+def test_a_missing_plot_names_the_required_extra(tmp_path):
     assert demo.where(tmp_path)[1] == "plot:   none: it needs matplotlib, the extra `plot`"
 
 
-@pytest.mark.parametrize("seconds", [demo.SECONDS_LEAST, demo.SECONDS, demo.SECONDS_MOST])
-def test_the_load_is_one_and_asks_for_what_the_operator_file_names(seconds):
+@pytest.mark.parametrize("seconds", [demo.MIN_SECONDS, demo.SECONDS, demo.MAX_SECONDS])
+def test_the_load_file_is_valid_and_matches_the_operator_file(seconds):
     made = spec.parse(demo.load_of(seconds, 7, "127.0.0.1:80"), "test")
     assert (made.length_s, made.seed, made.target.port) == (seconds, 7, 80)
     service = tomllib.loads(demo.OPERATOR)["service"]["shop"]
@@ -211,7 +212,7 @@
     }
 
 
-def test_the_seconds_of_the_kill_and_of_the_return_are_counted_as_away():
+def test_the_seconds_of_kill_and_restart_count_as_absence():
     rows = [second(0), second(1), second(2, 5, 4.0, 90.0), second(3), second(4, 10, 9.0)]
     seen = demo.Seen([], 102.0, 103.9, {**REPORT, "seconds": rows})
     assert list(seen.parts.values()) == [
@@ -221,7 +222,7 @@
     ]
 
 
-def test_it_is_said_what_a_busy_machine_spoils():
+def test_the_summary_warns_of_invalid_latencies_on_a_busy_machine():
     rows = [second(number) for number in range(3)]
     seen = demo.Seen([], 101.0, 101.5, {**REPORT, "seconds": rows, "sound": True})
     calm = demo.summary(seen, "s2")
@@ -229,7 +230,7 @@
     assert [line for line in demo.summary(seen, "s2") if line not in calm] == [demo.UNSOUND]
 
 
-def test_a_part_in_which_nothing_was_served_is_exit_code_1(monkeypatch, given, tmp_path):
+def test_a_part_without_served_requests_is_exit_code_1(monkeypatch, given, tmp_path):
     async def play(seconds, seed, say, folder):
         rows = [second(0), second(1, 0, 0.0, None), second(2)]
         return demo.Seen([], 101.0, 102.0, {**REPORT, "seconds": rows})
@@ -239,7 +240,7 @@
     assert demo.main() == demo.NOT_SERVED
 
 
-def test_a_program_that_can_not_be_started_is_exit_code_2(monkeypatch, capsys, given, tmp_path):
+def test_a_program_that_fails_to_start_is_exit_code_2(monkeypatch, capsys, given, tmp_path):
     monkeypatch.setattr(demo, "OPERATOR", "[front.web]\n")
     given("--seconds", "5")
     assert demo.main() == demo.BAD_INPUT
@@ -247,14 +248,14 @@
     assert not folders(tmp_path)
 
 
-def test_a_load_that_can_not_be_sent_is_exit_code_2(monkeypatch, capsys, given, tmp_path):
+def test_an_invalid_load_file_is_exit_code_2(monkeypatch, capsys, given, tmp_path):
     monkeypatch.setattr(demo, "LOAD", '[target]\naddress = "{address}"\n[run]\nlength_s = 5\n')
     given("--seconds", "5")
     assert demo.main() == demo.BAD_INPUT
-    told = capsys.readouterr().err
-    assert "the load generator ended with code 2: " in told
-    assert "load.toml: " in told
-    assert told.count("\n") == 1
+    output = capsys.readouterr().err
+    assert "the load generator ended with code 2: " in output
+    assert "load.toml: " in output
+    assert output.count("\n") == 1
     assert not folders(tmp_path)
 
 
@@ -271,23 +272,23 @@
 
 
 @bounded
-async def test_ctrl_c_ends_all_children_and_keeps_what_was_measured(tmp_path):
+async def test_ctrl_c_stops_all_children_and_keeps_the_measurements(tmp_path):
     environment = {**clean_environment(), "TMPDIR": str(tmp_path)}
     argv = [sys.executable, "-m", "rig.demo"]
-    shown = await Program.start(argv, cwd=ROOT, environment=environment, talks=True)
+    process = await Program.start(argv, cwd=ROOT, environment=environment, talks=True)
     try:
-        while not (await shown.hear(PATIENCE_S)).startswith(b"    1 s"):
+        while not (await process.hear(PATIENCE_S)).startswith(b"    1 s"):
             pass
-        started = children(shown.pid)
+        started = children(process.pid)
         assert len(started) >= demo.SERVERS + 3  # the program, the load generator and its worker
-        shown.signal(signal.SIGINT)
-        assert await shown.wait(PATIENCE_S) == demo.INTERRUPTED
+        process.signal(signal.SIGINT)
+        assert await process.wait(PATIENCE_S) == demo.INTERRUPTED
         await until(lambda: all(map(gone, started)))
     finally:
-        await shown.stop()
-    assert shown.tail[:2] == ["", "ended, with all that it had started"]
+        await process.stop()
+    assert process.tail[:2] == ["", "ended, with all that it had started"]
     [folder] = folders(tmp_path)
-    assert shown.tail[2] == f"report: {folder / 'report.json'}"
+    assert process.tail[2] == f"report: {folder / 'report.json'}"
     assert json.loads((folder / "report.json").read_text())["cut"] is True
 
 
@@ -295,24 +296,24 @@
 async def test_a_ctrl_c_before_the_load_leaves_no_folder(tmp_path):
     environment = {**clean_environment(), "TMPDIR": str(tmp_path)}
     argv = [sys.executable, "-m", "rig.demo"]
-    shown = await Program.start(argv, cwd=ROOT, environment=environment, talks=True)
+    process = await Program.start(argv, cwd=ROOT, environment=environment, talks=True)
     try:
         await until(lambda: folders(tmp_path))
-        await until(lambda: children(shown.pid))
-        started = children(shown.pid)
-        shown.signal(signal.SIGINT)
-        assert await shown.wait(PATIENCE_S) == demo.INTERRUPTED
+        await until(lambda: children(process.pid))
+        started = children(process.pid)
+        process.signal(signal.SIGINT)
+        assert await process.wait(PATIENCE_S) == demo.INTERRUPTED
         await until(lambda: all(map(gone, started)))
     finally:
-        await shown.stop()
+        await process.stop()
     assert not folders(tmp_path)
 
 
 @bounded
-async def test_a_load_generator_that_has_nothing_to_send_tells_why():
+async def test_a_load_generator_without_a_file_reports_the_reason():
     made = await Loading.start(["nowhere.toml"])
     try:
-        assert [told async for told in made.lines()] == []
+        assert [output async for output in made.lines()] == []
         with pytest.raises(demo.ProgramError, match=r"ended with code 2: nowhere\.toml: No such file"):
             await made.end()
     finally:
@@ -321,7 +322,7 @@
 
 
 @bounded
-async def test_a_port_is_held_for_a_server_that_comes_back():
+async def test_a_port_stays_reserved_for_a_restarted_server():
     held = demo.hold_port()
     port = held.getsockname()[1]
     for _ in range(3):
--- a/tests/rig/test_draw_day.py
+++ b/tests/rig/test_draw_day.py
@@ -1,4 +1,4 @@
-"""Days of troubles that are drawn for the users' bench."""
+"""Tests of the days of faults drawn for the benchmark of the users."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from rig.system import draw_day
 from rig.system.draw_day import LENGTH_S, draw
 
-PLANNED = ("rolls", "roll-pairs")  # nothing fails on these
+PLANNED = ("rolls", "roll-pairs")  # days without faults
 DAYS = Path(draw_day.__file__).parent / "days"
 
 
-def test_a_day_is_drawn_again_by_its_seed_and_ends_with_a_final_fault():
+def test_a_day_is_reproducible_by_seed_and_ends_with_a_final_fault():
     days = [tomllib.loads(draw(seed)) for seed in range(200)]
     assert draw(7) == draw(7) != draw(8)
     assert {day["closing"]["kind"] for day in days} == set(draw_day.CLOSINGS)
@@ -22,7 +22,7 @@
     assert set(draw_day.CUTS) - {""} <= cuts
 
 
-def test_the_days_of_our_own_can_be_read():
+def test_the_stored_days_can_be_parsed():
     for file in DAYS.glob("*.toml"):
         day = tomllib.loads(file.read_text())
         assert day["name"] == file.stem
--- a/tests/rig/test_faults.py
+++ b/tests/rig/test_faults.py
@@ -1,4 +1,4 @@
-"""Schedules of faults: the same for a seed byte for byte, and refused in one line where they are wrong."""
+"""Tests of fault schedules: reproducible bytes for a seed, and one-line errors for invalid ones."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
     return Schedule(40.0, (Fault(kind, 1.0, lasts_s=(6.0, 15.0), share=share),), seed=3)
 
 
-def test_a_schedule_is_read():
+def test_a_schedule_is_parsed():
     made = parse(TEXT)
     assert (made.seed, made.duration_s) == (5, 30.0)
     assert made.faults[0] == Fault("die", 2.0, lasts_s=(7.7, 21.0), share=0.23)
@@ -52,7 +52,7 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_the_same_seed_gives_the_same_timeline_byte_for_byte_and_another_one_another(kind):
+def test_the_timeline_depends_only_on_the_seed(kind):
     text = whole(kind).timeline(SERVERS, SIDECARS)
     assert text
     assert text == whole(kind).timeline(SERVERS, SIDECARS)
@@ -60,22 +60,22 @@
     assert text != other.timeline(SERVERS, SIDECARS)
 
 
-def test_another_process_gives_the_same_bytes(tmp_path):
-    """Guards against an order that hangs on the hash of this process."""
+def test_another_process_prints_the_same_bytes(tmp_path):
+    """Guard against an order that depends on the hash seed of the process."""
     path = tmp_path / "faults.toml"
     path.write_text(TEXT)
-    asked = [sys.executable, "-m", "rig.faults", str(path)]
-    done = subprocess.run(asked, capture_output=True, cwd=ROOT, timeout=20, check=True)
+    command = [sys.executable, "-m", "rig.faults", str(path)]
+    done = subprocess.run(command, capture_output=True, cwd=ROOT, timeout=20, check=True)
     assert done.stdout.decode() == parse(TEXT).timeline(SERVERS, SIDECARS)
 
 
-def test_a_fault_changes_nothing_of_the_others():
+def test_a_fault_does_not_change_the_steps_of_others():
     both = whole("die").faults + whole("stall").faults
     alone = set(whole("die").steps(SERVERS))
     assert alone < set(Schedule(40.0, both, seed=3).steps(SERVERS))
 
 
-def test_each_step_lies_within_the_run_and_in_order():
+def test_steps_are_in_order_and_within_the_run():
     for kind in KINDS:
         steps = whole(kind).steps(SERVERS, SIDECARS)
         times = [step.at_s for step in steps]
@@ -84,7 +84,7 @@
         assert times[-1] <= 40.0
 
 
-def test_what_dies_comes_back_and_the_list_follows_late():
+def test_a_server_that_dies_restarts_and_the_list_follows_with_a_delay():
     steps = [step for step in whole("die").steps(SERVERS) if step.target == "s3"]
     if not steps:
         steps = [s for s in whole("die").steps(SERVERS) if s.target == whole("die").steps(SERVERS)[0].target]
@@ -94,19 +94,19 @@
     assert 0.28 <= at["list", "active"] - at["start", ""] <= 1.6
 
 
-def test_a_vanished_one_that_is_back_before_it_is_missed_never_leaves_the_list():
+def test_a_server_that_is_back_before_its_absence_is_noticed_stays_listed():
     fault = Fault("vanish", 1.0, lasts_s=(3.0, 3.0), targets=("s1",))
     assert [step.what for step in Schedule(40.0, (fault,)).steps(SERVERS)] == ["vanish", "back"]
 
 
-def test_stalls_come_every_few_seconds():
+def test_stalls_repeat_every_few_seconds():
     fault = Fault("stall", 0.0, lasts_s=(30.0, 30.0), targets=("s1",), pause_ms=(150.0, 500.0))
     steps = Schedule(40.0, (fault,)).steps(SERVERS)
     assert 7 <= len(steps) <= 15
     assert all(150.0 <= step.options["for_ms"] <= 500.0 for step in steps)
 
 
-def test_a_drained_server_is_told_of_leaves_and_may_come_back():
+def test_a_drained_server_leaves_and_may_return():
     fault = Fault("drain", 1.0, lasts_s=(4.0, 4.0), targets=("s1",), away_s=5.0)
     steps = Schedule(40.0, (fault,)).steps(SERVERS)
     assert [(step.what, step.at_s) for step in steps[:5]] == [
@@ -147,17 +147,19 @@
         ("duration_s = 30\n[[fault]]\nkind = 'die'\nat_s = 1\nshares = 1", "f.toml:5: shares: unknown"),
     ],
 )
-def test_bad_input_is_one_line_that_names_file_line_and_field(text, said, tmp_path, capsys, monkeypatch):
+def test_an_invalid_schedule_gives_one_line_with_file_line_and_field(
+    text, said, tmp_path, capsys, monkeypatch
+):
     monkeypatch.chdir(tmp_path)
     (tmp_path / "f.toml").write_text(text)
     assert main(["f.toml"]) == 2
-    told = capsys.readouterr()
-    assert told.err.startswith(said)
-    assert told.err.count("\n") == 1
-    assert told.out == ""
+    output = capsys.readouterr()
+    assert output.err.startswith(said)
+    assert output.err.count("\n") == 1
+    assert output.out == ""
 
 
-def test_files_that_can_not_be_read_and_unknown_targets_are_bad_input(tmp_path, capsys):
+def test_unreadable_files_and_unknown_targets_are_invalid(tmp_path, capsys):
     (tmp_path / "f.toml").write_bytes(b"\xff")
     assert main([str(tmp_path / "f.toml")]) == main([str(tmp_path / "none")]) == 2
     (tmp_path / "f.toml").write_text(TEXT.replace('"s1"', '"s77"'))
@@ -165,7 +167,7 @@
     assert "s77" in capsys.readouterr().err
 
 
-def test_schedules_made_in_python_are_checked_too():
+def test_schedules_from_python_are_validated():
     with pytest.raises(ScheduleError, match="fault 1: kind"):
         Schedule(10.0, (Fault("dye", 1.0, share=0.5),))
     with pytest.raises(ScheduleError, match="duration_s"):
--- a/tests/rig/test_fleet.py
+++ b/tests/rig/test_fleet.py
@@ -1,4 +1,4 @@
-"""A whole fleet with real sidecars: faults show in the ledger, and a planted breach too."""
+"""Tests of a fleet with real sidecars: the ledger shows faults and an injected breach."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
     return {row.fate or row.end for row in run.call_ledger.executions}
 
 
-def test_a_site_is_the_same_for_a_seed():
+def test_a_site_is_reproducible_by_seed():
     assert Site(seed=3).makes() == Site(seed=3).makes() != Site(seed=4).makes()
     makes = Site().makes()
     assert len(makes) == 33
     assert sum(kind == "full" for kind, _ in makes.values()) == 15
     assert all(isinstance(make, Make) for _, make in makes.values())
-    told = settings(SMALL, 1, 100.0)
-    assert told["Me"] == 1
-    assert sum(row["Share"] for row in told["Tenants"]) == pytest.approx(1.0)
+    fields = settings(SMALL, 1, 100.0)
+    assert fields["Me"] == 1
+    assert sum(row["Share"] for row in fields["Tenants"]) == pytest.approx(1.0)
 
 
 @bounded
-async def test_real_sidecars_keep_the_rules_while_servers_and_sidecars_have_faults():
+async def test_real_sidecars_follow_the_rules_during_faults():
     run = await play(
         "sidecar",
         2.2,
@@ -72,7 +72,7 @@
 
 
 @bounded
-async def test_each_fault_of_a_server_shows_in_what_the_ledger_saw():
+async def test_each_server_fault_shows_in_the_ledger():
     share = {"lasts_s": (1.5, 1.5), "degree": (1.0, 1.0)}
     run = await play(
         "robin",
@@ -89,7 +89,7 @@
         by_server.setdefault(row.server, []).append(row)
     assert any(row.end in ("unanswered", "cut") and row.began_s for row in by_server["s0"])
     assert "spoilt" in {row.end for row in by_server["s1"]}
-    # What came to it before and what came after: which of the two there is hangs on the idle connections.
+    # Requests from before or after the fault; the idle connections decide which of the two occur.
     assert {"lost", "unanswered"} & {row.end for row in by_server["s2"]}
     assert max(row.ended_s - row.last_s for row in by_server["s3"] if row.ended_s) > 0.25
     assert {row.read_late_ms for row in by_server["s4"]} >= {50.0, 0.0}
@@ -97,7 +97,7 @@
 
 
 @bounded
-async def test_who_ignores_what_the_registry_tells_breaks_the_rule_on_drains():
+async def test_a_client_that_ignores_the_registry_breaks_the_drain_rule():
     def ignore(yard):
         for name, caller in yard.callers.items():
             rows = [
@@ -118,14 +118,14 @@
 
 
 @bounded
-async def test_an_unknown_step_is_an_error_and_all_is_stopped():
+async def test_an_unknown_step_is_an_error_and_stops_all_parts():
     with pytest.raises(ProgramError, match="dance"):
         async with standing(ROOT, "random", SMALL, RATE) as yard:
             await yard.strike(Step(0.0, "dance", "s0"))
 
 
 @bounded
-async def test_a_sidecar_that_does_not_come_back_ends_the_run_with_its_reason():
+async def test_a_sidecar_that_fails_to_restart_ends_the_run_with_its_error():
     def spoil(yard):
         yard.stands["n1"]._config = {**yard.stands["n1"]._config, "settings": {}}
 
@@ -134,10 +134,10 @@
         await play("sidecar", 1.0, crash, before=spoil)
 
 
-def test_a_run_that_was_late_itself_is_unsound():
+def test_a_run_with_a_late_rig_is_unsound():
     def run(**changes):
-        told = {"lag_p99_ms": {"clients": 1.0}, "strike_late_ms": 1.0, "unrecorded": 0, **changes}
-        return Run(Score([]), Ledger(), {}, [], cpu_s=0.0, rig_cpu_s=0.0, wall_s=1.0, **told)
+        fields = {"lag_p99_ms": {"clients": 1.0}, "strike_late_ms": 1.0, "unrecorded": 0, **changes}
+        return Run(Score([]), Ledger(), {}, [], cpu_s=0.0, rig_cpu_s=0.0, wall_s=1.0, **fields)
 
     assert run().unsound == []
     assert "clients late by 6.0 ms" in run(lag_p99_ms={"clients": 6.0}).unsound
--- a/tests/rig/test_fleet_faults.py
+++ b/tests/rig/test_fleet_faults.py
@@ -1,4 +1,4 @@
-"""The yardstick: its schedules, what it refuses, and one row played for real."""
+"""Tests of the fleet benchmark: its schedules, invalid input and one real run of a row."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     assert bool(text) is (name != fleet_faults.CALM)
 
 
-def test_all_together_holds_each_of_its_parts_unchanged():
+def test_the_combined_schedule_contains_each_part_unchanged():
     site = SETTING.site
     alone = fleet_faults.faults("die", 40.0)
     assert alone[0] in fleet_faults.faults(fleet_faults.TOGETHER, 40.0)
@@ -49,7 +49,7 @@
     assert "error" in capsys.readouterr().err
 
 
-def test_a_schedule_of_ones_own_is_read_or_refused_in_one_line(monkeypatch, capsys, tmp_path):
+def test_a_schedule_file_is_read_or_rejected_in_one_line(monkeypatch, capsys, tmp_path):
     path = tmp_path / "f.toml"
     monkeypatch.setattr("sys.argv", ["fleet_faults", "--timeline", "--faults", str(path)])
     path.write_text("duration_s = 3\n[[fault]]\nkind = 'die'\nat_s = 1\nservers = ['s3']\n")
@@ -58,19 +58,19 @@
     for wrong in ("at_s = 1", "servers = ['s99']"):
         path.write_text(f"duration_s = 3\n[[fault]]\nkind = 'die'\nat_s = 1\n{wrong}\n")
         assert fleet_faults.main() == 2
-        told = capsys.readouterr()
-        assert told.err.count("\n") == 1
-        assert told.out == ""
+        output = capsys.readouterr()
+        assert output.err.count("\n") == 1
+        assert output.out == ""
 
 
 @bounded
-async def test_a_row_is_played_told_and_judged():
+async def test_a_row_runs_and_is_summarized_and_judged():
     (row,) = await fleet_faults.run(["calm"], SETTING, ROOT, ["random"])
     assert len(fleet_faults.cells(row)) == len(fleet_faults.HEADS)
-    told = row.summary()
-    assert told["asked"] == len(row.run.score.outcomes) > 10
-    assert told["in_aim"] > 0.5
-    assert set(told["broken"]) == set(RULES)
+    figures = row.summary()
+    assert figures["asked"] == len(row.run.score.outcomes) > 10
+    assert figures["in_aim"] > 0.5
+    assert set(figures["broken"]) == set(RULES)
     row.run.lag_p99_ms = {"clients": 1.0}
     row.run.strike_late_ms = 0.0
     assert row.not_met == []
--- a/tests/rig/test_lock_in.py
+++ b/tests/rig/test_lock_in.py
@@ -1,4 +1,4 @@
-"""The measurement of refusals that outlast their trigger: it can fail, and its worlds can recover."""
+"""Tests of the benchmark for rejections that outlast their trigger: it can fail, its worlds can recover."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Stubborn(Plain):
-    """Refuses all once anything has gone wrong, for good."""
+    """Policy that rejects everything forever after the first failure."""
 
     bad = 0
 
@@ -34,14 +34,14 @@
 
 
 def rows(bad, count, gap_ms, end_ms=1000.0):
-    """Requests at even gaps from `end_ms` on, of which those whose seconds `bad` names were not served."""
+    """Return requests at even intervals from `end_ms` on; those for whose time `bad` is true are refused."""
     flow = Flow(1.0, 1000.0)
     made = []
     for number in range(count):
         since_s = number * gap_ms / 1000.0
-        asked = ClientRequest(flow, end_ms + 1000.0 * since_s, 0, 1.0, 1.0, None, "", tries=1)
-        asked.end = "refused" if bad(since_s) else "served"
-        made.append(asked)
+        client_request = ClientRequest(flow, end_ms + 1000.0 * since_s, 0, 1.0, 1.0, None, "", tries=1)
+        client_request.end = "refused" if bad(since_s) else "served"
+        made.append(client_request)
     return made
 
 
@@ -50,12 +50,12 @@
     [
         (lambda s: False, 1000, 10.0, 0.0, 0.0),
         (lambda s: s < 3.0, 1000, 10.0, 2.85, 3.0),
-        (lambda s: 4.0 <= s < 4.5, 1000, 10.0, 4.3, 4.5),  # it was back, but not to stay
-        (lambda s: s < 3.0, 300, 50.0, 2.4, 3.0),  # twenty a second: windows of 10 s
+        (lambda s: 4.0 <= s < 4.5, 1000, 10.0, 4.3, 4.5),  # recovers first, but not for good
+        (lambda s: s < 3.0, 300, 50.0, 2.4, 3.0),  # twenty a second, so windows of 10 s
         (lambda s: round(100.0 * s) % 20 == 0, 1000, 10.0, 0.0, 0.0),  # 5% fail throughout
     ],
 )
-def test_back_is_the_first_window_after_which_none_is_bad(bad, count, gap_ms, least, most):
+def test_recovery_is_the_first_window_after_which_none_is_bad(bad, count, gap_ms, least, most):
     back_s = seconds_back(rows(bad, count, gap_ms), 1000.0)
     assert back_s is not None
     assert least <= back_s <= most
@@ -65,21 +65,21 @@
     ("bad", "gap_ms"),
     [(lambda s: s > 5.0, 10.0), (lambda s: round(100.0 * s) % 10 == 0, 10.0), (lambda s: True, 50.0)],
 )
-def test_a_day_that_ends_badly_is_locked(bad, gap_ms):
+def test_a_run_that_ends_with_failures_is_locked(bad, gap_ms):
     assert seconds_back(rows(bad, 1000 if gap_ms < 50.0 else 300, gap_ms), 1000.0) is None
 
 
-def test_only_a_first_try_is_in_time():
-    (asked,) = rows(lambda s: False, 1, 1.0)
-    assert in_time(asked)
-    asked.tries = 2
-    assert not in_time(asked)
-    asked.tries, asked.end = 1, "late"
-    assert not in_time(asked)
+def test_only_a_first_try_counts_as_in_time():
+    (client_request,) = rows(lambda s: False, 1, 1.0)
+    assert in_time(client_request)
+    client_request.tries = 2
+    assert not in_time(client_request)
+    client_request.tries, client_request.end = 1, "late"
+    assert not in_time(client_request)
 
 
 @pytest.mark.parametrize("trigger", ["blip", "errors"])
-def test_a_policy_that_refuses_for_good_is_locked_and_one_that_never_does_is_not(trigger):
+def test_a_policy_that_rejects_forever_is_locked_and_one_that_never_rejects_is_not(trigger):
     conditions = drawn(trigger, 1, False, 0.6)
     figures = play(conditions, lambda now, settings, seed: Stubborn(settings.max_attempts, seed))
     assert figures.back_s is None
@@ -92,8 +92,8 @@
 
 @pytest.mark.parametrize("trigger", NOT_LASTING)
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
-def test_each_world_carries_its_load_but_for_the_trigger(trigger, seed):
-    # What is played is the load after it: servers that leave for good are gone from the start.
+def test_each_world_can_carry_its_load_without_the_trigger(trigger, seed):
+    # This runs the load after the trigger: servers that leave permanently are gone from the start.
     conditions = drawn(trigger, seed, long=False)
     day = Day(conditions, plain)
     if trigger == "scale_down":
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("trigger", list(TRIGGERS))
-def test_the_same_seed_gives_the_same_run_and_draws_stay_in_their_bounds(trigger):
+def test_conditions_are_reproducible_by_seed_and_within_bounds(trigger):
     conditions = drawn(trigger, 2, long=True)
     assert conditions == drawn(trigger, 2, long=True)
     assert conditions != drawn(trigger, 3, long=True)
@@ -115,17 +115,20 @@
         assert one.servers - one.leaving >= 2
 
 
-def test_the_module_itself_plays_the_same_day_twice():
+def test_a_run_of_the_decision_module_is_reproducible():
     conditions = drawn("errors", 8, False)
     assert play(conditions, Balancer) == play(conditions, Balancer)
 
 
 @pytest.mark.parametrize("priced", [True, False])
-def test_what_connections_cost_is_told_or_left_out(priced):
+def test_prices_are_included_or_omitted(priced):
     conditions = drawn("calm", 1, False, priced=priced)
-    told = []
-    Day(conditions, lambda now, settings, seed: told.append(settings) or Plain(settings.max_attempts, seed))
-    assert {bool(settings.prices) for settings in told} == {priced}
+    seen_settings = []
+    Day(
+        conditions,
+        lambda now, settings, seed: seen_settings.append(settings) or Plain(settings.max_attempts, seed),
+    )
+    assert {bool(settings.prices) for settings in seen_settings} == {priced}
     assert replace(conditions, priced=True) == drawn("calm", 1, False)
 
 
@@ -148,7 +151,7 @@
     assert not lock_in.is_met(summed([figures(kept=0.9), figures(kept=lock_in.KEPT_LEAST - 0.01)]))
 
 
-def test_answers_are_lost_by_their_share():
+def test_a_share_of_answers_is_lost():
     world = World({"a": Make()}, balancer=lambda me, seed: Plain(3, seed), seed=1)
     world.hosts["a"].lost_share = 0.3
     world.flow(Flow(50.0, 500.0), 10_000.0)
@@ -157,7 +160,7 @@
     assert not world.hosts["a"].machine.in_flight
 
 
-def test_the_plain_policy_sends_to_the_fewest_held_and_again_only_what_never_ran():
+def test_the_plain_policy_prefers_fewest_in_flight_and_retries_only_what_never_ran():
     policy = Plain(2, 1)
     assert policy.request(0.0, Arrival(1, 0, 100.0)) == [Refuse(1, 0.0)]
     policy.server_list(0.0, "remembered", [Listing("a"), Listing("b")])
@@ -187,7 +190,7 @@
     assert "error" in capsys.readouterr().err
 
 
-def test_the_command_plays_judges_and_writes(monkeypatch, capsys, tmp_path):
+def test_the_command_runs_judges_and_writes_a_report(monkeypatch, capsys, tmp_path):
     path = tmp_path / "told.json"
     words = ["--quick", "--seeds", "1", "--only", "errors", "--plain", "--jobs", "1", "--json", str(path)]
     monkeypatch.setattr("sys.argv", ["lock_in", *words])
@@ -197,7 +200,7 @@
 
 
 def checkout(folder, balancer):
-    """A checkout with that decision module, and a field of the interface called by another name."""
+    """Create a checkout with a decision module whose interface has a field of another name."""
     (folder / "fordtrestle" / "balancer").mkdir(parents=True)
     for name in ("__init__.py", "__main__.py"):
         (folder / "fordtrestle" / name).touch()
@@ -223,13 +226,13 @@
 """
 
 
-def test_a_build_of_other_names_plays_the_same(tmp_path):
+def test_a_checkout_with_other_field_names_gives_the_same_results(tmp_path):
     runs = [drawn("errors", seed, False) for seed in (1, 3)]
     assert lock_in.play_all(runs, checkout(tmp_path, ""), 1) == lock_in.play_all(runs, ROOT, 1)
     assert not [path for path in sys.path if "lock-in-" in path]
 
 
-def test_a_build_that_refuses_all_is_told_as_locked(monkeypatch, capsys, tmp_path):
+def test_a_checkout_that_rejects_everything_is_reported_as_locked(monkeypatch, capsys, tmp_path):
     tree = str(checkout(tmp_path, REFUSES_ALL))
     words = ["--quick", "--seeds", "1", "--only", "blip", "--jobs", "1", "--tree", tree]
     monkeypatch.setattr("sys.argv", ["lock_in", *words])
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -1,4 +1,4 @@
-"""The long run: what it judges, how it ends, and some seconds of it played for real."""
+"""Tests of the soak benchmark: bounds, exit codes and a real run of a few seconds."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     )
 
 
-def test_a_run_that_meets_all_bounds():
+def test_a_run_can_meet_all_bounds():
     assert seen().not_met == []
     assert seen(served=99, others=[Result.REFUSED]).not_met == []
     assert seen(rss_mb=(20.0, 30.0, 60.0, 32.0)).not_met == []
@@ -59,7 +59,7 @@
     assert made.summary()["not_met"] == [missed]
 
 
-def test_what_was_asked_beside_each_kind_is_told_apart():
+def test_requests_are_attributed_to_the_crowd_that_was_active():
     visits = [soak.Visit("silent", 1, 10.0, 20.0, {"connected": 50}), soak.Visit("half", 2, 30.0, 40.0, {})]
     records = [Record(at_s, Result.SERVED, 1.0) for at_s in (9.9, 10.0, 19.9, 20.0, 30.0)]
     made = soak.Seen(Tally(records=records), visits=visits)
@@ -73,7 +73,7 @@
         ["--minutes", "nan"],
         ["--seconds", "100000"],
         ["--crowd-seconds", "-1"],
-        ["--seconds", "30"],  # with a sample each 10 s
+        ["--seconds", "30"],  # too short for a sample every 10 s
         ["--tree", "/no/such/tree"],
     ],
 )
@@ -85,8 +85,8 @@
     assert "error" in capsys.readouterr().err
 
 
-def test_a_program_that_can_not_be_started_is_exit_code_2(monkeypatch, capsys):
-    async def play(*told):
+def test_a_program_that_fails_to_start_is_exit_code_2(monkeypatch, capsys):
+    async def play(*arguments):
         raise ProgramError("it is not ready")
 
     monkeypatch.setattr(soak, "play", play)
@@ -98,7 +98,7 @@
 
 @believed
 @bounded
-async def test_some_seconds_are_played(monkeypatch):
+async def test_a_short_run_succeeds(monkeypatch):
     monkeypatch.setattr(soak, "START_S", 0.5)
     monkeypatch.setattr(soak, "LINE_S", 2.0)
     lines = []
@@ -118,11 +118,11 @@
 
 
 @bounded
-async def test_a_program_that_ends_amid_the_run_is_told(monkeypatch):
+async def test_a_program_that_ends_during_the_run_is_reported(monkeypatch):
     monkeypatch.setattr(soak, "START_S", 0.1)
     async with soak.stage(ROOT) as made:
         run = soak.Run(soak.Times(60.0, 60.0, 0.1), made, 1, lambda text: None)
-        monkeypatch.setattr(run, "_take", lambda *told: made.target.program.signal(signal.SIGKILL))
+        monkeypatch.setattr(run, "_take", lambda *arguments: made.target.program.signal(signal.SIGKILL))
         await run.run()
     assert run.seen.died
     assert run.seen.code == -signal.SIGKILL
