--- a/benchmarks/ablation.py
+++ b/benchmarks/ablation.py
@@ -1,11 +1,11 @@
-"""What each mechanism is worth: the same days played with it and, in a copy of the project, without it.
+"""Measures the benefit of each mechanism: the same plays with it and, in a copy of the project, without it.
 
     python -m benchmarks.ablation --play 'COMMAND {seed}' --figure 'REGEX' [--seeds 1,2,3] [NAME ...]
 
-COMMAND plays a deployment in the folder that it is started in, and what it prints holds a figure, which the
-first group of REGEX finds. A mechanism is switched off by other lines in its place (`MECHANISMS`), so the
-program itself needs no switch. Printed is each mechanism's mean difference to the whole, over pairs of the
-same seed, and their spread.
+COMMAND plays a deployment in its working folder. Its output contains a figure, which the first group of REGEX
+matches. A mechanism is switched off by replacing its lines (`MECHANISMS`), so that the program itself needs
+no switch. For each mechanism, the mean and the standard deviation of the difference that its absence makes
+are printed, over pairs of the same seed.
 """
 
 from __future__ import annotations
@@ -26,16 +26,16 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 NEEDED = ("deploy", "fordtrestle", "requirements*.txt", "pyproject.toml", "target")
-PLAY_MOST_S = 1800.0
+PLAY_TIMEOUT_S = 1800.0
 WHOLE = "whole"
 
-Figures = dict[str, float | None]  # by seed
-Play = Callable[[Path, str], float | None]  # in a folder, with a seed
+Figures = dict[str, float | None]  # by seed; None if a play printed none
+Play = Callable[[Path, str], float | None]  # arguments: folder and seed
 
 
 @dataclass(frozen=True, slots=True)
 class Mechanism:
-    """Lines of a file, and what stands in their place once the mechanism is off."""
+    """Lines of a file, and the lines that replace them to switch the mechanism off."""
 
     file: str
     lines: str
@@ -102,7 +102,15 @@
 
 
 def copy_without(mechanism: Mechanism | None, folder: Path) -> None:
-    """A copy of what a play needs. `ValueError` unless the lines stand there once."""
+    """Copy the files that a play needs, without a mechanism.
+
+    Args:
+        mechanism: The mechanism to switch off; None for a complete copy.
+        folder: Where the copy is made.
+
+    Raises:
+        ValueError: The lines of the mechanism do not occur exactly once in its file.
+    """
     for pattern in NEEDED:
         for source in ROOT.glob(pattern):
             target = folder / source.name
@@ -114,22 +122,26 @@
     path = folder / mechanism.file
     text = path.read_text()
     if text.count(mechanism.lines) != 1:
-        raise ValueError(f"{mechanism.file} holds the lines {text.count(mechanism.lines)} times")
+        raise ValueError(
+            f"expected the lines once in {mechanism.file}, found them {text.count(mechanism.lines)} times"
+        )
     path.write_text(text.replace(mechanism.lines, mechanism.without))
 
 
 def play(folder: Path, seed: str, command: str, figure: re.Pattern[str]) -> float | None:
-    """The figure of one play; nothing where it printed none."""
-    words = shlex.split(command.replace("{seed}", seed))
-    ran = subprocess.run(words, cwd=folder, capture_output=True, text=True, timeout=PLAY_MOST_S, check=False)
-    found = figure.search(ran.stdout)
-    return float(found.group(1)) if found else None
+    """Run one play and return the figure that it printed, or None if it printed none."""
+    arguments = shlex.split(command.replace("{seed}", seed))
+    process = subprocess.run(
+        arguments, cwd=folder, capture_output=True, text=True, timeout=PLAY_TIMEOUT_S, check=False
+    )
+    match = figure.search(process.stdout)
+    return float(match.group(1)) if match else None
 
 
 def compare(whole: Figures, without: Figures) -> str:
-    """The row of one mechanism: what its absence changes, over seeds that both have a figure of."""
+    """Return the row of one mechanism: the change without it, over seeds with a figure of both plays."""
     pairs = [(whole[seed], without[seed]) for seed in whole]
-    changes = [other - one for one, other in pairs if one is not None and other is not None]
+    changes = [absent - present for present, absent in pairs if present is not None and absent is not None]
     if not changes:
         return "no pair"
     spread = statistics.stdev(changes) if len(changes) > 1 else 0.0
@@ -139,7 +151,7 @@
 def play_all(
     names: Sequence[str], seeds: Sequence[str], folder: Path, lanes: int, play_one: Play
 ) -> dict[str, Figures]:
-    """The figures of the whole and of each mechanism's absence, by seed; the copies stay in the folder."""
+    """Return the figures of the complete program and without each mechanism; the copies stay in `folder`."""
     cases = {WHOLE: None, **{name: MECHANISMS[name] for name in names}}
     with ThreadPoolExecutor(lanes) as pool:
         plays = {}
@@ -154,26 +166,30 @@
         }
 
 
-def arguments(words: list[str]) -> argparse.Namespace:
-    """What the command line asks for."""
+def parse_arguments(arguments: list[str]) -> argparse.Namespace:
+    """Parse the command line."""
     parser = argparse.ArgumentParser(prog="benchmarks.ablation")
     parser.add_argument("--play", required=True, help="a command; {seed} stands for the seed")
     parser.add_argument("--figure", required=True, help="a regular expression with one group")
     parser.add_argument("--seeds", default="1,2,3")
     parser.add_argument("--lanes", type=int, default=2, help="plays at the same time")
-    parser.add_argument("--folder", type=Path, help="where the copies are made, and kept")
-    parser.add_argument("names", nargs="*", choices=[*MECHANISMS, []], help="mechanisms; all without any")
-    return parser.parse_args(words)
-
-
-def main(words: list[str]) -> int:
-    """Print the table; the exit code."""
-    given = arguments(words)
-    names = given.names or list(MECHANISMS)
-    play_one = partial(play, command=given.play, figure=re.compile(given.figure, re.MULTILINE))
-    with tempfile.TemporaryDirectory() as passing:
-        folder = given.folder or Path(passing)
-        figures = play_all(names, given.seeds.split(","), folder, given.lanes, play_one)
+    parser.add_argument("--folder", type=Path, help="folder that the copies are made and kept in")
+    parser.add_argument("names", nargs="*", choices=[*MECHANISMS, []], help="mechanisms; all by default")
+    return parser.parse_args(arguments)
+
+
+def main(arguments: list[str]) -> int:
+    """Print the table.
+
+    Returns:
+        The exit code 0.
+    """
+    options = parse_arguments(arguments)
+    names = options.names or list(MECHANISMS)
+    play_one = partial(play, command=options.play, figure=re.compile(options.figure, re.MULTILINE))
+    with tempfile.TemporaryDirectory() as temporary:
+        folder = options.folder or Path(temporary)
+        figures = play_all(names, options.seeds.split(","), folder, options.lanes, play_one)
     print(f"{WHOLE}: {', '.join(str(value) for value in figures[WHOLE].values())}")
     for name in names:
         print(f"without {name}: {compare(figures[WHOLE], figures[name])}")
--- a/benchmarks/cluster_breaches.py
+++ b/benchmarks/cluster_breaches.py
@@ -1,13 +1,13 @@
-"""Whether each planted breach is found by the checker that must find it, and by what.
+"""Checks that each planted breach is found by the checker that must find it.
 
 `python -m benchmarks.cluster_breaches [--only NAME[,NAME]] [--runs N] [--side-by-side K] [--json FILE]`. Each
 breach of `rig/cluster/breaches/` is planted into the nodes of a cluster that its short schedule is played on,
-and the same schedule is played on the program as it is. All that is found is found by the checkers; the
-breach's name tells them nothing. Each play is a process of its own, since what starts others is late itself;
-one for which the machine was too busy is played again, alone.
+and the same schedule is played on the unmodified program. The checkers don't know the name of the breach.
+Each play runs in its own process, since a process that starts others is itself delayed. A play for which the
+machine was too busy is repeated alone.
 
-Exit codes: 0 each breach found by its checker in each run, and the program as it is never judged broken; 1
-not so, or no sound run; 2 bad input.
+Exit codes: 0 each breach was found by its checker in each run and the unmodified program was never judged
+broken; 1 otherwise, or there was no sound run; 2 bad input.
 """
 
 from __future__ import annotations
@@ -24,7 +24,16 @@
 import msgspec
 from msgspec import Struct
 
-from benchmarks.common import BAD_INPUT, DONE, NOT_MET, chosen, figure, options, table, write_json
+from benchmarks.common import (
+    BAD_INPUT,
+    DONE,
+    NOT_MET,
+    create_parser,
+    format_figure,
+    select_names,
+    table,
+    write_json,
+)
 from rig.cluster import breaching, schedules
 from rig.cluster.__main__ import How, bound_of, play
 from rig.cluster.breaching import BreachError
@@ -34,16 +43,23 @@
 from rig.helper import ROOT
 from rig.process import Program, ProgramError, clean_environment, raise_descriptors
 
-RUNS_MOST = 100
-AT_ONCE, AT_ONCE_MOST = 3, 8  # plays side by side,
-ALONE_MOST = 2  # and so often alone if the machine was too busy for that
-PLAY_S = 180.0
-VERDICTS: tuple[Verdict, ...] = ("kept", "unknown", "broken")  # the worst last
+MAX_RUNS = 100
+CONCURRENT_PLAYS, MAX_CONCURRENT_PLAYS = 3, 8
+MAX_REPEATS = 2  # of a play alone, if the machine was too busy for concurrent plays
+PLAY_TIMEOUT_S = 180.0
+VERDICTS: tuple[Verdict, ...] = ("kept", "unknown", "broken")  # from best to worst
 
 
 class Seen(Struct, frozen=True):
-    """What one play came to. `found`: findings of a breach by checker; `first_ms`: from the schedule's
-    beginning to what shows the first of the checker that must find it, where that has a time.
+    """Result of one play.
+
+    Attributes:
+        verdict: The worst verdict.
+        found: Number of findings of a breach by checker.
+        first_ms: Time from the beginning of the schedule to the first breach that the required checker
+            shows, if that has a time.
+        unsound: Why the play cannot be trusted; empty if it can.
+        texts: The first findings.
     """
 
     verdict: Verdict
@@ -54,7 +70,7 @@
 
 
 class Row(Struct, frozen=True):
-    """One breach: its plays, and those of the program as it is."""
+    """A breach: its plays with it and those of the unmodified program."""
 
     name: str
     checker: str
@@ -65,39 +81,43 @@
 
     @property
     def hits(self) -> int:
-        """Plays in which the checker found it."""
+        """Number of plays in which the required checker found the breach."""
         return sum(self.checker in seen.found for seen in self.planted)
 
     @property
     def found_by(self) -> list[str]:
-        """All checkers that found anything, the one that must first."""
+        """All checkers that found a breach, with the required one first."""
         found = {checker for seen in self.planted for checker in seen.found}
         return sorted(found, key=lambda checker: (checker != self.checker, checker))
 
     @property
     def first_ms(self) -> float | None:
-        """The median of all plays."""
+        """Median time to the first finding over all plays."""
         known = [seen.first_ms for seen in self.planted if seen.first_ms is not None]
         return statistics.median(known) if known else None
 
     @property
     def without(self) -> Verdict:
-        """The worst verdict on the program as it is."""
+        """The worst verdict on the unmodified program."""
         return max((seen.verdict for seen in self.plain), key=VERDICTS.index)
 
     @property
     def unsound(self) -> str:
-        """Why a play can't be believed; empty where all can."""
+        """Why a play cannot be trusted; empty if all can."""
         return next((why for seen in (*self.planted, *self.plain) for why in seen.unsound), "")
 
     @property
     def met(self) -> bool:
-        """Whether it was found each time, and the program as it is never judged broken."""
+        """Whether the breach was found in each play and the unmodified program was never judged broken."""
         return self.hits == len(self.planted) and self.without != "broken" and not self.unsound
 
 
 def schedule_of(name: str) -> Schedule:
-    """The schedule of a breach; `ScheduleError` names the file, the line and the field."""
+    """Read the schedule of a breach.
+
+    Raises:
+        ScheduleError: The file cannot be read; the message names the file, the line and the field.
+    """
     path = breaching.FOLDER / f"{name}.jsonl"
     try:
         return schedules.read(path.read_bytes(), str(path))
@@ -109,7 +129,7 @@
 
 
 async def one(name: str, planted: bool, tree: Path) -> Seen:
-    """Play the schedule of a breach, with it planted or on the program as it is."""
+    """Play the schedule of a breach, with the breach planted or on the unmodified program."""
     schedule = schedule_of(name)
     played = await play(schedule, How(tree, name if planted else ""))
     findings = judge(played, bound_of(schedule, How()))
@@ -117,7 +137,7 @@
 
 
 def seen(played: Played, findings: Sequence[Finding], checker: str) -> Seen:
-    """What a play came to."""
+    """Return the result of a play."""
     broken = [finding for finding in findings if finding.verdict == "broken"]
     found: dict[str, int] = {}
     for finding in broken:
@@ -128,10 +148,10 @@
 
 
 def first_ms(played: Played, broken: Sequence[Finding], checker: str) -> float | None:
-    """When a checker's first breach shows; None where it has no time.
+    """Return when the first breach of a checker becomes visible; None if it has no time.
 
-    A contradiction shows once its bound is over, one of the four rules as its call ends, any other with the
-    last of its events.
+    A contradiction is visible once its bound has passed, a breach of one of the four rules when its call
+    ends, and any other breach at the last of its events.
     """
     own = [finding.shown for finding in broken if finding.checker == checker and finding.shown]
     if checker == "contradiction":
@@ -151,49 +171,58 @@
 # --- all -----------------------------------------------------------------------------------
 
 
-async def apart(name: str, planted: bool, tree: Path) -> Seen:
-    """Play it in a process of its own. One that can't be made, or whose rig fell over, is not sound."""
+async def play_in_process(name: str, planted: bool, tree: Path) -> Seen:
+    """Play in a separate process. A play that cannot be started or whose rig crashed is unsound."""
     with tempfile.TemporaryDirectory(prefix="rig-breach-") as folder:
         out = Path(folder) / "seen.json"
-        words = ["--play", name, "--tree", str(tree), "--json", str(out), *([] if planted else ["--plain"])]
+        arguments = [
+            "--play",
+            name,
+            "--tree",
+            str(tree),
+            "--json",
+            str(out),
+            *([] if planted else ["--plain"]),
+        ]
         program = await Program.start(
-            [sys.executable, "-m", "benchmarks.cluster_breaches", *words],
+            [sys.executable, "-m", "benchmarks.cluster_breaches", *arguments],
             cwd=ROOT,
             environment=clean_environment(PYTHONPATH=str(ROOT)),
         )
-        code = await program.wait(PLAY_S)
+        code = await program.wait(PLAY_TIMEOUT_S)
         await program.stop()
         if code is None or not out.exists():
-            last = program.tail[-1] if program.tail else "no word"
-            why = last if code is not None else f"it did not end within {PLAY_S:g} s"
+            last = program.tail[-1] if program.tail else "the process printed nothing"
+            why = last if code is not None else f"it did not end within {PLAY_TIMEOUT_S:g} s"
             return Seen("unknown", {}, None, (why,), ())
         return msgspec.json.decode(out.read_bytes(), type=Seen)
 
 
-async def again(seen: Seen, attempt: Callable[[], Awaitable[Seen]]) -> Seen:
-    """What a play comes to: made again while the machine was too busy, `ALONE_MOST` times at most."""
-    for _ in range(ALONE_MOST):
+async def repeat_if_busy(seen: Seen, attempt: Callable[[], Awaitable[Seen]]) -> Seen:
+    """Repeat a play while the machine is too busy, at most `MAX_REPEATS` times; return the last result."""
+    for _ in range(MAX_REPEATS):
         if not seen.unsound:
             break
         seen = await attempt()
     return seen
 
 
-async def run(names: Sequence[str], runs: int, at_once: int, tree: Path) -> list[Row]:
-    """All rows: so many plays side by side, then alone those for which the machine was too busy.
+async def run(names: Sequence[str], runs: int, concurrency: int, tree: Path) -> list[Row]:
+    """Play all rows and print each play to standard error.
 
-    Each play is told on standard error.
+    Up to `concurrency` plays run concurrently. Those for which the machine was too busy are then repeated
+    alone.
     """
     plays = [(name, planted, number) for name in names for planted in (True, False) for number in range(runs)]
-    gate = asyncio.Semaphore(at_once)
+    gate = asyncio.Semaphore(concurrency)
     seen_by_play: dict[tuple[str, bool, int], Seen] = {}
 
     async def one_play(name: str, planted: bool) -> Seen:
         async with gate:
-            seen = await apart(name, planted, tree)
-        what = "planted" if planted else "as it is"
+            seen = await play_in_process(name, planted, tree)
+        variant = "planted" if planted else "as it is"
         texts = " | ".join((*seen.texts, *(f"UNSOUND: {why}" for why in seen.unsound)))
-        print(f"{name}, {what}: {seen.verdict}: {texts}", file=sys.stderr, flush=True)
+        print(f"{name}, {variant}: {seen.verdict}: {texts}", file=sys.stderr, flush=True)
         return seen
 
     async def side_by_side(play: tuple[str, bool, int]) -> None:
@@ -206,7 +235,9 @@
     except* ProgramError as errors:
         raise ProgramError(str(errors.exceptions[0])) from None
     for play in plays:
-        seen_by_play[play] = await again(seen_by_play[play], functools.partial(one_play, play[0], play[1]))
+        seen_by_play[play] = await repeat_if_busy(
+            seen_by_play[play], functools.partial(one_play, play[0], play[1])
+        )
     return [_row(name, seen_by_play, runs) for name in names]
 
 
@@ -233,7 +264,7 @@
 
 
 def cells(row: Row) -> list[str]:
-    """A row as the table shows it."""
+    """Return the table row of a breach."""
     return [
         row.name,
         row.checker,
@@ -241,65 +272,73 @@
         f"{row.hits}/{len(row.planted)}",
         str(row.steps),
         str(row.length_ms),
-        figure(row.first_ms),
+        format_figure(row.first_ms),
         row.without if row.without != "broken" else "BROKEN",
         row.unsound or "-",
     ]
 
 
-def told_of(row: Row) -> dict[str, Any]:
-    """All figures of a row as JSON values."""
+def row_as_json(row: Row) -> dict[str, Any]:
+    """Return all figures of a row as JSON values."""
     return {**msgspec.to_builtins(row), "met": row.met, "first_ms": row.first_ms, "without": row.without}
 
 
-def _count(text: str, most: int) -> int:
-    if not text.isdigit() or not 1 <= int(text) <= most:
-        raise ValueError(f"{text} is not from 1 to {most}")
+def _parse_count(text: str, maximum: int) -> int:
+    if not text.isdigit() or not 1 <= int(text) <= maximum:
+        raise ValueError(f"expected a number from 1 to {maximum}, got {text!r}")
     return int(text)
 
 
 def runs(text: str) -> int:
-    """How often; `ValueError` for what is no such number."""
-    return _count(text, RUNS_MOST)
+    """Parse the number of runs; raise `ValueError` if it is out of range."""
+    return _parse_count(text, MAX_RUNS)
 
 
 def side_by_side(text: str) -> int:
-    """How many at once; `ValueError` for what is no such number."""
-    return _count(text, AT_ONCE_MOST)
-
-
-def main(words: Sequence[str] | None = None) -> int:
-    """Play, print and judge; the exit code."""
-    made = options("cluster_breaches", __doc__)
-    made.add_argument("--only", metavar="NAME[,NAME]", help="these breaches only")
-    made.add_argument("--runs", type=runs, default=1, metavar="N", help=f"each so often, {RUNS_MOST} at most")
-    made.add_argument("--side-by-side", type=side_by_side, default=AT_ONCE, metavar="K", help="plays at once")
-    made.add_argument("--play", metavar="NAME", help="one play, told as JSON")
-    made.add_argument("--plain", action="store_true", help="with --play: on the program as it is")
-    given = made.parse_args(words)
-    if given.play:
-        names = chosen(given.play, breaching.names(), made)[:1]
+    """Parse the number of concurrent plays; raise `ValueError` if it is out of range."""
+    return _parse_count(text, MAX_CONCURRENT_PLAYS)
+
+
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Play, print and check the bounds.
+
+    Returns:
+        The exit code: `DONE`, `NOT_MET` or `BAD_INPUT`.
+    """
+    parser = create_parser("cluster_breaches", __doc__)
+    parser.add_argument("--only", metavar="NAME[,NAME]", help="only these breaches")
+    parser.add_argument(
+        "--runs", type=runs, default=1, metavar="N", help=f"plays of each breach, at most {MAX_RUNS}"
+    )
+    parser.add_argument(
+        "--side-by-side", type=side_by_side, default=CONCURRENT_PLAYS, metavar="K", help="concurrent plays"
+    )
+    parser.add_argument("--play", metavar="NAME", help="play once and print the result as JSON")
+    parser.add_argument("--plain", action="store_true", help="with --play: play the unmodified program")
+    options = parser.parse_args(arguments)
+    if options.play:
+        names = select_names(options.play, breaching.names(), parser)[:1]
     else:
-        names = chosen(given.only, breaching.names(), made)
+        names = select_names(options.only, breaching.names(), parser)
     raise_descriptors()
     try:
-        if given.play:
-            encoded = msgspec.json.encode(asyncio.run(one(names[0], not given.plain, given.tree)))
-            if given.json is not None:
-                given.json.write_bytes(encoded)
+        if options.play:
+            encoded = msgspec.json.encode(asyncio.run(one(names[0], not options.plain, options.tree)))
+            if options.json is not None:
+                options.json.write_bytes(encoded)
             else:
                 print(encoded.decode())
             return DONE
         for name in names:
-            breaching.breached(breaching.read(name), given.tree)
+            breaching.breached(breaching.read(name), options.tree)
             schedule_of(name)
-        rows = asyncio.run(run(names, given.runs, given.side_by_side, given.tree))
+        rows = asyncio.run(run(names, options.runs, options.side_by_side, options.tree))
     except (BreachError, ScheduleError, ProgramError) as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
     print(table(HEADS, [cells(row) for row in rows], right=False))
     met = all(row.met for row in rows)
-    write_json(given.json, given.tree, {"met": met, "rows": [told_of(row) for row in rows]})
+    write_json(options.json, options.tree, {"met": met, "rows": [row_as_json(row) for row in rows]})
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/cluster_faults.py
+++ b/benchmarks/cluster_faults.py
@@ -1,14 +1,15 @@
-"""How long sidecars act on rules that contradict, under each fault, and what it costs each of them.
+"""Measures how long sidecars act on contradicting rules under each fault, and the cost for each sidecar.
 
 `python -m benchmarks.cluster_faults [--quick] [--seed N] [--json FILE] [--tree DIR] [--only NAME[,NAME]]
-[--nodes N[,N]] [--bound-ms MS]`. N processes of the program hear one registry through links of the rig's, and
-servers leave its list while the links, the processes, their disks or their clocks fail. A contradiction on a
-server lasts from the first pick of one node by a list in which it leaves to the last send of another to it,
-and on settings from the first act by new ones to the last of another node by old ones. `settings`: the nodes'
-files change in turn, which takes a restart; `static`: their lists of servers do, by SIGHUP, in turn, too.
-
-Exit codes: 0 all runs sound, every promise kept and, with `--bound-ms`, every contradiction within it; 1 not
-so; 2 bad input or a program that can't be started.
+[--nodes N[,N]] [--bound-ms MS]`. N processes of the program follow one registry through links of the rig.
+Servers leave the list of the registry while links, processes, disks or clocks fail. A contradiction on a
+server lasts from the first selection of one node by a list in which the server leaves until the last send of
+another node to it. A contradiction on settings lasts from the first action under new settings until the last
+action of another node under old ones. In the row `settings`, the files of the nodes change in turn, which
+takes a restart. In the row `static`, their lists of servers change in turn, by SIGHUP.
+
+Exit codes: 0 all runs were sound, every promise was kept and, with `--bound-ms`, no contradiction lasted
+longer; 1 otherwise; 2 bad input or the program can't be started.
 """
 
 from __future__ import annotations
@@ -22,7 +23,17 @@
 from statistics import fmean
 from typing import Any
 
-from benchmarks.common import BAD_INPUT, DONE, NOT_MET, chosen, figure, make_ready, options, table, write_json
+from benchmarks.common import (
+    BAD_INPUT,
+    DONE,
+    NOT_MET,
+    create_parser,
+    format_figure,
+    prepare_process,
+    select_names,
+    table,
+    write_json,
+)
 from rig.cluster.cluster import REGISTRY, Cluster
 from rig.cluster.costs import FIGURES, NodeCost, costs, growth
 from rig.cluster.history import LIST, SETTINGS
@@ -49,18 +60,18 @@
 COUNTS, QUICK_COUNTS = (3, 10, 40, 100), (3, 10)
 LENGTH_MS = 9000
 FAULT_AT_MS, FAULT_LASTS_MS = 1500, 5000
-LEAVE_AT_MS = {"s0": 1000, "s1": 2500, "s2": 3500, "s3": 5000}  # when the registry tells that they leave
-TURNS_AT_MS, TURNS_LAST_MS = 1000, 6000  # in which the files of all nodes change one after another
-CALLS_MOST_S = 300.0  # at all nodes together: the rig must keep up
-RATE_A_NODE, RATE_LEAST = 10.0, 2.0
-BROKEN_SHOWN = 5
+LEAVE_AT_MS = {"s0": 1000, "s1": 2500, "s2": 3500, "s3": 5000}  # when the registry announces that they leave
+CHANGES_AT_MS, CHANGES_LAST_MS = 1000, 6000  # interval in which the files of all nodes change in turn
+MAX_CALLS_PER_S = 300.0  # at all nodes together, so that the rig keeps up
+MAX_RATE_PER_NODE, MIN_RATE_PER_NODE = 10.0, 2.0
+MAX_PRINTED_BREACHES = 5
 STATIC, NONE = "static", "none"
 
 Steps = Callable[[int], tuple[Step, ...]]
 
 
 def half(count: int) -> tuple[str, ...]:
-    """The nodes that a fault is on: half of them, one at least."""
+    """Return the nodes that have a fault: half of them, at least one."""
     return tuple(names(count)[: max(1, count // 2)])
 
 
@@ -73,7 +84,7 @@
 
 
 def _disk(writes: Writes) -> Steps:
-    """The fault, and a kill while it is on."""
+    """Return steps with a disk fault on each node, and a kill during the fault."""
     return lambda count: tuple(
         step
         for node in half(count)
@@ -82,9 +93,9 @@
 
 
 def _in_turn(count: int) -> tuple[Step, ...]:
-    pause_ms = TURNS_LAST_MS / count
+    pause_ms = CHANGES_LAST_MS / count
     return tuple(
-        Reload(round(TURNS_AT_MS + index * pause_ms), 1, node, 2) for index, node in enumerate(names(count))
+        Reload(round(CHANGES_AT_MS + index * pause_ms), 1, node, 2) for index, node in enumerate(names(count))
     )
 
 
@@ -116,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What one fault showed at one number of nodes. `recovery_ms`: infinite where a node never did."""
+    """Results of one fault at one number of nodes. `recovery_ms` is infinite if a node never recovered."""
 
     name: str
     nodes: int
@@ -132,32 +143,36 @@
     unsound: tuple[str, ...]
 
     def mean(self, name: str) -> float:
-        """A figure of the mean node."""
-        return fmean(getattr(one, name) for one in self.cost)
+        """Return the mean of a figure over all nodes."""
+        return fmean(getattr(node_cost, name) for node_cost in self.cost)
 
     def summary(self) -> dict[str, Any]:
-        """All figures as JSON values."""
-        told: dict[str, Any] = {
+        """Return all figures as JSON values."""
+        fields: dict[str, Any] = {
             field: getattr(self, field) for field in self.__slots__ if field not in ("cost", "recovery_ms")
         }
         recovery = self.recovery_ms if math.isfinite(self.recovery_ms) else None
-        return {**told, "recovery_ms": recovery, **{name: self.mean(name) for name in FIGURES}}
+        return {**fields, "recovery_ms": recovery, **{name: self.mean(name) for name in FIGURES}}
 
 
 def rate(count: int) -> float:
-    """Calls a second at each of so many nodes."""
-    return max(RATE_LEAST, min(RATE_A_NODE, CALLS_MOST_S / count))
+    """Return the calls per second at each of `count` nodes."""
+    return max(MIN_RATE_PER_NODE, min(MAX_RATE_PER_NODE, MAX_CALLS_PER_S / count))
 
 
 def schedule_of(name: str, count: int, seed: int) -> Schedule:
-    """The fault, and the news that it meets."""
+    """Return a schedule with the fault and the changes of the server list."""
     news = [News(at_ms, 1, server, "leaving") for server, at_ms in LEAVE_AT_MS.items()]
     steps = in_order((*FAULTS[name](count), *(() if name == STATIC else news)))
     return Schedule(Head(FORMAT, seed, count, LENGTH_MS), steps)
 
 
 async def measure(name: str, count: int, seed: int, tree: Path) -> Row:
-    """Play one fault; `ProgramError` if a node can't be started."""
+    """Play one fault.
+
+    Raises:
+        ProgramError: A node cannot be started.
+    """
     made = Cluster(schedule_of(name, count, seed), tree, rate_a_node=rate(count), static=name == STATIC)
     try:
         await made.start()
@@ -168,7 +183,7 @@
 
 
 def row_of(name: str, played: Played) -> Row:
-    """What a play showed, as a row."""
+    """Return the results of a play as a row."""
     spans = played.longest()
     findings = judge(played, math.inf)
     asked = sum(played.answers.values())
@@ -183,7 +198,9 @@
         asked=asked,
         cost=tuple(costs(played.nodes, played.counts, played.used, played.wall_s, [*played.nodes, REGISTRY])),
         rig_cpu_s=played.rig_cpu_s,
-        broken=tuple(f"{one.checker}: {one.text}" for one in findings if one.verdict == "broken"),
+        broken=tuple(
+            f"{finding.checker}: {finding.text}" for finding in findings if finding.verdict == "broken"
+        ),
         unsound=tuple(played.unsound),
     )
 
@@ -207,77 +224,86 @@
 
 
 def cells(row: Row) -> list[str]:
-    """A row as the table shows it."""
+    """Return the table row of a fault."""
     return [
         row.name,
         str(row.nodes),
-        figure(row.lists_ms),
-        figure(row.settings_ms),
-        figure(row.recovery_ms),
-        figure(100.0 * row.served, ".1f"),
+        format_figure(row.lists_ms),
+        format_figure(row.settings_ms),
+        format_figure(row.recovery_ms),
+        format_figure(100.0 * row.served, ".1f"),
         str(row.asked),
-        figure(row.mean("messages_s"), ".1f"),
-        figure(row.mean("bytes_s")),
-        figure(row.mean("syncs_s"), ".2f"),
-        figure(row.mean("memory_mb"), ".1f"),
-        figure(row.mean("cpu_ms_s"), ".1f"),
+        format_figure(row.mean("messages_s"), ".1f"),
+        format_figure(row.mean("bytes_s")),
+        format_figure(row.mean("syncs_s"), ".2f"),
+        format_figure(row.mean("memory_mb"), ".1f"),
+        format_figure(row.mean("cpu_ms_s"), ".1f"),
         str(len(row.broken) or "-"),
         "; ".join(row.unsound) or "-",
     ]
 
 
 async def run(faults: list[str], counts: list[int], seed: int, tree: Path) -> list[Row]:
-    """All rows, each as soon as it is measured also on standard error."""
+    """Measure all rows and print each to standard error as soon as it is measured."""
     rows = []
     for count in counts:
         for name in faults:
             row = await measure(name, count, seed, tree)
             rows.append(row)
             print(f"{name}, {count} nodes: {row.who or 'no contradiction'}", file=sys.stderr)
-            for text in row.broken[:BROKEN_SHOWN]:
+            for text in row.broken[:MAX_PRINTED_BREACHES]:
                 print(f"  BROKEN: {text}", file=sys.stderr)
             sys.stderr.flush()
     return rows
 
 
-def grown(rows: list[Row]) -> str:
-    """By how much each figure of a node grows with their number where nothing fails; empty where unknown."""
+def growth_text(rows: list[Row]) -> str:
+    """Return a line on the growth of each figure per node with the number of nodes, without faults.
+
+    The line is empty if fewer than two numbers of nodes were measured.
+    """
     of_none = {row.nodes: row.cost for row in rows if row.name == NONE}
     if len(of_none) < 2:
         return ""
     shares = growth(of_none)
-    told = ", ".join(f"{name} {100.0 * share:+.0f}%" for name, share in shares.items())
-    return f"from {min(of_none)} to {max(of_none)} nodes with no fault, a node's: {told}"
+    texts = ", ".join(f"{name} {100.0 * share:+.0f}%" for name, share in shares.items())
+    return f"from {min(of_none)} to {max(of_none)} nodes with no fault, a node's: {texts}"
 
 
 def main() -> int:
-    """Measure, print and judge; the exit code."""
-    made = options("cluster_faults", __doc__)
-    made.add_argument("--quick", action="store_true", help=f"{', '.join(map(str, QUICK_COUNTS))} nodes only")
-    made.add_argument("--only", metavar="NAME[,NAME]", help=f"of {', '.join(FAULTS)}")
-    made.add_argument("--nodes", metavar="N[,N]", help="other numbers of nodes, 2 to 200")
-    made.add_argument("--bound-ms", type=float, help="the longest contradiction that is allowed")
-    given = made.parse_args()
-    faults = chosen(given.only, list(FAULTS), made)
-    counts = list(QUICK_COUNTS if given.quick else COUNTS)
-    if given.nodes:
-        if not all(text.isdigit() and 2 <= int(text) <= 200 for text in given.nodes.split(",")):
-            made.error(f"--nodes: {given.nodes!r} is not from 2 to 200")
-        counts = [int(text) for text in given.nodes.split(",")]
-    make_ready()
+    """Measure, print and check the bounds.
+
+    Returns:
+        The exit code: `DONE`, `NOT_MET` or `BAD_INPUT`.
+    """
+    parser = create_parser("cluster_faults", __doc__)
+    parser.add_argument(
+        "--quick", action="store_true", help=f"{', '.join(map(str, QUICK_COUNTS))} nodes only"
+    )
+    parser.add_argument("--only", metavar="NAME[,NAME]", help=f"of {', '.join(FAULTS)}")
+    parser.add_argument("--nodes", metavar="N[,N]", help="other numbers of nodes, 2 to 200")
+    parser.add_argument("--bound-ms", type=float, help="the longest allowed contradiction")
+    options = parser.parse_args()
+    faults = select_names(options.only, list(FAULTS), parser)
+    counts = list(QUICK_COUNTS if options.quick else COUNTS)
+    if options.nodes:
+        if not all(text.isdigit() and 2 <= int(text) <= 200 for text in options.nodes.split(",")):
+            parser.error(f"--nodes: expected numbers from 2 to 200, got {options.nodes!r}")
+        counts = [int(text) for text in options.nodes.split(",")]
+    prepare_process()
     try:
-        rows = asyncio.run(run(faults, counts, given.seed, given.tree))
+        rows = asyncio.run(run(faults, counts, options.seed, options.tree))
     except ProgramError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
     print(table(HEADS, [cells(row) for row in rows]))
-    if text := grown(rows):
+    if text := growth_text(rows):
         print(text)
     met = not any(row.unsound or row.broken for row in rows)
-    if given.bound_ms is not None:
-        met = met and all(max(row.lists_ms, row.settings_ms) <= given.bound_ms for row in rows)
-    found = [row.summary() for row in rows]
-    write_json(given.json, given.tree, {"seed": given.seed, "met": met, "rows": found})
+    if options.bound_ms is not None:
+        met = met and all(max(row.lists_ms, row.settings_ms) <= options.bound_ms for row in rows)
+    summaries = [row.summary() for row in rows]
+    write_json(options.json, options.tree, {"seed": options.seed, "met": met, "rows": summaries})
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -1,20 +1,21 @@
-"""Cold servers under the sum of a whole fleet, in virtual time: how often they get more than they bear.
+"""Measures how often a whole fleet together sends cold servers more than they can bear, in virtual time.
 
 `python -m benchmarks.cold_sum [--seed N] [--runs N] [--json FILE] [--tree DIR] [--only NAME[,NAME]]
 [--sidecars N[,N]] [--full-rate R]`. The decision module (of another checkout with `--tree`) plays in 1, 5,
-20, 30 and 200 sidecars against modelled servers, `--runs` times a row, from seed `--seed` (1) on: seeds 1
-to 10 as it stands, half of them with keys. Rows:
+20, 30 and 200 sidecars against simulated servers, `--runs` times for each row, with seeds from `--seed` (1)
+on: seeds 1 to 10 by default, half of them with keys. Rows:
 
 - one: on a calm day one server dies and returns cold.
 - roll: half of the servers are replaced by cold ones, two a second.
-- leave, silent: three servers start cold, and 3 to 6 s later all but those and two leave or fall silent.
-- herd: six servers start cold as all sidecars restart; clients come again at once.
-- few: the same, and the list that the sidecars then get names four warm ones only.
+- leave, silent: three servers start cold, and 3 to 6 s later all others but two leave or become silent.
+- herd: six servers start cold while all sidecars restart; clients retry at once.
+- few: the same, but the list that the sidecars then receive has only four warm servers.
 
-What counts: of the requests that reach a cold server within any span of `OverloadFor` those beyond N, the
-`FallMultiple` of what it can do at that moment over that span. `2 * sqrt(N) + 2` are put down to chance.
+The excess is the number of requests beyond N that reach a cold server within any interval of `OverloadFor`. N
+is `FallMultiple` times what the server can do in that interval at its present warmth. `2 * sqrt(N) + 2` of
+them are attributed to chance.
 
-Exit codes: 0 no run of any row went over, 1 some did, 2 bad input.
+Exit codes: 0 no run had an excess, 1 some had, 2 bad input.
 """
 
 from __future__ import annotations
@@ -29,7 +30,16 @@
 from dataclasses import asdict, dataclass, field, replace
 from typing import Any, Literal
 
-from benchmarks.common import BAD_INPUT, DONE, NOT_MET, chosen, figure, options, table, write_json
+from benchmarks.common import (
+    BAD_INPUT,
+    DONE,
+    NOT_MET,
+    create_parser,
+    format_figure,
+    select_names,
+    table,
+    write_json,
+)
 from benchmarks.fleet_size import balancer_of, settings
 from fordtrestle.balancer import model
 from fordtrestle.balancer.model import Outcome
@@ -39,37 +49,37 @@
 HERD_COLD, HERD_WARM_LEFT = 6, 4
 USED = 0.7  # of all servers' full rates
 FULL_RATE = 8.0  # requests of mean work that a warm server can do in a second
-ANSWER_MS = 60.0  # beside the wait
-QUEUE_MS = 1500.0  # a longer wait is turned away
+ANSWER_MS = 60.0  # mean response time without queueing
+QUEUE_MS = 1500.0  # a request that would wait longer is rejected
 HALF_MS = 0.5
 CONNECT_MS = 250.0
-HELD_SHARE = 0.5  # of the sends to a silent server go by a connection that is open: nothing is heard
-TROUBLE_MS = 12_000.0  # when a row's trouble begins: rates are known by then
+OPEN_CONNECTION_SHARE = 0.5  # of the sends to a silent server use an open connection and time out
+EVENT_MS = 12_000.0  # when the event of a row begins, once rates are learned
 LENGTH_MS = 24_000.0
 KEYS = 500
-PRICED_FROM = 20  # sidecars: where connections cost, one that has much traffic alone keeps to too few
-RETRIES = 2  # a client's own, after a refusal
+PRICED_FROM = 20  # sidecars; in a smaller fleet, priced connections keep a busy sidecar to too few servers
+RETRIES = 2  # of a client after a rejection
 
-How = Literal["up", "refusing", "silent"]
+ServerState = Literal["up", "refusing", "silent"]
 Make = Callable[[float, model.Settings, int], Any]
 
 
 @dataclass(slots=True, eq=False)
 class Server:
-    """One server: a line in which each request takes its part of a second."""
+    """A server with one queue, in which each request takes a share of a second."""
 
     name: str
     full_rate: float
     started: float = 0.0  # 0: warm
-    how: How = "up"
+    how: ServerState = "up"
     free_ms: float = 0.0
-    got: list[float] = field(default_factory=list)  # when requests reached it, in order
-    over: float = -math.inf  # the most that any span got beyond N and what is put down to chance
+    got: list[float] = field(default_factory=list)  # ordered times of the requests that reached it
+    over: float = -math.inf  # largest excess of any interval beyond N and the margin for chance
 
 
 @dataclass(slots=True, eq=False)
 class Asked:
-    """One client's request, and its present try at a sidecar."""
+    """A request of a client, and its current try at a sidecar."""
 
     me: int
     traffic_class: int
@@ -77,21 +87,21 @@
     until_ms: float
     tries: int = 0
     number: int = 0
-    at: Any = None  # the module that has it
+    at: Any = None  # decision module that handles it
     sent: list[float] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What a run came to."""
+    """Results of a run."""
 
-    over: float  # requests beyond what is borne, in the worst span of any cold server
-    flow: float  # to cold servers, over what their warmth alone would draw of the even share
+    over: float  # excess requests in the worst interval of any cold server
+    flow: float  # requests to cold servers, relative to an even share weighted by their warmth
     served: float  # of all requests
 
 
 class Fleet:
-    """Sidecars, servers and clients of one run on one clock of milliseconds."""
+    """Sidecars, servers and clients of one run on a virtual clock in milliseconds."""
 
     def __init__(self, make: Make, sidecars: int, seed: int, keys: bool, full_rate: float) -> None:
         self.rng = random.Random(f"cold_sum/{sidecars}/{seed}")
@@ -107,10 +117,10 @@
         self.servers = {f"s{n}": Server(f"s{n}", full_rate) for n in range(SERVERS)}
         self.listed = {name: model.Listing(name, int(name[1:]) % 3) for name in self.servers}
         self._open: dict[int, Asked] = {}
-        self._down: dict[int, list[Asked]] = {}  # sidecars that are down, and the clients that wait for them
-        self.sidecars: list[Any] = [self._born(me) for me in range(sidecars)]
+        self._down: dict[int, list[Asked]] = {}  # clients that wait for sidecars that are down
+        self.sidecars: list[Any] = [self._create_balancer(me) for me in range(sidecars)]
         self.asked = self.served = 0
-        # Most sidecars see little, and some several times the mean.
+        # Most sidecars have little traffic, and some several times the mean.
         weights = [self.rng.gammavariate(1.5, 1.0) for _ in range(sidecars)]
         rate = USED * full_rate * SERVERS / 1000.0
         self._rate = [rate * weight / sum(weights) for weight in weights]
@@ -121,7 +131,7 @@
         heapq.heappush(self._events, (when, next(self._order), act))
 
     def run(self) -> Figures:
-        """Play to the end."""
+        """Play the run to its end and return its results."""
         while self._events and self._events[0][0] < LENGTH_MS:
             self.now, _, act = heapq.heappop(self._events)
             act()
@@ -138,7 +148,7 @@
     # --- servers ---------------------------------------------------------------------
 
     def warmth(self, now: float, started: float = -1.0) -> float:
-        """The share of its capacity that the settings allow a server then."""
+        """Return the share of its capacity that the settings assume for a server at a time."""
         if not started:
             return 1.0
         age = 0.0 if started < 0.0 else now - started
@@ -146,42 +156,46 @@
         return min(1.0, cold + (1.0 - cold) * age / self.rules.warm_up)
 
     def start_cold(self, name: str, zone: int, tell: bool = True) -> None:
-        """A server starts, and all sidecars hear of it 0.1 to 1 s later."""
+        """Start a cold server; all sidecars learn of it 0.1 to 1 s later."""
         self.servers[name] = Server(name, self.servers["s1"].full_rate, self.now)
         self.listed[name] = model.Listing(name, zone, started=self.now)
         if tell:
-            self._news([self.listed[name]])
+            self._announce([self.listed[name]])
 
     def leave(self, name: str) -> None:
-        """A server drains; it still serves what comes."""
+        """Drain a server; it still serves what it receives."""
         self.listed[name] = self.listed[name]._replace(state="left")
-        self._news([self.listed[name]])
+        self._announce([self.listed[name]])
 
     def die(self, name: str, back_ms: float) -> None:
-        """A server's process ends, and another starts there later."""
+        """End the process of a server; another one starts there later."""
         self.servers[name].how = "refusing"
         zone = self.listed[name].zone
         self.at(self.now + back_ms, lambda: self.start_cold(name, zone))
 
-    def _news(self, entries: list[model.Listing]) -> None:
+    def _announce(self, entries: list[model.Listing]) -> None:
         for me in range(len(self.sidecars)):
             when = self.now + self.rng.uniform(100.0, 1000.0)
-            self.at(when, lambda me=me: self._hear(me, entries))  # type: ignore[misc]
+            self.at(when, lambda me=me: self._apply_listings(me, entries))  # type: ignore[misc]
 
-    def _hear(self, me: int, entries: list[model.Listing]) -> None:
+    def _apply_listings(self, me: int, entries: list[model.Listing]) -> None:
         if me not in self._down:
-            self._act(me, self.sidecars[me].server_list(self.now, "changes", entries))
+            self._execute(me, self.sidecars[me].server_list(self.now, "changes", entries))
 
-    def _reach(self, server: Server) -> float | None:
-        """A request reaches a server that is up: when it is answered; None if it is turned away."""
+    def _serve(self, server: Server) -> float | None:
+        """Let a request reach a server that is up.
+
+        Returns:
+            When it is answered, or None if it is rejected.
+        """
         if server.started:
             insort(server.got, self.now)
             span = self.rules.overload_for
             can = server.full_rate * self.warmth(self.now, server.started) * span / 1000.0
-            borne = self.rules.fall_multiple * can
+            bearable = self.rules.fall_multiple * can
             sent = len(server.got) - bisect_right(server.got, self.now - span)
             if self.now - server.started < self.rules.warm_up:
-                server.over = max(server.over, sent - borne - 2.0 * math.sqrt(borne) - 2.0)
+                server.over = max(server.over, sent - bearable - 2.0 * math.sqrt(bearable) - 2.0)
         if server.free_ms - self.now > QUEUE_MS:
             return None
         took = 1000.0 / (server.full_rate * self.warmth(self.now, server.started))
@@ -190,33 +204,33 @@
 
     # --- sidecars --------------------------------------------------------------------
 
-    def _born(self, me: int) -> Any:
+    def _create_balancer(self, me: int) -> Any:
         made = self._make(self.now, self._settings[me], next(self._seeds))
         made.server_list(self.now, "remembered", list(self.listed.values()))
         return made
 
     def restart(self, me: int, away_ms: float) -> None:
-        """A sidecar is killed; its clients come again at once as it is back."""
+        """Kill a sidecar; its clients retry at once when it is back."""
         self._down[me] = [asked for asked in self._open.values() if asked.me == me]
         for asked in self._down[me]:
             del self._open[asked.number]
         self.sidecars[me] = None
 
         def back() -> None:
-            self.sidecars[me] = self._born(me)
+            self.sidecars[me] = self._create_balancer(me)
             for asked in self._down.pop(me):
-                self._come(asked)
+                self._arrive(asked)
 
         self.at(self.now + away_ms, back)
 
-    def _act(self, me: int, actions: list[model.Action]) -> None:
+    def _execute(self, me: int, actions: list[model.Action]) -> None:
         one = self.sidecars[me]
         for action in actions:
             match action:
                 case model.Send(number, name, timeout) if number in self._open:
                     self._send(self._open[number], self.servers[name], timeout)
                 case model.Refuse(number, after) if number in self._open:
-                    self._come_again(self._open.pop(number), after)
+                    self._retry(self._open.pop(number), after)
                 case model.Fail(number):
                     self._open.pop(number, None)
                 case model.Timer(delay, token):
@@ -224,17 +238,17 @@
 
     def _timer(self, me: int, one: Any, token: str) -> None:
         if one is self.sidecars[me]:
-            self._act(me, one.timer(self.now, token))
+            self._execute(me, one.timer(self.now, token))
 
     def _send(self, asked: Asked, server: Server, timeout: float) -> None:
         hop, over = len(asked.sent), self.now + timeout
         asked.sent.append(self.now)
 
         def end(when: float, status: Outcome) -> None:
-            self.at(when, lambda: self._ended(asked, hop, status))
+            self.at(when, lambda: self._on_outcome(asked, hop, status))
 
         def reach() -> None:
-            answer = self._reach(server)
+            answer = self._serve(server)
             if answer is None:
                 end(self.now + HALF_MS, Outcome.FULL)
             else:
@@ -244,18 +258,18 @@
             self.at(self.now + HALF_MS, reach)
         elif server.how == "refusing":
             end(self.now + 2.0 * HALF_MS, Outcome.CONNECT_FAILED)
-        elif self.rng.random() < HELD_SHARE:
+        elif self.rng.random() < OPEN_CONNECTION_SHARE:
             end(over, Outcome.TIMEOUT)
         else:
             end(min(over, self.now + CONNECT_MS), Outcome.CONNECT_FAILED)
 
-    def _ended(self, asked: Asked, hop: int, status: Outcome) -> None:
+    def _on_outcome(self, asked: Asked, hop: int, status: Outcome) -> None:
         if self.sidecars[asked.me] is not asked.at:
             return
         last = status == Outcome.OK
         self.served += last
         spent = self.now - asked.sent[hop]
-        self._act(asked.me, asked.at.outcome(self.now, asked.number, hop, int(status), spent, last))
+        self._execute(asked.me, asked.at.outcome(self.now, asked.number, hop, int(status), spent, last))
         if last:
             self._open.pop(asked.number, None)
 
@@ -268,38 +282,38 @@
             self._next_client(me)
             self.asked += 1
             traffic_class = int(self.rng.random() < 0.37)
-            key = int(KEYS * self.rng.random() ** 2)  # some are popular
+            key = int(KEYS * self.rng.random() ** 2)  # some keys are popular
             until = self.now + self.rules.profiles[traffic_class].deadline
-            self._come(Asked(me, traffic_class, key, until))
+            self._arrive(Asked(me, traffic_class, key, until))
 
         self.at(when, come)
 
-    def _come(self, asked: Asked) -> None:
-        """A client's try reaches its sidecar, or waits for one that is down."""
+    def _arrive(self, asked: Asked) -> None:
+        """Let a try of a client reach its sidecar, or wait until the sidecar is back."""
         waits = self._down.get(asked.me)
         if waits is not None:
             waits.append(asked)
             return
         if asked.until_ms <= self.now:
             return
-        # A copy for each try: what an earlier one still has out ends with that one.
+        # Each try is a copy, so that sends of an earlier try end with that try.
         asked = replace(asked, number=next(self._numbers), sent=[], at=self.sidecars[asked.me])
         self._open[asked.number] = asked
         arrival = model.Arrival(asked.number, asked.traffic_class, asked.until_ms, key=asked.key)
-        self._act(asked.me, asked.at.request(self.now, arrival))
+        self._execute(asked.me, asked.at.request(self.now, arrival))
 
-    def _come_again(self, asked: Asked, after: float) -> None:
+    def _retry(self, asked: Asked, after: float) -> None:
         asked.tries += 1
         if asked.tries <= RETRIES:
             wait = max(after, self.rng.uniform(30.0, 240.0) * 2.0 ** (asked.tries - 1))
-            self.at(self.now + wait, lambda: self._come(asked))
+            self.at(self.now + wait, lambda: self._arrive(asked))
 
 
 # --- the rows ----------------------------------------------------------------------------
 
 
 def one(fleet: Fleet) -> None:
-    fleet.at(TROUBLE_MS - 2000.0, lambda: fleet.die("s0", 2000.0))
+    fleet.at(EVENT_MS - 2000.0, lambda: fleet.die("s0", 2000.0))
 
 
 def roll(fleet: Fleet) -> None:
@@ -308,13 +322,13 @@
         fleet.start_cold(f"t{number}", number % 3)
 
     for step in range(SERVERS // 2):
-        fleet.at(TROUBLE_MS + 500.0 * step, lambda number=2 * step: swap(number))  # type: ignore[misc]
+        fleet.at(EVENT_MS + 500.0 * step, lambda number=2 * step: swap(number))  # type: ignore[misc]
 
 
 def _concentrate(fleet: Fleet, lose: Callable[[str], None]) -> None:
     for number in range(COLD):
-        fleet.at(TROUBLE_MS, lambda name=f"c{number}", zone=number: fleet.start_cold(name, zone))  # type: ignore[misc]
-    when = TROUBLE_MS + fleet.rng.uniform(3000.0, 6000.0)
+        fleet.at(EVENT_MS, lambda name=f"c{number}", zone=number: fleet.start_cold(name, zone))  # type: ignore[misc]
+    when = EVENT_MS + fleet.rng.uniform(3000.0, 6000.0)
     for number in range(SERVERS - WARM_LEFT):
         fleet.at(when, lambda name=f"s{number}": lose(name))  # type: ignore[misc]
 
@@ -340,7 +354,7 @@
         for me in range(len(fleet.sidecars)):
             fleet.restart(me, fleet.rng.uniform(300.0, 1500.0))
 
-    fleet.at(TROUBLE_MS, begin)
+    fleet.at(EVENT_MS, begin)
 
 
 def herd(fleet: Fleet) -> None:
@@ -358,45 +372,51 @@
 
 
 def play(row: str, make: Make, sidecars: int, seed: int, full_rate: float = FULL_RATE) -> Figures:
-    """One run; odd seeds go by keys."""
+    """Play one run; odd seeds use keys."""
     fleet = Fleet(make, sidecars, seed, seed % 2 == 1, full_rate)
     ROWS[row](fleet)
     return fleet.run()
 
 
 def main() -> int:
-    """Play, print and judge; the exit code."""
-    made = options("cold_sum", __doc__)
-    made.add_argument("--runs", type=int, default=10, help="of each row and fleet")
-    made.add_argument("--only", metavar="NAME[,NAME]", help=f"of {', '.join(ROWS)}")
-    made.add_argument("--sidecars", default=",".join(map(str, FLEETS)), metavar="N[,N]")
-    made.add_argument("--full-rate", type=float, default=FULL_RATE, help="requests a second of a warm server")
-    given = made.parse_args()
-    names = chosen(given.only, list(ROWS), made)
+    """Play, print and check the bounds.
+
+    Returns:
+        The exit code: `DONE`, `NOT_MET` or `BAD_INPUT`.
+    """
+    parser = create_parser("cold_sum", __doc__)
+    parser.add_argument("--runs", type=int, default=10, help="of each row and number of sidecars")
+    parser.add_argument("--only", metavar="NAME[,NAME]", help=f"of {', '.join(ROWS)}")
+    parser.add_argument("--sidecars", default=",".join(map(str, FLEETS)), metavar="N[,N]")
+    parser.add_argument(
+        "--full-rate", type=float, default=FULL_RATE, help="requests per second of a warm server"
+    )
+    options = parser.parse_args()
+    names = select_names(options.only, list(ROWS), parser)
     try:
-        fleets = [int(text) for text in given.sidecars.split(",")]
-        make = balancer_of(given.tree)
+        fleets = [int(text) for text in options.sidecars.split(",")]
+        make = balancer_of(options.tree)
     except ValueError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
-    if min(given.runs, *fleets) < 1 or given.full_rate <= 0.0:
-        made.error("--runs, --sidecars, --full-rate: more than none")
+    if min(options.runs, *fleets) < 1 or options.full_rate <= 0.0:
+        parser.error("--runs, --sidecars, --full-rate: expected positive numbers")
     rows: dict[str, list[dict[str, float]]] = {}
     cells = []
     for name, fleet in itertools.product(names, fleets):
-        seeds = range(given.seed, given.seed + given.runs)
-        runs = [play(name, make, fleet, seed, given.full_rate) for seed in seeds]
+        seeds = range(options.seed, options.seed + options.runs)
+        runs = [play(name, make, fleet, seed, options.full_rate) for seed in seeds]
         rows[f"{name}/{fleet}"] = [asdict(run) for run in runs]
         over = sum(run.over > 0.0 for run in runs)
         mean = [sum(values) / len(runs) for values in zip(*((r.flow, r.served) for r in runs), strict=True)]
         cells.append([
-            name, str(fleet), f"{over}/{len(runs)}", figure(max(run.over for run in runs), ".1f"),
-            figure(mean[0], ".2f"), figure(100.0 * mean[1], ".1f"),
+            name, str(fleet), f"{over}/{len(runs)}", format_figure(max(run.over for run in runs), ".1f"),
+            format_figure(mean[0], ".2f"), format_figure(100.0 * mean[1], ".1f"),
         ])  # fmt: skip
         print(f"{name}/{fleet}: played", file=sys.stderr, flush=True)
     print(table(HEADS, cells))
     met = all(run["over"] <= 0.0 for runs in rows.values() for run in runs)
-    write_json(given.json, given.tree, {"seed": given.seed, "met": met, "runs": rows})
+    write_json(options.json, options.tree, {"seed": options.seed, "met": met, "runs": rows})
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/common.py
+++ b/benchmarks/common.py
@@ -1,4 +1,4 @@
-"""What measurements share: their options, tables and files."""
+"""Options, tables and files that the benchmarks share."""
 
 from __future__ import annotations
 
@@ -18,41 +18,45 @@
 DONE, NOT_MET, BAD_INPUT = 0, 1, 2
 
 
-def options(name: str, description: str | None) -> argparse.ArgumentParser:
-    """A command line with what all measurements take; bad input ends with exit code 2."""
-    made = argparse.ArgumentParser(prog=f"python -m benchmarks.{name}", description=description)
-    made.add_argument("--seed", type=int, default=1)
-    made.add_argument("--json", type=_file, metavar="FILE", help="write all figures there")
-    made.add_argument("--tree", type=_tree, default=ROOT, metavar="DIR", help="the checkout to measure")
-    return made
+def create_parser(name: str, description: str | None) -> argparse.ArgumentParser:
+    """Create a command line parser with the options of all benchmarks; bad input exits with code 2."""
+    parser = argparse.ArgumentParser(prog=f"python -m benchmarks.{name}", description=description)
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--json", type=_file, metavar="FILE", help="write all figures to this file")
+    parser.add_argument("--tree", type=_tree, default=ROOT, metavar="DIR", help="the checkout to measure")
+    return parser
 
 
 def _tree(text: str) -> Path:
     path = Path(text).resolve()
     if not (path / "fordtrestle" / "__main__.py").is_file():
-        raise argparse.ArgumentTypeError(f"{text}: no checkout with fordtrestle/__main__.py")
+        raise argparse.ArgumentTypeError(f"expected a checkout with fordtrestle/__main__.py, got {text}")
     return path
 
 
 def _file(text: str) -> Path:
-    """Guards against a run whose figures can't be written at its end."""
+    """Parse the path of an output file, so that a run does not fail to write its figures at its end."""
     path = Path(text).resolve()
     if not path.parent.is_dir() or path.is_dir() or not os.access(path.parent, os.W_OK):
-        raise argparse.ArgumentTypeError(f"{text}: can't be written")
+        raise argparse.ArgumentTypeError(f"expected a file in a writable folder, got {text}")
     return path
 
 
-def chosen(text: str | None, known: Sequence[str], parser: argparse.ArgumentParser) -> list[str]:
-    """The names that `--only` picks, in their own order; an unknown one ends with exit code 2."""
+def select_names(text: str | None, known: Sequence[str], parser: argparse.ArgumentParser) -> list[str]:
+    """Return the names that `--only` selects, in the order of `known`; an unknown one exits with code 2."""
     names = text.split(",") if text else list(known)
     for name in names:
         if name not in known:
-            parser.error(f"--only: no {name!r}; there are {', '.join(known)}")
+            parser.error(f"--only: expected names of {', '.join(known)}; got {name!r}")
     return [name for name in known if name in names]
 
 
-def make_ready() -> None:
-    """Ready this process: off the program's core, with descriptors, and with no full collections."""
+def prepare_process() -> None:
+    """Prepare this process for measuring.
+
+    Keeps it off the core of the program, raises its descriptor limit and excludes all present objects from
+    garbage collection.
+    """
     reserve_core()
     raise_descriptors()
     gc.collect()
@@ -60,7 +64,7 @@
 
 
 def table(heads: Sequence[str], rows: Sequence[Sequence[str]], right: bool = True) -> str:
-    """A table to read: the first column to the left, all others to the right if so asked."""
+    """Format a table. The first column is left-aligned, the others are right-aligned if `right` is set."""
     widths = [max(len(row[column]) for row in (heads, *rows)) for column in range(len(heads))]
 
     def line(row: Sequence[str]) -> str:
@@ -73,13 +77,13 @@
     return "\n".join([line(heads), *(line(row) for row in rows)])
 
 
-def figure(value: float | None, form: str = ".0f") -> str:
-    """A figure as tables show it."""
+def format_figure(value: float | None, form: str = ".0f") -> str:
+    """Format a figure for a table; `-` if there is none or it is not finite."""
     return "-" if value is None or not math.isfinite(value) else format(value, form)
 
 
 def write_json(path: Path | None, tree: Path, figures: dict[str, Any]) -> None:
-    """Write all figures, with the checkout that they are of."""
+    """Write all figures with the revision of the measured checkout."""
     if path is not None:
-        whole = {"revision": revision(tree), **figures}
-        path.write_text(json.dumps(whole, indent=1, allow_nan=False) + "\n", encoding="utf-8")
+        document = {"revision": revision(tree), **figures}
+        path.write_text(json.dumps(document, indent=1, allow_nan=False) + "\n", encoding="utf-8")
--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,9 +1,11 @@
-"""How long the control state takes to acknowledge, is without a primary after each loss, and how soon after
-one it bears the next, in virtual time.
+"""Measures the latency of writes and the outages of the control state, in virtual time.
 
-`python -m benchmarks.control`: three stores (f = 1; five where halves are cut apart) whose links and disks
-have the delays that are stated; no sockets, no processes, the replication's own code. A row is repeated with
-other draws of chance (`--seeds`).
+Measures how long a write takes to be acknowledged, how long there is no primary after each loss, and how long
+it takes after a loss until the next one is tolerated.
+
+`python -m benchmarks.control`: three stores (f = 1; five if halves are partitioned) whose links and disks
+have the stated delays. Runs the replication code of the program without sockets or processes. Each row is
+repeated with `--seeds` seeds.
 """
 
 from __future__ import annotations
@@ -28,74 +30,76 @@
 TICK_S = 0.05
 ANNOUNCE_S = 0.4
 SYNC_S = 0.001
-SETTLED_S = 10.0  # after the start, until the loss
-LASTS_S = 30.0
+SETTLE_S = 10.0  # from the start to the loss
+MAX_OUTAGE_S = 30.0
 WRITES = 200
-MACHINES = 3  # that are tolerated to be lost one at a time
+MACHINES = 3  # tolerate one loss at a time
 MACHINES_OF_HALVES = 5
 
 
 @dataclass
 class Machine:
-    """One machine: its disk stays where its process ends."""
+    """A machine whose disk outlives its process."""
 
     address: str
     disk: list[Record] = field(default_factory=list)
     node: Node | None = None
-    life: int = 0
-    synced_at: float = 0.0  # until which the disk is busy
+    incarnation: int = 0
+    synced_at: float = 0.0  # time until which the disk is busy
     stalled_until: float = 0.0
     frozen_until: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Weather:
-    """How links and disks do. A message that is lost is sent again by TCP, and those behind it wait."""
+class Conditions:
+    """Behaviour of links and disks. TCP sends a lost message again, and later messages wait for it."""
 
-    jitter_s: float = 0.0  # at most, beside the delay
+    jitter_s: float = 0.0  # maximum addition to the delay
     lost: float = 0.0  # share of messages
     resend_s: tuple[float, float] = (0.2, 0.4)
     sync_s: float = SYNC_S
 
 
-CALM = Weather()
+IDEAL = Conditions()
 
 
 class Deployment:
-    """Some stores in virtual time."""
+    """Simulated stores in virtual time."""
 
-    def __init__(self, delay_s: float, seed: int, machines: int = MACHINES, weather: Weather = CALM) -> None:
+    def __init__(
+        self, delay_s: float, seed: int, machines: int = MACHINES, conditions: Conditions = IDEAL
+    ) -> None:
         self.now = 0.0
         self._delay_s = delay_s
-        self._weather = weather
+        self._conditions = conditions
         self._link_free_at: dict[tuple[str, str], float] = {}  # by sender and receiver
         self.rng = random.Random(seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
-        self._stores = itertools.count(1)
-        self.cut: set[tuple[str, str]] = set()  # addresses: from, to
+        self._event_numbers = itertools.count()
+        self._store_numbers = itertools.count(1)
+        self.cut: set[tuple[str, str]] = set()  # address pairs: sender, receiver
         self._tolerated = machines // 2
         self.machines = [Machine(f"10.0.0.{index}:1") for index in range(machines)]
         for machine in self.machines:
             self.start(machine)
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
-        """Let something happen at a time."""
-        heapq.heappush(self._events, (when, next(self._order), act))
+    def at(self, when: float, action: Callable[[], None]) -> None:
+        """Schedule an action at a time."""
+        heapq.heappush(self._events, (when, next(self._event_numbers), action))
 
     def run_until(self, when: float, done: Callable[[], bool] = lambda: False) -> None:
-        """Let time pass, to the moment or until something holds."""
+        """Advance virtual time until `when` or until `done` returns true."""
         while self._events and self._events[0][0] <= when and not done():
-            self.now, _, act = heapq.heappop(self._events)
-            act()
+            self.now, _, action = heapq.heappop(self._events)
+            action()
 
     def start(self, machine: Machine) -> None:
-        """Start a process on what its disk holds."""
-        is_founder = machine is self.machines[0] and machine.life == 0
-        durable = Durable.restore(machine.disk) or Durable(f"s{next(self._stores)}", is_founder)
+        """Start a process from the content of its disk."""
+        is_founder = machine is self.machines[0] and machine.incarnation == 0
+        durable = Durable.restore(machine.disk) or Durable(f"s{next(self._store_numbers)}", is_founder)
         machine.disk = list(durable.snapshot())
         store = Store(durable.store, machine.address, machine.address, machine.address)
-        machine.life += 1
+        machine.incarnation += 1
         machine.node = Node(
             store,
             durable,
@@ -104,10 +108,10 @@
             draw=self.rng.random,
             now=self.now,
         )
-        self._tick(machine, machine.life, 0)
+        self._tick(machine, machine.incarnation, 0)
 
     def kill(self, machine: Machine, wipe: bool = False) -> None:
-        """End a process, and with it its links; its disk may go with it."""
+        """End a process and its links, and optionally wipe its disk."""
         if machine.node:
             ended = machine.node.me.id
             self.at(self.now + self._delay_s + LINK_LOST_TIMEOUT_S, lambda: self._unlink(machine, ended))
@@ -116,7 +120,7 @@
             machine.disk = []
 
     def _unlink(self, machine: Machine, ended: str) -> None:
-        """The others notice that the links to a store have ended, unless it is back."""
+        """Report the lost links to a store to the other stores, unless it is back."""
         if machine.node and machine.node.me.id == ended:
             return
         for other in self.machines:
@@ -125,7 +129,7 @@
                 self.pump(other)
 
     def primary(self) -> Machine | None:
-        """The machine whose store takes writes."""
+        """Return the machine whose store accepts writes, if any."""
         ready = []
         for machine in self.machines:
             node = machine.node
@@ -134,18 +138,18 @@
         return max(ready, key=lambda pair: pair[0])[1] if ready else None
 
     def pump(self, machine: Machine) -> None:
-        """Sync what a node wants on disk, then send what rests on it."""
+        """Sync the records of a node to disk, then send the messages that depend on them."""
         assert machine.node is not None
         effects = machine.node.drain()
         if not effects:
             return
-        life = machine.life
+        incarnation = machine.incarnation
         machine.synced_at = max(machine.synced_at, self.now, machine.stalled_until)
         if effects.records:
-            machine.synced_at += self._weather.sync_s
+            machine.synced_at += self._conditions.sync_s
 
         def synced() -> None:
-            if machine.life != life or machine.node is None:
+            if machine.incarnation != incarnation or machine.node is None:
                 return
             machine.disk = machine.disk + effects.records
             for receiver, message in effects.messages:
@@ -161,17 +165,17 @@
             node.receive(receiver, message, self.now)
             return
         sender = node.me.id
-        at = self._arrival(sender, receiver)
+        at = self._arrival_time(sender, receiver)
         self.at(at, lambda: self._deliver(machine.address, sender, receiver, message))
 
-    def _arrival(self, sender: str, receiver: str) -> float:
-        """When a message arrives that is sent now: none overtakes another on its link."""
-        weather, delay_s = self._weather, self._delay_s
-        if weather is CALM:
+    def _arrival_time(self, sender: str, receiver: str) -> float:
+        """Return when a message sent now arrives; messages do not overtake each other on a link."""
+        conditions, delay_s = self._conditions, self._delay_s
+        if conditions is IDEAL:
             return self.now + delay_s
-        delay_s += weather.jitter_s * self.rng.random()
-        if self.rng.random() < weather.lost:
-            delay_s += self.rng.uniform(*weather.resend_s)
+        delay_s += conditions.jitter_s * self.rng.random()
+        if self.rng.random() < conditions.lost:
+            delay_s += self.rng.uniform(*conditions.resend_s)
         link = (sender, receiver)
         at = max(self.now + delay_s, self._link_free_at.get(link, 0.0))
         self._link_free_at[link] = at
@@ -191,12 +195,12 @@
             machine.node.receive(sender, message, self.now)
             self.pump(machine)
 
-    def _tick(self, machine: Machine, life: int, count: int) -> None:
+    def _tick(self, machine: Machine, incarnation: int, count: int) -> None:
         node = machine.node
-        if machine.life != life or node is None:
+        if machine.incarnation != incarnation or node is None:
             return
         if self.now < machine.frozen_until:
-            self.at(machine.frozen_until, lambda: self._tick(machine, life, count))
+            self.at(machine.frozen_until, lambda: self._tick(machine, incarnation, count))
             return
         waits = max(0.0, machine.synced_at - self.now)
         node.tick(self.now, waits if machine.stalled_until > self.now else 0.0)
@@ -205,14 +209,14 @@
                 if other.node and other is not machine and (machine.address, other.address) not in self.cut:
                     self._send(machine, other.node.me.id, node.announcement())
         self.pump(machine)
-        self.at(self.now + TICK_S, lambda: self._tick(machine, life, count + 1))
+        self.at(self.now + TICK_S, lambda: self._tick(machine, incarnation, count + 1))
 
 
 def acknowledged(delay_s: float, seed: int) -> list[float]:
-    """The seconds that each of some writes took."""
+    """Return the latency (s) of each of `WRITES` writes."""
     deployment = Deployment(delay_s, seed)
-    deployment.run_until(SETTLED_S)
-    took = []
+    deployment.run_until(SETTLE_S)
+    latencies_s = []
     for number in range(WRITES):
         machine = deployment.primary()
         assert machine is not None
@@ -222,9 +226,9 @@
         assert ticket is not None
         deployment.pump(machine)
         sequence = ticket.sequence
-        deployment.run_until(began + LASTS_S, partial(_holds, node, sequence))
-        took.append(deployment.now - began)
-    return took
+        deployment.run_until(began + MAX_OUTAGE_S, partial(_holds, node, sequence))
+        latencies_s.append(deployment.now - began)
+    return latencies_s
 
 
 def _holds(node: Node, sequence: int) -> bool:
@@ -264,13 +268,13 @@
 
 
 def _halve(deployment: Deployment, primary: Machine) -> None:
-    """The primary and as many as make the smaller half, from the others."""
+    """Partition the primary and as many stores as form the smaller half from the others."""
     others = _others(deployment, primary)
-    few = [primary, *others[: len(deployment.machines) // 2 - 1]]
-    for one in few:
+    minority = [primary, *others[: len(deployment.machines) // 2 - 1]]
+    for member in minority:
         for other in deployment.machines:
-            if other not in few:
-                deployment.cut |= {(one.address, other.address), (other.address, one.address)}
+            if other not in minority:
+                deployment.cut |= {(member.address, other.address), (other.address, member.address)}
 
 
 def _freeze(deployment: Deployment, primary: Machine) -> None:
@@ -290,7 +294,7 @@
 
 
 def add_machine(deployment: Deployment) -> None:
-    """An empty machine at an address that was never used."""
+    """Add an empty machine at an unused address."""
     machine = Machine(f"10.0.1.{len(deployment.machines)}:1")
     deployment.machines.append(machine)
     deployment.start(machine)
@@ -307,7 +311,7 @@
 
 
 def _stall(deployment: Deployment, primary: Machine) -> None:
-    primary.stalled_until = deployment.now + LASTS_S
+    primary.stalled_until = deployment.now + MAX_OUTAGE_S
     assert primary.node is not None
     primary.node.propose(Evacuation("z", True), deployment.now)
     deployment.pump(primary)
@@ -317,16 +321,16 @@
     assert primary.node is not None
     primary.node.leave(deployment.now)
     deployment.pump(primary)
-    end_once_it_may(deployment, primary)
+    kill_when_allowed(deployment, primary)
 
 
-def end_once_it_may(deployment: Deployment, machine: Machine) -> None:
-    """End a process that was told to as soon as it may."""
+def kill_when_allowed(deployment: Deployment, machine: Machine) -> None:
+    """End a process that shuts down as soon as it is allowed to."""
     node = machine.node
     if node is None or node.can_leave(deployment.now):
         deployment.kill(machine)
     else:
-        deployment.at(deployment.now + TICK_S, lambda: end_once_it_may(deployment, machine))
+        deployment.at(deployment.now + TICK_S, lambda: kill_when_allowed(deployment, machine))
 
 
 def _kill_all(deployment: Deployment, primary: Machine) -> None:
@@ -341,7 +345,7 @@
         deployment.at(deployment.now + 0.5, partial(deployment.start, machine))
 
 
-# From the loss until the state is on as many live stores, under an epoch of theirs, as bears the next loss.
+# From the loss until enough live stores hold the state, under their own epoch, to tolerate the next loss.
 REPAIRS: dict[str, Callable[[Deployment, Machine], None]] = {
     "backup killed": lambda d, primary: d.kill(_backup(d, primary)),
     "backup wiped, back after 1 s": lambda d, primary: _wipe(d, _backup(d, primary)),
@@ -372,9 +376,9 @@
 
 
 def outage(loss: str, delay_s: float, seed: int) -> float:
-    """The seconds from a loss until a store takes writes again under a new epoch."""
+    """Return the seconds from a loss until a store accepts writes again under a new epoch."""
     deployment = Deployment(delay_s, seed, MACHINES_OF_HALVES if loss == HALVES else MACHINES)
-    deployment.run_until(SETTLED_S + deployment.rng.random())
+    deployment.run_until(SETTLE_S + deployment.rng.random())
     primary = deployment.primary()
     assert primary is not None
     assert primary.node is not None
@@ -387,37 +391,43 @@
         epoch = machine.node.epoch if machine and machine.node else None
         return epoch is not None and epoch.term > before
 
-    deployment.run_until(began + LASTS_S, served)
+    deployment.run_until(began + MAX_OUTAGE_S, served)
     return deployment.now - began if served() else float("inf")
 
 
-def main(words: list[str] | None = None) -> int:
-    """Print the tables; 1 where a loss was not recovered from."""
+def main(arguments: list[str] | None = None) -> int:
+    """Print the tables.
+
+    Returns:
+        The exit code: 1 if a loss was never recovered from, otherwise 0.
+    """
     parser = argparse.ArgumentParser(description="acknowledgement and outage times of the control state")
     parser.add_argument("--seeds", type=int, default=20)
-    given = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     delays = (0.0, 0.055, 0.110)
     print("one way       acknowledged after, ms: median    99th")
     for delay_s in delays:
-        took = sorted(
-            1000 * seconds for seed in range(given.seeds) for seconds in acknowledged(delay_s, seed)
+        times = sorted(
+            1000 * seconds for seed in range(options.seeds) for seconds in acknowledged(delay_s, seed)
+        )
+        print(
+            f"{1000 * delay_s:4.0f} ms {statistics.median(times):31.1f} {times[int(0.99 * len(times))]:7.1f}"
         )
-        print(f"{1000 * delay_s:4.0f} ms {statistics.median(took):31.1f} {took[int(0.99 * len(took))]:7.1f}")
-    worst = _print_outages("without a primary", LOSSES, delays, given.seeds)
-    worst = max(worst, _print_outages("until the next loss is borne", REPAIRS, delays, given.seeds))
+    worst = _print_outages("without a primary", LOSSES, delays, options.seeds)
+    worst = max(worst, _print_outages("until the next loss is borne", REPAIRS, delays, options.seeds))
     return int(worst == float("inf"))
 
 
 def _print_outages(title: str, losses: Iterable[str], delays: Sequence[float], seeds: int) -> float:
-    """Print a row a loss; the longest time of all."""
+    """Print one row per loss and return the longest time."""
     print(f"\n{title}, s: median and worst, one way 0, 55, 110 ms")
     worst = 0.0
     for loss in losses:
         columns = []
         for delay_s in delays:
-            took = [outage(loss, delay_s, seed) for seed in range(seeds)]
-            worst = max(worst, *took)
-            columns.append(f"{statistics.median(took):5.2f} {max(took):5.2f}")
+            outages_s = [outage(loss, delay_s, seed) for seed in range(seeds)]
+            worst = max(worst, *outages_s)
+            columns.append(f"{statistics.median(outages_s):5.2f} {max(outages_s):5.2f}")
         print(f"{loss:52} {'   '.join(columns)}")
     return worst
 
--- a/benchmarks/control_changes.py
+++ b/benchmarks/control_changes.py
@@ -1,8 +1,10 @@
-"""What hundreds of changes cost a control process: the time of an acknowledgement at the first and at the
-last, the file, and a start on it.
+"""Measures the cost of hundreds of changes in a control process.
 
-`python -m benchmarks.control_changes`: one store alone on this machine's disk, the program's own replicator,
-log and command handler; the configuration is about as long as asked (`--bytes`). Times are those of this
+Measures the latency of the first and of the last acknowledgements, the size of the log file, and the duration
+of a start from it.
+
+`python -m benchmarks.control_changes`: runs a single store on the disk of this machine, with the replicator,
+log and command handler of the program. The configuration is about `--bytes` long. Times depend on this
 machine.
 """
 
@@ -29,12 +31,12 @@
 from fordtrestle.replication.node import Node
 from fordtrestle.storage.log import RecordLog
 
-SOME = 50  # changes whose median is printed
+MEDIAN_CHANGES = 50  # first and last changes whose medians are printed
 MS_PER_S = 1000.0
 
 
-FOUNDED_S = 5.0
-AGAIN_S, AGAIN_PAUSE_S = 15.0, 0.05  # for which a change is sent again, and between
+READY_TIMEOUT_S = 5.0
+RETRY_TIMEOUT_S, RETRY_DELAY_S = 15.0, 0.05
 
 
 def _document(number: int, length: int) -> bytes:
@@ -52,22 +54,26 @@
 
 
 async def _change(commands: CommandHandler, number: int, body: bytes) -> CommandResult:
-    """A change, sent again unchanged while its store has lost its place, as operators do.
+    """Make a change, and resend it unchanged while its store is not primary, as operators do.
 
-    A store whose disk takes long, on a busy machine too, leads no more until its disk answers.
+    A store whose disk is slow, as on a busy machine, is not primary until its disk responds.
     """
     request = ConfigRequest(ConfigRequestKind.PUT, number - 1, body, lambda: True)
-    give_up = time.perf_counter() + AGAIN_S
+    deadline = time.perf_counter() + RETRY_TIMEOUT_S
     while True:
         result = await commands.change_config(request)
         is_final = result.status not in (CommandStatus.NOT_PRIMARY, CommandStatus.UNKNOWN)
-        if is_final or time.perf_counter() > give_up:
+        if is_final or time.perf_counter() > deadline:
             return result
-        await asyncio.sleep(AGAIN_PAUSE_S)
+        await asyncio.sleep(RETRY_DELAY_S)
 
 
 async def changes(folder: Path, count: int, length: int) -> tuple[list[float], int]:
-    """The seconds that each of some changes took, and the most bytes that the file held."""
+    """Make changes.
+
+    Returns:
+        The latency of each change (s) and the maximum size of the file (bytes).
+    """
     log = RecordLog(folder)
     log.open()
     store = Store("s1", "127.0.0.1:1", "127.0.0.1:2", "z-1")
@@ -83,50 +89,61 @@
     )
     mesh = Mesh(Hello("core-1", "127.0.0.1:1"), lambda link, message: None, lambda link: None)
     replicator = Replicator(node, log, mesh, lambda peer: True, lambda: None)
-    running = asyncio.create_task(replicator.run())
-    if not await replicator.wait_until(lambda: node.is_ready, FOUNDED_S):
-        raise RuntimeError("the store never became ready")
-    commands, took, most = CommandHandler(replicator), [], 0
+    replicator_task = asyncio.create_task(replicator.run())
+    if not await replicator.wait_until(lambda: node.is_ready, READY_TIMEOUT_S):
+        raise RuntimeError("the store did not become ready in time")
+    commands, latencies_s, max_bytes = CommandHandler(replicator), [], 0
     for number in range(1, count + 1):
         body = _document(number, length)
         began = time.perf_counter()
         result = await _change(commands, number, body)
-        took.append(time.perf_counter() - began)
-        most = max(most, log.size)
+        latencies_s.append(time.perf_counter() - began)
+        max_bytes = max(max_bytes, log.size)
         if result.status is not CommandStatus.DONE:
-            raise RuntimeError(f"change {number}: {result}")
-    running.cancel()
-    await asyncio.gather(running, return_exceptions=True)
+            raise RuntimeError(f"expected change {number} to be done, got {result}")
+    replicator_task.cancel()
+    await asyncio.gather(replicator_task, return_exceptions=True)
     log.close()
-    return took, most
+    return latencies_s, max_bytes
 
 
 def start(folder: Path) -> tuple[float, int]:
-    """The seconds that a start takes on what the disk holds, and the sequence that it comes to."""
+    """Restore the state from disk.
+
+    Returns:
+        The duration (s) and the sequence of the restored state.
+    """
     began = time.perf_counter()
     log = RecordLog(folder)
-    found = Durable.restore(map(decode, log.open()))
+    durable = Durable.restore(map(decode, log.open()))
     log.close()
-    return time.perf_counter() - began, found.state.sequence if found else 0
+    return time.perf_counter() - began, durable.state.sequence if durable else 0
+
 
+def main(arguments: list[str] | None = None) -> int:
+    """Print one row per length of the configuration.
 
-def main(words: list[str] | None = None) -> int:
-    """Print a row a length of the configuration; 1 where changes are missing after the start."""
-    parser = argparse.ArgumentParser(description="what hundreds of changes cost a control process")
+    Returns:
+        The exit code: 1 if changes are missing after the start, otherwise 0.
+    """
+    parser = argparse.ArgumentParser(description="Measure the cost of hundreds of changes.")
     parser.add_argument("--changes", type=int, default=3000)
     parser.add_argument("--bytes", type=int, nargs="+", default=[3_000, 100_000])
-    given = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     print("   bytes  changes  acknowledged after, ms: first 50, last 50   file at most, MB   start, ms")
-    whole = True
-    for length in given.bytes:
+    is_complete = True
+    for length in options.bytes:
         with tempfile.TemporaryDirectory() as folder:
-            took, most = asyncio.run(changes(Path(folder), given.changes, length))
-            began, sequence = start(Path(folder))
-        whole = whole and sequence == given.changes
-        first, last = (MS_PER_S * statistics.median(part) for part in (took[:SOME], took[-SOME:]))
-        row = f"{length:8} {given.changes:8} {first:32.2f} {last:8.2f}"
-        print(f"{row} {most / 1e6:18.2f} {MS_PER_S * began:11.1f}")
-    return int(not whole)
+            latencies_s, max_bytes = asyncio.run(changes(Path(folder), options.changes, length))
+            start_s, sequence = start(Path(folder))
+        is_complete = is_complete and sequence == options.changes
+        first, last = (
+            MS_PER_S * statistics.median(part)
+            for part in (latencies_s[:MEDIAN_CHANGES], latencies_s[-MEDIAN_CHANGES:])
+        )
+        row = f"{length:8} {options.changes:8} {first:32.2f} {last:8.2f}"
+        print(f"{row} {max_bytes / 1e6:18.2f} {MS_PER_S * start_s:11.1f}")
+    return int(not is_complete)
 
 
 if __name__ == "__main__":
--- a/benchmarks/control_double_losses.py
+++ b/benchmarks/control_double_losses.py
@@ -1,9 +1,8 @@
-"""Five stores of which two may be lost: how long orders wait after losses by two, and how soon the next two
-are borne, in virtual time.
+"""Measures outages of five stores after losses of two at a time, in virtual time.
 
 `python -m benchmarks.control_double_losses [--seeds 20]`: stores, links and disks as in `benchmarks.control`.
-"Written" is the time until a change is acknowledged by three live replicas again; "whole" the time until five
-live witnesses know of the epoch, so that two more may be lost and orders are still taken.
+"Written" is the time until a change is acknowledged by three live replicas again. "Whole" is the time until
+five live witnesses know the epoch, so that changes are still accepted after two more losses.
 """
 
 from __future__ import annotations
@@ -15,28 +14,32 @@
 from dataclasses import dataclass
 from functools import partial
 
-from benchmarks.control import Deployment, Machine, add_machine, end_once_it_may
+from benchmarks.control import Deployment, Machine, add_machine, kill_when_allowed
 from fordtrestle.replication.state import Evacuation
 
 STORES = 5
-SETTLED_S = 10.0
-LASTS_S = 40.0
+SETTLE_S = 10.0
+MAX_OUTAGE_S = 40.0
 STEP_S = 0.01
 DELAYS_S = (0.0, 0.035, 0.055, 0.110)
-BACK_S = 1.0  # after which what is lost comes back, or another machine in its place
+RETURN_DELAY_S = 1.0  # until a lost machine or its replacement starts
 ROLL_GAP_S = 3.0
 
-Act = Callable[[Deployment, list[Machine]], None]
+Action = Callable[[Deployment, list[Machine]], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """A loss: what is done to the replicas (the primary first) and the others, and whether all are there
-    again later.
+    """A loss of stores.
+
+    Attributes:
+        name: Text in the table.
+        act: Causes the loss. Its list of stores has the primary first, then the other replicas.
+        returns: Whether all five stores, or replacements, are back later.
     """
 
     name: str
-    act: Act
+    act: Action
     returns: bool = True
 
 
@@ -44,26 +47,26 @@
     deployment.at(deployment.now + seconds, act)
 
 
-def _kill(*places: int, after_s: float = 0.0, back_s: float | None = None, wipe: bool = False) -> Act:
-    """End the stores at these places of the list, the second so long after the first."""
+def _kill(*indexes: int, after_s: float = 0.0, back_s: float | None = None, wipe: bool = False) -> Action:
+    """Return an action that kills the stores at these indexes, each `after_s` later than the one before."""
 
     def act(deployment: Deployment, stores: list[Machine]) -> None:
-        for index, place in enumerate(places):
-            machine = stores[place]
-            _later(deployment, index * after_s, partial(deployment.kill, machine, wipe))
+        for number, index in enumerate(indexes):
+            machine = stores[index]
+            _later(deployment, number * after_s, partial(deployment.kill, machine, wipe))
             if back_s is not None:
-                _later(deployment, index * after_s + back_s, partial(deployment.start, machine))
+                _later(deployment, number * after_s + back_s, partial(deployment.start, machine))
 
     return act
 
 
-def _replace(*places: int) -> Act:
-    """These are gone for good; as many empty machines come elsewhere a second later."""
+def _replace(*indexes: int) -> Action:
+    """Return an action that loses stores for good and adds as many empty machines a second later."""
 
     def act(deployment: Deployment, stores: list[Machine]) -> None:
-        for place in places:
-            deployment.kill(stores[place], wipe=True)
-            _later(deployment, BACK_S, partial(add_machine, deployment))
+        for index in indexes:
+            deployment.kill(stores[index], wipe=True)
+            _later(deployment, RETURN_DELAY_S, partial(add_machine, deployment))
 
     return act
 
@@ -72,21 +75,21 @@
     if machine.node is not None:
         machine.node.leave(deployment.now)
         deployment.pump(machine)
-        end_once_it_may(deployment, machine)
+        kill_when_allowed(deployment, machine)
 
 
-def _replace_as_planned(*places: int) -> Act:
-    """As many empty machines come, and a second later these are told to end."""
+def _replace_as_planned(*indexes: int) -> Action:
+    """Return an action that adds empty machines and shuts stores down a second later."""
 
     def act(deployment: Deployment, stores: list[Machine]) -> None:
-        for place in places:
+        for index in indexes:
             add_machine(deployment)
-            _later(deployment, BACK_S, partial(_leave, deployment, stores[place]))
+            _later(deployment, RETURN_DELAY_S, partial(_leave, deployment, stores[index]))
 
     return act
 
 
-def _both(first: Act, second: Act) -> Act:
+def _both(first: Action, second: Action) -> Action:
     def act(deployment: Deployment, stores: list[Machine]) -> None:
         first(deployment, stores)
         second(deployment, stores)
@@ -94,16 +97,16 @@
     return act
 
 
-def _come_back_to_no_place(deployment: Deployment, stores: list[Machine]) -> None:
-    """Two are dark for 6 s; two others have taken their places by then."""
+def _return_to_taken_slots(deployment: Deployment, stores: list[Machine]) -> None:
+    """Kill two stores for 6 s, in which two others take their places."""
     for machine in stores[1:3]:
         deployment.kill(machine)
-        _later(deployment, BACK_S, partial(add_machine, deployment))
+        _later(deployment, RETURN_DELAY_S, partial(add_machine, deployment))
         _later(deployment, 6.0, partial(deployment.start, machine))
 
 
 def _roll_by_two(deployment: Deployment, stores: list[Machine]) -> None:
-    """All are told to end, two at a time, and start again as soon as they are gone."""
+    """Shut all stores down, two at a time, and restart them once they have exited."""
     for index, machine in enumerate(stores):
         at = index // 2 * ROLL_GAP_S
         _later(deployment, at, partial(_leave, deployment, machine))
@@ -118,16 +121,17 @@
 def _three_back_one_by_one(deployment: Deployment, stores: list[Machine]) -> None:
     for index, machine in enumerate(stores[:3]):
         deployment.kill(machine)
-        _later(deployment, BACK_S * (index + 1), partial(deployment.start, machine))
+        _later(deployment, RETURN_DELAY_S * (index + 1), partial(deployment.start, machine))
 
 
 def _region_then_one_more(deployment: Deployment, stores: list[Machine]) -> None:
-    """Two stores are cut off from the three others, of which one is killed a second later; all are back
-    after 4 s: as long as three are lost, nothing can be acknowledged.
+    """Cut two stores off from the three others, and kill one of those a second later.
+
+    All are back after 4 s. While three are lost, nothing can be acknowledged.
     """
-    cut = {(one.address, other.address) for one in stores[:2] for other in stores[2:]}
-    deployment.cut |= cut | {(other, one) for one, other in cut}
-    _later(deployment, BACK_S, partial(deployment.kill, stores[2]))
+    cut = {(first.address, other.address) for first in stores[:2] for other in stores[2:]}
+    deployment.cut |= cut | {(receiver, sender) for sender, receiver in cut}
+    _later(deployment, RETURN_DELAY_S, partial(deployment.kill, stores[2]))
     _later(deployment, 4.0, deployment.cut.clear)
     _later(deployment, 4.0, partial(deployment.start, stores[2]))
 
@@ -138,15 +142,15 @@
     Row("the primary killed, a backup 0.2 s later", _kill(0, 1, after_s=0.2), returns=False),
     Row("the primary killed, a backup 0.5 s later", _kill(0, 1, after_s=0.5), returns=False),
     Row("the primary killed, a backup 1 s later", _kill(0, 1, after_s=1.0), returns=False),
-    Row("the primary and a backup wiped, back after 1 s", _kill(0, 1, back_s=BACK_S, wipe=True)),
-    Row("both backups wiped, back after 1 s", _kill(1, 2, back_s=BACK_S, wipe=True)),
-    Row("two that are no replicas wiped, back after 1 s", _kill(3, 4, back_s=BACK_S, wipe=True)),
+    Row("the primary and a backup wiped, back after 1 s", _kill(0, 1, back_s=RETURN_DELAY_S, wipe=True)),
+    Row("both backups wiped, back after 1 s", _kill(1, 2, back_s=RETURN_DELAY_S, wipe=True)),
+    Row("two that are no replicas wiped, back after 1 s", _kill(3, 4, back_s=RETURN_DELAY_S, wipe=True)),
     Row("a region of two cut off, one more killed, all back after 4 s", _region_then_one_more),
     Row("the primary and a backup gone, two others 1 s later", _replace(0, 1)),
     Row("two that are no replicas gone, two others 1 s later", _replace(3, 4)),
     Row("planned: two new first, 1 s later two replicas leave", _replace_as_planned(0, 1)),
     Row("one replica as planned, one gone at the same time", _both(_replace_as_planned(1), _replace(2))),
-    Row("two come back to places given away", _come_back_to_no_place),
+    Row("two come back to places given away", _return_to_taken_slots),
     Row("all rolled by two, 3 s apart", _roll_by_two),
     Row("three killed, back one by one, 1 s apart", _three_back_one_by_one),
     Row("all killed, back after 0.5 s", _kill(0, 1, 2, 3, 4, back_s=0.5)),
@@ -154,7 +158,7 @@
 
 
 def stores_of(deployment: Deployment) -> list[Machine]:
-    """The machines, the primary's first, then the other replicas'."""
+    """Return the machines: the primary first, then the other replicas, then the rest."""
     primary = deployment.primary()
     assert primary is not None
     assert primary.node is not None
@@ -168,41 +172,44 @@
 
 
 def is_whole(deployment: Deployment) -> bool:
-    """Whether five live witnesses know of the epoch."""
+    """Return whether five live witnesses know the epoch."""
     primary = deployment.primary()
     if primary is None or primary.node is None or primary.node.epoch is None:
         return False
     epoch = primary.node.epoch
-    knowing = {
+    informed = {
         machine.node.me.id
         for machine in deployment.machines
         if machine.node and machine.node.epoch and machine.node.epoch.term == epoch.term
     }
-    return len(epoch.witness_ids) == STORES and knowing.issuperset(epoch.witness_ids)
+    return len(epoch.witness_ids) == STORES and informed.issuperset(epoch.witness_ids)
 
 
 def times(row: Row, delay_s: float, seed: int) -> tuple[float, float]:
-    """The longest time for which a change was not acknowledged, and the time until all is whole; infinite
-    where it never is.
+    """Play a loss.
+
+    Returns:
+        The longest time without an acknowledged change (s), and the time until five live witnesses know the
+        epoch (s): infinite if that never happens, not a number if the row does not expect it.
     """
     deployment = Deployment(delay_s, seed, STORES)
-    deployment.run_until(SETTLED_S + deployment.rng.random())
+    deployment.run_until(SETTLE_S + deployment.rng.random())
     began = deployment.now
     row.act(deployment, stores_of(deployment))
-    longest, whole_at = _follow(deployment, began)
+    longest, whole_at = _measure(deployment, began)
     return longest, whole_at - began if row.returns else float("nan")
 
 
-def _follow(deployment: Deployment, began: float) -> tuple[float, float]:
-    """Ask for a change each 10 ms, one at a time, and watch until nothing happens any more."""
+def _measure(deployment: Deployment, began: float) -> tuple[float, float]:
+    """Propose changes, one at a time, and check every 10 ms until `MAX_OUTAGE_S` after the loss."""
     acknowledged_at, longest, whole_at = began, 0.0, float("inf")
-    asked: tuple[Machine, int] | None = None
+    pending: tuple[Machine, int] | None = None
     number = 0
-    while deployment.now < began + LASTS_S:
+    while deployment.now < began + MAX_OUTAGE_S:
         at = deployment.now + STEP_S
         deployment.run_until(at)
         deployment.now = at
-        asked, is_done = _ask(deployment, asked, number)
+        pending, is_done = _propose(deployment, pending, number)
         number += is_done
         if is_done:
             longest = max(longest, deployment.now - acknowledged_at)
@@ -214,18 +221,22 @@
     return max(longest, deployment.now - acknowledged_at), whole_at
 
 
-def _ask(
-    deployment: Deployment, asked: tuple[Machine, int] | None, number: int
+def _propose(
+    deployment: Deployment, pending: tuple[Machine, int] | None, number: int
 ) -> tuple[tuple[Machine, int] | None, bool]:
-    """See to the change that is asked for; what is asked for now, and whether the last one is done."""
+    """Check the pending change and propose the next one.
+
+    Returns:
+        The pending change, if any, and whether the previous one is done.
+    """
     primary = deployment.primary()
-    if asked:
-        machine, sequence = asked
+    if pending:
+        machine, sequence = pending
         state = machine.node.committed_state if machine.node else None
         if state and state.sequence >= sequence:
             return None, True
         if machine is primary:
-            return asked, False
+            return pending, False
     if primary is None or primary.node is None:
         return None, False
     ticket = primary.node.propose(Evacuation(f"z{number % 7}", number % 2 == 0), deployment.now)
@@ -233,24 +244,30 @@
     return ((primary, ticket.sequence) if ticket else None), False
 
 
-def main(words: Sequence[str] | None = None) -> int:
-    """Print the table; 1 where changes are never acknowledged again, or the core is never whole."""
-    parser = argparse.ArgumentParser(description="five stores after losses by two")
+def main(arguments: Sequence[str] | None = None) -> int:
+    """Print the table.
+
+    Returns:
+        The exit code: 1 if changes are never acknowledged again or five witnesses never know the epoch.
+    """
+    parser = argparse.ArgumentParser(description="Measure outages of five stores after losses of two.")
     parser.add_argument("--seeds", type=int, default=20)
-    given = parser.parse_args(words)
+    options = parser.parse_args(arguments)
     heads = "  ".join(f"{1000 * delay:5.0f} ms" for delay in DELAYS_S)
     print(f"{'median, s, by delay one way':62} written:  {heads}   whole:  {heads}")
-    is_borne = True
+    is_tolerated = True
     for row in ROWS:
         written, whole = [], []
         for delay_s in DELAYS_S:
-            both = [times(row, delay_s, seed) for seed in range(given.seeds)]
-            written.append(statistics.median(one for one, _ in both))
-            whole.append(statistics.median(two for _, two in both))
-            is_borne &= all(one < LASTS_S / 2 and two != float("inf") for one, two in both)
+            results = [times(row, delay_s, seed) for seed in range(options.seeds)]
+            written.append(statistics.median(written_s for written_s, _ in results))
+            whole.append(statistics.median(whole_s for _, whole_s in results))
+            is_tolerated &= all(
+                written_s < MAX_OUTAGE_S / 2 and whole_s != float("inf") for written_s, whole_s in results
+            )
         first, second = ("  ".join(f"{value:8.2f}" for value in part) for part in (written, whole))
         print(f"{row.name:62}           {first}           {second}", flush=True)
-    return int(not is_borne)
+    return int(not is_tolerated)
 
 
 if __name__ == "__main__":
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -1,9 +1,12 @@
-"""What a request costs the sidecar: `python -m benchmarks.cost [--tree DIR] [--rate N] [--vs DIR]`.
+"""Measures the CPU time of a sidecar per request.
 
-CPU time of the whole process, kernel included, over the requests of an open-loop load on kept-alive
-connections to servers that answer after 1 to 3 ms. Several rounds, `--vs` another checkout in turn with the
-first, so that a machine whose speed drifts is the same for both; minimum, median and maximum in
-microseconds. Exit codes: 0 done, 1 a request was not served, 2 bad input or a program that can't be started.
+`python -m benchmarks.cost [--tree DIR] [--rate N] [--vs DIR]`.
+
+The CPU time of the whole process, including the kernel, is divided by the number of requests of an open-loop
+load on persistent connections to servers that answer after 1 to 3 ms. With `--vs`, rounds alternate between
+two checkouts, so that a drift in the speed of the machine affects both. Minimum, median and maximum are
+printed in microseconds. Exit codes: 0 done, 1 a request was not served, 2 bad input or the program can't be
+started.
 """
 
 from __future__ import annotations
@@ -13,7 +16,16 @@
 import sys
 from pathlib import Path
 
-from benchmarks.common import BAD_INPUT, DONE, NOT_MET, figure, make_ready, options, table, write_json
+from benchmarks.common import (
+    BAD_INPUT,
+    DONE,
+    NOT_MET,
+    create_parser,
+    format_figure,
+    prepare_process,
+    table,
+    write_json,
+)
 from rig.balancers import revision, stage
 from rig.clients import Clients, Plan, Result
 from rig.process import ProgramError
@@ -24,7 +36,7 @@
 
 
 async def one(tree: Path, rate_per_s: float, seed: int) -> tuple[float, int]:
-    """CPU microseconds a request, and the requests that were not served."""
+    """Return the CPU microseconds per request and the number of requests that were not served."""
     async with stage(tree, servers=4, seed=seed, work_ms=(1.0, 3.0)) as made:
         plan = Plan(rate_per_s, WARM_S + COUNTED_S, seed, pools=4, connections=CONNECTIONS, skip_s=WARM_S)
         clients = Clients(made.target.address, plan)
@@ -33,16 +45,20 @@
             await asyncio.sleep(WARM_S)
             before = made.target.program.usage().cpu_s
             await asyncio.sleep(COUNTED_S)
-            spent = made.target.program.usage().cpu_s - before
-            await asking  # its plan bounds it
+            used_s = made.target.program.usage().cpu_s - before
+            await asking  # ends with its plan
         finally:
             asking.cancel()
         asked = clients.tally.asked
-        return spent / max(1, asked) * 1e6, asked - clients.tally.count(Result.SERVED)
+        return used_s / max(1, asked) * 1e6, asked - clients.tally.count(Result.SERVED)
 
 
 async def rounds(trees: list[Path], rate_per_s: float, seed: int) -> tuple[dict[str, list[float]], int]:
-    """Microseconds a request by checkout, in turn, and the requests that were not served."""
+    """Alternate between checkouts.
+
+    Returns:
+        The CPU microseconds per request of each round by checkout, and the number of requests not served.
+    """
     costs_of: dict[str, list[float]] = {str(tree): [] for tree in trees}
     all_lost = 0
     for turn in range(ROUNDS):
@@ -54,15 +70,19 @@
 
 
 def main() -> int:
-    """Measure and print; the exit code."""
-    parser = options("cost", __doc__)
+    """Measure and print.
+
+    Returns:
+        The exit code: `DONE`, `NOT_MET` or `BAD_INPUT`.
+    """
+    parser = create_parser("cost", __doc__)
     parser.add_argument("--rate", type=float, default=400.0, metavar="N", help="requests a second")
-    parser.add_argument("--vs", type=Path, metavar="DIR", help="another checkout, in turn with the first")
-    given = parser.parse_args()
-    trees = [given.tree, *([given.vs.resolve()] if given.vs else [])]
-    make_ready()
+    parser.add_argument("--vs", type=Path, metavar="DIR", help="another checkout, measured alternately")
+    options = parser.parse_args()
+    trees = [options.tree, *([options.vs.resolve()] if options.vs else [])]
+    prepare_process()
     try:
-        costs_of, lost = asyncio.run(rounds(trees, given.rate, given.seed))
+        costs_of, lost = asyncio.run(rounds(trees, options.rate, options.seed))
     except ProgramError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
@@ -70,9 +90,9 @@
     rows = []
     for tree, costs in zip(trees, costs_of.values(), strict=True):
         figures = (min(costs), statistics.median(costs), max(costs))
-        rows.append((revision(tree), *(figure(value) for value in figures)))
+        rows.append((revision(tree), *(format_figure(value) for value in figures)))
     print(table(heads, rows))
-    write_json(given.json, given.tree, costs_of)
+    write_json(options.json, options.tree, costs_of)
     if lost:
         print(f"{lost} requests were not served", file=sys.stderr)
     return NOT_MET if lost else DONE
--- a/benchmarks/crowds.py
+++ b/benchmarks/crowds.py
@@ -1,8 +1,8 @@
-"""Healthy clients beside crowds of bad ones: are they still served, in time, and at what cost?
+"""Measures whether healthy clients are served in time during connection floods, and the cost.
 
 `python -m benchmarks.crowds [--quick] [--seed N] [--json FILE] [--tree DIR] [--only NAME[,NAME]]`.
-Exit codes: 0 all bounds met, 1 a bound not met, 2 bad input or a program that can't be started. Beside
-it goes an earlier build of this project, from its own checkout (`--tree`).
+Exit codes: 0 all bounds met, 1 a bound not met, 2 bad input or a program that can't be started. An
+earlier build of this project can be compared from its own checkout (`--tree`).
 """
 
 from __future__ import annotations
@@ -22,10 +22,10 @@
     BAD_INPUT,
     DONE,
     NOT_MET,
-    chosen,
-    figure,
-    make_ready,
-    options,
+    create_parser,
+    format_figure,
+    prepare_process,
+    select_names,
     table,
     write_json,
 )
@@ -34,39 +34,39 @@
 from rig.crowds import KINDS, PIPELINED, Crowd, Size, spread
 from rig.process import Peaks, ProgramError, reserve_core, sampled
 
-# The bounds. The first six are judged for the exit code.
-IN_TIME_LEAST = 0.99  # of what healthy clients ask
-P99_MOST = 1.5  # times that of the row `none`
-CUT_MOST = 0  # requests that end with no whole answer, and as many that are never answered
-MIXED_UP_MOST = 0  # answers that are another request's
-RSS_MOST_MB = float(MEMORY_MB)
-# Descriptors are bounded by the limit that the process is given, and it may not be met with EMFILE.
-# Shown as measured, kernel included, and not judged: what the whole process spends more than in `none`,
-# over the crowd's connections.
-SILENT_MOST_US = 40.0
-ANSWERED_MOST_US = 150.0
+# The bounds. The first six decide the exit code.
+MIN_IN_TIME_SHARE = 0.99  # of the requests of healthy clients
+MAX_P99_RATIO = 1.5  # relative to the row `none`
+MAX_CUT = 0  # requests that end with an incomplete response, and equally those that are never answered
+MAX_MIXED_UP = 0  # responses to other requests
+MAX_RSS_MB = float(MEMORY_MB)
+# Descriptors are bounded by the limit of the process, and it must not get EMFILE.
+# Printed but not decisive: the CPU time of the whole process beyond that in `none`, including the kernel, for
+# each connection of the crowd.
+MAX_SILENT_US = 40.0
+MAX_ANSWERED_US = 150.0
 
 RATE_PER_S = 100.0  # of healthy requests
-# Times the healthy rate: connections a second, and requests a second of those that ask for whole answers.
+# Multiple of the healthy rate: connections per second, and requests per second of crowds that read responses.
 CROWD_RATE = 10.0
-CROWD_STANDING = 3  # times the table
-ONCE_RATE = 2.0  # times the healthy rate: these are good requests, and come at a rate that can be served
-CONNECTIONS_SHARE = 3  # a third of the descriptors is the healthy clients' cap
-POOLS = 32  # healthy clients, each with connections of its own
-WARM_S = 1.0  # before a crowd comes; not counted
+CROWD_STANDING = 3  # multiple of the descriptor limit
+ONCE_RATE = 2.0  # multiple of the healthy rate, low enough to be served, since these are valid requests
+CONNECTIONS_SHARE = 3  # healthy clients open at most a third of the descriptors
+POOLS = 32  # healthy clients, each with its own connections
+WARM_S = 1.0  # before the crowd arrives; not counted
 LONG_S, QUICK_S = 20.0, 4.0
 BIG_SOCKETS = 1024
-LOG_LINES = 20  # the last of the program's log, kept with the figures
+LOG_LINES = 20  # last lines of the program's log that are kept with the figures
 EMFILE = os.strerror(errno.EMFILE)
-LAG_MOST_MS = 50.0  # of the clients themselves; past it the machine was too busy to measure
+MAX_LAG_MS = 50.0  # lateness of the clients themselves; beyond it the machine was too busy to measure
 SLOW_MS = (300.0, 300.0)
 BURST, BURST_GAP_S, WAVE_GAP_S = 50, 0.025, 1.5
-SILENT_BESIDE = Size(30.0, 30)  # beside clients that are ever new, as in the recorded incident
+SILENT_BESIDE = Size(30.0, 30)  # beside clients that are always new, as in the recorded incident
 
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """What a run is asked for."""
+    """Settings of a run."""
 
     rate_per_s: float
     counted_s: float
@@ -75,7 +75,7 @@
 
     @property
     def healthy(self) -> dict[str, Any]:
-        """The plan of healthy clients."""
+        """Arguments of the plan of healthy clients."""
         return {
             "rate_per_s": self.rate_per_s,
             "duration_s": WARM_S + self.counted_s,
@@ -86,19 +86,23 @@
         }
 
     def crowd(self, kind: str) -> dict[str, Size]:
-        """The sizes of a crowd."""
-        whole = Size(CROWD_RATE * self.rate_per_s, CROWD_STANDING * self.sockets)
-        apart = {
+        """Return the sizes of a crowd by kind."""
+        full_size = Size(CROWD_RATE * self.rate_per_s, CROWD_STANDING * self.sockets)
+        exceptions = {
             "once": Size(ONCE_RATE * self.rate_per_s, self.sockets // CONNECTIONS_SHARE),
-            "slow_readers": Size(whole.rate_per_s / PIPELINED, whole.standing),
+            "slow_readers": Size(full_size.rate_per_s / PIPELINED, full_size.standing),
         }
-        return spread(kind, whole, apart)
+        return spread(kind, full_size, exceptions)
 
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One row. `served`: the bounds on time are judged; `strict`: a request that is cut as the first on
-    its connection counts, though sent once more.
+    """Scenario of one row.
+
+    Attributes:
+        served: Whether the bound on requests in time applies.
+        compared: Whether the row is compared with `none`.
+        strict: Whether the first request of a connection counts as cut even if it was sent once more.
     """
 
     name: str
@@ -113,7 +117,7 @@
 
 
 def _close_to_table(count: int) -> Callable[[str, Setting], Scenario]:
-    """So many requests at a time, in waves of bursts that open dozens of connections at once."""
+    """Return a scenario of `count` requests at a time, in waves of bursts that each open many connections."""
 
     def make(name: str, setting: Setting) -> Scenario:
         waves = max(2, int(setting.counted_s / WAVE_GAP_S))
@@ -137,14 +141,14 @@
 
 
 def _reconnect(name: str, setting: Setting) -> Scenario:
-    """Many clients with one connection each, all of which connect anew in the middle."""
+    """Create many clients with one connection each, all of which reconnect halfway."""
     cap = int(setting.healthy["connections"])
     plan = Plan(**{**setting.healthy, "pools": cap, "connections": cap})
     return Scenario(name, setting.sockets, plan, reconnect=True)
 
 
 def _ever_new(name: str, setting: Setting) -> Scenario:
-    """The recorded incident: each request is a new client's, which then holds its connection."""
+    """Recreate the recorded incident: each request is of a new client, which then holds its connection."""
     plan = Plan(
         **{**setting.healthy, "pools": 1, "after": "hold", "rate_per_s": ONCE_RATE * setting.rate_per_s}
     )
@@ -164,7 +168,7 @@
 
 @dataclass(slots=True)
 class Row:
-    """What one scenario showed on one program."""
+    """Results of one scenario with one program."""
 
     name: str
     sockets: int
@@ -172,49 +176,49 @@
     peaks: Peaks
     window_s: float
     cpu_s: float
-    crowd: dict[str, Any]  # in the window
+    crowd: dict[str, Any]  # counts in the window
     servers: dict[str, Any]
     died: str
     log_bytes: int
     log_tail: list[str] = field(default_factory=list)
-    emfile: bool = False  # its log tells that it ran out of descriptors
+    emfile: bool = False  # whether its log reports that it ran out of descriptors
     p99_ratio: float | None = None
-    cpu_us: float | None = None  # for each connection of the crowd
+    cpu_us: float | None = None  # per connection of the crowd
     not_met: list[str] = field(default_factory=list)
 
     @property
     def cpu_share(self) -> float:
-        """Of one core, in the window."""
+        """CPU share of one core in the window."""
         return self.cpu_s / self.window_s if self.window_s else 0.0
 
     def compare(self, base: Row) -> None:
-        """Fill in what only shows beside the row without a crowd."""
+        """Set the figures that are relative to the row without a crowd."""
         p99, before = self.tally.latency_ms(0.99), base.tally.latency_ms(0.99)
         self.p99_ratio = p99 / before if before > 0.0 else None
         if self.name in KINDS and (made := self.crowd.get("connected", 0)):
             self.cpu_us = (self.cpu_s - base.cpu_share * self.window_s) / made * 1e6
 
     def judge(self, scenario: Scenario) -> None:
-        """Note each bound that is not met."""
+        """Record each bound that is not met."""
         cut = self.tally.count(Result.CUT) + (self.tally.resent_new if scenario.strict else 0)
         bounds = {
             f"ended: {self.died}": not self.died,
-            f"cut > {CUT_MOST}": cut <= CUT_MOST,
-            f"no answer > {CUT_MOST}": self.tally.count(Result.UNANSWERED) <= CUT_MOST,
-            f"mixed up > {MIXED_UP_MOST}": self.tally.count(Result.MIXED_UP) <= MIXED_UP_MOST,
+            f"cut > {MAX_CUT}": cut <= MAX_CUT,
+            f"no answer > {MAX_CUT}": self.tally.count(Result.UNANSWERED) <= MAX_CUT,
+            f"mixed up > {MAX_MIXED_UP}": self.tally.count(Result.MIXED_UP) <= MAX_MIXED_UP,
             "descriptors > limit": self.peaks.descriptors <= self.sockets,
             "ran out of descriptors": not self.emfile,
-            f"RSS > {RSS_MOST_MB:g} MB": self.peaks.rss_mb <= RSS_MOST_MB,
+            f"RSS > {MAX_RSS_MB:g} MB": self.peaks.rss_mb <= MAX_RSS_MB,
         }
         if scenario.served:
-            bounds[f"in time < {IN_TIME_LEAST:.0%}"] = self.tally.in_time >= IN_TIME_LEAST
+            bounds[f"in time < {MIN_IN_TIME_SHARE:.0%}"] = self.tally.in_time >= MIN_IN_TIME_SHARE
         if scenario.compared and self.p99_ratio is not None:
-            # Not `>`: a p99 that is not a number, where nothing was served, is not met either.
-            bounds[f"p99 > {P99_MOST:g} x"] = self.p99_ratio <= P99_MOST
+            # `<=` so that a p99 that is not a number, since nothing was served, does not meet the bound.
+            bounds[f"p99 > {MAX_P99_RATIO:g} x"] = self.p99_ratio <= MAX_P99_RATIO
         self.not_met = [name for name, met in bounds.items() if not met]
 
     def summary(self) -> dict[str, Any]:
-        """All figures as JSON values."""
+        """Return all figures as JSON values."""
         return {
             "name": self.name,
             "sockets": self.sockets,
@@ -259,15 +263,15 @@
 
 
 def cells(row: Row) -> list[str]:
-    """A row as the table shows it."""
+    """Return the table row of a scenario."""
     tally = row.tally
     return [
         row.name,
         str(tally.asked),
-        figure(100.0 * tally.in_time, ".1f"),
-        figure(tally.latency_ms(0.5), ".1f"),
-        figure(tally.latency_ms(0.99), ".1f"),
-        figure(row.p99_ratio, ".2f"),
+        format_figure(100.0 * tally.in_time, ".1f"),
+        format_figure(tally.latency_ms(0.5), ".1f"),
+        format_figure(tally.latency_ms(0.99), ".1f"),
+        format_figure(row.p99_ratio, ".2f"),
         str(tally.count(Result.CUT)),
         str(tally.count(Result.UNANSWERED)),
         f"{tally.resent_new}+{tally.resent_kept}",
@@ -275,17 +279,21 @@
         str(tally.count(Result.FAILED, Result.LATE)),
         str(tally.count(Result.UNSENT)),
         str(tally.count(Result.MIXED_UP)),
-        figure(row.crowd.get("connected", 0) / row.window_s if row.window_s else None),
-        figure(row.cpu_us),
-        figure(100.0 * row.cpu_share),
+        format_figure(row.crowd.get("connected", 0) / row.window_s if row.window_s else None),
+        format_figure(row.cpu_us),
+        format_figure(100.0 * row.cpu_share),
         f"{row.peaks.descriptors}/{row.sockets}",
-        figure(row.peaks.rss_mb),
+        format_figure(row.peaks.rss_mb),
         "; ".join(row.not_met) or "-",
     ]
 
 
 async def measure(scenario: Scenario, tree: Path, seed: int) -> Row:
-    """Play one scenario on a program that is started for it; `ProgramError` if it can't be."""
+    """Play one scenario on a program that is started for it.
+
+    Raises:
+        ProgramError: The program cannot be started.
+    """
     async with stage(
         tree,
         seed=seed,
@@ -298,7 +306,7 @@
             asking = asyncio.create_task(clients.run())
             try:
                 window = await _window(scenario, made, clients, seed)
-                await asking  # its plan bounds it
+                await asking  # ends with its plan
             finally:
                 asking.cancel()
         return Row(
@@ -316,7 +324,7 @@
 
 
 async def _window(scenario: Scenario, made: Stage, clients: Clients, seed: int) -> dict[str, Any]:
-    """Let the crowd come and stay to the plan's end; what was spent and made in that window."""
+    """Run the crowd until the end of the plan; return the CPU time and its counts in that window."""
     end = time.monotonic() + scenario.plan.duration_s
     await asyncio.sleep(scenario.plan.skip_s)
     crowd = await Crowd.start(made.target.address, scenario.crowd, seed=seed) if scenario.crowd else None
@@ -334,7 +342,7 @@
 
 
 def _cpu_s(made: Stage) -> float:
-    """What the program has spent; 0 once it has ended, which its row tells."""
+    """Return the CPU time of the program; 0 once it has exited, which its row reports."""
     try:
         return made.target.program.usage().cpu_s
     except ProcessLookupError:
@@ -342,7 +350,7 @@
 
 
 async def run(names: list[str], setting: Setting, tree: Path) -> list[Row]:
-    """All rows, each as soon as it is measured also on standard error."""
+    """Measure all rows and print each to standard error as soon as it is measured."""
     rows: list[Row] = []
     base: Row | None = None
     for name in names:
@@ -355,16 +363,16 @@
         row.judge(scenario)
         rows.append(row)
         print(f"{name}: {'; '.join(row.not_met) or 'measured'}", file=sys.stderr, flush=True)
-        if row.tally.lag_most_ms > LAG_MOST_MS:
-            late = f"clients got to a request {row.tally.lag_most_ms:.0f} ms late: measure again"
+        if row.tally.lag_most_ms > MAX_LAG_MS:
+            late = f"clients sent a request {row.tally.lag_most_ms:.0f} ms late: measure again"
             print(f"{name}: {late}", file=sys.stderr, flush=True)
     return rows
 
 
 def costs(rows: list[Row]) -> list[str]:
-    """The figures on CPU that are shown and not judged."""
+    """Return lines on the CPU figures that do not affect the exit code."""
     lines = []
-    for name, most in (("silent", SILENT_MOST_US), ("turned_away", ANSWERED_MOST_US)):
+    for name, most in (("silent", MAX_SILENT_US), ("turned_away", MAX_ANSWERED_US)):
         for row in rows:
             if row.name == name and row.cpu_us is not None:
                 met = "met" if row.cpu_us <= most else "not met"
@@ -375,41 +383,45 @@
     return lines
 
 
-def parser() -> argparse.ArgumentParser:
-    """The command line."""
-    made = options("crowds", __doc__)
-    made.add_argument("--quick", action="store_true", help=f"{QUICK_S:g} s a row, not {LONG_S:g}")
-    made.add_argument("--only", metavar="NAME[,NAME]", help=f"of {', '.join(SCENARIOS)}")
-    made.add_argument("--rate", type=float, default=RATE_PER_S, help="healthy requests a second")
-    made.add_argument("--sockets", type=int, default=SOCKETS, help="descriptors of the program")
-    return made
+def build_parser() -> argparse.ArgumentParser:
+    """Create the command line parser."""
+    parser = create_parser("crowds", __doc__)
+    parser.add_argument("--quick", action="store_true", help=f"{QUICK_S:g} s a row, not {LONG_S:g}")
+    parser.add_argument("--only", metavar="NAME[,NAME]", help=f"of {', '.join(SCENARIOS)}")
+    parser.add_argument("--rate", type=float, default=RATE_PER_S, help="healthy requests per second")
+    parser.add_argument("--sockets", type=int, default=SOCKETS, help="descriptor limit of the program")
+    return parser
 
 
 def main() -> int:
-    """Measure, print and judge; the exit code."""
-    options_ = parser()
-    given = options_.parse_args()
-    names = chosen(given.only, list(SCENARIOS), options_)
+    """Measure, print and check the bounds.
+
+    Returns:
+        The exit code: `DONE`, `NOT_MET` or `BAD_INPUT`.
+    """
+    parser = build_parser()
+    options = parser.parse_args()
+    names = select_names(options.only, list(SCENARIOS), parser)
     if NONE not in names:
-        names = [NONE, *names]  # what all others are compared with
-    counted_s = QUICK_S if given.quick else LONG_S
-    setting = Setting(given.rate, counted_s, given.sockets, given.seed)
+        names = [NONE, *names]  # all others are compared with it
+    counted_s = QUICK_S if options.quick else LONG_S
+    setting = Setting(options.rate, counted_s, options.sockets, options.seed)
     try:
         for name in names:
             SCENARIOS[name](name, setting)
     except ValueError as error:
-        options_.error(str(error))
-    make_ready()
+        parser.error(str(error))
+    prepare_process()
     try:
-        rows = asyncio.run(run(names, setting, given.tree))
+        rows = asyncio.run(run(names, setting, options.tree))
     except ProgramError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
     print(table(HEADS, [cells(row) for row in rows]))
     print("\n".join(costs(rows)))
     met = not any(row.not_met for row in rows)
-    figures = {"seed": given.seed, "quick": given.quick, "rate_per_s": given.rate, "met": met}
-    write_json(given.json, given.tree, {**figures, "rows": [row.summary() for row in rows]})
+    figures = {"seed": options.seed, "quick": options.quick, "rate_per_s": options.rate, "met": met}
+    write_json(options.json, options.tree, {**figures, "rows": [row.summary() for row in rows]})
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -1,12 +1,12 @@
-"""The yardstick: worth served within the aim while a whole fleet has faults, one at a time and together.
+"""Measures the worth served within the aim while a fleet has faults, one at a time and together.
 
 `python -m benchmarks.fleet_faults [--quick] [--seed N] [--json FILE] [--tree DIR] [--only NAME[,NAME]]
-[--peers NAME[,NAME]] [--faults FILE] [--timeline]`. 33 stand-ins in three data centres, 6 programs under
-test, and 300 to 440 calls a second. Beside the sidecar play, on the same servers, calls and faults:
-`random` and `robin` (plain choice from the registry's list, one more try for what never ran).
+[--peers NAME[,NAME]] [--faults FILE] [--timeline]`. 33 simulated servers in three data centres, 6 programs
+under test, and 300 to 440 calls per second. With the same servers, calls and faults, the sidecar is compared
+with `random` and `robin`, which choose from the registry's list and retry once if a call never ran.
 
-Exit codes: 0 all rules kept by the sidecar in sound runs, 1 a rule broken or a run unsound, 2 bad input or
-a program that can't be started. Peers are not judged.
+Exit codes: 0 the sidecar kept all rules in sound runs, 1 a rule was broken or a run was unsound, 2 bad input
+or a program can't be started. Peers do not affect the exit code.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
     BAD_INPUT,
     DONE,
     NOT_MET,
-    chosen,
-    figure,
-    options,
+    create_parser,
+    format_figure,
+    select_names,
     table,
     write_json,
 )
@@ -38,36 +38,39 @@
 from rig.process import ProgramError, raise_descriptors
 
 LONG_S, QUICK_S = 40.0, 15.0
-RATE_PER_S, SWING = 370.0, 0.18  # from 303 to 437 a second
+RATE_PER_S, SWING = 370.0, 0.18  # from 303 to 437 per second
 SERVERS, SIDECARS = 33, 6
-FROM = 0.15  # of the run: when faults begin
-TURNS = 3  # an unsound run is played again, so many times in all
-STORIES = 5  # of each broken rule that are kept
-CALM, TOGETHER, OWN = "calm", "together", "file"
+FAULT_START_SHARE = 0.15  # share of the run after which faults begin
+MAX_PLAYS = 3  # plays of a run at most, which is repeated while it is unsound
+MAX_STORIES = 5  # kept for each broken rule
+CALM, TOGETHER, FILE_ROW = "calm", "together", "file"
 
 
-def _for(low: float, high: float, scale: float) -> Bounds:
+def _scaled(low: float, high: float, scale: float) -> Bounds:
     return low * scale, high * scale
 
 
 def faults(name: str, duration_s: float) -> tuple[Fault, ...]:
-    """The faults of a row. Times are the record's for a run of `LONG_S`, and shorter in a shorter one."""
-    scale, at_s = duration_s / LONG_S, FROM * duration_s
-    whole = (0.7 * duration_s, 0.7 * duration_s)
-    drain = Fault("drain", at_s, lasts_s=_for(5.0, 10.0, scale), share=0.15, away_s=8.0 * scale)
+    """Return the faults of a row.
+
+    Times are the recorded ones in a run of `LONG_S`, and are scaled down in a shorter run.
+    """
+    scale, at_s = duration_s / LONG_S, FAULT_START_SHARE * duration_s
+    full_range = (0.7 * duration_s, 0.7 * duration_s)
+    drain = Fault("drain", at_s, lasts_s=_scaled(5.0, 10.0, scale), share=0.15, away_s=8.0 * scale)
     made = {
         CALM: (),
-        "die": (Fault("die", at_s, lasts_s=_for(7.7, 21.0, scale), share=0.23),),
-        "vanish": (Fault("vanish", at_s, lasts_s=_for(15.0, 25.0, scale), share=0.12),),
-        "fail": (Fault("fail", at_s, lasts_s=_for(6.0, 28.0, scale), share=0.2, degree=(0.41, 0.98)),),
-        "stall": (Fault("stall", at_s, lasts_s=whole, share=0.5, pause_ms=(150.0, 500.0)),),
+        "die": (Fault("die", at_s, lasts_s=_scaled(7.7, 21.0, scale), share=0.23),),
+        "vanish": (Fault("vanish", at_s, lasts_s=_scaled(15.0, 25.0, scale), share=0.12),),
+        "fail": (Fault("fail", at_s, lasts_s=_scaled(6.0, 28.0, scale), share=0.2, degree=(0.41, 0.98)),),
+        "stall": (Fault("stall", at_s, lasts_s=full_range, share=0.5, pause_ms=(150.0, 500.0)),),
         "drain": (drain,),
-        "lose": (Fault("lose", at_s, lasts_s=whole, share=0.15, degree=(0.1, 0.4)),),
-        "spoil": (Fault("spoil", at_s, lasts_s=whole, share=0.15, degree=(0.1, 0.4)),),
-        "half_open": (Fault("half_open", at_s, lasts_s=whole, share=0.3, degree=(0.05, 0.2)),),
-        "slow_accept": (Fault("slow_accept", at_s, lasts_s=whole, share=0.3, delay_ms=(100.0, 400.0)),),
+        "lose": (Fault("lose", at_s, lasts_s=full_range, share=0.15, degree=(0.1, 0.4)),),
+        "spoil": (Fault("spoil", at_s, lasts_s=full_range, share=0.15, degree=(0.1, 0.4)),),
+        "half_open": (Fault("half_open", at_s, lasts_s=full_range, share=0.3, degree=(0.05, 0.2)),),
+        "slow_accept": (Fault("slow_accept", at_s, lasts_s=full_range, share=0.3, delay_ms=(100.0, 400.0)),),
         "registry_delay": (
-            Fault("registry_delay", 0.0, lasts_s=whole, delay_ms=(3000.0, 5000.0)),
+            Fault("registry_delay", 0.0, lasts_s=full_range, delay_ms=(3000.0, 5000.0)),
             drain,
         ),
         "registry_silence": (
@@ -90,7 +93,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """What a run is asked for."""
+    """Settings of a run."""
 
     duration_s: float
     seed: int
@@ -100,12 +103,12 @@
 
     @property
     def site(self) -> Site:
-        """The fleet."""
+        """Site with the fleet."""
         return Site(self.servers, self.sidecars, self.seed)
 
     @property
     def demand(self) -> Demand:
-        """The calls."""
+        """Calls that are made."""
         return Demand(
             self.rate_per_s, self.duration_s, CLASSES, TENANTS, WEIGHTS, seed=self.seed, swing=SWING
         )
@@ -113,25 +116,25 @@
 
 @dataclass(slots=True)
 class Row:
-    """What one schedule showed on one program."""
+    """Results of one schedule with one program."""
 
     name: str
     peer: Peer
     run: Run
-    turns: int  # how often it was played until it was sound, or given up
+    turns: int  # plays until it was sound or given up
 
     @property
     def not_met(self) -> list[str]:
-        """Each rule that was broken, and why the run is unsound."""
+        """All broken rules, and the reasons why the run is unsound."""
         broken = [f"{rule}: {len(found)}" for rule, found in self.run.breaches.items() if found]
         return [*broken, *(f"unsound: {why}" for why in self.run.unsound)]
 
     def shares(self) -> dict[str, float]:
-        """Worth within the aim, service, and the service of the worst 10 s, class and tenant."""
+        """Return the worth within the aim, the service, and that of the worst 10 s, class and tenant."""
         score = self.run.score
 
-        def worst(keeps: Sequence[Any]) -> float:
-            return min(score.service(keep) for keep in keeps)
+        def worst(filters: Sequence[Any]) -> float:
+            return min(score.service(keep) for keep in filters)
 
         return {
             "in_aim": score.in_aim(),
@@ -142,7 +145,7 @@
         }
 
     def summary(self) -> dict[str, Any]:
-        """All figures as JSON values."""
+        """Return all figures as JSON values."""
         run, score = self.run, self.run.score
         return {
             "name": self.name,
@@ -161,7 +164,7 @@
                 for one in CLASSES
             },
             "broken": {rule: len(found) for rule, found in run.breaches.items()},
-            "stories": [one.as_json() for found in run.breaches.values() for one in found[:STORIES]],
+            "stories": [one.as_json() for found in run.breaches.values() for one in found[:MAX_STORIES]],
             "falls": run.falls,
             "crashes": len(run.call_ledger.crashes),
             "lag_p99_ms": run.lag_p99_ms,
@@ -199,23 +202,26 @@
 
 
 def cells(row: Row) -> list[str]:
-    """A row as the table shows it."""
+    """Return the table row of a schedule."""
     run, score, shares = row.run, row.run.score, row.shares()
     asked = len(score.outcomes)
     check = CLASSES[0].name
     rules = ", ".join(f"{rule} {len(run.breaches[rule])}" for rule in RULES if run.breaches[rule])
-    lag = figure(max(run.lag_p99_ms.values()), ".1f")
+    lag = format_figure(max(run.lag_p99_ms.values()), ".1f")
     return [
         row.name,
         row.peer,
         str(asked),
-        *(figure(100.0 * shares[name], ".2f") for name in ("in_aim", "service")),
-        *(figure(100.0 * shares[name], ".1f") for name in ("worst_window", "worst_class", "worst_tenant")),
-        figure(score.latency_ms(check, 0.5)),
-        figure(score.latency_ms(check, 0.99)),
+        *(format_figure(100.0 * shares[name], ".2f") for name in ("in_aim", "service")),
+        *(
+            format_figure(100.0 * shares[name], ".1f")
+            for name in ("worst_window", "worst_class", "worst_tenant")
+        ),
+        format_figure(score.latency_ms(check, 0.5)),
+        format_figure(score.latency_ms(check, 0.99)),
         str(sum(not outcome.served for outcome in score.outcomes)),
-        figure(sum(outcome.tries for outcome in score.outcomes) / max(1, asked), ".3f"),
-        figure(len(run.call_ledger.executions) / max(1, asked), ".3f"),
+        format_figure(sum(outcome.tries for outcome in score.outcomes) / max(1, asked), ".3f"),
+        format_figure(len(run.call_ledger.executions) / max(1, asked), ".3f"),
         rules or "-",
         str(len(run.falls)),
         lag + (" unsound" if run.unsound else ""),
@@ -223,8 +229,12 @@
 
 
 async def measure(name: str, peer: Peer, setting: Setting, schedule: Schedule, tree: Path) -> Row:
-    """Play one row, again while it is unsound; `ProgramError` if a program can't be started."""
-    for turn in range(1, TURNS + 1):
+    """Play one row, and repeat it while it is unsound.
+
+    Raises:
+        ProgramError: A program cannot be started.
+    """
+    for turn in range(1, MAX_PLAYS + 1):
         async with standing(tree, peer, setting.site, setting.rate_per_s) as yard:
             row = Row(name, peer, await yard.play(setting.demand, schedule), turn)
         if not row.run.unsound:
@@ -233,77 +243,89 @@
 
 
 async def run(
-    names: Sequence[str], setting: Setting, tree: Path, peers: Sequence[Peer], own: Schedule | None = None
+    names: Sequence[str],
+    setting: Setting,
+    tree: Path,
+    peers: Sequence[Peer],
+    file_schedule: Schedule | None = None,
 ) -> list[Row]:
-    """All rows, each as soon as it is measured also on standard error, broken rules with their stories."""
+    """Measure all rows and print each to standard error, with the details of broken rules."""
     rows: list[Row] = []
     for name in names:
-        schedule = own or Schedule(setting.duration_s, faults(name, setting.duration_s), setting.seed)
+        schedule = file_schedule or Schedule(
+            setting.duration_s, faults(name, setting.duration_s), setting.seed
+        )
         for peer in peers:
             row = await measure(name, peer, setting, schedule, tree)
             rows.append(row)
-            said = "; ".join(row.not_met) or "rules kept"
-            in_aim = figure(100.0 * row.shares()["in_aim"], ".2f")
-            print(f"{name} ({peer}): {in_aim}% in aim; {said}", file=sys.stderr, flush=True)
+            verdict = "; ".join(row.not_met) or "rules kept"
+            in_aim = format_figure(100.0 * row.shares()["in_aim"], ".2f")
+            print(f"{name} ({peer}): {in_aim}% in aim; {verdict}", file=sys.stderr, flush=True)
             for found in row.run.breaches.values() if peer == "sidecar" else ():
-                for breach in found[:STORIES]:
+                for breach in found[:MAX_STORIES]:
                     print(breach.text(), file=sys.stderr, flush=True)
     return rows
 
 
-def parser() -> argparse.ArgumentParser:
-    """The command line."""
-    made = options("fleet_faults", __doc__)
-    made.add_argument("--quick", action="store_true", help=f"{QUICK_S:g} s a row, not {LONG_S:g}")
-    made.add_argument("--only", metavar="NAME[,NAME]", help=f"of {', '.join(NAMES)}")
-    made.add_argument("--peers", metavar="NAME[,NAME]", help=f"of {', '.join(PEERS)}; all by default")
-    made.add_argument("--faults", type=Path, metavar="FILE", help="a schedule of your own, as one row")
-    made.add_argument("--timeline", action="store_true", help="print the schedules and play nothing")
-    return made
+def build_parser() -> argparse.ArgumentParser:
+    """Create the command line parser."""
+    parser = create_parser("fleet_faults", __doc__)
+    parser.add_argument("--quick", action="store_true", help=f"{QUICK_S:g} s a row, not {LONG_S:g}")
+    parser.add_argument("--only", metavar="NAME[,NAME]", help=f"of {', '.join(NAMES)}")
+    parser.add_argument("--peers", metavar="NAME[,NAME]", help=f"of {', '.join(PEERS)}; all by default")
+    parser.add_argument("--faults", type=Path, metavar="FILE", help="file with a schedule, played as one row")
+    parser.add_argument("--timeline", action="store_true", help="print the schedules without playing them")
+    return parser
 
 
-def _timelines(names: Sequence[str], setting: Setting, own: Schedule | None) -> None:
+def _timelines(names: Sequence[str], setting: Setting, file_schedule: Schedule | None) -> None:
     site = setting.site
     for name in names:
-        schedule = own or Schedule(setting.duration_s, faults(name, setting.duration_s), setting.seed)
+        schedule = file_schedule or Schedule(
+            setting.duration_s, faults(name, setting.duration_s), setting.seed
+        )
         print(f"# {name}, seed {schedule.seed}, {schedule.duration_s:g} s")
         print(schedule.timeline(site.server_names, site.sidecar_names), end="")
 
 
 def main() -> int:
-    """Measure, print and judge; the exit code."""
-    options_ = parser()
-    given = options_.parse_args()
-    names = chosen(given.only, NAMES, options_)
+    """Measure, print and check the bounds.
+
+    Returns:
+        The exit code: `DONE`, `NOT_MET` or `BAD_INPUT`.
+    """
+    parser = build_parser()
+    options = parser.parse_args()
+    names = select_names(options.only, NAMES, parser)
     known: dict[str, Peer] = {peer: peer for peer in PEERS}
-    peers = [known[name] for name in chosen(given.peers, PEERS, options_)]
-    setting = Setting(QUICK_S if given.quick else LONG_S, given.seed)
-    own: Schedule | None = None
+    peers = [known[name] for name in select_names(options.peers, PEERS, parser)]
+    setting = Setting(QUICK_S if options.quick else LONG_S, options.seed)
+    file_schedule: Schedule | None = None
     try:
-        if given.faults is not None:
-            own = load(given.faults)
-            own.steps(setting.site.server_names, setting.site.sidecar_names)
-            names, setting = [OWN], Setting(own.duration_s, given.seed)
+        if options.faults is not None:
+            file_schedule = load(options.faults)
+            file_schedule.steps(setting.site.server_names, setting.site.sidecar_names)
+            names, setting = [FILE_ROW], Setting(file_schedule.duration_s, options.seed)
     except ScheduleError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
-    if given.timeline:
-        _timelines(names, setting, own)
+    if options.timeline:
+        _timelines(names, setting, file_schedule)
         return DONE
     raise_descriptors()
     gc.collect()
     gc.freeze()
-    gc.set_threshold(50_000, 50, 1000)  # guards against pauses that would be taken for the servers'
+    gc.set_threshold(50_000, 50, 1000)  # avoids pauses that would be attributed to the servers
     try:
-        rows = asyncio.run(run(names, setting, given.tree, peers, own))
+        rows = asyncio.run(run(names, setting, options.tree, peers, file_schedule))
     except ProgramError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
     print(table(HEADS, [cells(row) for row in rows]))
-    judged = [row for row in rows if row.peer == "sidecar"]
-    met = not any(row.not_met for row in judged)
-    summary = {"seed": given.seed, "quick": given.quick, "met": met, "duration_s": setting.duration_s}
-    write_json(given.json, given.tree, {**summary, "rows": [row.summary() for row in rows]})
+    sidecar_rows = [row for row in rows if row.peer == "sidecar"]
+    met = not any(row.not_met for row in sidecar_rows)
+    summary = {"seed": options.seed, "quick": options.quick, "met": met, "duration_s": setting.duration_s}
+    write_json(options.json, options.tree, {**summary, "rows": [row.summary() for row in rows]})
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -1,12 +1,12 @@
-"""Days of 200 sidecars and 120 servers in virtual time: what each sidecar does alone, summed over all.
+"""Plays days of 200 sidecars and 120 servers in virtual time and sums the effects of their own decisions.
 
 `python -m benchmarks.fleet_size [--quick] [--seed N] [--json FILE] [--tree DIR] [--only NAME[,NAME]]
-[--sidecars N]`. The decision module (of another checkout with `--tree`) plays against the rig's modelled
-servers: calm, roll, herd, zone, split and join, after those of the standing fleet test
+[--sidecars N]`. The decision module (of another checkout with `--tree`) plays against the simulated servers
+of the rig. The days calm, roll, herd, zone, split and join follow those of the permanent fleet test
 (`docs/fleet-test.md`). The same seed gives the same day.
 
-Exit codes: 0 all days played with new connections for at most `FRESH_MOST` of the requests on calm, 1 not so,
-2 bad input.
+Exit codes: 0 all days were played and calm opened new connections for at most `MAX_FRESH_SHARE` of its
+requests, 1 otherwise, 2 bad input.
 """
 
 from __future__ import annotations
@@ -20,7 +20,16 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.common import BAD_INPUT, DONE, NOT_MET, chosen, figure, options, table, write_json
+from benchmarks.common import (
+    BAD_INPUT,
+    DONE,
+    NOT_MET,
+    create_parser,
+    format_figure,
+    select_names,
+    table,
+    write_json,
+)
 from fordtrestle import balancer as package
 from fordtrestle.balancer import model
 from fordtrestle.balancer.model import Settings
@@ -30,13 +39,13 @@
 ZONES = ("north", "middle", "south")
 SERVERS, QUICK_SERVERS = 120, 36
 SIDECARS, QUICK_SIDECARS = 200, 60
-RATE_A_SERVER = 11.0  # requests a second
+RATE_A_SERVER = 11.0  # requests per second
 LENGTH_MS, QUICK_MS = 24_000.0, 12_000.0
 IDLE_MS, POOL_IDLE_SHARE = 5000.0, 0.9
-GRACE_MS = 2500.0  # from the last arrival on: all are over then
+GRACE_MS = 2500.0  # after the last arrival, when all requests have ended
 KEYS = 3000
-WINDOW_MS = 5000.0  # over which the worst stretch is taken
-FRESH_MOST = 0.35  # new connections a request, on calm
+WINDOW_MS = 5000.0  # length of the windows of which the worst is taken
+MAX_FRESH_SHARE = 0.35  # new connections per request on calm
 
 CLASSES = (
     # name, share, work, io, aim, deadline, worth
@@ -46,7 +55,12 @@
 
 
 def settings(me: int, sidecars: int) -> Settings:
-    """What a sidecar is told."""
+    """Return the settings of a sidecar.
+
+    Args:
+        me: Number of the sidecar.
+        sidecars: How many sidecars share the traffic.
+    """
     return Settings.parse(
         {
             "Profiles": [
@@ -82,7 +96,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
-    """How large a day is."""
+    """Size of a day."""
 
     servers: int
     sidecars: int
@@ -90,7 +104,7 @@
 
 
 class Day:
-    """One day: the world, what happens in it, and what it came to."""
+    """A day: the simulated world, its events and its results."""
 
     def __init__(self, size: Size, seed: int, balancer: Callable[[float, Settings, int], Any]) -> None:
         self.size = size
@@ -120,7 +134,7 @@
             idle_ms=IDLE_MS * POOL_IDLE_SHARE,
         )
         self.world.zone_of = lambda number: number % len(ZONES)
-        # Most sidecars see little, and some several times the mean.
+        # Most sidecars have little traffic, and some several times the mean.
         weights = tuple(self.rng.gammavariate(2.0, 1.0) for _ in range(size.sidecars))
         for traffic_class, (name, share, work, io, aim, deadline, worth) in enumerate(CLASSES):
             flow = Flow(
@@ -140,12 +154,12 @@
             )
             self.world.flow(flow, size.length_ms)
 
-    # --- what happens ------------------------------------------------------------------
+    # --- events ------------------------------------------------------------------
 
     def restart_sidecars(
         self, share: float, away_ms: tuple[float, float], from_ms: float, over_ms: float
     ) -> None:
-        """So many are killed within `over_ms`, and return with the list as it was at the start."""
+        """Kill a share of the sidecars within `over_ms`; they return with the server list of the start."""
         known = [host.listing for host in self.world.hosts.values()]
         count = round(share * self.size.sidecars)
         for number in self.rng.sample(range(self.size.sidecars), count):
@@ -154,7 +168,10 @@
             self.world.at(at_ms, lambda n=number, back=back_ms: self.world.kill(n, back, known))  # type: ignore[misc]
 
     def replace_servers(self, share: float, from_ms: float, over_ms: float) -> None:
-        """So many drain and go, each for a new one that is cold; all hear of it 0.3 to 1.6 s late."""
+        """Drain a share of the servers, each replaced by a cold one.
+
+        All sidecars learn of a replacement 0.3 to 1.6 s later.
+        """
         world = self.world
         for number in self.rng.sample(range(self.size.servers), round(share * self.size.servers)):
             old, new = f"s{number}", f"t{number}"
@@ -165,25 +182,25 @@
                 world.add(new, self.makes[old], listing)
                 for me in range(self.size.sidecars):
                     entries = [model.Listing(old, self.zones[old], state="left"), listing]
-                    told_ms = world.now + self.rng.uniform(300.0, 1600.0)
-                    world.at(told_ms, lambda me=me, entries=entries: world.tell("changes", entries, [me]))  # type: ignore[misc]
+                    heard_ms = world.now + self.rng.uniform(300.0, 1600.0)
+                    world.at(heard_ms, lambda me=me, entries=entries: world.tell("changes", entries, [me]))  # type: ignore[misc]
 
             world.at(at_ms, swap)
 
     def lose_zone(self, zone: int, from_ms: float, lasts_ms: float) -> None:
-        """All of its servers vanish without a word and return."""
+        """Let all servers of a zone vanish without notice and return."""
         for name in [name for name, of in self.zones.items() if of == zone]:
             host = self.world.hosts[name]
             self.world.at(from_ms, lambda host=host: host.vanish(from_ms + lasts_ms))  # type: ignore[misc]
 
     def cut_zone(self, zone: int, from_ms: float, lasts_ms: float) -> None:
-        """No way between it and the others, either way."""
+        """Cut a zone off from the others in both directions."""
         others = [other for other in range(len(ZONES)) if other != zone]
         pairs = [(zone, other) for other in others] + [(other, zone) for other in others]
         self.world.at(from_ms, lambda: self.world.cut(pairs, from_ms + lasts_ms))
 
     def make_slow(self, share: float, from_ms: float) -> None:
-        """So many servers stand still for 300 ms each second."""
+        """Stall a share of the servers for 300 ms about every second."""
         for number in self.rng.sample(range(self.size.servers), round(share * self.size.servers)):
             host = self.world.hosts[f"s{number}"]
             at_ms = from_ms
@@ -191,10 +208,10 @@
                 self.world.at(at_ms, lambda host=host: host.stand_still(300.0))  # type: ignore[misc]
                 at_ms += self.rng.uniform(800.0, 1200.0)
 
-    # --- what it came to ---------------------------------------------------------------
+    # --- results ---------------------------------------------------------------
 
     def play(self) -> dict[str, float]:
-        """Play it to its end; the figures, shares of 1 unless their names say more."""
+        """Play the day to its end and return its figures: shares of 1, unless their names say otherwise."""
         self.world.run(self.size.length_ms + GRACE_MS)
         rows = [asked for asked in self.world.asked if asked.at_ms < self.size.length_ms]
         by_window: dict[int, list[Asked]] = {}
@@ -216,7 +233,10 @@
 
 
 def _served(rows: list[Asked]) -> float:
-    """The worth served, late answers at half, over the worth asked for; worth goes by the work."""
+    """Return the worth served over the worth requested.
+
+    Late responses count half. The worth of a request is proportional to its work.
+    """
     worth = {"served": 1.0, "late": 0.5}
     whole = sum(asked.flow.worth * asked.work_ms for asked in rows)
     return sum(asked.flow.worth * asked.work_ms * worth.get(asked.end or "", 0.0) for asked in rows) / (
@@ -225,24 +245,24 @@
 
 
 def calm(day: Day) -> None:
-    """No fault."""
+    """Play without faults."""
 
 
 def roll(day: Day) -> None:
-    """Half of the servers are replaced while all sidecars are restarted."""
+    """Replace half of the servers while all sidecars are restarted."""
     length = day.size.length_ms
     day.replace_servers(0.5, 0.2 * length, 0.6 * length)
     day.restart_sidecars(1.0, (300.0, 600.0), 0.2 * length, 0.6 * length)
 
 
 def herd(day: Day) -> None:
-    """Seven in ten sidecars are killed at once, and one of eight servers is bad."""
+    """Kill seven of ten sidecars at once, while one of eight servers stalls."""
     day.make_slow(0.125, 0.2 * day.size.length_ms)
     day.restart_sidecars(0.7, (1100.0, 5000.0), 0.4 * day.size.length_ms, 200.0)
 
 
 def zone(day: Day) -> None:
-    """A zone is lost for 5 s; later another is cut off from the others; one of eight servers is bad."""
+    """Lose a zone for 5 s and later cut another one off, while one of eight servers stalls."""
     length = day.size.length_ms
     day.make_slow(0.125, 0.0)
     day.lose_zone(1, 0.2 * length, min(5000.0, 0.25 * length))
@@ -250,12 +270,12 @@
 
 
 def split(day: Day) -> None:
-    """A zone is cut off for 6 s."""
+    """Cut a zone off for 6 s."""
     day.cut_zone(0, 0.3 * day.size.length_ms, min(6000.0, 0.4 * day.size.length_ms))
 
 
 def join(day: Day) -> None:
-    """Six in ten servers are replaced within 7 s."""
+    """Replace six of ten servers within 7 s."""
     day.replace_servers(0.6, 0.3 * day.size.length_ms, min(7000.0, 0.5 * day.size.length_ms))
 
 
@@ -276,23 +296,26 @@
 
 
 def balancer_of(tree: Path) -> Callable[[float, Settings, int], Any]:
-    """The decision module of a checkout with all its parts; `ValueError` where it can't be loaded.
+    """Load the decision module of a checkout with all its parts.
+
+    Only its interface, `fordtrestle.balancer.model`, remains that of this checkout, since the rig uses it.
 
-    The interface alone, `fordtrestle.balancer.model`, stays that of this checkout: the rig plays with it.
+    Raises:
+        ValueError: The module cannot be loaded.
     """
     path = tree / "fordtrestle" / "balancer" / "balancer.py"
-    apart = f"{package.__name__}."
-    own = {name: sys.modules[name] for name in list(sys.modules) if name.startswith(apart)}
+    prefix = f"{package.__name__}."
+    own = {name: sys.modules[name] for name in list(sys.modules) if name.startswith(prefix)}
     attributes, own_path = dict(vars(package)), package.__path__
     for name in own.keys() - {model.__name__}:
         del sys.modules[name]
     package.__path__ = [str(path.parent)]
     try:
-        module = importlib.import_module(f"{apart}balancer")
+        module = importlib.import_module(f"{prefix}balancer")
     except (OSError, SyntaxError, ImportError) as error:
         raise ValueError(f"{path}: {error}") from error
     finally:
-        for name in [name for name in sys.modules if name.startswith(apart)]:
+        for name in [name for name in sys.modules if name.startswith(prefix)]:
             del sys.modules[name]
         sys.modules.update(own)
         vars(package).update(attributes)
@@ -302,56 +325,60 @@
 
 
 def cells(name: str, row: dict[str, float]) -> list[str]:
-    """A day as the table shows it."""
-    percent = [figure(100.0 * row[key], ".1f") for key in ("served", "worst", "refused", "failed")]
-    rest = [figure(row["fresh"], ".3f"), figure(row["connections_a_sidecar"], ".1f")]
+    """Return the table row of a day."""
+    percent = [format_figure(100.0 * row[key], ".1f") for key in ("served", "worst", "refused", "failed")]
+    rest = [format_figure(row["fresh"], ".3f"), format_figure(row["connections_a_sidecar"], ".1f")]
     return [
         name,
         *percent,
         *rest,
-        figure(row["sends_a_request"], ".3f"),
-        figure(row["busiest_over_mean"], ".2f"),
+        format_figure(row["sends_a_request"], ".3f"),
+        format_figure(row["busiest_over_mean"], ".2f"),
     ]
 
 
 def main() -> int:
-    """Play, print and judge; the exit code."""
-    made = options("fleet_size", __doc__)
-    made.add_argument(
+    """Play, print and check the bounds.
+
+    Returns:
+        The exit code: `DONE`, `NOT_MET` or `BAD_INPUT`.
+    """
+    parser = create_parser("fleet_size", __doc__)
+    parser.add_argument(
         "--quick", action="store_true", help=f"{QUICK_SIDECARS} sidecars, {QUICK_SERVERS} servers"
     )
-    made.add_argument("--only", metavar="NAME[,NAME]", help=f"of {', '.join(DAYS)}")
-    made.add_argument("--sidecars", type=int, help="how many share the same traffic")
-    given = made.parse_args()
-    names = chosen(given.only, list(DAYS), made)
-    if given.sidecars is not None and given.sidecars < 1:
-        made.error("--sidecars: at least one")
+    parser.add_argument("--only", metavar="NAME[,NAME]", help=f"of {', '.join(DAYS)}")
+    parser.add_argument("--sidecars", type=int, help="number of sidecars that share the traffic")
+    options = parser.parse_args()
+    names = select_names(options.only, list(DAYS), parser)
+    if options.sidecars is not None and options.sidecars < 1:
+        parser.error("--sidecars: expected at least 1")
     size = Size(
-        QUICK_SERVERS if given.quick else SERVERS,
-        given.sidecars or (QUICK_SIDECARS if given.quick else SIDECARS),
-        QUICK_MS if given.quick else LENGTH_MS,
+        QUICK_SERVERS if options.quick else SERVERS,
+        options.sidecars or (QUICK_SIDECARS if options.quick else SIDECARS),
+        QUICK_MS if options.quick else LENGTH_MS,
     )
     try:
-        balancer = balancer_of(given.tree)
+        balancer = balancer_of(options.tree)
     except ValueError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
     rows = {}
     for name in names:
-        day = Day(size, given.seed, balancer)
+        day = Day(size, options.seed, balancer)
         DAYS[name](day)
         rows[name] = day.play()
         print(f"{name}: played", file=sys.stderr, flush=True)
     print(table(HEADS, [cells(name, row) for name, row in rows.items()]))
-    met = rows["calm"]["fresh"] <= FRESH_MOST if "calm" in rows else True
+    met = rows["calm"]["fresh"] <= MAX_FRESH_SHARE if "calm" in rows else True
     summary = {
-        "seed": given.seed,
+        "seed": options.seed,
         "servers": size.servers,
         "sidecars": size.sidecars,
         "met": met,
         "days": rows,
     }
-    write_json(given.json, given.tree, summary)
+    write_json(options.json, options.tree, summary)
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/giveway.py
+++ b/benchmarks/giveway.py
@@ -1,9 +1,10 @@
-"""What it costs to make room: `python -m benchmarks.giveway [--json FILE]`.
+"""Measures the cost of making room for connections: `python -m benchmarks.giveway [--json FILE]`.
 
-In this process, with no crowd to share a core with: the CPU time from accepting a connection to having
-closed it, for those that are closed while silent, turned away at once, and answered 503 at the limit;
-and the pure table's choice of who is evicted at 100 to 10,000 connections. Microseconds, the least of
-several rounds. Exit codes: 0 all bounds met, 1 a bound not met, 2 bad input.
+Runs in this process, without a connection flood that shares the core. Measures the CPU time from accepting a
+connection until it is closed, for connections that are closed while silent, rejected at once, or answered 503
+at the limit, and the time in which the connection table selects a connection to evict, for 100 to 10,000
+connections. Figures are microseconds, the minimum of several rounds. Exit codes: 0 all bounds met, 1 a bound
+not met, 2 bad input.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 import time
 from collections.abc import Callable
 
-from benchmarks.common import DONE, NOT_MET, figure, make_ready, options, table, write_json
+from benchmarks.common import DONE, NOT_MET, create_parser, format_figure, prepare_process, table, write_json
 from fordtrestle.proxy.engine.clock import Clock
 from fordtrestle.proxy.engine.connection_table import ConnectionTable, TableOptions
 from fordtrestle.proxy.engine.lag import LoopLagMeter
@@ -25,10 +26,10 @@
 from fordtrestle.proxy.http.requests import RequestClass, RequestNames
 from fordtrestle.proxy.http.server import HttpServer, HttpServerOptions
 
-# The bounds, in microseconds. Closing is the part that a silent connection costs to be got rid of.
-CLOSE_SILENT_MOST_US = 40.0
-REFUSED_MOST_US = 150.0
-FLAT_MOST = 3.0  # times the cost at 100 connections that it may cost at 10,000
+# Bounds. Closing is the cost of evicting a silent connection.
+MAX_CLOSE_SILENT_US = 40.0
+MAX_REJECT_US = 150.0
+MAX_GROWTH = 3.0  # cost at 10,000 connections, relative to that at 100
 
 COUNT, ROUNDS = 400, 5
 NAMES = RequestNames({"look": RequestClass(0, "GET", False)}, {})
@@ -36,32 +37,45 @@
 BAD = b"GET /nowhere HTTP/1.1\r\nHost: a\r\n\r\n"
 
 
-class Nobody:
-    """Takes nothing: every request is refused before it comes here, or the figure is of something else."""
+class RejectingHandler:
+    """Request handler that must not be called: every request is rejected before it."""
 
     def arrive(self, call: ClientCall, now: float) -> OpenRequest | None:
-        """Guards against measuring a request that was taken."""
-        raise AssertionError("a request was taken")
+        """Fail, since a request that is accepted would be measured instead of a rejection."""
+        raise AssertionError("expected every request to be rejected, but one was accepted")
 
     def client_gone(self, request: OpenRequest) -> None:
-        """Never called."""
+        """Do nothing; it is never called."""
 
 
 def _front(places: bool) -> HttpServer:
-    """A front with places for all, or with none, and then room for all at the limit."""
+    """Create a server with capacity for all connections, or with only a reserve for answers at the limit."""
     loop = asyncio.get_running_loop()
     budget = Limits(COUNT if places else 0, 2**24, COUNT).budget("clients")
     reserve = Limits(0 if places else COUNT, 0, 0).descriptors.add_share("at the limit")
     options = HttpServerOptions(NAMES, 10 * COUNT)
     clock = Clock(loop)
     return HttpServer(
-        loop, clock, options, Nobody(), budget, reserve, LoopLagMeter(loop, clock.now, lambda: False)
+        loop,
+        clock,
+        options,
+        RejectingHandler(),
+        budget,
+        reserve,
+        LoopLagMeter(loop, clock.now, lambda: False),
     )
 
 
 async def crowd(send: Callable[[int], bytes], places: bool = True) -> tuple[float, float]:
-    """CPU microseconds for each of `COUNT` connections: until all are accepted, and closed if they ask
-    anything; and then to close those that are left.
+    """Measure `COUNT` connections.
+
+    Args:
+        send: Returns the bytes that a connection sends.
+        places: Whether the server has capacity for the connections.
+
+    Returns:
+        CPU microseconds per connection until all are accepted, and closed if they send anything, and
+        CPU microseconds per connection to close the remaining ones.
     """
     front = _front(places)
     address = await front.listen(socket.create_server(("127.0.0.1", 0), backlog=COUNT))
@@ -86,32 +100,32 @@
 
 
 def _queued(front: HttpServer) -> int:
-    """Connections that wait to be accepted."""
+    """Return the number of connections that wait to be accepted."""
     return accept_queue(front._acceptors[0].sock)[0]
 
 
 def choice(size: int) -> float:
-    """Microseconds to choose who is evicted in a table of so many, and to enter another."""
-    made: ConnectionTable[int] = ConnectionTable(TableOptions(size))
+    """Return the microseconds to select a connection to evict from a table of `size`, and to add another."""
+    connection_table: ConnectionTable[int] = ConnectionTable(TableOptions(size))
     for number in range(size):
-        _asked(made, number, 0.0)
+        _add_idle(connection_table, number, 0.0)
     began = time.process_time()
     for number in range(COUNT):
-        entry = made.victim(500.0, lambda owner: True)
+        entry = connection_table.victim(500.0, lambda owner: True)
         assert entry is not None
-        made.remove(entry)
-        _asked(made, size + number, 500.0)
+        connection_table.remove(entry)
+        _add_idle(connection_table, size + number, 500.0)
     return (time.process_time() - began) / COUNT * 1e6
 
 
-def _asked(made: ConnectionTable[int], number: int, now: float) -> None:
-    entry = made.add(number, now)
-    made.on_request(entry, now)
-    made.on_idle(entry, now)
+def _add_idle(connection_table: ConnectionTable[int], number: int, now: float) -> None:
+    entry = connection_table.add(number, now)
+    connection_table.on_request(entry, now)
+    connection_table.on_idle(entry, now)
 
 
 def figures() -> dict[str, float]:
-    """The least of several rounds, by name, in microseconds."""
+    """Return the minimum of several rounds by name, in microseconds."""
     silent = [asyncio.run(crowd(lambda number: b"")) for _ in range(ROUNDS)]
     away = [asyncio.run(crowd(lambda number: BAD)) for _ in range(ROUNDS)]
     refused = [asyncio.run(crowd(lambda number: ASKED % number, places=False)) for _ in range(ROUNDS)]
@@ -127,19 +141,26 @@
 
 
 def main() -> int:
-    """Measure and judge; the exit code."""
-    given = options("giveway", __doc__).parse_args()
-    make_ready()
+    """Measure and check the bounds.
+
+    Returns:
+        The exit code: `DONE` or `NOT_MET`.
+    """
+    options = create_parser("giveway", __doc__).parse_args()
+    prepare_process()
     measured = figures()
     bounds = {
-        "close a silent one": CLOSE_SILENT_MOST_US,
-        "turned away, whole life": REFUSED_MOST_US,
-        "503 at the limit, whole life": REFUSED_MOST_US,
-        "choose among 10000": FLAT_MOST * measured["choose among 100"],
+        "close a silent one": MAX_CLOSE_SILENT_US,
+        "turned away, whole life": MAX_REJECT_US,
+        "503 at the limit, whole life": MAX_REJECT_US,
+        "choose among 10000": MAX_GROWTH * measured["choose among 100"],
     }
-    rows = [(name, figure(value, ".1f"), figure(bounds.get(name), ".1f")) for name, value in measured.items()]
+    rows = [
+        (name, format_figure(value, ".1f"), format_figure(bounds.get(name), ".1f"))
+        for name, value in measured.items()
+    ]
     print(table(("cost", "us", "at most"), rows))
-    write_json(given.json, given.tree, measured)
+    write_json(options.json, options.tree, measured)
     return NOT_MET if any(measured[name] > most for name, most in bounds.items()) else DONE
 
 
--- a/benchmarks/load_accuracy.py
+++ b/benchmarks/load_accuracy.py
@@ -1,13 +1,14 @@
-"""How true the load generator's figures are, against a stand-in that recorded the truth on the same clock.
+"""Checks the load generator's figures against a simulated server that records the truth on the same clock.
 
 `python -m benchmarks.load_accuracy [--quick] [--seed N] [--again N] [--json FILE]`. Exit codes: 0 all bounds
-met, 1 one is not, 2 bad input. Bounds: every percentile up to p99.9 within 1 ms of the truth; a stall of 2 s
-under constant load within a Kolmogorov-Smirnov distance of 0.02 of the analytic line, which a closed loop in
-the same place hides; a trace of 2,500 a second with bursts of 20 a millisecond replayed with a lag under 1 ms
-at the 99th percentile, none lost, order kept. Bounds hold on a machine that is otherwise at rest: beside each
-run a control that only reads the clock shows what the machine kept off (`noise`). A row beside which the
-control was kept off in gaps of over 0.5 ms for more than 0.05% of its time is void: it is played again, up to
-`--again` times, and where it stays void it counts as not met. No row is played again for its own figures.
+are met, 1 a bound is not met, 2 bad input. Bounds: Every percentile up to p99.9 is within 1 ms of the truth.
+A stall of 2 s under constant load is within a Kolmogorov-Smirnov distance of 0.02 of the analytic
+distribution, while a closed loop in its place hides the stall. A trace of 2,500 requests per second with
+bursts of 20 per millisecond is replayed with a lag under 1 ms at the 99th percentile, without losses and in
+order. The bounds apply on an otherwise idle machine: during each run, a control process that only reads the
+clock detects when the machine did not run it (`noise`). If it was interrupted by gaps of over 0.5 ms for more
+than 0.05% of its time, the row is void: it is repeated up to `--again` times, and counts as not met if it
+stays void. No row is repeated because of its own figures.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.common import DONE, NOT_MET, figure, options, table, write_json
+from benchmarks.common import DONE, NOT_MET, create_parser, format_figure, table, write_json
 from benchmarks.load_truth import Plan, Record, Truth
 from benchmarks.noise import Control, Noise, spare_core, stolen, stolen_share
 from fordtrestle.load import schedule, spec, trace
@@ -34,16 +35,16 @@
 from rig.clients import quantile
 from rig.process import raise_descriptors, reserve_core
 
-APART_MOST_MS = 1.0
-KS_MOST = 0.02
-LAG_MOST_MS = 1.0
+MAX_ERROR_MS = 1.0
+MAX_KS_DISTANCE = 0.02
+MAX_LAG_MS = 1.0
 SHARES = (0.5, 0.9, 0.99, 0.999)
 RATE_PER_S = 1000.0
 STALL_FROM_S, STALL_S, STALL_RATE_PER_S, SERVED_PER_S = 2.0, 2.0, 250.0, 500.0
 CLOSED_CLIENTS = 10
 REPLAY_PER_S, BURST, BURST_EVERY_S = 2500.0, 20, 0.04
-NOISE_S = 2.0
-AGAIN, LONG_MOST = 3, 0.0005  # see `Bench.send`
+IDLE_CHECK_S = 2.0
+MAX_REPEATS, MAX_LONG_GAP_SHARE = 3, 0.0005  # see `Bench.send`
 
 LOAD = """
 [target]
@@ -61,14 +62,14 @@
 
 @dataclass(slots=True)
 class Figures:
-    """All that was measured, and what of it was not as it had to be."""
+    """All figures, and the bounds that were not met."""
 
     rows: list[dict[str, Any]] = field(default_factory=list)
     not_met: list[str] = field(default_factory=list)
 
     def judge(self, met: bool, what: str, noise: Noise) -> str:
-        """A verdict for the table; what is not met, or void, is kept."""
-        if noise.long_share > LONG_MOST:
+        """Return a verdict for the table, and record a row that is void or not met."""
+        if noise.long_share > MAX_LONG_GAP_SHARE:
             self.not_met.append(f"{what} (void: the machine was not at rest)")
             return "void, met" if met else "void"
         if not met:
@@ -78,7 +79,7 @@
 
 @dataclass(slots=True)
 class Sent:
-    """A run and all its samples, and what the control saw beside it."""
+    """A run with all its samples, and the noise that the control process detected."""
 
     run: Run
     samples: list[Sample]
@@ -87,27 +88,33 @@
     stolen_share: float = 0.0
 
     def away(self) -> str:
-        """The control's long gaps, for a table."""
+        """Return the share of long gaps of the control process for a table."""
         return f"{self.noise.long_share:.3%}"
 
     def summary(self) -> dict[str, Any]:
-        """The same for JSON, with what the host says that it took of all cores."""
+        """Return the noise as JSON values, with the share of all cores that the host reports as stolen."""
         return {"noise": self.noise.summary(), "stolen_share": self.stolen_share}
 
 
 @dataclass(slots=True)
 class Bench:
-    """What a measurement needs: the stand-in, the control, and how often a void run is played again."""
+    """Simulated server, control process, and how often a void run is repeated."""
 
     truth: Truth
     control: Control
-    again: int = AGAIN
+    again: int = MAX_REPEATS
 
     def send(self, text: str, beside: Path, plan: Plan, stall_s: tuple[float, float] | None = None) -> Sent:
-        """Send a load to the stand-in, which stalls between two seconds of the schedule if so asked.
+        """Send a load to the simulated server.
 
-        A run beside which the control was kept off says little: it is played again, whatever it came to,
-        and the last one counts.
+        A run during which the control process was interrupted is void. It is repeated regardless of its
+        figures, and the last run counts.
+
+        Args:
+            text: The load.
+            beside: Folder that the load refers to.
+            plan: Delays of the server.
+            stall_s: Start and end of a stall in the schedule (s), if any.
         """
         for left in reversed(range(self.again + 1)):
             before = stolen()
@@ -115,10 +122,13 @@
                 sent = _send_once(self.truth, text, beside, plan, stall_s)
             sent.noise = self.control.read()
             sent.stolen_share = stolen_share(before, stolen())
-            if sent.noise.long_share <= LONG_MOST or not left:
+            if sent.noise.long_share <= MAX_LONG_GAP_SHARE or not left:
                 return sent
-            print(f"(void: the control was kept off for {sent.away()}: played again)", flush=True)
-        raise AssertionError("at least one run is made")
+            print(
+                f"(void: the control process was interrupted for {sent.away()} of the time; repeating)",
+                flush=True,
+            )
+        raise AssertionError("expected at least one run")
 
 
 def _send_once(
@@ -142,7 +152,7 @@
 
 
 def percentiles(bench: Bench, figures: Figures, seed: int, length_s: float) -> None:
-    """Known delays: what is reported, beside what the stand-in recorded."""
+    """Compare reported percentiles with the recorded ones for known delays."""
     plans = {
         "fixed 5 ms": Plan(seed, fixed_ms=5.0),
         "2 ms, 3% 50 ms": Plan(seed, fixed_ms=2.0, slow_ms=50.0, slow_share=0.03),
@@ -159,12 +169,12 @@
         apart = max(abs((got or math.inf) - was) for got, was in zip(latency, true, strict=True))
         lag_ms = sent.run.recorder.lag.summary()["p999"]
         whole = len(recorded) == len(sent.samples)
-        judged = figures.judge(apart <= APART_MOST_MS and whole, f"percentiles of {name}", sent.noise)
+        judged = figures.judge(apart <= MAX_ERROR_MS and whole, f"percentiles of {name}", sent.noise)
         for what, values in (("truth", true), ("told", latency)):
             last = [""] * 5
             if what == "told":
-                last = [f"{apart:.3f}", figure(lag_ms, ".3f"), f"{late_ms:.3f}", sent.away(), judged]
-            rows.append([f"{name}: {what}", *(figure(value, ".3f") for value in values), *last])
+                last = [f"{apart:.3f}", format_figure(lag_ms, ".3f"), f"{late_ms:.3f}", sent.away(), judged]
+            rows.append([f"{name}: {what}", *(format_figure(value, ".3f") for value in values), *last])
         figures.rows.append(
             {
                 "case": name,
@@ -196,7 +206,7 @@
 
 
 def stall(bench: Bench, figures: Figures, seed: int) -> None:
-    """Two seconds without answers under constant load, with room for all and with one served at a time."""
+    """Measure a stall of two seconds under constant load, with unlimited service and with one at a time."""
     rows = []
     for name, per_s in (("no limit", 0.0), (f"{SERVED_PER_S:g}/s", SERVED_PER_S)):
         drain_s = STALL_RATE_PER_S * STALL_S / (per_s - STALL_RATE_PER_S) if per_s else 0.0
@@ -206,7 +216,7 @@
         arrivals = ARRIVALS.format(spacing="even", rate=STALL_RATE_PER_S)
         sent = bench.send(_load(bench.truth, seed, until_s + 2.0, arrivals), Path("."), plan, window)
         hit = [s for s in sent.samples if STALL_FROM_S <= s.at_us / 1e6 < until_s]
-        # Served one at a time, each waits for its own work, too.
+        # If served one at a time, each request also waits for its own work.
         work_s = 1.0 / per_s if per_s else 0.0
         apart = distance_to_even([s.latency_ns / 1e9 - work_s for s in hit], STALL_S)
         open_ms = sent.run.recorder.whole.latency.summary()["p99"] or math.nan
@@ -216,7 +226,7 @@
             sum(ms > 100.0 for ms in row) / len(row)
             for row in ([s.latency_ns / 1e6 for s in sent.samples], closed)
         ]
-        good = apart <= KS_MOST and closed_ms < 100.0 < open_ms
+        good = apart <= MAX_KS_DISTANCE and closed_ms < 100.0 < open_ms
         judged = figures.judge(good, f"the stall, {name}", sent.noise)
         rows.append(
             [
@@ -250,7 +260,7 @@
 
 
 def distance_to_even(values: Sequence[float], high: float) -> float:
-    """The Kolmogorov-Smirnov distance between values and the even distribution from 0 to `high`."""
+    """Return the Kolmogorov-Smirnov distance between values and the uniform distribution from 0 to `high`."""
     ordered = sorted(values)
     line = [min(1.0, max(0.0, value / high)) for value in ordered]
     count = len(ordered)
@@ -258,7 +268,7 @@
 
 
 def closed_loop(truth: Truth, plan: Plan, length_s: float) -> list[float]:
-    """What clients that wait for their answers measure at the same rate and stall, in milliseconds."""
+    """Return the latencies (ms) that closed-loop clients measure at the same rate and stall."""
     start_ns = time.monotonic_ns() + 50_000_000
     window = tuple(start_ns + round(at * 1e9) for at in (STALL_FROM_S, STALL_FROM_S + STALL_S))
     truth.plan(Plan(plan.seed, stall_ns=(window[0], window[1]), per_s=plan.per_s))
@@ -289,23 +299,23 @@
 
 
 def replay(bench: Bench, figures: Figures, seed: int, length_s: float) -> None:
-    """A trace with bursts, its send times beside those it tells."""
+    """Replay a trace with bursts and compare its send times with those of the trace."""
     with tempfile.TemporaryDirectory() as name:
         beside = Path(name)
         count = write_trace(beside / "t.trace.gz", seed, length_s)
         text = _load(bench.truth, seed, 0.0, '[trace]\nfile = "t.trace.gz"\n')
         sent = bench.send(text, beside, Plan(seed, fixed_ms=2.0))
     served = sum(sample.outcome == Outcome.SERVED for sample in sent.samples)
-    met = Counter(record.key for record in sent.records)
-    lost = count - len(met)
-    twice = sum(times > 1 for times in met.values())
+    arrivals = Counter(record.key for record in sent.records)
+    lost = count - len(arrivals)
+    twice = sum(times > 1 for times in arrivals.values())
     sends = sorted((s.at_us * 1000 + s.lag_ns, s.at_us) for s in sent.samples)
     swapped = sum(a > b for (_, a), (_, b) in pairwise(sends))
     came = [int(r.key) for r in sorted(sent.records, key=lambda record: record.came)]
     crossed = sum(a > b for a, b in pairwise(came))
     lag = sent.run.recorder.lag.summary()
     good = (
-        (lag["p99"] or math.inf) < LAG_MOST_MS and served == count and not lost and not twice and not swapped
+        (lag["p99"] or math.inf) < MAX_LAG_MS and served == count and not lost and not twice and not swapped
     )
     judged = figures.judge(good, "the replay", sent.noise)
     figures.rows.append(
@@ -324,7 +334,7 @@
     row = [
         f"{count / length_s:.0f}/s, {BURST} in 1 ms",
         *map(str, (count, lost + twice, swapped, crossed)),
-        *(figure(lag[key], ".3f") for key in ("p50", "p99", "p999", "max")),
+        *(format_figure(lag[key], ".3f") for key in ("p50", "p99", "p999", "max")),
         sent.away(),
         judged,
     ]
@@ -334,7 +344,11 @@
 
 
 def write_trace(path: Path, seed: int, length_s: float) -> int:
-    """A trace with a Poisson base and bursts; each request's key is its number. Returns how many."""
+    """Write a trace with a Poisson base and bursts, in which the key of a request is its number.
+
+    Returns:
+        The number of requests.
+    """
     bursts = BURST / BURST_EVERY_S
     arrivals = ARRIVALS.format(spacing="poisson", rate=REPLAY_PER_S - bursts)
     arrivals += (
@@ -353,31 +367,40 @@
 
 
 def main() -> int:
-    """Measure; the exit code."""
-    parser = options("load_accuracy", __doc__)
+    """Measure, print and check the bounds.
+
+    Returns:
+        The exit code: `DONE` or `NOT_MET`.
+    """
+    parser = create_parser("load_accuracy", __doc__)
     parser.add_argument("--quick", action="store_true", help="shorter runs, same bounds")
-    parser.add_argument("--again", type=int, default=AGAIN, help="times that a void run is played again")
-    given = parser.parse_args()
+    parser.add_argument("--again", type=int, default=MAX_REPEATS, help="repetitions of a void run")
+    options = parser.parse_args()
     raise_descriptors()
     core = reserve_core()
     figures = Figures()
-    bench = Bench(Truth(core), Control(spare_core()), given.again)
+    bench = Bench(Truth(core), Control(spare_core()), options.again)
     try:
         with bench.control:
-            time.sleep(NOISE_S)
+            time.sleep(IDLE_CHECK_S)
         still = bench.control.read()
-        print(f"at rest the control is kept off for {still.longest_ms:.2f} ms at most, ", end="")
+        print(
+            f"on the idle machine the control process is interrupted for at most {still.longest_ms:.2f} ms, ",
+            end="",
+        )
         print(f"{still.long_share:.3%} of its time in gaps of over 0.5 ms\n", flush=True)
-        percentiles(bench, figures, given.seed, 4.0 if given.quick else 10.0)
-        stall(bench, figures, given.seed)
-        replay(bench, figures, given.seed, 4.0 if given.quick else 10.0)
+        percentiles(bench, figures, options.seed, 4.0 if options.quick else 10.0)
+        stall(bench, figures, options.seed)
+        replay(bench, figures, options.seed, 4.0 if options.quick else 10.0)
     finally:
         bench.truth.stop()
         bench.control.stop()
     for what in figures.not_met:
         print(f"NOT MET: {what}")
     write_json(
-        given.json, given.tree, {"machine": still.summary(), "rows": figures.rows, "not_met": figures.not_met}
+        options.json,
+        options.tree,
+        {"machine": still.summary(), "rows": figures.rows, "not_met": figures.not_met},
     )
     return NOT_MET if figures.not_met else DONE
 
--- a/benchmarks/noise.py
+++ b/benchmarks/noise.py
@@ -1,8 +1,8 @@
-"""What the machine itself keeps from running: a control beside a measurement, not a part of it.
+"""Detects time that the machine takes from running processes, with a control process beside a measurement.
 
-A process that only reads the clock, on a core of its own, sees each moment in which it was kept off. On a
-virtual machine whose host takes cores away, that is what no program on it can be better than; a run beside
-which the control was kept off for long tells of the machine, and is void.
+The control process only reads the clock, on a core of its own, and so detects each gap in which it did not
+run. On a virtual machine whose host takes cores away, no program can do better. A run during which the
+control was interrupted for long measures the machine rather than the program, and is void.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from multiprocessing.connection import Connection as Pipe
 from typing import Any
 
-GAP_NS = 100_000  # between two readings of the clock: shorter ones are its own work
+GAP_NS = 100_000  # between two readings of the clock; shorter gaps are its own work
 LONG_NS = 500_000
-ANSWER_S = 10.0
-BATCH = 256  # readings between two looks at the owner
+ANSWER_TIMEOUT_S = 10.0
+BATCH = 256  # readings between two checks for a command
 
 
 @dataclass(slots=True)
 class Noise:
-    """What the control saw: the longest gap in milliseconds, and shares of its time spent in gaps."""
+    """Gaps that the control detected: the longest one, and shares of its time spent in gaps."""
 
     length_s: float = 0.0
     longest_ms: float = 0.0
@@ -30,19 +30,19 @@
     long_share: float = 0.0  # in gaps of over 0.5 ms
 
     def summary(self) -> dict[str, float]:
-        """The figures, for JSON."""
+        """Return the figures as JSON values."""
         return asdict(self)
 
 
 class Gaps:
-    """Adds up the gaps between readings of a clock in nanoseconds."""
+    """Sums the gaps between readings of a clock in nanoseconds."""
 
     def __init__(self, now: int) -> None:
         self._began = self._last = now
         self._longest = self._away = self._long = 0
 
     def read(self, now: int) -> None:
-        """One more reading."""
+        """Add a reading."""
         gap = now - self._last
         self._last = now
         if gap > GAP_NS:
@@ -52,13 +52,13 @@
                 self._long += gap
 
     def summary(self) -> Noise:
-        """What they come to."""
-        whole = max(1, self._last - self._began)
-        return Noise(whole / 1e9, self._longest / 1e6, self._away / whole, self._long / whole)
+        """Return the gaps so far."""
+        total = max(1, self._last - self._began)
+        return Noise(total / 1e9, self._longest / 1e6, self._away / total, self._long / total)
 
 
 def watch(control: Pipe, core: int | None) -> None:
-    """The control's whole work: read the clock until it is asked, answer, begin anew."""
+    """Run the control process: read the clock until a command arrives, send the gaps, and start again."""
     if core is not None:
         os.sched_setaffinity(0, {core})
     clock = time.monotonic_ns
@@ -74,7 +74,7 @@
         except EOFError:
             return
         control.send(gaps.summary())
-        # Waits, without a look at the clock, until it is to watch again.
+        # Waits for the command to watch again, without reading the clock.
         try:
             if control.recv() is None:
                 return
@@ -83,7 +83,7 @@
 
 
 class Control:
-    """The control as its owner sees it; use it as a context, around each measurement."""
+    """Owner's handle of the control process, used as a context manager around each measurement."""
 
     def __init__(self, core: int | None = None) -> None:
         context = multiprocessing.get_context("spawn")
@@ -105,7 +105,7 @@
         self.read()
 
     def read(self) -> Noise:
-        """What it saw since it began; it rests from here on. The last reading where it rests already."""
+        """Stop watching and return the gaps since the start; the last result if it is not watching."""
         if self._watching:
             self._control.send("read")
             self.noise: Noise = self._answer()
@@ -113,23 +113,26 @@
         return self.noise
 
     def stop(self) -> None:
-        """End it."""
+        """End the process."""
         self._control.close()
-        self._process.join(ANSWER_S)
+        self._process.join(ANSWER_TIMEOUT_S)
         if self._process.is_alive():
             self._process.kill()
             self._process.join()
 
     def _answer(self) -> Any:
-        if not self._control.poll(ANSWER_S):
-            raise TimeoutError("the control of noise gave no answer")
+        if not self._control.poll(ANSWER_TIMEOUT_S):
+            raise TimeoutError("the noise control process did not answer")
         return self._control.recv()
 
 
 def spare_core() -> int | None:
-    """One more core than what `reserve_core` took, for a control; this process keeps off it.
+    """Reserve one core for a control process, besides the one of `reserve_core`.
 
-    None where there are too few. To be asked once.
+    Call it once; this process no longer runs on that core.
+
+    Returns:
+        The core, or None if there are too few.
     """
     cores = sorted(os.sched_getaffinity(0))
     if len(cores) < 4:
@@ -139,12 +142,12 @@
 
 
 def stolen() -> tuple[int, int]:
-    """Ticks that the host of this virtual machine gave to others, and all ticks; of all cores."""
+    """Return the ticks that the host of this virtual machine stole, and all ticks, summed over all cores."""
     with open("/proc/stat", encoding="ascii") as file:
         ticks = [int(word) for word in file.readline().split()[1:9]]
     return ticks[7], sum(ticks)
 
 
 def stolen_share(before: tuple[int, int], after: tuple[int, int]) -> float:
-    """The share that was taken away between two readings."""
+    """Return the stolen share of the ticks between two readings."""
     return (after[0] - before[0]) / max(1, after[1] - before[1])
--- a/benchmarks/points.py
+++ b/benchmarks/points.py
@@ -1,7 +1,7 @@
-"""The points of the issue on limits, each as one small measurement from outside.
+"""Measures each point of the issue on limits from outside the process.
 
-`python -m benchmarks.points [--tree DIR] [--json FILE] [--only N[,N]]`: the same on two checkouts is the
-table of before and after. Exit codes: 0 measured, 2 bad input; nothing is judged here.
+`python -m benchmarks.points [--tree DIR] [--json FILE] [--only N[,N]]`: runs on two
+checkouts give the table of before and after. Exit codes: 0 measured, 2 bad input. No bounds are checked.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any, cast
 
-from benchmarks.common import BAD_INPUT, DONE, chosen, make_ready, options, table, write_json
+from benchmarks.common import BAD_INPUT, DONE, create_parser, prepare_process, select_names, table, write_json
 from rig.balancers import stage
 from rig.clients import Address, Burst, Clients, Plan, Raw, Result, Tally, ask_raw
 from rig.crowds import PIPELINED, Crowd, Size, take_in_little
@@ -25,22 +25,22 @@
 
 BIG_SOCKETS = 1024
 READERS, ANSWER_BYTES = 200, 64 * 1024
-UNREAD_S = 5.0  # that slow readers stay, and that is waited after them
+UNREAD_S = 5.0  # for which slow readers stay, and then until memory is read again
 UNREAD_BUDGET_MS = 5000
-READERS_PER_S = 40.0  # so that their requests are served, not refused as an overload
+READERS_PER_S = 40.0  # low enough that their requests are not rejected as an overload
 CONNECT_S = 5.0
 EXIT_S = 5.0
 TERM_EACH_S, TERM_RUNS = 0.002, 5
 RELOAD_RUNS = 3
 ANSWER_S = 4.0
-SETTLE_S = 0.1  # until a connection that has carried an answer carries the next request
+SETTLE_S = 0.1  # until a connection that carried a response carries the next request
 UNSAFE = 20  # requests of point 5
 EXTENSION_BYTES = 70_000
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One figure; `wanted` is what it is to be."""
+    """One figure and the value that is wanted."""
 
     point: str
     measured: str
@@ -50,7 +50,7 @@
 
 
 def _ended(tally: Tally) -> tuple[str, dict[str, Any]]:
-    """How requests ended, in words and as figures."""
+    """Return how requests ended, as text and as figures."""
     counts = {result.value: tally.count(result) for result in Result if tally.count(result)}
     return ", ".join(f"{count} {name}" for name, count in counts.items()), tally.summary()
 
@@ -59,7 +59,7 @@
 
 
 async def full_table(tree: Path, seed: int, count: int) -> Row:
-    """So many connections at once, each with one whole request; none is sent again."""
+    """Open `count` connections at once, each with one complete request; none is retried."""
     plan = Plan(0.0, 0.1, seed=seed, connections=count, bursts=(Burst(0.0, count),), resends=0, after="close")
     async with stage(
         tree, seed=seed, core=reserve_core(), work_ms=(300.0, 300.0), sockets=BIG_SOCKETS
@@ -69,7 +69,7 @@
 
 
 async def slowloris(tree: Path, seed: int) -> Row:
-    """Half requests beside good ones, each on a connection of its own; none is sent again."""
+    """Send incomplete requests beside complete ones, each on its own connection; none is retried."""
     plan = Plan(150.0, 10.0, seed=seed, connections=300, resends=0, after="close")
     async with stage(tree, seed=seed, core=reserve_core(), sockets=BIG_SOCKETS) as made:
         crowd = await Crowd.start(made.target.address, {"half": Size(500.0, 1000)}, seed=seed)
@@ -82,25 +82,25 @@
     return Row("2", what, words, "0 cut", figures)
 
 
-# --- 3: unread answers -----------------------------------------------------------------
+# --- 3: unread responses -----------------------------------------------------------------
 
 
 class Unread(asyncio.Protocol):
-    """A client that asks for much and reads nothing."""
+    """Client that sends requests and reads no responses."""
 
     def __init__(self, data: bytes) -> None:
         self._data = data
         self.transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Connected: ask, and be deaf from the first byte."""
+        """Pause reading and send the requests."""
         self.transport = cast(asyncio.Transport, transport)
         self.transport.pause_reading()
         self.transport.write(self._data)
 
 
-async def _deaf(address: Address, data: bytes) -> Unread:
-    """Connect a client whose kernel takes in next to nothing either."""
+async def _connect_unread(address: Address, data: bytes) -> Unread:
+    """Connect a client whose kernel also receives next to nothing."""
     loop, sock = asyncio.get_running_loop(), socket.socket()
     sock.setblocking(False)
     take_in_little(sock)
@@ -111,7 +111,7 @@
 
 
 async def unread(tree: Path, seed: int) -> Row:
-    """What answers that nobody reads do to memory, and whether it comes back."""
+    """Measure the memory that unread responses take, and whether it is released."""
     ids, act = call_ids(f"unread/{seed}"), Act(size_bytes=ANSWER_BYTES)
     async with stage(tree, seed=seed, core=reserve_core(), work_ms=(5.0, 10.0), sockets=BIG_SOCKETS) as made:
         program = made.target.program
@@ -122,7 +122,7 @@
                 data = b"".join(
                     request(next(ids), act=act, budget_ms=UNREAD_BUDGET_MS) for _ in range(PIPELINED)
                 )
-                readers.append(await _deaf(made.target.address, data))
+                readers.append(await _connect_unread(made.target.address, data))
                 await asyncio.sleep(1.0 / READERS_PER_S)
             await asyncio.sleep(UNREAD_S)
             held = program.usage().rss_mb
@@ -142,11 +142,11 @@
     return Row("3", what, words, "peak bounded, well under 192", figures)
 
 
-# --- 4 and 5: answers that can't be trusted ----------------------------------------------
+# --- 4 and 5: invalid responses ----------------------------------------------
 
 
 async def second_copies(tree: Path, seed: int, after_ms: float) -> Row:
-    """Whether the second copy of an answer is passed on as another request's."""
+    """Measure whether a second copy of a response is forwarded as that of another request."""
     plan = Plan(100.0, 2.0, seed=seed, connections=64)
     async with stage(tree, seed=seed, core=reserve_core(), servers=1, work_ms=(5.0, 15.0)) as made:
         await made.fleet.script(Act(copy_after_ms=after_ms))
@@ -157,7 +157,7 @@
 
 
 async def spoilt_rejections(tree: Path, seed: int) -> Row:
-    """How often an unsafe request is sent when its rejection brings an answer along."""
+    """Measure how often an unsafe request is sent if its rejection is followed by another response."""
     ids = call_ids(f"rejections/{seed}")
     async with stage(tree, seed=seed, core=reserve_core()) as made:
         await made.fleet.script(Act(status=503, rejected=True, behind="answer", delay_ms=5.0))
@@ -178,11 +178,11 @@
 
 
 async def stray_byte(tree: Path, seed: int) -> Row:
-    """Whether an unsafe request keeps its answer when a stray byte follows it."""
+    """Measure whether an unsafe request gets its response if a stray byte follows it."""
     ids = call_ids(f"stray/{seed}")
     data = _unsafe(next(ids)) + b"\x00"
     async with stage(tree, seed=seed, core=reserve_core(), servers=1, work_ms=(100.0, 100.0)) as made:
-        # So that a connection stands ready, and the request is written as soon as it is taken.
+        # Leaves an idle connection to the server, so that the request is forwarded as soon as it is accepted.
         await ask_raw(made.target.address, request(next(ids)), ANSWER_S)
         await asyncio.sleep(SETTLE_S)
         await made.fleet.clear()
@@ -204,7 +204,7 @@
 
 
 async def reload_burst(tree: Path, seed: int) -> Row:
-    """Whether SIGTERM is heard behind a burst of SIGHUPs."""
+    """Measure whether SIGTERM is handled after a burst of SIGHUPs."""
     codes = []
     for _ in range(RELOAD_RUNS):
         async with stage(tree, seed=seed, core=reserve_core()) as made:
@@ -217,7 +217,7 @@
 
 
 async def repeated_term(tree: Path, seed: int) -> Row:
-    """Whether SIGTERM again and again still ends in order."""
+    """Measure whether repeated SIGTERMs still lead to a graceful exit."""
     codes = []
     for _ in range(TERM_RUNS):
         async with stage(tree, seed=seed, core=reserve_core()) as made:
@@ -240,7 +240,7 @@
 
 
 def _heads(seed: int) -> dict[str, bytes]:
-    """Requests that are not to be passed on."""
+    """Return requests that must not be forwarded."""
     ids = call_ids(f"heads/{seed}")
 
     def target(suffix: bytes) -> bytes:
@@ -257,7 +257,7 @@
 
 
 async def heads(tree: Path, seed: int) -> list[Row]:
-    """What is answered to heads that can be read in two ways, and whether servers get to see them."""
+    """Measure the responses to ambiguous request heads, and whether such requests reach servers."""
     rows = []
     async with stage(tree, seed=seed, core=reserve_core(), work_ms=(1.0, 5.0)) as made:
         for name, data in _heads(seed).items():
@@ -289,7 +289,7 @@
 
 
 async def run(points: list[str], tree: Path, seed: int) -> list[Row]:
-    """All rows of these points."""
+    """Measure all rows of the points."""
     rows: list[Row] = []
     for point in points:
         for measure in POINTS[point]:
@@ -300,14 +300,18 @@
 
 
 def main() -> int:
-    """Measure and print; the exit code."""
-    parser = options("points", __doc__)
+    """Measure and print.
+
+    Returns:
+        The exit code: `DONE` or `BAD_INPUT`.
+    """
+    parser = create_parser("points", __doc__)
     parser.add_argument("--only", metavar="N[,N]", help=f"of {', '.join(POINTS)}")
-    given = parser.parse_args()
-    points = chosen(given.only, list(POINTS), parser)
-    make_ready()
+    options = parser.parse_args()
+    points = select_names(options.only, list(POINTS), parser)
+    prepare_process()
     try:
-        rows = asyncio.run(run(points, given.tree, given.seed))
+        rows = asyncio.run(run(points, options.tree, options.seed))
     except ProgramError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
@@ -323,7 +327,7 @@
         }
         for r in rows
     ]
-    write_json(given.json, given.tree, {"seed": given.seed, "rows": summaries})
+    write_json(options.json, options.tree, {"seed": options.seed, "rows": summaries})
     return DONE
 
 
