--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -1,5 +1,6 @@
-"""A long run: healthy clients that are ever new, while crowds of each kind come and go. Does anything grow,
-and is anything kept at the end?
+"""Long run with always new healthy clients, while crowds of each kind come and go.
+
+Checks that memory does not grow and that descriptors are released at the end.
 
 `python -m benchmarks.soak [--minutes N] [--seconds N] [--crowd-seconds N] [--sample-seconds N] [--seed N]
 [--json FILE] [--tree DIR]`. Exit codes: 0 all bounds met, 1 a bound not met, 2 bad input or a program that
@@ -19,56 +20,66 @@
 from pathlib import Path
 from typing import Any
 
-from benchmarks.common import BAD_INPUT, DONE, NOT_MET, figure, make_ready, options, table, write_json
-from benchmarks.crowds import CONNECTIONS_SHARE, IN_TIME_LEAST, LAG_MOST_MS, LOG_LINES, POOLS, Setting
+from benchmarks.common import (
+    BAD_INPUT,
+    DONE,
+    NOT_MET,
+    create_parser,
+    format_figure,
+    prepare_process,
+    table,
+    write_json,
+)
+from benchmarks.crowds import CONNECTIONS_SHARE, LOG_LINES, MAX_LAG_MS, MIN_IN_TIME_SHARE, POOLS, Setting
 from rig.balancers import SOCKETS, Stage, stage
 from rig.clients import Clients, Plan, Result, Tally
 from rig.crowds import KINDS, Crowd
 from rig.process import Program, ProgramError, Usage, reserve_core
 
-# The bounds, beside IN_TIME_LEAST over all.
-RSS_GROWTH_MOST_MB = 2.0  # from the median of the second quarter to that of the last one
-BACK_S = 30.0  # then as few descriptors are held as before the load
+# The bounds, besides MIN_IN_TIME_SHARE over the whole run.
+MAX_RSS_GROWTH_MB = 2.0  # from the median of the second quarter to that of the last
+RELEASE_TIMEOUT_S = 30.0  # within which the descriptors are as few as before the load
 EXIT_S = 20.0  # from SIGTERM to exit code 0
-# No line of the log begins so; "books:" is what ledgers were called in the logs of older checkouts.
-WRONG = ("ledgers:", "books:", "Traceback", "Exception ignored")
+# No line of the log may begin with these. "books:" is the name of "ledgers:" in older checkouts.
+ERROR_PREFIXES = ("ledgers:", "books:", "Traceback", "Exception ignored")
 
-MINUTES, MINUTES_MOST = 30.0, 24.0 * 60.0
-CROWD_S = 20.0  # that a crowd stays, and that none is there after it
+MINUTES, MAX_MINUTES = 30.0, 24.0 * 60.0
+CROWD_S = 20.0  # duration of a crowd, and of the pause after it
 SAMPLE_S, LINE_S = 10.0, 60.0
-SAMPLES_LEAST = 4  # one in each quarter
+MIN_SAMPLES = 4  # one in each quarter
 RATE_PER_S = 75.0  # of healthy requests
-TURNS = (2, 6)  # requests that a healthy client's connection is kept for
-START_S, IDLE_S, POLL_S = 1.0, 1.0, 0.05  # the program's start, and how long its idle figure is looked at
+REQUESTS_PER_CONNECTION = (2, 6)  # requests for which a healthy client keeps a connection
+START_S, IDLE_S, POLL_S = 1.0, 1.0, 0.05  # start of the program, and sampling of its idle descriptors
 
 Say = Callable[[str], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """How long a run lasts, a crowd stays, and a sample covers, in seconds."""
+    """Durations of a run, of a crowd and of a sample, in seconds."""
 
     whole_s: float = MINUTES * 60.0
     crowd_s: float = CROWD_S
     sample_s: float = SAMPLE_S
 
     def __post_init__(self) -> None:
-        if not 0.0 < self.whole_s <= MINUTES_MOST * 60.0 or not 0.0 < self.crowd_s < math.inf:
-            raise ValueError(f"not over 0 s, or over {MINUTES_MOST:g} minutes")
-        if not 0.0 < self.sample_s <= self.whole_s / SAMPLES_LEAST:
-            raise ValueError(f"less than {SAMPLES_LEAST} samples")
+        if not 0.0 < self.whole_s <= MAX_MINUTES * 60.0 or not 0.0 < self.crowd_s < math.inf:
+            raise ValueError(f"expected durations over 0 s and at most {MAX_MINUTES:g} minutes")
+        if not 0.0 < self.sample_s <= self.whole_s / MIN_SAMPLES:
+            raise ValueError(f"expected at least {MIN_SAMPLES} samples")
 
     @property
     def settles(self) -> bool:
-        """Whether every kind of crowd has come and gone in the first quarter: only then the heap is as large
-        as any of them makes it, and may grow no more.
+        """Whether every kind of crowd comes and goes in the first quarter.
+
+        Only then has the heap reached the largest size that any crowd causes, and may not grow further.
         """
         return 2.0 * self.crowd_s * len(KINDS) <= self.whole_s / 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """What was seen at one moment, and since the sample before: the requests that ended, and the crowd."""
+    """Figures at one moment, and the requests that ended and the crowd since the sample before."""
 
     at_s: float
     descriptors: int
@@ -81,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Visit:
-    """One crowd that came and went; times from the start."""
+    """One crowd that came and went. Times are from the start."""
 
     kind: str
     seed: int
@@ -92,46 +103,47 @@
 
 @dataclass
 class Seen:
-    """All that a run showed."""
+    """Results of a run."""
 
     tally: Tally = field(default_factory=Tally)
     samples: list[Sample] = field(default_factory=list)
     visits: list[Visit] = field(default_factory=list)
     idle: int = 0  # descriptors before the load
     left: int = 0  # after it
-    back_s: float | None = None  # from the load's end until they were as few as before
+    back_s: float | None = None  # from the end of the load until they were as few as before
     code: int | None = None
-    died: str = ""  # where it ended by itself
-    settled: bool = True  # see `Times.settles`; else its growth is shown, and not judged
-    noted: list[str] = field(default_factory=list)  # lines of its log that should not be there
+    died: str = ""  # how the program ended, if it did so by itself
+    settled: bool = True  # see `Times.settles`; otherwise the growth is printed but not checked
+    noted: list[str] = field(default_factory=list)  # lines of its log that are errors
     log_bytes: int = 0
     log_tail: list[str] = field(default_factory=list)
 
     def quarter(self, number: int) -> list[Sample]:
-        """The samples of one quarter, the first being 0."""
+        """Return the samples of a quarter, counted from 0."""
         count = len(self.samples)
         return self.samples[count * number // 4 : count * (number + 1) // 4]
 
     @property
     def rss_growth_mb(self) -> float:
-        """From the second quarter to the last; not a number where one has no sample."""
+        """Growth from the second quarter to the last; not a number if one has no samples."""
         return _median(s.rss_mb for s in self.quarter(3)) - _median(s.rss_mb for s in self.quarter(1))
 
     def during(self, kind: str) -> Tally:
-        """What was asked while a crowd of this kind was there."""
+        """Return the requests that were sent while a crowd of this kind was present."""
         spans = [(visit.from_s, visit.to_s) for visit in self.visits if visit.kind == kind]
         records = self.tally.records
         return Tally(records=[r for r in records if any(low <= r.at_s < high for low, high in spans)])
 
     @property
     def not_met(self) -> list[str]:
-        """Each bound that is not met."""
+        """All bounds that are not met."""
         bounds = {
             f"ended: {self.died}": not self.died,
-            f"in time < {IN_TIME_LEAST:.0%}": self.tally.in_time >= IN_TIME_LEAST and self.tally.asked > 0,
-            # Not `>`: a growth that is not a number is not met either.
-            f"RSS grows by > {RSS_GROWTH_MOST_MB:g} MB": not self.settled
-            or self.rss_growth_mb <= RSS_GROWTH_MOST_MB,
+            f"in time < {MIN_IN_TIME_SHARE:.0%}": self.tally.in_time >= MIN_IN_TIME_SHARE
+            and self.tally.asked > 0,
+            # `<=` so that a growth that is not a number does not meet the bound.
+            f"RSS grows by > {MAX_RSS_GROWTH_MB:g} MB": not self.settled
+            or self.rss_growth_mb <= MAX_RSS_GROWTH_MB,
             f"{self.left} descriptors, {self.idle} before": self.back_s is not None,
             f"exit code {self.code}": self.code == 0,
             f"log: {next(iter(self.noted), '')}": not self.noted,
@@ -139,7 +151,7 @@
         return [name for name, met in bounds.items() if not met]
 
     def summary(self) -> dict[str, Any]:
-        """All figures as JSON values."""
+        """Return all figures as JSON values."""
         growth = self.rss_growth_mb
         return {
             "healthy": self.tally.summary(),
@@ -160,44 +172,48 @@
 
 
 def _median(values: Iterable[float]) -> float:
-    held = list(values)
-    return statistics.median(held) if held else math.nan
+    all_values = list(values)
+    return statistics.median(all_values) if all_values else math.nan
 
 
 class Run:
-    """One run on a program that stands ready. `say` is told a line a minute."""
+    """A run on a program that is ready. `say` receives one line per minute."""
 
     def __init__(self, times: Times, made: Stage, seed: int, say: Say) -> None:
         self._times = times
         self._made = made
         self._seed = seed
         self._say = say
-        self._crowd = ""  # the kind that is there
-        self._met = ""  # the kind that was there since the last sample
+        self._crowd = ""  # kind that is present
+        self._recent_crowd = ""  # kind that was present since the last sample
         plan = Plan(
             RATE_PER_S,
             times.whole_s,
             seed=seed,
             pools=POOLS,
             connections=SOCKETS // CONNECTIONS_SHARE,
-            turns=TURNS,
+            turns=REQUESTS_PER_CONNECTION,
         )
         self._clients = Clients(made.target.address, plan)
         self._start = 0.0
         self.seen = Seen(tally=self._clients.tally, settled=times.settles)
 
     async def run(self) -> None:
-        """Load, wait, end; a group of `ProgramError` where a crowd can't be started."""
+        """Run the load, wait for descriptors and stop the program.
+
+        Raises:
+            ExceptionGroup: Of `ProgramError`, if a crowd cannot be started.
+        """
         program, seen = self._made.target.program, self.seen
-        program.note(*WRONG)
+        program.note(*ERROR_PREFIXES)
         died = False
         try:
-            seen.idle = await _idle(program)
+            seen.idle = await _idle_descriptors(program)
             self._start = time.monotonic()
             async with asyncio.TaskGroup() as group:
                 for part in (self._clients.run(), self._crowds(), self._samples(program)):
                     group.create_task(part)
-            await self._back(program)
+            await self._await_release(program)
         except* ProcessLookupError:
             died = True
         seen.code = await program.stop(EXIT_S)
@@ -213,7 +229,7 @@
         await asyncio.sleep(max(0.0, at_s - self._now_s))
 
     async def _crowds(self) -> None:
-        """One kind after the other: none for a while, then it is there for as long."""
+        """Run the kinds of crowds in turn, each after a pause of the same duration."""
         setting = Setting(RATE_PER_S, self._times.whole_s, SOCKETS, self._seed)
         every_s = 2.0 * self._times.crowd_s
         for number in range(int(self._times.whole_s / every_s)):
@@ -221,7 +237,7 @@
             kind, seed = KINDS[number % len(KINDS)], self._seed + number
             crowd = await Crowd.start(self._made.target.address, setting.crowd(kind), seed=seed)
             try:
-                self._crowd = self._met = kind
+                self._crowd = self._recent_crowd = kind
                 from_s = self._now_s
                 await self._until((number + 1) * every_s)
                 self.seen.visits.append(Visit(kind, seed, from_s, self._now_s, await crowd.counts()))
@@ -230,7 +246,11 @@
                 await crowd.stop()
 
     async def _samples(self, program: Program) -> None:
-        """Look at the program again and again; `ProcessLookupError` once it is gone."""
+        """Take samples of the program.
+
+        Raises:
+            ProcessLookupError: The program has exited.
+        """
         before, since_s, ended = program.usage(), self._now_s, 0
         count, line = int(self._times.whole_s / self._times.sample_s), round(LINE_S / self._times.sample_s)
         for number in range(1, count + 1):
@@ -238,21 +258,21 @@
             now, now_s, records = program.usage(), self._now_s, self._clients.tally.records
             cpu_share = (now.cpu_s - before.cpu_s) / (now_s - since_s)
             new, ended = records[ended:], len(records)
-            self._take(now, now_s, cpu_share, Tally(records=new))
+            self._add_sample(now, now_s, cpu_share, Tally(records=new))
             before, since_s = now, now_s
             if number % max(1, line) == 0:
                 self._say(minute(self.seen.samples[-max(1, line) :]))
 
-    def _take(self, now: Usage, now_s: float, cpu_share: float, new: Tally) -> None:
+    def _add_sample(self, now: Usage, now_s: float, cpu_share: float, new: Tally) -> None:
         served = new.count(Result.SERVED)
-        sample = Sample(now_s, now.descriptors, now.rss_mb, cpu_share, new.asked, served, self._met)
-        self._met = self._crowd
+        sample = Sample(now_s, now.descriptors, now.rss_mb, cpu_share, new.asked, served, self._recent_crowd)
+        self._recent_crowd = self._crowd
         self.seen.samples.append(sample)
 
-    async def _back(self, program: Program) -> None:
-        """Wait until as few descriptors are held as before the load, for a bounded time."""
+    async def _await_release(self, program: Program) -> None:
+        """Wait up to `RELEASE_TIMEOUT_S` until the descriptors are as few as before the load."""
         start = time.monotonic()
-        while (waited := time.monotonic() - start) <= BACK_S:
+        while (waited := time.monotonic() - start) <= RELEASE_TIMEOUT_S:
             self.seen.left = program.usage().descriptors
             if self.seen.left <= self.seen.idle:
                 self.seen.back_s = waited
@@ -260,8 +280,8 @@
             await asyncio.sleep(POLL_S)
 
 
-async def _idle(program: Program) -> int:
-    """How many descriptors it holds with nothing to do: what it holds for most of a while."""
+async def _idle_descriptors(program: Program) -> int:
+    """Return the number of descriptors of the idle program, the most frequent of several readings."""
     await asyncio.sleep(START_S)
     held = []
     for _ in range(int(IDLE_S / POLL_S)):
@@ -270,11 +290,11 @@
     return statistics.mode(held)
 
 
-# --- what is shown -------------------------------------------------------------------
+# --- output -------------------------------------------------------------------
 
 
 def minute(samples: Sequence[Sample]) -> str:
-    """A line on the last samples."""
+    """Return a line on the last samples."""
     last, crowds = samples[-1], dict.fromkeys(sample.crowd for sample in samples if sample.crowd)
     return (
         f"minute {last.at_s / 60.0:5.1f}: {_asked(samples)} asked, {_in_time(samples)}% in time, "
@@ -289,49 +309,51 @@
 
 def _in_time(samples: Sequence[Sample]) -> str:
     asked = _asked(samples)
-    return figure(100.0 * sum(sample.served for sample in samples) / asked if asked else None, ".2f")
+    return format_figure(100.0 * sum(sample.served for sample in samples) / asked if asked else None, ".2f")
 
 
 def _cpu(samples: Sequence[Sample]) -> str:
-    return figure(100.0 * statistics.fmean(s.cpu_share for s in samples) if samples else None, ".1f")
+    return format_figure(100.0 * statistics.fmean(s.cpu_share for s in samples) if samples else None, ".1f")
 
 
 def quarters(seen: Seen) -> str:
-    """The table of the run's quarters."""
+    """Return the table of the quarters of a run."""
     rows = []
     for number in range(4):
         part = seen.quarter(number)
         most = str(max((sample.descriptors for sample in part), default=0))
         rss = [sample.rss_mb for sample in part]
-        fds = figure(_median(sample.descriptors for sample in part))
-        memory = [figure(_median(rss), ".1f"), figure(max(rss, default=math.nan), ".1f")]
+        fds = format_figure(_median(sample.descriptors for sample in part))
+        memory = [format_figure(_median(rss), ".1f"), format_figure(max(rss, default=math.nan), ".1f")]
         rows.append([str(number + 1), str(_asked(part)), _in_time(part), fds, most, *memory, _cpu(part)])
     heads = ("quarter", "asked", "in time %", "fds median", "most", "RSS MB median", "most", "core %")
     return table(heads, rows)
 
 
 def crowds(seen: Seen) -> str:
-    """The table of what each kind of crowd did to healthy clients."""
+    """Return the table of the effect of each kind of crowd on healthy clients."""
     rows = []
     for kind in KINDS:
         visits, beside = [visit for visit in seen.visits if visit.kind == kind], seen.during(kind)
         spent = sum(visit.to_s - visit.from_s for visit in visits)
         rate = sum(visit.counts["connected"] for visit in visits) / spent if spent else math.nan
         share = 100.0 * beside.in_time if beside.asked else None
-        p99 = figure(beside.latency_ms(0.99), ".1f")
-        rows.append([kind, str(len(visits)), figure(rate), str(beside.asked), figure(share, ".2f"), p99])
+        p99 = format_figure(beside.latency_ms(0.99), ".1f")
+        rows.append(
+            [kind, str(len(visits)), format_figure(rate), str(beside.asked), format_figure(share, ".2f"), p99]
+        )
     return table(("crowd", "visits", "crowd/s", "asked", "in time %", "p99 ms"), rows)
 
 
 def words(seen: Seen) -> list[str]:
-    """What a run comes to."""
+    """Return lines that summarize a run."""
     ends = {result.value: seen.tally.count(result) for result in Result}
     judged = "" if seen.settled else ", not judged: not all crowds came and went in the first quarter"
     back = f"again after {seen.back_s:.1f} s" if seen.back_s is not None else f"{seen.left} at the end"
     return [
         f"asked {seen.tally.asked}: {', '.join(f'{n} {name}' for name, n in ends.items() if n) or 'none'}",
         f"in time over all: {100.0 * seen.tally.in_time:.2f}%, on {seen.tally.connections} connections",
-        f"RSS, last quarter over the second: {figure(seen.rss_growth_mb, '+.1f')} MB{judged}",
+        f"RSS, last quarter over the second: {format_figure(seen.rss_growth_mb, '+.1f')} MB{judged}",
         f"descriptors: {seen.idle} before the load, {back}",
         f"exit code {seen.code}, {seen.log_bytes} bytes of log, {len(seen.noted)} wrong lines in it",
         *seen.noted[:LOG_LINES],
@@ -343,48 +365,58 @@
 
 
 async def play(times: Times, tree: Path, seed: int, say: Say) -> Seen:
-    """The whole run; `ProgramError`, alone or in a group, if it can't be."""
+    """Play the whole run.
+
+    Raises:
+        ProgramError: A process cannot be started; alone or in a group.
+    """
     async with stage(tree, seed=seed, core=reserve_core()) as made:
         run = Run(times, made, seed, say)
         await run.run()
     return run.seen
 
 
-def parser() -> argparse.ArgumentParser:
-    """The command line."""
-    made = options("soak", __doc__)
-    made.add_argument("--minutes", type=float, default=MINUTES)
-    made.add_argument("--seconds", type=float, help="instead of minutes")
-    made.add_argument("--crowd-seconds", type=float, default=CROWD_S, help="that a crowd stays, or is gone")
-    made.add_argument("--sample-seconds", type=float, default=SAMPLE_S, help="from sample to sample")
-    return made
+def build_parser() -> argparse.ArgumentParser:
+    """Create the command line parser."""
+    parser = create_parser("soak", __doc__)
+    parser.add_argument("--minutes", type=float, default=MINUTES)
+    parser.add_argument("--seconds", type=float, help="instead of minutes")
+    parser.add_argument(
+        "--crowd-seconds", type=float, default=CROWD_S, help="duration of a crowd and of the pause after it"
+    )
+    parser.add_argument("--sample-seconds", type=float, default=SAMPLE_S, help="time between samples")
+    return parser
 
 
 def main() -> int:
-    """Run, print and judge; the exit code."""
-    options_ = parser()
-    given = options_.parse_args()
-    whole_s = 60.0 * given.minutes if given.seconds is None else given.seconds
+    """Run, print and check the bounds.
+
+    Returns:
+        The exit code: `DONE`, `NOT_MET` or `BAD_INPUT`.
+    """
+    parser = build_parser()
+    options = parser.parse_args()
+    whole_s = 60.0 * options.minutes if options.seconds is None else options.seconds
     try:
-        times = Times(whole_s, given.crowd_seconds, given.sample_seconds)
+        times = Times(whole_s, options.crowd_seconds, options.sample_seconds)
     except ValueError as error:
-        options_.error(str(error))
-    make_ready()
+        parser.error(str(error))
+    prepare_process()
     seen: Seen | None = None
     try:
-        seen = asyncio.run(play(times, given.tree, given.seed, lambda text: print(text, flush=True)))
+        seen = asyncio.run(play(times, options.tree, options.seed, lambda text: print(text, flush=True)))
     except* ProgramError as errors:
         for cause in errors.exceptions:
             print(cause, file=sys.stderr)
     if seen is None:
         return BAD_INPUT
-    if seen.tally.lag_most_ms > LAG_MOST_MS:
-        late = f"clients got to a request {seen.tally.lag_most_ms:.0f} ms late: the machine was busy"
+    if seen.tally.lag_most_ms > MAX_LAG_MS:
+        late = f"clients sent a request {seen.tally.lag_most_ms:.0f} ms late: the machine was busy"
         print(late, file=sys.stderr, flush=True)
     print("\n" + quarters(seen) + "\n\n" + crowds(seen) + "\n")
     print("\n".join(words(seen)))
-    figures = {"seed": given.seed, "times": asdict(times), "rate_per_s": RATE_PER_S}
-    write_json(given.json, given.tree, {**figures, "met": not seen.not_met, **seen.summary()})
+    figures = {"seed": options.seed, "times": asdict(times), "rate_per_s": RATE_PER_S}
+    write_json(options.json, options.tree, {**figures, "met": not seen.not_met, **seen.summary()})
     return NOT_MET if seen.not_met else DONE
 
 
--- a/rig/system/draw_day.py
+++ b/rig/system/draw_day.py
@@ -26,8 +26,12 @@
     "lure",
     "relieve",
 )
-AFTERS = ("", "meet", "race", "hard", "drain", "race hard", "meet drain")
-SILENCES = ("", "reset", "refuse")
+# Around the end of a cut: "meet" sends a configuration change to the cut process during the cut and as it
+# returns, "race" sends two at once, "hard" repeats the change until it is answered, and "drain" drains
+# servers of its zone soon after it is back.
+RETURN_EVENTS = ("", "meet", "race", "hard", "drain", "race hard", "meet drain")
+# How connections across a cut behave: they are silent, reset or refused.
+CONNECTION_MODES = ("", "reset", "refuse")
 CLOSINGS = ("power_off_all", "wipe_after_ack", "kill_all")
 CLOSING_HOWS = ("", "timed", "taken", "oldest")
 
@@ -49,7 +53,7 @@
 
 
 def _core_cut(rng: random.Random, at: float) -> str:
-    how = " ".join(filter(None, (rng.choice(CUTS), rng.choice(SILENCES), rng.choice(AFTERS))))
+    how = " ".join(filter(None, (rng.choice(CUTS), rng.choice(CONNECTION_MODES), rng.choice(RETURN_EVENTS))))
     return line("core_cut", at, count=1, for_s=round(rng.uniform(2.0, 20.0), 1), how=how)
 
 
--- a/tests/rig/cluster/test_breaches.py
+++ b/tests/rig/cluster/test_breaches.py
@@ -102,10 +102,10 @@
 
 @pytest.mark.parametrize(("plain", "code"), [(KEPT, 0), (HIT, 1)])
 def test_the_exit_code_tells_of_a_breach_in_the_program_as_it_is(plain, code, monkeypatch, capsys):
-    async def apart(name, planted, tree):
+    async def play_in_process(name, planted, tree):
         return HIT if planted else plain
 
-    monkeypatch.setattr(cluster_breaches, "apart", apart)
+    monkeypatch.setattr(cluster_breaches, "play_in_process", play_in_process)
     name = next(name for name in NAMES if breaching.read(name).checker == "rules")
     assert cluster_breaches.main(["--only", name]) == code
     assert name in capsys.readouterr().out
@@ -119,12 +119,12 @@
     async def play():
         return next(told)
 
-    assert asyncio.run(cluster_breaches.again(HIT, play)) == HIT
+    assert asyncio.run(cluster_breaches.repeat_if_busy(HIT, play)) == HIT
     told = iter((HIT, KEPT))
-    assert asyncio.run(cluster_breaches.again(busy, play)) == HIT
+    assert asyncio.run(cluster_breaches.repeat_if_busy(busy, play)) == HIT
     told = iter([busy] * 9)
-    assert asyncio.run(cluster_breaches.again(busy, play)) == busy
-    assert len(list(told)) == 9 - cluster_breaches.ALONE_MOST
+    assert asyncio.run(cluster_breaches.repeat_if_busy(busy, play)) == busy
+    assert len(list(told)) == 9 - cluster_breaches.MAX_REPEATS
 
 
 def test_the_first_breach_is_dated_by_what_shows_it():
--- a/tests/rig/cluster/test_cluster.py
+++ b/tests/rig/cluster/test_cluster.py
@@ -488,7 +488,7 @@
         return [row]
 
     monkeypatch.setattr(cluster_faults, "run", one)
-    monkeypatch.setattr(cluster_faults, "make_ready", os.getpid)
+    monkeypatch.setattr(cluster_faults, "prepare_process", os.getpid)
     monkeypatch.setattr("sys.argv", ["cluster_faults", "--bound-ms", bound])
     assert cluster_faults.main() == code
     assert "2100" in capsys.readouterr().out
--- a/tests/rig/cluster/test_relays.py
+++ b/tests/rig/cluster/test_relays.py
@@ -16,7 +16,7 @@
 import pytest
 
 from benchmarks import cluster_relay
-from benchmarks.cluster_relay import BINS_MS, Setting, judged, p_ms
+from benchmarks.cluster_relay import BIN_MS, Setting, check_rates, percentile_ms
 from rig import helper
 from rig.cluster import relays
 from rig.cluster.links import Player, TcpLink, UdpLink, free_port
@@ -281,9 +281,9 @@
 
 
 def test_percentiles_of_what_was_counted_in_bins():
-    assert p_ms(Counter(), 0.99) == 0.0
-    assert p_ms(Counter({0: 98, 199: 2}), 0.5) == BINS_MS
-    assert p_ms(Counter({0: 98, 199: 2}), 0.99) == pytest.approx(200 * BINS_MS)
+    assert percentile_ms(Counter(), 0.99) == 0.0
+    assert percentile_ms(Counter({0: 98, 199: 2}), 0.5) == BIN_MS
+    assert percentile_ms(Counter({0: 98, 199: 2}), 0.99) == pytest.approx(200 * BIN_MS)
 
 
 @loopback
@@ -303,5 +303,5 @@
             await setting.measure(True, 50, 0.2, 1)
     finally:
         await setting.stop()
-    assert judged([late]) == (False, f"no rate was sound; unsound at 400: {late.unsound}")
-    assert judged([]) == (False, "no rate was sound")
+    assert check_rates([late]) == (False, f"no rate was sound; unsound at 400: {late.unsound}")
+    assert check_rates([]) == (False, "no rate was sound")
--- a/tests/rig/test_benchmarks.py
+++ b/tests/rig/test_benchmarks.py
@@ -121,7 +121,7 @@
 @bounded
 async def test_a_row_is_played_and_told():
     (made,) = await crowds.run(["none"], SETTING, ROOT)
-    if made.tally.lag_most_ms > crowds.LAG_MOST_MS:
+    if made.tally.lag_most_ms > crowds.MAX_LAG_MS:
         UNSOUND.append(f"clients were late by {made.tally.lag_most_ms:.0f} ms")
     assert made.tally.count(Result.SERVED) == made.tally.asked > 0
     assert made.summary()["healthy"]["in_time"] == 1.0
--- a/tests/rig/test_lock_in.py
+++ b/tests/rig/test_lock_in.py
@@ -9,7 +9,7 @@
 import pytest
 
 from benchmarks import lock_in
-from benchmarks.lock_in import TRIGGERS, Day, drawn, in_time, plain, play, seconds_back, summed
+from benchmarks.lock_in import TRIGGERS, Day, draw_conditions, in_time, plain, play, recovery_s, summarize
 from fordtrestle.balancer import Balancer
 from fordtrestle.balancer.model import Arrival, Listing, Outcome, Refuse, Send
 from rig.helper import ROOT
@@ -56,7 +56,7 @@
     ],
 )
 def test_back_is_the_first_window_after_which_none_is_bad(bad, count, gap_ms, least, most):
-    back_s = seconds_back(rows(bad, count, gap_ms), 1000.0)
+    back_s = recovery_s(rows(bad, count, gap_ms), 1000.0)
     assert back_s is not None
     assert least <= back_s <= most
 
@@ -66,7 +66,7 @@
     [(lambda s: s > 5.0, 10.0), (lambda s: round(100.0 * s) % 10 == 0, 10.0), (lambda s: True, 50.0)],
 )
 def test_a_day_that_ends_badly_is_locked(bad, gap_ms):
-    assert seconds_back(rows(bad, 1000 if gap_ms < 50.0 else 300, gap_ms), 1000.0) is None
+    assert recovery_s(rows(bad, 1000 if gap_ms < 50.0 else 300, gap_ms), 1000.0) is None
 
 
 def test_only_a_first_try_is_in_time():
@@ -80,7 +80,7 @@
 
 @pytest.mark.parametrize("trigger", ["blip", "errors"])
 def test_a_policy_that_refuses_for_good_is_locked_and_one_that_never_does_is_not(trigger):
-    conditions = drawn(trigger, 1, False, 0.6)
+    conditions = draw_conditions(trigger, 1, False, 0.6)
     figures = play(conditions, lambda now, settings, seed: Stubborn(settings.max_attempts, seed))
     assert figures.back_s is None
     assert figures.refused > 0.9
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize("seed", [1, 2, 3, 4])
 def test_each_world_carries_its_load_but_for_the_trigger(trigger, seed):
     # What is played is the load after it: servers that leave for good are gone from the start.
-    conditions = drawn(trigger, seed, long=False)
+    conditions = draw_conditions(trigger, seed, long=False)
     day = Day(conditions, plain)
     if trigger == "scale_down":
         TRIGGERS[trigger](day)
@@ -105,28 +105,28 @@
 
 @pytest.mark.parametrize("trigger", list(TRIGGERS))
 def test_the_same_seed_gives_the_same_run_and_draws_stay_in_their_bounds(trigger):
-    conditions = drawn(trigger, 2, long=True)
-    assert conditions == drawn(trigger, 2, long=True)
-    assert conditions != drawn(trigger, 3, long=True)
+    conditions = draw_conditions(trigger, 2, long=True)
+    assert conditions == draw_conditions(trigger, 2, long=True)
+    assert conditions != draw_conditions(trigger, 3, long=True)
     for seed in range(1, 60):
-        one = drawn(trigger, seed, long=True)
+        one = draw_conditions(trigger, seed, long=True)
         assert 1.0 <= one.rate / one.sidecars <= 50.0
         assert 0.1 < one.use <= 0.8501
         assert one.servers - one.leaving >= 2
 
 
 def test_the_module_itself_plays_the_same_day_twice():
-    conditions = drawn("errors", 8, False)
+    conditions = draw_conditions("errors", 8, False)
     assert play(conditions, Balancer) == play(conditions, Balancer)
 
 
 @pytest.mark.parametrize("priced", [True, False])
 def test_what_connections_cost_is_told_or_left_out(priced):
-    conditions = drawn("calm", 1, False, priced=priced)
+    conditions = draw_conditions("calm", 1, False, priced=priced)
     told = []
     Day(conditions, lambda now, settings, seed: told.append(settings) or Plain(settings.max_attempts, seed))
     assert {bool(settings.prices) for settings in told} == {priced}
-    assert replace(conditions, priced=True) == drawn("calm", 1, False)
+    assert replace(conditions, priced=True) == draw_conditions("calm", 1, False)
 
 
 def figures(back_s=0.0, kept=None):
@@ -135,17 +135,17 @@
 
 def test_a_locked_run_or_a_slow_p95_fails_a_trigger():
     quick = [figures(0.5)] * 19
-    assert lock_in.is_met(summed([*quick, figures(9.0)]))
-    assert not lock_in.is_met(summed([*quick, figures(None)]))
-    assert not lock_in.is_met(summed([*quick[:18], figures(3.0), figures(3.0)]))
-    row = summed([*quick, figures(None)])
+    assert lock_in.is_met(summarize([*quick, figures(9.0)]))
+    assert not lock_in.is_met(summarize([*quick, figures(None)]))
+    assert not lock_in.is_met(summarize([*quick[:18], figures(3.0), figures(3.0)]))
+    row = summarize([*quick, figures(None)])
     assert (row["locked"], row["median_s"], row["worst_s"]) == (1, 0.5, None)
     assert "never" in lock_in.cells("blip", row)
 
 
 def test_an_overload_fails_by_its_worst_run():
-    assert lock_in.is_met(summed([figures(kept=0.9), figures(kept=lock_in.KEPT_LEAST)]))
-    assert not lock_in.is_met(summed([figures(kept=0.9), figures(kept=lock_in.KEPT_LEAST - 0.01)]))
+    assert lock_in.is_met(summarize([figures(kept=0.9), figures(kept=lock_in.MIN_KEPT)]))
+    assert not lock_in.is_met(summarize([figures(kept=0.9), figures(kept=lock_in.MIN_KEPT - 0.01)]))
 
 
 def test_answers_are_lost_by_their_share():
@@ -224,7 +224,7 @@
 
 
 def test_a_build_of_other_names_plays_the_same(tmp_path):
-    runs = [drawn("errors", seed, False) for seed in (1, 3)]
+    runs = [draw_conditions("errors", seed, False) for seed in (1, 3)]
     assert lock_in.play_all(runs, checkout(tmp_path, ""), 1) == lock_in.play_all(runs, ROOT, 1)
     assert not [path for path in sys.path if "lock-in-" in path]
 
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks import soak
-from benchmarks.crowds import LAG_MOST_MS
+from benchmarks.crowds import MAX_LAG_MS
 from rig.clients import Record, Result, Tally
 from rig.crowds import KINDS
 from rig.helper import ROOT
@@ -90,7 +90,7 @@
         raise ProgramError("it is not ready")
 
     monkeypatch.setattr(soak, "play", play)
-    monkeypatch.setattr(soak, "make_ready", lambda: None)
+    monkeypatch.setattr(soak, "prepare_process", lambda: None)
     monkeypatch.setattr("sys.argv", ["soak"])
     assert soak.main() == soak.BAD_INPUT
     assert capsys.readouterr().err == "it is not ready\n"
@@ -103,7 +103,7 @@
     monkeypatch.setattr(soak, "LINE_S", 2.0)
     lines = []
     made = await soak.play(SHORT, ROOT, 1, lines.append)
-    if made.tally.lag_most_ms > LAG_MOST_MS:
+    if made.tally.lag_most_ms > MAX_LAG_MS:
         UNSOUND.append(f"clients were late by {made.tally.lag_most_ms:.0f} ms")
     assert [visit.kind for visit in made.visits] == list(KINDS[:4])
     assert all(visit.counts["connected"] > 0 for visit in made.visits)
@@ -122,7 +122,7 @@
     monkeypatch.setattr(soak, "START_S", 0.1)
     async with soak.stage(ROOT) as made:
         run = soak.Run(soak.Times(60.0, 60.0, 0.1), made, 1, lambda text: None)
-        monkeypatch.setattr(run, "_take", lambda *told: made.target.program.signal(signal.SIGKILL))
+        monkeypatch.setattr(run, "_add_sample", lambda *told: made.target.program.signal(signal.SIGKILL))
         await run.run()
     assert run.seen.died
     assert run.seen.code == -signal.SIGKILL
