--- a/fordtrestle/proxy/daemon/overload_monitor.py
+++ b/fordtrestle/proxy/daemon/overload_monitor.py
@@ -21,7 +21,7 @@
 class ServerControls(Protocol):
     """What is done to an HTTP server under pressure."""
 
-    def hurry(self, on: bool) -> None:
+    def shorten_idle_timeouts(self, on: bool) -> None:
         """Close idle connections sooner, or as usual."""
 
     def pause(self) -> None:
@@ -142,7 +142,7 @@
         """Carry out an action that is done once as it goes on, and undone as it goes off."""
         if change.action is PressureAction.SHORTEN_IDLE:
             for front in self._fronts:
-                front.hurry(change.is_on)
+                front.shorten_idle_timeouts(change.is_on)
         elif change.action is PressureAction.STOP_OPTIONAL:
             for service in self._services:
                 service.allow_optional_work(not change.is_on)
--- a/fordtrestle/proxy/daemon/process.py
+++ b/fordtrestle/proxy/daemon/process.py
@@ -90,7 +90,7 @@
         )
         for front in servers:
             front.wake = self.overload.wake
-            front.intake.status_body = self._status
+            front.intake.make_status_body = self._status
 
     def _servers(self) -> list[HttpServer]:
         return [binding.server for binding in self.fronts.values()]
@@ -145,7 +145,7 @@
         while self._may_accept(fronts, last) or self._has_due_requests():
             await self._close_idle(fronts)
         for front in fronts:
-            front.fail_waiting()
+            front.fail_unanswered()
         until = self._loop.time() + LAST_BYTES_TIMEOUT_S
         while not all(front.is_empty for front in fronts) and self._loop.time() < until:
             await self._close_idle(fronts)
--- a/fordtrestle/proxy/http/client_connection.py
+++ b/fordtrestle/proxy/http/client_connection.py
@@ -301,9 +301,9 @@
         call.response = (status, [], f"{text}\n".encode("latin-1") if text and not is_head else b"")
         self.flush()
         if self._waiting:
-            self._timer = self._server.loop.call_later(REJECTION_TIMEOUT_S, self.fail_waiting)
+            self._timer = self._server.loop.call_later(REJECTION_TIMEOUT_S, self.fail_unanswered)
 
-    def fail_waiting(self) -> None:
+    def fail_unanswered(self) -> None:
         """Fail what is not answered.
 
         It stands before a request that is rejected, which is owed its response soon, or it has outlasted its
--- a/fordtrestle/proxy/http/request_intake.py
+++ b/fordtrestle/proxy/http/request_intake.py
@@ -19,10 +19,10 @@
     """Gives requests to the engine, or answers them here where that can't be.
 
     Attributes:
-        open_calls: The identities of requests of which anything is open.
+        open_call_ids: The identities of requests of which anything is open.
         ends_ms: Nothing is taken any more from then on.
         record: Called with each complete request for servers, where a trace is recorded.
-        status_body: Makes the body for who asks for counts, as JSON.
+        make_status_body: Makes the body for who asks for counts, as JSON.
     """
 
     def __init__(
@@ -47,10 +47,10 @@
         self._buffers = buffers
         self._names = names
         self._retry_after_ms = retry_after_ms
-        self.open_calls: set[str] = set()
+        self.open_call_ids: set[str] = set()
         self.ends_ms = math.inf
         self.record: Callable[[ClientCall], None] | None = None
-        self.status_body: Callable[[], bytes] = bytes
+        self.make_status_body: Callable[[], bytes] = bytes
 
     @property
     def class_names(self) -> dict[int, str]:
@@ -80,7 +80,7 @@
         """
         server = self._server
         if not call.call_id:
-            body = self.status_body() if call.asks_for_counts else b""
+            body = self.make_status_body() if call.asks_for_counts else b""
             call.response = (503 if server.is_draining else 200, [], body)
             return
         if self.record is not None:
@@ -97,16 +97,16 @@
             server.counters.record_refused(call.traffic_class, cause)
             call.refused(self._retry_after_ms)
             return
-        self.open_calls.add(call.call_id)
+        self.open_call_ids.add(call.call_id)
         request = server.call_handler.arrive(call, read_at_ms)
         if request is None:
             self.on_call_over(call)
-        elif call.call_id in self.open_calls:
+        elif call.call_id in self.open_call_ids:
             call.request = request
 
     def on_call_over(self, call: ClientCall) -> None:
         """Nothing of a request is open any more."""
-        self.open_calls.discard(call.call_id)
+        self.open_call_ids.discard(call.call_id)
         if call.charged_bytes:
             self._server.budget.calls.release()
             self._server.budget.buffered.release(call.charged_bytes)
@@ -125,7 +125,7 @@
             )
 
     def _check_not_open(self, call: ClientCall) -> None:
-        if call.call_id in self.open_calls:
+        if call.call_id in self.open_call_ids:
             raise BadRequestError(409, "X-Call-Id: is open already")
 
     def _reason_to_refuse(self, call: ClientCall) -> OwnCause | None:
--- a/fordtrestle/proxy/http/server.py
+++ b/fordtrestle/proxy/http/server.py
@@ -38,12 +38,12 @@
 
     Attributes:
         names: The classes and tenants that requests may name.
-        clients_most: Connections that well-behaved clients hold altogether at the most.
+        max_clients: Connections that well-behaved clients hold altogether at the most.
         retry_after_ms: When a client may come back whose request there is no capacity for; 0: unsaid.
     """
 
     names: RequestNames
-    clients_most: int
+    max_clients: int
     retry_after_ms: float = 0.0
 
 
@@ -88,7 +88,7 @@
         self.counters = OutcomeCounters()
         self.budget = budget
         self.reserve = reserve
-        self.table: ConnectionTable[TrackedConnection] = ConnectionTable(TableOptions(options.clients_most))
+        self.table: ConnectionTable[TrackedConnection] = ConnectionTable(TableOptions(options.max_clients))
         self.evictor = Evictor(self)
         self.buffers = ClientBuffers(self)
         self.intake = RequestIntake(self, self.evictor, self.buffers, options.names, options.retry_after_ms)
@@ -124,7 +124,7 @@
         """Whether all connections are closed."""
         return not len(self.table)
 
-    def hurry(self, on: bool) -> None:
+    def shorten_idle_timeouts(self, on: bool) -> None:
         """Close connections at rest sooner, or as usual."""
         self.table.shorten_idle = on
 
@@ -161,11 +161,11 @@
             if connection.is_idle and (is_over or not isinstance(connection, PendingConnection)):
                 connection.close()
 
-    def fail_waiting(self) -> None:
+    def fail_unanswered(self) -> None:
         """Answer what is not answered in its time, whatever has kept it."""
         for entry in self.table:
             if isinstance(entry.owner, ClientConnection):
-                entry.owner.fail_waiting()
+                entry.owner.fail_unanswered()
 
     def close(self) -> None:
         """Close all at the end."""
--- a/tests/proxy/daemon/test_memory_bounds.py
+++ b/tests/proxy/daemon/test_memory_bounds.py
@@ -47,7 +47,7 @@
         await until(lambda: sidecar.front.is_empty and not sidecar.driver._requests)
         module, pool = sidecar.driver._balancer, sidecar.pool
         assert len(pool._servers) == len(module._servers) == len(upstreams)
-        assert not sidecar.front.intake.open_calls
+        assert not sidecar.front.intake.open_call_ids
         assert not sidecar.front.table.idle_count
         await until(lambda: pool._connections == {c for s in pool._servers.values() for c in s.idle})
         assert not pool._dialer.connecting
--- a/tests/proxy/http/test_bad_clients.py
+++ b/tests/proxy/http/test_bad_clients.py
@@ -85,7 +85,7 @@
             yield sidecar
             await until(lambda: len(sidecar.front.table) <= 1)
         await until(lambda: not len(sidecar.front.table) and sidecar.driver.is_idle)
-        await until(lambda: not sidecar.front.intake.open_calls)
+        await until(lambda: not sidecar.front.intake.open_call_ids)
     await until(lambda: not sidecar.limits.unreleased())
     assert [told for told in raised if "exception" in told and "StreamReader" not in str(told)] == []
 
--- a/tests/proxy/http/test_bad_servers.py
+++ b/tests/proxy/http/test_bad_servers.py
@@ -160,7 +160,7 @@
             # Servers and clients use this core, too, and it would refuse for that.
             sidecar.front.wake = sidecar.front.lag.wake
             yield site, sidecar
-            await until(lambda: sidecar.driver.is_idle and not sidecar.front.intake.open_calls)
+            await until(lambda: sidecar.driver.is_idle and not sidecar.front.intake.open_call_ids)
             await until(lambda: not len(sidecar.front.table))
         await until(lambda: not sidecar.limits.unreleased())
     finally:
--- a/tests/proxy/http/test_hostile.py
+++ b/tests/proxy/http/test_hostile.py
@@ -137,7 +137,7 @@
         assert sidecar.limits.buffered.used == sidecar.limits.calls.used == 0
         assert sidecar.limits.descriptors.used == len(sidecar.pool._connections)
         assert sidecar.driver.is_idle
-        assert not sidecar.front.intake.open_calls
+        assert not sidecar.front.intake.open_call_ids
     for message in upstream.seen:
         # What a server reads is a request of a class there is, which was judged, and nothing beside it.
         method, target, version = message.start.split(" ")
--- a/tests/proxy/http/test_server.py
+++ b/tests/proxy/http/test_server.py
@@ -404,11 +404,11 @@
         second = await App.connect(sidecar.address)
         assert status_of(await second.ask(X_Call_Id="abc")) == 409
         upstream.writers[0].transport.abort()
-        await until(lambda: not sidecar.front.intake.open_calls)
+        await until(lambda: not sidecar.front.intake.open_call_ids)
         second = await App.connect(sidecar.address)
         assert status_of(await second.ask(X_Call_Id="abc")) == 200
         assert len(upstream.seen) == 2
-        await until(lambda: not sidecar.front.intake.open_calls)
+        await until(lambda: not sidecar.front.intake.open_call_ids)
 
 
 @pytest.mark.parametrize("raw", [b"\x00\x01\r\n\r\n", partners.request("GET", "/look", X_Caller="nobody")])
