--- a/tests/proxy/engine/test_driver.py
+++ b/tests/proxy/engine/test_driver.py
@@ -1,4 +1,4 @@
-"""Settings that change whole, and ends of attempts and of requests that cross."""
+"""Changes of settings, and races between the ends of attempts and requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Closing(Servers):
-    """Servers whose idle connections are closed by name."""
+    """Servers that record the names whose idle connections are closed."""
 
     def __init__(self):
         super().__init__()
@@ -32,7 +32,7 @@
     return made
 
 
-def test_settings_reach_the_module_and_what_it_decides_of_them_is_done():
+def test_new_settings_reach_the_module_and_its_actions_are_carried_out():
     made = scripted(settle=lambda now, settings: [CloseIdle("s9")])
     other = dataclasses.replace(TOLD, max_attempts=1)
     assert made.update_settings(other) is True
@@ -40,7 +40,7 @@
     assert made.servers.closed == ["s9"]
 
 
-def test_no_attempt_is_begun_past_the_new_most_and_no_more_calls_are_open():
+def test_new_limits_of_attempts_and_open_calls_apply_at_once():
     made = scripted(outcome=retried)
     arrive(made, Call("c1"))
     made.update_settings(dataclasses.replace(TOLD, max_attempts=1), max_open=2)
@@ -51,7 +51,7 @@
     assert len(made.servers.done) == 2  # the module wanted a retry
 
 
-def test_a_module_that_does_not_take_settings_goes_on_by_those_before(capsys):
+def test_settings_that_the_module_rejects_leave_the_previous_ones_in_force(capsys):
     made = scripted(outcome=retried, settle=lambda now, settings: 1 / 0)
     first = arrive(made, Call("c1"))
     assert made.update_settings(dataclasses.replace(TOLD, max_attempts=1), max_open=5) is False
@@ -62,7 +62,7 @@
     assert first.answers == []
 
 
-def test_a_fault_in_an_action_of_it_leaves_module_and_engine_on_the_same_settings(capsys):
+def test_an_error_in_an_action_leaves_module_and_engine_on_the_same_settings(capsys):
     made = scripted(settle=lambda now, settings: [CloseIdle("s9")])
     made._upstreams = None
     other = dataclasses.replace(TOLD, max_attempts=1)
@@ -70,7 +70,7 @@
     assert made._settings is other
 
 
-def test_a_call_of_a_class_that_goes_gets_its_one_answer():
+def test_a_call_of_a_removed_class_gets_one_answer():
     loop = Loop()
     made = Driver(loop, Clock(loop), EngineOptions(TOLD, 1, 9))
     servers = Closing()
@@ -88,20 +88,20 @@
     assert request.id not in made._requests
 
 
-# --- ends that cross --------------------------------------------------------------------
+# --- races ------------------------------------------------------------------------------
 
 OK = AttemptResult(Outcome.OK, UpstreamResponse([], b"done"))
 
 
 class Served(Call):
-    """A call that counts its answers, the servers' too."""
+    """A call that records its answers, including the bodies of servers."""
 
     def served(self, answer):
         self.answers.append(answer.body)
 
 
 class Asked(Closing):
-    """Servers that keep what would be written."""
+    """Servers that keep the callbacks that encode messages."""
 
     def __init__(self):
         super().__init__()
@@ -119,13 +119,13 @@
 
 
 def due(made, method):
-    """Call the timers of one method, whether or not they were cancelled: as if they were in this turn."""
+    """Call the timers of one method even if they were cancelled, as if due in this iteration of the loop."""
     for callback, *args in list(made.loop.later):
         if callback == method:
             callback(*args)
 
 
-def test_an_outcome_that_comes_after_its_attempt_was_given_up_is_none():
+def test_an_outcome_after_the_attempt_timed_out_is_ignored():
     made = crossing(outcome=lambda now, number, *rest: [Fail(number)])
     call = arrive(made, Served("c1"))
     due(made, made._on_attempt_timeout)
@@ -136,7 +136,7 @@
     assert not made._requests
 
 
-def test_a_time_out_and_a_guard_in_the_turn_of_the_answer_change_nothing():
+def test_a_time_out_and_a_guard_in_the_iteration_of_the_answer_are_ignored():
     made = crossing()
     call = arrive(made, Served("c1"))
     made.servers.done[0](OK)
@@ -147,7 +147,7 @@
     assert call.answers == [b"done"]
 
 
-def test_an_answer_in_the_turn_of_the_guard_comes_too_late(capsys):
+def test_an_answer_after_the_guard_in_the_same_iteration_is_too_late(capsys):
     made = crossing()
     call = arrive(made, Served("c1"))
     due(made, made._on_guard)
@@ -158,7 +158,7 @@
     assert made._open_count == 0
 
 
-def test_what_is_sent_behind_the_answer_in_one_batch_is_not_sent():
+def test_a_send_after_the_answer_in_one_batch_is_abandoned():
     made = crossing(
         request=lambda now, arrival: [Refuse(arrival.request, 0.0), Send(arrival.request, "s0", 0.0)]
     )
--- a/tests/proxy/engine/test_lag.py
+++ b/tests/proxy/engine/test_lag.py
@@ -1,4 +1,4 @@
-"""How late the loop runs, in virtual time."""
+"""The lag of the event loop, in virtual time."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Virtual:
-    """A scheduler whose time moves when the test says so; a stall runs what is due late."""
+    """A scheduler whose time the test advances; after a stall, due timers run late."""
 
     def __init__(self):
         self.now = 0.0
@@ -38,7 +38,7 @@
         self.now += seconds
 
     def turn(self):
-        """One turn of the loop: what is due as it begins."""
+        """Run one iteration of the loop: the timers that are due when it begins."""
         due = [heapq.heappop(self._due) for _ in range(sum(row[0] <= self.now for row in self._due))]
         for _, _, callback, args in due:
             callback(*args)
@@ -64,7 +64,7 @@
     assert meter.mean_ms < 1e-6
 
 
-def test_a_loop_that_always_runs_late_has_a_mean_lag_of_its_stalls():
+def test_repeated_stalls_raise_the_mean_lag():
     loop = Virtual()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
@@ -94,35 +94,35 @@
     assert meter.now_ms == 0.0
 
 
-def test_what_is_read_in_the_turn_after_a_late_sample_has_waited_too():
-    """A process that was stopped in its sleep sees its timers first, and its sockets in the next turn."""
+def test_the_iteration_after_a_late_sample_still_reports_the_lag():
+    """A process that was stopped in its sleep handles timers first and sockets in the next iteration."""
     loop = Virtual()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     loop.run(0.05)
     loop.stall(0.5)
-    loop.turn()  # the sample, and no socket
-    assert meter.now_ms >= 400.0  # what is read now
+    loop.turn()  # runs the sample but reads no socket
+    assert meter.now_ms >= 400.0  # applies to data that is read now
     loop.turn()
     assert meter.now_ms == 0.0
     assert loop.pending == 1
     loop.run(loop.now + 0.1)
     loop.stall(0.03)
-    loop.turn()  # a sample that is a little late shows no stop
+    loop.turn()  # a slightly late sample does not indicate a stop
     assert meter.now_ms == 0.0
 
 
 def test_a_stall_in_the_turn_after_a_late_sample_counts_like_any_other():
-    """Guards against a second stall that nobody is charged with, since the first is just being counted."""
+    """Guards against ignoring a second stall while the first one is being measured."""
     loop = Virtual()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     loop.stall(0.5)
     loop.turn()  # the sample
     for _ in range(3):
-        loop.stall(0.3)  # before the next turn is over
+        loop.stall(0.3)  # before the next iteration ends
         loop.turn()
-        assert 299.0 <= meter.now_ms <= 301.0  # what is read now
+        assert 299.0 <= meter.now_ms <= 301.0  # applies to data that is read now
     loop.turn()
     assert meter.now_ms == 0.0
     assert loop.pending == 1
--- a/tests/proxy/engine/test_limits.py
+++ b/tests/proxy/engine/test_limits.py
@@ -1,4 +1,4 @@
-"""Quotas: never exceeded, nothing leaks, guarantees are kept, and who uses too much gives back."""
+"""Quotas: never exceeded, no leaks, guarantees are kept, and shares above their fair share give back."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     return quota, quota.add_share("front", front), quota.add_share("pool", pool)
 
 
-def test_a_share_borrows_the_common_rest_but_never_what_others_are_guaranteed():
+def test_a_share_borrows_common_capacity_but_not_the_guarantees_of_others():
     quota, front, pool = two()
     assert front.acquire(70)
     assert not front.acquire()
@@ -33,18 +33,18 @@
     assert all(pool.acquire() for _ in range(30))
 
 
-def test_what_one_share_releases_another_can_borrow():
+def test_capacity_released_by_one_share_can_be_borrowed_by_another():
     _, front, pool = two()
     assert front.acquire(70)
     assert pool.acquire(30)
     front.release(50)
     assert pool.acquire(50)
     assert not pool.acquire()
-    with pytest.raises(ValueError, match="front gives 21 of 20"):
+    with pytest.raises(ValueError, match="front can't release 21 of 20"):
         front.release(21)
 
 
-def test_a_share_past_its_fair_share_gives_back_to_one_below():
+def test_a_share_above_its_fair_share_gives_back_to_one_below():
     _, front, pool = two()
     asked = []
 
@@ -73,7 +73,7 @@
     assert not front.acquire()
 
 
-def test_where_a_share_gives_nothing_back_another_can_not_acquire():
+def test_a_share_can_not_acquire_if_the_other_gives_nothing_back():
     quota, front, pool = two()
     front.reclaim = lambda count: None
     assert front.acquire(70)
@@ -82,13 +82,13 @@
     assert (front.used, pool.used, quota.used) == (70, 30, 100)
 
 
-def test_more_than_there_is_can_not_be_guaranteed():
+def test_guarantees_can_not_exceed_the_capacity():
     quota, _, _ = two()
     with pytest.raises(ValueError, match="51 for dns can't be guaranteed"):
         quota.add_share("dns", 51)
 
 
-def test_a_capacity_lowered_below_what_is_held_takes_nothing_until_it_fits():
+def test_a_capacity_below_usage_allows_no_acquisition_until_usage_fits():
     quota, front, pool = two()
     front.reclaim = lambda count: front.release(min(count, 10))
     assert front.acquire(70)
@@ -108,7 +108,7 @@
     assert front.acquire()
 
 
-def test_a_capacity_that_is_raised_again_guarantees_what_it_did():
+def test_a_capacity_that_is_raised_again_restores_the_guarantees():
     quota, front, pool = two()
     quota.resize(10)
     assert (front.guaranteed, pool.guaranteed) == (4, 6)
@@ -132,7 +132,7 @@
     assert quota.free == 0
 
 
-def test_an_exhausted_share_is_full_utilization_whatever_others_leave_unused():
+def test_an_exhausted_share_counts_as_full_utilization_even_if_others_are_unused():
     quota, front, _ = two()
     assert quota.utilization == 0.0
     assert front.acquire(70)
@@ -141,16 +141,16 @@
     assert quota.utilization == 0.5
 
 
-def test_within_its_guarantee_a_share_acquires_again_as_soon_as_the_sum_fits():
+def test_a_share_can_use_its_guarantee_as_soon_as_usage_fits_the_lowered_capacity():
     quota, front, pool = two()
     assert front.acquire(70)
-    assert quota.resize(75) == 0  # 70 held, 30 guaranteed to the other
+    assert quota.resize(75) == 0  # 70 in use, 30 guaranteed to the other
     assert pool.acquire(5)
     assert not pool.acquire()
 
 
 class Day:
-    """A quota whose shares are used in any order, beside what is expected of each of them."""
+    """A quota whose shares are used in any order, with the expected usage of each."""
 
     def __init__(self, capacity, guarantees):
         self.quota = ResourceQuota("descriptors", capacity)
@@ -181,10 +181,10 @@
         else:
             assert share.used == before
         if not self.is_lowered and count <= available:
-            assert acquired  # what is free or one's own is never denied
+            assert acquired  # free capacity and unused guarantees are never denied
         if not self.is_lowered and before + count <= share.guaranteed:
             assert acquired
-        # Nobody is taken from below what is fair.
+        # Nothing is reclaimed from a share below its fair share.
         for other, used in others.items():
             assert other.used >= min(used, int(self.quota.fair_share(other)))
 
@@ -219,7 +219,7 @@
         max_size=80,
     ),
 )
-def test_over_any_order_of_acquire_release_and_death_it_is_never_exceeded_and_nothing_leaks(
+def test_any_order_of_acquire_release_and_death_stays_within_the_capacity_and_leaks_nothing(
     capacity, guarantees, steps
 ):
     day = Day(capacity, guarantees)
@@ -242,7 +242,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 1), st.integers(1, 20)), max_size=60))
-def test_after_the_capacity_was_lowered_nothing_is_acquired_beyond_it(steps):
+def test_nothing_is_acquired_beyond_a_lowered_capacity(steps):
     quota, front, pool = two()
     front.acquire(60)
     quota.resize(50)
--- a/tests/proxy/engine/test_observed_driver.py
+++ b/tests/proxy/engine/test_observed_driver.py
@@ -1,4 +1,4 @@
-"""An observed driver records each attempt that began and each answer of its own, and nothing else."""
+"""An observed driver records each attempt that starts and each refusal or failure, and nothing else."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Loop:
-    """Time that stands; what is asked for later is run by the test."""
+    """A loop whose time stands still; the test runs its scheduled callbacks."""
 
     def __init__(self):
         self.now, self.later = 1000.0, []
@@ -37,7 +37,7 @@
 
 
 class Call:
-    """A client's request, whose answers are counted; also the handle of its attempts."""
+    """A client's request that records its answers; also serves as the handle of its attempts."""
 
     traffic_class = tenant = 0
     key = work = None
@@ -63,7 +63,7 @@
 
 
 class Servers:
-    """Where attempts go; the test ends them."""
+    """Servers whose attempts the test ends."""
 
     def __init__(self):
         self.done = []
@@ -95,7 +95,7 @@
     return [Send(number, "s1", 0.0)] if hop == 0 else [Fail(number, Cause.ATTEMPTS)]
 
 
-def test_attempts_are_picks_repeats_and_retries_and_an_answer_of_its_own_a_failure():
+def test_attempts_are_recorded_as_picks_repeats_and_retries_and_a_final_failure_as_failure():
     made = driver(outcome=retried)
     arrive(made, Call("c1"))
     call = arrive(made, Call("c2", again=True))
@@ -125,7 +125,7 @@
     assert len(call.answers) == 1
 
 
-def test_a_request_past_the_most_is_a_refusal_and_one_that_is_forgotten_a_failure(capsys):
+def test_a_request_beyond_max_open_is_a_refusal_and_an_unanswered_one_a_failure(capsys):
     made = driver(most=1, request=lambda now, arrival: [])
     arrive(made, Call("c1"))
     arrive(made, Call("c2"))
@@ -134,17 +134,17 @@
     assert made.recorded == [("refusal", "c2", "", 0, "max_open"), ("failure", "c1", "", 0, "unanswered")]
 
 
-def test_an_attempt_that_never_began_is_not_recorded():
+def test_an_attempt_that_never_started_is_not_recorded():
     made = driver(request=lambda now, arrival: [Send(arrival.request, "s0", -1.0)])
     arrive(made, Call("c1", budget=500.0))
     assert made.recorded == []
     assert made.servers.done == []
 
 
-def test_time_goes_on_evenly_however_the_wall_clock_jumps():
+def test_clock_time_is_not_affected_by_jumps_of_the_wall_clock():
     loop, wall = Loop(), [5000.0]
     clock = Clock(loop, lambda: wall[0])
     assert clock.now() == 5_000_000.0
     wall[0], loop.now = 1.0, 1001.0
     assert (clock.now(), clock.wall()) == (5_001_000.0, 1.0)
-    assert clock.at(clock.now()) == 1001.0
+    assert clock.to_loop_time(clock.now()) == 1001.0
--- a/tests/proxy/engine/test_outcome_counters.py
+++ b/tests/proxy/engine/test_outcome_counters.py
@@ -1,4 +1,4 @@
-"""What is counted of refusals and failures, on random days of an engine whose module answers anything."""
+"""Counts of refusals and failures, with random sequences of answers from the decision module."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_all_refusals_and_failures_are_counted_once(seed, capsys):
-    """A module that answers at random, twice, late, never, or with an error over it."""
+    """The module answers at random, twice, late, never or with an error."""
     rng = random.Random(seed)
 
     def decide(number):
--- a/tests/proxy/engine/test_pressure.py
+++ b/tests/proxy/engine/test_pressure.py
@@ -1,4 +1,4 @@
-"""Pressure: on, off with hysteresis, graded, each change is reported once with its cause."""
+"""Pressure actions: hysteresis, grading, and one report with a cause for each change."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 CALM = dict.fromkeys(Monitor, 0.0)
 
 
-def test_an_action_goes_on_at_one_reading_and_off_at_a_lower_one_and_each_is_reported_once():
+def test_an_action_turns_on_and_off_with_hysteresis_and_each_change_is_reported_once():
     made = PressureRules([PressureRule(PressureAction.SHORTEN_IDLE, Monitor.DESCRIPTORS, 0.9, 0.75)])
     changes = [
         made.update(at, {Monitor.DESCRIPTORS: share}) for at, share in enumerate((0.5, 0.9, 0.8, 0.91))
@@ -32,22 +32,20 @@
     assert made.update(501.0, {Monitor.DESCRIPTORS: 0.8}) == []
 
 
-def test_a_graded_action_goes_as_far_as_the_worst_of_its_readings():
+def test_the_level_of_a_graded_action_follows_its_worst_reading():
     made = PressureRules()
     made.update(0.0, {**CALM, Monitor.CALLS: 0.9, Monitor.LAG: 180.0})
     assert made.level(PressureAction.REFUSE_BY_WORTH) == pytest.approx(0.5)
     made.update(1.0, {**CALM, Monitor.CALLS: 0.9, Monitor.LAG: 900.0})
     assert made.level(PressureAction.REFUSE_BY_WORTH) == 1.0
     made.update(2.0, {**CALM, Monitor.CALLS: 0.7})
-    assert made.is_on(
-        PressureAction.REFUSE_BY_WORTH
-    )  # between the two figures it stays on, and asks for nothing
+    assert made.is_on(PressureAction.REFUSE_BY_WORTH)  # between the two thresholds it stays on at level 0
     assert made.level(PressureAction.REFUSE_BY_WORTH) == 0.0
     made.update(3.0, CALM)
     assert not made.is_on(PressureAction.REFUSE_BY_WORTH)
 
 
-def test_a_reading_that_is_missing_changes_nothing():
+def test_a_missing_reading_changes_nothing():
     made = PressureRules()
     made.update(0.0, {Monitor.DESCRIPTORS: 0.99})
     assert made.update(1.0, {}) == []
@@ -60,26 +58,26 @@
 
 
 def test_resident_memory_raises_pressure_and_the_quotas_release_it():
-    """The interpreter gives little back: without this the process would refuse work for good."""
+    """The interpreter returns little memory: without this rule the process would refuse work forever."""
     made = PressureRules()
     assert memory(made, 0.0, 0.95, 0.5) == pytest.approx(0.5)
     assert memory(made, 1.0, 0.95, 0.3) == pytest.approx(0.5)
-    assert memory(made, 2.0, 0.95, 0.1) == 0.0  # what was held is gone, what is resident is not
-    assert memory(made, 3.0, 0.96, 0.5) == 0.0  # no higher than where it stood
-    assert memory(made, 4.0, 0.99, 0.5) == pytest.approx(0.9)  # it has grown past that
+    assert memory(made, 2.0, 0.95, 0.1) == 0.0  # the buffered bytes are released, but resident memory stays
+    assert memory(made, 3.0, 0.96, 0.5) == 0.0  # no higher than when it was released
+    assert memory(made, 4.0, 0.99, 0.5) == pytest.approx(0.9)  # it has grown beyond that
 
 
 @pytest.mark.parametrize("figures", [(0.5, 0.5, 0.0), (0.5, 0.6, 0.0), (0.5, 0.4, 0.5), (0.5, 0.4, 0.3)])
-def test_rules_out_of_order_are_refused(figures):
+def test_rules_with_thresholds_out_of_order_are_rejected(figures):
     with pytest.raises(ValueError, match="out of order"):
         PressureRules([PressureRule(PressureAction.SHRINK_POOLS, Monitor.LAG, *figures)])
 
 
-def test_every_action_is_reached_and_left_by_each_of_its_rules():
+def test_each_rule_turns_its_action_on_and_off():
     assert {rule.action for rule in RULES} == set(PressureAction)
     for rule in RULES:
         made = PressureRules()
-        # Memory presses only while bytes are held.
+        # Resident memory counts only while bytes are buffered.
         beside = {Monitor.BUFFERED: 0.3} if rule.monitor is Monitor.MEMORY else {}
         made.update(0.0, {**CALM, **beside, rule.monitor: rule.on_at})
         assert made.is_on(rule.action)
@@ -88,7 +86,7 @@
 
 
 @given(st.lists(st.floats(0.0, 1.2), min_size=1, max_size=60))
-def test_readings_that_stay_between_the_two_figures_never_change_an_action(shares):
+def test_readings_between_the_two_thresholds_never_change_an_action(shares):
     made = PressureRules([PressureRule(PressureAction.SHRINK_POOLS, Monitor.DESCRIPTORS, 0.9, 0.7)])
     on = False
     for at, share in enumerate(shares):
--- a/tests/proxy/http/test_accept.py
+++ b/tests/proxy/http/test_accept.py
@@ -1,4 +1,4 @@
-"""Accepting at the limit: nobody is cut off, who is worth least is evicted, and a wait counts."""
+"""Accepting at the descriptor limit: no request is cut off, eviction is in order, and waits are charged."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def tight(sidecar, places, reserve=1):
-    """So few places for clients, and so few at the limit, whatever servers have."""
+    """Limit the descriptors of clients and of the reserve at the limit, independent of those of servers."""
     sidecar.front.budget = Limits(places, 2**20, 1000).budget("clients")
     sidecar.front.reserve = Limits(reserve, 0, 0).descriptors.add_share("at the limit")
 
@@ -36,8 +36,8 @@
 
 
 @virtual
-async def test_more_connections_than_places_and_each_whole_request_is_answered():
-    """Guards against accepting what there is no place for, only to cut it off."""
+async def test_each_complete_request_is_answered_with_more_connections_than_descriptors():
+    """Guards against accepting connections beyond the limit only to cut them off."""
     release = asyncio.Event()
     upstream = await Upstream([until_event(release)]).start()
     limits = {**partners.SETTINGS["PolicyLimits"], "RetryAfter": True, "MaxRetryAfter": 2000.0}
@@ -58,7 +58,7 @@
 
 
 @virtual
-async def test_who_is_answered_at_the_limit_can_read_it_though_it_sends_on():
+async def test_a_client_at_the_limit_can_read_its_answer_while_it_keeps_sending():
     upstream = await Upstream([hang]).start()
     async with running(upstream) as sidecar:
         tight(sidecar, places=1)
@@ -74,7 +74,7 @@
 
 
 @virtual
-async def test_who_waits_at_the_limit_gets_a_place_that_has_come_free_when_it_asks():
+async def test_a_connection_at_the_limit_gets_a_free_descriptor_when_it_sends_a_request():
     release = asyncio.Event()
     upstream = await Upstream([until_event(release), OK]).start()
     async with running(upstream) as sidecar:
@@ -86,12 +86,12 @@
         await until(lambda: sidecar.front.reserve.used == 1)
         release.set()
         assert status_of(await busy.answer()) == 200
-        assert status_of(await late.ask()) == 200  # the other is at rest, and is evicted
+        assert status_of(await late.ask()) == 200  # the other connection is idle and is evicted
         assert sidecar.front.reserve.used == 0
 
 
 @virtual
-async def test_with_no_place_at_all_connections_wait_in_the_backlog_and_are_served_then():
+async def test_connections_without_a_descriptor_wait_in_the_backlog_and_are_served_later():
     release = asyncio.Event()
     upstream = await Upstream([until_event(release)]).start()
     module = Scripted()
@@ -110,7 +110,7 @@
         release.set()
         for app in (*busy, waiting):
             assert status_of(await app.answer()) == 200
-        # Its time began when it connected, not when it was accepted.
+        # Its budget runs from when it connected, not from when it was accepted.
         ((arrival,),) = module.named("request")[-1:]
         left = arrival.give_up_at - sidecar.driver._clock.now()
         assert left < 2000.0 - 100.0
@@ -120,10 +120,10 @@
 
 @pytest.mark.parametrize("sent", [b"", b"POST /pay HTT", partners.request("POST", "/pay", b"hello")[:-2]])
 @virtual
-async def test_silent_and_half_sent_connections_give_way_to_who_asks(sent):
-    """Guards against a crowd that fills the table three times over.
+async def test_silent_and_incomplete_connections_are_evicted_for_complete_requests(sent):
+    """Guards against a flood of connections of three times the table's size.
 
-    What a connection has sent of its first request does not keep it.
+    An incomplete first request does not protect its connection from eviction.
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 96}}) as sidecar:
@@ -142,7 +142,7 @@
 
 
 @virtual
-async def test_a_newcomer_is_closed_only_if_the_next_has_waited_for_as_long_as_it_may():
+async def test_a_pending_connection_is_evicted_only_after_the_next_one_waited_for_the_accept_pause():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         tight(sidecar, places=2, reserve=0)
@@ -173,8 +173,8 @@
 
 
 @virtual
-async def test_where_the_system_grants_no_descriptor_it_neither_spins_nor_stops():
-    """Guards against a listening socket that stays readable: a busy loop, or a pause of a second."""
+async def test_accepting_neither_spins_nor_stops_without_system_descriptors():
+    """Guards against a busy loop, or a pause of a second, on a listening socket that stays readable."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         sock = Listening()
@@ -182,20 +182,20 @@
         sock.listen(16)
         address = await sidecar.front.listen(sock)
         resting = await App.connect(address)
-        for _ in range(2):  # it has come back: nothing else closes it
+        for _ in range(2):  # with two requests, nothing but an eviction closes it
             assert status_of(await resting.ask()) == 200
         sock.refuses, sock.asked = True, 0
         good = await App.connect(address)
         good.send()
         await asyncio.sleep(0.3)
-        assert 2 <= sock.asked <= 8  # one each 50 ms
+        assert 2 <= sock.asked <= 8  # one every 50 ms
         assert await resting.answer() is None  # it was evicted
         sock.refuses = False
         assert status_of(await good.answer()) == 200
 
 
 @virtual
-async def test_a_connection_that_ends_with_its_first_bytes_leaves_nothing_behind():
+async def test_a_connection_that_ends_with_its_first_bytes_releases_everything():
     upstream = await Upstream([hang]).start()
     module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 0.0)])
     async with running(upstream, balancer=module) as sidecar:
@@ -211,8 +211,8 @@
 
 
 @virtual
-async def test_who_was_answered_at_the_limit_and_keeps_its_connection_shields_nobody_at_rest():
-    """Guards against refusing a client because many at the limit have yet to end what was ended here."""
+async def test_lingering_connections_at_the_limit_do_not_shield_idle_ones():
+    """Guards against refusing a client because many rejected connections at the limit still linger."""
     release = asyncio.Event()
     upstream = await Upstream([until_event(release), OK]).start()
     async with running(upstream) as sidecar:
@@ -223,7 +223,7 @@
         late = [await App.connect(sidecar.address) for _ in range(20)]
         await until(lambda: sidecar.front.reserve.used == 20)
         for app in late:
-            app.send(X_Caller="nobody")  # answered and ended here, and none of them ends it
+            app.send(X_Caller="nobody")  # answered and closed here, but not by the client
         for app in late:
             assert status_of(await app.answer()) == 400
         assert sidecar.front.reserve.used == 20
@@ -234,8 +234,8 @@
 
 
 @virtual
-async def test_who_lingers_at_the_limit_keeps_no_other_front_from_what_is_fair():
-    """Guards against a front that gives nothing back, since many at its limit have yet to end theirs."""
+async def test_lingering_connections_at_the_limit_do_not_prevent_reclaiming():
+    """Guards against a server that gives nothing back because many connections at its limit still linger."""
     release = asyncio.Event()
     upstream = await Upstream([until_event(release), OK]).start()
     async with running(upstream) as sidecar:
@@ -261,8 +261,8 @@
 
 @pytest.mark.parametrize("waited_s", [0.0, 0.2])
 @virtual
-async def test_newcomers_at_the_limit_are_not_cut_for_a_request_that_this_gives_no_descriptor(waited_s):
-    """Each may be about to ask, and is answered then."""
+async def test_pending_connections_at_the_limit_are_not_evicted_if_that_frees_no_descriptor(waited_s):
+    """Each of them may be about to send a request, which is then answered."""
     release = asyncio.Event()
     upstream = await Upstream([until_event(release), OK]).start()
     async with running(upstream) as sidecar:
@@ -274,9 +274,9 @@
         await until(lambda: sidecar.front.reserve.used == 5)
         asks = await App.connect(sidecar.address)
         await until(lambda: sidecar.front.reserve.used == 6)
-        await asyncio.sleep(waited_s)  # they have had their time to ask, or not
+        await asyncio.sleep(waited_s)  # with or without the end of their grace
         assert status_of(await asks.ask()) == 503
-        assert sidecar.front.reserve.used == 6  # who was told so lingers
+        assert sidecar.front.reserve.used == 6  # the refused connection lingers
         for app in silent:
             assert status_of(await app.ask()) == 503
         release.set()
@@ -284,7 +284,7 @@
 
 
 @virtual
-async def test_where_all_at_the_limit_are_silent_one_that_has_waited_is_let_in_for_the_oldest():
+async def test_the_oldest_silent_connection_at_the_limit_is_evicted_for_one_that_waited():
     release = asyncio.Event()
     upstream = await Upstream([until_event(release), OK]).start()
     async with running(upstream) as sidecar:
--- a/tests/proxy/http/test_bad_clients.py
+++ b/tests/proxy/http/test_bad_clients.py
@@ -1,7 +1,7 @@
-"""Clients that misbehave, each kind beside a good one: over in time, nothing held, nothing sent on late.
+"""Misbehaving clients beside a good one: they are ended in time, release everything and forward nothing late.
 
-A client's leaving is compared with what the server saw in one loop and by its events: no verdict rests on
-how fast the machine is.
+When a client leaves is compared with what the server received in the same loop and by its events, so no
+result depends on the speed of the machine.
 """
 
 from __future__ import annotations
@@ -17,13 +17,13 @@
 from tests.loopback import App, Upstream, read_message, request, running, until
 from tests.virtual import virtual
 
-GONE_S = 0.3  # so long after its client left a request may still be sent on
-CLIENTS = 20  # of a kind, at once
+GONE_S = 0.3  # the time after a client leaves in which its request may still be forwarded
+CLIENTS = 20  # of one kind at the same time
 GOOD, BAD = "acme", "globex"
 
 
 class Echo(Upstream):
-    """A server that answers with the identity of what it was asked, once the test lets it."""
+    """A server that answers with the call id, for bad clients only once the test allows it."""
 
     def __init__(self):
         super().__init__()
@@ -42,14 +42,14 @@
         writer.close()
 
     def of_bad_clients(self):
-        """Identities of what was sent on for clients other than the good one."""
+        """Return the call ids that were forwarded for clients other than the good one."""
         names = [message.headers["x-call-id"] for message in self.seen]
         return [name for name in names if not name.startswith("good")]
 
 
 @contextlib.asynccontextmanager
 async def beside_a_good_client(address):
-    """Its requests follow one another all the time, and each is answered in its time with its own body."""
+    """Run a good client that sends requests one after the other and checks each answer."""
     over = asyncio.Event()
 
     async def ask_on():
@@ -75,11 +75,11 @@
 
 @contextlib.asynccontextmanager
 async def all_given_back(upstream, **changes):
-    """A sidecar beside a good client. Once all others have gone nothing of them is held."""
+    """Run a sidecar with a good client, and check that the other clients release everything."""
     raised = []
     asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
     async with running(upstream, **changes) as sidecar:
-        # Servers and clients use this core, too, and it would refuse for that.
+        # Servers and clients load this core as well, which would count as overload of the sidecar.
         sidecar.front.wake = sidecar.front.lag.wake
         async with beside_a_good_client(sidecar.address):
             yield sidecar
@@ -91,7 +91,7 @@
 
 
 def leave(writer, how):
-    """End a connection: by a close, by an end of sending, or by a reset."""
+    """End a connection by a close, by shutting down writing, or by a reset."""
     if how == "end":
         writer.write_eof()
         return
@@ -102,7 +102,7 @@
 
 
 def calls(name, count, target="/look", **headers):
-    """Whole requests with identities of their own."""
+    """Return complete requests with distinct call ids."""
     method = "GET" if target == "/look" else "POST"
     body = b"" if method == "GET" else b"x" * 100
     return [
@@ -196,8 +196,8 @@
 
 @pytest.mark.parametrize("send", HALVES, ids=lambda send: send.__name__)
 @virtual
-async def test_a_flood_of_half_requests_is_over_soon_and_sends_nothing_on(send, monkeypatch):
-    """Each client sends on for as long as it is let, and is ended by the sidecar."""
+async def test_a_flood_of_incomplete_requests_ends_soon_and_forwards_nothing(send, monkeypatch):
+    """Each client sends for as long as it can and is disconnected by the sidecar."""
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.3)
     monkeypatch.setattr(client_stream, "LINGER_TIMEOUT_S", 0.2)
     upstream = await Echo().start()
@@ -219,7 +219,7 @@
 
 @pytest.mark.parametrize("how", ["close", "reset"])
 @virtual
-async def test_a_request_and_its_clients_leaving_in_one_moment_are_one_attempt_at_the_most(how):
+async def test_a_request_whose_client_leaves_at_once_is_at_most_one_attempt(how):
     upstream = await Echo().start()
     upstream.open.clear()
     async with all_given_back(upstream) as sidecar:
@@ -248,7 +248,7 @@
     ],
 )
 @virtual
-async def test_what_comes_behind_a_last_request_is_no_request(behind, answers):
+async def test_bytes_after_the_last_request_are_not_a_request(behind, answers):
     upstream = await Echo().start()
     async with all_given_back(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -264,8 +264,8 @@
 @pytest.mark.parametrize("how", ["close", "reset", "end"])
 @pytest.mark.parametrize("target", ["/look", "/pay"])
 @virtual
-async def test_of_a_burst_whose_client_goes_at_once_nothing_is_sent_on_later(target, how):
-    """50 whole requests on each connection, and gone: no more than a few of them are sent on, at once."""
+async def test_a_burst_whose_client_leaves_at_once_is_not_forwarded_later(target, how):
+    """Only a few of the 50 complete requests on each connection are forwarded, and none of them late."""
     upstream = await Echo().start()
     upstream.open.clear()
 
--- a/tests/proxy/http/test_bad_servers.py
+++ b/tests/proxy/http/test_bad_servers.py
@@ -1,4 +1,4 @@
-"""Servers that misbehave, each kind beside good ones: one final answer, no rule broken, nothing held."""
+"""Misbehaving servers beside good ones: one final answer per request, no rule broken, everything released."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def endless(head, part, pause=0.01):
-    """An answer that begins so and goes on in such parts until the sidecar closes."""
+    """Answer with `head` and then with `part` repeatedly until the sidecar closes."""
 
     async def behave(reader, writer, got):
         writer.write(head)
@@ -41,7 +41,7 @@
 
 
 def cut(answer, how):
-    """Bytes that are no whole answer, and an end."""
+    """Answer with an incomplete response and end the connection."""
 
     async def behave(reader, writer, got):
         got.ended = True
@@ -62,7 +62,7 @@
 
 
 def followed(by, after_s):
-    """A good answer, and more bytes right behind it or some time later."""
+    """Answer correctly and send more bytes immediately or after a delay."""
 
     async def behave(reader, writer, got):
         await serve(reader, writer, got)
@@ -75,7 +75,7 @@
 
 
 def rejected(by):
-    """A rejection with more bytes right behind it: spoilt, so it may have run."""
+    """Answer with a rejection and extra bytes: it is malformed, so the request may have run."""
 
     async def behave(reader, writer, got):
         got.ended = True
@@ -121,7 +121,7 @@
     "blank lines without end": endless(b"", b"\r\n"),
     "half a status line": endless(b"HTTP/1.1 20", b"", 0.05),
     "a second answer at once": followed(ok(STRAY), None),
-    # A whole one that comes later is known to be mixed up before the first sign of one (docs/ROADMAP.md).
+    # A complete one that comes later is a known mix-up until the first sign of one (docs/ROADMAP.md).
     "half a second answer later": followed(ok(STRAY)[:20], 0.02),
     "garbage on an idle connection": followed(b"\x00\x01garbage\r\n\r\n", 0.03),
     "a blank line on an idle connection": followed(b"\r\n", 0.03),
@@ -147,7 +147,7 @@
 
 @contextlib.asynccontextmanager
 async def judged(settings, *servers, **changes):
-    """A sidecar before servers (name, behaviour, fields of the list), then the judge."""
+    """Run a sidecar with servers (name, behaviour, fields of the list), then check the history."""
     site = Site(settings)
     for name, behave, listed in servers:
         await site.add(name, behave, **listed)
@@ -157,7 +157,7 @@
     try:
         raw = {"known": site.known(), **changes}
         async with running(raw=raw, **settings) as sidecar:
-            # Servers and clients use this core, too, and it would refuse for that.
+            # Servers and clients load this core as well, which would count as overload of the sidecar.
             sidecar.front.wake = sidecar.front.lag.wake
             yield site, sidecar
             await until(lambda: sidecar.driver.is_idle and not sidecar.front.intake.open_call_ids)
@@ -171,7 +171,7 @@
 
 
 async def in_turn(site, address, kind, count):
-    """Requests of one class, one after the other on one connection."""
+    """Send requests of one class one after the other on one connection."""
     app = await App.connect(address)
     for _ in range(count):
         await site.ask(address, kind, BUDGET_S, app)
@@ -182,7 +182,7 @@
 
 @pytest.mark.parametrize("what", BEHAVIOURS)
 @virtual
-async def test_a_bad_server_breaks_no_rule_and_harms_no_other_request(what):
+async def test_a_misbehaving_server_breaks_no_rule_and_harms_no_other_request(what):
     servers = [
         ("s0", BEHAVIOURS[what], {"zone": "east"}),
         ("s1", serve, {"zone": "east"}),
@@ -192,7 +192,7 @@
         clients = [kind for kind in OWN["Profiles"] for _ in range(3)]
         await asyncio.gather(*(in_turn(site, sidecar.address, kind, 4) for kind in clients))
     assert len(site.asked) == 36
-    assert site.servers[0].connections  # it was asked
+    assert site.servers[0].connections  # it received attempts
     met = {got.call for got in site.got if got.server.name == "s0"}
     others = [row.status for row in site.asked if row.call not in met and site.of(row.call)]
     assert others
@@ -203,7 +203,7 @@
 
 
 def again(server, seconds=0.0):
-    """Once an attempt has ended, a second one; it may be held back for so long by a time-out."""
+    """Return scripts that retry on `server` after an attempt ended or timed out after `seconds`."""
 
     def outcome(now, number, hop, status, spent, last, report):
         return [] if last else [Send(number, server, 0.0)] if hop == 0 else [Fail(number)]
@@ -222,7 +222,7 @@
     return [Send(arrival.request, "s0", 0.0), Send(arrival.request, "s1", 0.0)]
 
 
-# Class by its number, how s0 behaves, the module's faults, and what is said of them.
+# The index of the class, the behaviour of s0, the faulty scripts of the module, and what the judge reports.
 FAULTS = [
     (2, reset, again("s1"), "sent again though it may have run"),
     (1, reset, again("s2"), "of another group"),
@@ -237,8 +237,8 @@
 @pytest.mark.parametrize(("traffic_class", "behave", "scripts", "fault"), FAULTS)
 @virtual
 async def test_the_judge_finds_each_fault(traffic_class, behave, scripts, fault, monkeypatch):
-    """A module that breaks a rule is found out; the same servers and clients as above."""
-    monkeypatch.setattr(driver, "GUARD_MS", 1500.0)  # so that a request left unanswered is lost
+    """Checks that the judge reports a module that breaks a rule, with the servers and clients from above."""
+    monkeypatch.setattr(driver, "GUARD_MS", 1500.0)  # so that an unanswered request is lost
     site = Site(OWN)
     await site.add("s0", behave, zone="east")
     await site.add("s1", later(0.1, serve), zone="east")
@@ -250,7 +250,7 @@
 
 
 @virtual
-async def test_the_judge_finds_a_body_that_was_made_for_nobody():
+async def test_the_judge_finds_a_body_that_no_server_made_for_the_call():
     async def mixed(reader, writer, got):
         writer.write(ok(STRAY))
         got.ended = True
--- a/tests/proxy/http/test_client_connection.py
+++ b/tests/proxy/http/test_client_connection.py
@@ -1,4 +1,4 @@
-"""The states of a client's connection, each with what leads to it; its transport is a stand-in."""
+"""The states of a client connection and their transitions, with an early transport."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class OpenRequests:
-    """A call handler that leaves each call open."""
+    """A call handler that never answers a call."""
 
     def __init__(self):
         self.calls = []
@@ -38,7 +38,7 @@
 
 
 class Stage:
-    """One connection of a server that has no listening socket."""
+    """One connection of a server without a listening socket."""
 
     def __init__(self):
         loop = asyncio.get_running_loop()
@@ -70,7 +70,7 @@
 
 @contextmanager
 def staged():
-    """A stage that leaves nothing open."""
+    """Create a stage and close it at the end."""
     made = Stage()
     try:
         yield made
@@ -90,7 +90,7 @@
 async def test_an_answered_request_leaves_it_reading():
     with staged() as stage:
         stage.connection.data_received(READY)
-        assert bytes(stage.transport.kept).startswith(b"HTTP/1.1 200 OK\r\n")
+        assert bytes(stage.transport.unsent).startswith(b"HTTP/1.1 200 OK\r\n")
         assert stage.state is ClientConnectionState.READING
 
 
@@ -98,20 +98,20 @@
 async def test_a_last_request_is_answered_and_it_lingers():
     with staged() as stage:
         stage.connection.data_received(LAST + READY)
-        assert stage.transport.kept.count(b"HTTP/1.1 ") == 1  # what comes behind the last is dropped
-        assert stage.transport.ended
+        assert stage.transport.unsent.count(b"HTTP/1.1 ") == 1  # bytes after the last request are dropped
+        assert stage.transport.is_write_closed
         assert stage.state is ClientConnectionState.LINGERING
 
 
 @virtual
-async def test_what_is_rejected_behind_an_open_call_ends_it_once_that_is_answered():
+async def test_a_rejection_after_an_open_call_ends_the_connection_once_the_call_is_answered():
     with staged() as stage:
         stage.connection.data_received(request() + MALFORMED)
         assert stage.state is ClientConnectionState.ENDING
-        assert not stage.transport.kept
+        assert not stage.transport.unsent
         (call,) = stage.handler.calls
         call.failed(False)
-        assert stage.transport.kept.index(b"HTTP/1.1 502 ") < stage.transport.kept.index(b"HTTP/1.1 400 ")
+        assert stage.transport.unsent.index(b"HTTP/1.1 502 ") < stage.transport.unsent.index(b"HTTP/1.1 400 ")
         assert stage.state is ClientConnectionState.LINGERING
 
 
@@ -125,7 +125,7 @@
 
 
 @virtual
-async def test_a_lost_connection_is_closed_and_its_open_call_is_told():
+async def test_a_lost_connection_is_closed_and_its_open_call_is_reported_as_gone():
     with staged() as stage:
         stage.connection.data_received(request())
         (call,) = stage.handler.calls
--- a/tests/proxy/http/test_client_gone.py
+++ b/tests/proxy/http/test_client_gone.py
@@ -1,4 +1,4 @@
-"""A client that leaves in the moment in which something of its request is begun: nothing is sent for it."""
+"""A client that disconnects just as an attempt for its request starts: nothing is sent for it."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 @pytest.fixture
 def no_settling(monkeypatch):
-    """A connection may be used again at once."""
+    """Allow a connection to be reused at once."""
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
 
 
 @pytest.fixture
 def no_sweep(monkeypatch):
-    """Nothing is noticed by looking again now and then."""
+    """Disable the periodic sweep, so that it detects nothing."""
     monkeypatch.setattr(server_module, "SWEEP_INTERVAL_S", 3600.0)
 
 
@@ -53,7 +53,7 @@
 
 
 def leave(sidecar, sock, how):
-    """A client leaves in this turn of the loop: its end is in the kernel, and the loop can't have seen it."""
+    """Disconnect the client in this iteration: the kernel has its end, and the loop can't have seen it."""
     (connection,) = holders(sidecar)
     source = connection._transport.get_extra_info("socket")
     poll = select.poll()
@@ -63,7 +63,7 @@
 
 
 async def rested(sidecar):
-    """A client whose connection has its transport, and is at rest."""
+    """Connect a client whose connection has its transport and is idle."""
     sock = await bare(sidecar.address, 2**16)
     await asyncio.get_running_loop().sock_sendall(sock, AT_REST)
     assert b" 200 " in await asyncio.get_running_loop().sock_recv(sock, 1000)
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("how", [close, reset, shut])
 @virtual
-async def test_a_timer_in_the_turn_in_which_the_client_leaves_begins_no_attempt(how):
+async def test_no_attempt_starts_from_a_timer_in_the_iteration_in_which_the_client_leaves(how):
     upstream = await Upstream().start()
     module = Scripted(request=lambda now, arrival: [Timer(0.0, str(arrival.request))])
     async with running(upstream, balancer=module) as sidecar:
@@ -92,9 +92,9 @@
         module.scripts["timer"] = due
         await asyncio.get_running_loop().sock_sendall(sock, request())
         await until(lambda: module.outcomes())
-        assert module.outcomes() == [(0, Outcome.ABANDONED, True)]  # `client_gone` was told before
+        assert module.outcomes() == [(0, Outcome.ABANDONED, True)]  # `client_gone` was reported before
         assert len(module.named("client_gone")) == 1
-        assert upstream.writers == []  # no connection is made for it, either
+        assert upstream.writers == []  # no connection is made for it either
         await nothing_is_held(sidecar)
         sock.close()
 
@@ -102,7 +102,7 @@
 @pytest.mark.usefixtures("no_settling")
 @pytest.mark.parametrize("how", [close, reset])
 @virtual
-async def test_no_further_attempt_begins_in_the_turn_in_which_the_client_leaves(how):
+async def test_no_retry_starts_in_the_iteration_in_which_the_client_leaves(how):
     upstream = await Upstream([FULL, OK]).start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
@@ -119,15 +119,15 @@
         await until(lambda: len(module.outcomes()) == 2)
         assert module.outcomes()[1] == (1, Outcome.ABANDONED, True)
         assert len(upstream.seen) == 1
-        assert len(sidecar.pool._idle) == 1  # nothing was written on what it left
+        assert len(sidecar.pool._idle) == 1  # nothing was written on the connection that became idle
         await nothing_is_held(sidecar)
 
 
 @pytest.mark.parametrize("how", [close, reset])
 @pytest.mark.parametrize("first", [True, False])
 @virtual
-async def test_a_request_whose_clients_end_has_come_with_it_is_not_sent(first, how):
-    """Read in one turn, told of in the next, whether or not the connection has its transport by then."""
+async def test_a_request_that_arrives_together_with_its_clients_disconnect_is_not_sent(first, how):
+    """The request is read in one iteration and the disconnect is reported only in the next one."""
     upstream = await Upstream().start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
@@ -138,14 +138,14 @@
         else:
             sock = await rested(sidecar)
             fd = holders(sidecar)[0]._transport.get_extra_info("socket").fileno()
-        # No await from here to the end: the loop reads the request with the end behind it.
+        # No await from here on: the loop reads the request with the end already behind it.
         poll = select.poll()
         poll.register(fd, select.POLLRDHUP)
         if how is reset:
             arrive = module.scripts["request"]
 
             def reset_then_send(now, arrival):
-                leave(sidecar, sock, reset)  # one that comes before the read takes the request with it
+                leave(sidecar, sock, reset)  # a reset before the read would discard the request
                 return arrive(now, arrival)
 
             module.scripts["request"] = reset_then_send
@@ -163,8 +163,8 @@
 @pytest.mark.parametrize("how", [close, reset])
 @pytest.mark.parametrize("after", range(6))
 @virtual
-async def test_a_client_that_leaves_in_any_turn_of_its_transports_making_is_sent_nothing_for(after, how):
-    """From the turn in which its first bytes are read to where its transport stands."""
+async def test_no_attempt_starts_for_a_client_that_leaves_while_its_transport_is_set_up(after, how):
+    """Covers each iteration from reading the first bytes until the transport exists."""
     upstream = await Upstream().start()
     raised, stood = [], []
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context))
@@ -192,14 +192,14 @@
         await nothing_is_held(sidecar)
         assert sidecar.limits.descriptors.used == 0
         assert not raised
-        assert (after, stood[1]) not in ((0, True), (5, False))  # the turns tried span both
+        assert (after, stood[1]) not in ((0, True), (5, False))  # the iterations cover both states
 
 
 @pytest.mark.usefixtures("no_sweep")
 @pytest.mark.parametrize("how", [close, reset, shut])
 @virtual
-async def test_what_waits_behind_an_open_request_is_not_taken_once_the_client_has_left(how, monkeypatch):
-    """Nothing is read meanwhile, so the loop does not tell of the end."""
+async def test_queued_requests_are_not_served_after_the_client_has_left(how, monkeypatch):
+    """Reading is paused meanwhile, so the loop does not report the disconnect."""
     monkeypatch.setattr(client_connection, "MAX_OPEN_CALLS", 1)
     module = Scripted()
     upstream = await Upstream().start()
@@ -220,14 +220,14 @@
 
 @pytest.mark.parametrize("how", [close, reset, shut])
 @virtual
-async def test_a_client_that_leaves_while_nothing_is_read_is_noticed_soon(how, monkeypatch):
+async def test_a_client_that_leaves_while_reading_is_paused_is_noticed_soon(how, monkeypatch):
     monkeypatch.setattr(client_connection, "MAX_OPEN_CALLS", 2)
     module = Scripted()
     upstream = await Upstream([hang]).start()
     async with running(upstream, balancer=module) as sidecar:
         sock = await rested(sidecar)
         await asyncio.get_running_loop().sock_sendall(sock, b"".join(request() for _ in range(3)))
-        await until(lambda: len(upstream.seen) == 2 and holders(sidecar)[0]._untaken)
+        await until(lambda: len(upstream.seen) == 2 and holders(sidecar)[0]._unserved)
         how(sock)
         await until(lambda: not holders(sidecar))
         assert len(module.named("client_gone")) == 2
@@ -237,7 +237,7 @@
 
 
 @virtual
-async def test_a_client_that_reads_nothing_and_ends_its_sending_is_noticed_soon(monkeypatch):
+async def test_a_stalled_client_that_shuts_down_writing_is_noticed_soon(monkeypatch):
     monkeypatch.setattr(client_buffers, "STALL_TIMEOUT_MS", 3_600_000.0)
     monkeypatch.setattr(client_buffers, "UNSENT_TIMEOUT_MS", 3_600_000.0)
     upstream = await Upstream([LARGE]).start()
@@ -257,12 +257,13 @@
 @pytest.mark.parametrize("open_attempt", [True, False])
 @pytest.mark.parametrize("how", [shut, close])
 @virtual
-async def test_a_client_that_ends_its_sending_has_gone_as_one_that_closes(how, open_attempt):
-    """The protocol: a client that closes its connection has gone away.
+async def test_a_client_that_shuts_down_writing_counts_as_gone(how, open_attempt):
+    """The protocol says that a client that closes its connection has gone away.
 
-    On the wire a close and an end of sending are the same segment, and what tells them apart (a reset) comes
-    only once something is written back: too late for a further attempt, which may begin for 0.1 s at the
-    most. So both count as gone, and one that still reads gets an end without an answer.
+    On the wire a close and a shutdown of writing are the same segment. What distinguishes them, a reset,
+    comes only after something is written back: too late for a further attempt, which may start for at most
+    0.1 s. So both count as gone, and a client that still reads gets the end of the connection without an
+    answer.
     """
     upstream = await Upstream([hang]).start()
     module = Scripted(
@@ -288,7 +289,7 @@
 
 
 @virtual
-async def test_what_was_paused_before_its_transport_stood_stays_paused():
+async def test_reading_paused_before_the_transport_exists_stays_paused():
     upstream = await Upstream([hang]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
         sock = await bare(sidecar.address, 2**16)
@@ -297,21 +298,23 @@
         await until(lambda: holders(sidecar) and isinstance(holders(sidecar)[0], ClientConnection))
         (connection,) = holders(sidecar)
         await until(lambda: isinstance(connection._transport, asyncio.Transport) and len(upstream.seen) == 4)
-        assert len(connection._waiting) == 5
-        assert len(connection._untaken) == 1
+        assert len(connection._unanswered) == 5
+        assert len(connection._unserved) == 1
         late = request()
         await loop.sock_sendall(sock, late)
-        # What is read is read by the turn in which another connection, made after it, is.
+        # Any bytes that are read would be read before those of another connection made later.
         await (await App.connect(sidecar.address)).ask("GET", "/health/ready", X_Call_Id=None)
-        assert len(connection._waiting) == 5
+        assert len(connection._unanswered) == 5
         assert stream.unread_bytes(connection._transport) == len(late)
         sock.close()
 
 
 @pytest.mark.parametrize("hung_up", [stream.PEER_CLOSED, 0])
 @pytest.mark.parametrize(("before", "how"), [(b"", close), (b"", reset), (b"x", close), (b"x", reset)])
-def test_an_end_is_seen_also_behind_bytes_and_only_an_end_is(before, how, hung_up, monkeypatch):
-    """Where a kernel tells no hang-up the end of a connection with nothing unread is still seen."""
+def test_an_end_is_detected_behind_unread_bytes_and_bytes_alone_are_not_an_end(
+    before, how, hung_up, monkeypatch
+):
+    """Without a hang-up event from the kernel, an end behind no unread bytes is still detected."""
     monkeypatch.setattr(stream, "PEER_CLOSED", hung_up)
     with socket.create_server(("127.0.0.1", 0)) as listening:
         sock = socket.create_connection(listening.getsockname())
@@ -332,7 +335,7 @@
 
 
 class Held:
-    """Connections to servers that are up, but told of only once the test says so."""
+    """Connections to servers that are established but reported only once the test allows it."""
 
     def __init__(self, monkeypatch):
         self.loop, self.up, self.gate = asyncio.get_running_loop(), 0, asyncio.Event()
@@ -348,8 +351,8 @@
 
 @pytest.mark.usefixtures("no_settling")
 @virtual
-async def test_a_dial_that_comes_up_after_the_client_left_carries_nothing_and_serves_the_next(monkeypatch):
-    """Also where the settings forbid to cancel, so that the attempt is awaited."""
+async def test_a_connect_that_completes_after_the_client_left_carries_nothing_and_is_reused(monkeypatch):
+    """Also if the settings forbid cancelling, so that the attempt continues."""
     upstream = await Upstream().start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
@@ -368,7 +371,7 @@
 
 
 @virtual
-async def test_a_dial_that_comes_up_in_the_turn_in_which_the_client_leaves_carries_nothing(monkeypatch):
+async def test_a_connect_that_completes_as_the_client_leaves_carries_nothing(monkeypatch):
     upstream = await Upstream().start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
@@ -385,7 +388,7 @@
 
 @pytest.mark.parametrize("served", [True, False])
 @virtual
-async def test_a_dial_that_comes_up_after_the_final_answer_carries_nothing(served, monkeypatch):
+async def test_a_connect_that_completes_after_the_final_answer_carries_nothing(served, monkeypatch):
     first, second = await Upstream().start(), await Upstream().start()
     module = Scripted()
 
@@ -413,10 +416,8 @@
 
 @pytest.mark.parametrize(("begin_within", "outcome"), [(20.0, Outcome.ABANDONED), (3_600_000.0, Outcome.OK)])
 @virtual
-async def test_an_attempt_whose_connection_comes_up_too_late_for_it_carries_nothing(
-    begin_within, outcome, monkeypatch
-):
-    """Guards against a keyed repeat that waits for its connection until its key is forgotten."""
+async def test_an_attempt_whose_connect_completes_too_late_writes_nothing(begin_within, outcome, monkeypatch):
+    """Guards against a keyed retry that waits for its connection until the server forgot its key."""
     upstream = await Upstream().start()
     module = Scripted(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0, begin_within)],
--- a/tests/proxy/http/test_closing.py
+++ b/tests/proxy/http/test_closing.py
@@ -1,4 +1,4 @@
-"""Closing a client's connection as bytes come in that moment: an orderly end, and they are not taken."""
+"""Closing a client connection just as bytes arrive: the close is orderly, and the bytes are not served."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class Crossing:
-    """A client whose bytes come just as the sidecar shuts its connection or closes it, whichever is first."""
+    """A client whose bytes arrive just as the sidecar shuts down or closes its connection."""
 
     def __init__(self, monkeypatch, sock, late):
         self.crossed = []
@@ -48,7 +48,7 @@
 
 
 async def client(address, kernel=0):
-    """A client's socket, for which its kernel takes in no more than that, unless it is 0."""
+    """Connect a client socket; `kernel` sets its receive buffer in bytes unless it is 0."""
     sock = socket.socket()
     if kernel:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, kernel)
@@ -58,7 +58,7 @@
 
 
 async def to_the_end(sock):
-    """All that the sidecar sends up to its end; `ConnectionResetError` where there is no such end."""
+    """Read everything up to the end; raises `ConnectionResetError` after a reset."""
     loop, got = asyncio.get_running_loop(), b""
     async with asyncio.timeout(10.0):
         while data := await loop.sock_recv(sock, 65536):
@@ -71,7 +71,7 @@
 
 
 async def asked(sock, sent):
-    """What is answered, up to the last word of a server's body."""
+    """Send bytes and read the answer up to the end of the server's body."""
     loop, got = asyncio.get_running_loop(), b""
     await loop.sock_sendall(sock, sent)
     async with asyncio.timeout(10.0):
@@ -82,17 +82,17 @@
 
 @pytest.mark.parametrize("why", ["drain", "rest", "too many", "overdue"])
 @virtual
-async def test_a_request_that_crosses_the_close_of_a_resting_connection_meets_an_end_and_is_not_sent_on(
-    why, monkeypatch
-):
-    """Guards against a reset, and against serving on a connection that has no way back."""
+async def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_an_orderly_end(why, monkeypatch):
+    """Guards against a reset, and against serving a request that can't be answered any more."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         front, drain = sidecar.front, None
-        front.table = ConnectionTable(TableOptions(100, once_idle_timeout_ms=100.0 if why == "rest" else 1e9))
+        front.table = ConnectionTable(
+            TableOptions(100, single_request_idle_timeout_ms=100.0 if why == "rest" else 1e9)
+        )
         sock = await client(sidecar.address)
         if why == "overdue":
-            await asyncio.get_running_loop().sock_sendall(sock, b"\r\n")  # no request, and not pending
+            await asyncio.get_running_loop().sock_sendall(sock, b"\r\n")  # no request, but no longer pending
             await until(lambda: any(isinstance(entry.owner, ClientConnection) for entry in front.table))
             await until(lambda: not front._starting)
         else:
@@ -102,7 +102,7 @@
         if why == "drain":
             drain = asyncio.create_task(sidecar.drain())
         elif why == "too many":
-            monkeypatch.setattr(front.table, "_max_once", 0)
+            monkeypatch.setattr(front.table, "_max_single_request", 0)
             other = await App.connect(sidecar.address)
             await other.ask()
         elif why == "overdue":
@@ -120,14 +120,14 @@
 @pytest.mark.parametrize(
     ("first", "status"),
     [
-        (READY, b"200"),  # answered with its first bytes, with no transport
+        (READY, b"200"),  # answered with its first bytes, without a transport
         (request(X_Caller="nobody") + b"\x00", b"400"),
         (b"GET /look HTTP/1.1\r\n: x\r\n\r\n", b"400"),
         (request(Connection="close"), b"200"),  # answered by a server
     ],
 )
 @virtual
-async def test_bytes_that_cross_the_close_behind_a_last_answer_take_nothing_of_it(first, status, monkeypatch):
+async def test_bytes_that_cross_the_close_do_not_truncate_the_last_answer(first, status, monkeypatch):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         sock = await client(sidecar.address)
@@ -138,7 +138,7 @@
         assert b"Connection: close" in answer
         assert answer.count(b"HTTP/1.1") == 1
         assert crossing.crossed == ["shutdown"]
-        await asyncio.get_running_loop().sock_sendall(sock, request())  # nor what comes later
+        await asyncio.get_running_loop().sock_sendall(sock, request())  # later bytes have no effect either
         sock.close()
         await until(lambda: sidecar.front.is_empty)
         assert len(upstream.seen) == (1 if b"/look" in first and status == b"200" else 0)
@@ -147,8 +147,8 @@
 
 
 @virtual
-async def test_a_slow_reader_gets_its_last_answer_whole_however_long_that_takes(monkeypatch):
-    """Guards against a bound on the client's end that cuts an answer which it still reads."""
+async def test_a_slow_reader_gets_its_last_answer_complete(monkeypatch):
+    """Guards against a linger time-out that cuts off an answer which the client still reads."""
     monkeypatch.setattr(server_module, "SEND_BUFFER_BYTES", 4096)
     monkeypatch.setattr(client_stream, "LINGER_TIMEOUT_S", 0.02)
     upstream = await Upstream([LARGE]).start()
@@ -158,18 +158,18 @@
         await until(lambda: sidecar.front.buffers.stalled)
         await asyncio.sleep(5 * client_stream.LINGER_TIMEOUT_S)
         assert (await to_the_end(sock)).count(b"x") == BODY
-        await until(lambda: sidecar.front.is_empty)  # though it does not end the connection
+        await until(lambda: sidecar.front.is_empty)  # although the client does not close the connection
         sock.close()
 
 
 @virtual
-async def test_a_last_answer_on_its_way_is_not_cut_for_anothers_place():
-    """Guards against a close over what the kernel still holds: by a reset, the client would lose it."""
+async def test_a_connection_with_an_unacknowledged_last_answer_is_not_evicted():
+    """Guards against a close while the kernel still buffers the answer: a reset would lose it."""
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
         sock = await client(sidecar.address, kernel=4096)
         await asyncio.get_running_loop().sock_sendall(sock, request(Connection="close"))
-        await until(lambda: standing(sidecar.front) == [EvictionClass.REJECTED])  # ended here, and it lingers
+        await until(lambda: standing(sidecar.front) == [EvictionClass.REJECTED])  # closed here and lingering
         (entry,) = sidecar.front.table
         await until(lambda: not entry.owner.unsent_bytes)
         assert not entry.owner.is_evictable
@@ -179,7 +179,7 @@
 
 
 @virtual
-async def test_no_answer_is_held_back_on_a_connection_that_has_no_transport_yet():
+async def test_tcp_nodelay_is_set_on_a_connection_without_a_transport():
     async with running() as sidecar:
         socks = [await client(sidecar.address) for _ in range(2)]
         await until(lambda: len(sidecar.front.table) == 2)
@@ -193,8 +193,8 @@
 
 
 @virtual
-async def test_a_reset_as_the_last_of_a_slow_readers_answer_is_written_raises_nothing(monkeypatch):
-    """Guards against an error that leaves a callback of the loop: it shuts by itself what it has written."""
+async def test_a_reset_while_the_last_bytes_of_an_answer_are_written_raises_nothing(monkeypatch):
+    """Guards against an uncaught error in a callback of the loop, which shuts down writing by itself."""
     raised = []
     asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
     monkeypatch.setattr(server_module, "SEND_BUFFER_BYTES", 4096)
@@ -223,8 +223,8 @@
 
 @pytest.mark.parametrize("asked_before", [False, True])
 @virtual
-async def test_a_request_that_crosses_a_close_for_anothers_place_is_not_sent_on(asked_before, monkeypatch):
-    """Closed outright, since its descriptor is needed: it held nothing, and its client sends once more."""
+async def test_a_request_that_crosses_an_eviction_is_not_forwarded(asked_before, monkeypatch):
+    """It is closed without lingering, as its descriptor is needed; nothing is lost and its client retries."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         sock = await client(sidecar.address)
--- a/tests/proxy/http/test_counts.py
+++ b/tests/proxy/http/test_counts.py
@@ -1,4 +1,4 @@
-"""What a process says of its refusals and failures: who asks for it, and as it ends."""
+"""Counts of refusals and failures: on request and in the log at shutdown."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 @virtual
-async def test_the_modules_answers_are_told_by_class_end_and_cause():
+async def test_answers_of_the_module_are_counted_by_class_kind_and_cause():
     answers = [
         lambda number: Refuse(number, 0.0, Cause.COLD),
         lambda number: Refuse(number, 0.0, Cause.COLD),
@@ -46,7 +46,7 @@
 
 
 @virtual
-async def test_who_asks_only_whether_it_is_ready_is_told_nothing_else():
+async def test_a_readiness_check_returns_no_counts():
     async with running(balancer=Scripted(request=answering(lambda n: Refuse(n, 0.0, Cause.COLD)))) as sidecar:
         await told_as(sidecar, 503)
         for method, target in (("GET", "/health/ready"), ("GET", "/health/ready?x=1"), ("HEAD", COUNTS)):
@@ -58,7 +58,7 @@
 
 
 @virtual
-async def test_what_is_answered_without_the_module_has_causes_of_its_own():
+async def test_requests_answered_without_the_module_have_separate_causes():
     upstream = await Upstream([hang]).start()
     limits = {**SETTINGS["PolicyLimits"], "MaxOpen": 1}
     async with running(upstream, PolicyLimits=limits) as sidecar:
@@ -76,7 +76,7 @@
 
 
 @virtual
-async def test_no_room_for_a_call_and_too_late_a_one_are_refused_by_the_front():
+async def test_the_server_refuses_calls_without_capacity_and_calls_during_shutdown():
     upstream = await Upstream([hang]).start()
     async with running(upstream) as sidecar:
         sidecar.limits.calls.resize(1)
@@ -86,7 +86,7 @@
         await told_as(sidecar, 503)
         sidecar.front.evictor.claim_descriptor = lambda connection: False
         await told_as(sidecar, 503)
-        sidecar.front.intake.ends_ms = 0.0
+        sidecar.front.intake.accept_until_ms = 0.0
         await told_as(sidecar, 503)
         await told_as(sidecar, 503, "POST", "/pay")
         service, front = await counts(sidecar)
@@ -98,7 +98,7 @@
 
 
 @virtual
-async def test_a_call_before_one_that_is_rejected_is_cut_short_and_half_of_one_is_unfinished(monkeypatch):
+async def test_a_call_before_a_rejection_is_cut_short_and_an_incomplete_one_is_unfinished(monkeypatch):
     monkeypatch.setattr("fordtrestle.proxy.http.client_connection.REJECTION_TIMEOUT_S", 0.01)
     monkeypatch.setattr("fordtrestle.proxy.http.client_connection.REQUEST_TIMEOUT_S", 0.01)
     upstream = await Upstream([hang]).start()
@@ -118,7 +118,7 @@
 
 
 @virtual
-async def test_as_it_ends_it_says_what_it_refused_and_why(capsys):
+async def test_counts_are_logged_at_shutdown(capsys):
     module = Scripted(request=answering(lambda n: Refuse(n, 0.0, Cause.THROTTLE)))
     async with running(balancer=module) as sidecar:
         await told_as(sidecar, 503)
@@ -131,7 +131,7 @@
 
 
 @virtual
-async def test_a_process_that_refused_nothing_says_nothing_of_it(capsys):
+async def test_no_counts_are_logged_if_nothing_was_refused(capsys):
     upstream = await Upstream([OK]).start()
     module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 0.0)])
     async with running(upstream, balancer=module) as sidecar:
--- a/tests/proxy/http/test_dials.py
+++ b/tests/proxy/http/test_dials.py
@@ -1,4 +1,4 @@
-"""Dials and kept connections at the wrong moment: nothing leaks, and what may have run is not sent again."""
+"""Races of connects and idle connections: nothing leaks, and a request that may have run is not retried."""
 
 from __future__ import annotations
 
@@ -31,21 +31,21 @@
 
 
 async def nothing_leaks(sidecar):
-    """No dial and no connection is left but those accounted for."""
+    """Wait until no connect is left and all connections are accounted for."""
     pool = sidecar.pool
     await until(lambda: not pool._dialer.connecting and not sidecar.driver._requests)
     await until(lambda: pool.budget.descriptors.used == len(pool._connections))
     assert pool._connections == set(pool._idle)
 
 
-# --- a dial and its end -----------------------------------------------------------------
+# --- connects and their ends ------------------------------------------------------------
 
 
 @pytest.mark.parametrize("after", range(10))
 @pytest.mark.parametrize("how", ["cancel", "expire"])
 @virtual
-async def test_a_dial_that_is_given_up_in_any_turn_of_its_coming_up_leaks_nothing(how, after):
-    """Before it begins, while it is made, as it comes up, and once its request is written."""
+async def test_a_connect_that_is_abandoned_in_any_iteration_leaks_nothing(how, after):
+    """Before it starts, while it connects, as it completes, and after its request is written."""
     upstream = await Upstream([hang]).start()
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
@@ -74,7 +74,7 @@
 
 @pytest.mark.parametrize("first", ["dial", "end"])
 @virtual
-async def test_a_dial_that_comes_up_in_the_turn_of_its_end_writes_nothing(first, monkeypatch):
+async def test_a_connect_that_completes_in_the_iteration_of_its_time_out_writes_nothing(first, monkeypatch):
     upstream = await Upstream().start()
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
@@ -88,14 +88,14 @@
         held.gate.set()
         assert (await app.answer()).start.split(" ")[1] == "502"
         assert module.outcomes() == [(0, Outcome.TIMEOUT, False)]
-        # What had come up by then is closed by the one who made it.
+        # A connection that was established by then is closed by its connect task.
         await until(lambda: not sidecar.pool._dialer.connecting)
         assert upstream.seen == []
 
 
 @virtual
-async def test_a_dial_that_comes_up_in_the_turn_of_its_own_time_out_ends_once_and_leaks_nothing(monkeypatch):
-    """The loop stood still: that the connection is up and that its time is over are read in one turn."""
+async def test_a_connect_that_completes_as_its_own_time_out_expires_ends_once_and_leaks_nothing(monkeypatch):
+    """After a stall the loop handles the established connection and the time-out in one iteration."""
     upstream = await Upstream().start()
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
@@ -118,7 +118,7 @@
 
 @contextlib.contextmanager
 def silent():
-    """An address whose connections never come up: its queue is full."""
+    """Provide an address where connects never complete, because its accept queue is full."""
     with socket.socket() as listening, contextlib.ExitStack() as queue:
         listening.bind(("127.0.0.1", 0))
         listening.listen(0)
@@ -130,7 +130,7 @@
 
 
 @virtual
-async def test_a_dial_slower_than_its_request_ends_with_it():
+async def test_a_connect_slower_than_its_request_ends_with_the_request():
     upstream = await Upstream().start()
     module = Scripted(outcome=failing)
     limits = {"MaxAttempts": 3, "ConnectTimeout": 3_600_000.0, "IdleClose": 5000.0}
@@ -142,13 +142,13 @@
             await until(lambda: sidecar.pool._dialer.connecting)
             assert sidecar.pool.budget.descriptors.used == 1
             assert (await app.answer()).start.split(" ")[1] == "504"
-            assert module.outcomes()[0][1] in (Outcome.TIMEOUT, Outcome.CANCELLED)  # if it stood still
+            assert module.outcomes()[0][1] in (Outcome.TIMEOUT, Outcome.CANCELLED)  # the latter after a stall
             await nothing_leaks(sidecar)
             assert not sidecar.pool._connections
 
 
 @virtual
-async def test_a_dial_ends_with_its_own_time_and_the_request_is_known_not_to_have_run():
+async def test_a_connect_time_out_reports_that_the_request_did_not_run():
     upstream = await Upstream().start()
     module = Scripted(outcome=failing)
     with silent() as (host, port):
@@ -161,12 +161,12 @@
             await nothing_leaks(sidecar)
 
 
-# --- a kept connection and its end -----------------------------------------------------------
+# --- idle connections and their ends ----------------------------------------------------------
 
 
 @pytest.fixture
 def ends_behind_the_look(monkeypatch):
-    """A server ends a kept connection between the look at it and the write: `ends.append(how to)`."""
+    """Let a server end an idle connection between the check and the write: `ends.append(callback)`."""
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
     ends, real = [], UpstreamConnection.is_available
 
@@ -185,10 +185,10 @@
 
 @pytest.mark.parametrize("real", [True, False])
 @virtual
-async def test_an_end_behind_the_look_may_have_let_the_request_run(real, ends_behind_the_look):
-    """The kernel takes the write, and a reset comes back.
+async def test_a_close_after_the_availability_check_may_have_let_the_request_run(real, ends_behind_the_look):
+    """The kernel accepts the write, and a reset comes back.
 
-    An unsafe request is failed then, neither sent again nor refused.
+    An unsafe request then fails; it is neither retried nor refused.
     """
     upstreams = [await Upstream([OK]).start() for _ in range(2 if real else 1)]
     module = None if real else Scripted(outcome=failing)
@@ -213,7 +213,7 @@
 
 
 @virtual
-async def test_a_reset_behind_the_look_proves_that_nothing_was_written(ends_behind_the_look):
+async def test_a_reset_after_the_availability_check_proves_that_nothing_was_written(ends_behind_the_look):
     upstream = await Upstream([OK]).start()
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
@@ -232,7 +232,7 @@
 
 
 @virtual
-async def test_a_reset_behind_the_write_fails_an_unsafe_request(monkeypatch):
+async def test_a_reset_after_the_write_fails_an_unsafe_request(monkeypatch):
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
     upstream = await Upstream([OK, break_off, OK]).start()
     async with running(upstream) as sidecar:
@@ -243,7 +243,7 @@
 
 
 @virtual
-async def test_half_a_line_that_comes_as_an_idle_connection_is_closed_harms_nothing():
+async def test_a_partial_line_on_an_idle_connection_being_closed_harms_nothing():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
         app = await App.connect(sidecar.address)
@@ -256,13 +256,13 @@
         assert [seen.connection for seen in upstream.seen] == [0, 1]
 
 
-# --- a process that stood still ----------------------------------------------------------------
+# --- a stalled process -------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(("wait", "budget"), [(100.0, "4000m"), (0.0, "250m")])
 @virtual
-async def test_an_answer_that_stands_there_as_its_time_is_over_is_served(wait, budget):
-    """Read in the turn in which the time-out, or the guard of the deadline, is due."""
+async def test_an_answer_that_arrived_before_a_late_time_out_is_served(wait, budget):
+    """It is read in the iteration in which the time-out or the guard of the deadline is due."""
 
     async def then_stand_still(reader, writer):
         writer.write(OK)
@@ -282,7 +282,7 @@
 
 
 @virtual
-async def test_no_small_write_is_held_back_on_either_side():
+async def test_tcp_nodelay_is_set_on_both_sides():
     upstream = await Upstream([hang]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/proxy/http/test_endless.py
+++ b/tests/proxy/http/test_endless.py
@@ -1,4 +1,4 @@
-"""Answers of servers that never end, trickle, or are cut where only their end would bound them."""
+"""Server responses that never end, trickle, or are delimited only by the end of the connection."""
 
 from __future__ import annotations
 
@@ -33,8 +33,8 @@
         (BARE + b"Transfer-Encoding: gzip\r\n\r\n", b"x" * 4096),
     ],
 )
-def test_whatever_of_an_answer_does_not_end_is_bounded(start, more):
-    """Guards against memory, and time of the loop, without bound for as long as an attempt is awaited."""
+def test_each_endless_part_of_a_response_is_bounded(start, more):
+    """Guards against unbounded memory and CPU time while an attempt is in flight."""
     parser = wire.ResponseParser()
     fed = []
 
@@ -49,7 +49,7 @@
     assert sum(fed) <= wire.MAX_FRAMED_BYTES
 
 
-def test_a_body_in_chunks_of_one_byte_is_whole():
+def test_a_body_in_chunks_of_one_byte_is_complete():
     parser = wire.ResponseParser()
     parser.feed(CHUNKED)
     for _ in range(wire.MAX_BODY_BYTES // 1024):
@@ -60,7 +60,7 @@
 
 
 @virtual
-async def test_a_trailer_that_does_not_end_fails_its_attempt_and_its_connection():
+async def test_an_endless_trailer_fails_its_attempt_and_closes_its_connection():
     async def endless(reader, writer):
         writer.write(CHUNKED + b"4\r\ndone\r\n0\r\nX-A: ")
         with contextlib.suppress(ConnectionError):
@@ -80,7 +80,7 @@
 
 
 @virtual
-async def test_an_answer_that_trickles_ends_with_the_time_of_its_attempt():
+async def test_a_trickling_answer_ends_with_the_time_out_of_its_attempt():
     async def trickling(reader, writer):
         writer.write(BARE + b"Content-Length: 60000\r\n\r\n")
         with contextlib.suppress(ConnectionError):
@@ -93,7 +93,7 @@
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask(X_Budget="3600000m")).start.split(" ")[1] == "502"
-        assert module.outcomes()[0][1] in (Outcome.TIMEOUT, Outcome.CANCELLED)  # if it stood still
+        assert module.outcomes()[0][1] in (Outcome.TIMEOUT, Outcome.CANCELLED)  # the latter after a stall
         await until(lambda: upstream.writers[0].is_closing() and not sidecar.pool._connections)
 
 
@@ -111,14 +111,14 @@
     ],
 )
 @virtual
-async def test_what_only_an_end_would_bound_is_never_served(answer, ends):
-    """An end may be a reset's, and a reset is no end; the request may have run, so it is not sent again."""
+async def test_a_response_delimited_only_by_the_connection_end_is_never_served(answer, ends):
+    """The end may be a reset, so the response may be truncated; the request may have run: no retry."""
 
     async def then_end(reader, writer):
         writer.write(answer)
         await asyncio.sleep(0)
         if ends == "reset":
-            await until(lambda: begun() or module.outcomes())  # a reset takes what is not read with it
+            await until(lambda: begun() or module.outcomes())  # a reset discards unread bytes
             sock = writer.get_extra_info("socket")
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             writer.transport.abort()
@@ -138,7 +138,7 @@
 
 @pytest.mark.parametrize("ends", ["whole", "reset"])
 @virtual
-async def test_an_unsafe_request_whose_answer_was_cut_is_failed_and_not_sent_again(ends):
+async def test_an_unsafe_request_with_a_truncated_answer_fails_and_is_not_retried(ends):
     async def cut(reader, writer):
         writer.write(BARE + b"Content-Length: 5\r\n\r\ndone")
         if ends == "reset":
@@ -152,7 +152,7 @@
 
 
 @virtual
-async def test_noise_behind_an_answer_costs_its_connection_and_nothing_else():
+async def test_noise_after_an_answer_only_closes_its_connection():
     async def noisy(reader, writer):
         writer.write(OK + b"HTTP/1.1 200 OK\r\nX-A: " + b"x" * 200_000)
         return None
--- a/tests/proxy/http/test_forms.py
+++ b/tests/proxy/http/test_forms.py
@@ -1,4 +1,4 @@
-"""Requests and answers in all forms that the protocol allows, whole and in pieces of any size."""
+"""Requests and responses in all forms that the protocol allows, complete and in pieces of any size."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def form(start, *rows, body=b"", budget=b"4000m"):
-    """A request but for its identity: its class is the first part of its path."""
+    """Return a request with a placeholder for its call id; its class is the first part of its path."""
     name = start.split(b"/")[1].split(b"?")[0].split(b" ")[0]
     lines = [b"X-Call-Class: " + name, b"X-Budget: " + budget, *rows]
     return start + b" HTTP/1.1\r\n" + HEAD + b"\r\n".join(lines) + b"\r\n\r\n" + body
@@ -57,7 +57,7 @@
 
 
 def whole_body(raw):
-    """The body as it has to reach a server."""
+    """Return the body that has to reach the server."""
     body = raw.lstrip().partition(b"\r\n\r\n")[2]
     return b"abcd" if b"hunked\r\n" in raw else body
 
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("what", FORMS)
 @virtual
-async def test_a_request_of_any_form_in_any_pieces_goes_on_unchanged_and_is_answered(what):
+async def test_a_request_of_any_form_in_any_pieces_is_forwarded_unchanged_and_answered(what):
     raw = FORMS[what]
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
@@ -147,8 +147,8 @@
 @pytest.mark.parametrize("size", [1, 3, 1000])
 @pytest.mark.parametrize("what", REJECTIONS)
 @virtual
-async def test_a_rejection_in_any_pieces_never_ran(what, size):
-    """An unsafe request that was rejected may be sent again, once it is known to be that."""
+async def test_a_rejection_in_any_pieces_is_recognised(what, size):
+    """An unsafe request may be retried only if its rejection is recognised."""
     upstream = await Upstream([in_pieces(REJECTIONS[what], size)]).start()
     module = Scripted(outcome=lambda now, number, *rest: [Fail(number)])
     async with running(upstream, balancer=module) as sidecar:
@@ -161,8 +161,8 @@
 
 @pytest.mark.parametrize("first", [True, False], ids=["first", "later"])
 @virtual
-async def test_a_request_that_is_written_slowly_is_taken_and_its_time_counts_from_its_last_byte(first):
-    """As slowly as a client may write: its rest has to come in 2 s."""
+async def test_the_budget_of_a_slowly_written_request_runs_from_its_last_byte(first):
+    """It is written as slowly as allowed: the rest has to arrive within 2 s."""
     upstream, module, loop = await Upstream([OK]).start(), Scripted(), asyncio.get_running_loop()
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
@@ -182,10 +182,10 @@
 
 @pytest.mark.parametrize("target", ["/look", "/pay"])
 @virtual
-async def test_a_flood_of_requests_at_once_is_answered_in_order_and_ended_orderly(target):
-    """300 at once: so many as are read get their answers, in order, then an end and no reset.
+async def test_a_flood_of_pipelined_requests_is_answered_in_order_and_closed_gracefully(target):
+    """Of 300 pipelined requests those that are read get their answers in order, then an end and no reset.
 
-    Of the others none is sent on, so their client may send them again.
+    None of the others is forwarded, so their client may retry them.
     """
     upstream = await Upstream([OK]).start()
     raised = []
--- a/tests/proxy/http/test_hard_cases.py
+++ b/tests/proxy/http/test_hard_cases.py
@@ -1,4 +1,4 @@
-"""Schedules that once broke a rule or the accounting, found by reading and kept for good."""
+"""Regression tests for schedules that once broke a rule or the accounting, found by code review."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 
 
 @virtual
-async def test_what_is_turned_away_keeps_its_place_while_what_came_before_it_is_open():
-    """Guards against cutting the answer of an unsafe request that runs, for a place."""
+async def test_a_connection_with_a_rejected_request_is_not_evicted_while_an_earlier_one_is_open():
+    """Guards against an eviction that loses the answer of a running unsafe request."""
     upstream = await Upstream([later]).start()
     async with running(upstream, raw={"limits": {"sockets": 96}}) as sidecar:
         good = await App.connect(sidecar.address)
@@ -45,8 +45,8 @@
 
 
 @virtual
-async def test_an_attempt_cancelled_before_it_began_to_connect_gives_its_descriptor_back():
-    """Guards against a task that never enters its own clean-up."""
+async def test_an_attempt_cancelled_before_connecting_releases_its_descriptor():
+    """Guards against a leak if a task is cancelled before its clean-up code is entered."""
     upstream = await Upstream([OK]).start()
 
     def send_and_cancel(now, arrival):
@@ -63,8 +63,8 @@
 
 
 @virtual
-async def test_who_stands_at_the_limit_and_gives_way_leaves_no_place():
-    """Guards against refusing a client while others are at rest: the first to go may free none."""
+async def test_evicting_a_connection_at_the_limit_does_not_end_the_search_for_a_descriptor():
+    """Guards against refusing a client while others are idle: the first eviction may free no descriptor."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         limits = Limits(6, 2**20, 1000)
@@ -84,7 +84,7 @@
         await until(lambda: sidecar.front.reserve.used == 2)
         for app in resting:
             await app.answer()
-        await asyncio.sleep(0.15)  # the silent one has had its time
+        await asyncio.sleep(0.15)  # the grace of the silent one ends
         upstream.replies = [OK]
         assert status_of(await good.ask()) == 200
         silent.close()
@@ -92,8 +92,8 @@
 
 @pytest.mark.parametrize("queued", [15, 16, 40])
 @virtual
-async def test_a_wait_is_charged_to_who_waited_and_to_nobody_later(queued):
-    """Guards against a wait that never ends: good clients would be refused at once, for good."""
+async def test_a_wait_is_charged_only_to_connections_that_waited(queued):
+    """Guards against charging an old wait forever: healthy clients would always be refused at once."""
     upstream = await Upstream([OK]).start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
@@ -107,13 +107,13 @@
                 sock.connect(tuple(sidecar.address))
         asking = socket.create_connection(tuple(sidecar.address))
         asking.sendall(request(X_Budget="2000m"))
-        asyncio.get_running_loop().stall(0.4)  # the process stands still
+        asyncio.get_running_loop().stall(0.4)  # the process is stalled
         await until(lambda: len(sidecar.front.table) == queued + 2)
         await until(lambda: len(module.named("request")) == 2)
         after = socket.create_connection(tuple(sidecar.address))
-        after.sendall(request(X_Budget="2000m"))  # it has asked by the time it is accepted
+        after.sendall(request(X_Budget="2000m"))  # it has sent a request by the time it is accepted
         await until(lambda: len(module.named("request")) == 3)
-        # Who connected in the stall and has sent nothing has not waited either.
+        # A client that connected during the stall without sending anything has not waited either.
         late = App(*await asyncio.open_connection(sock=silent.pop()))
         assert status_of(await late.ask(X_Budget="2000m")) == 200
         now = sidecar.driver._clock.now()
@@ -126,7 +126,7 @@
 
 
 @virtual
-async def test_a_full_table_that_stays_full_charges_nobody_with_the_time_since_it_filled():
+async def test_a_table_that_stays_full_does_not_charge_the_time_since_it_filled():
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 96}}) as sidecar:
         crowd = [await App.connect(sidecar.address) for _ in range(60)]
@@ -145,7 +145,7 @@
             statuses.append(status_of(await good.ask(X_Budget="1000m")))
             good.close()
             (acceptor,) = sidecar.front._acceptors
-            assert acceptor._full_since_s is None or loop.time() - acceptor._full_since < 0.15
+            assert acceptor._blocked_since_s is None or loop.time() - acceptor._full_since < 0.15
         task.cancel()
         assert statuses == [200] * 10
         for app in crowd:
@@ -153,8 +153,8 @@
 
 
 @virtual
-async def test_a_byte_behind_an_answer_keeps_no_place():
-    """Guards against a connection that is in no queue, and so is never evicted."""
+async def test_a_byte_after_an_answer_does_not_prevent_eviction():
+    """Guards against a connection that is in no queue and is therefore never evicted."""
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 96}}) as sidecar:
         crowd = []
@@ -166,7 +166,7 @@
         assert standing[EvictionClass.RECEIVING]
         assert not standing[EvictionClass.IN_CALL]
         for _ in range(10):
-            async with asyncio.timeout(1.0):  # halves are only ended after 2 s
+            async with asyncio.timeout(1.0):  # incomplete requests time out only after 2 s
                 good = await App.connect(sidecar.address)
                 assert status_of(await good.ask(X_Budget="900m")) == 200
         for app in crowd:
@@ -174,7 +174,7 @@
 
 
 @virtual
-async def test_what_comes_behind_the_last_request_that_is_read_raises_nothing():
+async def test_bytes_after_the_last_request_raise_nothing():
     upstream = await Upstream([hang]).start()
     raised = []
     asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
@@ -186,7 +186,7 @@
         await until(lambda: upstream.seen)
         app = await App.connect(sidecar.address)
         app.writer.write(b"\r\n")
-        await asyncio.sleep(0.05)  # it has a transport by now
+        await asyncio.sleep(0.05)  # it has a transport now
         app.writer.write(request() + b"GET /look HTTP/1.1\r\nX-Pad: " + b"y" * 200_000)
         assert status_of(await app.answer()) == 503
         await until(lambda: len(sidecar.front.table) == 1)
@@ -197,7 +197,7 @@
 
 
 @virtual
-async def test_what_the_machine_has_accepted_as_the_drain_begins_is_answered():
+async def test_connections_queued_in_the_kernel_when_the_drain_begins_are_answered():
     upstream = await Upstream([later]).start()
     async with running(upstream) as sidecar:
         sidecar.front.budget = Limits(2, 2**20, 1000).budget("clients")
@@ -218,7 +218,7 @@
 
 
 @virtual
-async def test_a_pause_under_pressure_lasts_though_others_close():
+async def test_a_pause_under_pressure_lasts_even_if_connections_close():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(3)]
@@ -228,14 +228,14 @@
         apps[0].close()
         await until(lambda: len(sidecar.front.table) == 2)
         assert acceptor._pause is not None
-        assert status_of(await (await App.connect(sidecar.address)).ask()) == 200  # it ends
+        assert status_of(await (await App.connect(sidecar.address)).ask()) == 200  # the pause ends
 
 
 @virtual
-async def test_halves_of_requests_give_way_to_whole_ones_when_bytes_run_short():
-    """Guards against bodies that never end and fill the buffers: good requests would be refused for seconds.
+async def test_incomplete_requests_are_rejected_for_complete_ones_in_a_shortage_of_bytes():
+    """Guards against endless bodies that fill the buffers, so that good requests are refused for seconds.
 
-    What the watch does about full buffers when it looks is another matter.
+    The overload monitor, which also reacts to full buffers, is off here.
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream, rules=()) as sidecar:
@@ -253,8 +253,8 @@
 
 
 @virtual
-async def test_a_slow_reader_stands_in_no_queue_of_who_is_at_rest(monkeypatch):
-    """Guards against looks that are spent on clients that read a little now and then."""
+async def test_a_slow_reader_is_not_in_the_idle_queues(monkeypatch):
+    """Guards against searches that are used up by clients that read a little now and then."""
     monkeypatch.setattr(server_module, "SEND_BUFFER_BYTES", 4096)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
@@ -276,8 +276,8 @@
 
 
 @virtual
-async def test_a_connection_that_is_closed_is_free_at_once():
-    """Without a collection: cycles would let memory grow with every client there ever was."""
+async def test_a_closed_connection_is_freed_without_the_garbage_collector():
+    """Guards against reference cycles, which would let memory grow with each client."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         gc.collect()
@@ -296,7 +296,7 @@
 
 
 @virtual
-async def test_timers_for_answers_that_wait_for_room_do_not_multiply():
+async def test_responses_waiting_for_memory_share_one_timer():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
         await (await App.connect(sidecar.address)).ask()
@@ -311,8 +311,8 @@
 
 
 @virtual
-async def test_a_second_answer_that_comes_late_marks_its_server_and_the_mark_goes():
-    """Point 4 of the limits: after the first sign each connection carries one request."""
+async def test_a_late_duplicate_response_turns_reuse_off_for_its_server_for_a_while():
+    """Point 4 of the limits: after the first late duplicate each connection carries one request."""
 
     async def twice(reader, writer):
         asyncio.get_running_loop().call_later(0.06, writer.write, OK.replace(b"done", b"copy"))
@@ -339,7 +339,7 @@
 
 
 @virtual
-async def test_a_second_answer_that_comes_before_the_connection_is_used_again_marks_nothing(monkeypatch):
+async def test_a_duplicate_response_within_the_reuse_delay_does_not_turn_reuse_off(monkeypatch):
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 60_000.0)
 
     async def twice(reader, writer):
--- a/tests/proxy/http/test_holding.py
+++ b/tests/proxy/http/test_holding.py
@@ -1,4 +1,4 @@
-"""What a front holds for its clients: bytes that nobody reads, halves of requests, and who is cut for it."""
+"""Bytes that a server buffers for its clients: unread responses, incomplete requests, and aborts for them."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 LARGE = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536
 
-# What the front does about its bytes, and no look of the watch over them: a ledger that a test fills refuses
-# by worth too once the watch looks, which on a slow machine falls into the test and on a fast one does not.
+# Without the rules of the overload monitor: if a test fills the quota, the monitor would also refuse requests
+# by priority weight when it samples, which happens during the test on a slow machine and not on a fast one.
 running = functools.partial(partners.running, rules=())
 
 NO_GUARANTEES = LimitsSpec(fronts_guaranteed_share=0.0, upstreams_guaranteed_share=0.0)
 
 
 async def bare(address, kernel=4096):
-    """A client's socket for which its kernel takes in little."""
+    """Connect a client socket with a small receive buffer of `kernel` bytes."""
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, kernel)
     sock.setblocking(False)
@@ -34,7 +34,7 @@
 
 
 async def narrow(address):
-    """The same as a client that is read from by whole answers."""
+    """Connect a client with a small receive buffer that reads complete answers."""
     return App(*await asyncio.open_connection(sock=await bare(address), limit=2**17))
 
 
@@ -43,7 +43,7 @@
 
 
 def stuck(sidecar):
-    """The addresses of the clients that do not read, the longest first."""
+    """Return the addresses of the clients that do not read, the longest stalled first."""
     return [connection._transport.get_extra_info("peername") for connection in sidecar.front.buffers.stalled]
 
 
@@ -52,8 +52,8 @@
 
 
 @virtual
-async def test_clients_that_pipeline_and_read_nothing_hold_a_bounded_number_of_bytes():
-    """Guards against memory without bound: a fifth of this would kill the process on the platform."""
+async def test_clients_that_pipeline_and_read_nothing_use_bounded_memory():
+    """Guards against unbounded memory: a fifth of this would kill the process on the platform."""
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
         sidecar.limits.buffered.resize(4 * 2**20)
@@ -63,7 +63,7 @@
         good = await App.connect(sidecar.address)
         for _ in range(60):
             assert (await good.ask()).start.split(" ")[1] == "200"
-            # The accounting is what the transports really hold.
+            # The accounting covers what the transports really buffer.
             real = sum(getattr(entry.owner, "unsent_bytes", 0) for entry in sidecar.front.table)
             most = max(most, real)
             assert real <= held(sidecar) <= 4 * 2**20
@@ -75,7 +75,7 @@
 
 
 @virtual
-async def test_a_client_that_reads_nothing_is_cut_after_a_while_and_one_that_reads_slowly_is_not(monkeypatch):
+async def test_a_stalled_client_is_aborted_and_a_slow_reader_is_not(monkeypatch):
     monkeypatch.setattr(client_buffers, "STALL_TIMEOUT_MS", 200.0)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
@@ -86,7 +86,7 @@
         await until(lambda: len(sidecar.front.buffers.stalled) == 2)
         got = b""
         while got.count(b"x") < 9 * 65536:
-            await asyncio.sleep(0.02)  # in all far longer than a stall may last
+            await asyncio.sleep(0.02)  # in total far longer than a stall may last
             got += await loop.sock_recv(slow, 8000)
         assert got.count(b"HTTP/1.1 200 OK") == 9
         await until(lambda: len(sidecar.front.table) == 1)
@@ -96,7 +96,7 @@
 
 
 @virtual
-async def test_in_shortage_who_has_read_nothing_for_longest_is_cut_first():
+async def test_in_a_shortage_the_client_stalled_for_longest_is_aborted_first():
     upstream = await Upstream([LARGE]).start()
     async with running(upstream, limits=NO_GUARANTEES) as sidecar:
         loop = asyncio.get_running_loop()
@@ -116,7 +116,7 @@
 
 
 @virtual
-async def test_no_more_is_taken_from_a_client_that_does_not_read_and_all_once_it_does():
+async def test_requests_of_a_stalled_client_wait_until_it_reads():
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
         app = await narrow(sidecar.address)
@@ -124,15 +124,15 @@
         await until(lambda: sidecar.front.buffers.stalled)
         await asyncio.sleep(0.1)
         assert len(upstream.seen) < 16
-        assert sidecar.limits.calls.used == 0  # what was taken is answered
+        assert sidecar.limits.calls.used == 0  # all accepted requests are answered
         for _ in range(16):
             assert (await app.answer()).body == LARGE[-65536:]
         assert len(upstream.seen) == 16
 
 
 @virtual
-async def test_halves_of_requests_are_turned_away_where_there_is_no_room_for_them():
-    """Guards against bodies that never end: what they hold counts, and past a bound they are told so."""
+async def test_incomplete_requests_are_rejected_without_memory_for_them():
+    """Guards against endless bodies: their bytes count, and above the quota they are rejected with 503."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         sidecar.limits.buffered.resize(200_000)
@@ -151,7 +151,7 @@
 
 
 @virtual
-async def test_a_request_for_which_there_is_no_room_is_refused_and_not_sent():
+async def test_a_request_without_memory_for_it_is_refused_and_not_sent():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         sidecar.limits.buffered.resize(10_000)
@@ -164,7 +164,7 @@
 
 @pytest.mark.parametrize("count", [1, 40])
 @virtual
-async def test_past_the_calls_that_may_be_open_a_request_is_refused_at_once(count):
+async def test_a_request_beyond_the_call_quota_is_refused_at_once(count):
     wait = asyncio.Event()
 
     async def answer_later(reader, writer):
--- a/tests/proxy/http/test_hostile.py
+++ b/tests/proxy/http/test_hostile.py
@@ -1,7 +1,8 @@
-"""Requests and answers that were tampered with, by the thousand: no rule breaks, nothing raises or stays.
+"""Many corrupted requests and responses: no rule is broken, nothing raises, and everything is released.
 
-What is sent is drawn from a seed: whole requests (answers) with bytes changed, cut out, doubled, put in from
-elsewhere or cut off, and a corpus of known tricks. Healthy clients ask on beside them.
+The input is drawn from a seed: complete requests (responses) with bytes changed, removed, duplicated,
+inserted from elsewhere or truncated, and a corpus of known attacks. Healthy clients send requests at the same
+time.
 """
 
 from __future__ import annotations
@@ -50,7 +51,7 @@
 
 
 def tampered(rng, whole, others):
-    """The same bytes after one to three small harms."""
+    """Return the bytes after one to three small corruptions."""
     made = bytearray(whole)
     for _ in range(rng.randint(1, 3)):
         at = rng.randrange(len(made) + 1)
@@ -80,7 +81,7 @@
 
 
 class Echo(Upstream):
-    """A server that answers with the identity of what it was asked."""
+    """A server that answers with the call id."""
 
     async def _serve(self, reader, writer):
         self.writers.append(writer)
@@ -92,7 +93,7 @@
 
 
 async def healthy(address, number):
-    """A client that asks on and is given what was made for it."""
+    """Run a client that sends requests and checks that each answer was made for it."""
     app = await App.connect(address)
     for turn in range(20):
         name = f"healthy-{number}-{turn}"
@@ -104,7 +105,7 @@
 
 
 async def hostile(address, data):
-    """Send and read until the other side has had enough, or has answered all; nothing is asked of it."""
+    """Send bytes and read until the other side answers or closes; any result is accepted."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(data)
@@ -139,15 +140,15 @@
         assert sidecar.driver.is_idle
         assert not sidecar.front.intake.open_call_ids
     for message in upstream.seen:
-        # What a server reads is a request of a class there is, which was judged, and nothing beside it.
+        # A server receives only validated requests of existing classes.
         method, target, version = message.start.split(" ")
         assert version == "HTTP/1.1"
         assert method in ("GET", "POST")
         assert target.split("?")[0].split("/")[1] == message.headers["x-call-class"]
         assert "/" + message.headers["x-call-class"] in CLASSES
         assert "transfer-encoding" not in message.headers
-    # Two tampered requests may bear one identity, one after the other; never two at a time, and a
-    # healthy client's only once.
+    # Two corrupted requests may have the same call id one after the other, but never at the same time, and
+    # that of a healthy client occurs only once.
     names = [message.headers["x-call-id"] for message in upstream.seen]
     assert all(names.count(name) == 1 for name in names if name.startswith("healthy"))
     assert [told for told in raised if "exception" in told and "StreamReader" not in str(told)] == []
@@ -156,7 +157,7 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @virtual
 async def test_tampered_answers_break_no_rule(seed):
-    """An unsafe request is sent once, whatever comes back; a client gets a whole answer or none."""
+    """An unsafe request is sent once, whatever comes back; a client gets a complete answer or none."""
     rng = random.Random(f"answers/{seed}")
     replies = [tampered(rng, rng.choice(ANSWERS), ANSWERS) for _ in range(150)]
 
@@ -169,7 +170,7 @@
 
         return write
 
-    for start in range(0, len(replies), 10):  # else its throttle soon refuses most
+    for start in range(0, len(replies), 10):  # otherwise the throttle soon refuses most of them
         some = replies[start : start + 10]
         upstream = await Upstream([spoilt(data) for data in some] + [ANSWER]).start()
         async with running(upstream) as sidecar:
@@ -179,7 +180,7 @@
                 answer = await app.ask("POST", "/pay", b"now", X_Call_Id=name, X_Budget="150m")
                 assert answer.start.split(" ")[1] in ("200", "502", "503", "504")
             names = [message.headers["x-call-id"] for message in upstream.seen]
-            # Sent again only where it was turned away, which is known never to have run.
+            # Retried only after a rejection, in which case it never ran.
             rejections = sum(b"503" in data and b"X-Rejected: 1" in data for data in some)
             assert len(names) - len(set(names)) <= 2 * rejections
             assert names
--- a/tests/proxy/http/test_request_parser.py
+++ b/tests/proxy/http/test_request_parser.py
@@ -1,4 +1,4 @@
-"""The parser of requests without a socket: what it reports, in which order, and what it raises."""
+"""The request parser without a socket: its events, their order, and its errors."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class RecordedEvents:
-    """Takes note of each call; heads are found good, and requests are read until `is_reading` is false."""
+    """Records each event; accepts all heads, and reads requests until `is_reading` is false."""
 
     def __init__(self):
         self.calls = []
@@ -26,7 +26,7 @@
 
     def on_head(self, message):
         self.calls.append(("head", message.method, message.target))
-        message.is_judged = True
+        message.is_validated = True
 
     def on_request(self, message, keep_alive):
         self.calls.append(("request", bytes(message.body), keep_alive))
@@ -45,7 +45,7 @@
 
 
 def status_raised(parser, *parts):
-    """The status with which one of the parts is rejected, or None."""
+    """Return the status with which one of the parts is rejected, or None."""
     try:
         for part in parts:
             parser.feed(part)
@@ -70,14 +70,14 @@
     assert events.calls.index(("request", b"body", True)) < events.calls.index(("head", "GET", b"/look"))
 
 
-def test_what_comes_behind_the_last_request_that_is_read_is_not_parsed_into_one(parser, events):
+def test_bytes_after_the_last_request_are_not_parsed_into_a_request(parser, events):
     events.is_reading = False
     parser.feed(HEAD + b"body")
     assert events.calls == ["begun"]
     assert parser.message is None
 
 
-def test_half_a_request_is_held_until_it_is_dropped(parser):
+def test_an_incomplete_request_is_buffered_until_it_is_dropped(parser):
     parser.feed(HEAD + b"bo")
     assert parser.message is not None
     assert parser.unfinished_bytes > len(b"bo")
@@ -101,10 +101,10 @@
         ([HEAD + b"body"], None),
     ],
 )
-def test_what_can_not_be_read_on_from_is_rejected_with_its_status(parser, parts, status):
+def test_malformed_or_oversized_input_is_rejected_with_its_status(parser, parts, status):
     assert status_raised(parser, *parts) == status
 
 
-def test_both_sides_errors_are_http_errors():
+def test_errors_of_both_sides_are_http_errors():
     assert issubclass(BadRequestError, HttpError)
     assert issubclass(RemoteProtocolError, HttpError)
--- a/tests/proxy/http/test_requests.py
+++ b/tests/proxy/http/test_requests.py
@@ -1,4 +1,4 @@
-"""What is judged of a request before it is taken, over any cut of its bytes."""
+"""Validation of a request before it is accepted, however its bytes are split."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def judged(target):
-    """The status with which a target is rejected, or None."""
+    """Return the status with which a target is rejected, or None."""
     message = Message()
     message.target = target
     try:
@@ -37,7 +37,7 @@
         b"/look/100%",
     ],
 )
-def test_targets_that_can_be_read_in_one_way_only(target):
+def test_unambiguous_targets_are_accepted(target):
     assert judged(target) is None
 
 
@@ -61,13 +61,13 @@
         (b"*", 404),
     ],
 )
-def test_targets_that_a_server_may_read_in_another_way(target, status):
+def test_ambiguous_targets_are_rejected(target, status):
     assert judged(target) == status
 
 
 @pytest.mark.parametrize("protocol", [b"RTSP/1.0", b"RTSP/1.1", b"ICE/1.0", b"ICE/1.1"])
 @virtual
-async def test_other_protocols_are_turned_away_wherever_their_bytes_are_cut(protocol):
+async def test_other_protocols_are_rejected_however_their_bytes_are_split(protocol):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         whole = partners.request().replace(b"HTTP/1.1", protocol)
@@ -84,20 +84,20 @@
 
 
 @virtual
-async def test_another_protocol_is_found_when_its_line_came_long_before_the_end_of_the_head():
+async def test_another_protocol_is_found_long_before_the_end_of_the_head():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         whole = partners.request(X_Long="x" * 3000).replace(b"HTTP/1.1", b"RTSP/1.0")
         for start in range(0, len(whole), 500):
             app.writer.write(whole[start : start + 500])
-            await asyncio.sleep(0.01)  # though it was rejected at the first part, it can read so
+            await asyncio.sleep(0.01)  # although it was rejected at the first part, it can read the answer
         assert (await app.answer()).start.split(" ")[1] == "505"
         assert upstream.seen == []
 
 
 @virtual
-async def test_a_body_that_names_another_protocol_is_a_body():
+async def test_a_body_may_contain_the_request_line_of_another_protocol():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -108,7 +108,7 @@
 
 @pytest.mark.parametrize(("size", "status"), [(100, "200"), (70_000, "400"), (500_000, "400")])
 @virtual
-async def test_chunk_extensions_are_dropped_and_have_an_end(size, status):
+async def test_chunk_extensions_are_dropped_and_limited(size, status):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -119,8 +119,8 @@
 
 
 @virtual
-async def test_a_body_in_many_small_chunks_is_taken():
-    """What frames a body is more than the body where chunks are small: that alone is no reason."""
+async def test_a_body_in_many_small_chunks_is_accepted():
+    """With small chunks the framing is larger than the body, which alone is no reason to reject it."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/proxy/http/test_restarts.py
+++ b/tests/proxy/http/test_restarts.py
@@ -1,4 +1,4 @@
-"""Servers that start anew, move or give way under their names, while something on its way to them is open."""
+"""Servers that restart, move or are replaced while requests or connects to them are in progress."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @pytest.fixture(autouse=True)
 def no_settling(monkeypatch):
-    """A connection may be used again at once."""
+    """Allow a connection to be reused at once."""
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
 
 
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("moves", [False, True])
 @virtual
-async def test_what_comes_free_after_a_restart_is_not_used_for_the_server_that_started_since(moves):
+async def test_a_connection_that_becomes_idle_after_a_restart_is_not_reused(moves):
     gate = asyncio.Event()
 
     async def once_told(reader, writer):
@@ -43,7 +43,7 @@
         await until(lambda: old.seen)
         hear(sidecar, entry("s0", (new if moves else old).address, since_ms=0 if moves else START))
         gate.set()
-        assert (await app.answer()).body == b"done"  # what has begun is awaited
+        assert (await app.answer()).body == b"done"  # a request in flight is completed
         assert not sidecar.pool._servers["s0"].idle
         assert (await app.ask()).body == b"done"
         assert [seen.connection for seen in old.seen] == ([0] if moves else [0, 1])
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("what", ["started", "moved", "left and back elsewhere", "place taken"])
 @virtual
-async def test_a_dial_to_what_stood_before_carries_nothing(what, monkeypatch):
+async def test_a_connect_to_a_replaced_server_carries_nothing(what, monkeypatch):
     old, new = await Upstream().start(), await Upstream().start()
     module = Scripted(outcome=failing)
     async with running(old, balancer=module, **GRACE) as sidecar:
@@ -82,7 +82,7 @@
 
 
 @virtual
-async def test_a_server_that_leaves_and_is_back_as_it_was_takes_what_was_on_its_way():
+async def test_a_server_that_leaves_and_returns_unchanged_keeps_its_record():
     upstream = await Upstream().start()
     async with running(upstream, balancer=Scripted(), **GRACE) as sidecar:
         hear(sidecar, entry("s0", upstream.address, status="leaving"))
@@ -94,7 +94,7 @@
 
 
 @virtual
-async def test_what_was_seen_under_a_name_goes_on_and_its_grace_does_not_grow():
+async def test_a_restarted_server_keeps_its_reuse_and_grace_times():
     upstream = await Upstream().start()
     pool = pooled(upstream)
     pool.update(1000.0, False, news(entry("s0", upstream.address, status="leaving")))
@@ -105,7 +105,7 @@
     second = pool._servers["s0"]
     assert second is not first
     assert (second.closed_from_ms, second.reuse_from_ms) == (until_ms, 9000.0)
-    assert first.closed_from_ms == 1400.0  # nothing more is written to what stood there
+    assert first.closed_from_ms == 1400.0  # nothing more is written to the old incarnation
     pool.update(1500.0, False, news(entry("s0", upstream.address, since_ms=START)))
     assert pool._servers["s0"] is second
     assert second.closed_from_ms == float("inf")
@@ -113,7 +113,7 @@
 
 
 @virtual
-async def test_a_second_answer_of_what_stood_before_closes_nothing_of_what_stands_now():
+async def test_a_duplicate_response_of_a_replaced_server_does_not_affect_the_current_one():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/proxy/http/test_server.py
+++ b/tests/proxy/http/test_server.py
@@ -1,4 +1,4 @@
-"""The application's side: what is taken, what is rejected, and one final answer for each."""
+"""The client side of the proxy: accepted and rejected requests, each with one final answer."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
     return int(answer.start.split(" ")[1])
 
 
-# --- one clock, ids ---------------------------------------------------------------
+# --- clock and ids ----------------------------------------------------------------
 
 
 @virtual
-async def test_the_clock_is_unix_time_in_milliseconds_and_a_start_long_ago_stays_0():
+async def test_the_clock_is_unix_time_in_milliseconds_and_a_missing_start_time_is_0():
     clock = Clock(asyncio.get_running_loop())
     assert abs(clock.now() - time.time() * 1000.0) < 1000.0
     rows = listed(1, entry("old"), entry("new", since_ms=1_790_000_000_000))
@@ -52,7 +52,7 @@
 
 
 @virtual
-async def test_the_module_is_told_indices_and_the_clients_deadline():
+async def test_the_module_gets_indices_and_the_clients_deadline():
     upstream = await Upstream([OK]).start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
@@ -94,7 +94,7 @@
 
 
 @virtual
-async def test_what_the_module_leaves_unanswered_is_failed_at_the_deadline():
+async def test_a_request_that_the_module_leaves_unanswered_fails_at_its_deadline():
     module = Scripted(request=lambda now, arrival: [])
     async with running(balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
@@ -164,7 +164,7 @@
         assert [(await app.answer()).body, (await app.answer()).body] == [b"slow", b"done"]
 
 
-# --- bad input ------------------------------------------------------------------------
+# --- invalid input --------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -194,7 +194,7 @@
     ],
 )
 @virtual
-async def test_what_can_not_be_passed_on_is_answered_at_once(method, target, changes, status):
+async def test_invalid_requests_are_answered_at_once(method, target, changes, status):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -228,7 +228,7 @@
 
 
 @virtual
-async def test_a_client_that_is_still_sending_can_read_why_it_is_turned_away():
+async def test_a_client_that_is_still_sending_can_read_why_it_is_rejected():
     async with running() as sidecar:
         app = await App.connect(sidecar.address)
         app.send("POST", "/pay", b"x" * 4_000_000)
@@ -236,7 +236,7 @@
 
 
 @virtual
-async def test_a_half_sent_request_does_not_stay_for_ever(monkeypatch):
+async def test_an_incomplete_request_times_out(monkeypatch):
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.05)
     module = Scripted()
     async with running(balancer=module) as sidecar:
@@ -263,7 +263,7 @@
 
 
 @virtual
-async def test_a_body_is_never_sent_on_without_its_length():
+async def test_a_body_is_never_forwarded_without_its_length():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -277,24 +277,24 @@
 
 
 async def gone(app):
-    """Whether the sidecar closes a connection, within a bound."""
+    """Return whether the sidecar closes a connection within a time limit."""
     return await app.answer() is None
 
 
 @virtual
-async def test_who_asked_once_and_keeps_its_connection_gives_way_to_who_has_not_asked():
+async def test_connections_that_sent_one_request_are_closed_for_new_ones():
     """Guards against the incident of r0b312c.
 
-    Clients that ask once and keep their connection hold all that clients may, and nobody else asks until the
-    sidecar closes one.
+    Clients that send one request and keep their connection take all places of clients, and no other client
+    can send a request until the sidecar closes one.
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(max_clients=8, once_idle_timeout_ms=1e9))
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=8, single_request_idle_timeout_ms=1e9))
         keeping = []
         for _ in range(40):
             if len(keeping) == 8:
-                # At the most that clients may hold: the next one connects as the oldest is closed.
+                # All places are taken: the next client connects when the oldest connection is closed.
                 assert await gone(keeping.pop(0))
             keeping.append(await App.connect(sidecar.address))
             assert status_of(await keeping[-1].ask()) == 200
@@ -303,10 +303,10 @@
 
 
 @virtual
-async def test_who_has_come_back_keeps_its_connection_while_others_ask_once():
+async def test_connections_with_several_requests_stay_open_while_others_send_one():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(max_clients=8, once_idle_timeout_ms=1e9))
+        sidecar.front.table = ConnectionTable(TableOptions(max_clients=8, single_request_idle_timeout_ms=1e9))
         proven = [await App.connect(sidecar.address) for _ in range(4)]
         for app in proven * 2:
             assert status_of(await app.ask()) == 200
@@ -317,10 +317,12 @@
 
 
 @virtual
-async def test_who_asked_once_is_closed_after_a_while_even_where_there_is_room():
+async def test_a_connection_that_sent_one_request_expires_even_without_a_shortage():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sidecar.front.table = ConnectionTable(TableOptions(max_clients=100, once_idle_timeout_ms=100.0))
+        sidecar.front.table = ConnectionTable(
+            TableOptions(max_clients=100, single_request_idle_timeout_ms=100.0)
+        )
         once, often = await App.connect(sidecar.address), await App.connect(sidecar.address)
         for app in (often, often, once):
             assert status_of(await app.ask()) == 200
@@ -329,7 +331,7 @@
 
 
 @virtual
-async def test_room_is_made_by_who_never_asked_then_by_who_rests_and_never_by_who_waits():
+async def test_silent_connections_are_evicted_before_idle_ones_and_waiting_ones_never():
     upstream = await Upstream([OK, hang]).start()
     async with running(upstream) as sidecar:
         sidecar.front.budget = Limits(3, 2**20, 100).budget("clients")
@@ -347,7 +349,7 @@
         fourth.send()
         await until(lambda: len(upstream.seen) == 3)
         assert len(sidecar.front.table) <= 3
-        # At the most, with nobody to send away, a whole request is answered all the same.
+        # At the limit, with no connection to evict, a complete request is still answered.
         third = await App.connect(sidecar.address)
         third.send()
         await until(lambda: len(upstream.seen) == 4)
@@ -359,10 +361,10 @@
 
 
 @virtual
-async def test_a_flood_of_silent_connections_does_not_keep_out_who_asks(monkeypatch):
-    """Guards against turning good requests away for connections that never ask.
+async def test_a_flood_of_silent_connections_does_not_keep_requests_out(monkeypatch):
+    """Guards against refusing good requests because of connections that never send one.
 
-    And against accepting more in one turn than can be closed in it.
+    Also guards against accepting more connections in one iteration than can be closed in it.
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 128}}) as sidecar:
@@ -376,7 +378,7 @@
 
 @pytest.mark.parametrize("sent", [b"", b"POST /pay HTT", partners.request("POST", "/pay", b"hello")[:-2]])
 @virtual
-async def test_who_never_ends_a_first_request_is_told_so_or_closed(sent, monkeypatch):
+async def test_a_connection_that_never_completes_a_first_request_is_rejected_or_closed(sent, monkeypatch):
     module = Scripted()
     async with running(balancer=module) as sidecar:
         sidecar.front.table = ConnectionTable(TableOptions(max_clients=100, first_request_timeout_ms=100.0))
@@ -389,8 +391,8 @@
 
 
 @virtual
-async def test_an_identity_that_is_open_is_refused_and_the_first_request_untouched():
-    """Guards against a second copy, sent by whoever has seen the identity of another's request."""
+async def test_a_duplicate_open_call_id_is_rejected_without_affecting_the_first_request():
+    """Guards against a second copy sent by a client that saw the call id of another client's request."""
     upstream = await Upstream([hang, OK]).start()
     module = Scripted(client_gone=lambda now, number: [])
     async with running(upstream, balancer=module) as sidecar:
@@ -400,7 +402,7 @@
         assert status_of(await second.ask(X_Call_Id="abc")) == 409
         first.close()
         await until(lambda: module.named("client_gone"))
-        # Its attempt is still out: it may yet run.
+        # Its attempt is still in flight and may run.
         second = await App.connect(sidecar.address)
         assert status_of(await second.ask(X_Call_Id="abc")) == 409
         upstream.writers[0].transport.abort()
@@ -413,8 +415,8 @@
 
 @pytest.mark.parametrize("raw", [b"\x00\x01\r\n\r\n", partners.request("GET", "/look", X_Caller="nobody")])
 @virtual
-async def test_what_is_turned_away_does_not_wait_for_long_behind_an_open_request(raw, monkeypatch):
-    """Each request gets its one answer, in order; the open one fails, since its client sends rubbish."""
+async def test_a_rejection_does_not_wait_for_long_behind_an_open_request(raw, monkeypatch):
+    """Each request gets one answer, in order; the open one fails because its client sends garbage."""
     monkeypatch.setattr(client_connection, "REJECTION_TIMEOUT_S", 0.05)
     upstream = await Upstream([hang]).start()
     async with running(upstream) as sidecar:
@@ -427,8 +429,8 @@
 
 
 @virtual
-async def test_a_stray_byte_behind_a_request_does_not_take_its_answer():
-    """Guards against failing, at once, an unsafe request that runs: its answer is awaited for a while."""
+async def test_a_stray_byte_after_a_request_does_not_prevent_its_answer():
+    """Guards against failing a running unsafe request at once: its answer is awaited for a while."""
     ran = asyncio.Event()
 
     async def run(reader, writer):
@@ -447,7 +449,7 @@
 
 @pytest.mark.parametrize("name", ["X-Call-Id", "X-Budget", "X-Caller", "Cookie", "Idempotency-Key"])
 @virtual
-async def test_a_field_that_stands_twice_is_bad_and_unknown_ones_stay_here(name):
+async def test_duplicate_fields_are_rejected_and_unknown_ones_are_not_forwarded(name):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -479,7 +481,7 @@
 
 
 @virtual
-async def test_it_is_ready_once_it_listens_and_the_known_list_was_told_first():
+async def test_it_is_ready_once_it_listens_and_the_module_got_the_known_list_first():
     module = Scripted()
     async with running(balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
@@ -488,7 +490,7 @@
 
 
 @virtual
-async def test_a_drain_finishes_what_was_taken_and_closes_between_requests():
+async def test_a_drain_finishes_accepted_requests_and_closes_connections_between_requests():
     release = asyncio.Event()
 
     async def wait(reader, writer):
--- a/tests/proxy/http/test_settle.py
+++ b/tests/proxy/http/test_settle.py
@@ -1,4 +1,4 @@
-"""Names and options that change while connections stand and requests are half sent or out."""
+"""Names and options that change while connections are open and requests are incomplete or in flight."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def names(without="", **classes):
-    """The names that requests of the tests use, less one and with others."""
+    """Return the names that the tests use, without one of them and with others added."""
     rows = {name: kind for name, kind in {**NAMES.classes, **classes}.items() if name != without}
     return RequestNames(rows, {name: at for name, at in NAMES.tenants.items() if name != without})
 
@@ -42,7 +42,9 @@
         (2, 1, RequestNames(NAMES.classes, {}), None),
     ],
 )
-def test_what_was_judged_is_taken_only_as_it_would_be_by_now(traffic_class, tenant, now, status):
+def test_a_validated_head_is_accepted_only_if_still_valid_under_the_new_names(
+    traffic_class, tenant, now, status
+):
     if status is None:
         recheck_names(traffic_class, tenant, NAMES, now)
     else:
@@ -51,14 +53,14 @@
         assert raised.value.status == status
 
 
-def test_a_caller_that_was_not_asked_for_its_name_counts_for_none():
+def test_a_request_without_a_caller_is_not_accepted_once_callers_are_required():
     with pytest.raises(BadRequestError) as raised:
         recheck_names(0, 0, RequestNames(NAMES.classes, {}), NAMES)
     assert raised.value.status == 503
 
 
 @virtual
-async def test_a_connection_stays_as_names_change_and_what_has_gone_is_unknown():
+async def test_connections_stay_open_when_names_change_and_removed_classes_are_rejected():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -70,7 +72,7 @@
 
 
 @virtual
-async def test_a_request_whose_class_goes_while_its_body_comes_is_not_taken():
+async def test_a_request_whose_class_is_removed_while_its_body_arrives_is_rejected():
     upstream = await Upstream([OK]).start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
@@ -86,7 +88,7 @@
 
 
 @virtual
-async def test_who_there_is_no_room_for_is_told_the_wait_that_holds_by_now():
+async def test_a_refusal_for_lack_of_capacity_has_the_current_retry_after():
     async with running(balancer=Scripted(request=lambda now, arrival: [])) as sidecar:
         sidecar.front.intake.apply_options(NAMES, 2500.0)
         sidecar.limits.calls.resize(0)
@@ -103,7 +105,7 @@
 
 @pytest.mark.parametrize(("grace_ms", "from_ms"), [(100.0, 1050.0), (9000.0, 1450.0), (0.0, 1000.0)])
 @virtual
-async def test_who_leaves_already_has_the_shorter_grace_from_the_news_of_it(grace_ms, from_ms):
+async def test_a_shorter_grace_applies_to_servers_that_are_already_leaving(grace_ms, from_ms):
     upstream = await Upstream([OK]).start()
     pool = pooled(upstream)
     pool.update(1000.0, False, news(entry("s0", upstream.address, status="leaving")))
@@ -117,7 +119,7 @@
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
 @virtual
-async def test_a_shorter_grace_holds_for_what_is_being_connected(state):
+async def test_a_shorter_grace_applies_to_connects_in_progress(state):
     upstream = await Upstream([OK]).start()
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module, Rules={"StopSendingWithin": 60_000.0}) as sidecar:
@@ -137,7 +139,7 @@
 
 
 @virtual
-async def test_connections_stay_as_options_change_and_none_lies_idle_for_longer_than_it_may_by_now():
+async def test_connections_stay_open_when_options_change_unless_idle_for_too_long():
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/proxy/http/test_time_told.py
+++ b/tests/proxy/http/test_time_told.py
@@ -1,4 +1,4 @@
-"""The time that an attempt tells its server: never more than is left to the client. In virtual time."""
+"""The budget that an attempt sends to its server never exceeds the time left to the client."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 LIMITS = {**partners.SETTINGS["PolicyLimits"], "ConnectTimeout": 10_000.0, "MaxAttempts": 4}
 BUDGET_S = 3.0
-TURN_S = 0.001  # of the virtual clock, which stands still while there is anything to do
+TURN_S = 0.001  # the step of the virtual clock, which stands still while there is work to do
 
 
 class Told(Upstream):
-    """A server that notes when each request has come and what time it tells, and answers late."""
+    """A server that records when each request arrived and its budget, and answers late."""
 
     def __init__(self, after_s=0.4, reply=b""):
         super().__init__()
@@ -89,12 +89,12 @@
 @pytest.mark.parametrize("kept", [False, True], ids=["new connections", "kept connections"])
 @pytest.mark.parametrize("what", SCRIPTS)
 @virtual
-async def test_an_attempt_first_or_further_tells_no_more_than_is_left(what, kept):
+async def test_no_attempt_sends_a_budget_above_the_time_left(what, kept):
     servers = [await Told(0.0 if kept else 0.4, OK if kept else b"").start() for _ in range(3)]
     servers.append(await Told(0.0, OK).start())
     module = Scripted(**SCRIPTS[what])
     async with running(*servers, balancer=module, PolicyLimits=LIMITS) as sidecar:
-        if kept:  # what follows finds a connection to each server, at rest
+        if kept:  # open an idle connection to each server
             plain = dict(module.scripts)
             for number in range(3):
                 module.scripts = {"request": lambda now, a, n=number: [Send(a.request, f"s{n}", 0.0)]}
@@ -113,7 +113,7 @@
 
 
 @virtual
-async def test_an_attempt_whose_connection_comes_up_late_tells_what_is_left_then():
+async def test_an_attempt_with_a_slow_connect_sends_the_time_left_when_it_starts():
     server, module, loop = await Told(0.0, OK).start(), Scripted(), asyncio.get_running_loop()
     async with running(server, balancer=module, PolicyLimits=LIMITS) as sidecar:
         app = await App.connect(sidecar.address)
--- a/tests/proxy/http/test_upstream.py
+++ b/tests/proxy/http/test_upstream.py
@@ -1,4 +1,4 @@
-"""Attempts on real sockets: what is written where, and which outcome each one has."""
+"""Attempts on real sockets: what is written to which server, and the outcome of each attempt."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def no_settling(monkeypatch):
-    """Connections may be used again at once: for tests of what else decides that."""
+    """Allow connections to be reused at once, for tests of the other conditions."""
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
 
 
@@ -87,7 +87,7 @@
     ],
 )
 @virtual
-async def test_what_comes_back_tells_the_outcome(reply, outcome, status):
+async def test_the_response_determines_the_outcome(reply, outcome, status):
     async def then_end(reader, writer):
         await reply(reader, writer)
 
@@ -104,10 +104,10 @@
 
 @pytest.mark.parametrize("extra", [OK, SECOND, b"\x00 noise\r\n\r\n"])
 @virtual
-async def test_what_comes_behind_an_answer_is_never_the_next_ones(extra, monkeypatch):
-    """Guards against a second copy or noise that is read once the next request is out.
+async def test_bytes_after_an_answer_are_never_taken_for_the_next_answer(extra, monkeypatch):
+    """Guards against a duplicate response or noise that is read after the next request is sent.
 
-    Until a connection has stood quiet for a moment it carries none.
+    A connection is reused only after nothing arrived on it for a moment.
     """
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 60_000.0)
     upstream = await Upstream([OK, OK, SECOND]).start()
@@ -119,12 +119,12 @@
         assert (await app.ask()).body == b"other"
         assert [seen.connection for seen in upstream.seen] == [0, 1, 2]
         (server,) = sidecar.pool._servers.values()
-        await until(lambda: len(server.idle) == 2)  # what came unasked for closed the first
+        await until(lambda: len(server.idle) == 2)  # the unsolicited bytes closed the first
 
 
 @virtual
-async def test_a_second_answer_some_milliseconds_late_is_never_the_next_ones():
-    """The next request is asked for before the copy comes, and answered after it."""
+async def test_a_duplicate_answer_some_milliseconds_late_is_never_taken_for_the_next_answer():
+    """The next request is sent before the duplicate arrives, and answered after it."""
 
     async def twice(reader, writer):
         asyncio.get_running_loop().call_later(0.010, writer.write, OK)
@@ -143,17 +143,17 @@
 
 
 @virtual
-async def test_an_unsafe_request_is_not_sent_again_on_a_rejection_that_brings_more_than_itself():
-    """Guards against believing what is spoilt: the 200 behind the rejection may be this request's."""
+async def test_an_unsafe_request_is_not_retried_after_a_rejection_with_extra_bytes():
+    """Guards against trusting a malformed rejection: the 200 after it may be the answer to this request."""
     upstreams = [await Upstream([FULL + OK]).start() for _ in range(3)]
     async with running(*upstreams) as sidecar:
         answer = await (await App.connect(sidecar.address)).ask("POST", "/pay", b"now")
-        assert answer.start.split(" ")[1] == "502"  # failed: no promise about effects
+        assert answer.start.split(" ")[1] == "502"  # failed: the request may or may not have run
         assert sum(len(upstream.seen) for upstream in upstreams) == 1
 
 
 @virtual
-async def test_an_answer_that_is_spoilt_while_the_request_is_being_written_may_have_run():
+async def test_a_request_with_a_malformed_answer_during_its_write_may_have_run():
     upstream = await Upstream().start()
     pool = pooled(upstream)
     near, far = socket.socketpair()
@@ -173,7 +173,7 @@
 
 @pytest.mark.parametrize("figures", ["nan,queue=inf", "-1,queue=1e300", "%%%,queue="])
 @virtual
-async def test_load_figures_that_no_server_can_hold_do_not_reach_the_module(figures):
+async def test_implausible_load_reports_do_not_reach_the_module(figures):
     reply = OK.replace(b"inflight=1,queue=0", b"inflight=" + figures.encode())
     upstream = await Upstream([reply]).start()
     module = Scripted()
@@ -184,7 +184,7 @@
 
 
 @virtual
-async def test_a_request_goes_on_unchanged_with_the_time_left_and_its_answer_comes_back_unchanged():
+async def test_a_request_is_forwarded_unchanged_with_the_time_left_and_so_is_its_answer():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
@@ -199,7 +199,7 @@
 
 
 @virtual
-async def test_a_refused_connection_could_not_connect():
+async def test_a_refused_connect_is_reported_as_connect_failed():
     upstream = await Upstream().start()
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
@@ -224,7 +224,7 @@
 
 @pytest.mark.parametrize(("reads_all", "outcome"), [(False, Outcome.CONNECT_FAILED), (True, Outcome.RESET)])
 @virtual
-async def test_bytes_that_are_merely_buffered_are_not_written(reads_all, outcome):
+async def test_buffered_bytes_do_not_count_as_written(reads_all, outcome):
     loop = asyncio.get_running_loop()
     upstream = await Upstream().start()
     pool = pooled(upstream)
@@ -269,8 +269,8 @@
 
 @pytest.mark.parametrize("behave", [hang, spoil])
 @virtual
-async def test_an_attempt_that_is_given_up_has_ended_on_the_wire_before_the_next_is_written(behave):
-    """Where no two may be out at a time, a close in the next turn of the loop comes too late."""
+async def test_an_abandoned_attempt_has_ended_on_the_wire_before_the_next_is_written(behave):
+    """If only one attempt may be in flight, closing in the next iteration of the loop is too late."""
     first, second = await Upstream([behave]).start(), await Upstream().start()
     ended = []
 
@@ -295,7 +295,7 @@
 
 
 @virtual
-async def test_a_time_out_closes_the_connection_and_its_outcome_comes_once():
+async def test_a_time_out_closes_the_connection_and_is_reported_once():
     upstream = await Upstream([hang]).start()
     module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 500.0)], outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
@@ -306,7 +306,7 @@
 
 
 @virtual
-async def test_a_cancelled_attempt_has_one_outcome_and_frees_no_connection_for_others():
+async def test_a_cancelled_attempt_has_one_outcome_and_its_connection_is_not_reused():
     upstream = await Upstream([hang, OK]).start()
 
     def later(now, number, hop, status, spent, last, report):
@@ -320,7 +320,7 @@
         (number,) = sidecar.driver._requests
         sidecar.driver._perform(Cancel(number, 0))
         sidecar.driver._perform(Cancel(number, 0))
-        # Its time runs out, too, before the outcome is told.
+        # It also times out before the outcome is reported.
         sidecar.driver._on_attempt_timeout(sidecar.driver._requests[number].attempts[0])
         assert (await app.answer()).body == b"done"
         assert module.outcomes() == [(0, Outcome.TIMEOUT, False), (1, Outcome.OK, True)]
@@ -329,7 +329,7 @@
 
 
 @virtual
-async def test_past_the_most_attempts_and_after_the_answer_a_send_is_abandoned():
+async def test_a_send_beyond_max_attempts_or_after_the_answer_is_abandoned():
     upstream = await Upstream([FULL, FULL, FULL, OK]).start()
 
     def again(now, number, hop, status, spent, last, report):
@@ -347,7 +347,7 @@
 
 
 @virtual
-async def test_two_copies_may_be_out_and_only_the_first_answer_counts():
+async def test_two_attempts_may_be_in_flight_and_only_the_first_answer_counts():
     slow = asyncio.Event()
 
     async def wait(reader, writer):
@@ -390,13 +390,13 @@
 
 
 @virtual
-async def test_an_end_that_the_loop_has_not_read_yet_is_seen_before_a_write():
+async def test_a_close_that_the_loop_has_not_read_yet_is_detected_before_a_write():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         await (await App.connect(sidecar.address)).ask()
         (connection,) = sidecar.pool._servers["s0"].idle
         assert connection.is_available()
-        # No await from here on: the loop gets no chance to hand out the end.
+        # No await from here on, so that the loop can't report the end.
         upstream.writers[0].get_extra_info("socket").shutdown(socket.SHUT_WR)
         assert not connection.is_available()
 
@@ -418,7 +418,7 @@
 
 @pytest.mark.usefixtures("no_settling")
 @virtual
-async def test_a_request_on_a_dropped_connection_is_reset_and_never_sent_again_by_itself():
+async def test_a_request_on_a_dropped_connection_is_reset_and_not_retried_by_the_pool():
     upstream = await Upstream([OK, break_off]).start()
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
@@ -431,7 +431,7 @@
 
 @pytest.mark.usefixtures("no_settling")
 @virtual
-async def test_close_idle_closes_only_what_is_idle():
+async def test_close_idle_closes_only_idle_connections():
     upstream = await Upstream([OK, OK, hang]).start()
     module = Scripted(outcome=failing)
     async with running(upstream, balancer=module) as sidecar:
@@ -449,13 +449,13 @@
 
 
 @virtual
-async def test_without_a_descriptor_idle_connections_go_first_and_then_no_server_is_to_blame():
+async def test_without_descriptors_idle_connections_are_closed_and_then_attempts_are_abandoned():
     first, second = await Upstream([OK]).start(), await Upstream([OK, hang]).start()
     module = Scripted(outcome=failing)
     servers = iter(["s0", "s1", "s1", "s1"])
     module.scripts["request"] = lambda now, arrival: [Send(arrival.request, next(servers), 0.0)]
     async with running(first, second, balancer=module) as sidecar:
-        sidecar.limits.descriptors.resize(3)  # two for the application
+        sidecar.limits.descriptors.resize(3)  # two for the clients
         app, other = await App.connect(sidecar.address), await App.connect(sidecar.address)
         assert (await app.ask()).body == b"done"
         assert (await app.ask()).body == b"done"
@@ -471,14 +471,14 @@
 
 @pytest.mark.parametrize("state", ["leaving", "left"])
 @virtual
-async def test_nothing_is_first_written_past_the_grace_even_if_it_connects_already(state):
+async def test_nothing_is_written_after_the_grace_even_if_connecting_began_before(state):
     upstream = await Upstream([OK]).start()
     module = Scripted(outcome=failing)
     leaving = news(entry("s0", upstream.address, status=state))
     async with running(upstream, balancer=module, Rules={"StopSendingWithin": 0.0}) as sidecar:
 
         def send_then_hear(now, arrival):
-            # The news comes while the attempt waits for its connection.
+            # The update arrives while the attempt waits for its connection.
             asyncio.get_running_loop().call_soon(sidecar.pool.update, now, False, leaving)
             return [Send(arrival.request, "s0", 0.0)]
 
@@ -500,7 +500,7 @@
 
 
 @virtual
-async def test_repeated_news_does_not_prolong_the_grace():
+async def test_a_repeated_update_does_not_extend_the_grace():
     upstream = await Upstream([OK]).start()
     pool = pooled(upstream)
     leaving = news(entry("s0", upstream.address, status="leaving"))
@@ -517,7 +517,7 @@
     async with running(upstream, balancer=Scripted()) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
-        # A machine that vanished reset nothing: its connections look open until they are used.
+        # A machine that vanished sent no reset: its connections look open until they are used.
         sidecar.pool.update(0.0, False, news(entry("s0", upstream.address, since_ms=1_790_000_000_000)))
         await app.ask()
         assert [seen.connection for seen in upstream.seen] == [0, 1]
@@ -527,7 +527,7 @@
 
 
 @virtual
-async def test_reports_come_with_outcomes_and_probes():
+async def test_load_reports_are_passed_with_outcomes_and_probes():
     async def late(reader, writer):
         await asyncio.sleep(0.02)
         return b"HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\ninflight=3"
