--- a/tests/coordination/world.py
+++ b/tests/coordination/world.py
@@ -83,7 +83,7 @@
             )
             self.sessions.add(asyncio.get_running_loop().create_task(session()))
 
-    def ask(self, machine: Machine) -> None:
+    def begin_read(self, machine: Machine) -> None:
         self._watch(machine.node, self.rng.choice(GROUPS))
         if len(self.sessions) < MAX_SESSIONS:
             self.sessions.add(asyncio.get_running_loop().create_task(self._refresh(machine.node)))
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -64,23 +64,23 @@
 )
 
 GUARDS: dict[str, Guard] = {
-    "the file is synced before what it holds is read": _removal(
+    "the log file is synced before its records are returned": _removal(
         LOG, LOG_TESTS, "            os.fsync(self._file)\n"
     ),
-    "its name is synced before what it holds is read": _removal(
+    "the log directory is synced before the records are returned": _removal(
         LOG,
         LOG_TESTS,
-        "            os.fsync(self._file)\n            self._sync_folder()\n",
+        "            os.fsync(self._file)\n            self._sync_directory()\n",
         "            os.fsync(self._file)\n",
     ),
     "an append is synced": _removal(LOG, LOG_TESTS, "            os.fdatasync(self._file)\n"),
     "a rewritten file is synced before its name": _removal(LOG, LOG_TESTS, "            os.fsync(new)\n"),
     "a rewritten file's name is synced before an append": _removal(
-        LOG, LOG_TESTS, "            if not self._is_folder_synced:\n", "            if False:\n"
+        LOG, LOG_TESTS, "            if not self._is_directory_synced:\n", "            if False:\n"
     ),
     "a torn tail is truncated": _removal(LOG, LOG_TESTS, "            os.ftruncate(self._file, self.size)\n"),
     "a refused append is truncated before the next": _removal(
-        LOG, LOG_TESTS, "            if self._has_refused_tail:\n", "            if False:\n"
+        LOG, LOG_TESTS, "            if self._has_failed_tail:\n", "            if False:\n"
     ),
     "a record's checksum is compared": _removal(
         "storage/records.py",
@@ -94,31 +94,31 @@
         "entry.term == self.installed_term and entry",
         "entry",
     ),
-    "what a disk refused is not told": _removal(
+    "nothing is sent before a failed write is on disk": _removal(
         "peer/record_writer.py",
         "tests/peer",
         "                snapshot = True\n",
         "                break\n",
     ),
-    "the file is rewritten once it is long": _removal(
+    "the log is rewritten once it is long": _removal(
         "peer/record_writer.py",
         "tests/peer",
         "        snapshot = self._log.size > self._rewrite_above_bytes\n",
         "        snapshot = False\n",
     ),
-    "a message to an earlier store is not taken": _removal(
+    "a message to an earlier store is dropped": _removal(
         "peer/replicator.py",
         "tests/peer",
         "        elif message.receiver == self.node.me.id:\n",
         "        else:\n",
     ),
-    "a frame is given up once its peer is silent": _removal(
+    "a connection ends once its peer is silent": _removal(
         "peer/connection.py",
         "tests/peer",
         "        async with asyncio.timeout(PEER_TIMEOUT_S):\n",
         "        async with asyncio.timeout(None):\n",
     ),
-    "a long frame may take its time": _removal(
+    "a long frame may take longer than the timeout": _removal(
         "peer/connection.py",
         "tests/peer",
         "                    on_message(await self.receive())\n",
@@ -157,12 +157,12 @@
     "a call whose digest prefix is known may have been applied": _removal(
         "replication/state.py",
         CONTROL_API_TESTS,
-        " or _holds_prefix(self.digest_prefixes, prefix)",
+        " or _contains_prefix(self.digest_prefixes, prefix)",
     ),
     "a call whose digest prefix is not known is refused": _removal(
         "replication/state.py",
         CONTROL_API_TESTS,
-        "base <= self.forgotten_base or _holds_prefix(self.digest_prefixes, prefix)",
+        "base <= self.forgotten_base or _contains_prefix(self.digest_prefixes, prefix)",
         "base < self.applied_calls[0].base",
     ),
     "digest prefixes are bounded": _removal(
@@ -207,7 +207,7 @@
     "a late write is reported once": _removal(
         "replication/leadership.py",
         "tests/replication/test_events.py",
-        "        return reported != self.append_since\n",
+        "        return reported != self.oldest_write_started_at\n",
         "        return True\n",
     ),
     "applied calls are remembered": _removal(
@@ -312,19 +312,19 @@
     "a write that may be executed later is not rejected": _removal(
         COORDINATION_SERVICE, COORDINATION_CASES, "else OutcomeUnknown()", "else Unavailable()"
     ),
-    "another tenure's writes prove nothing": _removal(
+    "writes of another tenure do not count as committed": _removal(
         "replication/node.py",
         COORDINATION_CASES,
         "        if leadership is None or write.tenure != self.primary.tenure:\n",
         "        if leadership is None:\n",
     ),
-    "another term's commits prove nothing": _removal(
+    "commits of another term are ignored": _removal(
         "replication/context.py",
         COORDINATION_CASES,
         "        if term == self.durable.installed_term:\n",
         "        if True:\n",
     ),
-    "a store that lags knows no more than it holds": _removal(
+    "a lagging store reports no commit beyond its own state": _removal(
         "replication/node.py",
         COORDINATION_CASES,
         "return min(self.context.committed_sequence, self.durable.state.sequence)",
@@ -384,16 +384,19 @@
     "callers are redirected only to a primary that was heard lately": _removal(
         "replication/failure_detector.py",
         CONTROL_API_TESTS,
-        " or now - self.heard_at > ELECTION_TIMEOUT_S:\n            return None",
+        " or now - self.last_heard_at > ELECTION_TIMEOUT_S:\n            return None",
         ":\n            return None",
     ),
     "nobody is redirected to a primary that resigned": _removal(
-        "replication/failure_detector.py", CONTROL_API_TESTS, " or primary.id == self._lost or now", " or now"
+        "replication/failure_detector.py",
+        CONTROL_API_TESTS,
+        " or primary.id == self._lost_id or now",
+        " or now",
     ),
     "a withdrawal is acknowledged once a majority holds it": _removal(
         "control_api/withdrawals.py",
         CONTROL_API_TESTS,
-        "            while not majority(pending.holders, witnesses):\n",
+        "            while not is_majority(pending.holders, witnesses):\n",
         "            while False:\n",
     ),
     "another process confirms only what it holds": _removal(
@@ -431,7 +434,7 @@
         "            self.resign(Reason.OUT_OF_TOUCH, now)",
         "            self.step_down(Reason.OUT_OF_TOUCH, now)",
     ),
-    "a store that shuts down stays until it is needed no more": _removal(
+    "a store that shuts down stays until it is no longer needed": _removal(
         MEMBERSHIP, HARD_CASES, "        return context.me.id not in needed\n", "        return True\n"
     ),
     "replicas that shut down are replaced": _removal(
@@ -449,29 +452,29 @@
     "stores that shut down are replicas last": _removal(
         "replication/epochs.py", HARD_CASES, "store.id in leaving, store.id not in", "store.id not in"
     ),
-    "a store that lags is sent the state": _removal(
+    "a lagging witness is sent the state": _removal(
         PRIMARY,
         HARD_CASES,
-        "        if follows and leadership",
+        "        if is_witness and leadership",
         "        if False and leadership",
     ),
-    "witnesses that are no replicas follow": _removal(
+    "witnesses that are not replicas receive writes": _removal(
         PRIMARY,
         HARD_CASES,
-        "        for store_id in leadership.epoch.witness_ids:  # those",
-        "        for store_id in leadership.epoch.replicas:  # those",
+        "        for store_id in leadership.epoch.witness_ids:  # non-replicas",
+        "        for store_id in leadership.epoch.replicas:  # non-replicas",
     ),
     "the founder votes first": _removal(
         EPOCH_CHANGE,
         BOOTSTRAP_TESTS,
-        "        if self.is_bootstrap and self.me.id in asked:\n",
+        "        if self.is_bootstrap and self.me.id in recipients:\n",
         "        if False:\n",
     ),
-    "all of a core prepare before it bootstraps without a founder": _removal(
-        EPOCH_CHANGE, BOOTSTRAP_TESTS, " and self.unanimous.issubset(self.prepared)"
+    "all stores prepare before a core bootstraps without a founder": _removal(
+        EPOCH_CHANGE, BOOTSTRAP_TESTS, " and self.required_voters.issubset(self.prepared)"
     ),
     "a core does not bootstrap without a founder while a seed is missing": _removal(
-        BOOTSTRAP, BOOTSTRAP_TESTS, " or self.missing_seeds(heard, seeds):", ":"
+        BOOTSTRAP, BOOTSTRAP_TESTS, " or self.missing_seeds(announcements, seeds):", ":"
     ),
     "a core does not bootstrap without its founder while it is there": _removal(
         BOOTSTRAP,
@@ -479,19 +482,19 @@
         "if has_founder or not self._counts_for_quorum",
         "if not self._counts_for_quorum",
     ),
-    "no core is bootstrapped beside one that is heard": _removal(
-        BOOTSTRAP, BOOTSTRAP_TESTS, " or any(other.core for other in heard):", ":"
+    "no core is bootstrapped while another one is heard": _removal(
+        BOOTSTRAP, BOOTSTRAP_TESTS, " or any(other.core for other in announcements):", ":"
     ),
     "no core is bootstrapped with fewer stores than a complete one has": _removal(
         BOOTSTRAP, BOOTSTRAP_TESTS, "if not is_complete or any(", "if any("
     ),
-    "that a store is the founder is on disk before anything else": _removal(
+    "the founder record is written first": _removal(
         "replication/durable.py",
         BOOTSTRAP_TESTS,
         "[*founder, self._vote(), Snapshot(self.installed_term, self.state)]",
         "[self._vote(), Snapshot(self.installed_term, self.state), *founder]",
     ),
-    "stores of another core are not taken in": _removal(
+    "stores of another core are not admitted": _removal(
         MEMBERSHIP,
         BOOTSTRAP_TESTS,
         "        if context.peers.is_foreign(message, core):\n",
@@ -509,22 +512,22 @@
         "        except UnknownMessageError as error:\n",
         "        except MemoryError as error:\n",
     ),
-    "a value that is not known is of another version": _removal(
+    "an unknown enum value is of another version": _removal(
         "peer/codec.py",
         "tests/peer",
         "        raise UnknownMessageError(str(error)) from error\n",
         "        raise\n",
     ),
-    "fields of a later version are left out": _removal(
+    "fields of a later version are ignored": _removal(
         "peer/codec.py", "tests/peer", "list(values[: len(wire_type.fields)])", "list(values)"
     ),
-    "no link is up without a version that both sides speak": _removal(
+    "no link is up without a common version": _removal(
         "peer/handshake.py", "tests/peer", "    if version is None:\n", "    if version == -1:\n"
     ),
     "a file of an unknown format is left as it is": _removal(
         LOG,
         LOG_TESTS,
-        "        if found not in READABLE_FORMATS:\n",
+        "        if format_version not in READABLE_FORMATS:\n",
         "        if False:\n",
     ),
     "a response must contain the id of its request": _removal(
@@ -592,7 +595,7 @@
         "tests/dissemination/test_forgetting.py",
         "        self._adopt_servers(catalog, now, is_successor_of)\n",
     ),
-    "a final phase outdoes all heartbeats": _removal(
+    "a later phase is newer than all heartbeats": _removal(
         "dissemination/items.py",
         "tests/dissemination/test_forgetting.py",
         "    version = (int(record.phase), sequence, int(record.is_unresponsive))\n",
@@ -642,13 +645,13 @@
         "            return known.version < version\n",
         "            return True\n",
     ),
-    "what is gone stays gone as long as an old word may travel": _removal(
+    "tombstones stay as long as an old message may be in flight": _removal(
         "dissemination/catalog.py",
         "tests/dissemination/test_catalog.py",
         "            self._expires_at[item.key] = now + retention\n",
         "            self._expires_at[item.key] = now\n",
     ),
-    "what was forgotten is not taken back": _removal(
+    "an expired item is not accepted again": _removal(
         "dissemination/catalog.py",
         "tests/dissemination/test_catalog.py",
         "        return key not in self._forgotten or version > self._forgotten[key].version\n",
@@ -660,7 +663,7 @@
         "        staying = context.peers.ids() - context",
         "        staying = context.peers.live(now) - context",
     ),
-    "a member is down only once others were asked": _removal(
+    "an indirect probe that is acknowledged clears a member": _removal(
         "dissemination/suspicion.py",
         "tests/dissemination/test_suspicion.py",
         "        if node in self._suspects:\n",
@@ -716,77 +719,77 @@
         "route.route_type, request.prompt.tokens_out, request.arrived_at):\n",
         "        if False:\n",
     ),
-    "a step that hangs is cut": _removal(
+    "a step that hangs is cancelled": _removal(
         SHUTDOWN,
         SHUTDOWN_TESTS,
         "asyncio.timeout(max(MIN_STEP_S, min(max_s, self.remaining_s())))",
         "asyncio.timeout(None)",
     ),
-    "the process ends whatever hangs": _removal(SHUTDOWN, SHUTDOWN_TESTS, "        watchdog.start()\n"),
-    "a link that is cancelled at the end is no fault": _removal(
+    "the process exits whatever hangs": _removal(SHUTDOWN, SHUTDOWN_TESTS, "        watchdog.start()\n"),
+    "a link that is cancelled at process exit is no error": _removal(
         "peer/mesh.py", "tests/peer", "(*_CONNECTION_ERRORS, asyncio.CancelledError)", "_CONNECTION_ERRORS"
     ),
-    "a control process that ends waits until it is not needed": _removal(
+    "a leaving control process waits until it is not needed": _removal(
         "roles/control_process.py",
         "tests/roles/test_control_leaving.py",
         "        while not self.node.can_leave(loop.time()):\n",
         "        while False:\n",
     ),
-    "a sidecar that drains waits for clients to go": _removal(
+    "a draining sidecar waits for clients to move": _removal(
         DRAIN, DRAIN_TESTS, "asyncio.sleep(CLOSING_TTLS * RESPONSE_TTL_S)", "asyncio.sleep(0)"
     ),
-    "a sidecar that drains serves on for its region": _removal(
+    "a draining sidecar keeps serving its region": _removal(
         DRAIN,
         DRAIN_TESTS,
-        '    await budget.run_step("serve on for the region", _wait_for_other_sidecars(process), stay_s)\n',
+        '    await budget.run_step("serve on for the region", _wait_for_other_sidecars(process), wait_s)\n',
     ),
-    "a sidecar that shuts down announces it": _removal(
+    "a sidecar that shuts down announces that": _removal(
         DRAIN, DRAIN_TESTS, "    process.announce(Availability.LEAVING)\n"
     ),
-    "a sidecar that closes announces it": _removal(
+    "a sidecar that closes announces that": _removal(
         DRAIN, DRAIN_TESTS, "    process.announce(Availability.CLOSING)\n"
     ),
-    "a process that starts heeds SIGTERM": _removal(
+    "a starting process handles SIGTERM": _removal(
         "cli/start.py",
         SIGNALS,
         "    signal.signal(signal.SIGTERM, lambda *_: os._exit(EXIT_DONE))\n",
         "    pass\n",
     ),
-    "a process that starts heeds no SIGHUP": _removal(
+    "a starting process ignores SIGHUP": _removal(
         "cli/start.py", SIGNALS, "    signal.signal(signal.SIGHUP, signal.SIG_IGN)\n"
     ),
-    "a process that ends heeds no further signal": _removal(
-        "roles/process.py", SIGNALS, "            signal.signal(name, signal.SIG_IGN)\n"
+    "a process that shuts down ignores further signals": _removal(
+        "roles/process.py", SIGNALS, "            signal.signal(signal_number, signal.SIG_IGN)\n"
     ),
-    "what was offered and does not come is asked for": _removal(
+    "an offered item that does not arrive is requested": _removal(
         BROADCAST,
         BROADCAST_TESTS,
         "        outgoing = self._request_missing(now)\n",
         "        outgoing: list[OutgoingMessage] = []\n",
     ),
-    "a link that brings what was had before leaves the tree": _removal(
+    "a link that delivers a duplicate is pruned": _removal(
         BROADCAST, BROADCAST_TESTS, "        elif source not in self._pruned:\n", "        elif False:\n"
     ),
-    "a peer that asks is sent news whole from then on": _removal(
+    "a peer that requests an item joins the tree": _removal(
         BROADCAST,
         BROADCAST_TESTS,
-        "                self._pruned.discard(source)  # the tree did not reach it otherwise\n",
+        "                self._pruned.discard(source)  # the tree did not deliver to it\n",
         "                pass\n",
     ),
-    "a change of the configuration rests on one version": _removal(
+    "a delta applies only to its base": _removal(
         DELTA, DELTA_TESTS, "    if old.sequence != delta.base:\n", "    if False:\n"
     ),
-    "a change that leads to too large a document is refused": _removal(
+    "a delta that produces too large a document is rejected": _removal(
         DELTA, DELTA_TESTS, "    if sum(map(_length, delta.parts)) > MAX_DOCUMENT_BYTES:\n", "    if False:\n"
     ),
-    "what was forgotten is asked for from nobody": _removal(
+    "an expired item is not requested": _removal(
         BROADCAST,
         BROADCAST_TESTS,
         "            if self._catalog.lacks(key, version):\n",
         "            if True:\n",
     ),
-    "the whole is asked for from one at a time": _removal(
-        MISSING_ITEMS, DELTA_TESTS, "        if not missing.asked:\n", "        if True:\n"
+    "a missing item is requested from one peer at a time": _removal(
+        MISSING_ITEMS, DELTA_TESTS, "        if not missing.requested_from:\n", "        if True:\n"
     ),
     "a connection that cannot be adopted is closed": _removal(
         ADOPTED,
@@ -794,7 +797,7 @@
         "            except OSError:\n                connection.close()",
         "            except ValueError:\n                connection.close()",
     ),
-    "what a change leads to is what was acknowledged": _removal(
+    "a delta has to produce the document that it was made for": _removal(
         DELTA, DELTA_TESTS, "    if zlib.crc32(document) != delta.checksum:\n", "    if False:\n"
     ),
     "a request that waited beyond its deadline is rejected": _removal(
