--- a/fordtrestle/proxy/http/accept.py
+++ b/fordtrestle/proxy/http/accept.py
@@ -225,7 +225,8 @@
         self.entry: TableEntry[TrackedConnection]
         self._on_first_bytes = on_first_bytes
         self._on_closed = on_closed
-        # By number: asyncio describes a socket object anew each time that it is met.
+        # By descriptor number: for a socket object that is not registered yet, the selector raises a KeyError
+        # with the socket's repr, which costs two system calls (getsockname, getpeername).
         loop.add_reader(sock.fileno(), self._on_readable)
 
     @property
--- a/fordtrestle/proxy/http/eviction.py
+++ b/fordtrestle/proxy/http/eviction.py
@@ -95,8 +95,8 @@
     def _reclaim(self, count: int) -> None:
         """Evict up to `count` connections for other parts of the process that are below their fair share."""
         descriptors = self._server.budget.descriptors
-        until = descriptors.used - count
-        self._evict_until(lambda: descriptors.used <= until, count + MAX_EVICTIONS)
+        target = descriptors.used - count
+        self._evict_until(lambda: descriptors.used <= target, count + MAX_EVICTIONS)
 
     def _evict_until(self, is_enough: Callable[[], bool], max_evictions: int, urgent: bool = False) -> bool:
         """Evict connections one by one until `is_enough`, or up to `max_evictions`; return whether it is.
--- a/fordtrestle/proxy/http/server.py
+++ b/fordtrestle/proxy/http/server.py
@@ -38,13 +38,13 @@
 
     Attributes:
         names: The classes and tenants that requests may name.
-        max_clients: The most connections that all well-behaved clients hold together.
+        clients_most: The most connections that all well-behaved clients hold together.
         retry_after_ms: When a client may retry a request that is refused for lack of capacity; 0 sends no
             time.
     """
 
     names: RequestNames
-    max_clients: int
+    clients_most: int
     retry_after_ms: float = 0.0
 
 
@@ -89,7 +89,7 @@
         self.counters = OutcomeCounters()
         self.budget = budget
         self.reserve = reserve
-        self.table: ConnectionTable[TrackedConnection] = ConnectionTable(TableOptions(options.max_clients))
+        self.table: ConnectionTable[TrackedConnection] = ConnectionTable(TableOptions(options.clients_most))
         self.evictor = Evictor(self)
         self.buffers = ClientBuffers(self)
         self.intake = RequestIntake(self, self.evictor, self.buffers, options.names, options.retry_after_ms)
--- a/fordtrestle/proxy/http/stream.py
+++ b/fordtrestle/proxy/http/stream.py
@@ -77,16 +77,15 @@
         self._poll.register(self._sock.fileno(), select.POLLIN)
 
     def is_readable(self) -> bool:
-        """Whether it holds unread bytes or its end; true where it is closed."""
+        """Return whether it has unread bytes or an unread end; True if it is closed."""
         return self._sock.fileno() < 0 or bool(self._poll.poll(0))
 
 
 class EarlyTransport:
     """Replaces a connection's transport until it outlasts its first bytes; buffers what is written.
 
-    A real transport costs more than everything else about a rejected request, and most requests of a flood
-    are
-    rejected: such a connection ends without ever getting one.
+    A real transport costs more than everything else about a rejected request. Most requests of a flood are
+    rejected, and their connections end without ever getting one.
 
     Attributes:
         sock: The connection's socket.
--- a/fordtrestle/proxy/http/upstream_connection.py
+++ b/fordtrestle/proxy/http/upstream_connection.py
@@ -281,8 +281,8 @@
     report = _parse_report(parser, fields, is_probe)
     status = parser.status
     if status == 200:
-        kept = wire.end_to_end(parser.headers, NOT_FOR_CLIENTS)
-        return AttemptResult(Outcome.OK, UpstreamResponse(kept, bytes(parser.body)), report)
+        headers = wire.end_to_end(parser.headers, NOT_FOR_CLIENTS)
+        return AttemptResult(Outcome.OK, UpstreamResponse(headers, bytes(parser.body)), report)
     if status in (503, 504) and (is_probe or parser.header(b"x-rejected") == b"1"):
         return AttemptResult(Outcome.FULL, None, report)
     return AttemptResult(Outcome.ERROR, None, report)
--- a/tests/proxy/config/test_operator_file.py
+++ b/tests/proxy/config/test_operator_file.py
@@ -326,7 +326,7 @@
     for name in config.services:
         assert options.settings(config, name, START).profiles
     for name in config.fronts:
-        assert options.front_options(config, name, START).max_clients >= 4
+        assert options.front_options(config, name, START).clients_most >= 4
 
 
 # --- the options that its keys become ------------------------------------------------------------
--- a/tests/proxy/engine/test_connection_table.py
+++ b/tests/proxy/engine/test_connection_table.py
@@ -159,7 +159,7 @@
     made = table()
     entry = made.add("gone", 0.0)
     assert made.remove(entry)
-    assert not hasattr(entry, "holder")
+    assert not hasattr(entry, "owner")
 
 
 def test_idle_connections_with_one_request_take_at_most_half_of_the_places():
@@ -246,7 +246,7 @@
 
 
 @given(STEPS)
-def test_any_order_of_steps_keeps_each_entry_in_one_queue(steps):
+def test_over_any_order_of_steps_each_entry_is_in_its_one_queue(steps):
     made, entries, now = table(), {}, 0.0
     for step, number, passed in steps:
         now += passed
--- a/tests/proxy/engine/test_limits.py
+++ b/tests/proxy/engine/test_limits.py
@@ -219,7 +219,7 @@
         max_size=80,
     ),
 )
-def test_any_order_of_acquire_release_and_death_stays_within_the_capacity_and_leaks_nothing(
+def test_over_any_order_of_acquire_release_and_death_it_is_never_exceeded_and_nothing_leaks(
     capacity, guarantees, steps
 ):
     day = Day(capacity, guarantees)
@@ -242,7 +242,7 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 1), st.integers(1, 20)), max_size=60))
-def test_nothing_is_acquired_beyond_a_lowered_capacity(steps):
+def test_after_the_capacity_was_lowered_nothing_is_acquired_beyond_it(steps):
     quota, front, pool = two()
     front.acquire(60)
     quota.resize(50)
--- a/tests/proxy/engine/test_pressure.py
+++ b/tests/proxy/engine/test_pressure.py
@@ -86,7 +86,7 @@
 
 
 @given(st.lists(st.floats(0.0, 1.2), min_size=1, max_size=60))
-def test_readings_between_the_two_thresholds_never_change_an_action(shares):
+def test_readings_that_stay_between_the_two_figures_never_change_an_action(shares):
     made = PressureRules([PressureRule(PressureAction.SHRINK_POOLS, Monitor.DESCRIPTORS, 0.9, 0.7)])
     on = False
     for at, share in enumerate(shares):
--- a/tests/proxy/http/test_hard_cases.py
+++ b/tests/proxy/http/test_hard_cases.py
@@ -145,7 +145,7 @@
             statuses.append(status_of(await good.ask(X_Budget="1000m")))
             good.close()
             (acceptor,) = sidecar.front._acceptors
-            assert acceptor._blocked_since_s is None or loop.time() - acceptor._full_since < 0.15
+            assert acceptor._blocked_since_s is None or loop.time() - acceptor._blocked_since_s < 0.15
         task.cancel()
         assert statuses == [200] * 10
         for app in crowd:
