--- a/tests/proxy/daemon/test_overload_monitor.py
+++ b/tests/proxy/daemon/test_overload_monitor.py
@@ -20,7 +20,7 @@
 from fordtrestle.proxy.engine.pressure import RULES, Monitor, PressureAction, PressureRule, PressureRules
 from tests import loopback as partners
 from tests.loopback import OK, SETTINGS, App, Scripted, Upstream, hang, loopback, request, running, until
-from tests.proxy.http.test_holding import NO_GUARANTEES, narrow
+from tests.proxy.http.test_holding import NO_GUARANTEES, connect_small_buffer
 
 LARGE = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536
 
@@ -65,7 +65,7 @@
     async with running(upstream, raw=machine, limits=NO_GUARANTEES, rules=rules) as sidecar:
         sidecar.overload._resident = lambda: resident
         module = sidecar.driver._balancer
-        deaf = [await narrow(sidecar.address) for _ in range(25)]
+        deaf = [await connect_small_buffer(sidecar.address) for _ in range(25)]
         for app in deaf:
             app.writer.transport.pause_reading()
             app.writer.write(b"".join(request() for _ in range(8)))
--- a/tests/proxy/engine/test_driver.py
+++ b/tests/proxy/engine/test_driver.py
@@ -10,12 +10,12 @@
 from fordtrestle.proxy.engine.driver import Driver, EngineOptions
 from fordtrestle.proxy.engine.ports import AttemptResult, UpstreamResponse
 from tests.loopback import SETTINGS
-from tests.proxy.engine.test_observed_driver import Call, Loop, Servers, arrive, driver, retried
+from tests.proxy.engine.test_observed_driver import Call, Loop, Servers, arrive, driver, retry_once
 
-TOLD = model.Settings.parse(SETTINGS)
+DEFAULT_SETTINGS = model.Settings.parse(SETTINGS)
 
 
-class Closing(Servers):
+class ClosingServers(Servers):
     """Servers that record the names whose idle connections are closed."""
 
     def __init__(self):
@@ -26,66 +26,68 @@
         self.closed.append(server)
 
 
-def scripted(**scripts):
-    made = driver(most=1, **scripts)
-    made.servers = made._upstreams = Closing()
-    return made
+def scripted_driver(**scripts):
+    engine = driver(max_open=1, **scripts)
+    engine.servers = engine._upstreams = ClosingServers()
+    return engine
 
 
 def test_new_settings_reach_the_module_and_its_actions_are_carried_out():
-    made = scripted(settle=lambda now, settings: [CloseIdle("s9")])
-    other = dataclasses.replace(TOLD, max_attempts=1)
-    assert made.update_settings(other) is True
-    assert made._balancer.named("settle") == [[other]]
-    assert made.servers.closed == ["s9"]
+    engine = scripted_driver(settle=lambda now, settings: [CloseIdle("s9")])
+    other = dataclasses.replace(DEFAULT_SETTINGS, max_attempts=1)
+    assert engine.update_settings(other) is True
+    assert engine._balancer.named("settle") == [[other]]
+    assert engine.servers.closed == ["s9"]
 
 
 def test_new_limits_of_attempts_and_open_calls_apply_at_once():
-    made = scripted(outcome=retried)
-    arrive(made, Call("c1"))
-    made.update_settings(dataclasses.replace(TOLD, max_attempts=1), max_open=2)
-    arrive(made, Call("c2"))
-    assert arrive(made, Call("c3")).answers == ["refused"]
-    assert len(made.servers.done) == 2
-    made.servers.done[0](AttemptResult(Outcome.ERROR))
-    assert len(made.servers.done) == 2  # the module wanted a retry
+    engine = scripted_driver(outcome=retry_once)
+    arrive(engine, Call("c1"))
+    engine.update_settings(dataclasses.replace(DEFAULT_SETTINGS, max_attempts=1), max_open=2)
+    arrive(engine, Call("c2"))
+    assert arrive(engine, Call("c3")).answers == ["refused"]
+    assert len(engine.servers.done) == 2
+    engine.servers.done[0](AttemptResult(Outcome.ERROR))
+    assert len(engine.servers.done) == 2  # the module wanted a retry
 
 
 def test_settings_that_the_module_rejects_leave_the_previous_ones_in_force(capsys):
-    made = scripted(outcome=retried, settle=lambda now, settings: 1 / 0)
-    first = arrive(made, Call("c1"))
-    assert made.update_settings(dataclasses.replace(TOLD, max_attempts=1), max_open=5) is False
+    engine = scripted_driver(outcome=retry_once, settle=lambda now, settings: 1 / 0)
+    first = arrive(engine, Call("c1"))
+    assert engine.update_settings(dataclasses.replace(DEFAULT_SETTINGS, max_attempts=1), max_open=5) is False
     assert "ZeroDivisionError" in capsys.readouterr().err
-    assert arrive(made, Call("c2")).answers == ["refused"]
-    made.servers.done[0](AttemptResult(Outcome.ERROR))
-    assert len(made.servers.done) == 2
+    assert arrive(engine, Call("c2")).answers == ["refused"]
+    engine.servers.done[0](AttemptResult(Outcome.ERROR))
+    assert len(engine.servers.done) == 2
     assert first.answers == []
 
 
 def test_an_error_in_an_action_leaves_module_and_engine_on_the_same_settings(capsys):
-    made = scripted(settle=lambda now, settings: [CloseIdle("s9")])
-    made._upstreams = None
-    other = dataclasses.replace(TOLD, max_attempts=1)
-    assert made.update_settings(other) is True
-    assert made._settings is other
+    engine = scripted_driver(settle=lambda now, settings: [CloseIdle("s9")])
+    engine._upstreams = None
+    other = dataclasses.replace(DEFAULT_SETTINGS, max_attempts=1)
+    assert engine.update_settings(other) is True
+    assert engine._settings is other
 
 
 def test_a_call_of_a_removed_class_gets_one_answer():
     loop = Loop()
-    made = Driver(loop, Clock(loop), EngineOptions(TOLD, 1, 9))
-    servers = Closing()
-    made.connect(servers, None, None)
-    made._balancer.server_list(made._clock.now(), "all", [model.Listing("s0"), model.Listing("s1")])
+    engine = Driver(loop, Clock(loop), EngineOptions(DEFAULT_SETTINGS, 1, 9))
+    servers = ClosingServers()
+    engine.connect(servers, None, None)
+    engine._balancer.server_list(engine._clock.now(), "all", [model.Listing("s0"), model.Listing("s1")])
     call = Call("c1")
     call.traffic_class = 2
-    request = made.arrive(call, made._clock.now())
-    gone = tuple(dataclasses.replace(row, gone=number == 2) for number, row in enumerate(TOLD.profiles))
-    assert made.update_settings(dataclasses.replace(TOLD, profiles=gone))
+    request = engine.arrive(call, engine._clock.now())
+    gone = tuple(
+        dataclasses.replace(row, gone=number == 2) for number, row in enumerate(DEFAULT_SETTINGS.profiles)
+    )
+    assert engine.update_settings(dataclasses.replace(DEFAULT_SETTINGS, profiles=gone))
     servers.done[0](AttemptResult(Outcome.CONNECT_FAILED))
     assert call.answers == ["refused"]
     assert len(servers.done) == 1
-    assert made.is_idle
-    assert request.id not in made._requests
+    assert engine.is_idle
+    assert request.id not in engine._requests
 
 
 # --- races ------------------------------------------------------------------------------
@@ -93,14 +95,14 @@
 OK = AttemptResult(Outcome.OK, UpstreamResponse([], b"done"))
 
 
-class Served(Call):
+class ServedCall(Call):
     """A call that records its answers, including the bodies of servers."""
 
     def served(self, answer):
         self.answers.append(answer.body)
 
 
-class Asked(Closing):
+class MessageServers(ClosingServers):
     """Servers that keep the callbacks that encode messages."""
 
     def __init__(self):
@@ -112,68 +114,68 @@
         return super().send(server, message, expires, done)
 
 
-def crossing(**scripts):
-    made = driver(most=9, **scripts)
-    made.servers = made._upstreams = Asked()
-    return made
+def racing_driver(**scripts):
+    engine = driver(max_open=9, **scripts)
+    engine.servers = engine._upstreams = MessageServers()
+    return engine
 
 
-def due(made, method):
+def fire_timers(engine, method):
     """Call the timers of one method even if they were cancelled, as if due in this iteration of the loop."""
-    for callback, *args in list(made.loop.later):
+    for callback, *args in list(engine.loop.later):
         if callback == method:
             callback(*args)
 
 
 def test_an_outcome_after_the_attempt_timed_out_is_ignored():
-    made = crossing(outcome=lambda now, number, *rest: [Fail(number)])
-    call = arrive(made, Served("c1"))
-    due(made, made._on_attempt_timeout)
-    made.servers.done[0](OK)
-    assert [status for _, status, _ in made._balancer.outcomes()] == [Outcome.TIMEOUT]
+    engine = racing_driver(outcome=lambda now, number, *rest: [Fail(number)])
+    call = arrive(engine, ServedCall("c1"))
+    fire_timers(engine, engine._on_attempt_timeout)
+    engine.servers.done[0](OK)
+    assert [status for _, status, _ in engine._balancer.outcomes()] == [Outcome.TIMEOUT]
     assert call.answers == ["failed"]
-    assert made.is_idle
-    assert not made._requests
+    assert engine.is_idle
+    assert not engine._requests
 
 
 def test_a_time_out_and_a_guard_in_the_iteration_of_the_answer_are_ignored():
-    made = crossing()
-    call = arrive(made, Served("c1"))
-    made.servers.done[0](OK)
-    due(made, made._on_attempt_timeout)
-    due(made, made._on_guard)
-    assert [status for _, status, _ in made._balancer.outcomes()] == [Outcome.OK]
-    assert made._balancer.named("client_gone") == []
+    engine = racing_driver()
+    call = arrive(engine, ServedCall("c1"))
+    engine.servers.done[0](OK)
+    fire_timers(engine, engine._on_attempt_timeout)
+    fire_timers(engine, engine._on_guard)
+    assert [status for _, status, _ in engine._balancer.outcomes()] == [Outcome.OK]
+    assert engine._balancer.named("client_gone") == []
     assert call.answers == [b"done"]
 
 
 def test_an_answer_after_the_guard_in_the_same_iteration_is_too_late(capsys):
-    made = crossing()
-    call = arrive(made, Served("c1"))
-    due(made, made._on_guard)
-    made.servers.done[0](OK)
+    engine = racing_driver()
+    call = arrive(engine, ServedCall("c1"))
+    fire_timers(engine, engine._on_guard)
+    engine.servers.done[0](OK)
     assert call.answers == ["failed"]
-    assert made._balancer.outcomes() == [(0, Outcome.OK, True)]
-    assert not made._requests
-    assert made._open_count == 0
+    assert engine._balancer.outcomes() == [(0, Outcome.OK, True)]
+    assert not engine._requests
+    assert engine._open_count == 0
 
 
 def test_a_send_after_the_answer_in_one_batch_is_abandoned():
-    made = crossing(
+    engine = racing_driver(
         request=lambda now, arrival: [Refuse(arrival.request, 0.0), Send(arrival.request, "s0", 0.0)]
     )
-    call = arrive(made, Served("c1"))
-    due(made, made._on_outcome)
-    assert made.servers.done == []
-    assert made._balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
+    call = arrive(engine, ServedCall("c1"))
+    fire_timers(engine, engine._on_outcome)
+    assert engine.servers.done == []
+    assert engine._balancer.outcomes() == [(0, Outcome.ABANDONED, True)]
     assert call.answers == ["refused"]
-    assert not made._requests
+    assert not engine._requests
 
 
 def test_nothing_is_written_for_a_request_that_ended_while_its_attempt_waited_for_a_connection():
-    made = crossing()
-    request = made.arrive(Served("c1"), made._clock.now())
-    (message,) = made.servers.messages
+    engine = racing_driver()
+    request = engine.arrive(ServedCall("c1"), engine._clock.now())
+    (message,) = engine.servers.messages
     assert message(100.0) == b""
-    made.client_gone(request)
+    engine.client_gone(request)
     assert message(100.0) is None
--- a/tests/proxy/engine/test_lag.py
+++ b/tests/proxy/engine/test_lag.py
@@ -8,7 +8,7 @@
 from fordtrestle.proxy.engine.lag import LoopLagMeter
 
 
-class Virtual:
+class VirtualLoop:
     """A scheduler whose time the test advances; after a stall, due timers run late."""
 
     def __init__(self):
@@ -49,7 +49,7 @@
 
 
 def test_in_the_turn_after_a_stall_the_lag_is_the_stall():
-    loop = Virtual()
+    loop = VirtualLoop()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     loop.run(1.0)
@@ -65,7 +65,7 @@
 
 
 def test_repeated_stalls_raise_the_mean_lag():
-    loop = Virtual()
+    loop = VirtualLoop()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     for _ in range(30):
@@ -75,7 +75,7 @@
 
 
 def test_while_the_process_is_idle_no_timer_is_set():
-    loop, busy = Virtual(), True
+    loop, busy = VirtualLoop(), True
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: busy)
     assert loop.pending == 0
     meter.wake()
@@ -96,7 +96,7 @@
 
 def test_the_iteration_after_a_late_sample_still_reports_the_lag():
     """A process that was stopped in its sleep handles timers first and sockets in the next iteration."""
-    loop = Virtual()
+    loop = VirtualLoop()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     loop.run(0.05)
@@ -114,7 +114,7 @@
 
 def test_a_stall_in_the_turn_after_a_late_sample_counts_like_any_other():
     """Guards against ignoring a second stall while the first one is being measured."""
-    loop = Virtual()
+    loop = VirtualLoop()
     meter = LoopLagMeter(loop, lambda: loop.now * 1000.0, lambda: True)
     meter.wake()
     loop.stall(0.5)
--- a/tests/proxy/engine/test_observed_driver.py
+++ b/tests/proxy/engine/test_observed_driver.py
@@ -73,35 +73,40 @@
         return Call("")
 
 
-def driver(most=2, **scripts):
+def driver(max_open=2, **scripts):
     loop, recorded = Loop(), []
-    made = ObservedDriver(
+    engine = ObservedDriver(
         loop,
         Clock(loop),
-        EngineOptions(model.Settings.parse(SETTINGS), 1, most),
-        lambda *act: recorded.append(act),
+        EngineOptions(model.Settings.parse(SETTINGS), 1, max_open),
+        lambda *action: recorded.append(action),
     )
-    made._balancer, made.servers, made.recorded, made.loop = Scripted(**scripts), Servers(), recorded, loop
-    made.connect(made.servers, None, None)
-    return made
+    engine._balancer, engine.servers, engine.recorded, engine.loop = (
+        Scripted(**scripts),
+        Servers(),
+        recorded,
+        loop,
+    )
+    engine.connect(engine.servers, None, None)
+    return engine
 
 
-def arrive(made, call):
-    made.arrive(call, made._clock.now())
+def arrive(engine, call):
+    engine.arrive(call, engine._clock.now())
     return call
 
 
-def retried(now, number, hop, *rest):
+def retry_once(now, number, hop, *rest):
     return [Send(number, "s1", 0.0)] if hop == 0 else [Fail(number, Cause.ATTEMPTS)]
 
 
 def test_attempts_are_recorded_as_picks_repeats_and_retries_and_a_final_failure_as_failure():
-    made = driver(outcome=retried)
-    arrive(made, Call("c1"))
-    call = arrive(made, Call("c2", again=True))
+    engine = driver(outcome=retry_once)
+    arrive(engine, Call("c1"))
+    call = arrive(engine, Call("c2", again=True))
     for turn in (1, 2):
-        made.servers.done[turn](AttemptResult(Outcome.ERROR))
-    assert made.recorded == [
+        engine.servers.done[turn](AttemptResult(Outcome.ERROR))
+    assert engine.recorded == [
         ("pick", "c1", "s0", 0, ""),
         ("repeat", "c2", "s0", 0, ""),
         ("retry", "c2", "s1", 1, ""),
@@ -111,34 +116,34 @@
 
 
 @pytest.mark.parametrize(
-    ("script", "what", "cause"),
+    ("script", "action", "cause"),
     [
         (lambda now, arrival: [Refuse(arrival.request, 0.0, Cause.COLD)], "refusal", "cold"),
         (lambda now, arrival: [Fail(arrival.request, Cause.NO_TIME)], "failure", "no_time"),
         (lambda now, arrival: 1 / 0, "failure", "module_fault"),
     ],
 )
-def test_each_answer_is_recorded_once(script, what, cause, capsys):
-    made = driver(request=script)
-    call = arrive(made, Call("c1"))
-    assert made.recorded == [(what, "c1", "", 0, cause)]
+def test_each_answer_is_recorded_once(script, action, cause, capsys):
+    engine = driver(request=script)
+    call = arrive(engine, Call("c1"))
+    assert engine.recorded == [(action, "c1", "", 0, cause)]
     assert len(call.answers) == 1
 
 
 def test_a_request_beyond_max_open_is_a_refusal_and_an_unanswered_one_a_failure(capsys):
-    made = driver(most=1, request=lambda now, arrival: [])
-    arrive(made, Call("c1"))
-    arrive(made, Call("c2"))
-    guard, request = made.loop.later[0]
+    engine = driver(max_open=1, request=lambda now, arrival: [])
+    arrive(engine, Call("c1"))
+    arrive(engine, Call("c2"))
+    guard, request = engine.loop.later[0]
     guard(request)
-    assert made.recorded == [("refusal", "c2", "", 0, "max_open"), ("failure", "c1", "", 0, "unanswered")]
+    assert engine.recorded == [("refusal", "c2", "", 0, "max_open"), ("failure", "c1", "", 0, "unanswered")]
 
 
 def test_an_attempt_that_never_started_is_not_recorded():
-    made = driver(request=lambda now, arrival: [Send(arrival.request, "s0", -1.0)])
-    arrive(made, Call("c1", budget=500.0))
-    assert made.recorded == []
-    assert made.servers.done == []
+    engine = driver(request=lambda now, arrival: [Send(arrival.request, "s0", -1.0)])
+    arrive(engine, Call("c1", budget=500.0))
+    assert engine.recorded == []
+    assert engine.servers.done == []
 
 
 def test_clock_time_is_not_affected_by_jumps_of_the_wall_clock():
--- a/tests/proxy/http/test_accept.py
+++ b/tests/proxy/http/test_accept.py
@@ -21,13 +21,13 @@
     return int(answer.start.split(" ")[1])
 
 
-def tight(sidecar, places, reserve=1):
+def limit_descriptors(sidecar, descriptors, reserve=1):
     """Limit the descriptors of clients and of the reserve at the limit, independent of those of servers."""
-    sidecar.front.budget = Limits(places, 2**20, 1000).budget("clients")
+    sidecar.front.budget = Limits(descriptors, 2**20, 1000).budget("clients")
     sidecar.front.reserve = Limits(reserve, 0, 0).descriptors.add_share("at the limit")
 
 
-def until_event(event):
+def answer_after(event):
     async def wait(reader, writer):
         await event.wait()
         return OK
@@ -39,7 +39,7 @@
 async def test_each_complete_request_is_answered_with_more_connections_than_descriptors():
     """Guards against accepting connections beyond the limit only to cut them off."""
     release = asyncio.Event()
-    upstream = await Upstream([until_event(release)]).start()
+    upstream = await Upstream([answer_after(release)]).start()
     limits = {**partners.SETTINGS["PolicyLimits"], "RetryAfter": True, "MaxRetryAfter": 2000.0}
     async with running(upstream, raw={"limits": {"sockets": 128}}, PolicyLimits=limits) as sidecar:
         apps = [await App.connect(sidecar.address) for _ in range(150)]
@@ -61,7 +61,7 @@
 async def test_a_client_at_the_limit_can_read_its_answer_while_it_keeps_sending():
     upstream = await Upstream([hang]).start()
     async with running(upstream) as sidecar:
-        tight(sidecar, places=1)
+        limit_descriptors(sidecar, descriptors=1)
         busy = await App.connect(sidecar.address)
         busy.send()
         await until(lambda: upstream.seen)
@@ -76,9 +76,9 @@
 @virtual
 async def test_a_connection_at_the_limit_gets_a_free_descriptor_when_it_sends_a_request():
     release = asyncio.Event()
-    upstream = await Upstream([until_event(release), OK]).start()
+    upstream = await Upstream([answer_after(release), OK]).start()
     async with running(upstream) as sidecar:
-        tight(sidecar, places=1)
+        limit_descriptors(sidecar, descriptors=1)
         busy = await App.connect(sidecar.address)
         busy.send()
         await until(lambda: upstream.seen)
@@ -93,10 +93,10 @@
 @virtual
 async def test_connections_without_a_descriptor_wait_in_the_backlog_and_are_served_later():
     release = asyncio.Event()
-    upstream = await Upstream([until_event(release)]).start()
+    upstream = await Upstream([answer_after(release)]).start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
-        tight(sidecar, places=2, reserve=0)
+        limit_descriptors(sidecar, descriptors=2, reserve=0)
         busy = [await App.connect(sidecar.address) for _ in range(2)]
         for app in busy:
             app.send()
@@ -127,17 +127,17 @@
     """
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 96}}) as sidecar:
-        crowd = []
+        flood = []
         for turn in range(12):
             more = [await App.connect(sidecar.address) for _ in range(20)]
             for app in more:
                 app.writer.write(sent)
-            crowd += more
+            flood += more
             await asyncio.sleep(0.03)
             good = await App.connect(sidecar.address)
             assert status_of(await good.ask()) == 200, f"turn {turn}"
         assert len(sidecar.front.table) <= sidecar.limits.descriptors.capacity
-        for app in crowd:
+        for app in flood:
             app.close()
 
 
@@ -145,7 +145,7 @@
 async def test_a_pending_connection_is_evicted_only_after_the_next_one_waited_for_the_accept_pause():
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        tight(sidecar, places=2, reserve=0)
+        limit_descriptors(sidecar, descriptors=2, reserve=0)
         patient = TableOptions(max_clients=9, min_grace_ms=60_000.0, max_grace_ms=60_000.0)
         sidecar.front.table = ConnectionTable(patient)
         loop = asyncio.get_running_loop()
@@ -159,15 +159,15 @@
         assert not silent[1].reader.at_eof()
 
 
-class Listening(socket.socket):
+class FailingSocket(socket.socket):
     """A listening socket for which the system grants no descriptor for a while."""
 
-    refuses = False
-    asked = 0
+    is_failing = False
+    accept_count = 0
 
     def accept(self):
-        self.asked += 1
-        if self.refuses:
+        self.accept_count += 1
+        if self.is_failing:
             raise OSError(errno.EMFILE, "Too many open files")
         return super().accept()
 
@@ -177,20 +177,20 @@
     """Guards against a busy loop, or a pause of a second, on a listening socket that stays readable."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sock = Listening()
+        sock = FailingSocket()
         sock.bind(("127.0.0.1", 0))
         sock.listen(16)
         address = await sidecar.front.listen(sock)
         resting = await App.connect(address)
         for _ in range(2):  # with two requests, nothing but an eviction closes it
             assert status_of(await resting.ask()) == 200
-        sock.refuses, sock.asked = True, 0
+        sock.is_failing, sock.accept_count = True, 0
         good = await App.connect(address)
         good.send()
         await asyncio.sleep(0.3)
-        assert 2 <= sock.asked <= 8  # one every 50 ms
+        assert 2 <= sock.accept_count <= 8  # one every 50 ms
         assert await resting.answer() is None  # it was evicted
-        sock.refuses = False
+        sock.is_failing = False
         assert status_of(await good.answer()) == 200
 
 
@@ -214,9 +214,9 @@
 async def test_lingering_connections_at_the_limit_do_not_shield_idle_ones():
     """Guards against refusing a client because many rejected connections at the limit still linger."""
     release = asyncio.Event()
-    upstream = await Upstream([until_event(release), OK]).start()
+    upstream = await Upstream([answer_after(release), OK]).start()
     async with running(upstream) as sidecar:
-        tight(sidecar, places=1, reserve=20)
+        limit_descriptors(sidecar, descriptors=1, reserve=20)
         busy = await App.connect(sidecar.address)
         busy.send()
         await until(lambda: upstream.seen)
@@ -237,9 +237,9 @@
 async def test_lingering_connections_at_the_limit_do_not_prevent_reclaiming():
     """Guards against a server that gives nothing back because many connections at its limit still linger."""
     release = asyncio.Event()
-    upstream = await Upstream([until_event(release), OK]).start()
+    upstream = await Upstream([answer_after(release), OK]).start()
     async with running(upstream) as sidecar:
-        tight(sidecar, places=1, reserve=20)
+        limit_descriptors(sidecar, descriptors=1, reserve=20)
         busy = await App.connect(sidecar.address)
         busy.send()
         await until(lambda: upstream.seen)
@@ -264,18 +264,18 @@
 async def test_pending_connections_at_the_limit_are_not_evicted_if_that_frees_no_descriptor(waited_s):
     """Each of them may be about to send a request, which is then answered."""
     release = asyncio.Event()
-    upstream = await Upstream([until_event(release), OK]).start()
+    upstream = await Upstream([answer_after(release), OK]).start()
     async with running(upstream) as sidecar:
-        tight(sidecar, places=1, reserve=6)
+        limit_descriptors(sidecar, descriptors=1, reserve=6)
         busy = await App.connect(sidecar.address)
         busy.send()
         await until(lambda: upstream.seen)
         silent = [await App.connect(sidecar.address) for _ in range(5)]
         await until(lambda: sidecar.front.reserve.used == 5)
-        asks = await App.connect(sidecar.address)
+        requester = await App.connect(sidecar.address)
         await until(lambda: sidecar.front.reserve.used == 6)
         await asyncio.sleep(waited_s)  # with or without the end of their grace
-        assert status_of(await asks.ask()) == 503
+        assert status_of(await requester.ask()) == 503
         assert sidecar.front.reserve.used == 6  # the refused connection lingers
         for app in silent:
             assert status_of(await app.ask()) == 503
@@ -286,9 +286,9 @@
 @virtual
 async def test_the_oldest_silent_connection_at_the_limit_is_evicted_for_one_that_waited():
     release = asyncio.Event()
-    upstream = await Upstream([until_event(release), OK]).start()
+    upstream = await Upstream([answer_after(release), OK]).start()
     async with running(upstream) as sidecar:
-        tight(sidecar, places=1, reserve=2)
+        limit_descriptors(sidecar, descriptors=1, reserve=2)
         busy = await App.connect(sidecar.address)
         busy.send()
         await until(lambda: upstream.seen)
--- a/tests/proxy/http/test_bad_clients.py
+++ b/tests/proxy/http/test_bad_clients.py
@@ -74,10 +74,10 @@
 
 
 @contextlib.asynccontextmanager
-async def all_given_back(upstream, **changes):
+async def everything_released(upstream, **changes):
     """Run a sidecar with a good client, and check that the other clients release everything."""
     raised = []
-    asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
+    asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context))
     async with running(upstream, **changes) as sidecar:
         # Servers and clients load this core as well, which would count as overload of the sidecar.
         sidecar.front.wake = sidecar.front.lag.wake
@@ -87,7 +87,9 @@
         await until(lambda: not len(sidecar.front.table) and sidecar.driver.is_idle)
         await until(lambda: not sidecar.front.intake.open_call_ids)
     await until(lambda: not sidecar.limits.unreleased())
-    assert [told for told in raised if "exception" in told and "StreamReader" not in str(told)] == []
+    assert [
+        context for context in raised if "exception" in context and "StreamReader" not in str(context)
+    ] == []
 
 
 def leave(writer, how):
@@ -180,7 +182,7 @@
     )
 
 
-HALVES = (
+INCOMPLETE_REQUESTS = (
     half_a_head,
     a_head_that_trickles,
     a_head_without_end,
@@ -194,7 +196,7 @@
 )
 
 
-@pytest.mark.parametrize("send", HALVES, ids=lambda send: send.__name__)
+@pytest.mark.parametrize("send", INCOMPLETE_REQUESTS, ids=lambda send: send.__name__)
 @virtual
 async def test_a_flood_of_incomplete_requests_ends_soon_and_forwards_nothing(send, monkeypatch):
     """Each client sends for as long as it can and is disconnected by the sidecar."""
@@ -212,7 +214,7 @@
         await asyncio.gather(sending, return_exceptions=True)
         writer.transport.abort()
 
-    async with all_given_back(upstream) as sidecar:
+    async with everything_released(upstream) as sidecar:
         await asyncio.gather(*(bad(sidecar.address, number) for number in range(CLIENTS)))
     assert upstream.of_bad_clients() == []
 
@@ -222,7 +224,7 @@
 async def test_a_request_whose_client_leaves_at_once_is_at_most_one_attempt(how):
     upstream = await Echo().start()
     upstream.open.clear()
-    async with all_given_back(upstream) as sidecar:
+    async with everything_released(upstream) as sidecar:
         for number in range(CLIENTS):
             sock = socket.create_connection(sidecar.address)
             sock.sendall(calls(f"gone-{number}", 1, "/pay")[0])
@@ -250,7 +252,7 @@
 @virtual
 async def test_bytes_after_the_last_request_are_not_a_request(behind, answers):
     upstream = await Echo().start()
-    async with all_given_back(upstream) as sidecar:
+    async with everything_released(upstream) as sidecar:
         app = await App.connect(sidecar.address)
         app.writer.write(calls("last", 1, "/pay", Connection="close")[0] + behind)
         answer = await app.answer()
@@ -276,7 +278,7 @@
         leave(writer, how)
         return writer
 
-    async with all_given_back(upstream) as sidecar:
+    async with everything_released(upstream) as sidecar:
         writers = [await bad(sidecar.address, number) for number in range(CLIENTS)]
         await asyncio.sleep(GONE_S)
         in_time = upstream.of_bad_clients()
--- a/tests/proxy/http/test_bad_servers.py
+++ b/tests/proxy/http/test_bad_servers.py
@@ -152,7 +152,7 @@
     for name, behave, listed in servers:
         await site.add(name, behave, **listed)
     raised = []
-    asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
+    asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context))
     watching = asyncio.create_task(site.lag.watch())
     try:
         raw = {"known": site.known(), **changes}
@@ -167,7 +167,9 @@
         watching.cancel()
         site.stop()
     assert site.broken() == []
-    assert [told for told in raised if "exception" in told and "StreamReader" not in str(told)] == []
+    assert [
+        context for context in raised if "exception" in context and "StreamReader" not in str(context)
+    ] == []
 
 
 async def in_turn(site, address, kind, count):
--- a/tests/proxy/http/test_client_gone.py
+++ b/tests/proxy/http/test_client_gone.py
@@ -15,16 +15,16 @@
 from fordtrestle.proxy.http.client_connection import ClientConnection
 from tests import loopback as partners
 from tests.loopback import OK, PATIENCE_S, App, Scripted, Upstream, hang, request, running, until
-from tests.proxy.http.test_holding import LARGE, bare
+from tests.proxy.http.test_holding import LARGE, connect_socket
 from tests.proxy.http.test_upstream import FULL
 from tests.virtual import virtual
 
 LIMITS = {**partners.SETTINGS["PolicyLimits"], "ConnectTimeout": 10_000.0}
-AT_REST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
+READINESS_REQUEST = b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
 @pytest.fixture
-def no_settling(monkeypatch):
+def no_reuse_delay(monkeypatch):
     """Allow a connection to be reused at once."""
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
 
@@ -48,13 +48,13 @@
     sock.shutdown(socket.SHUT_WR)
 
 
-def holders(sidecar):
+def connections(sidecar):
     return [entry.owner for entry in sidecar.front.table]
 
 
 def leave(sidecar, sock, how):
     """Disconnect the client in this iteration: the kernel has its end, and the loop can't have seen it."""
-    (connection,) = holders(sidecar)
+    (connection,) = connections(sidecar)
     source = connection._transport.get_extra_info("socket")
     poll = select.poll()
     poll.register(source.fileno(), select.POLLRDHUP)
@@ -62,17 +62,17 @@
     assert poll.poll(PATIENCE_S * 1000.0)
 
 
-async def rested(sidecar):
+async def connect_idle(sidecar):
     """Connect a client whose connection has its transport and is idle."""
-    sock = await bare(sidecar.address, 2**16)
-    await asyncio.get_running_loop().sock_sendall(sock, AT_REST)
+    sock = await connect_socket(sidecar.address, 2**16)
+    await asyncio.get_running_loop().sock_sendall(sock, READINESS_REQUEST)
     assert b" 200 " in await asyncio.get_running_loop().sock_recv(sock, 1000)
-    await until(lambda: isinstance(holders(sidecar)[0]._transport, asyncio.Transport))
+    await until(lambda: isinstance(connections(sidecar)[0]._transport, asyncio.Transport))
     return sock
 
 
-async def nothing_is_held(sidecar):
-    await until(lambda: not holders(sidecar) and not sidecar.driver._requests)
+async def everything_is_released(sidecar):
+    await until(lambda: not connections(sidecar) and not sidecar.driver._requests)
     assert sidecar.limits.calls.used == 0
     assert not sidecar.front.reading_paused
 
@@ -83,7 +83,7 @@
     upstream = await Upstream().start()
     module = Scripted(request=lambda now, arrival: [Timer(0.0, str(arrival.request))])
     async with running(upstream, balancer=module) as sidecar:
-        sock = await rested(sidecar)
+        sock = await connect_idle(sidecar)
 
         def due(now, token):
             leave(sidecar, sock, how)
@@ -95,18 +95,18 @@
         assert module.outcomes() == [(0, Outcome.ABANDONED, True)]  # `client_gone` was reported before
         assert len(module.named("client_gone")) == 1
         assert upstream.writers == []  # no connection is made for it either
-        await nothing_is_held(sidecar)
+        await everything_is_released(sidecar)
         sock.close()
 
 
-@pytest.mark.usefixtures("no_settling")
+@pytest.mark.usefixtures("no_reuse_delay")
 @pytest.mark.parametrize("how", [close, reset])
 @virtual
 async def test_no_retry_starts_in_the_iteration_in_which_the_client_leaves(how):
     upstream = await Upstream([FULL, OK]).start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
-        sock = await rested(sidecar)
+        sock = await connect_idle(sidecar)
 
         def again(now, number, hop, *rest):
             if hop:
@@ -120,7 +120,7 @@
         assert module.outcomes()[1] == (1, Outcome.ABANDONED, True)
         assert len(upstream.seen) == 1
         assert len(sidecar.pool._idle) == 1  # nothing was written on the connection that became idle
-        await nothing_is_held(sidecar)
+        await everything_is_released(sidecar)
 
 
 @pytest.mark.parametrize("how", [close, reset])
@@ -132,12 +132,12 @@
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
         if first:
-            sock = await bare(sidecar.address, 2**16)
-            await until(lambda: holders(sidecar))
-            fd = holders(sidecar)[0].sock.fileno()
+            sock = await connect_socket(sidecar.address, 2**16)
+            await until(lambda: connections(sidecar))
+            fd = connections(sidecar)[0].sock.fileno()
         else:
-            sock = await rested(sidecar)
-            fd = holders(sidecar)[0]._transport.get_extra_info("socket").fileno()
+            sock = await connect_idle(sidecar)
+            fd = connections(sidecar)[0]._transport.get_extra_info("socket").fileno()
         # No await from here on: the loop reads the request with the end already behind it.
         poll = select.poll()
         poll.register(fd, select.POLLRDHUP)
@@ -157,7 +157,7 @@
         await until(lambda: module.named("client_gone") and module.outcomes())
         assert [status for _, status, _ in module.outcomes()] == [Outcome.ABANDONED]
         assert upstream.writers == []
-        await nothing_is_held(sidecar)
+        await everything_is_released(sidecar)
 
 
 @pytest.mark.parametrize("how", [close, reset])
@@ -166,21 +166,21 @@
 async def test_no_attempt_starts_for_a_client_that_leaves_while_its_transport_is_set_up(after, how):
     """Covers each iteration from reading the first bytes until the transport exists."""
     upstream = await Upstream().start()
-    raised, stood = [], []
+    raised, transport_states = [], []
     asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context))
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
-        sock = await bare(sidecar.address, 2**16)
+        sock = await connect_socket(sidecar.address, 2**16)
 
         async def leave_then_send(number):
             for _ in range(after):
                 await asyncio.sleep(0)
-            stood.append(isinstance(holders(sidecar)[0]._transport, asyncio.Transport))
+            transport_states.append(isinstance(connections(sidecar)[0]._transport, asyncio.Transport))
             leave(sidecar, sock, how)
             sidecar.driver._perform(Send(number, "s0", 0.0))
 
         def begin(now, arrival):
-            stood.append(asyncio.get_running_loop().create_task(leave_then_send(arrival.request)))
+            transport_states.append(asyncio.get_running_loop().create_task(leave_then_send(arrival.request)))
             return []
 
         module.scripts["request"] = begin
@@ -189,10 +189,10 @@
         assert [status for _, status, _ in module.outcomes()] == [Outcome.ABANDONED]
         assert len(module.named("client_gone")) == 1
         assert upstream.writers == []
-        await nothing_is_held(sidecar)
+        await everything_is_released(sidecar)
         assert sidecar.limits.descriptors.used == 0
         assert not raised
-        assert (after, stood[1]) not in ((0, True), (5, False))  # the iterations cover both states
+        assert (after, transport_states[1]) not in ((0, True), (5, False))  # the iterations cover both states
 
 
 @pytest.mark.usefixtures("no_sweep")
@@ -204,7 +204,7 @@
     module = Scripted()
     upstream = await Upstream().start()
     async with running(upstream, balancer=module) as sidecar:
-        sock = await rested(sidecar)
+        sock = await connect_idle(sidecar)
 
         async def leaves_then_ok(reader, writer):
             leave(sidecar, sock, how)
@@ -212,7 +212,7 @@
 
         upstream.replies = [leaves_then_ok]
         await asyncio.get_running_loop().sock_sendall(sock, request() + request())
-        await nothing_is_held(sidecar)
+        await everything_is_released(sidecar)
         assert len(upstream.seen) == 1
         assert len(module.named("request")) == 1
         sock.close()
@@ -225,11 +225,11 @@
     module = Scripted()
     upstream = await Upstream([hang]).start()
     async with running(upstream, balancer=module) as sidecar:
-        sock = await rested(sidecar)
+        sock = await connect_idle(sidecar)
         await asyncio.get_running_loop().sock_sendall(sock, b"".join(request() for _ in range(3)))
-        await until(lambda: len(upstream.seen) == 2 and holders(sidecar)[0]._unserved)
+        await until(lambda: len(upstream.seen) == 2 and connections(sidecar)[0]._unserved)
         how(sock)
-        await until(lambda: not holders(sidecar))
+        await until(lambda: not connections(sidecar))
         assert len(module.named("client_gone")) == 2
         assert len(upstream.seen) == 2
         assert not sidecar.front.reading_paused
@@ -242,12 +242,12 @@
     monkeypatch.setattr(client_buffers, "UNSENT_TIMEOUT_MS", 3_600_000.0)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
-        sock = await bare(sidecar.address)
+        sock = await connect_socket(sidecar.address)
         await asyncio.get_running_loop().sock_sendall(sock, b"".join(request() for _ in range(16)))
         await until(lambda: sidecar.front.buffers.stalled)
         seen = len(upstream.seen)
         sock.shutdown(socket.SHUT_WR)
-        await until(lambda: not holders(sidecar))
+        await until(lambda: not connections(sidecar))
         assert len(upstream.seen) - seen < 16
         assert sidecar.limits.calls.used == 0
         assert not sidecar.front.reading_paused
@@ -274,7 +274,7 @@
         timer=lambda now, token: [Send(int(token), "s0", 0.0)],
     )
     async with running(upstream, balancer=module) as sidecar:
-        sock = await rested(sidecar)
+        sock = await connect_idle(sidecar)
         await asyncio.get_running_loop().sock_sendall(sock, request())
         await until(lambda: len(upstream.seen) == open_attempt and module.named("request"))
         how(sock)
@@ -292,11 +292,11 @@
 async def test_reading_paused_before_the_transport_exists_stays_paused():
     upstream = await Upstream([hang]).start()
     async with running(upstream, balancer=Scripted()) as sidecar:
-        sock = await bare(sidecar.address, 2**16)
+        sock = await connect_socket(sidecar.address, 2**16)
         loop = asyncio.get_running_loop()
         await loop.sock_sendall(sock, b"".join(request() for _ in range(5)))
-        await until(lambda: holders(sidecar) and isinstance(holders(sidecar)[0], ClientConnection))
-        (connection,) = holders(sidecar)
+        await until(lambda: connections(sidecar) and isinstance(connections(sidecar)[0], ClientConnection))
+        (connection,) = connections(sidecar)
         await until(lambda: isinstance(connection._transport, asyncio.Transport) and len(upstream.seen) == 4)
         assert len(connection._unanswered) == 5
         assert len(connection._unserved) == 1
@@ -334,7 +334,7 @@
 # --- dials ----------------------------------------------------------------------------
 
 
-class Held:
+class HeldConnects:
     """Connections to servers that are established but reported only once the test allows it."""
 
     def __init__(self, monkeypatch):
@@ -349,14 +349,14 @@
         return made
 
 
-@pytest.mark.usefixtures("no_settling")
+@pytest.mark.usefixtures("no_reuse_delay")
 @virtual
 async def test_a_connect_that_completes_after_the_client_left_carries_nothing_and_is_reused(monkeypatch):
     """Also if the settings forbid cancelling, so that the attempt continues."""
     upstream = await Upstream().start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
-        app, held = await App.connect(sidecar.address), Held(monkeypatch)
+        app, held = await App.connect(sidecar.address), HeldConnects(monkeypatch)
         app.send()
         await until(lambda: held.up)
         app.close()
@@ -375,7 +375,7 @@
     upstream = await Upstream().start()
     module = Scripted()
     async with running(upstream, balancer=module) as sidecar:
-        sock, held = await rested(sidecar), Held(monkeypatch)
+        sock, held = await connect_idle(sidecar), HeldConnects(monkeypatch)
         await asyncio.get_running_loop().sock_sendall(sock, request())
         await until(lambda: held.up)
         held.gate.set()
@@ -383,7 +383,7 @@
         await until(lambda: module.outcomes())
         assert module.outcomes() == [(0, Outcome.ABANDONED, True)]
         assert upstream.seen == []
-        await nothing_is_held(sidecar)
+        await everything_is_released(sidecar)
 
 
 @pytest.mark.parametrize("served", [True, False])
@@ -397,7 +397,7 @@
         return [Send(arrival.request, "s0", 0.0), other]
 
     async with running(first, second, balancer=module) as sidecar:
-        app, held = await App.connect(sidecar.address), Held(monkeypatch)
+        app, held = await App.connect(sidecar.address), HeldConnects(monkeypatch)
         real, only = held._real, sidecar.pool._servers["s0"].address
 
         async def held_for_first(make, host, port):
@@ -424,7 +424,7 @@
         outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)],
     )
     async with running(upstream, balancer=module, PolicyLimits=LIMITS) as sidecar:
-        app, held = await App.connect(sidecar.address), Held(monkeypatch)
+        app, held = await App.connect(sidecar.address), HeldConnects(monkeypatch)
         app.send("POST", "/book", b"x")
         await until(lambda: held.up)
         await asyncio.sleep(0.03)
--- a/tests/proxy/http/test_closing.py
+++ b/tests/proxy/http/test_closing.py
@@ -21,7 +21,7 @@
 READY = b"GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
 
-class Crossing:
+class CrossingClient:
     """A client whose bytes arrive just as the sidecar shuts down or closes its connection."""
 
     def __init__(self, monkeypatch, sock, late):
@@ -47,17 +47,17 @@
             return False
 
 
-async def client(address, kernel=0):
-    """Connect a client socket; `kernel` sets its receive buffer in bytes unless it is 0."""
+async def connect(address, receive_buffer_bytes=0):
+    """Connect a client socket; the kernel chooses its receive buffer if `receive_buffer_bytes` is 0."""
     sock = socket.socket()
-    if kernel:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, kernel)
+    if receive_buffer_bytes:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, tuple(address))
     return sock
 
 
-async def to_the_end(sock):
+async def read_to_end(sock):
     """Read everything up to the end; raises `ConnectionResetError` after a reset."""
     loop, got = asyncio.get_running_loop(), b""
     async with asyncio.timeout(10.0):
@@ -66,11 +66,11 @@
     return got
 
 
-def standing(front):
+def eviction_classes(front):
     return [entry.eviction_class for entry in front.table]
 
 
-async def asked(sock, sent):
+async def ask(sock, sent):
     """Send bytes and read the answer up to the end of the server's body."""
     loop, got = asyncio.get_running_loop(), b""
     await loop.sock_sendall(sock, sent)
@@ -90,15 +90,15 @@
         front.table = ConnectionTable(
             TableOptions(100, single_request_idle_timeout_ms=100.0 if why == "rest" else 1e9)
         )
-        sock = await client(sidecar.address)
+        sock = await connect(sidecar.address)
         if why == "overdue":
             await asyncio.get_running_loop().sock_sendall(sock, b"\r\n")  # no request, but no longer pending
             await until(lambda: any(isinstance(entry.owner, ClientConnection) for entry in front.table))
             await until(lambda: not front._starting)
         else:
-            await asked(sock, request())
+            await ask(sock, request())
             await until(lambda: front.table.idle_count == 1)
-        crossing = Crossing(monkeypatch, sock, request())
+        crossing = CrossingClient(monkeypatch, sock, request())
         if why == "drain":
             drain = asyncio.create_task(sidecar.drain())
         elif why == "too many":
@@ -107,7 +107,7 @@
             await other.ask()
         elif why == "overdue":
             next(iter(front.table)).owner.on_request_overdue()
-        assert await to_the_end(sock) == b""
+        assert await read_to_end(sock) == b""
         assert crossing.crossed == ["shutdown"]
         sock.close()
         if drain is not None:
@@ -130,10 +130,10 @@
 async def test_bytes_that_cross_the_close_do_not_truncate_the_last_answer(first, status, monkeypatch):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sock = await client(sidecar.address)
-        crossing = Crossing(monkeypatch, sock, request())
+        sock = await connect(sidecar.address)
+        crossing = CrossingClient(monkeypatch, sock, request())
         await asyncio.get_running_loop().sock_sendall(sock, first)
-        answer = await to_the_end(sock)
+        answer = await read_to_end(sock)
         assert answer.split(b" ")[1] == status
         assert b"Connection: close" in answer
         assert answer.count(b"HTTP/1.1") == 1
@@ -153,11 +153,11 @@
     monkeypatch.setattr(client_stream, "LINGER_TIMEOUT_S", 0.02)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
-        sock = await client(sidecar.address, kernel=4096)
+        sock = await connect(sidecar.address, receive_buffer_bytes=4096)
         await asyncio.get_running_loop().sock_sendall(sock, request(Connection="close"))
         await until(lambda: sidecar.front.buffers.stalled)
         await asyncio.sleep(5 * client_stream.LINGER_TIMEOUT_S)
-        assert (await to_the_end(sock)).count(b"x") == BODY
+        assert (await read_to_end(sock)).count(b"x") == BODY
         await until(lambda: sidecar.front.is_empty)  # although the client does not close the connection
         sock.close()
 
@@ -167,13 +167,15 @@
     """Guards against a close while the kernel still buffers the answer: a reset would lose it."""
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
-        sock = await client(sidecar.address, kernel=4096)
+        sock = await connect(sidecar.address, receive_buffer_bytes=4096)
         await asyncio.get_running_loop().sock_sendall(sock, request(Connection="close"))
-        await until(lambda: standing(sidecar.front) == [EvictionClass.REJECTED])  # closed here and lingering
+        await until(
+            lambda: eviction_classes(sidecar.front) == [EvictionClass.REJECTED]
+        )  # closed here and lingering
         (entry,) = sidecar.front.table
         await until(lambda: not entry.owner.unsent_bytes)
         assert not entry.owner.is_evictable
-        assert (await to_the_end(sock)).count(b"x") == BODY
+        assert (await read_to_end(sock)).count(b"x") == BODY
         await until(lambda: sidecar.front.is_empty or entry.owner.is_evictable)
         sock.close()
 
@@ -181,7 +183,7 @@
 @virtual
 async def test_tcp_nodelay_is_set_on_a_connection_without_a_transport():
     async with running() as sidecar:
-        socks = [await client(sidecar.address) for _ in range(2)]
+        socks = [await connect(sidecar.address) for _ in range(2)]
         await until(lambda: len(sidecar.front.table) == 2)
         delays = [
             entry.owner.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -196,11 +198,11 @@
 async def test_a_reset_while_the_last_bytes_of_an_answer_are_written_raises_nothing(monkeypatch):
     """Guards against an uncaught error in a callback of the loop, which shuts down writing by itself."""
     raised = []
-    asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
+    asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context))
     monkeypatch.setattr(server_module, "SEND_BUFFER_BYTES", 4096)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
-        sock = await client(sidecar.address, kernel=4096)
+        sock = await connect(sidecar.address, receive_buffer_bytes=4096)
         await asyncio.get_running_loop().sock_sendall(sock, request(Connection="close"))
         await until(lambda: sidecar.front.buffers.stalled)
         plain, shut = socket.socket.shutdown, []
@@ -218,7 +220,7 @@
                 sock.recv(65536)
             await asyncio.sleep(0)
         await until(lambda: sidecar.front.is_empty)
-        assert [told for told in raised if isinstance(told.get("exception"), OSError)] == []
+        assert [context for context in raised if isinstance(context.get("exception"), OSError)] == []
 
 
 @pytest.mark.parametrize("asked_before", [False, True])
@@ -227,15 +229,15 @@
     """It is closed without lingering, as its descriptor is needed; nothing is lost and its client retries."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sock = await client(sidecar.address)
+        sock = await connect(sidecar.address)
         if asked_before:
-            await asked(sock, request())
+            await ask(sock, request())
         await until(lambda: len(sidecar.front.table) == 1)
         await until(lambda: sidecar.front.table.idle_count == asked_before)
-        crossing = Crossing(monkeypatch, sock, request())
+        crossing = CrossingClient(monkeypatch, sock, request())
         sidecar.front.on_descriptors_exhausted()
         with contextlib.suppress(ConnectionResetError):
-            assert await to_the_end(sock) == b""
+            assert await read_to_end(sock) == b""
         sock.close()
         assert crossing.crossed == ["close"]
         await until(lambda: sidecar.front.is_empty)
--- a/tests/proxy/http/test_counts.py
+++ b/tests/proxy/http/test_counts.py
@@ -15,11 +15,11 @@
 async def counts(sidecar):
     answer = await (await App.connect(sidecar.address)).ask("GET", COUNTS, X_Call_Id=None)
     assert answer.start.split(" ")[1] == "200"
-    told = json.loads(answer.body)
-    return told["service"]["sidecar"], told["front"]["sidecar"]
+    body = json.loads(answer.body)
+    return body["service"]["sidecar"], body["front"]["sidecar"]
 
 
-async def told_as(sidecar, status, *args, **headers):
+async def ask_expecting(sidecar, status, *args, **headers):
     answer = await (await App.connect(sidecar.address)).ask(*args, **headers)
     assert int(answer.start.split(" ")[1]) == status
 
@@ -39,7 +39,7 @@
     module = Scripted(request=lambda now, arrival: [answers.pop(0)(arrival.request)])
     async with running(balancer=module) as sidecar:
         for status in (503, 503, 503, 502):
-            await told_as(sidecar, status)
+            await ask_expecting(sidecar, status)
         service, front = await counts(sidecar)
     assert service == {"look": {"refused": {"cold": 2, "shed": 1}, "failed": {"no_time": 1}}}
     assert front == {}
@@ -48,7 +48,7 @@
 @virtual
 async def test_a_readiness_check_returns_no_counts():
     async with running(balancer=Scripted(request=answering(lambda n: Refuse(n, 0.0, Cause.COLD)))) as sidecar:
-        await told_as(sidecar, 503)
+        await ask_expecting(sidecar, 503)
         for method, target in (("GET", "/health/ready"), ("GET", "/health/ready?x=1"), ("HEAD", COUNTS)):
             app = await App.connect(sidecar.address)
             app.send(method, target, X_Call_Id=None)
@@ -65,10 +65,10 @@
         held = await App.connect(sidecar.address)
         held.send(X_Call_Id="abc")
         await until(lambda: upstream.seen)
-        await told_as(sidecar, 503)
-        await told_as(sidecar, 409, X_Call_Id="abc")
-        await told_as(sidecar, 400, X_Caller="nobody")
-        await told_as(sidecar, 431, X_Long="x" * 20_000)
+        await ask_expecting(sidecar, 503)
+        await ask_expecting(sidecar, 409, X_Call_Id="abc")
+        await ask_expecting(sidecar, 400, X_Caller="nobody")
+        await ask_expecting(sidecar, 431, X_Long="x" * 20_000)
         service, front = await counts(sidecar)
         held.close()
     assert service == {"look": {"refused": {"max_open": 1}}}
@@ -83,12 +83,12 @@
         busy = await App.connect(sidecar.address)
         busy.send("POST", "/pay")
         await until(lambda: upstream.seen)
-        await told_as(sidecar, 503)
+        await ask_expecting(sidecar, 503)
         sidecar.front.evictor.claim_descriptor = lambda connection: False
-        await told_as(sidecar, 503)
+        await ask_expecting(sidecar, 503)
         sidecar.front.intake.accept_until_ms = 0.0
-        await told_as(sidecar, 503)
-        await told_as(sidecar, 503, "POST", "/pay")
+        await ask_expecting(sidecar, 503)
+        await ask_expecting(sidecar, 503, "POST", "/pay")
         service, front = await counts(sidecar)
         busy.close()
     assert service == {}
@@ -121,9 +121,9 @@
 async def test_counts_are_logged_at_shutdown(capsys):
     module = Scripted(request=answering(lambda n: Refuse(n, 0.0, Cause.THROTTLE)))
     async with running(balancer=module) as sidecar:
-        await told_as(sidecar, 503)
-        await told_as(sidecar, 503)
-        await told_as(sidecar, 400, X_Caller="nobody")
+        await ask_expecting(sidecar, 503)
+        await ask_expecting(sidecar, 503)
+        await ask_expecting(sidecar, 400, X_Caller="nobody")
         await sidecar.drain(asyncio.get_running_loop().time())
     said = capsys.readouterr().err.splitlines()
     assert "service sidecar: class look: 2 refused: throttle 2" in said
@@ -135,6 +135,6 @@
     upstream = await Upstream([OK]).start()
     module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 0.0)])
     async with running(upstream, balancer=module) as sidecar:
-        await told_as(sidecar, 200)
+        await ask_expecting(sidecar, 200)
         await sidecar.drain(asyncio.get_running_loop().time())
     assert "class" not in capsys.readouterr().err
--- a/tests/proxy/http/test_dials.py
+++ b/tests/proxy/http/test_dials.py
@@ -25,8 +25,8 @@
     running,
     until,
 )
-from tests.proxy.http.test_client_gone import Held
-from tests.proxy.http.test_upstream import failing
+from tests.proxy.http.test_client_gone import HeldConnects
+from tests.proxy.http.test_upstream import fail_unless_last
 from tests.virtual import virtual
 
 
@@ -47,7 +47,7 @@
 async def test_a_connect_that_is_abandoned_in_any_iteration_leaks_nothing(how, after):
     """Before it starts, while it connects, as it completes, and after its request is written."""
     upstream = await Upstream([hang]).start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(upstream, balancer=module) as sidecar:
         app, tasks = await App.connect(sidecar.address), []
 
@@ -76,9 +76,9 @@
 @virtual
 async def test_a_connect_that_completes_in_the_iteration_of_its_time_out_writes_nothing(first, monkeypatch):
     upstream = await Upstream().start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(upstream, balancer=module) as sidecar:
-        app, held = await App.connect(sidecar.address), Held(monkeypatch)
+        app, held = await App.connect(sidecar.address), HeldConnects(monkeypatch)
         app.send()
         await until(lambda: held.up)
         (request,) = sidecar.driver._requests.values()
@@ -97,7 +97,7 @@
 async def test_a_connect_that_completes_as_its_own_time_out_expires_ends_once_and_leaks_nothing(monkeypatch):
     """After a stall the loop handles the established connection and the time-out in one iteration."""
     upstream = await Upstream().start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         sidecar.pool._dialer.connect_timeout_s = 0.05
@@ -117,7 +117,7 @@
 
 
 @contextlib.contextmanager
-def silent():
+def unreachable():
     """Provide an address where connects never complete, because its accept queue is full."""
     with socket.socket() as listening, contextlib.ExitStack() as queue:
         listening.bind(("127.0.0.1", 0))
@@ -132,9 +132,9 @@
 @virtual
 async def test_a_connect_slower_than_its_request_ends_with_the_request():
     upstream = await Upstream().start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     limits = {"MaxAttempts": 3, "ConnectTimeout": 3_600_000.0, "IdleClose": 5000.0}
-    with silent() as (host, port):
+    with unreachable() as (host, port):
         upstream.address = f"{host}:{port}"
         async with running(upstream, balancer=module, PolicyLimits=limits) as sidecar:
             app = await App.connect(sidecar.address)
@@ -150,8 +150,8 @@
 @virtual
 async def test_a_connect_time_out_reports_that_the_request_did_not_run():
     upstream = await Upstream().start()
-    module = Scripted(outcome=failing)
-    with silent() as (host, port):
+    module = Scripted(outcome=fail_unless_last)
+    with unreachable() as (host, port):
         upstream.address = f"{host}:{port}"
         async with running(upstream, balancer=module) as sidecar:
             sidecar.pool._dialer.connect_timeout_s = 0.05
@@ -165,7 +165,7 @@
 
 
 @pytest.fixture
-def ends_behind_the_look(monkeypatch):
+def end_after_check(monkeypatch):
     """Let a server end an idle connection between the check and the write: `ends.append(callback)`."""
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
     ends, real = [], UpstreamConnection.is_available
@@ -185,13 +185,13 @@
 
 @pytest.mark.parametrize("real", [True, False])
 @virtual
-async def test_a_close_after_the_availability_check_may_have_let_the_request_run(real, ends_behind_the_look):
+async def test_a_close_after_the_availability_check_may_have_let_the_request_run(real, end_after_check):
     """The kernel accepts the write, and a reset comes back.
 
     An unsafe request then fails; it is neither retried nor refused.
     """
     upstreams = [await Upstream([OK]).start() for _ in range(2 if real else 1)]
-    module = None if real else Scripted(outcome=failing)
+    module = None if real else Scripted(outcome=fail_unless_last)
     async with running(*upstreams, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         while not all(upstream.seen for upstream in upstreams):
@@ -204,18 +204,18 @@
                 for writer in upstream.writers:
                     writer.get_extra_info("socket").shutdown(socket.SHUT_WR)
 
-        ends_behind_the_look.append(end)
+        end_after_check.append(end)
         assert (await app.ask("POST", "/pay")).start.split(" ")[1] == "502"
-        assert not ends_behind_the_look
+        assert not end_after_check
         assert sum(len(upstream.seen) for upstream in upstreams) <= before + 1
         if module:
             assert module.outcomes()[-1] == (0, Outcome.RESET, False)
 
 
 @virtual
-async def test_a_reset_after_the_availability_check_proves_that_nothing_was_written(ends_behind_the_look):
+async def test_a_reset_after_the_availability_check_proves_that_nothing_was_written(end_after_check):
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask("POST", "/pay")
@@ -225,7 +225,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             sock._sock.close()
 
-        ends_behind_the_look.append(end)
+        end_after_check.append(end)
         await app.ask("POST", "/pay")
         assert [status for _, status, _ in module.outcomes()] == [Outcome.OK, Outcome.CONNECT_FAILED]
         assert len(upstream.seen) == 1
@@ -270,7 +270,9 @@
         return b""
 
     upstream = await Upstream([then_stand_still]).start()
-    module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", wait)], outcome=failing)
+    module = Scripted(
+        request=lambda now, arrival: [Send(arrival.request, "s0", wait)], outcome=fail_unless_last
+    )
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         answer = await app.ask(X_Budget=budget)
--- a/tests/proxy/http/test_endless.py
+++ b/tests/proxy/http/test_endless.py
@@ -13,7 +13,7 @@
 from fordtrestle.proxy.http import wire
 from fordtrestle.proxy.http.errors import RemoteProtocolError
 from tests.loopback import OK, App, Scripted, Upstream, running, until
-from tests.proxy.http.test_upstream import CHUNKED, failing
+from tests.proxy.http.test_upstream import CHUNKED, fail_unless_last
 from tests.virtual import virtual
 
 BARE = b"HTTP/1.1 200 OK\r\n"
@@ -71,7 +71,7 @@
 
     closed = asyncio.Event()
     upstream = await Upstream([endless]).start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask(X_Budget="3600000m")).start.split(" ")[1] == "502"
@@ -89,7 +89,9 @@
                 await asyncio.sleep(0.01)
 
     upstream = await Upstream([trickling]).start()
-    module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 300.0)], outcome=failing)
+    module = Scripted(
+        request=lambda now, arrival: [Send(arrival.request, "s0", 300.0)], outcome=fail_unless_last
+    )
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         assert (await app.ask(X_Budget="3600000m")).start.split(" ")[1] == "502"
@@ -127,7 +129,7 @@
         return any(connection._parser.status for connection in sidecar.pool._connections)
 
     upstreams = [await Upstream([then_end]).start() for _ in range(2)]
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(*upstreams, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         reply = await app.ask("POST", "/pay", b"now")
--- a/tests/proxy/http/test_forms.py
+++ b/tests/proxy/http/test_forms.py
@@ -85,8 +85,8 @@
         halves = [[at, len(raw)] for at in range(1, len(raw), 3)] if small else []
         for sizes in ways + halves:
             name = b"%016x" % next(IDS)
-            told = raw.replace(b"%b", name)
-            pieces = cut(told, sizes[0]) if len(sizes) == 1 else [told[: sizes[0]], told[sizes[0] :]]
+            encoded = raw.replace(b"%b", name)
+            pieces = cut(encoded, sizes[0]) if len(sizes) == 1 else [encoded[: sizes[0]], encoded[sizes[0] :]]
             await send_in(app.writer, pieces)
             answer = await app.answer()
             assert answer is not None
@@ -189,7 +189,7 @@
     """
     upstream = await Upstream([OK]).start()
     raised = []
-    asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
+    asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context))
     async with running(upstream, balancer=Scripted()) as sidecar:
         app = await App.connect(sidecar.address)
         method = "GET" if target == "/look" else "POST"
@@ -208,4 +208,6 @@
         assert (await again.ask()).body == b"done"
         for one in (app, again):
             one.close()
-    assert [told for told in raised if not isinstance(told.get("exception"), asyncio.CancelledError)] == []
+    assert [
+        context for context in raised if not isinstance(context.get("exception"), asyncio.CancelledError)
+    ] == []
--- a/tests/proxy/http/test_hard_cases.py
+++ b/tests/proxy/http/test_hard_cases.py
@@ -38,9 +38,9 @@
         good = await App.connect(sidecar.address)
         good.writer.write(request("POST", "/pay", b"x") + b"\x00")
         await until(lambda: upstream.seen)
-        crowd = [await App.connect(sidecar.address) for _ in range(60)]
+        flood = [await App.connect(sidecar.address) for _ in range(60)]
         assert [status_of(await good.answer()) for _ in range(2)] == [200, 400]
-        for app in crowd:
+        for app in flood:
             app.close()
 
 
@@ -129,11 +129,11 @@
 async def test_a_table_that_stays_full_does_not_charge_the_time_since_it_filled():
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 96}}) as sidecar:
-        crowd = [await App.connect(sidecar.address) for _ in range(60)]
+        flood = [await App.connect(sidecar.address) for _ in range(60)]
 
         async def trickle():
             while True:
-                crowd.append(await App.connect(sidecar.address))
+                flood.append(await App.connect(sidecar.address))
                 await asyncio.sleep(0.02)
 
         loop = asyncio.get_running_loop()
@@ -148,7 +148,7 @@
             assert acceptor._blocked_since_s is None or loop.time() - acceptor._blocked_since_s < 0.15
         task.cancel()
         assert statuses == [200] * 10
-        for app in crowd:
+        for app in flood:
             app.close()
 
 
@@ -157,10 +157,10 @@
     """Guards against a connection that is in no queue and is therefore never evicted."""
     upstream = await Upstream([OK]).start()
     async with running(upstream, raw={"limits": {"sockets": 96}}) as sidecar:
-        crowd = []
+        flood = []
         for _ in range(60):
-            crowd.append(await App.connect(sidecar.address))
-            crowd[-1].writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\nG")
+            flood.append(await App.connect(sidecar.address))
+            flood[-1].writer.write(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\nG")
         await asyncio.sleep(0.2)
         standing = Counter(entry.eviction_class for entry in sidecar.front.table)
         assert standing[EvictionClass.RECEIVING]
@@ -169,7 +169,7 @@
             async with asyncio.timeout(1.0):  # incomplete requests time out only after 2 s
                 good = await App.connect(sidecar.address)
                 assert status_of(await good.ask(X_Budget="900m")) == 200
-        for app in crowd:
+        for app in flood:
             app.close()
 
 
@@ -177,7 +177,7 @@
 async def test_bytes_after_the_last_request_raise_nothing():
     upstream = await Upstream([hang]).start()
     raised = []
-    asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
+    asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context))
     async with running(upstream) as sidecar:
         sidecar.front.budget = Limits(1, 2**20, 1000).budget("clients")
         sidecar.front.reserve = Limits(2, 0, 0).descriptors.add_share("at the limit")
@@ -192,7 +192,7 @@
         await until(lambda: len(sidecar.front.table) == 1)
         await asyncio.sleep(0.05)
         assert [
-            told for told in raised if not isinstance(told.get("exception"), asyncio.CancelledError)
+            context for context in raised if not isinstance(context.get("exception"), asyncio.CancelledError)
         ] == []
 
 
--- a/tests/proxy/http/test_holding.py
+++ b/tests/proxy/http/test_holding.py
@@ -24,30 +24,30 @@
 NO_GUARANTEES = LimitsSpec(fronts_guaranteed_share=0.0, upstreams_guaranteed_share=0.0)
 
 
-async def bare(address, kernel=4096):
-    """Connect a client socket with a small receive buffer of `kernel` bytes."""
+async def connect_socket(address, receive_buffer_bytes=4096):
+    """Connect a client socket with a small receive buffer."""
     sock = socket.socket()
-    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, kernel)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, address)
     return sock
 
 
-async def narrow(address):
+async def connect_small_buffer(address):
     """Connect a client with a small receive buffer that reads complete answers."""
-    return App(*await asyncio.open_connection(sock=await bare(address), limit=2**17))
+    return App(*await asyncio.open_connection(sock=await connect_socket(address), limit=2**17))
 
 
 def pipelined(count, **headers):
     return b"".join(partners.request(**headers) for _ in range(count))
 
 
-def stuck(sidecar):
+def stalled_addresses(sidecar):
     """Return the addresses of the clients that do not read, the longest stalled first."""
     return [connection._transport.get_extra_info("peername") for connection in sidecar.front.buffers.stalled]
 
 
-def held(sidecar):
+def buffered_bytes(sidecar):
     return sidecar.limits.buffered.used
 
 
@@ -57,7 +57,7 @@
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
         sidecar.limits.buffered.resize(4 * 2**20)
-        most, deaf = 0, [await narrow(sidecar.address) for _ in range(60)]
+        most, deaf = 0, [await connect_small_buffer(sidecar.address) for _ in range(60)]
         for app in deaf:
             app.writer.write(pipelined(16))
         good = await App.connect(sidecar.address)
@@ -66,11 +66,11 @@
             # The accounting covers what the transports really buffer.
             real = sum(getattr(entry.owner, "unsent_bytes", 0) for entry in sidecar.front.table)
             most = max(most, real)
-            assert real <= held(sidecar) <= 4 * 2**20
+            assert real <= buffered_bytes(sidecar) <= 4 * 2**20
         assert most > 2**20
         for app in deaf:
             app.close()
-        await until(lambda: held(sidecar) == 0 and len(sidecar.front.table) == 1)
+        await until(lambda: buffered_bytes(sidecar) == 0 and len(sidecar.front.table) == 1)
         assert sidecar.limits.calls.used == 0
 
 
@@ -80,7 +80,7 @@
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
         loop = asyncio.get_running_loop()
-        deaf, slow = await bare(sidecar.address), await bare(sidecar.address, 32_768)
+        deaf, slow = await connect_socket(sidecar.address), await connect_socket(sidecar.address, 32_768)
         for sock in (deaf, slow):
             await loop.sock_sendall(sock, pipelined(9))
         await until(lambda: len(sidecar.front.buffers.stalled) == 2)
@@ -90,7 +90,7 @@
             got += await loop.sock_recv(slow, 8000)
         assert got.count(b"HTTP/1.1 200 OK") == 9
         await until(lambda: len(sidecar.front.table) == 1)
-        assert held(sidecar) == 0
+        assert buffered_bytes(sidecar) == 0
         deaf.close()
         slow.close()
 
@@ -100,12 +100,12 @@
     upstream = await Upstream([LARGE]).start()
     async with running(upstream, limits=NO_GUARANTEES) as sidecar:
         loop = asyncio.get_running_loop()
-        deaf = [await bare(sidecar.address) for _ in range(2)]
+        deaf = [await connect_socket(sidecar.address) for _ in range(2)]
         for sock in deaf:
             await loop.sock_sendall(sock, pipelined(16))
-            await until(lambda sock=sock: sock.getsockname() in stuck(sidecar))
+            await until(lambda sock=sock: sock.getsockname() in stalled_addresses(sidecar))
         oldest, newest = sidecar.front.buffers.stalled
-        sidecar.limits.buffered.resize(held(sidecar) + 1000)
+        sidecar.limits.buffered.resize(buffered_bytes(sidecar) + 1000)
         upstream.replies = [OK]
         good = await App.connect(sidecar.address)
         assert (await good.ask("POST", "/pay", b"x" * 4000)).body == b"done"
@@ -119,7 +119,7 @@
 async def test_requests_of_a_stalled_client_wait_until_it_reads():
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
-        app = await narrow(sidecar.address)
+        app = await connect_small_buffer(sidecar.address)
         app.writer.write(pipelined(16))
         await until(lambda: sidecar.front.buffers.stalled)
         await asyncio.sleep(0.1)
@@ -136,18 +136,18 @@
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         sidecar.limits.buffered.resize(200_000)
-        halves = [await App.connect(sidecar.address) for _ in range(10)]
-        for app in halves:
+        incomplete = [await App.connect(sidecar.address) for _ in range(10)]
+        for app in incomplete:
             app.writer.write(partners.request("POST", "/pay", b"x" * 60_000)[:-1])
-        statuses = [(await app.answer()).start.split(" ")[1] for app in halves[:7]]
+        statuses = [(await app.answer()).start.split(" ")[1] for app in incomplete[:7]]
         assert statuses == ["503"] * 7  # the oldest
-        assert not halves[-1].reader._buffer
-        assert held(sidecar) <= 200_000
+        assert not incomplete[-1].reader._buffer
+        assert buffered_bytes(sidecar) <= 200_000
         good = await App.connect(sidecar.address)
         assert (await good.ask()).body == b"done"
-        for app in halves:
+        for app in incomplete:
             app.close()
-        await until(lambda: held(sidecar) == 0)
+        await until(lambda: buffered_bytes(sidecar) == 0)
 
 
 @virtual
@@ -159,7 +159,7 @@
         assert (await app.ask("POST", "/pay", b"x" * 20_000)).start.split(" ")[1] == "503"
         assert (await app.ask("POST", "/pay", b"x" * 2000)).body == b"done"
         assert len(upstream.seen) == 1
-        assert held(sidecar) == 0
+        assert buffered_bytes(sidecar) == 0
 
 
 @pytest.mark.parametrize("count", [1, 40])
--- a/tests/proxy/http/test_hostile.py
+++ b/tests/proxy/http/test_hostile.py
@@ -17,7 +17,7 @@
 from tests.virtual import virtual
 
 CLASSES = ("/look", "/book", "/pay")
-TRICKS = (
+ATTACKS = (
     b"",
     b"\r\n\r\n",
     b"\x00" * 100,
@@ -50,23 +50,23 @@
 )
 
 
-def tampered(rng, whole, others):
+def corrupted(rng, whole, others):
     """Return the bytes after one to three small corruptions."""
     made = bytearray(whole)
     for _ in range(rng.randint(1, 3)):
         at = rng.randrange(len(made) + 1)
-        harm = rng.randrange(6)
-        if harm == 0 and at < len(made):
+        corruption = rng.randrange(6)
+        if corruption == 0 and at < len(made):
             made[at] = rng.randrange(256)
-        elif harm == 1:
+        elif corruption == 1:
             del made[at : at + rng.randint(1, 20)]
-        elif harm == 2:
+        elif corruption == 2:
             made[at:at] = made[at : at + rng.randint(1, 60)]
-        elif harm == 3:
+        elif corruption == 3:
             other = rng.choice(others)
             start = rng.randrange(len(other) + 1)
             made[at:at] = other[start : start + rng.randint(1, 40)]
-        elif harm == 4:
+        elif corruption == 4:
             made[at:at] = rng.choice((b"\r\n", b"\n", b"\r", b"\x00", b": ", b"\r\n\r\n", b"0\r\n\r\n"))
         else:
             del made[max(1, at) :]
@@ -119,16 +119,16 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @virtual
-async def test_tampered_requests_break_no_rule(seed, monkeypatch):
+async def test_corrupted_requests_break_no_rule(seed, monkeypatch):
     monkeypatch.setattr(partners, "PATIENCE_S", 25.0)
     rng = random.Random(f"hostile/{seed}")
     upstream = await Echo().start()
     raised = []
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda loop, told: raised.append(told))
+    loop.set_exception_handler(lambda loop, context: raised.append(context))
     whole = [a_request(rng) for _ in range(40)]
-    sent = [tampered(rng, rng.choice(whole), whole) for _ in range(500)]
-    sent += [trick + rng.choice(whole) for trick in TRICKS] + list(TRICKS)
+    sent = [corrupted(rng, rng.choice(whole), whole) for _ in range(500)]
+    sent += [attack + rng.choice(whole) for attack in ATTACKS] + list(ATTACKS)
     async with running(upstream) as sidecar:
         good = [asyncio.create_task(healthy(sidecar.address, number)) for number in range(5)]
         for start in range(0, len(sent), 200):
@@ -151,17 +151,19 @@
     # that of a healthy client occurs only once.
     names = [message.headers["x-call-id"] for message in upstream.seen]
     assert all(names.count(name) == 1 for name in names if name.startswith("healthy"))
-    assert [told for told in raised if "exception" in told and "StreamReader" not in str(told)] == []
+    assert [
+        context for context in raised if "exception" in context and "StreamReader" not in str(context)
+    ] == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @virtual
-async def test_tampered_answers_break_no_rule(seed):
+async def test_corrupted_answers_break_no_rule(seed):
     """An unsafe request is sent once, whatever comes back; a client gets a complete answer or none."""
     rng = random.Random(f"answers/{seed}")
-    replies = [tampered(rng, rng.choice(ANSWERS), ANSWERS) for _ in range(150)]
+    replies = [corrupted(rng, rng.choice(ANSWERS), ANSWERS) for _ in range(150)]
 
-    def spoilt(data):
+    def answer_with(data):
         async def write(reader, writer):
             writer.write(data)
             await asyncio.sleep(0.005)
@@ -172,7 +174,7 @@
 
     for start in range(0, len(replies), 10):  # otherwise the throttle soon refuses most of them
         some = replies[start : start + 10]
-        upstream = await Upstream([spoilt(data) for data in some] + [ANSWER]).start()
+        upstream = await Upstream([answer_with(data) for data in some] + [ANSWER]).start()
         async with running(upstream) as sidecar:
             app = await App.connect(sidecar.address)
             for number in range(10):
--- a/tests/proxy/http/test_requests.py
+++ b/tests/proxy/http/test_requests.py
@@ -13,7 +13,7 @@
 from tests.virtual import virtual
 
 
-def judged(target):
+def rejection_status(target):
     """Return the status with which a target is rejected, or None."""
     message = Message()
     message.target = target
@@ -38,7 +38,7 @@
     ],
 )
 def test_unambiguous_targets_are_accepted(target):
-    assert judged(target) is None
+    assert rejection_status(target) is None
 
 
 @pytest.mark.parametrize(
@@ -62,7 +62,7 @@
     ],
 )
 def test_ambiguous_targets_are_rejected(target, status):
-    assert judged(target) == status
+    assert rejection_status(target) == status
 
 
 @pytest.mark.parametrize("protocol", [b"RTSP/1.0", b"RTSP/1.1", b"ICE/1.0", b"ICE/1.1"])
--- a/tests/proxy/http/test_settle.py
+++ b/tests/proxy/http/test_settle.py
@@ -13,7 +13,7 @@
 from fordtrestle.proxy.http.requests import RequestClass, RequestNames, recheck_names
 from tests.loopback import OK, App, Scripted, Upstream, entry, make_platform_config, request, running, until
 from tests.proxy.http.test_server import status_of
-from tests.proxy.http.test_upstream import failing, news, pooled
+from tests.proxy.http.test_upstream import fail_unless_last, make_pool, server_update
 from tests.virtual import virtual
 
 LOOK, BOOK, PAY = RequestClass(0, "GET", False), RequestClass(1, "POST", True), RequestClass(2, "POST", False)
@@ -107,12 +107,12 @@
 @virtual
 async def test_a_shorter_grace_applies_to_servers_that_are_already_leaving(grace_ms, from_ms):
     upstream = await Upstream([OK]).start()
-    pool = pooled(upstream)
-    pool.update(1000.0, False, news(entry("s0", upstream.address, status="leaving")))
+    pool = make_pool(upstream)
+    pool.update(1000.0, False, server_update(entry("s0", upstream.address, status="leaving")))
     pool.apply_options(options(drain_grace_ms=grace_ms))
     assert pool._servers["s0"].closed_from_ms == from_ms
-    pool.update(2000.0, False, news(entry("s0", upstream.address)))
-    pool.update(3000.0, False, news(entry("s0", upstream.address, status="leaving")))
+    pool.update(2000.0, False, server_update(entry("s0", upstream.address)))
+    pool.update(3000.0, False, server_update(entry("s0", upstream.address, status="leaving")))
     assert pool._servers["s0"].closed_from_ms == 3000.0 + max(0.0, grace_ms - 50.0)
     upstream.stop()
 
@@ -121,12 +121,12 @@
 @virtual
 async def test_a_shorter_grace_applies_to_connects_in_progress(state):
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(upstream, balancer=module, Rules={"StopSendingWithin": 60_000.0}) as sidecar:
 
         def send_then_hear(now, arrival):
             def hear():
-                sidecar.pool.update(now, False, news(entry("s0", upstream.address, status=state)))
+                sidecar.pool.update(now, False, server_update(entry("s0", upstream.address, status=state)))
                 sidecar.pool.apply_options(options(drain_grace_ms=0.0))
 
             asyncio.get_running_loop().call_soon(hear)
--- a/tests/proxy/http/test_time_told.py
+++ b/tests/proxy/http/test_time_told.py
@@ -17,20 +17,20 @@
 TURN_S = 0.001  # the step of the virtual clock, which stands still while there is work to do
 
 
-class Told(Upstream):
+class BudgetRecorder(Upstream):
     """A server that records when each request arrived and its budget, and answers late."""
 
     def __init__(self, after_s=0.4, reply=b""):
         super().__init__()
         self.after_s, self.reply = after_s, reply
-        self.told = []
+        self.received = []
 
     async def _serve(self, reader, writer):
         self.writers.append(writer)
         loop = asyncio.get_running_loop()
         with contextlib.suppress(ConnectionError):
             while (message := await read_message(reader)) is not None:
-                self.told.append((loop.time(), int(message.headers["x-budget"].removesuffix("u")) / 1e6))
+                self.received.append((loop.time(), int(message.headers["x-budget"].removesuffix("u")) / 1e6))
                 await asyncio.sleep(self.after_s)
                 if not self.reply:
                     break
@@ -90,8 +90,8 @@
 @pytest.mark.parametrize("what", SCRIPTS)
 @virtual
 async def test_no_attempt_sends_a_budget_above_the_time_left(what, kept):
-    servers = [await Told(0.0 if kept else 0.4, OK if kept else b"").start() for _ in range(3)]
-    servers.append(await Told(0.0, OK).start())
+    servers = [await BudgetRecorder(0.0 if kept else 0.4, OK if kept else b"").start() for _ in range(3)]
+    servers.append(await BudgetRecorder(0.0, OK).start())
     module = Scripted(**SCRIPTS[what])
     async with running(*servers, balancer=module, PolicyLimits=LIMITS) as sidecar:
         if kept:  # open an idle connection to each server
@@ -102,19 +102,19 @@
             await asyncio.sleep(0.1)
             module.scripts = plain
             for server in servers[:3]:
-                server.told.clear()
+                server.received.clear()
                 server.after_s, server.reply = 0.4, b""
         sent: list[float] = []
         await ask(sidecar, sent)
-        told = [row for server in servers for row in server.told]
-        assert len(told) >= (1 if what == "after a wait" else 2)
-        for at, left in told:
+        received = [row for server in servers for row in server.received]
+        assert len(received) >= (1 if what == "after a wait" else 2)
+        for at, left in received:
             assert 0.0 < left <= BUDGET_S - (at - sent[0]) + TURN_S
 
 
 @virtual
 async def test_an_attempt_with_a_slow_connect_sends_the_time_left_when_it_starts():
-    server, module, loop = await Told(0.0, OK).start(), Scripted(), asyncio.get_running_loop()
+    server, module, loop = await BudgetRecorder(0.0, OK).start(), Scripted(), asyncio.get_running_loop()
     async with running(server, balancer=module, PolicyLimits=LIMITS) as sidecar:
         app = await App.connect(sidecar.address)
         dial = loop.create_connection
@@ -127,7 +127,7 @@
         sent = loop.time()
         answer = await app.ask(X_Budget=f"{BUDGET_S * 1000.0:.0f}m")
         assert answer.body == b"done"
-        ((at, left),) = server.told
+        ((at, left),) = server.received
         assert at - sent >= 0.9 - TURN_S
         assert 0.0 < left <= BUDGET_S - (at - sent) + TURN_S
         app.close()
--- a/tests/proxy/http/test_upstream.py
+++ b/tests/proxy/http/test_upstream.py
@@ -43,12 +43,12 @@
 
 
 @pytest.fixture
-def no_settling(monkeypatch):
+def no_reuse_delay(monkeypatch):
     """Allow connections to be reused at once, for tests of the other conditions."""
     monkeypatch.setattr(idle_connections, "REUSE_DELAY_MS", 0.0)
 
 
-def failing(now, number, hop, status, spent, last, report):
+def fail_unless_last(now, number, hop, status, spent, last, report):
     return [] if last else [Fail(number)]
 
 
@@ -92,7 +92,7 @@
         await reply(reader, writer)
 
     upstream = await Upstream([then_end if callable(reply) else reply]).start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         answer = await app.ask()
@@ -155,7 +155,7 @@
 @virtual
 async def test_a_request_with_a_malformed_answer_during_its_write_may_have_run():
     upstream = await Upstream().start()
-    pool = pooled(upstream)
+    pool = make_pool(upstream)
     near, far = socket.socketpair()
     near.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
     near.setblocking(False)
@@ -201,24 +201,24 @@
 @virtual
 async def test_a_refused_connect_is_reported_as_connect_failed():
     upstream = await Upstream().start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(upstream, balancer=module) as sidecar:
         upstream.stop()
         await (await App.connect(sidecar.address)).ask()
         assert module.outcomes() == [(0, Outcome.CONNECT_FAILED, False)]
 
 
-def news(*entries):
+def server_update(*entries):
     return parse_list(listed(42, *entries, snapshot=False), make_platform_config().name_indices)
 
 
-def pooled(upstream):
+def make_pool(upstream):
     loop = asyncio.get_running_loop()
     budget = Limits(100, 2**20, 100).budget("servers")
     pool = ConnectionPool(
         loop, Clock(loop), platform_config.pool_options(make_platform_config([upstream])), budget
     )
-    pool.update(0.0, True, news(entry("s0", upstream.address)))
+    pool.update(0.0, True, server_update(entry("s0", upstream.address)))
     return pool
 
 
@@ -227,7 +227,7 @@
 async def test_buffered_bytes_do_not_count_as_written(reads_all, outcome):
     loop = asyncio.get_running_loop()
     upstream = await Upstream().start()
-    pool = pooled(upstream)
+    pool = make_pool(upstream)
     near, far = socket.socketpair()
     for end in (near, far):
         end.setblocking(False)
@@ -252,7 +252,7 @@
     upstream = await Upstream().start()
     module = Scripted(
         request=lambda now, arrival: [Send(arrival.request, "s0", 0.0), Cancel(arrival.request, 0)],
-        outcome=failing,
+        outcome=fail_unless_last,
     )
     async with running(upstream, balancer=module) as sidecar:
         answer = await (await App.connect(sidecar.address)).ask()
@@ -297,7 +297,9 @@
 @virtual
 async def test_a_time_out_closes_the_connection_and_is_reported_once():
     upstream = await Upstream([hang]).start()
-    module = Scripted(request=lambda now, arrival: [Send(arrival.request, "s0", 500.0)], outcome=failing)
+    module = Scripted(
+        request=lambda now, arrival: [Send(arrival.request, "s0", 500.0)], outcome=fail_unless_last
+    )
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
@@ -370,7 +372,7 @@
 # --- the pool -------------------------------------------------------------------
 
 
-@pytest.mark.usefixtures("no_settling")
+@pytest.mark.usefixtures("no_reuse_delay")
 @virtual
 async def test_connections_are_reused_newest_first_and_closed_ones_are_noticed():
     upstream = await Upstream([OK]).start()
@@ -416,11 +418,11 @@
         await until(lambda: not sidecar.pool._is_sweeping)
 
 
-@pytest.mark.usefixtures("no_settling")
+@pytest.mark.usefixtures("no_reuse_delay")
 @virtual
 async def test_a_request_on_a_dropped_connection_is_reset_and_not_retried_by_the_pool():
     upstream = await Upstream([OK, break_off]).start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(upstream, balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
         await app.ask()
@@ -429,11 +431,11 @@
         assert len(upstream.seen) == 2
 
 
-@pytest.mark.usefixtures("no_settling")
+@pytest.mark.usefixtures("no_reuse_delay")
 @virtual
 async def test_close_idle_closes_only_idle_connections():
     upstream = await Upstream([OK, OK, hang]).start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     async with running(upstream, balancer=module) as sidecar:
         one, two = await App.connect(sidecar.address), await App.connect(sidecar.address)
         one.send()
@@ -451,7 +453,7 @@
 @virtual
 async def test_without_descriptors_idle_connections_are_closed_and_then_attempts_are_abandoned():
     first, second = await Upstream([OK]).start(), await Upstream([OK, hang]).start()
-    module = Scripted(outcome=failing)
+    module = Scripted(outcome=fail_unless_last)
     servers = iter(["s0", "s1", "s1", "s1"])
     module.scripts["request"] = lambda now, arrival: [Send(arrival.request, next(servers), 0.0)]
     async with running(first, second, balancer=module) as sidecar:
@@ -473,8 +475,8 @@
 @virtual
 async def test_nothing_is_written_after_the_grace_even_if_connecting_began_before(state):
     upstream = await Upstream([OK]).start()
-    module = Scripted(outcome=failing)
-    leaving = news(entry("s0", upstream.address, status=state))
+    module = Scripted(outcome=fail_unless_last)
+    leaving = server_update(entry("s0", upstream.address, status=state))
     async with running(upstream, balancer=module, Rules={"StopSendingWithin": 0.0}) as sidecar:
 
         def send_then_hear(now, arrival):
@@ -494,7 +496,7 @@
     upstream = await Upstream([OK]).start()
     async with running(upstream, balancer=Scripted(), Rules={"StopSendingWithin": 60_000.0}) as sidecar:
         app = await App.connect(sidecar.address)
-        leaving = news(entry("s0", upstream.address, status="leaving"))
+        leaving = server_update(entry("s0", upstream.address, status="leaving"))
         sidecar.pool.update(sidecar.driver._clock.now(), False, leaving)
         assert (await app.ask()).body == b"done"
 
@@ -502,15 +504,15 @@
 @virtual
 async def test_a_repeated_update_does_not_extend_the_grace():
     upstream = await Upstream([OK]).start()
-    pool = pooled(upstream)
-    leaving = news(entry("s0", upstream.address, status="leaving"))
+    pool = make_pool(upstream)
+    leaving = server_update(entry("s0", upstream.address, status="leaving"))
     pool.update(1000.0, False, leaving)
     pool.update(1400.0, False, leaving)
     assert 1000.0 < pool._servers["s0"].closed_from_ms <= 1500.0
     upstream.stop()
 
 
-@pytest.mark.usefixtures("no_settling")
+@pytest.mark.usefixtures("no_reuse_delay")
 @virtual
 async def test_connections_from_before_a_restart_are_not_used_again():
     upstream = await Upstream([OK]).start()
@@ -518,7 +520,9 @@
         app = await App.connect(sidecar.address)
         await app.ask()
         # A machine that vanished sent no reset: its connections look open until they are used.
-        sidecar.pool.update(0.0, False, news(entry("s0", upstream.address, since_ms=1_790_000_000_000)))
+        sidecar.pool.update(
+            0.0, False, server_update(entry("s0", upstream.address, since_ms=1_790_000_000_000))
+        )
         await app.ask()
         assert [seen.connection for seen in upstream.seen] == [0, 1]
 
