--- a/fordtrestle/proxy/engine/connection_table.py
+++ b/fordtrestle/proxy/engine/connection_table.py
@@ -52,9 +52,10 @@
         single_request_share: The share of `max_clients` that idle connections with a single request may take.
         single_request_idle_timeout_ms: The idle time-out of a connection that sent a single request.
         shortage_share: The share of `max_clients` above which idle connections count as a shortage of places.
-        shortage_idle_timeout_ms: The idle time-out of all other connections while places are short.
-        stale_idle_ms: A connection that has been idle for longer is evicted before any
-            that was used recently.
+        shortage_idle_timeout_ms: The idle time-out of all other connections while places are short or the
+            process is under pressure.
+        stale_idle_ms: A connection that has been idle for longer is evicted before any that was used
+            recently.
         pressure_idle_timeout_ms: The idle time-out of a connection that sent a single request while the
             process is under pressure.
         max_examined: The most connections that are examined to find one to evict.
--- a/fordtrestle/proxy/http/stream.py
+++ b/fordtrestle/proxy/http/stream.py
@@ -188,9 +188,8 @@
             transport.write(bytes(self.unsent))
         if self.is_paused:
             transport.pause_reading()
-        if (
-            self.is_write_closed and not transport.get_write_buffer_size()
-        ):  # else its connection does, behind the last
+        # If bytes are still unsent, the connection ends writing after the last of them.
+        if self.is_write_closed and not transport.get_write_buffer_size():
             end_writing(transport)
 
 
--- a/fordtrestle/proxy/http/upstream_connection.py
+++ b/fordtrestle/proxy/http/upstream_connection.py
@@ -76,7 +76,7 @@
         is_ended: Whether its outcome was reported, or it was abandoned.
     """
 
-    __slots__ = ("_connecting", "_connection", "_done", "is_ended", "expires_ms", "message", "is_probe")
+    __slots__ = ("_connecting", "_connection", "_done", "expires_ms", "is_ended", "is_probe", "message")
 
     def __init__(
         self, message: Callable[[float], bytes | None], expires_ms: float, done: Done, is_probe: bool
--- a/tests/proxy/http/test_bad_servers.py
+++ b/tests/proxy/http/test_bad_servers.py
@@ -195,8 +195,8 @@
         await asyncio.gather(*(in_turn(site, sidecar.address, kind, 4) for kind in clients))
     assert len(site.asked) == 36
     assert site.servers[0].connections  # it received attempts
-    met = {got.call for got in site.got if got.server.name == "s0"}
-    others = [row.status for row in site.asked if row.call not in met and site.of(row.call)]
+    affected = {got.call for got in site.got if got.server.name == "s0"}
+    others = [row.status for row in site.asked if row.call not in affected and site.of(row.call)]
     assert others
     assert others.count(200) > len(others) // 2
 
