--- a/tests/proxy/http/test_closing.py
+++ b/tests/proxy/http/test_closing.py
@@ -1,4 +1,4 @@
-"""Closing a client's connection as bytes come in that moment: an orderly end, and they are not taken."""
+"""Closing a client connection just as bytes arrive: the close is orderly, and the bytes are not served."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 READY = b"GET /health/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 
 
-class Crossing:
-    """A client whose bytes come just as the sidecar shuts its connection or closes it, whichever is first."""
+class CrossingClient:
+    """A client whose bytes arrive just as the sidecar shuts down or closes its connection."""
 
     def __init__(self, monkeypatch, sock, late):
         self.crossed = []
@@ -47,18 +47,18 @@
             return False
 
 
-async def client(address, kernel=0):
-    """A client's socket, for which its kernel takes in no more than that, unless it is 0."""
+async def connect(address, receive_buffer_bytes=0):
+    """Connect a client socket; the kernel chooses its receive buffer if `receive_buffer_bytes` is 0."""
     sock = socket.socket()
-    if kernel:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, kernel)
+    if receive_buffer_bytes:
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, receive_buffer_bytes)
     sock.setblocking(False)
     await asyncio.get_running_loop().sock_connect(sock, tuple(address))
     return sock
 
 
-async def to_the_end(sock):
-    """All that the sidecar sends up to its end; `ConnectionResetError` where there is no such end."""
+async def read_to_end(sock):
+    """Read everything up to the end; raises `ConnectionResetError` after a reset."""
     loop, got = asyncio.get_running_loop(), b""
     async with asyncio.timeout(10.0):
         while data := await loop.sock_recv(sock, 65536):
@@ -66,12 +66,12 @@
     return got
 
 
-def standing(front):
+def eviction_classes(front):
     return [entry.eviction_class for entry in front.table]
 
 
-async def asked(sock, sent):
-    """What is answered, up to the last word of a server's body."""
+async def ask(sock, sent):
+    """Send bytes and read the answer up to the end of the server's body."""
     loop, got = asyncio.get_running_loop(), b""
     await loop.sock_sendall(sock, sent)
     async with asyncio.timeout(10.0):
@@ -82,32 +82,32 @@
 
 @pytest.mark.parametrize("why", ["drain", "rest", "too many", "overdue"])
 @virtual
-async def test_a_request_that_crosses_the_close_of_a_resting_connection_meets_an_end_and_is_not_sent_on(
-    why, monkeypatch
-):
-    """Guards against a reset, and against serving on a connection that has no way back."""
+async def test_a_request_that_crosses_the_close_of_an_idle_connection_gets_an_orderly_end(why, monkeypatch):
+    """Guards against a reset, and against serving a request that can't be answered any more."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
         front, drain = sidecar.front, None
-        front.table = ConnectionTable(TableOptions(100, once_idle_timeout_ms=100.0 if why == "rest" else 1e9))
-        sock = await client(sidecar.address)
+        front.table = ConnectionTable(
+            TableOptions(100, single_request_idle_timeout_ms=100.0 if why == "rest" else 1e9)
+        )
+        sock = await connect(sidecar.address)
         if why == "overdue":
-            await asyncio.get_running_loop().sock_sendall(sock, b"\r\n")  # no request, and not pending
+            await asyncio.get_running_loop().sock_sendall(sock, b"\r\n")  # no request, but no longer pending
             await until(lambda: any(isinstance(entry.owner, ClientConnection) for entry in front.table))
             await until(lambda: not front._starting)
         else:
-            await asked(sock, request())
+            await ask(sock, request())
             await until(lambda: front.table.idle_count == 1)
-        crossing = Crossing(monkeypatch, sock, request())
+        crossing = CrossingClient(monkeypatch, sock, request())
         if why == "drain":
             drain = asyncio.create_task(sidecar.drain())
         elif why == "too many":
-            monkeypatch.setattr(front.table, "_max_once", 0)
+            monkeypatch.setattr(front.table, "_max_single_request", 0)
             other = await App.connect(sidecar.address)
             await other.ask()
         elif why == "overdue":
             next(iter(front.table)).owner.on_request_overdue()
-        assert await to_the_end(sock) == b""
+        assert await read_to_end(sock) == b""
         assert crossing.crossed == ["shutdown"]
         sock.close()
         if drain is not None:
@@ -120,25 +120,25 @@
 @pytest.mark.parametrize(
     ("first", "status"),
     [
-        (READY, b"200"),  # answered with its first bytes, with no transport
+        (READY, b"200"),  # answered with its first bytes, without a transport
         (request(X_Caller="nobody") + b"\x00", b"400"),
         (b"GET /look HTTP/1.1\r\n: x\r\n\r\n", b"400"),
         (request(Connection="close"), b"200"),  # answered by a server
     ],
 )
 @virtual
-async def test_bytes_that_cross_the_close_behind_a_last_answer_take_nothing_of_it(first, status, monkeypatch):
+async def test_bytes_that_cross_the_close_do_not_truncate_the_last_answer(first, status, monkeypatch):
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sock = await client(sidecar.address)
-        crossing = Crossing(monkeypatch, sock, request())
+        sock = await connect(sidecar.address)
+        crossing = CrossingClient(monkeypatch, sock, request())
         await asyncio.get_running_loop().sock_sendall(sock, first)
-        answer = await to_the_end(sock)
+        answer = await read_to_end(sock)
         assert answer.split(b" ")[1] == status
         assert b"Connection: close" in answer
         assert answer.count(b"HTTP/1.1") == 1
         assert crossing.crossed == ["shutdown"]
-        await asyncio.get_running_loop().sock_sendall(sock, request())  # nor what comes later
+        await asyncio.get_running_loop().sock_sendall(sock, request())  # later bytes have no effect either
         sock.close()
         await until(lambda: sidecar.front.is_empty)
         assert len(upstream.seen) == (1 if b"/look" in first and status == b"200" else 0)
@@ -147,41 +147,43 @@
 
 
 @virtual
-async def test_a_slow_reader_gets_its_last_answer_whole_however_long_that_takes(monkeypatch):
-    """Guards against a bound on the client's end that cuts an answer which it still reads."""
+async def test_a_slow_reader_gets_its_last_answer_complete(monkeypatch):
+    """Guards against a linger time-out that cuts off an answer which the client still reads."""
     monkeypatch.setattr(server_module, "SEND_BUFFER_BYTES", 4096)
     monkeypatch.setattr(client_stream, "LINGER_TIMEOUT_S", 0.02)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
-        sock = await client(sidecar.address, kernel=4096)
+        sock = await connect(sidecar.address, receive_buffer_bytes=4096)
         await asyncio.get_running_loop().sock_sendall(sock, request(Connection="close"))
         await until(lambda: sidecar.front.buffers.stalled)
         await asyncio.sleep(5 * client_stream.LINGER_TIMEOUT_S)
-        assert (await to_the_end(sock)).count(b"x") == BODY
-        await until(lambda: sidecar.front.is_empty)  # though it does not end the connection
+        assert (await read_to_end(sock)).count(b"x") == BODY
+        await until(lambda: sidecar.front.is_empty)  # although the client does not close the connection
         sock.close()
 
 
 @virtual
-async def test_a_last_answer_on_its_way_is_not_cut_for_anothers_place():
-    """Guards against a close over what the kernel still holds: by a reset, the client would lose it."""
+async def test_a_connection_with_an_unacknowledged_last_answer_is_not_evicted():
+    """Guards against a close while the kernel still buffers the answer: a reset would lose it."""
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
-        sock = await client(sidecar.address, kernel=4096)
+        sock = await connect(sidecar.address, receive_buffer_bytes=4096)
         await asyncio.get_running_loop().sock_sendall(sock, request(Connection="close"))
-        await until(lambda: standing(sidecar.front) == [EvictionClass.REJECTED])  # ended here, and it lingers
+        await until(
+            lambda: eviction_classes(sidecar.front) == [EvictionClass.REJECTED]
+        )  # closed here and lingering
         (entry,) = sidecar.front.table
         await until(lambda: not entry.owner.unsent_bytes)
         assert not entry.owner.is_evictable
-        assert (await to_the_end(sock)).count(b"x") == BODY
+        assert (await read_to_end(sock)).count(b"x") == BODY
         await until(lambda: sidecar.front.is_empty or entry.owner.is_evictable)
         sock.close()
 
 
 @virtual
-async def test_no_answer_is_held_back_on_a_connection_that_has_no_transport_yet():
+async def test_tcp_nodelay_is_set_on_a_connection_without_a_transport():
     async with running() as sidecar:
-        socks = [await client(sidecar.address) for _ in range(2)]
+        socks = [await connect(sidecar.address) for _ in range(2)]
         await until(lambda: len(sidecar.front.table) == 2)
         delays = [
             entry.owner.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
@@ -193,14 +195,14 @@
 
 
 @virtual
-async def test_a_reset_as_the_last_of_a_slow_readers_answer_is_written_raises_nothing(monkeypatch):
-    """Guards against an error that leaves a callback of the loop: it shuts by itself what it has written."""
+async def test_a_reset_while_the_last_bytes_of_an_answer_are_written_raises_nothing(monkeypatch):
+    """Guards against an uncaught error in a callback of the loop, which shuts down writing by itself."""
     raised = []
-    asyncio.get_running_loop().set_exception_handler(lambda loop, told: raised.append(told))
+    asyncio.get_running_loop().set_exception_handler(lambda loop, context: raised.append(context))
     monkeypatch.setattr(server_module, "SEND_BUFFER_BYTES", 4096)
     upstream = await Upstream([LARGE]).start()
     async with running(upstream) as sidecar:
-        sock = await client(sidecar.address, kernel=4096)
+        sock = await connect(sidecar.address, receive_buffer_bytes=4096)
         await asyncio.get_running_loop().sock_sendall(sock, request(Connection="close"))
         await until(lambda: sidecar.front.buffers.stalled)
         plain, shut = socket.socket.shutdown, []
@@ -218,24 +220,24 @@
                 sock.recv(65536)
             await asyncio.sleep(0)
         await until(lambda: sidecar.front.is_empty)
-        assert [told for told in raised if isinstance(told.get("exception"), OSError)] == []
+        assert [context for context in raised if isinstance(context.get("exception"), OSError)] == []
 
 
 @pytest.mark.parametrize("asked_before", [False, True])
 @virtual
-async def test_a_request_that_crosses_a_close_for_anothers_place_is_not_sent_on(asked_before, monkeypatch):
-    """Closed outright, since its descriptor is needed: it held nothing, and its client sends once more."""
+async def test_a_request_that_crosses_an_eviction_is_not_forwarded(asked_before, monkeypatch):
+    """It is closed without lingering, as its descriptor is needed; nothing is lost and its client retries."""
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
-        sock = await client(sidecar.address)
+        sock = await connect(sidecar.address)
         if asked_before:
-            await asked(sock, request())
+            await ask(sock, request())
         await until(lambda: len(sidecar.front.table) == 1)
         await until(lambda: sidecar.front.table.idle_count == asked_before)
-        crossing = Crossing(monkeypatch, sock, request())
+        crossing = CrossingClient(monkeypatch, sock, request())
         sidecar.front.on_descriptors_exhausted()
         with contextlib.suppress(ConnectionResetError):
-            assert await to_the_end(sock) == b""
+            assert await read_to_end(sock) == b""
         sock.close()
         assert crossing.crossed == ["close"]
         await until(lambda: sidecar.front.is_empty)
