--- a/benchmarks/cluster_breaches.py
+++ b/benchmarks/cluster_breaches.py
@@ -82,29 +82,29 @@
     @property
     def hits(self) -> int:
         """Number of plays in which the required checker found the breach."""
-        return sum(self.checker in seen.found for seen in self.planted)
+        return sum(self.checker in result.found for result in self.planted)
 
     @property
     def found_by(self) -> list[str]:
         """All checkers that found a breach, with the required one first."""
-        found = {checker for seen in self.planted for checker in seen.found}
-        return sorted(found, key=lambda checker: (checker != self.checker, checker))
+        checkers = {checker for result in self.planted for checker in result.found}
+        return sorted(checkers, key=lambda checker: (checker != self.checker, checker))
 
     @property
     def first_ms(self) -> float | None:
         """Median time to the first finding over all plays."""
-        known = [seen.first_ms for seen in self.planted if seen.first_ms is not None]
-        return statistics.median(known) if known else None
+        times_ms = [result.first_ms for result in self.planted if result.first_ms is not None]
+        return statistics.median(times_ms) if times_ms else None
 
     @property
     def without(self) -> Verdict:
         """The worst verdict on the unmodified program."""
-        return max((seen.verdict for seen in self.plain), key=VERDICTS.index)
+        return max((result.verdict for result in self.plain), key=VERDICTS.index)
 
     @property
     def unsound(self) -> str:
         """Why a play cannot be trusted; empty if all can."""
-        return next((why for seen in (*self.planted, *self.plain) for why in seen.unsound), "")
+        return next((why for result in (*self.planted, *self.plain) for why in result.unsound), "")
 
     @property
     def met(self) -> bool:
@@ -128,15 +128,15 @@
 # --- one play ------------------------------------------------------------------------------
 
 
-async def one(name: str, planted: bool, tree: Path) -> Seen:
+async def play_once(name: str, planted: bool, tree: Path) -> Seen:
     """Play the schedule of a breach, with the breach planted or on the unmodified program."""
     schedule = schedule_of(name)
     played = await play(schedule, How(tree, name if planted else ""))
     findings = judge(played, bound_of(schedule, How()))
-    return seen(played, findings, breaching.read(name).checker)
+    return summarize_play(played, findings, breaching.read(name).checker)
 
 
-def seen(played: Played, findings: Sequence[Finding], checker: str) -> Seen:
+def summarize_play(played: Played, findings: Sequence[Finding], checker: str) -> Seen:
     """Return the result of a play."""
     broken = [finding for finding in findings if finding.verdict == "broken"]
     found: dict[str, int] = {}
@@ -198,13 +198,13 @@
         return msgspec.json.decode(out.read_bytes(), type=Seen)
 
 
-async def repeat_if_busy(seen: Seen, attempt: Callable[[], Awaitable[Seen]]) -> Seen:
+async def repeat_if_busy(result: Seen, attempt: Callable[[], Awaitable[Seen]]) -> Seen:
     """Repeat a play while the machine is too busy, at most `MAX_REPEATS` times; return the last result."""
     for _ in range(MAX_REPEATS):
-        if not seen.unsound:
+        if not result.unsound:
             break
-        seen = await attempt()
-    return seen
+        result = await attempt()
+    return result
 
 
 async def run(names: Sequence[str], runs: int, concurrency: int, tree: Path) -> list[Row]:
@@ -219,11 +219,11 @@
 
     async def one_play(name: str, planted: bool) -> Seen:
         async with gate:
-            seen = await play_in_process(name, planted, tree)
+            result = await play_in_process(name, planted, tree)
         variant = "planted" if planted else "as it is"
-        texts = " | ".join((*seen.texts, *(f"UNSOUND: {why}" for why in seen.unsound)))
-        print(f"{name}, {variant}: {seen.verdict}: {texts}", file=sys.stderr, flush=True)
-        return seen
+        texts = " | ".join((*result.texts, *(f"UNSOUND: {why}" for why in result.unsound)))
+        print(f"{name}, {variant}: {result.verdict}: {texts}", file=sys.stderr, flush=True)
+        return result
 
     async def side_by_side(play: tuple[str, bool, int]) -> None:
         seen_by_play[play] = await one_play(play[0], play[1])
@@ -323,7 +323,7 @@
     raise_descriptors()
     try:
         if options.play:
-            encoded = msgspec.json.encode(asyncio.run(one(names[0], not options.plain, options.tree)))
+            encoded = msgspec.json.encode(asyncio.run(play_once(names[0], not options.plain, options.tree)))
             if options.json is not None:
                 options.json.write_bytes(encoded)
             else:
--- a/benchmarks/cluster_faults.py
+++ b/benchmarks/cluster_faults.py
@@ -173,12 +173,12 @@
     Raises:
         ProgramError: A node cannot be started.
     """
-    made = Cluster(schedule_of(name, count, seed), tree, rate_a_node=rate(count), static=name == STATIC)
+    cluster = Cluster(schedule_of(name, count, seed), tree, rate_a_node=rate(count), static=name == STATIC)
     try:
-        await made.start()
-        played = await made.play()
+        await cluster.start()
+        played = await cluster.play()
     finally:
-        await made.stop()
+        await cluster.stop()
     return row_of(name, played)
 
 
--- a/benchmarks/cluster_relay.py
+++ b/benchmarks/cluster_relay.py
@@ -107,7 +107,7 @@
                 ready.register(number, select.EPOLLIN)
             rows = [(sock, self._routes[name]) for name, sock in self._socks.items()]
             gap_s = 1.0 / (a_second * len(rows))
-            total, sent, got, failed = round(length_s / gap_s), 0, 0, 0
+            total, sent, received, failed = round(length_s / gap_s), 0, 0, 0
             lags: Counter[int] = Counter()
             lates: Counter[int] = Counter()
             padding = b"x" * (MESSAGE_BYTES - TIMESTAMP_BYTES)
@@ -130,11 +130,11 @@
                     data = by_number[number].recv(MESSAGE_BYTES)
                     lag_ms = (time.monotonic_ns() - int.from_bytes(data[:TIMESTAMP_BYTES], "big")) / 1e6
                     lags[min(MAX_BIN, int(lag_ms / BIN_MS))] += 1
-                    got += 1
+                    received += 1
         return {
             "sent": sent - failed,
             "unsent": total - sent + failed,
-            "got": got,
+            "got": received,
             "dropped": self._dropped() - dropped,
             "lags": list(lags.items()),
             "lates": list(lates.items()),
@@ -185,7 +185,7 @@
         self._names = names(ends)
         self._relays = Relays(seed, shards)
         self._helpers: list[Helper] = []
-        self._parts = [self._names[index::PROCESSES] for index in range(PROCESSES)]
+        self._ends_by_process = [self._names[index::PROCESSES] for index in range(PROCESSES)]
         self.links_s = 0.0  # time that it took to create all links
         self._direct_routes: dict[str, dict[str, Address]] = {}
         self._relayed_routes: dict[str, dict[str, Address]] = {name: {} for name in self._names}
@@ -198,19 +198,21 @@
         """
         await self._relays.start()
         at: dict[str, Address] = {}
-        for part in self._parts:
+        for end_names in self._ends_by_process:
             helper = await Helper.start("benchmarks.cluster_relay", ["--host-ends"])
             self._helpers.append(helper)
             await helper.hear()
-            bound = await helper.ask(do="bind", ends=part)
-            at.update({name: (host, port) for name, (host, port) in zip(part, bound, strict=True)})
+            bound = await helper.ask(do="bind", ends=end_names)
+            at.update({name: (host, port) for name, (host, port) in zip(end_names, bound, strict=True)})
         self._direct_routes = {name: {other: at[other] for other in at if other != name} for name in at}
         pairs = list(itertools.combinations(self._names, 2))
         began = time.monotonic()
-        made = await self._relays.make([UdpLink(one, other, at[one], at[other]) for one, other in pairs])
+        addresses = await self._relays.make(
+            [UdpLink(first, second, at[first], at[second]) for first, second in pairs]
+        )
         self.links_s = time.monotonic() - began
-        for (one, other), address in zip(pairs, made, strict=True):
-            self._relayed_routes[one][other] = self._relayed_routes[other][one] = address
+        for (first, second), address in zip(pairs, addresses, strict=True):
+            self._relayed_routes[first][second] = self._relayed_routes[second][first] = address
         return self
 
     async def stop(self) -> None:
@@ -224,8 +226,8 @@
             ProgramError: A process died.
         """
         routes = self._relayed_routes if relayed else self._direct_routes
-        for helper, part in zip(self._helpers, self._parts, strict=True):
-            await helper.ask(do="route", to={name: list(routes[name].values()) for name in part})
+        for helper, end_names in zip(self._helpers, self._ends_by_process, strict=True):
+            await helper.ask(do="route", to={name: list(routes[name].values()) for name in end_names})
         await self._relays.forget_lag()
         before = await self._relays.report()
         run = {
@@ -239,7 +241,7 @@
         lags, lates = (
             sum((Counter(dict(end[name])) for end in ends), Counter[int]()) for name in ("lags", "lates")
         )
-        sent, got, dropped, unsent = (
+        sent, received, dropped, unsent = (
             sum(end[name] for end in ends) for name in ("sent", "got", "dropped", "unsent")
         )
         cpu_s = after.cpu_s - before.cpu_s
@@ -251,19 +253,19 @@
             problems["ends"] = (
                 f"the ends were late by {late_ms:.1f} ms, did not send {unsent} and did not read {dropped}"
             )
-        if not problems and (sent > got or p99_ms > LATE_MOST_MS):
-            problems["unknown"] = f"{sent - got} messages were lost, others took {p99_ms:.1f} ms"
+        if not problems and (sent > received or p99_ms > LATE_MOST_MS):
+            problems["unknown"] = f"{sent - received} messages were lost, others took {p99_ms:.1f} ms"
         return Row(
             way="relayed" if relayed else "straight",
             a_second=round(a_second * len(self._names)),
             sent=sent,
-            lost=sent - got,
+            lost=sent - received,
             p50_ms=percentile_ms(lags, 0.5),
             p99_ms=p99_ms,
             ends_late_ms=late_ms,
             relay_lag_ms=max(after.lag_p99_ms),
             relay_cores=cpu_s / (START_DELAY_S + length_s + DRAIN_S) if relayed else 0.0,
-            relay_us=1e6 * cpu_s / max(1, got) if relayed else 0.0,
+            relay_us=1e6 * cpu_s / max(1, received) if relayed else 0.0,
             bottleneck=" and ".join(problems),
             unsound="; ".join(problems.values()),
         )
--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -71,14 +71,14 @@
     name: str
     full_rate: float
     started: float = 0.0  # 0: warm
-    how: ServerState = "up"
+    state: ServerState = "up"
     free_ms: float = 0.0
-    got: list[float] = field(default_factory=list)  # ordered times of the requests that reached it
+    received_at: list[float] = field(default_factory=list)  # ordered times of the requests that reached it
     over: float = -math.inf  # largest excess of any interval beyond N and the margin for chance
 
 
 @dataclass(slots=True, eq=False)
-class Asked:
+class Request:
     """A request of a client, and its current try at a sidecar."""
 
     me: int
@@ -87,7 +87,7 @@
     until_ms: float
     tries: int = 0
     number: int = 0
-    at: Any = None  # decision module that handles it
+    balancer: Any = None  # decision module that handles it
     sent: list[float] = field(default_factory=list)
 
 
@@ -116,10 +116,10 @@
         self.rules = self._settings[0]
         self.servers = {f"s{n}": Server(f"s{n}", full_rate) for n in range(SERVERS)}
         self.listed = {name: model.Listing(name, int(name[1:]) % 3) for name in self.servers}
-        self._open: dict[int, Asked] = {}
-        self._down: dict[int, list[Asked]] = {}  # clients that wait for sidecars that are down
+        self._open: dict[int, Request] = {}
+        self._down: dict[int, list[Request]] = {}  # clients that wait for sidecars that are down
         self.sidecars: list[Any] = [self._create_balancer(me) for me in range(sidecars)]
-        self.asked = self.served = 0
+        self.request_count = self.served = 0
         # Most sidecars have little traffic, and some several times the mean.
         weights = [self.rng.gammavariate(1.5, 1.0) for _ in range(sidecars)]
         rate = USED * full_rate * SERVERS / 1000.0
@@ -141,9 +141,9 @@
             until = min(LENGTH_MS, server.started + warm_up)
             share = (self.warmth(server.started) + self.warmth(until, server.started)) / 2.0
             natural += USED * server.full_rate * share * (until - server.started) / 1000.0
-            flow += bisect_right(server.got, until)
+            flow += bisect_right(server.received_at, until)
         over = max((server.over for server in cold), default=-math.inf)
-        return Figures(over, flow / natural if natural else 0.0, self.served / max(1, self.asked))
+        return Figures(over, flow / natural if natural else 0.0, self.served / max(1, self.request_count))
 
     # --- servers ---------------------------------------------------------------------
 
@@ -169,7 +169,7 @@
 
     def die(self, name: str, back_ms: float) -> None:
         """End the process of a server; another one starts there later."""
-        self.servers[name].how = "refusing"
+        self.servers[name].state = "refusing"
         zone = self.listed[name].zone
         self.at(self.now + back_ms, lambda: self.start_cold(name, zone))
 
@@ -189,42 +189,42 @@
             When it is answered, or None if it is rejected.
         """
         if server.started:
-            insort(server.got, self.now)
+            insort(server.received_at, self.now)
             span = self.rules.overload_for
             can = server.full_rate * self.warmth(self.now, server.started) * span / 1000.0
             bearable = self.rules.fall_multiple * can
-            sent = len(server.got) - bisect_right(server.got, self.now - span)
+            sent = len(server.received_at) - bisect_right(server.received_at, self.now - span)
             if self.now - server.started < self.rules.warm_up:
                 server.over = max(server.over, sent - bearable - 2.0 * math.sqrt(bearable) - 2.0)
         if server.free_ms - self.now > QUEUE_MS:
             return None
-        took = 1000.0 / (server.full_rate * self.warmth(self.now, server.started))
-        server.free_ms = max(server.free_ms, self.now) + took
+        service_ms = 1000.0 / (server.full_rate * self.warmth(self.now, server.started))
+        server.free_ms = max(server.free_ms, self.now) + service_ms
         return server.free_ms + self.rng.expovariate(1.0) * ANSWER_MS
 
     # --- sidecars --------------------------------------------------------------------
 
     def _create_balancer(self, me: int) -> Any:
-        made = self._make(self.now, self._settings[me], next(self._seeds))
-        made.server_list(self.now, "remembered", list(self.listed.values()))
-        return made
+        balancer = self._make(self.now, self._settings[me], next(self._seeds))
+        balancer.server_list(self.now, "remembered", list(self.listed.values()))
+        return balancer
 
     def restart(self, me: int, away_ms: float) -> None:
         """Kill a sidecar; its clients retry at once when it is back."""
-        self._down[me] = [asked for asked in self._open.values() if asked.me == me]
-        for asked in self._down[me]:
-            del self._open[asked.number]
+        self._down[me] = [request for request in self._open.values() if request.me == me]
+        for request in self._down[me]:
+            del self._open[request.number]
         self.sidecars[me] = None
 
         def back() -> None:
             self.sidecars[me] = self._create_balancer(me)
-            for asked in self._down.pop(me):
-                self._arrive(asked)
+            for request in self._down.pop(me):
+                self._arrive(request)
 
         self.at(self.now + away_ms, back)
 
     def _execute(self, me: int, actions: list[model.Action]) -> None:
-        one = self.sidecars[me]
+        balancer = self.sidecars[me]
         for action in actions:
             match action:
                 case model.Send(number, name, timeout) if number in self._open:
@@ -234,18 +234,18 @@
                 case model.Fail(number):
                     self._open.pop(number, None)
                 case model.Timer(delay, token):
-                    self.at(self.now + delay, lambda token=token: self._timer(me, one, token))  # type: ignore[misc]
+                    self.at(self.now + delay, lambda token=token: self._timer(me, balancer, token))  # type: ignore[misc]
 
-    def _timer(self, me: int, one: Any, token: str) -> None:
-        if one is self.sidecars[me]:
-            self._execute(me, one.timer(self.now, token))
+    def _timer(self, me: int, balancer: Any, token: str) -> None:
+        if balancer is self.sidecars[me]:
+            self._execute(me, balancer.timer(self.now, token))
 
-    def _send(self, asked: Asked, server: Server, timeout: float) -> None:
-        hop, over = len(asked.sent), self.now + timeout
-        asked.sent.append(self.now)
+    def _send(self, request: Request, server: Server, timeout: float) -> None:
+        hop, over = len(request.sent), self.now + timeout
+        request.sent.append(self.now)
 
         def end(when: float, status: Outcome) -> None:
-            self.at(when, lambda: self._on_outcome(asked, hop, status))
+            self.at(when, lambda: self._on_outcome(request, hop, status))
 
         def reach() -> None:
             answer = self._serve(server)
@@ -254,24 +254,26 @@
             else:
                 end(min(answer, over), Outcome.OK if answer < over else Outcome.TIMEOUT)
 
-        if server.how == "up":
+        if server.state == "up":
             self.at(self.now + HALF_MS, reach)
-        elif server.how == "refusing":
+        elif server.state == "refusing":
             end(self.now + 2.0 * HALF_MS, Outcome.CONNECT_FAILED)
         elif self.rng.random() < OPEN_CONNECTION_SHARE:
             end(over, Outcome.TIMEOUT)
         else:
             end(min(over, self.now + CONNECT_MS), Outcome.CONNECT_FAILED)
 
-    def _on_outcome(self, asked: Asked, hop: int, status: Outcome) -> None:
-        if self.sidecars[asked.me] is not asked.at:
+    def _on_outcome(self, request: Request, hop: int, status: Outcome) -> None:
+        if self.sidecars[request.me] is not request.balancer:
             return
         last = status == Outcome.OK
         self.served += last
-        spent = self.now - asked.sent[hop]
-        self._execute(asked.me, asked.at.outcome(self.now, asked.number, hop, int(status), spent, last))
+        spent = self.now - request.sent[hop]
+        self._execute(
+            request.me, request.balancer.outcome(self.now, request.number, hop, int(status), spent, last)
+        )
         if last:
-            self._open.pop(asked.number, None)
+            self._open.pop(request.number, None)
 
     # --- clients ---------------------------------------------------------------------
 
@@ -280,33 +282,33 @@
 
         def come() -> None:
             self._next_client(me)
-            self.asked += 1
+            self.request_count += 1
             traffic_class = int(self.rng.random() < 0.37)
             key = int(KEYS * self.rng.random() ** 2)  # some keys are popular
             until = self.now + self.rules.profiles[traffic_class].deadline
-            self._arrive(Asked(me, traffic_class, key, until))
+            self._arrive(Request(me, traffic_class, key, until))
 
         self.at(when, come)
 
-    def _arrive(self, asked: Asked) -> None:
+    def _arrive(self, request: Request) -> None:
         """Let a try of a client reach its sidecar, or wait until the sidecar is back."""
-        waits = self._down.get(asked.me)
+        waits = self._down.get(request.me)
         if waits is not None:
-            waits.append(asked)
+            waits.append(request)
             return
-        if asked.until_ms <= self.now:
+        if request.until_ms <= self.now:
             return
         # Each try is a copy, so that sends of an earlier try end with that try.
-        asked = replace(asked, number=next(self._numbers), sent=[], at=self.sidecars[asked.me])
-        self._open[asked.number] = asked
-        arrival = model.Arrival(asked.number, asked.traffic_class, asked.until_ms, key=asked.key)
-        self._execute(asked.me, asked.at.request(self.now, arrival))
+        request = replace(request, number=next(self._numbers), sent=[], balancer=self.sidecars[request.me])
+        self._open[request.number] = request
+        arrival = model.Arrival(request.number, request.traffic_class, request.until_ms, key=request.key)
+        self._execute(request.me, request.balancer.request(self.now, arrival))
 
-    def _retry(self, asked: Asked, after: float) -> None:
-        asked.tries += 1
-        if asked.tries <= RETRIES:
-            wait = max(after, self.rng.uniform(30.0, 240.0) * 2.0 ** (asked.tries - 1))
-            self.at(self.now + wait, lambda: self._arrive(asked))
+    def _retry(self, request: Request, after: float) -> None:
+        request.tries += 1
+        if request.tries <= RETRIES:
+            wait = max(after, self.rng.uniform(30.0, 240.0) * 2.0 ** (request.tries - 1))
+            self.at(self.now + wait, lambda: self._arrive(request))
 
 
 # --- the rows ----------------------------------------------------------------------------
@@ -339,7 +341,7 @@
 
 def silent(fleet: Fleet) -> None:
     def fall_silent(name: str) -> None:
-        fleet.servers[name].how = "silent"
+        fleet.servers[name].state = "silent"
 
     _concentrate(fleet, fall_silent)
 
--- a/benchmarks/cost.py
+++ b/benchmarks/cost.py
@@ -35,17 +35,17 @@
 CONNECTIONS = 32
 
 
-async def one(tree: Path, rate_per_s: float, seed: int) -> tuple[float, int]:
+async def measure_once(tree: Path, rate_per_s: float, seed: int) -> tuple[float, int]:
     """Return the CPU microseconds per request and the number of requests that were not served."""
-    async with stage(tree, servers=4, seed=seed, work_ms=(1.0, 3.0)) as made:
+    async with stage(tree, servers=4, seed=seed, work_ms=(1.0, 3.0)) as setup:
         plan = Plan(rate_per_s, WARM_S + COUNTED_S, seed, pools=4, connections=CONNECTIONS, skip_s=WARM_S)
-        clients = Clients(made.target.address, plan)
+        clients = Clients(setup.target.address, plan)
         asking = asyncio.create_task(clients.run())
         try:
             await asyncio.sleep(WARM_S)
-            before = made.target.program.usage().cpu_s
+            before = setup.target.program.usage().cpu_s
             await asyncio.sleep(COUNTED_S)
-            used_s = made.target.program.usage().cpu_s - before
+            used_s = setup.target.program.usage().cpu_s - before
             await asking  # ends with its plan
         finally:
             asking.cancel()
@@ -63,7 +63,7 @@
     all_lost = 0
     for turn in range(ROUNDS):
         for tree in trees:
-            cost, lost = await one(tree, rate_per_s, seed + turn)
+            cost, lost = await measure_once(tree, rate_per_s, seed + turn)
             all_lost += lost
             costs_of[str(tree)].append(cost)
     return costs_of, all_lost
--- a/benchmarks/crowds.py
+++ b/benchmarks/crowds.py
@@ -195,8 +195,8 @@
         """Set the figures that are relative to the row without a crowd."""
         p99, before = self.tally.latency_ms(0.99), base.tally.latency_ms(0.99)
         self.p99_ratio = p99 / before if before > 0.0 else None
-        if self.name in KINDS and (made := self.crowd.get("connected", 0)):
-            self.cpu_us = (self.cpu_s - base.cpu_share * self.window_s) / made * 1e6
+        if self.name in KINDS and (connections := self.crowd.get("connected", 0)):
+            self.cpu_us = (self.cpu_s - base.cpu_share * self.window_s) / connections * 1e6
 
     def judge(self, scenario: Scenario) -> None:
         """Record each bound that is not met."""
@@ -300,12 +300,12 @@
         work_ms=scenario.work_ms,
         sockets=scenario.sockets,
         core=reserve_core(),
-    ) as made:
-        clients = Clients(made.target.address, scenario.plan)
-        async with sampled(made.target.program) as peaks:
+    ) as setup:
+        clients = Clients(setup.target.address, scenario.plan)
+        async with sampled(setup.target.program) as peaks:
             asking = asyncio.create_task(clients.run())
             try:
-                window = await _window(scenario, made, clients, seed)
+                window = await _window(scenario, setup, clients, seed)
                 await asking  # ends with its plan
             finally:
                 asking.cancel()
@@ -314,37 +314,37 @@
             sockets=scenario.sockets,
             tally=clients.tally,
             peaks=peaks,
-            servers=await made.fleet.ledger(),
-            died=str(made.target.program.ended()) if made.target.program.code is not None else "",
-            log_bytes=made.target.program.log_bytes,
-            log_tail=made.target.program.tail[-LOG_LINES:],
-            emfile=any(EMFILE in line for line in made.target.program.tail),
+            servers=await setup.fleet.ledger(),
+            died=str(setup.target.program.ended()) if setup.target.program.code is not None else "",
+            log_bytes=setup.target.program.log_bytes,
+            log_tail=setup.target.program.tail[-LOG_LINES:],
+            emfile=any(EMFILE in line for line in setup.target.program.tail),
             **window,
         )
 
 
-async def _window(scenario: Scenario, made: Stage, clients: Clients, seed: int) -> dict[str, Any]:
+async def _window(scenario: Scenario, setup: Stage, clients: Clients, seed: int) -> dict[str, Any]:
     """Run the crowd until the end of the plan; return the CPU time and its counts in that window."""
     end = time.monotonic() + scenario.plan.duration_s
     await asyncio.sleep(scenario.plan.skip_s)
-    crowd = await Crowd.start(made.target.address, scenario.crowd, seed=seed) if scenario.crowd else None
+    crowd = await Crowd.start(setup.target.address, scenario.crowd, seed=seed) if scenario.crowd else None
     try:
-        before, since = _cpu_s(made), time.monotonic()
+        before, since = _cpu_s(setup), time.monotonic()
         if scenario.reconnect:
             await asyncio.sleep((end - since) / 2.0)
             clients.reconnect()
         await asyncio.sleep(max(0.0, end - time.monotonic()))
         counts = await crowd.counts() if crowd is not None else {}
-        return {"window_s": time.monotonic() - since, "cpu_s": _cpu_s(made) - before, "crowd": counts}
+        return {"window_s": time.monotonic() - since, "cpu_s": _cpu_s(setup) - before, "crowd": counts}
     finally:
         if crowd is not None:
             await crowd.stop()
 
 
-def _cpu_s(made: Stage) -> float:
+def _cpu_s(setup: Stage) -> float:
     """Return the CPU time of the program; 0 once it has exited, which its row reports."""
     try:
-        return made.target.program.usage().cpu_s
+        return setup.target.program.usage().cpu_s
     except ProcessLookupError:
         return 0.0
 
@@ -372,13 +372,13 @@
 def costs(rows: list[Row]) -> list[str]:
     """Return lines on the CPU figures that do not affect the exit code."""
     lines = []
-    for name, most in (("silent", MAX_SILENT_US), ("turned_away", MAX_ANSWERED_US)):
+    for name, max_us in (("silent", MAX_SILENT_US), ("turned_away", MAX_ANSWERED_US)):
         for row in rows:
             if row.name == name and row.cpu_us is not None:
-                met = "met" if row.cpu_us <= most else "not met"
+                met = "met" if row.cpu_us <= max_us else "not met"
                 lines.append(
                     f"CPU for each connection of {name}: {row.cpu_us:.0f} us, whole process with"
-                    f" kernel; {most:.0f} us: {met}"
+                    f" kernel; {max_us:.0f} us: {met}"
                 )
     return lines
 
--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -58,7 +58,7 @@
     scale, at_s = duration_s / LONG_S, FAULT_START_SHARE * duration_s
     full_range = (0.7 * duration_s, 0.7 * duration_s)
     drain = Fault("drain", at_s, lasts_s=_scaled(5.0, 10.0, scale), share=0.15, away_s=8.0 * scale)
-    made = {
+    faults_by_name = {
         CALM: (),
         "die": (Fault("die", at_s, lasts_s=_scaled(7.7, 21.0, scale), share=0.23),),
         "vanish": (Fault("vanish", at_s, lasts_s=_scaled(15.0, 25.0, scale), share=0.12),),
@@ -80,9 +80,9 @@
         "sidecar_crash": (Fault("sidecar_crash", at_s, lasts_s=(1.1, 7.0), share=0.5),),
     }
     if name != TOGETHER:
-        return made[name]
+        return faults_by_name[name]
     parts = ("die", "fail", "stall", "drain", "sidecar_crash")
-    return tuple(fault for part in parts for fault in made[part])
+    return tuple(fault for part in parts for fault in faults_by_name[part])
 
 
 NAMES = (
@@ -126,7 +126,7 @@
     @property
     def not_met(self) -> list[str]:
         """All broken rules, and the reasons why the run is unsound."""
-        broken = [f"{rule}: {len(found)}" for rule, found in self.run.breaches.items() if found]
+        broken = [f"{rule}: {len(breaches)}" for rule, breaches in self.run.breaches.items() if breaches]
         return [*broken, *(f"unsound: {why}" for why in self.run.unsound)]
 
     def shares(self) -> dict[str, float]:
@@ -140,7 +140,7 @@
             "in_aim": score.in_aim(),
             "service": score.service(),
             "worst_window": score.worst_window(),
-            "worst_class": worst([_of_class(one.name) for one in CLASSES]),
+            "worst_class": worst([_of_class(traffic_class.name) for traffic_class in CLASSES]),
             "worst_tenant": worst([_of_tenant(name) for name in TENANTS]),
         }
 
@@ -157,14 +157,16 @@
             "sends": len(run.call_ledger.executions),
             "server_ends": dict(Counter(row.fate or row.end for row in run.call_ledger.executions)),
             "latency_ms": {
-                one.name: {
-                    f"p{round(share * 100)}": _finite(score.latency_ms(one.name, share))
+                traffic_class.name: {
+                    f"p{round(share * 100)}": _finite(score.latency_ms(traffic_class.name, share))
                     for share in (0.5, 0.9, 0.99)
                 }
-                for one in CLASSES
+                for traffic_class in CLASSES
             },
-            "broken": {rule: len(found) for rule, found in run.breaches.items()},
-            "stories": [one.as_json() for found in run.breaches.values() for one in found[:MAX_STORIES]],
+            "broken": {rule: len(breaches) for rule, breaches in run.breaches.items()},
+            "stories": [
+                breach.as_json() for breaches in run.breaches.values() for breach in breaches[:MAX_STORIES]
+            ],
             "falls": run.falls,
             "crashes": len(run.call_ledger.crashes),
             "lag_p99_ms": run.lag_p99_ms,
@@ -261,8 +263,8 @@
             verdict = "; ".join(row.not_met) or "rules kept"
             in_aim = format_figure(100.0 * row.shares()["in_aim"], ".2f")
             print(f"{name} ({peer}): {in_aim}% in aim; {verdict}", file=sys.stderr, flush=True)
-            for found in row.run.breaches.values() if peer == "sidecar" else ():
-                for breach in found[:MAX_STORIES]:
+            for breaches in row.run.breaches.values() if peer == "sidecar" else ():
+                for breach in breaches[:MAX_STORIES]:
                     print(breach.text(), file=sys.stderr, flush=True)
     return rows
 
@@ -297,8 +299,8 @@
     parser = build_parser()
     options = parser.parse_args()
     names = select_names(options.only, NAMES, parser)
-    known: dict[str, Peer] = {peer: peer for peer in PEERS}
-    peers = [known[name] for name in select_names(options.peers, PEERS, parser)]
+    peers_by_name: dict[str, Peer] = {peer: peer for peer in PEERS}
+    peers = [peers_by_name[name] for name in select_names(options.peers, PEERS, parser)]
     setting = Setting(QUICK_S if options.quick else LONG_S, options.seed)
     file_schedule: Schedule | None = None
     try:
--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -39,7 +39,7 @@
 ZONES = ("north", "middle", "south")
 SERVERS, QUICK_SERVERS = 120, 36
 SIDECARS, QUICK_SIDECARS = 200, 60
-RATE_A_SERVER = 11.0  # requests per second
+RATE_PER_SERVER = 11.0  # requests per second
 LENGTH_MS, QUICK_MS = 24_000.0, 12_000.0
 IDLE_MS, POOL_IDLE_SHARE = 5000.0, 0.9
 GRACE_MS = 2500.0  # after the last arrival, when all requests have ended
@@ -126,7 +126,7 @@
         }
         self.world = World(
             self.makes,
-            balancer=lambda me, own: balancer(0.0, settings(me, size.sidecars), own),
+            balancer=lambda me, module_seed: balancer(0.0, settings(me, size.sidecars), module_seed),
             sidecars=size.sidecars,
             seed=seed,
             half_ms=0.6,
@@ -138,7 +138,7 @@
         weights = tuple(self.rng.gammavariate(2.0, 1.0) for _ in range(size.sidecars))
         for traffic_class, (name, share, work, io, aim, deadline, worth) in enumerate(CLASSES):
             flow = Flow(
-                rate_per_s=RATE_A_SERVER * size.servers * share,
+                rate_per_s=RATE_PER_SERVER * size.servers * share,
                 budget_ms=deadline,
                 work_ms=work,
                 io_ms=io,
@@ -160,12 +160,12 @@
         self, share: float, away_ms: tuple[float, float], from_ms: float, over_ms: float
     ) -> None:
         """Kill a share of the sidecars within `over_ms`; they return with the server list of the start."""
-        known = [host.listing for host in self.world.hosts.values()]
+        listings = [host.listing for host in self.world.hosts.values()]
         count = round(share * self.size.sidecars)
         for number in self.rng.sample(range(self.size.sidecars), count):
             at_ms = from_ms + self.rng.random() * over_ms
             back_ms = at_ms + self.rng.uniform(*away_ms)
-            self.world.at(at_ms, lambda n=number, back=back_ms: self.world.kill(n, back, known))  # type: ignore[misc]
+            self.world.at(at_ms, lambda n=number, back=back_ms: self.world.kill(n, back, listings))  # type: ignore[misc]
 
     def replace_servers(self, share: float, from_ms: float, over_ms: float) -> None:
         """Drain a share of the servers, each replaced by a cold one.
@@ -213,18 +213,18 @@
     def play(self) -> dict[str, float]:
         """Play the day to its end and return its figures: shares of 1, unless their names say otherwise."""
         self.world.run(self.size.length_ms + GRACE_MS)
-        rows = [asked for asked in self.world.asked if asked.at_ms < self.size.length_ms]
+        rows = [request for request in self.world.asked if request.at_ms < self.size.length_ms]
         by_window: dict[int, list[Asked]] = {}
-        for asked in rows:
-            by_window.setdefault(int(asked.at_ms // WINDOW_MS), []).append(asked)
+        for request in rows:
+            by_window.setdefault(int(request.at_ms // WINDOW_MS), []).append(request)
         opened, requests = self.world.counts.opened, max(1, len(rows))
         sends = Counter(self.world.counts.sends)
         mean = sum(sends.values()) / max(1, len(self.world.hosts))
         return {
             "served": _served(rows),
             "worst": min(map(_served, by_window.values()), default=0.0),
-            "refused": sum(asked.end == "refused" for asked in rows) / requests,
-            "failed": sum(asked.end in (None, "failed", "unanswered") for asked in rows) / requests,
+            "refused": sum(request.end == "refused" for request in rows) / requests,
+            "failed": sum(request.end in (None, "failed", "unanswered") for request in rows) / requests,
             "fresh": opened / requests,
             "connections_a_sidecar": self.world.connections_ms / self.world.now / self.size.sidecars,
             "sends_a_request": self.world.sends / requests,
@@ -238,10 +238,10 @@
     Late responses count half. The worth of a request is proportional to its work.
     """
     worth = {"served": 1.0, "late": 0.5}
-    whole = sum(asked.flow.worth * asked.work_ms for asked in rows)
-    return sum(asked.flow.worth * asked.work_ms * worth.get(asked.end or "", 0.0) for asked in rows) / (
-        whole or 1.0
-    )
+    total = sum(request.flow.worth * request.work_ms for request in rows)
+    return sum(
+        request.flow.worth * request.work_ms * worth.get(request.end or "", 0.0) for request in rows
+    ) / (total or 1.0)
 
 
 def calm(day: Day) -> None:
@@ -305,9 +305,9 @@
     """
     path = tree / "fordtrestle" / "balancer" / "balancer.py"
     prefix = f"{package.__name__}."
-    own = {name: sys.modules[name] for name in list(sys.modules) if name.startswith(prefix)}
+    own_modules = {name: sys.modules[name] for name in list(sys.modules) if name.startswith(prefix)}
     attributes, own_path = dict(vars(package)), package.__path__
-    for name in own.keys() - {model.__name__}:
+    for name in own_modules.keys() - {model.__name__}:
         del sys.modules[name]
     package.__path__ = [str(path.parent)]
     try:
@@ -317,21 +317,21 @@
     finally:
         for name in [name for name in sys.modules if name.startswith(prefix)]:
             del sys.modules[name]
-        sys.modules.update(own)
+        sys.modules.update(own_modules)
         vars(package).update(attributes)
         package.__path__ = own_path
-    made: Callable[[float, Settings, int], Any] = module.Balancer
-    return made
+    factory: Callable[[float, Settings, int], Any] = module.Balancer
+    return factory
 
 
 def cells(name: str, row: dict[str, float]) -> list[str]:
     """Return the table row of a day."""
     percent = [format_figure(100.0 * row[key], ".1f") for key in ("served", "worst", "refused", "failed")]
-    rest = [format_figure(row["fresh"], ".3f"), format_figure(row["connections_a_sidecar"], ".1f")]
+    connections = [format_figure(row["fresh"], ".3f"), format_figure(row["connections_a_sidecar"], ".1f")]
     return [
         name,
         *percent,
-        *rest,
+        *connections,
         format_figure(row["sends_a_request"], ".3f"),
         format_figure(row["busiest_over_mean"], ".2f"),
     ]
--- a/benchmarks/giveway.py
+++ b/benchmarks/giveway.py
@@ -161,7 +161,7 @@
     ]
     print(table(("cost", "us", "at most"), rows))
     write_json(options.json, options.tree, measured)
-    return NOT_MET if any(measured[name] > most for name, most in bounds.items()) else DONE
+    return NOT_MET if any(measured[name] > bound for name, bound in bounds.items()) else DONE
 
 
 if __name__ == "__main__":
--- a/benchmarks/load_accuracy.py
+++ b/benchmarks/load_accuracy.py
@@ -67,13 +67,13 @@
     rows: list[dict[str, Any]] = field(default_factory=list)
     not_met: list[str] = field(default_factory=list)
 
-    def judge(self, met: bool, what: str, noise: Noise) -> str:
+    def judge(self, met: bool, name: str, noise: Noise) -> str:
         """Return a verdict for the table, and record a row that is void or not met."""
         if noise.long_share > MAX_LONG_GAP_SHARE:
-            self.not_met.append(f"{what} (void: the machine was not at rest)")
+            self.not_met.append(f"{name} (void: the machine was not at rest)")
             return "void, met" if met else "void"
         if not met:
-            self.not_met.append(what)
+            self.not_met.append(name)
         return "met" if met else "NOT MET"
 
 
@@ -134,7 +134,7 @@
 def _send_once(
     truth: Truth, text: str, beside: Path, plan: Plan, stall_s: tuple[float, float] | None
 ) -> Sent:
-    made = schedule.make_schedule(spec.parse(text, "load"), beside)
+    load_schedule = schedule.make_schedule(spec.parse(text, "load"), beside)
     samples: list[Sample] = []
 
     def started(start_ns: int) -> None:
@@ -144,7 +144,7 @@
 
     truth.plan(plan)
     truth.records()
-    run = Generator(made, on_start=started, on_sample=samples.append).run()
+    run = Generator(load_schedule, on_start=started, on_sample=samples.append).run()
     return Sent(run, samples, truth.records())
 
 
@@ -166,22 +166,32 @@
         late_ms = quantile([(record.went - record.due) / 1e6 for record in sent.records], 0.999)
         true = [quantile(recorded, share) for share in SHARES]
         latency = sent.run.recorder.whole.latency.percentiles_ms([share * 100.0 for share in SHARES])
-        apart = max(abs((got or math.inf) - was) for got, was in zip(latency, true, strict=True))
+        max_error_ms = max(
+            abs((reported or math.inf) - true_ms) for reported, true_ms in zip(latency, true, strict=True)
+        )
         lag_ms = sent.run.recorder.lag.summary()["p999"]
-        whole = len(recorded) == len(sent.samples)
-        judged = figures.judge(apart <= MAX_ERROR_MS and whole, f"percentiles of {name}", sent.noise)
-        for what, values in (("truth", true), ("told", latency)):
+        is_complete = len(recorded) == len(sent.samples)
+        verdict = figures.judge(
+            max_error_ms <= MAX_ERROR_MS and is_complete, f"percentiles of {name}", sent.noise
+        )
+        for source, values in (("truth", true), ("told", latency)):
             last = [""] * 5
-            if what == "told":
-                last = [f"{apart:.3f}", format_figure(lag_ms, ".3f"), f"{late_ms:.3f}", sent.away(), judged]
-            rows.append([f"{name}: {what}", *(format_figure(value, ".3f") for value in values), *last])
+            if source == "told":
+                last = [
+                    f"{max_error_ms:.3f}",
+                    format_figure(lag_ms, ".3f"),
+                    f"{late_ms:.3f}",
+                    sent.away(),
+                    verdict,
+                ]
+            rows.append([f"{name}: {source}", *(format_figure(value, ".3f") for value in values), *last])
         figures.rows.append(
             {
                 "case": name,
                 "requests": len(sent.samples),
                 "truth_ms": true,
                 "told_ms": latency,
-                "apart_ms": apart,
+                "apart_ms": max_error_ms,
                 "lag_p999_ms": lag_ms,
                 "standin_late_p999_ms": late_ms,
                 **sent.summary(),
@@ -218,7 +228,7 @@
         hit = [s for s in sent.samples if STALL_FROM_S <= s.at_us / 1e6 < until_s]
         # If served one at a time, each request also waits for its own work.
         work_s = 1.0 / per_s if per_s else 0.0
-        apart = distance_to_even([s.latency_ns / 1e9 - work_s for s in hit], STALL_S)
+        distance = distance_to_even([s.latency_ns / 1e9 - work_s for s in hit], STALL_S)
         open_ms = sent.run.recorder.whole.latency.summary()["p99"] or math.nan
         closed = closed_loop(bench.truth, plan, until_s + 2.0)
         closed_ms = quantile(closed, 0.99)
@@ -226,26 +236,26 @@
             sum(ms > 100.0 for ms in row) / len(row)
             for row in ([s.latency_ns / 1e6 for s in sent.samples], closed)
         ]
-        good = apart <= MAX_KS_DISTANCE and closed_ms < 100.0 < open_ms
-        judged = figures.judge(good, f"the stall, {name}", sent.noise)
+        is_met = distance <= MAX_KS_DISTANCE and closed_ms < 100.0 < open_ms
+        verdict = figures.judge(is_met, f"the stall, {name}", sent.noise)
         rows.append(
             [
                 name,
                 str(len(hit)),
-                f"{apart:.4f}",
+                f"{distance:.4f}",
                 f"{open_ms:.0f}",
                 f"{over[0]:.3f}",
                 f"{closed_ms:.1f}",
                 f"{over[1]:.4f}",
                 sent.away(),
-                judged,
+                verdict,
             ]
         )
         figures.rows.append(
             {
                 "case": f"stall, {name}",
                 "hit": len(hit),
-                "ks": apart,
+                "ks": distance,
                 "open_p99_ms": open_ms,
                 "open_over_100_ms": over[0],
                 "closed_p99_ms": closed_ms,
@@ -273,7 +283,7 @@
     window = tuple(start_ns + round(at * 1e9) for at in (STALL_FROM_S, STALL_FROM_S + STALL_S))
     truth.plan(Plan(plan.seed, stall_ns=(window[0], window[1]), per_s=plan.per_s))
     pause_s = CLOSED_CLIENTS / STALL_RATE_PER_S
-    took: list[float] = []
+    latencies_ms: list[float] = []
 
     def client(number: int) -> None:
         with socket.create_connection(("127.0.0.1", truth.port)) as sock:
@@ -283,7 +293,7 @@
                 began = time.monotonic()
                 sock.sendall(b"GET /look HTTP/1.1\r\n\r\n")
                 sock.recv(4096)
-                took.append((time.monotonic() - began) * 1000.0)
+                latencies_ms.append((time.monotonic() - began) * 1000.0)
                 next_s = max(next_s + pause_s, time.monotonic())
 
     threads = [threading.Thread(target=client, args=(number,)) for number in range(CLOSED_CLIENTS)]
@@ -292,7 +302,7 @@
     for thread in threads:
         thread.join()
     truth.records()
-    return took
+    return latencies_ms
 
 
 # --- a trace ----------------------------------------------------------------------
@@ -314,10 +324,10 @@
     came = [int(r.key) for r in sorted(sent.records, key=lambda record: record.came)]
     crossed = sum(a > b for a, b in pairwise(came))
     lag = sent.run.recorder.lag.summary()
-    good = (
+    is_met = (
         (lag["p99"] or math.inf) < MAX_LAG_MS and served == count and not lost and not twice and not swapped
     )
-    judged = figures.judge(good, "the replay", sent.noise)
+    verdict = figures.judge(is_met, "the replay", sent.noise)
     figures.rows.append(
         {
             "case": "replay",
@@ -336,7 +346,7 @@
         *map(str, (count, lost + twice, swapped, crossed)),
         *(format_figure(lag[key], ".3f") for key in ("p50", "p99", "p999", "max")),
         sent.away(),
-        judged,
+        verdict,
     ]
     counts = ("requests", "lost or twice", "out of order", "read so")
     heads = ("replay", *counts, "lag p50", "p99", "p99.9", "max ms", "kept off", "")
@@ -356,9 +366,9 @@
     )
     arrivals += f"off_per_s = 0\noff_s = {BURST_EVERY_S - 0.001}\n"
     text = LOAD.format(port=1, seed=seed, length=f"length_s = {length_s}", arrivals=arrivals)
-    made = schedule.make_schedule(spec.parse(text, "trace"), Path("."))
-    rows = (request._replace(key=f"{number}") for number, request in enumerate(made.requests()))
-    return trace.write(path, rows, made.length_us)
+    load_schedule = schedule.make_schedule(spec.parse(text, "trace"), Path("."))
+    rows = (request._replace(key=f"{number}") for number, request in enumerate(load_schedule.requests()))
+    return trace.write(path, rows, load_schedule.length_us)
 
 
 def _load(truth: Truth, seed: int, length_s: float, arrivals: str) -> str:
@@ -395,8 +405,8 @@
     finally:
         bench.truth.stop()
         bench.control.stop()
-    for what in figures.not_met:
-        print(f"NOT MET: {what}")
+    for name in figures.not_met:
+        print(f"NOT MET: {name}")
     write_json(
         options.json,
         options.tree,
--- a/benchmarks/lock_in.py
+++ b/benchmarks/lock_in.py
@@ -168,9 +168,11 @@
     least = MIN_SERVERS_FOR_ONE if sidecars == 1 else MIN_SERVERS
     servers = max(least, round(rate / RATE_PER_SERVER))
     leaving = max(1, servers // 4) if trigger == "scale_down" else 0
-    whole = rate * _mean_work_ms() / 1000.0 / (servers - leaving)  # of a core of speed 1, per server
-    speed = max(MIN_SPEED, whole / use)
-    use = whole / speed
+    load_per_server = (
+        rate * _mean_work_ms() / 1000.0 / (servers - leaving)
+    )  # of a core of speed 1, per server
+    speed = max(MIN_SPEED, load_per_server / use)
+    use = load_per_server / speed
     chokes = rng.random() < 0.4
     return Conditions(
         trigger=trigger,
@@ -256,12 +258,12 @@
         Clients that wait as long as a rejection asks for get flows of their own.
         """
         honours = self.drawn.honours
-        for part, waits in ((honours, True), (1.0 - honours, False)):
+        for flow_share, waits in ((honours, True), (1.0 - honours, False)):
             for traffic_class, (name, share, work, io, aim, deadline, worth) in enumerate(self.classes):
-                if part <= 0.0:
+                if flow_share <= 0.0:
                     continue
                 flow = Flow(
-                    rate_per_s=rate * share * part,
+                    rate_per_s=rate * share * flow_share,
                     budget_ms=deadline,
                     work_ms=work,
                     io_ms=io,
@@ -343,38 +345,38 @@
         self.world.run(self.end_ms)
         sends = self.world.sends
         self.world.run(until_ms + GRACE_MS)
-        rows = sorted(self.world.asked, key=lambda asked: asked.at_ms)
-        after = [asked for asked in rows if asked.at_ms >= self.end_ms]
-        before = [asked for asked in rows if LEARNED_MS <= asked.at_ms < LAST_MS]
+        rows = sorted(self.world.asked, key=lambda request: request.at_ms)
+        after = [request for request in rows if request.at_ms >= self.end_ms]
+        before = [request for request in rows if LEARNED_MS <= request.at_ms < LAST_MS]
         count = max(1, len(after))
         is_overload = self.drawn.trigger == "overload"
         return Figures(
             before=sum(map(in_time, before)) / max(1, len(before)),
             back_s=0.0 if is_overload else recovery_s(after, self.end_ms),
             after=sum(map(in_time, after)) / count,
-            refused=sum(asked.end == "refused" for asked in after) / count,
-            failed=sum(asked.end in (None, "failed", "unanswered") for asked in after) / count,
-            tries_a_request=sum(asked.tries for asked in after) / count,
+            refused=sum(request.end == "refused" for request in after) / count,
+            failed=sum(request.end in (None, "failed", "unanswered") for request in after) / count,
+            tries_a_request=sum(request.tries for request in after) / count,
             sends_a_request=(self.world.sends - sends) / count,
             kept=self._kept(after) if is_overload else None,
         )
 
     def _kept(self, rows: Sequence[Asked]) -> float:
         """Return the worth served in an overload over the largest worth that its servers can serve."""
-        part = {"served": 1.0, "late": LATE_WORTH}
-        served = sum(a.flow.worth * a.work_ms * part.get(a.end or "", 0.0) for a in rows)
+        worth_share = {"served": 1.0, "late": LATE_WORTH}
+        served = sum(a.flow.worth * a.work_ms * worth_share.get(a.end or "", 0.0) for a in rows)
         left = sum(host.make.speed for host in self.world.hosts.values()) * self.drawn.after_ms
         best = 0.0
-        for worth in sorted({asked.flow.worth for asked in rows}, reverse=True):
-            work = min(left, sum(asked.work_ms for asked in rows if asked.flow.worth == worth))
+        for worth in sorted({request.flow.worth for request in rows}, reverse=True):
+            work = min(left, sum(request.work_ms for request in rows if request.flow.worth == worth))
             best += worth * work
             left -= work
         return served / best
 
 
-def in_time(asked: Asked) -> bool:
+def in_time(request: Asked) -> bool:
     """Return whether the first try of a request succeeded within its aim."""
-    return asked.end == "served" and asked.tries == 1
+    return request.end == "served" and request.tries == 1
 
 
 def recovery_s(rows: Sequence[Asked], end_ms: float) -> float | None:
@@ -387,21 +389,21 @@
     Returns:
         The recovery time (s), or None if the last window is not in time.
     """
-    good = [0]
-    for asked in rows:
-        good.append(good[-1] + in_time(asked))
+    in_time_counts = [0]
+    for request in rows:
+        in_time_counts.append(in_time_counts[-1] + in_time(request))
     back_ms: float | None = end_ms
     until, last_ms = 0, rows[-1].at_ms if rows else end_ms
-    for first, asked in enumerate(rows):
-        while until < len(rows) and rows[until].at_ms < asked.at_ms + WINDOW_MS:
+    for first, request in enumerate(rows):
+        while until < len(rows) and rows[until].at_ms < request.at_ms + WINDOW_MS:
             until += 1
         past = max(until, first + WINDOW_REQUESTS)
-        if past > len(rows) or asked.at_ms + WINDOW_MS > last_ms:
+        if past > len(rows) or request.at_ms + WINDOW_MS > last_ms:
             break  # no complete window begins here or later
-        if good[past] - good[first] < IN_TIME * (past - first):
+        if in_time_counts[past] - in_time_counts[first] < IN_TIME * (past - first):
             back_ms = None
         elif back_ms is None:
-            back_ms = asked.at_ms
+            back_ms = request.at_ms
     return None if back_ms is None else (back_ms - end_ms) / 1000.0
 
 
@@ -532,7 +534,7 @@
     def finite(value: float) -> float | None:
         return value if math.isfinite(value) else None
 
-    kept = [run.kept for run in runs if run.kept is not None]
+    kept_shares = [run.kept for run in runs if run.kept is not None]
     return {
         "runs": len(runs),
         "locked": sum(run.back_s is None for run in runs),
@@ -545,7 +547,7 @@
         "failed": statistics.fmean(run.failed for run in runs),
         "tries_a_request": statistics.fmean(run.tries_a_request for run in runs),
         "sends_a_request": statistics.fmean(run.sends_a_request for run in runs),
-        "kept_worst": min(kept) if kept else None,
+        "kept_worst": min(kept_shares) if kept_shares else None,
     }
 
 
@@ -569,14 +571,14 @@
         seconds = [str(row["locked"]), *("never" if s is None else format_figure(s, ".1f") for s in back)]
     else:
         seconds = ["-"] * 4
-    kept = None if row["kept_worst"] is None else 100.0 * row["kept_worst"]
+    kept_percent = None if row["kept_worst"] is None else 100.0 * row["kept_worst"]
     return [
         name,
         str(row["runs"]),
         *seconds,
         *(format_figure(100.0 * row[key], ".1f") for key in ("before", "after", "refused", "failed")),
         *(format_figure(row[key], ".2f") for key in ("tries_a_request", "sends_a_request")),
-        format_figure(kept, ".0f"),
+        format_figure(kept_percent, ".0f"),
     ]
 
 
--- a/benchmarks/points.py
+++ b/benchmarks/points.py
@@ -63,23 +63,25 @@
     plan = Plan(0.0, 0.1, seed=seed, connections=count, bursts=(Burst(0.0, count),), resends=0, after="close")
     async with stage(
         tree, seed=seed, core=reserve_core(), work_ms=(300.0, 300.0), sockets=BIG_SOCKETS
-    ) as made:
-        words, figures = _ended(await Clients(made.target.address, plan).run())
-    return Row("2", f"{count} connections, each a whole request, servers 300 ms", words, "0 cut", figures)
+    ) as setup:
+        result_text, figures = _ended(await Clients(setup.target.address, plan).run())
+    return Row(
+        "2", f"{count} connections, each a whole request, servers 300 ms", result_text, "0 cut", figures
+    )
 
 
 async def slowloris(tree: Path, seed: int) -> Row:
     """Send incomplete requests beside complete ones, each on its own connection; none is retried."""
     plan = Plan(150.0, 10.0, seed=seed, connections=300, resends=0, after="close")
-    async with stage(tree, seed=seed, core=reserve_core(), sockets=BIG_SOCKETS) as made:
-        crowd = await Crowd.start(made.target.address, {"half": Size(500.0, 1000)}, seed=seed)
+    async with stage(tree, seed=seed, core=reserve_core(), sockets=BIG_SOCKETS) as setup:
+        crowd = await Crowd.start(setup.target.address, {"half": Size(500.0, 1000)}, seed=seed)
         try:
-            words, figures = _ended(await Clients(made.target.address, plan).run())
+            result_text, figures = _ended(await Clients(setup.target.address, plan).run())
             figures["crowd"] = await crowd.counts()
         finally:
             await crowd.stop()
-    what = "1,000 half connections at 500/s beside 150 good requests/s, 10 s"
-    return Row("2", what, words, "0 cut", figures)
+    description = "1,000 half connections at 500/s beside 150 good requests/s, 10 s"
+    return Row("2", description, result_text, "0 cut", figures)
 
 
 # --- 3: unread responses -----------------------------------------------------------------
@@ -113,8 +115,8 @@
 async def unread(tree: Path, seed: int) -> Row:
     """Measure the memory that unread responses take, and whether it is released."""
     ids, act = call_ids(f"unread/{seed}"), Act(size_bytes=ANSWER_BYTES)
-    async with stage(tree, seed=seed, core=reserve_core(), work_ms=(5.0, 10.0), sockets=BIG_SOCKETS) as made:
-        program = made.target.program
+    async with stage(tree, seed=seed, core=reserve_core(), work_ms=(5.0, 10.0), sockets=BIG_SOCKETS) as setup:
+        program = setup.target.program
         start = program.usage().rss_mb
         readers = []
         async with sampled(program) as peaks:
@@ -122,24 +124,26 @@
                 data = b"".join(
                     request(next(ids), act=act, budget_ms=UNREAD_BUDGET_MS) for _ in range(PIPELINED)
                 )
-                readers.append(await _connect_unread(made.target.address, data))
+                readers.append(await _connect_unread(setup.target.address, data))
                 await asyncio.sleep(1.0 / READERS_PER_S)
             await asyncio.sleep(UNREAD_S)
-            held = program.usage().rss_mb
+            held_mb = program.usage().rss_mb
         for reader in readers:
             reader.transport.abort()
         await asyncio.sleep(UNREAD_S)
-        after, ledger = program.usage().rss_mb, await made.fleet.ledger()
+        after, ledger = program.usage().rss_mb, await setup.fleet.ledger()
     figures = {
         "start_mb": start,
         "peak_mb": peaks.rss_mb,
-        "held_mb": held,
+        "held_mb": held_mb,
         "after_mb": after,
         "servers": ledger,
     }
-    words = f"{start:.0f} MB, peak {peaks.rss_mb:.0f}, held {held:.0f}, {UNREAD_S:g} s after {after:.0f}"
-    what = f"memory: {READERS} clients pipeline {PIPELINED} answers of 64 KiB and read nothing"
-    return Row("3", what, words, "peak bounded, well under 192", figures)
+    result_text = (
+        f"{start:.0f} MB, peak {peaks.rss_mb:.0f}, held {held_mb:.0f}, {UNREAD_S:g} s after {after:.0f}"
+    )
+    description = f"memory: {READERS} clients pipeline {PIPELINED} answers of 64 KiB and read nothing"
+    return Row("3", description, result_text, "peak bounded, well under 192", figures)
 
 
 # --- 4 and 5: invalid responses ----------------------------------------------
@@ -148,26 +152,28 @@
 async def second_copies(tree: Path, seed: int, after_ms: float) -> Row:
     """Measure whether a second copy of a response is forwarded as that of another request."""
     plan = Plan(100.0, 2.0, seed=seed, connections=64)
-    async with stage(tree, seed=seed, core=reserve_core(), servers=1, work_ms=(5.0, 15.0)) as made:
-        await made.fleet.script(Act(copy_after_ms=after_ms))
-        words, figures = _ended(await Clients(made.target.address, plan).run())
-        figures["connections_to_servers"] = (await made.fleet.ledger())["connections"]
-    what = f"a second copy of each answer after {after_ms:g} ms, 100 requests/s, 2 s"
-    return Row("4", what, words, "0 mixed up, or a stated few before the first sign", figures)
+    async with stage(tree, seed=seed, core=reserve_core(), servers=1, work_ms=(5.0, 15.0)) as setup:
+        await setup.fleet.script(Act(copy_after_ms=after_ms))
+        result_text, figures = _ended(await Clients(setup.target.address, plan).run())
+        figures["connections_to_servers"] = (await setup.fleet.ledger())["connections"]
+    description = f"a second copy of each answer after {after_ms:g} ms, 100 requests/s, 2 s"
+    return Row("4", description, result_text, "0 mixed up, or a stated few before the first sign", figures)
 
 
 async def spoilt_rejections(tree: Path, seed: int) -> Row:
     """Measure how often an unsafe request is sent if its rejection is followed by another response."""
     ids = call_ids(f"rejections/{seed}")
-    async with stage(tree, seed=seed, core=reserve_core()) as made:
-        await made.fleet.script(Act(status=503, rejected=True, behind="answer", delay_ms=5.0))
-        answers = [await ask_raw(made.target.address, _unsafe(next(ids)), ANSWER_S) for _ in range(UNSAFE)]
-        ledger = await made.fleet.ledger()
-    words = (
+    async with stage(tree, seed=seed, core=reserve_core()) as setup:
+        await setup.fleet.script(Act(status=503, rejected=True, behind="answer", delay_ms=5.0))
+        answers = [await ask_raw(setup.target.address, _unsafe(next(ids)), ANSWER_S) for _ in range(UNSAFE)]
+        ledger = await setup.fleet.ledger()
+    result_text = (
         f"sent up to {ledger['unsafe_most']} times; {ledger['unsafe_repeated']} of {UNSAFE} more than once"
     )
     figures = {"statuses": [answer.status for answer in answers], "servers": ledger}
-    return Row("5", "unsafe requests; 503 + X-Rejected, and a 200 in the same bytes", words, "once", figures)
+    return Row(
+        "5", "unsafe requests; 503 + X-Rejected, and a 200 in the same bytes", result_text, "once", figures
+    )
 
 
 def _unsafe(call_id: str) -> bytes:
@@ -181,18 +187,20 @@
     """Measure whether an unsafe request gets its response if a stray byte follows it."""
     ids = call_ids(f"stray/{seed}")
     data = _unsafe(next(ids)) + b"\x00"
-    async with stage(tree, seed=seed, core=reserve_core(), servers=1, work_ms=(100.0, 100.0)) as made:
+    async with stage(tree, seed=seed, core=reserve_core(), servers=1, work_ms=(100.0, 100.0)) as setup:
         # Leaves an idle connection to the server, so that the request is forwarded as soon as it is accepted.
-        await ask_raw(made.target.address, request(next(ids)), ANSWER_S)
+        await ask_raw(setup.target.address, request(next(ids)), ANSWER_S)
         await asyncio.sleep(SETTLE_S)
-        await made.fleet.clear()
-        answer = await ask_raw(made.target.address, data, ANSWER_S)
-        ledger = await made.fleet.ledger()
-    times = ledger["received"]
-    words = f"{_result_text(answer)} after {answer.took_ms:.0f} ms, received by servers {times} times"
+        await setup.fleet.clear()
+        answer = await ask_raw(setup.target.address, data, ANSWER_S)
+        ledger = await setup.fleet.ledger()
+    received_count = ledger["received"]
+    result_text = (
+        f"{_result_text(answer)} after {answer.took_ms:.0f} ms, received by servers {received_count} times"
+    )
     figures = {"status": answer.status, "took_ms": answer.took_ms, "servers": ledger}
     return Row(
-        "6", "an unsafe request and a stray byte behind it, answer after 100 ms", words, "200", figures
+        "6", "an unsafe request and a stray byte behind it, answer after 100 ms", result_text, "200", figures
     )
 
 
@@ -207,23 +215,23 @@
     """Measure whether SIGTERM is handled after a burst of SIGHUPs."""
     codes = []
     for _ in range(RELOAD_RUNS):
-        async with stage(tree, seed=seed, core=reserve_core()) as made:
+        async with stage(tree, seed=seed, core=reserve_core()) as setup:
             for _ in range(1000):
-                made.target.program.signal(signal.SIGHUP)
-            made.target.program.signal(signal.SIGTERM)
-            codes.append(await made.target.program.wait(EXIT_S))
-    what = f"1,000 SIGHUPs, then SIGTERM, {RELOAD_RUNS} runs"
-    return Row("7", what, _exits(codes), "0 each time", {"codes": codes})
+                setup.target.program.signal(signal.SIGHUP)
+            setup.target.program.signal(signal.SIGTERM)
+            codes.append(await setup.target.program.wait(EXIT_S))
+    description = f"1,000 SIGHUPs, then SIGTERM, {RELOAD_RUNS} runs"
+    return Row("7", description, _exits(codes), "0 each time", {"codes": codes})
 
 
 async def repeated_term(tree: Path, seed: int) -> Row:
     """Measure whether repeated SIGTERMs still lead to a graceful exit."""
     codes = []
     for _ in range(TERM_RUNS):
-        async with stage(tree, seed=seed, core=reserve_core()) as made:
-            codes.append(await _terminate_until_exit(made.target.program))
-    what = f"SIGTERM each {TERM_EACH_S * 1000:g} ms until the exit, {TERM_RUNS} runs"
-    return Row("7", what, _exits(codes), "0 each time", {"codes": codes})
+        async with stage(tree, seed=seed, core=reserve_core()) as setup:
+            codes.append(await _terminate_until_exit(setup.target.program))
+    description = f"SIGTERM each {TERM_EACH_S * 1000:g} ms until the exit, {TERM_RUNS} runs"
+    return Row("7", description, _exits(codes), "0 each time", {"codes": codes})
 
 
 def _exits(codes: list[int | None]) -> str:
@@ -259,14 +267,14 @@
 async def heads(tree: Path, seed: int) -> list[Row]:
     """Measure the responses to ambiguous request heads, and whether such requests reach servers."""
     rows = []
-    async with stage(tree, seed=seed, core=reserve_core(), work_ms=(1.0, 5.0)) as made:
+    async with stage(tree, seed=seed, core=reserve_core(), work_ms=(1.0, 5.0)) as setup:
         for name, data in _heads(seed).items():
-            await made.fleet.clear()
-            answer = await ask_raw(made.target.address, data, ANSWER_S)
-            passed = (await made.fleet.ledger())["received"]
-            words = f"{_result_text(answer)}, {'passed on' if passed else 'not passed on'}"
+            await setup.fleet.clear()
+            answer = await ask_raw(setup.target.address, data, ANSWER_S)
+            passed = (await setup.fleet.ledger())["received"]
+            result_text = f"{_result_text(answer)}, {'passed on' if passed else 'not passed on'}"
             figures = {"status": answer.status, "passed_on": passed}
-            rows.append(Row("7", name, words, "4xx or 505, not passed on", figures))
+            rows.append(Row("7", name, result_text, "4xx or 505, not passed on", figures))
     return rows
 
 
@@ -293,8 +301,8 @@
     rows: list[Row] = []
     for point in points:
         for measure in POINTS[point]:
-            made = await measure(tree, seed)
-            rows += made if isinstance(made, list) else [made]
+            result = await measure(tree, seed)
+            rows += result if isinstance(result, list) else [result]
             print(f"point {point}: {rows[-1].measured}", file=sys.stderr, flush=True)
     return rows
 
--- a/benchmarks/small_shares.py
+++ b/benchmarks/small_shares.py
@@ -92,8 +92,8 @@
         listed_rows = listed(41, rows)
 
         def config(number: int, incarnation: int) -> dict[str, Any]:
-            made = config_for(listed_rows, self._registry.address, 0, Me=number, Balancers=count)
-            return {**made, "seed": f"{number:04x}{incarnation:04x}", "limits": LIMITS}
+            values = config_for(listed_rows, self._registry.address, 0, Me=number, Balancers=count)
+            return {**values, "seed": f"{number:04x}{incarnation:04x}", "limits": LIMITS}
 
         for number in range(count):
             self.nodes.append(PlatformNode(number, functools.partial(config, number), tree))
@@ -132,11 +132,11 @@
     Raises:
         ProgramError: A process cannot be started.
     """
-    made = Setup(seed)
+    setup = Setup(seed)
     silent_writers: list[asyncio.StreamWriter] = []
     try:
-        await made.start(count, tree)
-        nodes = made.nodes
+        await setup.start(count, tree)
+        nodes = setup.nodes
         start_cpu_s = median(Usage.of(node).cpu_s for node in nodes)
         rss_mb = median(node.program.usage().rss_mb for node in nodes if node.program is not None)
         idle_cpu_ms, idle_wakes = await window(nodes, length_s)
@@ -147,8 +147,8 @@
         held_cpu_ms, held_wakes = await window(nodes, min(length_s, 1.0))
         for writer in silent_writers:
             writer.transport.abort()
-        await made.ask(1.0)  # opens connections
-        (busy_cpu_ms, busy_wakes), asked = await asyncio.gather(window(nodes, length_s), made.ask(length_s))
+        await setup.ask(1.0)  # opens connections
+        (busy_cpu_ms, busy_wakes), asked = await asyncio.gather(window(nodes, length_s), setup.ask(length_s))
         asked_a_s = asked / count / length_s
         return {
             "start_cpu_ms": 1000.0 * start_cpu_s,
@@ -165,7 +165,7 @@
     finally:
         for writer in silent_writers:
             writer.transport.abort()
-        await made.stop()
+        await setup.stop()
 
 
 def rows_of(figures: dict[str, float]) -> list[list[str]]:
@@ -200,8 +200,8 @@
         return BAD_INPUT
     print(table(("figure, median of the processes", "value"), rows_of(figures)))
     met = figures["idle_wakes_a_s"] <= MAX_WAKES_PER_S
-    whole: dict[str, Any] = {"seed": options.seed, "processes": count, "met": met, **figures}
-    write_json(options.json, options.tree, whole)
+    report: dict[str, Any] = {"seed": options.seed, "processes": count, "met": met, **figures}
+    write_json(options.json, options.tree, report)
     return DONE if met else NOT_MET
 
 
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -179,9 +179,9 @@
 class Run:
     """A run on a program that is ready. `say` receives one line per minute."""
 
-    def __init__(self, times: Times, made: Stage, seed: int, say: Say) -> None:
+    def __init__(self, times: Times, setup: Stage, seed: int, say: Say) -> None:
         self._times = times
-        self._made = made
+        self._setup = setup
         self._seed = seed
         self._say = say
         self._crowd = ""  # kind that is present
@@ -194,7 +194,7 @@
             connections=SOCKETS // CONNECTIONS_SHARE,
             turns=REQUESTS_PER_CONNECTION,
         )
-        self._clients = Clients(made.target.address, plan)
+        self._clients = Clients(setup.target.address, plan)
         self._start = 0.0
         self.seen = Seen(tally=self._clients.tally, settled=times.settles)
 
@@ -204,7 +204,7 @@
         Raises:
             ExceptionGroup: Of `ProgramError`, if a crowd cannot be started.
         """
-        program, seen = self._made.target.program, self.seen
+        program, seen = self._setup.target.program, self.seen
         program.note(*ERROR_PREFIXES)
         died = False
         try:
@@ -235,7 +235,7 @@
         for number in range(int(self._times.whole_s / every_s)):
             await self._until(number * every_s + self._times.crowd_s)
             kind, seed = KINDS[number % len(KINDS)], self._seed + number
-            crowd = await Crowd.start(self._made.target.address, setting.crowd(kind), seed=seed)
+            crowd = await Crowd.start(self._setup.target.address, setting.crowd(kind), seed=seed)
             try:
                 self._crowd = self._recent_crowd = kind
                 from_s = self._now_s
@@ -283,11 +283,11 @@
 async def _idle_descriptors(program: Program) -> int:
     """Return the number of descriptors of the idle program, the most frequent of several readings."""
     await asyncio.sleep(START_S)
-    held = []
+    counts = []
     for _ in range(int(IDLE_S / POLL_S)):
-        held.append(program.usage().descriptors)
+        counts.append(program.usage().descriptors)
         await asyncio.sleep(POLL_S)
-    return statistics.mode(held)
+    return statistics.mode(counts)
 
 
 # --- output -------------------------------------------------------------------
@@ -370,8 +370,8 @@
     Raises:
         ProgramError: A process cannot be started; alone or in a group.
     """
-    async with stage(tree, seed=seed, core=reserve_core()) as made:
-        run = Run(times, made, seed, say)
+    async with stage(tree, seed=seed, core=reserve_core()) as setup:
+        run = Run(times, setup, seed, say)
         await run.run()
     return run.seen
 
