--- a/benchmarks/cold_sum.py
+++ b/benchmarks/cold_sum.py
@@ -292,9 +292,9 @@
 
     def _arrive(self, request: Request) -> None:
         """Let a try of a client reach its sidecar, or wait until the sidecar is back."""
-        waits = self._down.get(request.me)
-        if waits is not None:
-            waits.append(request)
+        waiting_requests = self._down.get(request.me)
+        if waiting_requests is not None:
+            waiting_requests.append(request)
             return
         if request.until_ms <= self.now:
             return
--- a/benchmarks/control_double_losses.py
+++ b/benchmarks/control_double_losses.py
@@ -185,7 +185,7 @@
     return len(epoch.witness_ids) == STORES and informed.issuperset(epoch.witness_ids)
 
 
-def times(row: Row, delay_s: float, seed: int) -> tuple[float, float]:
+def measure_loss(row: Row, delay_s: float, seed: int) -> tuple[float, float]:
     """Play a loss.
 
     Returns:
@@ -259,7 +259,7 @@
     for row in ROWS:
         written, whole = [], []
         for delay_s in DELAYS_S:
-            results = [times(row, delay_s, seed) for seed in range(options.seeds)]
+            results = [measure_loss(row, delay_s, seed) for seed in range(options.seeds)]
             written.append(statistics.median(written_s for written_s, _ in results))
             whole.append(statistics.median(whole_s for _, whole_s in results))
             is_tolerated &= all(
--- a/benchmarks/giveway.py
+++ b/benchmarks/giveway.py
@@ -48,7 +48,7 @@
         """Do nothing; it is never called."""
 
 
-def _front(places: bool) -> HttpServer:
+def _create_server(places: bool) -> HttpServer:
     """Create a server with capacity for all connections, or with only a reserve for answers at the limit."""
     loop = asyncio.get_running_loop()
     budget = Limits(COUNT if places else 0, 2**24, COUNT).budget("clients")
@@ -66,7 +66,7 @@
     )
 
 
-async def crowd(send: Callable[[int], bytes], places: bool = True) -> tuple[float, float]:
+async def measure_connections(send: Callable[[int], bytes], places: bool = True) -> tuple[float, float]:
     """Measure `COUNT` connections.
 
     Args:
@@ -77,8 +77,8 @@
         CPU microseconds per connection until all are accepted, and closed if they send anything, and
         CPU microseconds per connection to close the remaining ones.
     """
-    front = _front(places)
-    address = await front.listen(socket.create_server(("127.0.0.1", 0), backlog=COUNT))
+    server = _create_server(places)
+    address = await server.listen(socket.create_server(("127.0.0.1", 0), backlog=COUNT))
     clients = []
     for number in range(COUNT):
         client = socket.create_connection(address)
@@ -86,25 +86,25 @@
         clients.append(client)
     began = time.process_time()
     asks = bool(send(0))
-    while _queued(front) or (asks and not front.is_empty):
+    while _queued(server) or (asks and not server.is_empty):
         await asyncio.sleep(0.001)
     lived = time.process_time() - began
     began = time.process_time()
-    for entry in front.table:
+    for entry in server.table:
         entry.owner.close()
     closed = time.process_time() - began
-    front.close()
+    server.close()
     for client in clients:
         client.close()
     return lived / COUNT * 1e6, closed / COUNT * 1e6
 
 
-def _queued(front: HttpServer) -> int:
+def _queued(server: HttpServer) -> int:
     """Return the number of connections that wait to be accepted."""
-    return accept_queue(front._acceptors[0].sock)[0]
+    return accept_queue(server._acceptors[0].sock)[0]
 
 
-def choice(size: int) -> float:
+def measure_eviction(size: int) -> float:
     """Return the microseconds to select a connection to evict from a table of `size`, and to add another."""
     connection_table: ConnectionTable[int] = ConnectionTable(TableOptions(size))
     for number in range(size):
@@ -124,19 +124,21 @@
     connection_table.on_idle(entry, now)
 
 
-def figures() -> dict[str, float]:
+def measure_all() -> dict[str, float]:
     """Return the minimum of several rounds by name, in microseconds."""
-    silent = [asyncio.run(crowd(lambda number: b"")) for _ in range(ROUNDS)]
-    away = [asyncio.run(crowd(lambda number: BAD)) for _ in range(ROUNDS)]
-    refused = [asyncio.run(crowd(lambda number: ASKED % number, places=False)) for _ in range(ROUNDS)]
+    silent_costs = [asyncio.run(measure_connections(lambda number: b"")) for _ in range(ROUNDS)]
+    rejected_costs = [asyncio.run(measure_connections(lambda number: BAD)) for _ in range(ROUNDS)]
+    refused_costs = [
+        asyncio.run(measure_connections(lambda number: ASKED % number, places=False)) for _ in range(ROUNDS)
+    ]
     measured = {
-        "accept a silent one": min(lived for lived, _ in silent),
-        "close a silent one": min(closed for _, closed in silent),
-        "turned away, whole life": min(lived for lived, _ in away),
-        "503 at the limit, whole life": min(lived for lived, _ in refused),
+        "accept a silent one": min(lived for lived, _ in silent_costs),
+        "close a silent one": min(closed for _, closed in silent_costs),
+        "turned away, whole life": min(lived for lived, _ in rejected_costs),
+        "503 at the limit, whole life": min(lived for lived, _ in refused_costs),
     }
     for size in (100, 1000, 10_000):
-        measured[f"choose among {size}"] = min(choice(size) for _ in range(ROUNDS))
+        measured[f"choose among {size}"] = min(measure_eviction(size) for _ in range(ROUNDS))
     return measured
 
 
@@ -148,7 +150,7 @@
     """
     options = create_parser("giveway", __doc__).parse_args()
     prepare_process()
-    measured = figures()
+    measured = measure_all()
     bounds = {
         "close a silent one": MAX_CLOSE_SILENT_US,
         "turned away, whole life": MAX_REJECT_US,
--- a/benchmarks/points.py
+++ b/benchmarks/points.py
@@ -49,7 +49,7 @@
     figures: dict[str, Any]
 
 
-def _ended(tally: Tally) -> tuple[str, dict[str, Any]]:
+def _count_results(tally: Tally) -> tuple[str, dict[str, Any]]:
     """Return how requests ended, as text and as figures."""
     counts = {result.value: tally.count(result) for result in Result if tally.count(result)}
     return ", ".join(f"{count} {name}" for name, count in counts.items()), tally.summary()
@@ -64,7 +64,7 @@
     async with stage(
         tree, seed=seed, core=reserve_core(), work_ms=(300.0, 300.0), sockets=BIG_SOCKETS
     ) as setup:
-        result_text, figures = _ended(await Clients(setup.target.address, plan).run())
+        result_text, figures = _count_results(await Clients(setup.target.address, plan).run())
     return Row(
         "2", f"{count} connections, each a whole request, servers 300 ms", result_text, "0 cut", figures
     )
@@ -76,7 +76,7 @@
     async with stage(tree, seed=seed, core=reserve_core(), sockets=BIG_SOCKETS) as setup:
         crowd = await Crowd.start(setup.target.address, {"half": Size(500.0, 1000)}, seed=seed)
         try:
-            result_text, figures = _ended(await Clients(setup.target.address, plan).run())
+            result_text, figures = _count_results(await Clients(setup.target.address, plan).run())
             figures["crowd"] = await crowd.counts()
         finally:
             await crowd.stop()
@@ -154,7 +154,7 @@
     plan = Plan(100.0, 2.0, seed=seed, connections=64)
     async with stage(tree, seed=seed, core=reserve_core(), servers=1, work_ms=(5.0, 15.0)) as setup:
         await setup.fleet.script(Act(copy_after_ms=after_ms))
-        result_text, figures = _ended(await Clients(setup.target.address, plan).run())
+        result_text, figures = _count_results(await Clients(setup.target.address, plan).run())
         figures["connections_to_servers"] = (await setup.fleet.ledger())["connections"]
     description = f"a second copy of each answer after {after_ms:g} ms, 100 requests/s, 2 s"
     return Row("4", description, result_text, "0 mixed up, or a stated few before the first sign", figures)
--- a/benchmarks/soak.py
+++ b/benchmarks/soak.py
@@ -261,7 +261,7 @@
             self._add_sample(now, now_s, cpu_share, Tally(records=new))
             before, since_s = now, now_s
             if number % max(1, line) == 0:
-                self._say(minute(self.seen.samples[-max(1, line) :]))
+                self._say(progress_line(self.seen.samples[-max(1, line) :]))
 
     def _add_sample(self, now: Usage, now_s: float, cpu_share: float, new: Tally) -> None:
         served = new.count(Result.SERVED)
@@ -293,7 +293,7 @@
 # --- output -------------------------------------------------------------------
 
 
-def minute(samples: Sequence[Sample]) -> str:
+def progress_line(samples: Sequence[Sample]) -> str:
     """Return a line on the last samples."""
     last, crowds = samples[-1], dict.fromkeys(sample.crowd for sample in samples if sample.crowd)
     return (
@@ -345,7 +345,7 @@
     return table(("crowd", "visits", "crowd/s", "asked", "in time %", "p99 ms"), rows)
 
 
-def words(seen: Seen) -> list[str]:
+def summary_lines(seen: Seen) -> list[str]:
     """Return lines that summarize a run."""
     ends = {result.value: seen.tally.count(result) for result in Result}
     judged = "" if seen.settled else ", not judged: not all crowds came and went in the first quarter"
@@ -414,7 +414,7 @@
         late = f"clients sent a request {seen.tally.lag_most_ms:.0f} ms late: the machine was busy"
         print(late, file=sys.stderr, flush=True)
     print("\n" + quarters(seen) + "\n\n" + crowds(seen) + "\n")
-    print("\n".join(words(seen)))
+    print("\n".join(summary_lines(seen)))
     figures = {"seed": options.seed, "times": asdict(times), "rate_per_s": RATE_PER_S}
     write_json(options.json, options.tree, {**figures, "met": not seen.not_met, **seen.summary()})
     return NOT_MET if seen.not_met else DONE
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -30,12 +30,12 @@
     assert seen().not_met == []
     assert seen(served=99, others=[Result.REFUSED]).not_met == []
     assert seen(rss_mb=(20.0, 30.0, 60.0, 32.0)).not_met == []
-    assert soak.words(seen())[-1] == "all bounds met"
+    assert soak.summary_lines(seen())[-1] == "all bounds met"
     assert not SHORT.settles
     assert soak.Times().settles
     growing = seen(rss_mb=(30.0, 30.0, 30.0, 60.0), settled=False)
     assert growing.not_met == []
-    assert any("+30.0 MB, not judged" in line for line in soak.words(growing))
+    assert any("+30.0 MB, not judged" in line for line in soak.summary_lines(growing))
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
     made = seen(**wrong)
     (missed,) = made.not_met
     assert missed.startswith(bound)
-    assert missed in soak.words(made)[-1]
+    assert missed in soak.summary_lines(made)[-1]
     assert made.summary()["not_met"] == [missed]
 
 
