--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Plugins of the whole suite, what its property tests draw, and the cores that its benchmarks play on."""
+"""Plugins, Hypothesis settings and fixtures of the whole suite."""
 
 import sys
 
@@ -11,7 +11,7 @@
 
 pytest_plugins = ("tests.known_red", "tests.sharing", "pytester")
 
-# The same examples each time, and no verdict by the time that one takes: that is the machine's.
+# The examples are the same in each run. No example fails for its duration, which depends on the machine.
 settings.register_profile(
     "suite", derandomize=True, deadline=None, suppress_health_check=[HealthCheck.too_slow]
 )
@@ -20,13 +20,13 @@
 
 @pytest.fixture(autouse=True, scope="session")
 def all_cores():
-    """Benchmarks that tests play take no core for the program alone.
+    """Keep benchmarks that are run by tests from reserving a core for the program.
 
-    Guards against workers whose programs are all bound to that one core, and which keep off it themselves
-    for the rest of the run.
+    Otherwise the programs of all workers would be bound to that one core, and the workers themselves would
+    be kept off it for the rest of the run.
     """
-    with pytest.MonkeyPatch.context() as patched:
+    with pytest.MonkeyPatch.context() as monkeypatch:
         for name, module in list(sys.modules.items()):
             if name.startswith("benchmarks.") and hasattr(module, "reserve_core"):
-                patched.setattr(module, "reserve_core", lambda: None)
+                monkeypatch.setattr(module, "reserve_core", lambda: None)
         yield
--- a/tests/guards.py
+++ b/tests/guards.py
@@ -1,7 +1,7 @@
-"""Guards that the rules rest on, each with the lines that make it and what stands in their place once it is
-taken out. `test_guards.py` takes each out and has to see its tests fail.
+"""Guards in the source that rules depend on: the lines of each, and the text that removes its protection.
 
-The replication's own guards stand in `replication/guards.py`, where a search looks for them.
+`test_guards.py` removes each guard and checks that its tests then fail. The guards of replication itself are
+listed in `replication/guards.py`, where its search tests find them.
 """
 
 from __future__ import annotations
@@ -13,21 +13,28 @@
 from types import CodeType
 
 ROOT = Path(__file__).resolve().parent.parent
-VARIABLE = "FORDTRESTLE_GUARD_OUT"  # names the guard that a process is to run without
+VARIABLE = "FORDTRESTLE_GUARD_OUT"  # name of the guard that a process runs without
 
 
 @dataclass(frozen=True, slots=True)
 class Guard:
-    """Lines of one file that are replaced, and the tests that have to notice."""
+    """A protection in the source, and the tests that have to fail without it.
+
+    Attributes:
+        file: The source file.
+        lines: The text of the guard, which occurs once in the file.
+        replacement: The text that replaces it to remove the protection.
+        tests: The argument for pytest.
+    """
 
     file: str
     lines: str
-    without: str
-    tests: str  # what pytest is given
+    replacement: str
+    tests: str
 
 
-def _removal(file: str, tests: str, lines: str, without: str = "") -> Guard:
-    return Guard(f"fordtrestle/{file}", lines, without, tests)
+def _removal(file: str, tests: str, lines: str, replacement: str = "") -> Guard:
+    return Guard(f"fordtrestle/{file}", lines, replacement, tests)
 
 
 LOG, LOG_TESTS = "storage/log.py", "tests/storage"
@@ -863,24 +870,30 @@
 
 
 def without(guard: Guard) -> str:
-    """The source of a guard's file with the guard taken out. `ValueError` unless it stands there once."""
+    """Return the source of a guard's file with the guard removed.
+
+    Raises:
+        ValueError: The lines of the guard do not occur exactly once in the file.
+    """
     source = (ROOT / guard.file).read_text()
     if source.count(guard.lines) != 1:
-        raise ValueError(f"{guard.file} holds the lines {source.count(guard.lines)} times")
-    return source.replace(guard.lines, guard.without)
+        raise ValueError(
+            f"{guard.file} contains the lines of the guard {source.count(guard.lines)} times instead of once"
+        )
+    return source.replace(guard.lines, guard.replacement)
 
 
 def take_out() -> None:
-    """Run this process without the guard that the environment names, if it names one."""
+    """Load the source without the guard that the environment variable names, if it is set."""
     name = os.environ.get(VARIABLE)
     if not name:
         return
     path, source = str(ROOT / GUARDS[name].file), without(GUARDS[name])
-    whole = SourceFileLoader.get_code
+    original_get_code = SourceFileLoader.get_code
 
     def get_code(self: SourceFileLoader, fullname: str) -> CodeType | None:
         if self.path == path:
             return self.source_to_code(source, path)
-        return whole(self, fullname)
+        return original_get_code(self, fullname)
 
     SourceFileLoader.get_code = get_code  # type: ignore[method-assign]
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,11 +1,12 @@
-"""Known red tests, as a pytest plugin: `KNOWN-RED.txt` at the root names tests that fail and why.
+"""A pytest plugin for known failures: `KNOWN-RED.txt` at the root lists tests that fail, and why.
 
-One line each, three at most: `test id | cause | issue`. A test id is the node id of one test, as
-`pytest --collect-only -q` prints it. A listed test is run and has to fail in its own body. The run fails
-if it does not, if a run of the whole suite does not collect it, and if the file can't be read.
+The file has one line for each test, and at most three: `test id | cause | issue`. A test id is the node id of
+one test, as `pytest --collect-only -q` prints it. A listed test is run and has to fail in its own body. The
+run fails if the test does not, if a run of the whole suite does not collect it, or if the file is invalid.
 
-With pytest-xdist, `Turned` acts in the workers, which run the tests, and `Told` in the controller, which
-judges the run; without it both act in one process. What came of a test goes with its reports.
+With pytest-xdist, `OutcomeRewriter` is active in the workers, which run the tests, and `RunVerdict` in the
+controller, which decides whether the run fails; without it both are active in one process. The outcome of a
+listed test is passed on as an attribute of its reports.
 """
 
 from __future__ import annotations
@@ -19,79 +20,111 @@
 import pytest
 
 FILE = "KNOWN-RED.txt"
-MOST = 3  # lines
+MAX_ENTRIES = 3
 FIELDS = ("test id", "cause", "issue")
-FORMS = (r"\S+\.py::.+", r".+", r"#?[0-9]+")  # of the fields
+PATTERNS = (r"\S+\.py::.+", r".+", r"#?[0-9]+")  # of the fields, in the same order
 RED = "fails"
 NOT_COLLECTED = "was not collected"
-SEEN = "known_red"  # the attribute of a report that says what came of a listed test
+OUTCOME_ATTRIBUTE = "known_red"  # of the reports of a listed test
 
-# Options with which a run is one of a part of the suite.
-PARTS = ("keyword", "markexpr", "deselect", "ignore", "ignore_glob", "lf", "stepwise", "pyargs")
+# Options that restrict a run to a part of the suite.
+SELECTION_OPTIONS = ("keyword", "markexpr", "deselect", "ignore", "ignore_glob", "lf", "stepwise", "pyargs")
 
 
-class Unreadable(ValueError):
-    """What can't be read, in one line that names file, line and field."""
+class InvalidFileError(ValueError):
+    """An error in the file, described in one line that names file, line and field."""
 
 
 @dataclass
 class Entry:
-    """One line of the file, and what came of its test."""
+    """One line of the file.
+
+    Attributes:
+        line: The number of the line, from 1.
+        test: The node id of the test.
+        cause: Why the test fails.
+        issue: The number of the issue.
+        outcome: The outcome of the test in this run, as it is printed.
+    """
 
     line: int
     test: str
     cause: str
     issue: str
-    seen: str = NOT_COLLECTED
+    outcome: str = NOT_COLLECTED
 
 
 def read(path: Path) -> list[Entry]:
-    """The entries of a file; none if there is no such file. Raises Unreadable."""
+    """Read the entries of a file.
+
+    Returns:
+        The entries; none if there is no such file.
+
+    Raises:
+        InvalidFileError: The file cannot be read, has a malformed line or too many lines.
+    """
     try:
-        rows = path.read_text(encoding="utf-8").splitlines()
+        lines = path.read_text(encoding="utf-8").splitlines()
     except FileNotFoundError:
         return []
     except (OSError, UnicodeDecodeError) as error:
-        raise Unreadable(f"{path.name}: {error}") from error
+        raise InvalidFileError(f"{path.name}: {error}") from error
     entries: list[Entry] = []
-    for line, row in enumerate(rows, 1):
-        if row.strip():
-            entries.append(_entry(f"{path.name}, line {line}", line, row, {entry.test for entry in entries}))
+    for number, line in enumerate(lines, 1):
+        if line.strip():
+            entries.append(
+                _parse_line(f"{path.name}, line {number}", number, line, {entry.test for entry in entries})
+            )
     return entries
 
 
-def _entry(where: str, line: int, row: str, before: set[str]) -> Entry:
-    if len(before) == MOST:
-        raise Unreadable(f"{where}: one line too many: {MOST} at most")
-    texts = [text.strip() for text in row.split(" | ")]
-    if len(texts) > len(FIELDS):
-        raise Unreadable(f"{where}: {FIELDS[-1]}: more follows it")
-    for at, (field, form) in enumerate(zip(FIELDS, FORMS, strict=True)):
-        text = texts[at] if at < len(texts) else ""
-        if not text:
-            raise Unreadable(f"{where}: {field}: is missing")
-        if not re.fullmatch(form, text):
-            raise Unreadable(f"{where}: {field}: can't be read: {text!r}")
-    if texts[0] in before:
-        raise Unreadable(f"{where}: {FIELDS[0]}: stands there twice")
-    return Entry(line, *texts)
+def _parse_line(location: str, number: int, line: str, listed_tests: set[str]) -> Entry:
+    """Parse one line.
+
+    Args:
+        location: The file and the line, for error messages.
+        number: The number of the line.
+        line: The text of the line.
+        listed_tests: The test ids of the lines above it.
+
+    Raises:
+        InvalidFileError: The line is malformed, lists a test again, or is one too many.
+    """
+    if len(listed_tests) == MAX_ENTRIES:
+        raise InvalidFileError(f"{location}: too many tests: at most {MAX_ENTRIES} may be listed")
+    values = [value.strip() for value in line.split(" | ")]
+    if len(values) > len(FIELDS):
+        raise InvalidFileError(f"{location}: {FIELDS[-1]}: has to be the last field")
+    for index, (field, pattern) in enumerate(zip(FIELDS, PATTERNS, strict=True)):
+        value = values[index] if index < len(values) else ""
+        if not value:
+            raise InvalidFileError(f"{location}: {field}: is missing")
+        if not re.fullmatch(pattern, value):
+            raise InvalidFileError(f"{location}: {field}: {value!r} does not match {pattern}")
+    if values[0] in listed_tests:
+        raise InvalidFileError(f"{location}: {FIELDS[0]}: is listed twice")
+    return Entry(number, *values)
 
 
 def pytest_configure(config: pytest.Config) -> None:
     """Read the file before anything is collected."""
     try:
         entries = read(config.rootpath / FILE)
-    except Unreadable as error:
+    except InvalidFileError as error:
         raise pytest.UsageError(str(error)) from error
-    judged = not (config.getoption("collectonly") or config.getoption("setuponly"))
-    if entries and judged:
-        config.pluginmanager.register(Turned(entries), "known-red-turned")
-        if not hasattr(config, "workerinput"):  # a worker judges no run
-            config.pluginmanager.register(Told(entries), "known-red")
+    tests_run = not (config.getoption("collectonly") or config.getoption("setuponly"))
+    if entries and tests_run:
+        config.pluginmanager.register(OutcomeRewriter(entries), "known-red-turned")
+        if not hasattr(config, "workerinput"):  # only the controller decides on the run
+            config.pluginmanager.register(RunVerdict(entries), "known-red")
 
 
-class Turned:
-    """Turns the listed tests' verdicts round where they are run; each report says what came of its test."""
+class OutcomeRewriter:
+    """Rewrites the reports of listed tests, in the processes that run them.
+
+    A failure in the body of a listed test becomes an expected one, and any other outcome a failure. The
+    outcome is added to the report as an attribute.
+    """
 
     def __init__(self, entries: list[Entry]) -> None:
         self._entries = {entry.test: entry for entry in entries}
@@ -105,72 +138,73 @@
         return report
 
 
-class Told:
-    """Judges the run by the reports of the listed tests, and tells at the end what came of each."""
+class RunVerdict:
+    """Fails the run if a listed test did not fail as expected, and prints the outcome of each."""
 
     def __init__(self, entries: list[Entry]) -> None:
         self._entries = {entry.test: entry for entry in entries}
-        self._whole = False
+        self._is_whole_suite = False
 
     def pytest_collection_finish(self, session: pytest.Session) -> None:
-        """Note which tests will run, where this process runs them."""
+        """Record which tests will be run, if this process runs them."""
         self._collected(session.config, [item.nodeid for item in session.items])
 
     @pytest.hookimpl(optionalhook=True)
     def pytest_xdist_node_collection_finished(self, node: Any, ids: Sequence[str]) -> None:
-        """Note which tests a worker found: all find the same, or xdist fails the run."""
+        """Record which tests a worker collected; xdist fails the run unless all workers collect the same."""
         self._collected(node.config, ids)
 
     def _collected(self, config: pytest.Config, ids: Iterable[str]) -> None:
-        self._whole = _is_whole(config)
+        self._is_whole_suite = _is_whole_suite(config)
         for nodeid in ids:
             entry = self._entries.get(nodeid)
-            if entry is not None and entry.seen == NOT_COLLECTED:
-                entry.seen = "was not run"
+            if entry is not None and entry.outcome == NOT_COLLECTED:
+                entry.outcome = "was not run"
 
     def pytest_runtest_logreport(self, report: pytest.TestReport) -> None:
-        """Take what a report says came of a listed test; one of a worker's crash says nothing."""
+        """Record the outcome of a listed test; the report of a worker's crash contains none."""
         entry = self._entries.get(report.nodeid)
         if entry is not None:
-            entry.seen = getattr(report, SEEN, entry.seen)
+            entry.outcome = getattr(report, OUTCOME_ATTRIBUTE, entry.outcome)
 
     def pytest_terminal_summary(self, terminalreporter: pytest.TerminalReporter) -> None:
-        """One line for each entry, with its cause."""
+        """Print one line for each entry, with its cause."""
         terminalreporter.section("known red")
         for entry in self._entries.values():
-            verdict = "known" if entry.seen == RED else "FAILED" if self._breaks(entry) else "left out"
-            told = f"{verdict}: {entry.test} {entry.seen} | {entry.cause} | {entry.issue}"
-            terminalreporter.line(f"{FILE}, line {entry.line}: {told}")
+            verdict = "known" if entry.outcome == RED else "FAILED" if self._breaks(entry) else "left out"
+            summary = f"{verdict}: {entry.test} {entry.outcome} | {entry.cause} | {entry.issue}"
+            terminalreporter.line(f"{FILE}, line {entry.line}: {summary}")
 
     @pytest.hookimpl(tryfirst=True)
     def pytest_sessionfinish(self, session: pytest.Session) -> None:
-        """A run that went well fails if a listed test did not."""
-        well = (pytest.ExitCode.OK, pytest.ExitCode.NO_TESTS_COLLECTED)
-        if session.exitstatus in well and any(map(self._breaks, self._entries.values())):
+        """Fail a run that would pass if a listed test did not fail as expected."""
+        passing = (pytest.ExitCode.OK, pytest.ExitCode.NO_TESTS_COLLECTED)
+        if session.exitstatus in passing and any(map(self._breaks, self._entries.values())):
             session.exitstatus = pytest.ExitCode.TESTS_FAILED
 
     def _breaks(self, entry: Entry) -> bool:
-        return entry.seen != RED and (self._whole or entry.seen != NOT_COLLECTED)
+        """Return whether an entry fails the run; a run of a part may leave its test out."""
+        return entry.outcome != RED and (self._is_whole_suite or entry.outcome != NOT_COLLECTED)
 
 
 def _judge(entry: Entry, call: pytest.CallInfo, report: pytest.TestReport) -> None:
-    """A failure in the test's own body is what was listed; whatever else ends it fails the run.
+    """Turn a failure in the body of a listed test into a skip, and any other outcome into a failure.
 
-    Guards against a fault that is gone, or no longer looked at, while its line still stands: a skip, an
-    error in a fixture and a failure told by `pytest.xfail()` say nothing of it.
+    Guards against a line that stays although its fault is gone or is no longer tested: a skip, an error in a
+    fixture and a call of `pytest.xfail()` do not show the fault.
     """
-    seen = _seen(call)
-    if seen is None:
+    outcome = _outcome(call)
+    if outcome is None:
         return
-    setattr(report, SEEN, seen)
-    if seen == RED:
+    setattr(report, OUTCOME_ATTRIBUTE, outcome)
+    if outcome == RED:
         report.outcome, report.wasxfail = "skipped", f"{FILE}: {entry.cause}"
     elif not report.failed:
-        report.outcome, report.longrepr = "failed", f"{FILE}, line {entry.line}: {entry.test} {seen}"
+        report.outcome, report.longrepr = "failed", f"{FILE}, line {entry.line}: {entry.test} {outcome}"
 
 
-def _seen(call: pytest.CallInfo) -> str | None:
-    """What came of a listed test by its setup or its body; None if it goes on."""
+def _outcome(call: pytest.CallInfo) -> str | None:
+    """Return the outcome of a listed test after its setup or its body; None if its body is still to run."""
     if call.excinfo is None:
         return None if call.when == "setup" else "passes"
     if call.excinfo.errisinstance((pytest.skip.Exception, pytest.xfail.Exception)):
@@ -178,10 +212,10 @@
     return "fails before its body" if call.when == "setup" else RED
 
 
-def _is_whole(config: pytest.Config) -> bool:
-    """Whether a run is one of the whole suite: all test paths, and no choice among the tests."""
+def _is_whole_suite(config: pytest.Config) -> bool:
+    """Return whether the run covers all test paths and no option selects among their tests."""
     root = config.rootpath
-    given = {(config.invocation_params.dir / arg).resolve() for arg in config.args}
+    requested = {(config.invocation_params.dir / arg).resolve() for arg in config.args}
     suite = {(root / path).resolve() for path in config.getini("testpaths")} or {root}
-    whole = root in given or suite <= given
-    return whole and not any(config.getoption(name, default=None) for name in PARTS)
+    has_all_paths = root in requested or suite <= requested
+    return has_all_paths and not any(config.getoption(name, default=None) for name in SELECTION_OPTIONS)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,6 +1,7 @@
-"""The reading of KNOWN-RED.txt: runs of pytest in a folder of their own, with files of all kinds.
+"""The known-red plugin: pytest runs in a temporary folder, with valid and invalid files KNOWN-RED.txt.
 
-Where the verdict has another way to take with workers, the tests are run with them too (`shared`).
+With xdist workers, outcomes reach the verdict in another way; these cases run with two workers too, by the
+fixture `run_with_workers`.
 """
 
 from __future__ import annotations
@@ -9,7 +10,7 @@
 
 from tests import known_red
 
-SHARED = ("-p", "xdist", "-n", "2", "--dist", "loadscope")
+WORKER_OPTIONS = ("-p", "xdist", "-n", "2", "--dist", "loadscope")
 RED, GREEN = "testing/test_one.py::test_red", "testing/test_one.py::test_green"
 SUITE = """
     import pytest
@@ -24,24 +25,26 @@
 
 @pytest.fixture
 def run(pytester, monkeypatch):
-    """Run a suite of one file, `testing/test_one.py`, beside a file of these lines, if there are any."""
+    """Return a function that runs the suite `testing/test_one.py`, with these lines listed, if any."""
     monkeypatch.setenv("PYTEST_DISABLE_PLUGIN_AUTOLOAD", "1")
     pytester.makepyprojecttoml('[tool.pytest.ini_options]\ntestpaths = ["testing"]')
     pytester.mkdir("testing").joinpath("conftest.py").write_text('pytest_plugins = ("tests.known_red",)')
 
-    def with_lines(*lines, suite=SUITE, options=()):
+    def run_suite(*lines, suite=SUITE, options=()):
         pytester.makepyfile(**{"testing/test_one": suite})
         if lines:
             pytester.path.joinpath(known_red.FILE).write_text("\n".join(lines) + "\n", encoding="utf-8")
         return pytester.runpytest_inprocess("-p", "no:cacheprovider", *options)
 
-    return with_lines
+    return run_suite
 
 
 @pytest.fixture
-def shared(run):
-    """The same suite shared out between two workers."""
-    return lambda *lines, suite=SUITE, options=(): run(*lines, suite=suite, options=(*SHARED, *options))
+def run_with_workers(run):
+    """Return a function that runs the same suite with two workers."""
+    return lambda *lines, suite=SUITE, options=(): run(
+        *lines, suite=suite, options=(*WORKER_OPTIONS, *options)
+    )
 
 
 def listed(test=RED, cause="counts wrong", issue="30"):
@@ -49,11 +52,11 @@
 
 
 def lines_of(result, word):
-    """The lines of a run's output that hold a word."""
+    """Return the lines of a run's output that contain a word."""
     return [line for line in result.outlines + result.errlines if word in line]
 
 
-def test_this_suite_reads_its_file(request):
+def test_this_suite_loads_the_plugin(request):
     assert request.config.pluginmanager.has_plugin("tests.known_red")
 
 
@@ -77,7 +80,7 @@
 
 
 @pytest.mark.parametrize(
-    ("body", "seen"),
+    ("body", "outcome"),
     [
         ("def test_red(): pass", "passes"),
         ("@pytest.mark.xfail\ndef test_red(): pass", "passes"),
@@ -97,22 +100,22 @@
         ),
     ],
 )
-def test_a_listed_test_that_does_not_fail_in_its_body_fails_the_run(run, body, seen):
-    """Guards against a line that stays when its fault is gone, or when nothing looks at it any more."""
+def test_a_listed_test_that_does_not_fail_in_its_body_fails_the_run(run, body, outcome):
+    """Guards against a line that stays although its fault is gone or is no longer tested."""
     result = run(listed(), suite=f"import pytest\n{body}\n")
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     assert lines_of(result, "line 1: FAILED") == [
-        f"KNOWN-RED.txt, line 1: FAILED: {RED} {seen} | counts wrong | 30"
+        f"KNOWN-RED.txt, line 1: FAILED: {RED} {outcome} | counts wrong | 30"
     ]
 
 
-def test_a_listed_test_that_its_own_mark_expects_to_fail_is_known_all_the_same(run):
+def test_a_listed_test_with_an_xfail_mark_is_known_too(run):
     result = run(listed(), suite="import pytest\n@pytest.mark.xfail\ndef test_red(): assert False\n")
     assert result.ret == pytest.ExitCode.OK
     assert lines_of(result, "known: ")
 
 
-def test_what_a_listed_test_leaves_behind_fails_the_run(run):
+def test_an_error_in_the_teardown_of_a_listed_test_fails_the_run(run):
     fixture = "import pytest\n@pytest.fixture\ndef leaves():\n    yield\n    assert False\n"
     suite = fixture + "def test_red(leaves): assert False\n"
     result = run(listed(), suite=suite)
@@ -121,7 +124,7 @@
 
 
 @pytest.mark.parametrize("options", [(), ("testing",), (".",)])
-def test_a_listed_test_that_is_not_there_fails_a_run_of_the_whole_suite(run, options):
+def test_a_listed_test_that_does_not_exist_fails_a_run_of_the_whole_suite(run, options):
     missing = "testing/test_one.py::test_gone"
     result = run(listed(missing), suite="def test_green(): pass", options=options)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
@@ -130,7 +133,7 @@
     ]
 
 
-def test_a_listed_name_of_several_tests_names_none_of_them(run):
+def test_a_parametrized_test_is_listed_only_with_its_parameters(run):
     suite = "import pytest\n@pytest.mark.parametrize('n', [1, 2])\ndef test_red(n): assert n == {n}\n"
     assert lines_of(run(listed(), suite=suite.format(n=1)), "FAILED: testing/test_one.py::test_red was not")
     assert run(listed(f"{RED}[2]"), suite=suite.format(n=1)).ret == pytest.ExitCode.OK
@@ -150,12 +153,12 @@
     assert run(listed(GREEN), options=("-k", "green")).ret == pytest.ExitCode.TESTS_FAILED
 
 
-def test_listing_the_tests_judges_none(run):
+def test_collecting_only_does_not_fail_the_run(run):
     assert run(listed(GREEN), options=("--collect-only",)).ret == pytest.ExitCode.OK
 
 
 @pytest.mark.parametrize("text", [None, "", "\n  \n"])
-def test_with_no_file_or_nothing_in_it_a_run_is_as_ever(run, pytester, text):
+def test_without_a_file_or_with_an_empty_one_a_run_is_unchanged(run, pytester, text):
     if text is not None:
         pytester.path.joinpath(known_red.FILE).write_text(text)
     result = run(suite="def test_green(): pass")
@@ -171,54 +174,59 @@
     result.assert_outcomes(xfailed=3, deselected=1)
     result = run(*lines, suite=suite)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
-    assert lines_of(result, "KNOWN-RED") == ["ERROR: KNOWN-RED.txt, line 4: one line too many: 3 at most"]
+    assert lines_of(result, "KNOWN-RED") == [
+        "ERROR: KNOWN-RED.txt, line 4: too many tests: at most 3 may be listed"
+    ]
 
 
 @pytest.mark.parametrize(
-    ("row", "told"),
+    ("line", "message"),
     [
-        ("test_red", "test id: can't be read: 'test_red'"),
+        ("test_red", r"test id: 'test_red' does not match \S+\.py::.+"),
         (" | counts wrong | 30", "test id: is missing"),
-        ("testing/test_one.py | counts wrong | 30", "test id: can't be read: 'testing/test_one.py'"),
+        (
+            "testing/test_one.py | counts wrong | 30",
+            r"test id: 'testing/test_one.py' does not match \S+\.py::.+",
+        ),
         (RED, "cause: is missing"),
         (f"{RED}|counts wrong|30", "cause: is missing"),
         (f"{RED} |  | 30", "cause: is missing"),
         (f"{RED} | counts wrong", "issue: is missing"),
         (f"{RED} | counts wrong | ", "issue: is missing"),
-        (f"{RED} | counts wrong | soon", "issue: can't be read: 'soon'"),
-        (f"{RED} | counts wrong | 30 | 31", "issue: more follows it"),
-        (listed(GREEN), "test id: stands there twice"),
+        (f"{RED} | counts wrong | soon", "issue: 'soon' does not match #?[0-9]+"),
+        (f"{RED} | counts wrong | 30 | 31", "issue: has to be the last field"),
+        (listed(GREEN), "test id: is listed twice"),
     ],
 )
-def test_a_line_that_can_not_be_read_fails_the_run_and_is_told_by_file_line_and_field(run, row, told):
-    result = run(listed(GREEN), row)
+def test_an_invalid_line_fails_the_run_with_file_line_and_field(run, line, message):
+    result = run(listed(GREEN), line)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
-    assert lines_of(result, "KNOWN-RED") == [f"ERROR: KNOWN-RED.txt, line 2: {told}"]
+    assert lines_of(result, "KNOWN-RED") == [f"ERROR: KNOWN-RED.txt, line 2: {message}"]
 
 
-def test_a_file_that_can_not_be_read_fails_the_run(run, pytester):
+def test_a_file_that_is_not_utf_8_fails_the_run(run, pytester):
     pytester.path.joinpath(known_red.FILE).write_bytes(b"\xff\xfe\n")
     result = run()
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     assert len(lines_of(result, "ERROR: KNOWN-RED.txt: ")) == 1
 
 
-def test_workers_know_a_listed_test_that_fails(shared):
+def test_with_workers_a_listed_test_that_fails_lets_the_run_pass(run_with_workers):
     suite = SUITE + "\n    @pytest.mark.parametrize('n', ['a@b'])\n    def test_more(n): assert False\n"
-    result = shared(listed(), listed("testing/test_one.py::test_more[a@b]"), suite=suite)
+    result = run_with_workers(listed(), listed("testing/test_one.py::test_more[a@b]"), suite=suite)
     assert result.ret == pytest.ExitCode.OK
     result.assert_outcomes(passed=1, xfailed=2)
     assert lines_of(result, "line 1") == [f"KNOWN-RED.txt, line 1: known: {RED} fails | counts wrong | 30"]
     assert len(lines_of(result, "known: ")) == 2
 
 
-def test_workers_fail_the_run_for_a_test_that_is_not_listed(shared):
-    result = shared(listed(), suite=SUITE + "\n    def test_other():\n        assert False\n")
+def test_with_workers_a_test_that_is_not_listed_fails_the_run(run_with_workers):
+    result = run_with_workers(listed(), suite=SUITE + "\n    def test_other():\n        assert False\n")
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.assert_outcomes(passed=1, xfailed=1, failed=1)
 
 
-def test_workers_fail_the_run_for_each_listed_test_that_does_not_fail_in_its_body(shared):
+def test_with_workers_each_listed_test_that_does_not_fail_in_its_body_fails_the_run(run_with_workers):
     bodies = {
         "passes": "def test_passes(): pass",
         "was skipped": "def test_skipped(): pytest.skip('not here')",
@@ -226,17 +234,17 @@
     }
     names = ["test_passes", "test_skipped", "test_before"]
     suite = "\n".join(["import pytest", *bodies.values()])
-    result = shared(*(listed(f"testing/test_one.py::{name}") for name in names), suite=suite)
+    result = run_with_workers(*(listed(f"testing/test_one.py::{name}") for name in names), suite=suite)
     assert result.ret == pytest.ExitCode.TESTS_FAILED
-    for number, (name, seen) in enumerate(zip(names, bodies, strict=True), 1):
+    for number, (name, outcome) in enumerate(zip(names, bodies, strict=True), 1):
         assert lines_of(result, f"line {number}: FAILED") == [
-            f"KNOWN-RED.txt, line {number}: FAILED: testing/test_one.py::{name} {seen} | counts wrong | 30"
+            f"KNOWN-RED.txt, line {number}: FAILED: testing/test_one.py::{name} {outcome} | counts wrong | 30"
         ]
 
 
-def test_workers_fail_the_run_for_a_listed_test_that_is_not_there_and_for_nothing_else(shared):
+def test_with_workers_only_the_listed_test_that_does_not_exist_fails_the_run(run_with_workers):
     missing = "testing/test_one.py::test_gone"
-    result = shared(listed(missing), suite="def test_green(): pass")
+    result = run_with_workers(listed(missing), suite="def test_green(): pass")
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     result.assert_outcomes(passed=1)
     assert lines_of(result, "line 1: FAILED") == [
@@ -244,25 +252,25 @@
     ]
 
 
-def test_workers_pass_a_part_of_the_suite_without_what_it_leaves_out(shared):
-    result = shared(listed(), options=("-k", "green"))
+def test_with_workers_a_run_of_a_part_passes_without_the_listed_tests_that_it_leaves_out(run_with_workers):
+    result = run_with_workers(listed(), options=("-k", "green"))
     assert result.ret == pytest.ExitCode.OK
     assert lines_of(result, "left out: ")
 
 
-def test_a_listed_test_that_ends_its_worker_fails_the_run(shared):
-    """Guards against a crash that is taken for the failure which is listed."""
+def test_a_listed_test_that_crashes_its_worker_fails_the_run(run_with_workers):
+    """Guards against a crash that counts as the listed failure."""
     suite = "import os\ndef test_green(): pass\ndef test_red(): os._exit(1)\n"
-    result = shared(listed(), suite=suite, options=("--max-worker-restart", "0"))
+    result = run_with_workers(listed(), suite=suite, options=("--max-worker-restart", "0"))
     assert result.ret == pytest.ExitCode.TESTS_FAILED
     assert lines_of(result, "line 1: FAILED") == [
         f"KNOWN-RED.txt, line 1: FAILED: {RED} was not run | counts wrong | 30"
     ]
 
 
-def test_a_file_that_can_not_be_read_fails_the_run_before_there_are_workers(shared):
-    result = shared("test_red")
+def test_an_invalid_file_fails_the_run_before_workers_start(run_with_workers):
+    result = run_with_workers("test_red")
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     assert lines_of(result, "KNOWN-RED") == [
-        "ERROR: KNOWN-RED.txt, line 1: test id: can't be read: 'test_red'"
+        r"ERROR: KNOWN-RED.txt, line 1: test id: 'test_red' does not match \S+\.py::.+"
     ]
--- a/tests/test_sharing.py
+++ b/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""How tests are shared out between workers: what goes together, what goes first, and that none is lost."""
+"""Distribution of tests among xdist workers: files kept together, slow tests first, and no test lost."""
 
 from __future__ import annotations
 
@@ -12,44 +12,46 @@
 SUITE = Path(__file__).parent
 
 
-def test_files_with_a_fixture_for_all_of_their_tests_stay_with_one_worker():
-    """Guards against a costly fixture that each worker makes anew."""
-    wide = re.compile(r"""fixture\(.*scope=["'](class|module|package|session)""")
-    files = [file for file in SUITE.rglob("test_*.py") if wide.search(file.read_text())]
-    assert sorted(file.relative_to(SUITE.parent).as_posix() for file in files) == sorted(sharing.TOGETHER)
-    for file in sharing.TOGETHER:
-        assert sharing.unit(f"{file}::test_one") == sharing.unit(f"{file}::test_two[a::b]") == file
-    alone = "tests/test_sharing.py::test_one[a]"
-    assert sharing.unit(alone) == alone
+def test_files_with_a_shared_fixture_are_run_by_one_worker():
+    """Guards against an expensive fixture that each worker sets up again."""
+    shared_fixture = re.compile(r"""fixture\(.*scope=["'](class|module|package|session)""")
+    files = [file for file in SUITE.rglob("test_*.py") if shared_fixture.search(file.read_text())]
+    assert sorted(file.relative_to(SUITE.parent).as_posix() for file in files) == sorted(
+        sharing.SINGLE_WORKER_FILES
+    )
+    for file in sharing.SINGLE_WORKER_FILES:
+        assert sharing.work_unit(f"{file}::test_one") == sharing.work_unit(f"{file}::test_two[a::b]") == file
+    single_test = "tests/test_sharing.py::test_one[a]"
+    assert sharing.work_unit(single_test) == single_test
 
 
-def test_what_goes_first_is_there_and_no_later_name_stands_behind_one_that_takes_it():
-    for place, start in enumerate(sharing.FIRST):
-        assert (SUITE.parent / start).exists(), start
-        assert sharing.rank(f"{start}::test_one") == place
-    assert sharing.rank("tests/test_sharing.py::test_one") == len(sharing.FIRST)
+def test_slow_test_paths_exist_and_none_is_covered_by_an_earlier_one():
+    for index, path in enumerate(sharing.SLOW_TEST_PATHS):
+        assert (SUITE.parent / path).exists(), path
+        assert sharing.rank(f"{path}::test_one") == index
+    assert sharing.rank("tests/test_sharing.py::test_one") == len(sharing.SLOW_TEST_PATHS)
 
 
-def test_each_test_is_run_once_by_some_worker_and_a_file_of_those_together_by_one(pytester, monkeypatch):
+def test_each_test_is_run_once_and_a_single_worker_file_by_one_worker(pytester, monkeypatch):
     monkeypatch.setenv("PYTEST_DISABLE_PLUGIN_AUTOLOAD", "1")
-    (together,) = sharing.TOGETHER
+    (single_worker_file,) = sharing.SINGLE_WORKER_FILES
     suite = "import os, pathlib, pytest\n@pytest.mark.parametrize('n', range(12))\ndef test_one(n):\n"
-    suite += "    told = f'{__file__.split(os.sep)[-1]} {os.getpid()}\\n'\n    open(NOTES, 'a').write(told)\n"
+    suite += "    line = f'{__file__.split(os.sep)[-1]} {os.getpid()}\\n'\n    open(NOTES, 'a').write(line)\n"
     notes = pytester.path / "notes"
-    for file in ("tests/rig/test_other.py", together):
+    for file in ("tests/rig/test_other.py", single_worker_file):
         path = pytester.path / file
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(suite.replace("NOTES", repr(str(notes))))
     pytester.makeconftest('pytest_plugins = ("tests.sharing",)')
-    words = ("-p", "xdist", "-n", "2", "--dist", "loadscope", "--no-loadscope-reorder")
-    result = pytester.runpytest_inprocess("-p", "no:cacheprovider", *words)
+    options = ("-p", "xdist", "-n", "2", "--dist", "loadscope", "--no-loadscope-reorder")
+    result = pytester.runpytest_inprocess("-p", "no:cacheprovider", *options)
     result.assert_outcomes(passed=24)
     rows = [row.split() for row in notes.read_text().splitlines()]
     assert len(rows) == 24
-    assert len({pid for name, pid in rows if name == Path(together).name}) == 1
+    assert len({pid for name, pid in rows if name == Path(single_worker_file).name}) == 1
 
 
-def test_no_benchmark_that_a_test_plays_takes_a_core_for_itself():
+def test_no_benchmark_that_is_run_by_a_test_reserves_a_core():
     before = os.sched_getaffinity(0)
     assert [module.reserve_core() for module in (common, crowds, load_accuracy, points, soak)] == [None] * 5
     assert os.sched_getaffinity(0) == before
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,7 +1,7 @@
-"""A loop on virtual time over real sockets: where nothing is to be read, its clock skips to the next timer.
+"""An event loop with virtual time over real sockets: while no socket is ready, time skips to the next timer.
 
-What a test measures there is the same on any machine, however busy it is, and seconds cost nothing.
-All partners have to live in the same loop.
+Durations that a test measures on it are the same on any machine, however busy it is, and waiting costs almost
+no real time. All peers of a test have to run in the same loop.
 """
 
 from __future__ import annotations
@@ -10,40 +10,42 @@
 import functools
 import selectors
 
-GRACE_S = 0.003  # of real time, for what the system still has under way between two sockets
-TURN_S = (
-    1e-5  # that a turn of the loop takes: nothing takes no time, and who never rests does not stop the clock
-)
+SOCKET_WAIT_S = 0.003  # real time that the system may need to deliver data from one socket to another
+# Virtual duration of a loop iteration: everything takes some time, and the clock advances even while a task
+# never waits.
+ITERATION_S = 1e-5
 
 
-class _Skipping(selectors.DefaultSelector):
+class _TimeSkippingSelector(selectors.DefaultSelector):
+    """A selector that holds the virtual time, and advances it instead of waiting."""
+
     now = 1000.0
 
     def select(self, timeout=None):
-        ready = super().select(timeout if timeout is None else min(timeout, GRACE_S))
-        self.now += TURN_S
+        ready = super().select(timeout if timeout is None else min(timeout, SOCKET_WAIT_S))
+        self.now += ITERATION_S
         if not ready and timeout is not None:
             self.now += max(0.0, timeout)
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Its `time` moves while it has nothing to do, and by next to nothing in a turn."""
+    """Event loop whose time advances while it is idle, and by `ITERATION_S` in each iteration."""
 
     def __init__(self):
-        self._skipping = _Skipping()
-        super().__init__(self._skipping)
+        self._selector_clock = _TimeSkippingSelector()
+        super().__init__(self._selector_clock)
 
     def time(self):
-        return self._skipping.now
+        return self._selector_clock.now
 
     def stall(self, seconds):
-        """Time passes while the loop stands still."""
-        self._skipping.now += seconds
+        """Advance the time as if the loop had been blocked."""
+        self._selector_clock.now += seconds
 
 
 def virtual(test):
-    """Run an async test in such a loop; it ends after so many virtual seconds at the latest."""
+    """Run an async test in a `VirtualLoop`; it times out after 300 virtual seconds."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
