--- a/tests/exchanges.py
+++ b/tests/exchanges.py
@@ -1,6 +1,4 @@
-"""Whole exchanges over loopback sockets, written down so that they can be approved: what was sent, what came
-back.
-"""
+"""HTTP exchanges over loopback sockets, recorded as transcripts for approval tests."""
 
 from __future__ import annotations
 
@@ -10,28 +8,28 @@
 
 from aiohttp import web
 
-PATIENCE_S = 30.0
-_VARYING = re.compile(r"^(Date|Server): .*\r\n", re.MULTILINE)
+TEST_TIMEOUT_S = 30.0
+_VARYING_HEADERS = re.compile(r"^(Date|Server): .*\r\n", re.MULTILINE)
 
 
 def loopback(test):
-    """Run an async test in a loop of its own, for a bounded time."""
+    """Run an async test in an event loop of its own, with a timeout of `TEST_TIMEOUT_S`."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
-        asyncio.run(asyncio.wait_for(test(*args, **kwargs), PATIENCE_S))
+        asyncio.run(asyncio.wait_for(test(*args, **kwargs), TEST_TIMEOUT_S))
 
     return run
 
 
 async def until(condition):
-    """Let others run until a condition holds."""
+    """Yield to other tasks until a condition holds."""
     while not condition():
         await asyncio.sleep(0)
 
 
 async def serve(application: web.Application) -> tuple[web.AppRunner, int]:
-    """Serve an application on a free port of loopback."""
+    """Serve an application on a free loopback port, and return its runner and the port."""
     runner = web.AppRunner(application, access_log=None)
     await runner.setup()
     site = web.TCPSite(runner, "127.0.0.1", 0)
@@ -40,7 +38,7 @@
 
 
 def request(method: str, target: str, body: bytes | str = b"", **headers: str) -> bytes:
-    """The bytes of a request."""
+    """Return the bytes of a request."""
     body = body.encode() if isinstance(body, str) else body
     lines = [f"{method} {target} HTTP/1.1", "Host: ficu95.example"]
     lines += [f"{name.replace('_', '-')}: {value}" for name, value in headers.items()]
@@ -50,7 +48,7 @@
 
 
 class Client:
-    """One connection, and the transcript of what passes over it."""
+    """A client connection that records a transcript of the bytes that it sends and receives."""
 
     def __init__(self, port: int) -> None:
         self._port = port
@@ -69,7 +67,11 @@
         await self._writer.drain()
 
     async def answer(self, bodiless: bool = False) -> str:
-        """Read one answer, or what there is of it when the connection ends; one to a HEAD is `bodiless`."""
+        """Read one answer, or the part of it that arrived before the connection ended.
+
+        Args:
+            bodiless: Whether the answer has no body, as one to a HEAD request.
+        """
         head = b""
         try:
             head = await self._reader.readuntil(b"\r\n\r\n")
@@ -85,7 +87,7 @@
             body = error.partial + b"(the connection ends)"
         except ConnectionError:
             body = b"(the connection ends)"
-        text = _VARYING.sub("", (head + body).decode("latin-1"))
+        text = _VARYING_HEADERS.sub("", (head + body).decode("latin-1"))
         self.transcript.append("< " + text)
         return text
 
@@ -95,5 +97,5 @@
 
 
 def approved(*clients: Client) -> str:
-    """The transcripts of connections, one after the other."""
+    """Return the transcripts of connections, one after the other."""
     return "\n----\n".join("\n".join(client.transcript).replace("\r\n", "\n") for client in clients)
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Loopback partners for the sidecar's tests: an upstream server, discovery and the application."""
+"""Peers of the sidecar on loopback sockets for tests: upstream servers, discovery and the application."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 from fordtrestle.proxy.engine.pressure import RULES, Monitor, PressureRules
 from rig import balancers
 
-PATIENCE_S = 60.0  # of real time, for what comes at once on an idle machine
+PATIENCE_S = 60.0  # real time allowed for steps that take no time on an idle machine
 BUDGET = "4000m"
 
-# The rig's, but for two tenants with small allowances, probes and messages among peers, and two sidecars.
+# The settings of the rig with two tenants of small allowances, probes, messages among peers and two sidecars.
 SETTINGS = {
     **balancers.SETTINGS,
     "Tenants": [{"Name": "acme", "AllowancePerS": 5.0}, {"Name": "globex", "AllowancePerS": 5.0}],
@@ -27,18 +27,19 @@
     "Balancers": 2,
 }
 
-# What presses a test's sidecar: its ledgers. How late the loop runs, CPU and accept queues hang on what else
-# the machine does, resident memory on the tests before; a test of one of them names its rules.
-OF_THE_MACHINE = (Monitor.LAG, Monitor.CPU, Monitor.BACKLOG, Monitor.MEMORY)
-BY_LEDGERS = tuple(rule for rule in RULES if rule.monitor not in OF_THE_MACHINE)
+# In tests, the pressure on a sidecar is derived from its ledgers only. The lag of the event loop, CPU and the
+# accept queues depend on the load of the machine, and resident memory on earlier tests. A test of one of
+# these monitors passes its own rules.
+MACHINE_MONITORS = (Monitor.LAG, Monitor.CPU, Monitor.BACKLOG, Monitor.MEMORY)
+LEDGER_RULES = tuple(rule for rule in RULES if rule.monitor not in MACHINE_MONITORS)
 
-CALLS = itertools.count(1)  # an identity is new with every request
+CALL_IDS = itertools.count(1)  # each request has a new id
 
 OK = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\nX-Load-Report: inflight=1,queue=0\r\n\r\ndone"
 
 
 def loopback(test):
-    """Run an async test in a loop of its own, for a bounded time."""
+    """Run an async test in an event loop of its own, with a timeout of twice `PATIENCE_S`."""
 
     @functools.wraps(test)
     def run(*args, **kwargs):
@@ -48,15 +49,15 @@
 
 
 async def until(condition):
-    """Wait for a condition; the test fails if it does not come."""
+    """Wait until a condition holds; raise TimeoutError after `PATIENCE_S`."""
     async with asyncio.timeout(PATIENCE_S):
         while not condition():
             await asyncio.sleep(0.002)
 
 
 @dataclass
-class Seen:
-    """A message as a partner read it."""
+class Message:
+    """An HTTP message as a peer read it; `connection` is the number of its connection."""
 
     start: str
     headers: dict[str, str]
@@ -65,7 +66,7 @@
 
 
 async def read_message(reader):
-    """One HTTP message with a Content-Length, or None at the end."""
+    """Read one HTTP message with a Content-Length; return None at the end of the connection."""
     try:
         head = (await reader.readuntil(b"\r\n\r\n")).decode("latin-1")
         start, *rows = head[:-4].split("\r\n")
@@ -73,15 +74,23 @@
         body = await reader.readexactly(int(headers.get("content-length", 0)))
     except (asyncio.IncompleteReadError, ConnectionError):
         return None
-    return Seen(start, headers, body)
+    return Message(start, headers, body)
 
 
 @dataclass
 class Upstream:
-    """A server; `replies` holds what it does with each request, and the last one stays."""
+    """An upstream server that records its requests.
+
+    Attributes:
+        replies: The replies to the requests in turn; the last one is repeated. A reply is the bytes to write,
+            None to close the connection, or a coroutine function of reader and writer that returns either.
+        seen: The requests.
+        writers: The writers of its connections, in the order in which they were opened.
+        address: Its address, as host and port.
+    """
 
     replies: list = field(default_factory=lambda: [OK])
-    seen: list[Seen] = field(default_factory=list)
+    seen: list[Message] = field(default_factory=list)
     writers: list = field(default_factory=list)
     address: str = ""
 
@@ -112,17 +121,17 @@
 
 
 async def hang(reader, writer):
-    """A reply that never comes: until the sidecar closes."""
+    """Send no reply, and wait until the sidecar closes the connection."""
     await reader.read()
 
 
 async def break_off(reader, writer):
-    """A connection that is reset after the request."""
+    """Reset the connection after the request."""
     writer.transport.abort()
 
 
 class Registry:
-    """Discovery: every watch and list call is kept, watches are written to by the test."""
+    """Discovery service that records the targets of its calls; the test writes to its watches."""
 
     def __init__(self, listed=()):
         self.asked = []
@@ -150,11 +159,11 @@
         writer.close()
 
     def write(self, data):
-        """One chunk to the newest watch."""
+        """Write one chunk to the newest watch."""
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
     def tell(self, index, *entries, snapshot=False):
-        """One line to the newest watch."""
+        """Write one list or update to the newest watch, as a line."""
         self.write(json.dumps(listed(index, *entries, snapshot=snapshot)).encode() + b"\n")
 
     def stop(self):
@@ -162,19 +171,23 @@
 
 
 def listed(index, *entries, snapshot=True):
-    """A list in discovery's form."""
+    """Return a list, or an update of it, in discovery's form."""
     return {"index": index, "snapshot": snapshot, "endpoints": list(entries)}
 
 
 def entry(name, address=None, **changes):
-    """One server of a list, at an address of its own."""
+    """Return the entry of a server, by default at an address derived from its name."""
     address = address or f"127.0.0.{9 + sum(name.encode()) % 200}:9"
     row = {"name": name, "address": address, "zone": "west", "type": "small", "group": 3, "status": "active"}
     return {**row, "weight": 1.0, "since_ms": 0, **changes}
 
 
 class Scripted:
-    """Stands in for the decision module: records events, and answers each with a script's actions."""
+    """Fake decision module that records events and answers each with the actions of a script.
+
+    Scripts are given by the names of events. By default a request is sent to the server s0, and other events
+    are answered with no actions.
+    """
 
     def __init__(self, **scripts):
         self.events = []
@@ -188,48 +201,58 @@
         return event
 
     def named(self, name):
-        """The events of one name, without it."""
-        return [rest for found, *rest in self.events if found == name]
+        """Return the arguments of the events with this name."""
+        return [arguments for event_name, *arguments in self.events if event_name == name]
 
     def outcomes(self):
-        """Attempt number, outcome and `last` of each outcome event."""
+        """Return attempt number, outcome and `last` of each outcome event."""
         return [(hop, status, last) for _, hop, status, _, last, _ in self.named("outcome")]
 
 
 def make_platform_config(upstreams=(), registry="127.0.0.1:9", raw=None, limits=DEFAULT_LIMITS, **settings):
-    """A configuration that knows these servers, as s0, s1 and on."""
-    known = listed(41, *(entry(f"s{i}", upstream.address) for i, upstream in enumerate(upstreams)))
-    base = balancers.config_for(known, registry, 1024, **{**SETTINGS, **settings})
+    """Return a configuration that lists these servers, with the names s0, s1 and so on."""
+    endpoint_list = listed(41, *(entry(f"s{i}", upstream.address) for i, upstream in enumerate(upstreams)))
+    base = balancers.config_for(endpoint_list, registry, 1024, **{**SETTINGS, **settings})
     return platform_config.parse({**base, **(raw or {})}, {}, limits)
 
 
 @contextlib.asynccontextmanager
 async def running(
-    *upstreams, balancer=None, registry=None, raw=None, limits=DEFAULT_LIMITS, rules=BY_LEDGERS, **settings
+    *upstreams, balancer=None, registry=None, raw=None, limits=DEFAULT_LIMITS, rules=LEDGER_RULES, **settings
 ):
-    """A sidecar in this process, and the upstreams it knows; `rules` are those of its pressure."""
-    own = registry is None
-    registry = await Registry().start() if own else registry
-    made = Sidecar(
+    """Run a sidecar in this process, and stop it with its upstreams afterwards.
+
+    Args:
+        upstreams: The servers that its configuration lists.
+        balancer: Replaces the decision module, if given.
+        registry: The discovery service; by default one that is started here.
+        raw: Top-level fields of the configuration that are replaced or added before it is parsed.
+        limits: The limits of the configuration.
+        rules: The pressure rules.
+        settings: Settings that replace those of `SETTINGS`.
+    """
+    is_own_registry = registry is None
+    registry = await Registry().start() if is_own_registry else registry
+    sidecar = Sidecar(
         asyncio.get_running_loop(),
         make_platform_config(upstreams, registry=registry.address, raw=raw, limits=limits, **settings),
     )
     if balancer is not None:
-        made.driver._balancer = balancer
-    made.overload.pressure = PressureRules(rules)
-    made.address = await made.start()
+        sidecar.driver._balancer = balancer
+    sidecar.overload.pressure = PressureRules(rules)
+    sidecar.address = await sidecar.start()
     try:
-        yield made
+        yield sidecar
     finally:
-        made.close()
-        if own:
+        sidecar.close()
+        if is_own_registry:
             registry.stop()
         for upstream in upstreams:
             upstream.stop()
 
 
 class App:
-    """The application: one connection to its sidecar."""
+    """The application, with one connection to its sidecar."""
 
     def __init__(self, reader, writer):
         self.reader, self.writer = reader, writer
@@ -254,16 +277,16 @@
 
 
 def request(method="GET", target="/look", body=b"", **headers):
-    """A request as the application writes it; a header of None is left out."""
-    sent = {
+    """Return a request as the application sends it; headers with the value None are omitted."""
+    all_headers = {
         "Host": "api.internal",
-        "X-Call-Id": f"{next(CALLS):016x}",
+        "X-Call-Id": f"{next(CALL_IDS):016x}",
         "X-Call-Class": target.split("/")[1].split("?")[0],
         "X-Caller": "globex",
         "X-Budget": BUDGET,
         "Content-Length": str(len(body)) if body or method == "POST" else None,
         "Idempotency-Key": "k1" if target.startswith("/book") else None,
     }
-    sent |= {name.replace("_", "-"): value for name, value in headers.items()}
-    rows = "".join(f"{name}: {value}\r\n" for name, value in sent.items() if value is not None)
+    all_headers |= {name.replace("_", "-"): value for name, value in headers.items()}
+    rows = "".join(f"{name}: {value}\r\n" for name, value in all_headers.items() if value is not None)
     return f"{method} {target} HTTP/1.1\r\n{rows}\r\n".encode() + body
--- a/tests/proxy/daemon/test_customers.py
+++ b/tests/proxy/daemon/test_customers.py
@@ -92,8 +92,8 @@
         await asyncio.gather(
             *(client(site, sidecar.address, row, [rng.uniform(0.0, 0.05) for _ in range(8)]) for row in rows)
         )
-    assert len(site.asked) == 8 * len(rows)
-    assert site.got
+    assert len(site.calls) == 8 * len(rows)
+    assert site.attempts
 
 
 # --- what each limit forbids, where there is every reason to do it ------------------------
@@ -158,7 +158,7 @@
             await site.ask(sidecar.address, row, row["Deadline"] / 1000.0)
     watching.cancel()
     site.stop()
-    broken = site.broken()
+    broken = site.violations()
     assert [line for line in broken if fault in line] if allowed else broken == []
     # There was something to break it with.
-    assert any(got.server.behave is not serve for got in site.got)
+    assert any(got.server.behave is not serve for got in site.attempts)
--- a/tests/proxy/daemon/test_server_drains.py
+++ b/tests/proxy/daemon/test_server_drains.py
@@ -18,7 +18,7 @@
 from fordtrestle.proxy.config import platform_config
 from fordtrestle.proxy.daemon.sidecar import Sidecar
 from fordtrestle.proxy.engine.pressure import PressureRules
-from tests.loopback import BY_LEDGERS, OK, SETTINGS, App, Upstream, entry, listed, read_message
+from tests.loopback import LEDGER_RULES, OK, SETTINGS, App, Upstream, entry, listed, read_message
 from tests.proxy.daemon.polling import poll
 from tests.proxy.membership.stand_ins import HEAD, chunk
 from tests.virtual import virtual
@@ -161,7 +161,7 @@
         self.path.write_text(json.dumps(self.raw))
         env = {"NODE_CONFIG": str(self.path)}
         self.sidecar = Sidecar(asyncio.get_running_loop(), platform_config.load(env), env)
-        self.sidecar.overload.pressure = PressureRules(BY_LEDGERS)
+        self.sidecar.overload.pressure = PressureRules(LEDGER_RULES)
         address = await self.sidecar.start()
         clients = [asyncio.create_task(self._client(address)) for _ in range(CLIENTS)]
         try:
--- a/tests/proxy/http/test_bad_servers.py
+++ b/tests/proxy/http/test_bad_servers.py
@@ -166,7 +166,7 @@
     finally:
         watching.cancel()
         site.stop()
-    assert site.broken() == []
+    assert site.violations() == []
     assert [told for told in raised if "exception" in told and "StreamReader" not in str(told)] == []
 
 
@@ -191,10 +191,10 @@
     async with judged(OWN, *servers) as (site, sidecar):
         clients = [kind for kind in OWN["Profiles"] for _ in range(3)]
         await asyncio.gather(*(in_turn(site, sidecar.address, kind, 4) for kind in clients))
-    assert len(site.asked) == 36
+    assert len(site.calls) == 36
     assert site.servers[0].connections  # it was asked
-    met = {got.call for got in site.got if got.server.name == "s0"}
-    others = [row.status for row in site.asked if row.call not in met and site.of(row.call)]
+    met = {got.call for got in site.attempts if got.server.name == "s0"}
+    others = [row.status for row in site.calls if row.call not in met and site.attempts_of(row.call)]
     assert others
     assert others.count(200) > len(others) // 2
 
@@ -229,7 +229,7 @@
     (1, hang, again("s1", 0.5), "sent again after"),
     (1, reset, {"outcome": refusing}, "refused (503) though it may have run"),
     (2, reset, {"outcome": refusing}, "refused (503) though it may have run"),
-    (0, later(0.1, serve), {"request": both}, "two attempts out at a time"),
+    (0, later(0.1, serve), {"request": both}, "two attempts in flight at a time"),
     (0, serve, {"request": lambda now, arrival: []}, "answered 504"),
 ]
 
@@ -246,7 +246,7 @@
     async with running(raw={"known": site.known()}, balancer=Scripted(**scripts), **OWN) as sidecar:
         await site.ask(sidecar.address, OWN["Profiles"][traffic_class], BUDGET_S)
     site.stop()
-    assert [line for line in site.broken() if fault in line], site.broken()
+    assert [line for line in site.violations() if fault in line], site.violations()
 
 
 @virtual
@@ -260,4 +260,4 @@
     async with running(raw={"known": site.known()}, **OWN) as sidecar:
         await site.ask(sidecar.address, OWN["Profiles"][0], BUDGET_S)
     site.stop()
-    assert "served what no server made for it" in site.broken()[0]
+    assert "served a body that no server made for it" in site.violations()[0]
