--- a/tests/test_layout.py
+++ b/tests/test_layout.py
@@ -1,4 +1,4 @@
-"""The shape that reviews rely on: pure modules do no I/O, and imports run one way."""
+"""The structure that reviews rely on: pure modules do no I/O, and imports go in one direction only."""
 
 from __future__ import annotations
 
@@ -11,24 +11,26 @@
 
 ROOT = Path(__file__).resolve().parent.parent
 PACKAGE = ROOT / "fordtrestle" / "balancer"
-OURS = ("fordtrestle", "fordtrestle.balancer")
+PARENT_PACKAGES = ("fordtrestle", "fordtrestle.balancer")
 
 
 def imported(name: str, package: Path = PACKAGE) -> set[str]:
-    """The modules of these packages that one file imports."""
-    met = set()
+    """Return the modules of the program that one file imports."""
+    modules = set()
     for node in ast.walk(ast.parse((package / name).read_text())):
-        if isinstance(node, ast.ImportFrom) and (node.module or "").startswith(OURS):
+        if isinstance(node, ast.ImportFrom) and (node.module or "").startswith(PARENT_PACKAGES):
             module = node.module or ""
-            met |= {module} if module not in OURS else {f"{module}.{a.name}" for a in node.names}
+            modules |= (
+                {module} if module not in PARENT_PACKAGES else {f"{module}.{a.name}" for a in node.names}
+            )
         elif isinstance(node, ast.Import):
-            met |= {alias.name for alias in node.names if alias.name.startswith(OURS)}
+            modules |= {alias.name for alias in node.names if alias.name.startswith(PARENT_PACKAGES)}
         elif isinstance(node, ast.ImportFrom):
-            assert node.level == 0, "relative imports hide where they lead"
-    return met
+            assert node.level == 0, "relative imports hide their target"
+    return modules
 
 
-# The modules of the decision module: each may import those after it, and no other module of the program.
+# The modules of the decision module. Each may import those after it, and no other module of the program.
 PARTS = (
     "balancer", "evidence", "candidates", "affinity", "slow_start", "attempts", "locality",
     "server_load", "eligibility", "shedding", "ejection", "key_order", "zones", "connections",
@@ -43,17 +45,17 @@
     assert imported(f"{part}.py") <= {f"fordtrestle.balancer.{name}" for name in below}
 
 
-def test_the_parts_are_all_of_the_decision_module_but_the_wires_adapter():
+def test_the_parts_are_all_modules_of_the_decision_module_except_the_wire_adapter():
     names = {path.stem for path in PACKAGE.glob("*.py")}
     assert names == {*PARTS, "wirehost", "__init__"}
 
 
-def test_the_wires_adapter_knows_of_the_decision_module_and_its_interface_only():
+def test_the_wire_adapter_imports_only_the_decision_module_and_its_interface():
     assert imported("wirehost.py") <= {"fordtrestle.balancer.model", "fordtrestle.balancer.balancer"}
 
 
 @pytest.mark.parametrize("part", ["throttle", "model"])
-def test_throttle_and_interface_stand_alone(part):
+def test_throttle_and_interface_import_no_module_of_the_program(part):
     assert not imported(f"{part}.py")
 
 
@@ -73,10 +75,11 @@
     ),
     *("fleet", "balancer"),
 )
-APART = {"http", "dns", "rpc"}  # fronts and upstreams of one protocol know nothing of another's
+# Each contains the fronts and upstreams of one protocol, and imports nothing of another protocol.
+PROTOCOLS = {"http", "dns", "rpc"}
 
-# Each module of the program, and whether it is pure: no asyncio, socket, thread, file, wall clock or
-# unseeded random; time and randomness are handed in.
+# Each module of the program is listed as pure or impure. A pure module uses no asyncio, socket, thread, file,
+# wall clock or unseeded random generator; time and randomness are passed in.
 PURE = {
     "admission/admission_control.py",
     "admission/constants.py",
@@ -372,7 +375,7 @@
     "proxy/state/posix_file_store.py",
     "proxy/state/snapshots.py",
 }
-SEEDED = {"balancer/balancer.py"}  # pure, with a generator that is seeded by the caller
+SEEDED = {"balancer/balancer.py"}  # pure modules with a random generator that their caller seeds
 FORBIDDEN = {
     *("asyncio", "socket", "select", "selectors", "threading", "multiprocessing", "subprocess", "signal"),
     *("os", "io", "pathlib", "shutil", "tempfile", "time", "datetime", "random", "secrets", "ssl", "sys"),
@@ -380,25 +383,25 @@
 
 
 def modules() -> dict[str, Path]:
-    """Every module of the program but the packages' own, by its path."""
+    """Return all modules of the program except `__init__.py` files, by path."""
     root = ROOT / "fordtrestle"
     return {str(p.relative_to(root)): p for p in root.rglob("*.py") if p.name != "__init__.py"}
 
 
-def names(path: Path) -> set[str]:
-    """The modules that a file imports, by their full names."""
-    met = set()
+def imported_names(path: Path) -> set[str]:
+    """Return the full names of the modules and objects that a file imports."""
+    imports = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
-            met |= {alias.name for alias in node.names}
+            imports |= {alias.name for alias in node.names}
         elif isinstance(node, ast.ImportFrom):
-            assert node.level == 0, "relative imports hide where they lead"
-            met |= {f"{node.module}.{alias.name}" for alias in node.names}
-    return met
+            assert node.level == 0, "relative imports hide their target"
+            imports |= {f"{node.module}.{alias.name}" for alias in node.names}
+    return imports
 
 
 def layer(parts: list[str]) -> str:
-    """The package that a module belongs to, of those in `ORDER`; `proxy` holds several of them."""
+    """Return the package in `ORDER` that a module belongs to; `proxy` contains several of them."""
     return parts[1] if parts[0] == "proxy" else parts[0]
 
 
@@ -408,15 +411,17 @@
 
 
 @pytest.mark.parametrize("name", sorted(PURE))
-def test_pure_modules_reach_nothing_of_the_world(name):
+def test_pure_modules_import_nothing_impure(name):
     path = ROOT / "fordtrestle" / name
     forbidden = FORBIDDEN - {"random"} if name in SEEDED else FORBIDDEN
-    assert not {met.split(".")[0] for met in names(path)} & forbidden
-    ours = {met for met in names(path) if met.startswith("fordtrestle.")}
-    for met in ours:
-        parts = met.split(".")[1:]
-        reached = {"/".join(parts[:n]) + ".py" for n in range(1, len(parts) + 1)}
-        assert not reached & IMPURE, f"{name} reaches {met}"
+    assert not {imported_name.split(".")[0] for imported_name in imported_names(path)} & forbidden
+    own_imports = {
+        imported_name for imported_name in imported_names(path) if imported_name.startswith("fordtrestle.")
+    }
+    for imported_name in own_imports:
+        parts = imported_name.split(".")[1:]
+        imported_files = {"/".join(parts[:n]) + ".py" for n in range(1, len(parts) + 1)}
+        assert not imported_files & IMPURE, f"{name} imports {imported_name}"
     assert not [
         node
         for node in ast.walk(ast.parse(path.read_text()))
@@ -425,75 +430,80 @@
 
 
 @pytest.mark.parametrize("name", sorted(SEEDED))
-def test_modules_with_a_seed_draw_from_a_generator_of_their_own(name):
-    """Nothing of `random` is used but its generator, and that with a seed that was handed in."""
+def test_seeded_modules_use_a_random_generator_of_their_own(name):
+    """They use nothing of `random` but its generator, with a seed that was passed in."""
     tree = ast.parse((ROOT / "fordtrestle" / name).read_text())
     uses = [n for n in ast.walk(tree) if isinstance(n, ast.Name) and n.id == "random"]
-    made = [
+    generators = [
         n
         for n in ast.walk(tree)
         if isinstance(n, ast.Call) and ast.unparse(n.func) == "random.Random" and len(n.args) == 1
     ]
     assert uses
-    assert len(uses) == len(made)
+    assert len(uses) == len(generators)
 
 
 @pytest.mark.parametrize("name", sorted(PURE | IMPURE))
-def test_imports_run_down_only(name):
-    here = layer(name.removesuffix(".py").split("/"))
-    for met in names(ROOT / "fordtrestle" / name):
-        if met.startswith("fordtrestle."):
-            there = layer(met.split(".")[1:])
-            assert ORDER.index(here) <= ORDER.index(there), f"{name} imports {met}"
-            assert here == there or not {here, there} <= APART
-
-
-def test_only_the_driver_and_the_wires_adapter_call_the_decision_module():
-    callers = {name for name, path in modules().items() if "fordtrestle.balancer.Balancer" in names(path)}
+def test_imports_go_down_only(name):
+    importing = layer(name.removesuffix(".py").split("/"))
+    for imported_name in imported_names(ROOT / "fordtrestle" / name):
+        if imported_name.startswith("fordtrestle."):
+            target = layer(imported_name.split(".")[1:])
+            assert ORDER.index(importing) <= ORDER.index(target), f"{name} imports {imported_name}"
+            assert importing == target or not {importing, target} <= PROTOCOLS
+
+
+def test_only_the_driver_and_the_wire_adapter_call_the_decision_module():
+    callers = {
+        name for name, path in modules().items() if "fordtrestle.balancer.Balancer" in imported_names(path)
+    }
     assert callers == {"proxy/engine/driver.py"}
 
 
-def test_the_engine_knows_no_sockets():
+def test_the_engine_imports_no_socket_modules():
     for name in modules():
         if name.startswith("proxy/engine/"):
-            met = {met.split(".")[0] for met in names(ROOT / "fordtrestle" / name)}
-            assert not met & {"socket", "select", "ssl", "httptools"}
+            packages = {
+                imported_name.split(".")[0] for imported_name in imported_names(ROOT / "fordtrestle" / name)
+            }
+            assert not packages & {"socket", "select", "ssl", "httptools"}
 
 
 def imports_by_file(root: Path) -> dict[str, set[str]]:
-    """By file of the code below a root, both by full module names, the other files of it that it imports:
-    also inside functions, and for types alone.
+    """Return the other files that each file below a root imports, all as full module names.
+
+    Imports inside functions and imports for type checking only are included.
     """
     files = {}
     for top in ("fordtrestle", "rig", "benchmarks"):
         for path in sorted((root / top).rglob("*.py")):
             files[".".join(path.relative_to(root).with_suffix("").parts).removesuffix(".__init__")] = path
-    found = {}
+    imports_of = {}
     for name, path in files.items():
-        met = set()
-        for full in names(path):
-            parts = full.split(".")
+        imports = set()
+        for imported_name in imported_names(path):
+            parts = imported_name.split(".")
             parents = [".".join(parts[:n]) for n in range(len(parts), 0, -1)]
-            met |= {next((parent for parent in parents if parent in files), name)}
-        found[name] = met - {name}
-    return found
+            imports |= {next((parent for parent in parents if parent in files), name)}
+        imports_of[name] = imports - {name}
+    return imports_of
 
 
-def circle(imports: Mapping[str, set[str]]) -> list[str]:
-    """Files of which each is imported by the one before it, the first again at the end; empty if none are."""
+def import_cycle(imports: Mapping[str, set[str]]) -> list[str]:
+    """Return files of which each imports the next one, the first again at the end; empty without a cycle."""
     try:
         TopologicalSorter(imports).prepare()
     except CycleError as error:
-        found: list[str] = error.args[1]
-        return found[::-1]
+        cycle: list[str] = error.args[1]
+        return cycle[::-1]
     return []
 
 
-def test_no_files_import_each_other_in_a_circle():
-    assert not circle(imports_by_file(ROOT))
+def test_there_are_no_import_cycles():
+    assert not import_cycle(imports_by_file(ROOT))
 
 
-def test_a_circle_is_seen_also_for_types_alone_and_inside_a_function(tmp_path):
+def test_import_cycles_for_type_checking_and_inside_functions_are_found(tmp_path):
     for name, text in {
         "rig/__init__.py": "",
         "rig/top.py": "import rig.first",
@@ -503,8 +513,8 @@
     }.items():
         (tmp_path / name).parent.mkdir(parents=True, exist_ok=True)
         (tmp_path / name).write_text(text)
-    found = circle(imports_by_file(tmp_path))
-    assert sorted(found[1:]) == ["rig.first", "rig.second", "rig.third"]
-    assert found[0] == found[-1]
+    cycle = import_cycle(imports_by_file(tmp_path))
+    assert sorted(cycle[1:]) == ["rig.first", "rig.second", "rig.third"]
+    assert cycle[0] == cycle[-1]
     (tmp_path / "rig/third/__init__.py").write_text("")
-    assert not circle(imports_by_file(tmp_path))
+    assert not import_cycle(imports_by_file(tmp_path))
