--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -134,7 +134,7 @@
     """Discovery service that records the targets of its calls; the test writes to its watches."""
 
     def __init__(self, listed=()):
-        self.asked = []
+        self.targets = []
         self.watches = []
         self.listed = listed
 
@@ -148,7 +148,7 @@
         if message is None:
             return
         target = message.start.split(" ")[1]
-        self.asked.append(target)
+        self.targets.append(target)
         if "watch=1" in target:
             writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.watches.append(writer)
@@ -162,7 +162,7 @@
         """Write one chunk to the newest watch."""
         self.watches[-1].write(b"%x\r\n%b\r\n" % (len(data), data))
 
-    def tell(self, index, *entries, snapshot=False):
+    def send_update(self, index, *entries, snapshot=False):
         """Write one list or update to the newest watch, as a line."""
         self.write(json.dumps(listed(index, *entries, snapshot=snapshot)).encode() + b"\n")
 
--- a/tests/proxy/daemon/test_reload.py
+++ b/tests/proxy/daemon/test_reload.py
@@ -107,7 +107,7 @@
     sidecar.reload()
     path.rmdir()
     assert await served()
-    assert len(old.asked) == 1
+    assert len(old.targets) == 1
     assert not old.watches[0].is_closing()
     # A process that is busy for 0.2 s reports so too, in lines of its own.
     said = [row for row in capfd.readouterr().err.splitlines() if not row.startswith("pressure: ")]
--- a/tests/proxy/daemon/test_standalone.py
+++ b/tests/proxy/daemon/test_standalone.py
@@ -248,7 +248,7 @@
     text = SERVICE.format(name="a") + SERVICE.format(name="p") + source.format("p", other.address)
     async with standing(tmp_path, text + source.format("a", first.address), capfd) as made:
         await until(lambda: first.watches and other.watches)
-        first.tell(5, entry("s0", upstream.address), snapshot=True)
+        first.send_update(5, entry("s0", upstream.address), snapshot=True)
         await until(lambda: made.services["a"].pool._servers)
         assert await asked(made.fronts["a"]) == "apples"
         made.path.write_text(text + source.format("a", second.address))
@@ -339,7 +339,7 @@
     made = await Serving.start(example(tmp_path, "example-registry.toml", {**free, **moved}), fronts=2)
     for registry, upstream in ((pushed, orders), (asked_for, pages)):
         await until(lambda registry=registry: registry.watches)
-        registry.tell(1, entry("s0", upstream.address), snapshot=True)
+        registry.send_update(1, entry("s0", upstream.address), snapshot=True)
     served = set()
     while not served >= {"ordered", "page"}:  # until the lists are taken in, calls are refused
         served.add(await asked(made.fronts["orders"], "POST", "/order"))
@@ -362,7 +362,7 @@
     }
     made = await Serving.start(example(tmp_path, "example-cluster.toml", moved))
     await until(lambda: registry.watches)
-    registry.tell(1, entry("s0", ordered.address), snapshot=True)
+    registry.send_update(1, entry("s0", ordered.address), snapshot=True)
 
     async def has_ordered():
         return await asked(made.fronts["orders"], "POST", "/order") == "ordered"
--- a/tests/proxy/membership/test_discovery_client.py
+++ b/tests/proxy/membership/test_discovery_client.py
@@ -26,10 +26,10 @@
     known = listed(41, entry("s0"))
     async with running(balancer=module, registry=registry, raw={"known": known}):
         await until(lambda: registry.watches)
-        assert registry.asked == ["/registry/instances?watch=1&from=41"]
-        registry.tell(43, entry("s1", status="leaving"))
+        assert registry.targets == ["/registry/instances?watch=1&from=41"]
+        registry.send_update(43, entry("s1", status="leaving"))
         registry.write(b"\n")
-        registry.tell(50, entry("s2"), snapshot=True)
+        registry.send_update(50, entry("s2"), snapshot=True)
         await until(lambda: len(updates_of(module)) == 3)
         assert updates_of(module) == [("remembered", ["s0"]), ("changes", ["s1"]), ("all", ["s2"])]
 
@@ -53,7 +53,7 @@
     registry = await Registry().start()
     async with running(registry=registry, raw={"known": listed(41, entry("s0"), entry("s1"))}) as sidecar:
         await until(lambda: registry.watches)
-        registry.tell(42, entry("s1", "127.0.0.1:10"), snapshot=True)
+        registry.send_update(42, entry("s1", "127.0.0.1:10"), snapshot=True)
         await until(lambda: set(sidecar.pool._servers) == {"s1"})
         assert sidecar.pool._servers["s1"].address.port == 10
 
@@ -64,9 +64,9 @@
     module = Scripted()
     async with running(balancer=module, registry=registry):
         await until(lambda: registry.watches)
-        registry.tell(41)
-        registry.tell(40, entry("old"))
-        registry.tell(42, entry("new"))
+        registry.send_update(41)
+        registry.send_update(40, entry("old"))
+        registry.send_update(42, entry("new"))
         await until(lambda: len(updates_of(module)) == 3)
         assert updates_of(module)[1:] == [("changes", []), ("changes", ["new"])]
 
@@ -81,15 +81,15 @@
     module = Scripted()
     async with running(balancer=module, registry=registry):
         await until(lambda: registry.watches)
-        registry.tell(44, entry("s1"))
+        registry.send_update(44, entry("s1"))
         await until(lambda: len(updates_of(module)) == 2)
         if how == "ended":
             registry.watches[0].close()
         elif how == "garbage":
             registry.write(b'{"endpoints": 7}\n')
-        await until(lambda: len(registry.asked) > 1)
+        await until(lambda: len(registry.targets) > 1)
         after = 0 if how == "garbage" else 44
-        assert registry.asked[1] == f"/registry/instances?watch=1&from={after}"
+        assert registry.targets[1] == f"/registry/instances?watch=1&from={after}"
         assert "refused" not in [form for form, _ in updates_of(module)]
 
 
@@ -106,9 +106,9 @@
         sidecar.discovery.move(parse_address(new.address))
         sidecar.discovery.move(parse_address(new.address))
         await until(lambda: new.watches)
-        assert new.asked == ["/registry/instances", "/registry/instances?watch=1&from=3"]
+        assert new.targets == ["/registry/instances", "/registry/instances?watch=1&from=3"]
         await until(lambda: old.watches[0].is_closing())
-        new.tell(4, entry("s2"))
+        new.send_update(4, entry("s2"))
         await until(lambda: len(updates_of(module)) == 3)
         assert updates_of(module)[1:] == [("all", ["s1"]), ("changes", ["s2"])]
         assert set(sidecar.pool._servers) == {"s1", "s2"}
@@ -133,7 +133,7 @@
     registry = await Registry(listed(60, entry("s5"))).start()
     module = Scripted()
     async with running(balancer=module, registry=registry, Discovery="subscribe") as sidecar:
-        assert registry.asked == []
+        assert registry.targets == []
         sidecar.driver._perform(Watch(True))
         await until(lambda: registry.watches)
         registry.watches[0].close()
--- a/tests/proxy/membership/test_discovery_races.py
+++ b/tests/proxy/membership/test_discovery_races.py
@@ -30,7 +30,7 @@
     connections[0].data_received(chunk(line(50, "late")))
     assert recorder.versions() == [("remembered", 41)]
     await until_virtual(lambda: new.watches)
-    new.tell(4, entry("s2"))
+    new.send_update(4, entry("s2"))
     await recorder.until(lambda update: update[1] == 4)
     assert recorder.versions() == [("remembered", 41), ("all", 3), ("changes", 4)]
     client.close()
@@ -80,7 +80,7 @@
     await asyncio.sleep(30.0)
     assert recorder.versions() == [("remembered", 41)] + ([("changes", 42)] if when != "before" else [])
     assert registry.watches[0].is_closing()
-    assert len(registry.asked) == 1
+    assert len(registry.targets) == 1
     client.close()
     registry.stop()
 
@@ -141,7 +141,7 @@
     client.watch(True)
     await until_virtual(lambda: cancelled)
     await asyncio.sleep(1.0)
-    assert old.asked == []
+    assert old.targets == []
     assert cancelled[0].is_closing()
     assert bool(new.watches) == (what == "move")
     client.close()
@@ -156,7 +156,7 @@
     client = make_client(registry.address, recorder, is_pushed=False)
     client.watch(True)
     await until_virtual(lambda: registry.watches)
-    registry.tell(50, entry("new"))
+    registry.send_update(50, entry("new"))
     await recorder.until(lambda update: update[1] == 50)
     connections[0].data_received(chunk(b"{}}\n"))
     client.fetch()
@@ -165,7 +165,7 @@
     client.watch(True)
     await until_virtual(lambda: len(registry.watches) == 2)
     assert (
-        registry.asked[-1] == "/registry/instances?watch=1&from=0"
+        registry.targets[-1] == "/registry/instances?watch=1&from=0"
     )  # what the malformed line said is unknown
     assert len(capfd.readouterr().err.splitlines()) == 1
     client.close()
@@ -181,7 +181,7 @@
     client.fetch()
     client.move(parse_address("127.0.0.1:9"))
     await asyncio.sleep(1.0)
-    assert registry.asked == []
+    assert registry.targets == []
     registry.stop()
 
 
--- a/tests/proxy/membership/test_hostile_registry.py
+++ b/tests/proxy/membership/test_hostile_registry.py
@@ -155,7 +155,7 @@
     text = indented(42, entry("s1"), entry("s2")) + indented(43, entry("s3", status="leaving")) + b"\n"
     for at in range(0, len(text), 11):
         registry.write(text[at : at + 11])
-    registry.tell(44, entry("s4"))
+    registry.send_update(44, entry("s4"))
     await until_virtual(lambda: len(recorder.updates) == 4)
     assert recorder.versions()[1:] == [("changes", 42), ("changes", 43), ("changes", 44)]
     assert len(registry.watches) == 1
@@ -173,9 +173,9 @@
     registry.write(indented(42, entry("s1"))[:-4] + b"\n")
     registry.write(b"\n")
     await until_virtual(lambda: len(registry.watches) == 2)
-    registry.tell(42, entry("s1"))
+    registry.send_update(42, entry("s1"))
     await until_virtual(lambda: len(recorder.updates) == 2)
-    assert registry.asked[-1].endswith("from=41")
+    assert registry.targets[-1].endswith("from=41")
     assert recorder.versions()[1:] == [("changes", 42)]
     client.close()
     registry.stop()
--- a/tests/proxy/membership/test_malformed_lists.py
+++ b/tests/proxy/membership/test_malformed_lists.py
@@ -63,10 +63,10 @@
         assert (await app.ask()).start.startswith("HTTP/1.1 200 ")
         registry.write(line + b"\n")
         await until(lambda: len(registry.watches) == 2)
-        assert registry.asked[1] == "/registry/instances?watch=1&from=0"
+        assert registry.targets[1] == "/registry/instances?watch=1&from=0"
         assert list(sidecar.pool._servers) == ["s0"]
         assert (await app.ask()).start.startswith("HTTP/1.1 200 ")
-        registry.tell(45, entry("s0", upstream.address), entry("s1"), snapshot=True)
+        registry.send_update(45, entry("s0", upstream.address), entry("s1"), snapshot=True)
         await until(lambda: set(sidecar.pool._servers) == {"s0", "s1"})
         assert (await app.ask()).start.startswith("HTTP/1.1 200 ")
         app.close()
@@ -86,7 +86,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         registry.watches[0].transport.abort()
         await until(lambda: len(registry.watches) == 2)
-        assert registry.asked[1] == "/registry/instances?watch=1&from=41"
+        assert registry.targets[1] == "/registry/instances?watch=1&from=41"
         assert list(sidecar.pool._servers) == ["s0"]
 
 
@@ -97,11 +97,11 @@
     async with running(upstream, registry=registry) as sidecar:
         await until(lambda: registry.watches)
         app = await App.connect(sidecar.address)
-        registry.tell(44, snapshot=True)
+        registry.send_update(44, snapshot=True)
         await until(lambda: not sidecar.pool._servers)
         assert (await app.ask()).start.startswith("HTTP/1.1 503 ")
         assert upstream.seen == []
-        registry.tell(45, entry("s0", upstream.address))
+        registry.send_update(45, entry("s0", upstream.address))
         await until(lambda: sidecar.pool._servers)
         assert (await app.ask()).start.startswith("HTTP/1.1 200 ")
         app.close()
@@ -112,7 +112,7 @@
     upstream, registry = await Upstream().start(), await Registry().start()
     async with running(upstream, registry=registry) as sidecar:
         await until(lambda: registry.watches)
-        registry.tell(44, entry("s0", "127.0.0.9:9", status="leaving"), entry("s0", upstream.address))
+        registry.send_update(44, entry("s0", "127.0.0.9:9", status="leaving"), entry("s0", upstream.address))
         await until(lambda: sidecar.discovery._version == 44)
         app = await App.connect(sidecar.address)
         for _ in range(5):
--- a/tests/proxy/membership/test_timing.py
+++ b/tests/proxy/membership/test_timing.py
@@ -94,7 +94,7 @@
     if not is_pushed:
         ask_again_late(client, recorder)
     await until_virtual(lambda: first.watches)
-    first.tell(42)
+    first.send_update(42)
     for _ in range(8):  # it lives on heartbeats alone
         await asyncio.sleep(timing.HEARTBEAT_INTERVAL_S)
         first.write(b"\n")
@@ -104,9 +104,9 @@
         for _ in range(3):
             await asyncio.sleep(1.0)
             first.watches[0].write(rest)
-    assert len(first.asked) == 1
+    assert len(first.targets) == 1
     await until_virtual(lambda: len(first.watches) == 2)
-    first.tell(43)
+    first.send_update(43)
     await recorder.until(lambda update: update[1] == 43)
     assert recorder.last_at - silent_at <= BOUND_S + TURN_S
     client.close()
