--- a/tests/judged.py
+++ b/tests/judged.py
@@ -64,7 +64,7 @@
 
 
 class Server:
-    """A server of the sidecar.
+    """An upstream server that records the bodies of its answers.
 
     `behave(reader, writer, attempt)` answers an attempt, and closes the connection or leaves it open. Its
     attribute `at_connection(reader, writer)`, if it has one, handles a whole connection instead.
@@ -107,7 +107,7 @@
             attempt = self.site.record_attempt(self, message, reader)
             for _ in range(END_DETECTION_ITERATIONS):
                 await asyncio.sleep(0)
-            # An attempt that is abandoned by now was so before it was read, and is concurrent with none.
+            # An attempt that is abandoned by now was abandoned before it was read: it is not concurrent.
             attempt.concurrent = [
                 other
                 for other in self.site.attempts_of(attempt.call)
