--- a/benchmarks/lock_in.py
+++ b/benchmarks/lock_in.py
@@ -168,9 +168,8 @@
     least = MIN_SERVERS_FOR_ONE if sidecars == 1 else MIN_SERVERS
     servers = max(least, round(rate / RATE_PER_SERVER))
     leaving = max(1, servers // 4) if trigger == "scale_down" else 0
-    load_per_server = (
-        rate * _mean_work_ms() / 1000.0 / (servers - leaving)
-    )  # of a core of speed 1, per server
+    # In cores of speed 1.
+    load_per_server = rate * _mean_work_ms() / 1000.0 / (servers - leaving)
     speed = max(MIN_SPEED, load_per_server / use)
     use = load_per_server / speed
     chokes = rng.random() < 0.4
--- a/rig/system/gossip_network.py
+++ b/rig/system/gossip_network.py
@@ -30,7 +30,7 @@
 from fordtrestle.peer.frames import frame_message
 
 NEVER = float("inf")
-MIN_TIMER_DELAY_S = 0.001  # of a timer
+MIN_TIMER_DELAY_S = 0.001
 DIGEST_INTERVAL_S = 1.0  # between two digests that a process sends to a random peer
 ZONE_DELAY_S, REGION_DELAY_S, CROSS_REGION_DELAY_S = 0.0001, 0.001, 0.035
 
--- a/rig/system/soak/checks.py
+++ b/rig/system/soak/checks.py
@@ -12,9 +12,8 @@
 from rig.system.model_server import Run
 from rig.system.soak.record import ClientRequest, ProcessLifetime, Record
 
-DISTURBANCE_MARGIN_S = (
-    5.0  # before a request; a disturbance of its process from then on until its end excuses it
-)
+# A disturbance of its process from this long before a request until the end of the request excuses a loss.
+DISTURBANCE_MARGIN_S = 5.0
 MAX_UNFORWARDED_S = 0.5  # within which a request that was not forwarded may end without a response
 MAX_STREAM_START_S = 3.0  # after SIGTERM; streams sent until then may be cut as the grace time ends
 MIN_CUT_SHARE = 5.0 / 6.0  # of the grace time, after which such a stream may be cut
--- a/rig/system/soak/clients.py
+++ b/rig/system/soak/clients.py
@@ -26,9 +26,7 @@
 CONNECT_TIMEOUT_S = 1.0
 RESOLVE_TIMEOUT_S = 1.0
 STALE_ANSWER_SHARE = 0.3  # of the clients; these use a directory answer for three times its TTL
-CONNECTION_REUSE_SHARE = (
-    0.5  # of the clients; these keep an open connection to a front that is no longer returned
-)
+CONNECTION_REUSE_SHARE = 0.5  # of the clients; these keep connections to fronts no longer returned
 RETRY_DELAY_S = 0.2  # after a failure
 
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter, str]
--- a/tests/rig/system/test_soak.py
+++ b/tests/rig/system/test_soak.py
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("seed", [PLANNED_SEED, FAILURE_SEED])
-def test_playing_a_seed_breaks_no_rule(tmp_path, seed):
+def test_a_seed_is_played_and_breaks_nothing(tmp_path, seed):
     schedule = draw_schedule(seed, DURATION_S, 2)
     play_record = asyncio.run(Play(schedule, tmp_path, sidecars=2, clients=4).run())
     findings = check(play_record)
