--- a/tests/proxy/http/test_hostile.py
+++ b/tests/proxy/http/test_hostile.py
@@ -1,7 +1,8 @@
-"""Requests and answers that were tampered with, by the thousand: no rule breaks, nothing raises or stays.
+"""Many corrupted requests and responses: no rule is broken, nothing raises, and everything is released.
 
-What is sent is drawn from a seed: whole requests (answers) with bytes changed, cut out, doubled, put in from
-elsewhere or cut off, and a corpus of known tricks. Healthy clients ask on beside them.
+The input is drawn from a seed: complete requests (responses) with bytes changed, removed, duplicated,
+inserted from elsewhere or truncated, and a corpus of known attacks. Healthy clients send requests at the same
+time.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 from tests.virtual import virtual
 
 CLASSES = ("/look", "/book", "/pay")
-TRICKS = (
+ATTACKS = (
     b"",
     b"\r\n\r\n",
     b"\x00" * 100,
@@ -49,23 +50,23 @@
 )
 
 
-def tampered(rng, whole, others):
-    """The same bytes after one to three small harms."""
+def corrupted(rng, whole, others):
+    """Return the bytes after one to three small corruptions."""
     made = bytearray(whole)
     for _ in range(rng.randint(1, 3)):
         at = rng.randrange(len(made) + 1)
-        harm = rng.randrange(6)
-        if harm == 0 and at < len(made):
+        corruption = rng.randrange(6)
+        if corruption == 0 and at < len(made):
             made[at] = rng.randrange(256)
-        elif harm == 1:
+        elif corruption == 1:
             del made[at : at + rng.randint(1, 20)]
-        elif harm == 2:
+        elif corruption == 2:
             made[at:at] = made[at : at + rng.randint(1, 60)]
-        elif harm == 3:
+        elif corruption == 3:
             other = rng.choice(others)
             start = rng.randrange(len(other) + 1)
             made[at:at] = other[start : start + rng.randint(1, 40)]
-        elif harm == 4:
+        elif corruption == 4:
             made[at:at] = rng.choice((b"\r\n", b"\n", b"\r", b"\x00", b": ", b"\r\n\r\n", b"0\r\n\r\n"))
         else:
             del made[max(1, at) :]
@@ -80,7 +81,7 @@
 
 
 class Echo(Upstream):
-    """A server that answers with the identity of what it was asked."""
+    """A server that answers with the call id."""
 
     async def _serve(self, reader, writer):
         self.writers.append(writer)
@@ -92,7 +93,7 @@
 
 
 async def healthy(address, number):
-    """A client that asks on and is given what was made for it."""
+    """Run a client that sends requests and checks that each answer was made for it."""
     app = await App.connect(address)
     for turn in range(20):
         name = f"healthy-{number}-{turn}"
@@ -104,7 +105,7 @@
 
 
 async def hostile(address, data):
-    """Send and read until the other side has had enough, or has answered all; nothing is asked of it."""
+    """Send bytes and read until the other side answers or closes; any result is accepted."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(data)
@@ -118,16 +119,16 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 @virtual
-async def test_tampered_requests_break_no_rule(seed, monkeypatch):
+async def test_corrupted_requests_break_no_rule(seed, monkeypatch):
     monkeypatch.setattr(partners, "PATIENCE_S", 25.0)
     rng = random.Random(f"hostile/{seed}")
     upstream = await Echo().start()
     raised = []
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda loop, told: raised.append(told))
+    loop.set_exception_handler(lambda loop, context: raised.append(context))
     whole = [a_request(rng) for _ in range(40)]
-    sent = [tampered(rng, rng.choice(whole), whole) for _ in range(500)]
-    sent += [trick + rng.choice(whole) for trick in TRICKS] + list(TRICKS)
+    sent = [corrupted(rng, rng.choice(whole), whole) for _ in range(500)]
+    sent += [attack + rng.choice(whole) for attack in ATTACKS] + list(ATTACKS)
     async with running(upstream) as sidecar:
         good = [asyncio.create_task(healthy(sidecar.address, number)) for number in range(5)]
         for start in range(0, len(sent), 200):
@@ -137,30 +138,32 @@
         assert sidecar.limits.buffered.used == sidecar.limits.calls.used == 0
         assert sidecar.limits.descriptors.used == len(sidecar.pool._connections)
         assert sidecar.driver.is_idle
-        assert not sidecar.front.intake.open_calls
+        assert not sidecar.front.intake.open_call_ids
     for message in upstream.seen:
-        # What a server reads is a request of a class there is, which was judged, and nothing beside it.
+        # A server receives only validated requests of existing classes.
         method, target, version = message.start.split(" ")
         assert version == "HTTP/1.1"
         assert method in ("GET", "POST")
         assert target.split("?")[0].split("/")[1] == message.headers["x-call-class"]
         assert "/" + message.headers["x-call-class"] in CLASSES
         assert "transfer-encoding" not in message.headers
-    # Two tampered requests may bear one identity, one after the other; never two at a time, and a
-    # healthy client's only once.
+    # Two corrupted requests may have the same call id one after the other, but never at the same time, and
+    # that of a healthy client occurs only once.
     names = [message.headers["x-call-id"] for message in upstream.seen]
     assert all(names.count(name) == 1 for name in names if name.startswith("healthy"))
-    assert [told for told in raised if "exception" in told and "StreamReader" not in str(told)] == []
+    assert [
+        context for context in raised if "exception" in context and "StreamReader" not in str(context)
+    ] == []
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @virtual
-async def test_tampered_answers_break_no_rule(seed):
-    """An unsafe request is sent once, whatever comes back; a client gets a whole answer or none."""
+async def test_corrupted_answers_break_no_rule(seed):
+    """An unsafe request is sent once, whatever comes back; a client gets a complete answer or none."""
     rng = random.Random(f"answers/{seed}")
-    replies = [tampered(rng, rng.choice(ANSWERS), ANSWERS) for _ in range(150)]
+    replies = [corrupted(rng, rng.choice(ANSWERS), ANSWERS) for _ in range(150)]
 
-    def spoilt(data):
+    def answer_with(data):
         async def write(reader, writer):
             writer.write(data)
             await asyncio.sleep(0.005)
@@ -169,9 +172,9 @@
 
         return write
 
-    for start in range(0, len(replies), 10):  # else its throttle soon refuses most
+    for start in range(0, len(replies), 10):  # otherwise the throttle soon refuses most of them
         some = replies[start : start + 10]
-        upstream = await Upstream([spoilt(data) for data in some] + [ANSWER]).start()
+        upstream = await Upstream([answer_with(data) for data in some] + [ANSWER]).start()
         async with running(upstream) as sidecar:
             app = await App.connect(sidecar.address)
             for number in range(10):
@@ -179,7 +182,7 @@
                 answer = await app.ask("POST", "/pay", b"now", X_Call_Id=name, X_Budget="150m")
                 assert answer.start.split(" ")[1] in ("200", "502", "503", "504")
             names = [message.headers["x-call-id"] for message in upstream.seen]
-            # Sent again only where it was turned away, which is known never to have run.
+            # Retried only after a rejection, in which case it never ran.
             rejections = sum(b"503" in data and b"X-Rejected: 1" in data for data in some)
             assert len(names) - len(set(names)) <= 2 * rejections
             assert names
--- a/tests/rig/test_soak.py
+++ b/tests/rig/test_soak.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks import soak
-from benchmarks.crowds import LAG_MOST_MS
+from benchmarks.crowds import MAX_LAG_MS
 from rig.clients import Record, Result, Tally
 from rig.crowds import KINDS
 from rig.helper import ROOT
@@ -30,12 +30,12 @@
     assert seen().not_met == []
     assert seen(served=99, others=[Result.REFUSED]).not_met == []
     assert seen(rss_mb=(20.0, 30.0, 60.0, 32.0)).not_met == []
-    assert soak.words(seen())[-1] == "all bounds met"
+    assert soak.summary_lines(seen())[-1] == "all bounds met"
     assert not SHORT.settles
     assert soak.Times().settles
     growing = seen(rss_mb=(30.0, 30.0, 30.0, 60.0), settled=False)
     assert growing.not_met == []
-    assert any("+30.0 MB, not judged" in line for line in soak.words(growing))
+    assert any("+30.0 MB, not judged" in line for line in soak.summary_lines(growing))
 
 
 @pytest.mark.parametrize(
@@ -55,7 +55,7 @@
     made = seen(**wrong)
     (missed,) = made.not_met
     assert missed.startswith(bound)
-    assert missed in soak.words(made)[-1]
+    assert missed in soak.summary_lines(made)[-1]
     assert made.summary()["not_met"] == [missed]
 
 
@@ -90,7 +90,7 @@
         raise ProgramError("it is not ready")
 
     monkeypatch.setattr(soak, "play", play)
-    monkeypatch.setattr(soak, "make_ready", lambda: None)
+    monkeypatch.setattr(soak, "prepare_process", lambda: None)
     monkeypatch.setattr("sys.argv", ["soak"])
     assert soak.main() == soak.BAD_INPUT
     assert capsys.readouterr().err == "it is not ready\n"
@@ -103,7 +103,7 @@
     monkeypatch.setattr(soak, "LINE_S", 2.0)
     lines = []
     made = await soak.play(SHORT, ROOT, 1, lines.append)
-    if made.tally.lag_most_ms > LAG_MOST_MS:
+    if made.tally.lag_most_ms > MAX_LAG_MS:
         UNSOUND.append(f"clients were late by {made.tally.lag_most_ms:.0f} ms")
     assert [visit.kind for visit in made.visits] == list(KINDS[:4])
     assert all(visit.counts["connected"] > 0 for visit in made.visits)
@@ -122,7 +122,7 @@
     monkeypatch.setattr(soak, "START_S", 0.1)
     async with soak.stage(ROOT) as made:
         run = soak.Run(soak.Times(60.0, 60.0, 0.1), made, 1, lambda text: None)
-        monkeypatch.setattr(run, "_take", lambda *arguments: made.target.program.signal(signal.SIGKILL))
+        monkeypatch.setattr(run, "_add_sample", lambda *arguments: made.target.program.signal(signal.SIGKILL))
         await run.run()
     assert run.seen.died
     assert run.seen.code == -signal.SIGKILL
