--- a/rig/clients.py
+++ b/rig/clients.py
@@ -420,7 +420,7 @@
         self._clients.connected(+1)
 
     def free(self, link: Link) -> None:
-        """Reuse, replace or close a connection on which no request is in flight."""
+        """Reuse, replace, hold or close a connection on which no request is in flight."""
         if link in self._old:
             self._old.discard(link)
             link.close()
--- a/rig/faults.py
+++ b/rig/faults.py
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """A fault. Fields that its kind does not use are ignored.
+    """A fault. Fields that its kind does not use keep their defaults.
 
     Attributes:
         lasts_s: Duration; for `drain` the time from the start of the drain until the server leaves.
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -47,7 +47,7 @@
     CallClass("port-commit", "unsafe", 0.37, 43.5, 106.0, 1500.0, 5000.0, 2.0),
 )
 TENANTS = {f"t{number}": share for number, share in enumerate((17, 16, 16, 14, 12, 11, 5, 5, 4))}
-WEIGHTS = (0.3, 0.22, 0.17, 0.13, 0.1, 0.08)  # relative load of the sidecars, which is uneven
+WEIGHTS = (0.3, 0.22, 0.17, 0.13, 0.1, 0.08)  # relative loads of clients: most send little, and some far more
 KEY_WINDOW_MS = 1200.0
 DRAIN_GRACE_MS = 500.0
 WARM_UP_MS = 7800.0  # upper bound in the rules; each server is warm sooner
--- a/rig/helper.py
+++ b/rig/helper.py
@@ -83,7 +83,7 @@
 
 
 def prepare() -> None:
-    """Prepare a helper process: raise its descriptor limit and exclude current objects from collections."""
+    """Prepare a helper process: raise descriptors to the hard limit and freeze objects for collections."""
     raise_descriptors()
     gc.collect()
     gc.freeze()
--- a/rig/portservers.py
+++ b/rig/portservers.py
@@ -545,7 +545,7 @@
         self._answer(status, rejected=True)
 
     def _end_row(self, end: str) -> None:
-        """Record the end of the current row and, if it was answered, allow another request."""
+        """Record the end of the current row and, unless it stays without an answer, allow another request."""
         if self._row is not None:
             if self._job is not None and self._row.began_s is None and self._job.began_ms is not None:
                 self._row.began_s, self._row.repeat = self._job.began_ms / 1000.0, self._job.repeat
--- a/rig/sim/policy.py
+++ b/rig/sim/policy.py
@@ -64,7 +64,7 @@
     until_ms: float = math.inf
     even: bool = False
     aim_ms: float = math.inf  # latency target: later answers count as late
-    retries: int = 0  # maximum of retries by the client
+    retries: int = 0  # maximum of retries by the client, where the class allows them
     wait_ms: float = 50.0  # backoff before the first retry; it doubles
     try_share: float = 1.0  # time limit of one try, as a share of the budget
     honours: bool = True  # whether the client waits as long as a rejection asks
@@ -92,7 +92,7 @@
     open: bool = False  # a try is in flight
     end: End | None = None
     ended_ms: float = math.inf
-    runs: int = 0  # number of servers that accepted its work
+    runs: int = 0  # number of times that a server accepted its work
 
 
 @dataclass(slots=True, eq=False)
