--- a/rig/crowds.py
+++ b/rig/crowds.py
@@ -78,7 +78,7 @@
     return b"".join(source.call(act=act) for _ in range(PIPELINED))
 
 
-MANNERS = {
+BEHAVIOURS = {
     "silent": Behaviour(lambda source: b"", asks=False),
     "garbage": Behaviour(_garbage, closes_when_answered=True, keep_s=5.0),
     "turned_away": Behaviour(
@@ -89,7 +89,7 @@
     "once": Behaviour(lambda source: source.call(), keep_s=600.0),
 }
 ALL = "all"
-KINDS = (*MANNERS, ALL)
+KINDS = (*BEHAVIOURS, ALL)
 
 
 @dataclass(slots=True)
@@ -143,7 +143,7 @@
     """All clients of one kind in this process."""
 
     def __init__(self, kind: str, rate_per_s: float, standing: int, seed: str) -> None:
-        self.behaviour = MANNERS[kind]
+        self.behaviour = BEHAVIOURS[kind]
         self.rate_per_s = rate_per_s
         self.standing = standing
         self.counts = Counts()
@@ -395,18 +395,18 @@
         ValueError: If the kind is unknown.
     """
     if kind == ALL:
-        sizes = {name: apart.get(name, whole) for name in MANNERS}
-        parts = len(MANNERS)
+        sizes = {name: apart.get(name, whole) for name in BEHAVIOURS}
+        parts = len(BEHAVIOURS)
         return {n: Size(s.rate_per_s / parts, max(1, s.standing // parts)) for n, s in sizes.items()}
-    if kind not in MANNERS:
-        raise ValueError(f"unknown kind of crowd {kind!r}, expected one of {', '.join(MANNERS)}")
+    if kind not in BEHAVIOURS:
+        raise ValueError(f"unknown kind of crowd {kind!r}, expected one of {', '.join(BEHAVIOURS)}")
     return {kind: apart.get(kind, whole)}
 
 
 def _squad(text: str) -> tuple[str, Size]:
     kind, rate, standing = text.split(":")
-    if kind not in MANNERS:
-        raise ValueError(f"unknown kind of crowd {kind!r}, expected one of {', '.join(MANNERS)}")
+    if kind not in BEHAVIOURS:
+        raise ValueError(f"unknown kind of crowd {kind!r}, expected one of {', '.join(BEHAVIOURS)}")
     return kind, Size(float(rate), int(standing))
 
 
--- a/rig/ledger.py
+++ b/rig/ledger.py
@@ -21,22 +21,13 @@
 MAX_NOTIFY_S = 6.0
 SOCKETS_S = 0.05
 ANSWER_SLACK_S = 0.02  # time after the budget in which a final answer is still accepted
-INFORMED_SHARE = (
-    2.0 / 3.0
-)  # part of the work that must come from sidecars that knew of the start to break the rule
+INFORMED_SHARE = 2.0 / 3.0  # the rule is broken only if this part is sent by sidecars that knew of the start
 MAX_STORY_LINES = 60
 MAX_BREACHES = 200  # reported per rule
 
 REFUSED = "refused"
 LOST = ("cut", "unanswered")
-TAKEN = (
-    "served",
-    "late",
-    REFUSED,
-    "failed",
-    "mixed up",
-    *LOST,
-)  # results of requests that were written to a sidecar
+TAKEN = ("served", "late", REFUSED, "failed", "mixed up", *LOST)  # results of requests that were written
 
 
 @dataclass(slots=True)
--- a/tests/rig/test_crowds.py
+++ b/tests/rig/test_crowds.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from rig.crowds import KINDS, MANNERS, PIPELINED, Crowd, Size, added, spread
+from rig.crowds import BEHAVIOURS, KINDS, PIPELINED, Crowd, Size, added, spread
 from rig.process import ProgramError
 from rig.servers import Ledger, Server
 from tests.rig.waiting import PATIENCE_S, address_of, bounded
@@ -138,7 +138,7 @@
 def test_a_mixture_contains_every_kind_within_the_size():
     apart = {"once": Size(200.0, 128)}
     parts = spread("all", Size(1000.0, 1152), apart)
-    assert set(parts) == set(MANNERS) == set(KINDS) - {"all"}
+    assert set(parts) == set(BEHAVIOURS) == set(KINDS) - {"all"}
     assert sum(part.standing for part in parts.values()) <= 1152
     assert sum(part.rate_per_s for part in parts.values()) < 1000.0
     assert spread("once", Size(1000.0, 1152), apart) == apart
