--- a/benchmarks/fleet_faults.py
+++ b/benchmarks/fleet_faults.py
@@ -237,8 +237,8 @@
         ProgramError: A program cannot be started.
     """
     for turn in range(1, MAX_PLAYS + 1):
-        async with standing(tree, peer, setting.site, setting.rate_per_s) as yard:
-            row = Row(name, peer, await yard.play(setting.demand, schedule), turn)
+        async with standing(tree, peer, setting.site, setting.rate_per_s) as fleet:
+            row = Row(name, peer, await fleet.play(setting.demand, schedule), turn)
         if not row.run.unsound:
             break
     return row
--- a/rig/fleet.py
+++ b/rig/fleet.py
@@ -298,7 +298,7 @@
         return sum(len(found) for found in self.breaches.values())
 
 
-class Yard:
+class RunningFleet:
     """A running fleet, created by `standing`."""
 
     def __init__(self, site: Site, peer: Peer) -> None:
@@ -506,15 +506,15 @@
 
 
 @contextlib.asynccontextmanager
-async def standing(tree: Path, peer: Peer, site: Site, rate_per_s: float) -> AsyncIterator[Yard]:
+async def standing(tree: Path, peer: Peer, site: Site, rate_per_s: float) -> AsyncIterator[RunningFleet]:
     """Run a fleet and wait until it is ready.
 
     Raises:
         ProgramError: If a part fails to start.
     """
-    yard = Yard(site, peer)
+    fleet = RunningFleet(site, peer)
     try:
-        await yard.start(tree, rate_per_s)
-        yield yard
+        await fleet.start(tree, rate_per_s)
+        yield fleet
     finally:
-        await yard.stop()
+        await fleet.stop()
--- a/tests/rig/test_fleet.py
+++ b/tests/rig/test_fleet.py
@@ -24,10 +24,10 @@
 
 
 async def play(peer, duration, *faults, site=SMALL, before=None):
-    async with standing(ROOT, peer, site, RATE) as yard:
+    async with standing(ROOT, peer, site, RATE) as fleet:
         if before is not None:
-            before(yard)
-        return await yard.play(demand(duration), Schedule(duration, faults))
+            before(fleet)
+        return await fleet.play(demand(duration), Schedule(duration, faults))
 
 
 def ends(run):
@@ -98,11 +98,11 @@
 
 @bounded
 async def test_a_client_that_ignores_the_registry_breaks_the_drain_rule():
-    def ignore(yard):
-        for name, caller in yard.callers.items():
+    def ignore(fleet):
+        for name, caller in fleet.callers.items():
             rows = [
                 (row["name"], (row["address"].split(":")[0], int(row["address"].split(":")[1])))
-                for row in yard.board.list_at(name)
+                for row in fleet.board.list_at(name)
             ]
             caller._direct.servers = lambda rows=rows: rows
 
@@ -120,14 +120,14 @@
 @bounded
 async def test_an_unknown_step_is_an_error_and_stops_all_parts():
     with pytest.raises(ProgramError, match="dance"):
-        async with standing(ROOT, "random", SMALL, RATE) as yard:
-            await yard.strike(Step(0.0, "dance", "s0"))
+        async with standing(ROOT, "random", SMALL, RATE) as fleet:
+            await fleet.strike(Step(0.0, "dance", "s0"))
 
 
 @bounded
 async def test_a_sidecar_that_fails_to_restart_ends_the_run_with_its_error():
-    def spoil(yard):
-        yard.stands["n1"]._config = {**yard.stands["n1"]._config, "settings": {}}
+    def spoil(fleet):
+        fleet.stands["n1"]._config = {**fleet.stands["n1"]._config, "settings": {}}
 
     crash = Fault("sidecar_crash", 0.1, lasts_s=(0.1, 0.1), targets=("n1",))
     with pytest.raises(ProgramError, match="configuration"):
