--- a/fordtrestle/proxy/daemon/__init__.py
+++ b/fordtrestle/proxy/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""One process: its parts wired together, its signals and its end."""
+"""Assembly of one process: its services and HTTP servers, its signals and its graceful shutdown."""
--- a/fordtrestle/proxy/daemon/event_recorder.py
+++ b/fordtrestle/proxy/daemon/event_recorder.py
@@ -1,4 +1,4 @@
-"""Records what one service learns and does, with the versions that are in force."""
+"""Records the updates and actions of one service, with the versions of list and settings in force."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 if TYPE_CHECKING:  # loaded only where there is an `[events]`
     from fordtrestle.proxy.daemon.events import Events
 
-SaveList = Callable[[str, ServerList, str], None]  # a service, its complete list, and the list's digest
+SaveList = Callable[[str, ServerList, str], None]  # service, complete list, digest of the list
 
 
 class EventRecorder:
-    """Keeps the server list and the settings of one service that are in force, and records events by them."""
+    """Tracks the server list and the settings of one service that are in force, and records its events."""
 
     def __init__(
         self, service: str, has_versions: bool, events: Events | None, save_list: SaveList | None
@@ -25,9 +25,10 @@
 
         Args:
             service: The service's name.
-            has_versions: Whether its lists have versions, as a registry's have and a file's have not.
-            events: Where events are written; None: nowhere.
-            save_list: Stores a list; None: lists are not stored.
+            has_versions: Whether the service's lists have versions: those of a registry do, those of the
+                operator file don't.
+            events: Writes the events; None if events are not recorded.
+            save_list: Stores a list; None if lists are not stored.
         """
         self._service = service
         self._has_versions = has_versions
@@ -39,7 +40,7 @@
         self._has_list = False
 
     def on_settings(self, digest: str) -> None:
-        """Settings of this digest are in force from now on; the same as before are no event."""
+        """Record that settings with this digest are in force, unless they were before."""
         if digest == self._settings_digest:
             return
         if self._events is not None:
@@ -48,7 +49,10 @@
         self._settings_digest = digest
 
     def on_update(self, form: UpdateForm, update: ServerList) -> None:
-        """Apply an update of the server list, record it if it changes anything, and have it stored."""
+        """Apply an update of the server list; record and store the list if the update changes it.
+
+        The first update is recorded in any case. A remembered list is not stored again.
+        """
         is_new = self._endpoints.apply(form, update)
         if self._events is not None and (is_new or not self._has_list):
             endpoints = self._endpoints
@@ -64,14 +68,14 @@
         self._has_list = True
 
     def record_action(self, action: str, call_id: str, server: str, attempt: int, cause: str, /) -> None:
-        """Record what the engine does by what is in force; an `ActionRecorder`."""
+        """Record an action of the engine with the list and settings in force; an `ActionRecorder`."""
         if self._events is not None:
             rule, digest = self._list_rule, self._endpoints.digest
             settings = self._settings_digest
             self._events.acted(rule, self._version, digest, action, call_id, server, attempt, settings, cause)
 
     def _event_form(self, form: UpdateForm) -> str:
-        """Return how a list came, as an event has it."""
+        """Return the `form` that an event reports for an update of the list."""
         if self._has_versions:
             return form.value
         return "reload" if self._has_list else "file"
--- a/fordtrestle/proxy/daemon/overload_monitor.py
+++ b/fordtrestle/proxy/daemon/overload_monitor.py
@@ -1,4 +1,4 @@
-"""Watches one process for overload: takes readings, applies the rules, and carries out their actions."""
+"""Detects overload of the process: takes readings, applies the rules, and performs their actions."""
 
 from __future__ import annotations
 
@@ -13,43 +13,43 @@
 from fordtrestle.proxy.engine.ports import Scheduler, TimerHandle
 from fordtrestle.proxy.engine.pressure import Monitor, PressureAction, PressureChange, PressureRules
 
-CHECK_INTERVAL_S = 0.2  # short beside the seconds over which memory and queues fill
-POOL_IDLE_MS = 1000.0  # under pressure a connection to a server is idle for no longer
-MIN_LEVEL_CHANGE = 0.05  # a smaller one is not worth telling the module
+CHECK_INTERVAL_S = 0.2  # memory and queues fill over seconds
+POOL_IDLE_MS = 1000.0  # under pressure, connections to servers that were idle for longer are closed
+MIN_LEVEL_CHANGE = 0.05  # smaller changes are not reported to the decision module
 
 
 class ServerControls(Protocol):
-    """What is done to an HTTP server under pressure."""
+    """The controls of an HTTP server that are used under pressure."""
 
-    def hurry(self, on: bool) -> None:
-        """Close idle connections sooner, or as usual."""
+    def shorten_idle_timeout(self, on: bool) -> None:
+        """Close idle connections after a shorter time, or after the usual one."""
 
     def pause(self) -> None:
-        """Accept nothing for a moment."""
+        """Accept no connections for a moment."""
 
     @property
     def backlog(self) -> float:
-        """How full its queue of connections not yet accepted is, as a share."""
+        """The fill level of its queue of connections that are not yet accepted, from 0 to 1."""
 
 
 class ServiceControls(Protocol):
-    """What is done to a service under pressure."""
+    """The controls of a service that are used under pressure."""
 
     def shrink(self, idle_ms: float) -> None:
-        """Close connections to servers that have been idle for so long."""
+        """Close connections to servers that have been idle for at least `idle_ms`."""
 
     def pressure(self, share: float) -> None:
-        """Refuse such a share of the work."""
+        """Reject this share of the work."""
 
     def allow_optional_work(self, allowed: bool) -> None:
-        """Set whether work may be done that no request waits for."""
+        """Allow or forbid work that no request waits for."""
 
 
 class OverloadMonitor:
-    """Checks every 200 ms while anything is open, and sets no timer otherwise.
+    """Checks the process every 200 ms while it has open connections or calls; otherwise no timer is set.
 
     Attributes:
-        pressure: Which actions are on.
+        pressure: The rules, which know which actions are on.
     """
 
     def __init__(
@@ -63,17 +63,17 @@
         cores: float = 1.0,
         resident: Callable[[], int] | None = None,
     ) -> None:
-        """Create a monitor that is asleep until `wake`.
+        """Create a monitor that does nothing until `wake` is called.
 
         Args:
-            scheduler: What its timer is set on.
+            scheduler: Provides the time and the timer.
             limits: The quotas of the process.
-            lag: How late the loop runs; it is woken, too.
+            lag: Measures the lag of the event loop; started by `wake`, too.
             fronts: The HTTP servers.
             services: The services.
-            memory_mb: Resident memory (2^20 bytes) at which the process would be killed; None: not bounded.
+            memory_mb: Resident memory (2^20 bytes) at which the process would be killed; None if unbounded.
             cores: CPU cores that the process may use.
-            resident: Returns the resident bytes; None: those of this process.
+            resident: Returns the resident memory in bytes; None for that of this process.
         """
         self._scheduler = scheduler
         self._limits = limits
@@ -85,28 +85,28 @@
         self._resident_memory = ResidentMemory() if self._max_memory_bytes and resident is None else None
         self._resident = resident or (self._resident_memory.read if self._resident_memory else int)
         self._timer: TimerHandle | None = None
-        # Of the last readings: the scheduler's time and this process' CPU seconds.
+        # The scheduler's time and the CPU time of this process at the last readings, in seconds.
         self._read_at_s = 0.0
         self._cpu_s = 0.0
         self._reported_level = 0.0
         self.pressure = PressureRules()
 
     def wake(self) -> None:
-        """Start checking, unless it goes on already: something is open from now on."""
+        """Start the periodic checks, unless they are running; called when something opens."""
         self._lag.wake()
         if self._timer is None:
             self._read_at_s, self._cpu_s = self._scheduler.time(), time.process_time()
             self._timer = self._scheduler.call_later(CHECK_INTERVAL_S, self._check)
 
     def close(self) -> None:
-        """Stop checking."""
+        """Stop the periodic checks."""
         if self._timer is not None:
             self._timer.cancel()
         if self._resident_memory is not None:
             self._resident_memory.close()
 
     def readings(self) -> dict[Monitor, float]:
-        """Return what the monitors read now; CPU is since the last readings."""
+        """Return the current reading of each monitor; the CPU's covers the time since the last readings."""
         now_s, cpu_s = self._scheduler.time(), time.process_time()
         elapsed_s, used_s = now_s - self._read_at_s, cpu_s - self._cpu_s
         self._read_at_s, self._cpu_s = now_s, cpu_s
@@ -139,16 +139,16 @@
         return any(self.pressure.is_on(action) for action in PressureAction)
 
     def _switch(self, change: PressureChange) -> None:
-        """Carry out an action that is done once as it goes on, and undone as it goes off."""
+        """Perform an action that takes effect once when it goes on, and is undone when it goes off."""
         if change.action is PressureAction.SHORTEN_IDLE:
             for front in self._fronts:
-                front.hurry(change.is_on)
+                front.shorten_idle_timeout(change.is_on)
         elif change.action is PressureAction.STOP_OPTIONAL:
             for service in self._services:
                 service.allow_optional_work(not change.is_on)
 
     def _act(self) -> None:
-        """Carry out the actions that are repeated for as long as they are on."""
+        """Perform the actions that are repeated at each check while they are on."""
         if self.pressure.is_on(PressureAction.SHRINK_POOLS):
             for service in self._services:
                 service.shrink(POOL_IDLE_MS)
@@ -156,7 +156,8 @@
             for front in self._fronts:
                 front.pause()
         level = self.pressure.level(PressureAction.REFUSE_BY_WORTH)
-        # Going on or off is reported however small the step: the module must not go on refusing.
+        # A level that becomes or leaves 0 is reported however small the change is: otherwise the decision
+        # module would go on rejecting work.
         has_switched = (level == 0.0) != (self._reported_level == 0.0)
         if has_switched or abs(level - self._reported_level) >= MIN_LEVEL_CHANGE:
             self._reported_level = level
@@ -165,7 +166,7 @@
 
 
 def _log_line(change: PressureChange) -> str:
-    """Return what on-call staff read: once when an action goes on, and once when it is over."""
+    """Return the log line for an action that goes on or off."""
     if change.is_on:
         return f"pressure: {change.action.value}: {change.cause}"
     return (
--- a/fordtrestle/proxy/daemon/process.py
+++ b/fordtrestle/proxy/daemon/process.py
@@ -1,4 +1,4 @@
-"""The services and HTTP servers of one process, from start to drain."""
+"""The services and HTTP servers of one process, from their start to their drain."""
 
 from __future__ import annotations
 
@@ -18,30 +18,31 @@
 from fordtrestle.proxy.engine.ports import Address
 from fordtrestle.proxy.http.server import HttpServer
 
-# New connections go on coming for up to 0.4 s after SIGTERM.
+# New connections may arrive for up to 0.4 s after SIGTERM.
 LISTEN_AFTER_SIGNAL_S = 0.5
-# SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM: what is read later is refused.
+# SIGKILL follows SIGTERM after the longest deadline plus 0.7 s at the earliest, so requests that are read
+# later than this are rejected.
 ACCEPT_AFTER_SIGNAL_S = 0.7
-DRAIN_POLL_S = 0.02  # short beside LAST_BYTES_TIMEOUT_S, so that a process ends soon after its last answer
-LAST_BYTES_TIMEOUT_S = 0.3  # for clients that have yet to read their answer or to end their connection
+DRAIN_POLL_S = 0.02  # well below LAST_BYTES_TIMEOUT_S, so that a process ends soon after its last response
+LAST_BYTES_TIMEOUT_S = 0.3  # for clients to read their response and to close their connection
 
 
 @dataclass(frozen=True, slots=True)
 class ServerBinding:
-    """An HTTP server, and where it is to listen."""
+    """An HTTP server, and the addresses that it is to listen at."""
 
     server: HttpServer
     listen: Sequence[Address]
 
 
 class MachineResources:
-    """What a process may use of its machine.
+    """The resources of its machine that a process may use.
 
     Attributes:
         limits: The quotas.
-        lag: How late the event loop runs.
-        memory_mb: Resident memory (2^20 bytes) at which the process would be killed; None: not bounded.
-        cores: CPU cores that it may use.
+        lag: Measures the lag of the event loop.
+        memory_mb: Resident memory (2^20 bytes) at which the process would be killed; None if unbounded.
+        cores: CPU cores that the process may use.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
     Attributes:
         services: The services by their names.
         fronts: The HTTP servers by their names.
-        overload: Watches the process.
+        overload: Detects overload of the process.
     """
 
     def __init__(
@@ -99,7 +100,7 @@
         """Start the services, then listen.
 
         Returns:
-            The addresses that are bound, by HTTP server.
+            The bound addresses of each HTTP server, by its name.
 
         Raises:
             OSError: An address can't be bound.
@@ -108,21 +109,25 @@
             await service.start()
         bound: dict[str, list[Address]] = {}
         for name, binding in self.fronts.items():
-            made = sockets.listen_all(binding.listen)
-            bound[name] = [await binding.server.listen(sock) for sock in made]
+            listeners = sockets.listen_all(binding.listen)
+            bound[name] = [await binding.server.listen(sock) for sock in listeners]
         return bound
 
     def counts(self) -> dict[str, dict[str, Counts]]:
-        """Return what was refused, failed or rejected since the start, by class, kind and cause.
+        """Return the numbers of rejected and failed requests since the start, by class, kind and cause.
 
-        `service` has what each service's engine answered, `front` what each HTTP server answered without one.
+        `service` has those that each service's engine answered, `front` those that each HTTP server answered
+        without an engine.
         """
         services = {}
         for name, service in self.services.items():
             fronts = (front for front in self._servers() if front.call_handler is service.driver)
             classes = {number: kind for front in fronts for number, kind in front.class_names.items()}
             services[name] = service.driver.counters.counts(classes)
-        by_front = {n: at.server.counters.counts(at.server.class_names) for n, at in self.fronts.items()}
+        by_front = {
+            name: binding.server.counters.counts(binding.server.class_names)
+            for name, binding in self.fronts.items()
+        }
         return {"service": services, "front": by_front}
 
     def _status(self) -> bytes:
@@ -131,36 +136,39 @@
     async def drain(self, signalled_at: float | None = None) -> None:
         """Stop listening, finish what was accepted, close connections between requests, and log the counts.
 
-        It lasts until the last request that was accepted has its answer, which is at its deadline at the
-        latest, and LAST_BYTES_TIMEOUT_S more for clients.
+        Waits until the last accepted request is answered, which happens at its deadline at the latest, and
+        then up to LAST_BYTES_TIMEOUT_S for clients to read their responses.
 
         Args:
-            signalled_at: When the signal to end came, in the loop's seconds; None: LISTEN_AFTER_SIGNAL_S ago.
+            signalled_at: When the signal to end was received, on the loop's clock in seconds; None for
+                LISTEN_AFTER_SIGNAL_S ago.
         """
         fronts = self._servers()
         now = self._loop.time()
-        last = ACCEPT_AFTER_SIGNAL_S + (now - LISTEN_AFTER_SIGNAL_S if signalled_at is None else signalled_at)
+        accept_until = ACCEPT_AFTER_SIGNAL_S + (
+            now - LISTEN_AFTER_SIGNAL_S if signalled_at is None else signalled_at
+        )
         for front in fronts:
-            front.stop_listening(last - now)
-        while self._may_accept(fronts, last) or self._has_due_requests():
+            front.stop_listening(accept_until - now)
+        while self._may_accept(fronts, accept_until) or self._has_due_requests():
             await self._close_idle(fronts)
         for front in fronts:
             front.fail_waiting()
-        until = self._loop.time() + LAST_BYTES_TIMEOUT_S
-        while not all(front.is_empty for front in fronts) and self._loop.time() < until:
+        close_at = self._loop.time() + LAST_BYTES_TIMEOUT_S
+        while not all(front.is_empty for front in fronts) and self._loop.time() < close_at:
             await self._close_idle(fronts)
         for front in fronts:
-            front.close()  # cuts the clients that have not ended their connection, though it was ended here
+            front.close()  # aborts connections that clients have not closed although this side has
         self._log_counts()
 
     def _has_due_requests(self) -> bool:
         return any(service.driver.has_due_requests for service in self.services.values())
 
-    def _may_accept(self, fronts: list[HttpServer], last: float) -> bool:
-        """Return whether a request may yet be accepted, or a connection has to be refused."""
+    def _may_accept(self, fronts: list[HttpServer], accept_until: float) -> bool:
+        """Return whether a request may still be accepted, or a connection still has to be rejected."""
         if any(front.is_accepting for front in fronts):
             return True
-        return self._loop.time() <= last and not all(front.is_empty for front in fronts)
+        return self._loop.time() <= accept_until and not all(front.is_empty for front in fronts)
 
     @staticmethod
     async def _close_idle(fronts: list[HttpServer]) -> None:
@@ -175,7 +183,7 @@
                     log(line)
 
     def close(self) -> None:
-        """Close what is left."""
+        """Close the servers, the services and the overload monitor."""
         self.overload.close()
         for front in self._servers():
             front.close()
@@ -183,5 +191,5 @@
             service.close()
 
     def unreleased(self) -> list[str]:
-        """Return what is still used of quotas though everything is closed: something leaks."""
+        """Return a text for each quota that is still in use although everything is closed: a leak."""
         return self._limits.unreleased()
--- a/fordtrestle/proxy/daemon/resident_memory.py
+++ b/fordtrestle/proxy/daemon/resident_memory.py
@@ -1,4 +1,4 @@
-"""How much memory of this process is resident."""
+"""The resident memory of this process."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class ResidentMemory:
     """Reads the resident memory of this process (proc(5), statm).
 
-    The file stays open. Guards against losing the reading just when no descriptor can be had. Where there
-    is no such file the reading is 0, so that memory causes no pressure.
+    The file stays open, since it could not be opened again when no descriptor is free. On systems without
+    such a file the reading is 0, so that memory causes no pressure.
     """
 
     def __init__(self, path: str = "/proc/self/statm") -> None:
@@ -27,7 +27,7 @@
             self._file = None
 
     def read(self) -> int:
-        """Return the bytes that are resident now; 0 if that can't be read."""
+        """Return the resident memory in bytes; 0 if it can't be read."""
         if self._file is None:
             return 0
         try:
--- a/fordtrestle/proxy/daemon/runner.py
+++ b/fordtrestle/proxy/daemon/runner.py
@@ -1,4 +1,4 @@
-"""Runs a program from its start to its end, moved by signals."""
+"""Runs a program from its start to its graceful shutdown, driven by signals."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from fordtrestle.proxy.daemon.signals import Reloads, Signals
 from fordtrestle.proxy.engine.log import log
 
-CLOSING_TURNS = 4  # of the loop, until the callbacks of all that was closed have run
+CLOSING_ITERATIONS = 4  # of the event loop, which run the callbacks of closed connections
 
 
 class Program(Protocol):
-    """What `run` runs."""
+    """The interface of a program to `run`."""
 
     async def start(self) -> object:
-        """Be ready.
+        """Start to listen and to serve.
 
         Raises:
-            OSError: It can't listen, or can't open a file that it needs.
+            OSError: The program can't listen, or can't open a file that it needs.
         """
 
     def reload(self) -> None:
@@ -31,14 +31,14 @@
         """Stop listening and finish what was accepted.
 
         Args:
-            signalled_at: When the signal to end came, in the loop's seconds.
+            signalled_at: When the signal to end was received, on the loop's clock in seconds.
         """
 
     def close(self) -> None:
-        """Close what is left."""
+        """Close everything that is still open."""
 
     def unreleased(self) -> list[str]:
-        """Return what is still used of quotas though everything is closed, a text each."""
+        """Return a text for each quota that is still in use although everything is closed."""
 
 
 P = TypeVar("P", bound=Program)
@@ -49,25 +49,25 @@
 
 
 async def run(
-    make: Callable[[asyncio.AbstractEventLoop], P],
+    make_program: Callable[[asyncio.AbstractEventLoop], P],
     signals: Signals,
     on_draining: Callable[[P], None] = _ignore,
 ) -> None:
-    """Run a program until SIGTERM, and then until all that it accepted is answered.
+    """Run a program until SIGTERM, and then until all accepted requests are answered.
 
-    However it ends, no signal ends the process from then on.
+    Signals are ignored afterwards, even if the program failed.
 
     Args:
-        make: Makes the program.
-        signals: The process' signals, whose handlers are installed already.
-        on_draining: Called with the program as soon as it is signalled to end.
+        make_program: Creates the program.
+        signals: The signals of the process, whose handlers are already installed.
+        on_draining: Called with the program as soon as the signal to end is received.
 
     Raises:
-        OSError: It can't start.
+        OSError: The program can't start.
     """
     loop = asyncio.get_running_loop()
     try:
-        program = make(loop)
+        program = make_program(loop)
         await _run(loop, program, signals, lambda: on_draining(program))
     finally:
         signals.finish()
@@ -81,20 +81,21 @@
     try:
         await program.start()
         signals.attach(loop, stop.set, reloads.request)
-        # What is there now stays: later collections need not walk it, and so stop the loop for less long.
+        # The objects of the start live as long as the process: exempt from collection, they don't lengthen
+        # the pauses of the event loop.
         gc.collect()
         gc.freeze()
         await stop.wait()
         on_draining()
-        # Guards against a signal that came during the start, or long before this turn of the loop: the time
-        # to SIGKILL runs from then.
+        # The time to SIGKILL counts from the signal, which may have been received during the start, or long
+        # before this iteration of the loop.
         signalled_at = loop.time() if signals.signalled_at is None else signals.signalled_at
         await asyncio.sleep(max(0.0, signalled_at + LISTEN_AFTER_SIGNAL_S - loop.time()))
         await program.drain(signalled_at)
     finally:
         reloads.close()
         program.close()
-    for _ in range(CLOSING_TURNS):
+    for _ in range(CLOSING_ITERATIONS):
         await asyncio.sleep(0)
     if program.unreleased():
-        log(f"ledgers: not given back: {', '.join(program.unreleased())}")
+        log(f"quotas: not released at exit: {', '.join(program.unreleased())}")
--- a/fordtrestle/proxy/daemon/seams.py
+++ b/fordtrestle/proxy/daemon/seams.py
@@ -1,7 +1,7 @@
-"""Parts that can be substituted for the machine's own: wall clock, file store and the clock of events.
+"""Parts of the machine that tests can substitute: the wall clock, the clock of events and the file store.
 
-Nothing here is read on the platform. The fault rig hands in clocks that jump and disks that lose what was
-written.
+The platform's sidecar does not use them. The fault rig passes clocks that jump and disks that lose written
+data.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Seams:
-    """What a process uses of its machine.
+    """The substitutable parts of the machine.
 
     Attributes:
-        wall: Returns Unix seconds, which may jump.
-        stamp: Returns the seconds by which events are stamped; None: the machine's Unix time.
-        store: Opens the folder that `[state]` names; None: as files of the machine.
+        wall: Returns the Unix time in seconds, which may jump.
+        stamp: Returns the timestamp of an event, in seconds; None for the machine's Unix time.
+        store: Opens the folder that `[state]` names; None for the machine's file system.
     """
 
     wall: Callable[[], float] = time.time
--- a/fordtrestle/proxy/daemon/service.py
+++ b/fordtrestle/proxy/daemon/service.py
@@ -16,22 +16,22 @@
 
 
 class Source(Registry, Protocol):
-    """Where a service's server list comes from."""
+    """The source of a service's server list."""
 
     def start(self) -> None:
-        """Report the list as last known, and go on from there."""
+        """Report the last known list, then its updates."""
 
     def close(self) -> None:
-        """Report nothing more."""
+        """Stop: no update is reported afterwards."""
 
 
 class Service:
-    """One service, wired together; it is a `ServiceControls` of the overload monitor.
+    """One service with all its parts; a `ServiceControls` for the overload monitor.
 
     Attributes:
         driver: Its engine.
         pool: Its connections to servers.
-        source: Where its server list comes from.
+        source: The source of its server list.
         peers: The other sidecars of its tier.
     """
 
@@ -54,9 +54,9 @@
             engine: The options of its engine.
             pool: The options of its connections to servers.
             budget: The quota shares of its connections to servers.
-            source: Makes its source, which calls the listener with each update.
-            peers: Where the other sidecars are; None: there are none.
-            driver: Its engine, where that is a special one; None: one is made by `engine`.
+            source: Creates the source of its server list, which calls the listener with each update.
+            peers: The addresses of the other sidecars; None if there are none.
+            driver: Its engine; None to create one with the options `engine`.
         """
         self._loop = loop
         self.driver = driver or Driver(loop, clock, engine)
@@ -65,7 +65,7 @@
         self.peers = Peers(peers or PeerOptions(), self.driver.peer_message)
 
     async def start(self) -> None:
-        """Be ready for calls: the known list is applied before the first.
+        """Start the service; the last known list is applied before the first call.
 
         Raises:
             OSError: The address for messages can't be bound.
@@ -75,19 +75,19 @@
         self.source.start()
 
     def shrink(self, idle_ms: float) -> None:
-        """Close connections to servers that have been idle for so long."""
+        """Close connections to servers that have been idle for at least `idle_ms`."""
         self.pool.shrink(idle_ms)
 
     def pressure(self, share: float) -> None:
-        """Refuse such a share of the work, worth least first."""
+        """Reject this share of the work, in the order of increasing priority weight."""
         self.driver.pressure(share)
 
     def allow_optional_work(self, allowed: bool) -> None:
-        """Set whether work may be done that no request waits for."""
+        """Allow or forbid work that no request waits for."""
         self.driver.allows_optional_work = allowed
 
     def close(self) -> None:
-        """Close its connections, its source and its socket for messages."""
+        """Close its connections to servers, its source and its socket for messages."""
         self.pool.close()
         self.source.close()
         self.peers.close()
--- a/fordtrestle/proxy/daemon/sidecar.py
+++ b/fordtrestle/proxy/daemon/sidecar.py
@@ -26,7 +26,7 @@
 
 
 class Sidecar:
-    """One sidecar, wired together; a `Program` of the runner.
+    """One sidecar with all its parts; a `Program` for the runner.
 
     Attributes:
         limits: The quotas of the process.
@@ -35,7 +35,7 @@
         peers: The other sidecars.
         front: The HTTP server.
         discovery: The client of the registry.
-        overload: Watches the process.
+        overload: Detects overload of the process.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         Args:
             loop: The event loop.
             config: The platform's configuration.
-            environment: Names the file that a reload reads; None: a reload finds none.
+            environment: Names the file that a reload reads; without it, a reload changes nothing.
         """
         self._environment = environment or {}
 
@@ -73,18 +73,20 @@
         self.overload = self._process.overload
 
     async def start(self) -> Address:
-        """Start, with the known list applied before the first request; return where it listens.
+        """Start the sidecar, and return the address that it listens at.
+
+        The last known list is applied before the first request.
 
         Raises:
-            OSError: It can't listen.
+            OSError: The sidecar can't listen.
         """
         bound = await self._process.start()
         return bound[SIDECAR][0]
 
     def reload(self) -> None:
-        """Read the configuration again; only discovery may move, all else stays as it started.
+        """Read the configuration again, and apply a changed address of the registry; nothing else can change.
 
-        Guards against a file that can't be read at that moment: nothing changes then.
+        If the file can't be read at that moment, nothing changes.
         """
         try:
             config = platform_config.reload(self._environment)
@@ -98,22 +100,22 @@
         await self._process.drain(signalled_at)
 
     def close(self) -> None:
-        """Close what is left."""
+        """Close everything that is still open."""
         self._process.close()
 
     def unreleased(self) -> list[str]:
-        """Return what is still used of quotas though everything is closed."""
+        """Return a text for each quota that is still in use although everything is closed."""
         return self._process.unreleased()
 
 
 def peer_options(config: PlatformConfig) -> PeerOptions:
-    """Return where other sidecars are; messages arrive only if the settings allow them."""
+    """Return the addresses of the other sidecars; messages are received only if the settings allow it."""
     bind = config.peer_listen if config.settings.peer_messages else None
     return PeerOptions(bind, config.settings.me, config.peers, config.peers_all)
 
 
 def main(signals: Signals, limits: LimitsSpec = DEFAULT_LIMITS) -> int:
-    """Run as the environment configures it; return the exit code."""
+    """Run the sidecar that the environment configures; return the exit code."""
     try:
         config = platform_config.load(os.environ, limits)
     except PlatformConfigError as error:
--- a/fordtrestle/proxy/daemon/signals.py
+++ b/fordtrestle/proxy/daemon/signals.py
@@ -1,4 +1,4 @@
-"""The signals of a process, from its first moment to its exit: none is lost, and none ends it early."""
+"""Handles the signals of a process from its start to its exit: none is lost, and none kills the process."""
 
 from __future__ import annotations
 
@@ -11,16 +11,15 @@
 
 from fordtrestle.proxy.engine.log import log
 
-if TYPE_CHECKING:  # loaded later: signals are handled from the first moments of a process
+if TYPE_CHECKING:  # loaded later, so that signals are handled as early as possible
     import asyncio
 
 STOP_SIGNALS = (signal.SIGTERM, signal.SIGINT)
-# The pause after a reload: nine times as long as it took, so that reloads in a burst take a tenth of the
-# time.
+# The pause after a reload is nine times its duration, so that a burst of reloads takes a tenth of the time.
 RELOAD_PAUSE_FACTOR = 9.0
 MIN_RELOAD_PAUSE_S = 0.05
 MAX_RELOAD_PAUSE_S = 1.0
-WAKE_UP_BYTES = 65536  # read from the wake-up socket at a time: all that it holds
+WAKE_UP_BYTES = 65536  # read from the wake-up socket at once: all that it buffers
 
 
 def _ignore() -> None:
@@ -28,27 +27,28 @@
 
 
 class Signals:
-    """Flags that handlers set, and a loop that is woken to look at them.
+    """Flags that signal handlers set, and a wake-up of the event loop, which then reads them.
 
-    Guards against a wake-up socket that is full: what it can't take is only the wake-up, while the loop has
-    yet to read others; what was signalled stands in the flags.
+    No signal is lost when the wake-up socket is full: the signal is in the flags, and the loop will be woken
+    by the bytes that it has not read yet.
 
     Attributes:
-        signalled_at: When the first signal to end came, in monotonic seconds, as the loop's; None: none did.
+        signalled_at: When the first signal to end was received, in monotonic seconds as on the loop's clock;
+            None if there was none.
     """
 
     def __init__(self) -> None:
         self._stop = self._reload = False
         self.signalled_at: float | None = None
         self._loop: asyncio.AbstractEventLoop | None = None
-        self._wake: tuple[socket.socket, socket.socket] | None = None
+        self._wake_sockets: tuple[socket.socket, socket.socket] | None = None
         self._on_stop: Callable[[], object] = _ignore
         self._on_reload: Callable[[], object] = _ignore
 
     def install(self) -> None:
-        """Handle signals from now on; what comes until `attach` is seen to then.
+        """Install the signal handlers; signals received before `attach` are handled by it.
 
-        Guards against their defaults, which end the process, while it is starting.
+        While the process is starting, the default actions would kill it.
         """
         for number in (*STOP_SIGNALS, signal.SIGHUP):
             signal.signal(number, self._on_signal)
@@ -64,20 +64,21 @@
     def attach(
         self, loop: asyncio.AbstractEventLoop, stop: Callable[[], object], reload: Callable[[], object]
     ) -> None:
-        """Call `stop` and `reload` in the loop from now on, for signals that came before as well."""
+        """Call `stop` and `reload` in the event loop, also for signals that were received before."""
         self._loop, self._on_stop, self._on_reload = loop, stop, reload
-        self._wake = reading, writing = socket.socketpair()
-        for end in self._wake:
+        self._wake_sockets = read_end, write_end = socket.socketpair()
+        for end in self._wake_sockets:
             end.setblocking(False)
-        # The interpreter writes there before any handler runs, also just as the loop goes to sleep.
-        signal.set_wakeup_fd(writing.fileno(), warn_on_full_buffer=False)
-        loop.add_reader(reading, self._on_wake_up, reading)
+        # The interpreter writes to the socket before any handler runs, so a loop that is about to wait is
+        # woken.
+        signal.set_wakeup_fd(write_end.fileno(), warn_on_full_buffer=False)
+        loop.add_reader(read_end, self._on_wake_up, read_end)
         loop.call_soon(self._handle_flags)
 
-    def _on_wake_up(self, reading: socket.socket) -> None:
-        # Read before the flags are looked at: what comes in between wakes the loop once more.
+    def _on_wake_up(self, read_end: socket.socket) -> None:
+        # Read before the flags are checked, so that a signal received in between wakes the loop again.
         with contextlib.suppress(BlockingIOError):
-            reading.recv(WAKE_UP_BYTES)
+            read_end.recv(WAKE_UP_BYTES)
         self._handle_flags()
 
     def _handle_flags(self) -> None:
@@ -89,47 +90,47 @@
             self._on_stop()
 
     def finish(self) -> None:
-        """Ignore signals: the process ends by itself now.
+        """Ignore signals from now on, since the process is about to exit.
 
-        Guards against their defaults, which are back once the loop or the interpreter ends.
+        Otherwise the default actions would be restored when the loop or the interpreter ends.
         """
         for number in (*STOP_SIGNALS, signal.SIGHUP):
             signal.signal(number, signal.SIG_IGN)
-        if self._loop is None or self._wake is None:
+        if self._loop is None or self._wake_sockets is None:
             return
         signal.set_wakeup_fd(-1)
-        self._loop.remove_reader(self._wake[0])
-        for end in self._wake:
+        self._loop.remove_reader(self._wake_sockets[0])
+        for end in self._wake_sockets:
             end.close()
-        self._wake = None
+        self._wake_sockets = None
 
 
 class Reloads:
-    """Runs requested reloads: one at a time, one pending at the most, with a pause between two."""
+    """Runs requested reloads one at a time, with a pause between two and at most one pending."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, reload: Callable[[], None]) -> None:
         self._loop = loop
         self._reload = reload
         self._pending: asyncio.TimerHandle | None = None
-        self._next = loop.time()
+        self._next_at = loop.time()
 
     def request(self) -> None:
-        """Reload as soon as the pause allows; a pending reload will read what there is then."""
+        """Reload once the pause is over; a reload that is already pending covers this request."""
         if self._pending is None:
-            self._pending = self._loop.call_at(max(self._next, self._loop.time()), self._run)
+            self._pending = self._loop.call_at(max(self._next_at, self._loop.time()), self._run)
 
     def _run(self) -> None:
         self._pending = None
-        began = self._loop.time()
+        started_at = self._loop.time()
         try:
             self._reload()
-        except Exception as error:  # a reload that fails must end neither later ones nor the process
+        except Exception as error:  # a failed reload must neither prevent later ones nor end the process
             log(f"reload: {error!r}")
-        took = self._loop.time() - began
-        pause = min(MAX_RELOAD_PAUSE_S, max(MIN_RELOAD_PAUSE_S, RELOAD_PAUSE_FACTOR * took))
-        self._next = began + took + pause
+        elapsed_s = self._loop.time() - started_at
+        pause_s = min(MAX_RELOAD_PAUSE_S, max(MIN_RELOAD_PAUSE_S, RELOAD_PAUSE_FACTOR * elapsed_s))
+        self._next_at = started_at + elapsed_s + pause_s
 
     def close(self) -> None:
-        """Cancel what is pending."""
+        """Cancel a pending reload."""
         if self._pending is not None:
             self._pending.cancel()
--- a/fordtrestle/proxy/daemon/sockets.py
+++ b/fordtrestle/proxy/daemon/sockets.py
@@ -1,4 +1,4 @@
-"""Listening sockets: made here, handed to HTTP servers."""
+"""Creates the listening sockets of HTTP servers."""
 
 from __future__ import annotations
 
@@ -10,27 +10,28 @@
 
 
 def listen_all(addresses: Iterable[Address]) -> list[socket.socket]:
-    """Return sockets that listen, one at each address.
+    """Return listening sockets, one for each address.
 
     Raises:
-        OSError: One of them can't listen; then none does.
+        OSError: One of the addresses can't be bound; the sockets created so far are closed.
     """
-    made: list[socket.socket] = []
+    listeners: list[socket.socket] = []
     try:
-        # Appended one by one: those made before one that fails have to be closed.
+        # Appended one by one, since those created before a failure have to be closed.
         for address in addresses:
-            made.append(_listen(address))  # noqa: PERF401
+            listeners.append(_listen(address))  # noqa: PERF401
     except OSError:
-        for sock in made:
+        for sock in listeners:
             sock.close()
         raise
-    return made
+    return listeners
 
 
 def _listen(address: Address) -> socket.socket:
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     sock = socket.create_server(address, family=family, backlog=BACKLOG)
-    # Accepted connections inherit it (tcp(7)). Guards against an answer that the kernel holds back behind
-    # another, and that a reset takes with it; the loop sets it only on those that get a transport.
+    # Accepted connections inherit this option (tcp(7)). Without it the kernel may delay a response until the
+    # previous one is acknowledged, and a reset would discard it. The event loop sets the option only on
+    # connections that get a transport.
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
--- a/fordtrestle/proxy/daemon/standalone.py
+++ b/fordtrestle/proxy/daemon/standalone.py
@@ -1,4 +1,4 @@
-"""A process that an operator file alone configures: any number of services and HTTP servers."""
+"""A process configured by an operator file alone, with any number of services and HTTP servers."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 from fordtrestle.proxy.membership.static_endpoint_list import StaticEndpointList
 from fordtrestle.proxy.membership.updates import UpdateListener
 
-if TYPE_CHECKING:  # each is loaded only where it is on
+if TYPE_CHECKING:  # loaded only if used
     from fordtrestle.proxy.daemon.trace_recorder import TraceRecorder
     from fordtrestle.proxy.daemon.versions_in_force import VersionsInForce
 
@@ -36,7 +36,7 @@
 
 
 class Standalone:
-    """The services and HTTP servers of an operator file, wired together; a `Program` of the runner.
+    """The services and HTTP servers of an operator file; a `Program` for the runner.
 
     Attributes:
         limits: The quotas of the process.
@@ -50,12 +50,13 @@
 
         Args:
             loop: The event loop.
-            file: The operator file, which a reload reads again.
-            config: What it says.
-            seams: What stands for the machine's own parts.
+            file: The path of the operator file, which a reload reads again.
+            config: The content of the operator file.
+            seams: The parts that substitute those of the machine.
 
         Raises:
-            OSError: Another process holds its state, or its events or traces can't be written.
+            OSError: Another process has locked the state folder, or the event file or a trace can't be
+                written.
         """
         self._loop = loop
         self._file = file
@@ -65,7 +66,7 @@
         self._clock = Clock(loop, seams.wall)
         self._machine = MachineResources(loop, self._clock, self.limits, config.limits.memory_mb)
         self._trace_recorders: list[TraceRecorder] = []
-        self._version = 0  # of static lists: counts reloads
+        self._version = 0  # of static lists: the number of reloads
         self._versions = self._make_versions(seams)
         self.services = {name: self._service(name) for name in config.services}
         budgets = {
@@ -77,7 +78,7 @@
         self._process = Process(loop, self._machine, self.services, fronts)
 
     def _make_versions(self, seams: Seams) -> VersionsInForce | None:
-        """Return what records and stores the versions in force, if the file asks for either."""
+        """Return the recorder of versions in force; None if the file has neither `[state]` nor `[events]`."""
         if self._config.state is None and self._config.events is None:
             return None
         from fordtrestle.proxy.daemon.versions_in_force import VersionsInForce
@@ -99,7 +100,7 @@
         driver = self.services[spec.service].driver
         front = HttpServer(self._loop, self._clock, front_options, driver, budget, reserve, self._machine.lag)
         if spec.trace_file is not None:
-            from fordtrestle.proxy.daemon.trace_recorder import TraceRecorder  # loaded only where it is on
+            from fordtrestle.proxy.daemon.trace_recorder import TraceRecorder  # loaded only if used
 
             path, max_bytes = Path(spec.trace_file), spec.trace_mb_most * 2**20
             recorder = TraceRecorder(path, max_bytes, front_options.names, self._clock.now)
@@ -123,17 +124,17 @@
         return make
 
     async def start(self) -> None:
-        """Start, and log where each HTTP server listens.
+        """Start the process, and log the addresses that each HTTP server listens at.
 
         Raises:
-            OSError: One can't listen.
+            OSError: A server can't listen.
         """
         for name, addresses in (await self._process.start()).items():
             for address in addresses:
                 log(f"front {name}: listens at {address_text(address)}")
 
     def reload(self) -> None:
-        """Read the file again: all that it says takes effect, or nothing does."""
+        """Read the file again, and apply either all changes or, if any can't be applied, none."""
         try:
             config = operator_file.read(self._file)
         except OperatorFileError as error:
@@ -157,7 +158,7 @@
         log(f"reload: {', '.join(keys) or 'nothing'} changed")
 
     def _update_source(self, name: str, source_name: str, keys: list[str]) -> None:
-        """Apply to one service what has changed of its source."""
+        """Apply the changes of a service's source."""
         spec, source = self._config.sources[source_name], self.services[name].source
         if isinstance(spec, StaticSpec):
             if f"source.{source_name}.server" in keys and isinstance(source, StaticEndpointList):
@@ -166,7 +167,7 @@
             source.move(spec.address)
 
     def on_draining(self) -> None:
-        """Record that it was signalled to end; it goes on listening for a moment."""
+        """Record that the signal to end was received; the process goes on listening for a moment."""
         if self._versions is not None:
             self._versions.on_draining()
 
@@ -175,7 +176,7 @@
         await self._process.drain(signalled_at)
 
     def close(self) -> None:
-        """Close what is left."""
+        """Close everything that is still open."""
         self._process.close()
         for recorder in self._trace_recorders:
             recorder.close()
@@ -183,18 +184,18 @@
             self._versions.close()
 
     def unreleased(self) -> list[str]:
-        """Return what is still used of quotas though everything is closed."""
+        """Return a text for each quota that is still in use although everything is closed."""
         return self._process.unreleased()
 
 
 def peer_options(config: OperatorConfig) -> PeerOptions | None:
-    """Return where the other processes of the fleet are, if the file says so."""
+    """Return the addresses of the other processes of the fleet; None if the file has no `[peers]`."""
     spec = config.peers
     return None if spec is None else PeerOptions(spec.listen, spec.me, spec.at)
 
 
 def main(file: str, signals: Signals, seams: Seams = DEFAULT_SEAMS) -> int:
-    """Run as an operator file configures it; return the exit code."""
+    """Run the process that an operator file configures; return the exit code."""
     try:
         config = operator_file.read(file)
     except OperatorFileError as error:
--- a/fordtrestle/proxy/daemon/trace_recorder.py
+++ b/fordtrestle/proxy/daemon/trace_recorder.py
@@ -13,16 +13,16 @@
 from fordtrestle.proxy.http.call import ClientCall
 from fordtrestle.proxy.http.requests import RequestNames
 
-MAX_WAITING_REQUESTS = 65_536  # not yet written: some seconds of load; what comes past that is not recorded
+MAX_QUEUED_REQUESTS = 65_536  # some seconds of load; requests beyond that are not recorded
 WRITE_INTERVAL_S = 0.25
-CLOSE_TIMEOUT_S = 2.0  # for the last of them, as the process ends
+CLOSE_TIMEOUT_S = 2.0  # for the requests still queued when the process ends
 
 
 class TraceRecorder:
-    """Writes one trace.
+    """Writes the trace of one HTTP server.
 
-    `record` only puts a request into a queue: a thread of its own makes lines and writes them, so that no
-    request waits for a disk.
+    `record` only queues a request; a separate thread encodes and writes it, so that no request waits for a
+    disk.
     """
 
     def __init__(self, path: Path, max_bytes: int, names: RequestNames, now: Callable[[], float]) -> None:
@@ -30,67 +30,67 @@
 
         Args:
             path: The file, which only its owner may read.
-            max_bytes: The trace ends once the file has so many.
+            max_bytes: The size of the file at which the recording stops.
             names: The names of classes and tenants.
             now: Returns the time in milliseconds.
 
         Raises:
-            OSError: The file can't be made.
+            OSError: The file can't be created.
         """
         self._kinds = {kind.traffic_class: name for name, kind in names.classes.items()}
         self._tenants = {index: name for name, index in names.tenants.items()}
         self._now = now
         self._started_ms = now()
         self._max_bytes = max_bytes
-        self._waiting: deque[Request] = deque()
-        self._missed = 0
-        self._is_full = False
+        self._queue: deque[Request] = deque()
+        self._dropped = 0
+        self._is_stopped = False
         self._path = path
         self._writer = TraceWriter(path)
-        path.chmod(0o600)  # what clients ask for is private
-        self._ending = threading.Event()
+        path.chmod(0o600)  # what clients request is private
+        self._is_closing = threading.Event()
         self._thread = threading.Thread(target=self._run, name="recording", daemon=True)
         self._thread.start()
 
     def record(self, call: ClientCall) -> None:
-        """Record a complete request, whatever becomes of it."""
-        if self._is_full or len(self._waiting) >= MAX_WAITING_REQUESTS:
-            self._missed += 1
+        """Record a complete request, whether or not it succeeds."""
+        if self._is_stopped or len(self._queue) >= MAX_QUEUED_REQUESTS:
+            self._dropped += 1
             return
         at_us = int((self._now() - self._started_ms) * 1000.0)
         tenant = self._tenants.get(call.tenant, "")
         key = "" if call.key is None else str(call.key)
         budget_us = max(1, int(call.budget * 1000.0))
-        self._waiting.append(
+        self._queue.append(
             Request(at_us, self._kinds[call.traffic_class], tenant, key, budget_us, call.body_size)
         )
 
     def close(self) -> None:
-        """Write what is queued and the trace's end, within CLOSE_TIMEOUT_S."""
-        self._ending.set()
+        """Write the queued requests and the end of the trace, within CLOSE_TIMEOUT_S."""
+        self._is_closing.set()
         self._thread.join(CLOSE_TIMEOUT_S)
-        if self._missed:
-            log(f"trace {self._path}: {self._missed} requests were not recorded")
+        if self._dropped:
+            log(f"trace {self._path}: {self._dropped} requests were not recorded")
 
     def _run(self) -> None:
         try:
-            while not self._ending.wait(WRITE_INTERVAL_S):
+            while not self._is_closing.wait(WRITE_INTERVAL_S):
                 self._write()
             self._write()
             self._writer.close(int((self._now() - self._started_ms) * 1000.0))
-        except OSError as error:  # a full disk ends the trace, never the process
-            self._is_full = True
-            log(f"trace {self._path}: {error.strerror or error}; no more is recorded")
+        except OSError as error:  # a full disk must not end the process
+            self._is_stopped = True
+            log(f"trace {self._path}: {error.strerror or error}; no more requests are recorded")
 
     def _write(self) -> None:
-        while self._waiting:
-            request = self._waiting.popleft()
+        while self._queue:
+            request = self._queue.popleft()
             if self._writer.bytes >= self._max_bytes:
-                self._is_full = True
-                self._missed += 1 + len(self._waiting)
-                self._waiting.clear()
+                self._is_stopped = True
+                self._dropped += 1 + len(self._queue)
+                self._queue.clear()
                 return
             try:
                 self._writer.add(request)
-            except ValueError:  # the format can't hold it, such as a budget of an hour
-                self._missed += 1
+            except ValueError:  # the format can't represent it, such as a budget of an hour
+                self._dropped += 1
--- a/fordtrestle/proxy/daemon/versions_in_force.py
+++ b/fordtrestle/proxy/daemon/versions_in_force.py
@@ -1,6 +1,6 @@
-"""The versions of lists and settings that are in force, recorded and stored before anything is done by them.
+"""Records and stores the versions of lists and settings in force, before any action is based on them.
 
-Loaded only where there is an `[events]` or a `[state]`.
+Loaded only if the operator file has `[events]` or `[state]`.
 """
 
 from __future__ import annotations
@@ -22,39 +22,39 @@
 from fordtrestle.proxy.engine.ports import ServerList
 from fordtrestle.proxy.membership.updates import UpdateForm, UpdateListener
 
-if TYPE_CHECKING:  # each is loaded only where it is on
+if TYPE_CHECKING:  # loaded only if used
     from fordtrestle.proxy.daemon.events import Events
     from fordtrestle.proxy.state.endpoint_list_store import EndpointListStore, RestoredState
 
-OPEN_TIMEOUT_S = 5.0  # for the folder of the state to open; then the process starts without it
+OPEN_TIMEOUT_S = 5.0  # for opening the state folder; after that the process starts without it
 
 
 class VersionsInForce:
     """Records and stores the versions in force of all services of a process.
 
-    A state folder that can't be used is one log line, and nothing is stored.
+    If the state folder can't be used, one line is logged and nothing is stored.
 
     Attributes:
-        known_lists: The server lists of an earlier incarnation, by service.
+        known_lists: The server list of each service that an earlier incarnation stored.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop, config: OperatorConfig, seams: Seams) -> None:
-        """Open the state and the event file, whichever the file asks for.
+        """Open the state folder and the event file, if the operator file has them.
 
         Args:
             loop: The event loop.
-            config: What the operator file says.
-            seams: What stands for the machine's own parts.
+            config: The content of the operator file.
+            seams: The parts that substitute those of the machine.
 
         Raises:
-            OSError: Another process holds the state, or the events can't be written.
+            OSError: Another process has locked the state folder, or the event file can't be opened.
         """
         self._loop = loop
         self._config = config
         self._list_store: EndpointListStore | None = None
         self._events: Events | None = None
         self.known_lists: dict[str, ServerList] = {}
-        # The services whose list a registry provides: only such lists have versions, and are stored.
+        # The services whose list comes from a registry: only such lists have versions and are stored.
         self._registered = [
             name
             for name, service in config.services.items()
@@ -79,15 +79,15 @@
         return EventRecorder(service, is_registered, self._events, None if store is None else store.save)
 
     def make_driver(self, service: str, clock: Clock, engine: EngineOptions) -> Driver | None:
-        """Return an engine for a service that records what it does; None where there are no events."""
+        """Return an engine that records the actions of a service; None if no events are recorded."""
         if self._events is None:
             return None
         return ObservedDriver(self._loop, clock, engine, self._recorders[service].record_action)
 
     def recording_listener(self, service: str, listener: UpdateListener) -> UpdateListener:
-        """Return a listener that records and stores each update of a list before `listener` gets it.
+        """Return a listener that records and stores each update of a list, then passes it to `listener`.
 
-        Guards against an action by a list that is not recorded yet.
+        This order ensures that no action is based on a list that is not recorded yet.
         """
         recorder = self._recorders[service]
 
@@ -99,26 +99,26 @@
         return on_update
 
     def apply_config(self, config: OperatorConfig) -> None:
-        """Record the settings that are in force from now on."""
+        """Record the settings of `config` as in force from now on."""
         for name, recorder in self._recorders.items():
             recorder.on_settings(options.settings_digest(config, name))
 
     def on_draining(self) -> None:
-        """Record that the process was signalled to end."""
+        """Record that the process received the signal to end."""
         if self._events is not None:
             self._events.draining()
 
     def close(self) -> None:
-        """Write what is waiting to be written, within a bound."""
+        """Write the queued lists and events, each within a time limit."""
         if self._list_store is not None:
             self._list_store.close()
         if self._events is not None:
             self._events.ended()
 
-    # --- the state ---------------------------------------------------------------------
+    # --- the stored state --------------------------------------------------------------
 
     def _restore_state(self, seams: Seams) -> int:
-        """Load what an earlier incarnation left; return the number of this one, 0 where nothing is stored."""
+        """Load the state of an earlier incarnation; return the number of this one, 0 if nothing is stored."""
         if self._config.state is None:
             return 0
         restored = self._open_state(self._config.state.folder, seams)
@@ -136,15 +136,15 @@
         )
         from fordtrestle.proxy.state.posix_file_store import PosixFileStore
 
-        opening = BackgroundWriter(self._loop)  # a mount that hangs must not hold up the start
+        opener = BackgroundWriter(self._loop)  # a mount that hangs must not block the start
         try:
-            store = opening.run(lambda: (seams.store or PosixFileStore)(folder), OPEN_TIMEOUT_S)
+            store = opener.run(lambda: (seams.store or PosixFileStore)(folder), OPEN_TIMEOUT_S)
         except OSError as error:
-            if error.errno == errno.EBUSY:  # two processes would overwrite each other's lists there
+            if error.errno == errno.EBUSY:  # two processes would overwrite each other's lists
                 raise
             return RestoredState(log_lines=[f"state: {folder}: {error.strerror or error}; {STORING_STOPPED}"])
         finally:
-            opening.close(0.0)
+            opener.close(0.0)
         bases = {name: options.list_basis(self._config.services[name]) for name in self._registered}
         self._list_store = EndpointListStore(self._loop, store, self._on_stored, self._on_failed, bases)
         return self._list_store.load(self._registered)
--- a/fordtrestle/proxy/http/server.py
+++ b/fordtrestle/proxy/http/server.py
@@ -124,7 +124,7 @@
         """Whether all connections are closed."""
         return not len(self.table)
 
-    def hurry(self, on: bool) -> None:
+    def shorten_idle_timeout(self, on: bool) -> None:
         """Close connections at rest sooner, or as usual."""
         self.table.shorten_idle = on
 
--- a/tests/proxy/daemon/test_events.py
+++ b/tests/proxy/daemon/test_events.py
@@ -103,21 +103,21 @@
     assert events.dropped == 22 - (len(rows) - again)
     said = sorted(capsys.readouterr().err.splitlines())
     assert len(said) == 4
-    assert f"events {path}: {22 - again} were not written" in said
+    assert f"events {path}: {22 - again} events were not written" in said
 
 
 @loopback
 async def test_a_full_disk_is_one_line_and_no_event_after_it_matters(capsys):
     events = opened("/dev/full")
     events.draining()
-    await until(lambda: events._file.failed)
+    await until(lambda: events._file.has_failed)
     for _ in range(3):
         act(events)
     events.ended()
     said = capsys.readouterr().err.splitlines()
     assert [row.split(": ")[1] for row in said] == [
-        "No space left on device; no more are written",
-        "4 were not written",
+        "No space left on device; no more events are written",
+        "4 events were not written",
     ]
 
 
@@ -126,11 +126,11 @@
     stands = threading.Event()
     real = append_file.AppendFile._append
     monkeypatch.setattr(append_file.AppendFile, "_append", lambda *args: (stands.wait(), real(*args)))
-    monkeypatch.setattr(append_file, "MAX_WAITING_BYTES", 1000)
+    monkeypatch.setattr(append_file, "MAX_QUEUED_BYTES", 1000)
     events = opened(tmp_path / "e")
     for _ in range(20):
         events.draining()
-    assert events._file._waiting_bytes <= 1000
+    assert events._file._queued_bytes <= 1000
     assert events.dropped
     stands.set()
     events.ended()
@@ -153,7 +153,7 @@
 async def test_a_file_of_something_else_is_left_alone(tmp_path):
     for text in ("[process]", "a\nb"):
         (tmp_path / "e").write_text(text)
-        with pytest.raises(OSError, match="not a file of events"):
+        with pytest.raises(OSError, match="not an event file"):
             opened(tmp_path / "e")
         assert (tmp_path / "e").read_text() == text
     with pytest.raises(OSError, match="No such file"):
--- a/tests/proxy/daemon/test_trace_recorder.py
+++ b/tests/proxy/daemon/test_trace_recorder.py
@@ -95,7 +95,7 @@
 
 def test_a_disk_that_stands_still_holds_nobody_up(tmp_path, monkeypatch):
     """Guards against a request that waits for a write: past what is queued they are not recorded."""
-    monkeypatch.setattr(trace_recorder, "MAX_WAITING_REQUESTS", 100)
+    monkeypatch.setattr(trace_recorder, "MAX_QUEUED_REQUESTS", 100)
     monkeypatch.setattr(trace_recorder, "WRITE_INTERVAL_S", 0.01)
     stands_still, goes_on = threading.Event(), threading.Event()
 
@@ -109,8 +109,8 @@
     assert stands_still.wait(10.0)
     for _ in range(500):
         made.record(Asked())
-    assert len(made._waiting) == 100
-    assert made._missed == 400
+    assert len(made._queue) == 100
+    assert made._dropped == 400
     goes_on.set()
     made.close()
 
@@ -127,7 +127,7 @@
     made._thread.join(10.0)
     made.record(Asked())
     made.close()
-    assert "No space left on device; no more is recorded" in capsys.readouterr().err
+    assert "No space left on device; no more requests are recorded" in capsys.readouterr().err
 
 
 def test_requests_that_the_format_has_no_place_for_are_counted(tmp_path, capsys):
--- a/tests/proxy/daemon/test_versions_in_force.py
+++ b/tests/proxy/daemon/test_versions_in_force.py
@@ -249,9 +249,9 @@
     one = await answering("one")
     both = SERVICE.format(name="a") + servers("a", one) + '[events]\nfile = "/dev/full"\n'
     async with standing(tmp_path, both, capfd) as made:
-        await until(lambda: made._versions._events._file.failed)
+        await until(lambda: made._versions._events._file.has_failed)
         assert await asked(made.fronts["a"]) == "one"
-    assert capfd.readouterr().err.endswith("were not written\n")
+    assert capfd.readouterr().err.endswith("events were not written\n")
 
 
 @loopback
