--- a/fordtrestle/proxy/config/__init__.py
+++ b/fordtrestle/proxy/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration of a process: the operator file (TOML), or the platform's JSON and environment."""
+"""Configuration of a process: the operator file (TOML), or the platform's JSON file and environment."""
--- a/fordtrestle/proxy/config/changes.py
+++ b/fordtrestle/proxy/config/changes.py
@@ -1,4 +1,4 @@
-"""Which keys differ between two operator files, and which of them need a restart. Pure."""
+"""Finds the keys that differ between two operator files, and those that need a restart. Pure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from collections.abc import Iterator, Mapping
 from typing import Any
 
-# Fields of the configuration whose table in the file has another name.
+# Fields of the configuration whose tables in the file have other names.
 TABLE_NAMES = {
     "services": "service",
     "fronts": "front",
@@ -21,24 +21,27 @@
 
 
 def changed_keys(old: Any, new: Any) -> list[str]:
-    """Return the full names of all keys that differ; a table that only one file has is named as a whole."""
+    """Return the full names of all keys that differ.
+
+    A table that only one of the files has is reported by its own name, without its keys.
+    """
     return list(_differences("", old, new))
 
 
 def keys_needing_restart(keys: list[str]) -> list[str]:
-    """Return those of the keys that a reload can't change."""
+    """Return the keys that a reload can't change."""
     return [key for key in keys if RELOADABLE_KEY.fullmatch(key) is None]
 
 
-def _differences(at: str, old: Any, new: Any) -> Iterator[str]:
+def _differences(path: str, old: Any, new: Any) -> Iterator[str]:
     if old == new:
         return
     if type(old) is not type(new) or not (dataclasses.is_dataclass(old) or isinstance(old, Mapping)):
-        yield at
+        yield path
         return
     before, after = _fields(old), _fields(new)
     for key in dict.fromkeys((*before, *after)):
-        yield from _differences(f"{at}.{key}" if at else key, before.get(key), after.get(key))
+        yield from _differences(f"{path}.{key}" if path else key, before.get(key), after.get(key))
 
 
 def _fields(value: Any) -> Mapping[str, Any]:
--- a/fordtrestle/proxy/config/errors.py
+++ b/fordtrestle/proxy/config/errors.py
@@ -1,11 +1,11 @@
-"""Errors of the configuration. Pure."""
+"""Errors of the configuration package. Pure."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 from typing import TYPE_CHECKING
 
-if TYPE_CHECKING:  # the platform's process loads none of the operator file's reader
+if TYPE_CHECKING:  # the platform's sidecar does not load the reader of operator files
     from fordtrestle.proxy.engine.schema import SchemaError
 
 
@@ -14,15 +14,15 @@
 
 
 class PlatformConfigError(ConfigError):
-    """A configuration of the platform that no sidecar can start with; the message is one line."""
+    """A configuration of the platform that can't be used; the message is one line."""
 
 
 class OperatorFileError(ConfigError):
     """An operator file that can't be used.
 
     Attributes:
-        file: Its path.
-        faults: All that is wrong with it.
+        file: The path of the file.
+        faults: All faults of the file.
     """
 
     def __init__(self, file: str, faults: Iterable[SchemaError]) -> None:
--- a/fordtrestle/proxy/config/events.py
+++ b/fordtrestle/proxy/config/events.py
@@ -1,4 +1,4 @@
-"""The table `[events]`: where the process reports what it learned, stored and acted on. Pure."""
+"""The table `[events]`: the file that records what the process learned, stored and did. Pure."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     """`[events]`.
 
     Attributes:
-        file: Is appended to, a line of JSON for each event.
-        mb_most: Megabytes (2^20 bytes) that the file may have; events beyond that are only counted.
+        file: The path of the file, to which a line of JSON is appended for each event.
+        mb_most: The largest size of the file in megabytes (2^20 bytes); events beyond it are only counted.
     """
 
     file: str
@@ -23,7 +23,7 @@
 
 
 def read_events(table: TomlTable) -> EventsSpec:
-    """Read the table; faults are recorded in it."""
+    """Read the table, and record its faults in it."""
     if not table.has("file"):
         table.add_error("file", "missing")
     spec = EventsSpec(
--- a/fordtrestle/proxy/config/fronts.py
+++ b/fordtrestle/proxy/config/fronts.py
@@ -1,4 +1,4 @@
-"""The tables `[front.NAME]`: where clients connect, and which service they reach. Pure."""
+"""The tables `[front.NAME]`: the addresses that clients connect to, and the service behind them. Pure."""
 
 from __future__ import annotations
 
@@ -19,12 +19,14 @@
 
     Attributes:
         protocol: One of `PROTOCOLS`.
-        listen: One address or more, port 0 for any that is free.
+        listen: One or more addresses to listen at; port 0 selects a free port.
         service: The name of the service that requests go to.
-        guaranteed_share: Of the descriptors for connections (see `[limits]`); None: an equal part of what
-            the other fronts leave of `fronts_guaranteed_share`.
-        trace_file: Where each complete request is recorded, for `fordtrestle load` to replay; None: nowhere.
-        trace_mb_most: Megabytes (2^20 bytes, before any compression) after which no more are recorded.
+        guaranteed_share: The guaranteed share of the descriptors for connections (see `[limits]`); None for
+            an equal part of `fronts_guaranteed_share` less what other fronts have.
+        trace_file: The file in which complete requests are recorded, for `fordtrestle load` to replay; None
+            to record none.
+        trace_mb_most: The size of the trace at which the recording stops, in megabytes (2^20 bytes) before
+            any compression.
     """
 
     protocol: str
@@ -36,7 +38,7 @@
 
 
 def read_fronts(root: TomlTable) -> dict[str, FrontSpec]:
-    """Read all fronts of a file; faults are recorded in its table."""
+    """Read all fronts of a file, and record their faults in `root`."""
     fronts = {name: _read_front(table) for name, table in root.named_tables("front", required=True)}
     _check_addresses(root, fronts)
     return fronts
@@ -56,21 +58,21 @@
 
 
 def _check_addresses(root: TomlTable, fronts: Mapping[str, FrontSpec]) -> None:
-    """Record a fault for each address that another listener has, however it is written."""
+    """Record a fault for each address that another listener uses, also in another notation."""
     seen: list[tuple[str, Address]] = []
     for name, front in fronts.items():
         for address in front.listen:
-            for other, taken in seen:
-                if _overlap(address, taken):
-                    reason = f"{address_text(address)} is taken by front {other}"
+            for other_name, other_address in seen:
+                if _overlap(address, other_address):
+                    reason = f"{address_text(address)} is already used by front {other_name}"
                     root.errors.add(f"front.{name}.listen", reason)
                     break
             seen.append((name, address))
 
 
-def _overlap(one: Address, other: Address) -> bool:
-    if one.port != other.port or one.port == 0:
+def _overlap(first: Address, second: Address) -> bool:
+    if first.port != second.port or first.port == 0:
         return False
-    first, second = ipaddress.ip_address(one.host), ipaddress.ip_address(other.host)
-    is_any_unspecified = first.is_unspecified or second.is_unspecified
-    return first.version == second.version and (is_any_unspecified or first == second)
+    first_ip, second_ip = ipaddress.ip_address(first.host), ipaddress.ip_address(second.host)
+    is_any_unspecified = first_ip.is_unspecified or second_ip.is_unspecified
+    return first_ip.version == second_ip.version and (is_any_unspecified or first_ip == second_ip)
--- a/fordtrestle/proxy/config/limits_table.py
+++ b/fordtrestle/proxy/config/limits_table.py
@@ -8,7 +8,7 @@
 
 
 def read_limits_table(table: TomlTable) -> LimitsSpec:
-    """Read the table; faults are recorded in it."""
+    """Read the table, and record its faults in it."""
     fronts_share = table.share("fronts_guaranteed_share", DEFAULT_LIMITS.fronts_guaranteed_share)
     upstreams_share = table.share("upstreams_guaranteed_share", DEFAULT_LIMITS.upstreams_guaranteed_share)
     reserved = table.integer("reserved_descriptors", DEFAULT_LIMITS.reserved_descriptors)
@@ -29,7 +29,7 @@
         table.add_error("reserved_descriptors", reason)
     total = spec.fronts_guaranteed_share + spec.upstreams_guaranteed_share
     if total > 1.0 + SHARE_TOLERANCE:
-        reason = f"with fronts_guaranteed_share it makes {total:g}, more than 1"
+        reason = f"the sum with fronts_guaranteed_share is {total:g}, more than 1"
         table.add_error("upstreams_guaranteed_share", reason)
     table.reject_unknown_keys()
     return spec
--- a/fordtrestle/proxy/config/numbering.py
+++ b/fordtrestle/proxy/config/numbering.py
@@ -1,6 +1,7 @@
-"""Names of classes, tenants, zones and kinds, each with one index for the life of a process. Pure.
+"""Assigns each class, tenant, zone and kind an index that is fixed for the lifetime of a process. Pure.
 
-Open calls and learned values refer to names by their indices, so a change of the settings must not move them.
+Calls in flight and learned values refer to names by their indices, so a change of the settings must not
+change an index.
 """
 
 from __future__ import annotations
@@ -12,38 +13,40 @@
 from fordtrestle.proxy.config.services import ClassSpec, ServiceSpec, TenantSpec
 from fordtrestle.proxy.http.requests import RequestNames
 
-MAX_NAMES = 256  # of each sort over the life of a process, retired ones included
+MAX_NAMES = 256  # of each category over the lifetime of a process, retired names included
 
 
-def extend_names(known: Iterable[str], names: Iterable[str], sort: str = "names") -> tuple[str, ...]:
-    """Return the known names, each at its index, followed by those that are new.
+def extend_names(known: Iterable[str], names: Iterable[str], category: str = "names") -> tuple[str, ...]:
+    """Return the known names, each at its index, followed by the new ones.
 
     Args:
         known: All names so far.
         names: The names of the new settings.
-        sort: What they are the names of, for the error.
+        category: What the names belong to, such as `zones`, for the error message.
 
     Raises:
         ValueError: There would be more than `MAX_NAMES`.
     """
     extended = tuple(dict.fromkeys((*known, *names)))
     if len(extended) > MAX_NAMES:
-        raise ValueError(f"{sort}: {len(extended)} names in the life of this process, at most {MAX_NAMES}")
+        raise ValueError(
+            f"{category}: {len(extended)} names in the lifetime of this process, at most {MAX_NAMES} allowed"
+        )
     return extended
 
 
 def keep_indices(before: ServiceSpec, service: ServiceSpec) -> ServiceSpec:
-    """Return a service with each name at the index that it had before.
+    """Return a service in which each name has the index that it had before.
 
-    Retired names keep their indices and count for nothing: a class with its last figures and no worth, a
-    tenant with no share. If there are no tenants at all, none are kept.
+    Retired names keep their indices without effect: a class with its last settings and a worth of 0, a tenant
+    with a share of 0. If the service has no tenants any more, none are kept.
 
     Args:
-        before: The first service, or what this function returned last.
+        before: The service as first configured, or as this function last returned it.
         service: The service as it is configured now.
 
     Raises:
-        ValueError: There would be more than `MAX_NAMES` of a sort.
+        ValueError: There would be more than `MAX_NAMES` names of a category.
     """
     tenants = {row.name: row for row in service.tenants}
     tenant_names = extend_names([row.name for row in before.tenants], tenants, "tenants") if tenants else ()
@@ -64,7 +67,7 @@
 
 
 def mark_retired(settings: model.Settings, service: ServiceSpec, classes: Container[str]) -> model.Settings:
-    """Return the settings of a service of `keep_indices` with all classes but these marked as retired."""
+    """Return the settings of a service from `keep_indices`, with all but `classes` marked as retired."""
     profiles = [
         dataclasses.replace(profile, gone=name not in classes)
         for name, profile in zip(service.classes, settings.profiles, strict=True)
@@ -73,7 +76,7 @@
 
 
 def renumber(names: RequestNames, service: ServiceSpec) -> RequestNames:
-    """Return the same names by their indices in a service of `keep_indices`; retired ones are left out."""
+    """Return the names with their indices in a service from `keep_indices`; retired names are left out."""
     class_indices = {name: index for index, name in enumerate(service.classes)}
     tenant_indices = {tenant.name: index for index, tenant in enumerate(service.tenants)}
     classes = {
--- a/fordtrestle/proxy/config/operator_file.py
+++ b/fordtrestle/proxy/config/operator_file.py
@@ -1,7 +1,7 @@
-"""The operator file: TOML, typed and strict, read into a tree of immutable values.
+"""Reads the operator file, strictly typed TOML, into a tree of immutable values.
 
-Each table has a module of its own, which reads and checks it by itself; what has to hold between tables is
-checked here. All that is wrong with a file is reported at once, one line each.
+Each table has its own module, which reads and checks it; consistency between tables is checked here. All
+faults of a file are reported at once, with one line each.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 from fordtrestle.proxy.config.state import StateSpec, read_state
 from fordtrestle.proxy.engine.schema import SchemaError, SchemaErrors, TomlTable
 
-MAX_FILE_BYTES = 16 * 1024 * 1024  # a path may lead to something without an end, such as a device
+MAX_FILE_BYTES = 16 * 1024 * 1024  # a path may lead to an endless file, such as a device
 MAX_SEED = 2**53
-# The position at the end of the TOML parser's messages.
+# A message of the TOML parser, which ends with the position of the fault.
 ERROR_POSITION = re.compile(r"(.*?) \(at (?:line (\d+), column \d+|end of document)\)", re.DOTALL)
 
 T = TypeVar("T")
@@ -36,8 +36,8 @@
     """`[process]`.
 
     Attributes:
-        name: Of this process among those of its fleet; empty for the host's name.
-        seed: Of random numbers; None: a new one with each start.
+        name: The name of this process in its fleet; empty for the host's name.
+        seed: The seed of all random numbers; None for a new one at each start.
     """
 
     name: str = ""
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OperatorConfig:
-    """The content of an operator file; `state`, `events` and `peers` are off where they are None."""
+    """The content of an operator file; `state`, `events` and `peers` are None if the file lacks the table."""
 
     services: Mapping[str, ServiceSpec]
     fronts: Mapping[str, FrontSpec]
@@ -84,7 +84,7 @@
 
 
 def read_limits(file: str) -> LimitsSpec:
-    """Read an operator file for the platform, which has a configuration of its own for all but the limits.
+    """Read the limits of an operator file for the platform, which configures everything else itself.
 
     Raises:
         OperatorFileError: With all that is wrong with the file.
@@ -95,14 +95,18 @@
     limits = read_limits_table(root.table("limits"))
     for key in raw:
         if key != "limits":
-            root.add_error(key, "only [limits] is read on the platform, which tells the rest")
+            root.add_error(key, "only [limits] is read on the platform, which configures the rest")
     if faults.found:
         raise OperatorFileError(file, faults.found)
     return limits
 
 
 def _load(file: str) -> dict[str, Any]:
-    """Return the file's TOML, or raise `OperatorFileError`."""
+    """Return the parsed TOML of the file.
+
+    Raises:
+        OperatorFileError: The file can't be read, or is not TOML.
+    """
     try:
         with open(file, "rb") as opened:
             data = opened.read(MAX_FILE_BYTES + 1)
@@ -119,13 +123,13 @@
         fault = _syntax_fault(str(error), text)
     except RecursionError:
         fault = SchemaError("", "too deeply nested")
-    except ValueError as error:  # numbers of too many digits
+    except ValueError as error:  # numbers with too many digits
         fault = SchemaError("", " ".join(str(error).split()))
     raise OperatorFileError(file, [fault])
 
 
 def _syntax_fault(message: str, text: str) -> SchemaError:
-    """Return the parser's message as a fault, with the line as its position as in all other faults."""
+    """Return a message of the parser as a fault, whose position is the line."""
     match = ERROR_POSITION.fullmatch(message)
     reason = " ".join((match[1] if match else message).split())
     line = (match and match[2]) or text.rstrip().count("\n") + 1
@@ -139,14 +143,14 @@
 
 
 def _read_optional(root: TomlTable, key: str, read_table: Callable[[TomlTable], T]) -> T | None:
-    """Read a table that may be missing; None if it is, or if it is no table."""
+    """Read an optional table; return None if it is missing or not a table."""
     faults_before = len(root.errors.found)
     table = root.table(key)
     is_table = root.has(key) and len(root.errors.found) == faults_before
     return read_table(table) if is_table else None
 
 
-# --- what has to hold between tables --------------------------------------------
+# --- consistency between tables -------------------------------------------------
 
 
 def _check(config: OperatorConfig, faults: SchemaErrors) -> None:
@@ -160,27 +164,29 @@
         elif service.source and source is None:
             faults.add(f"service.{name}.source", f"there is no source {service.source}")
     if config.peers is not None and len(config.services) > 1:
-        faults.add("peers", f"one service may speak to its peers, and there are {len(config.services)}")
+        faults.add("peers", f"only one service may have peers, and there are {len(config.services)} services")
     _check_shares(config, faults)
 
 
 def _check_shares(config: OperatorConfig, faults: SchemaErrors) -> None:
-    """Record guarantees that can't all be kept, and fronts that would get nothing."""
+    """Record faults for guarantees that exceed the limit, and for fronts without any share left."""
     available = config.limits.fronts_guaranteed_share
     shares = [front.guaranteed_share for front in config.fronts.values()]
     total = sum(share or 0.0 for share in shares)
     if total > available + SHARE_TOLERANCE:
-        reason = f"guaranteed_share makes {total:g} in all, limits.fronts_guaranteed_share is {available:g}"
+        reason = (
+            f"guaranteed_share sums to {total:g}, more than limits.fronts_guaranteed_share, {available:g}"
+        )
         faults.add("front", reason)
     elif total > available - SHARE_TOLERANCE and None in shares:
-        faults.add("front", "guaranteed_share leaves nothing for the fronts that have none")
+        faults.add("front", "guaranteed_share leaves nothing for the fronts without guaranteed_share")
 
 
 def _check_localities(name: str, service: ServiceSpec, source: StaticSpec, faults: SchemaErrors) -> None:
-    """Record unknown zones and kinds of servers, which would silently count as the first ones."""
+    """Record faults for unknown zones and kinds of servers, which would silently get index 0."""
     for i, server in enumerate(source.servers):
-        at = f"source.{service.source}.server[{i}]"
+        path = f"source.{service.source}.server[{i}]"
         if server.zone and server.zone not in service.zones:
-            faults.add(f"{at}.zone", f"{server.zone} is not among service.{name}.zones")
+            faults.add(f"{path}.zone", f"{server.zone} is not among service.{name}.zones")
         if server.kind and server.kind not in service.kinds:
-            faults.add(f"{at}.kind", f"{server.kind} is not among service.{name}.kinds")
+            faults.add(f"{path}.kind", f"{server.kind} is not among service.{name}.kinds")
--- a/fordtrestle/proxy/config/operator_options.py
+++ b/fordtrestle/proxy/config/operator_options.py
@@ -1,4 +1,4 @@
-"""The options of each part of a process, from an operator file."""
+"""Derives the options of each part of a process from an operator file."""
 
 from __future__ import annotations
 
@@ -25,20 +25,20 @@
 from fordtrestle.proxy.membership.discovery_client import DiscoveryOptions
 from fordtrestle.proxy.membership.list_format import NameIndices
 
-SEMANTICS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}  # the words of the module's settings
-NODE_NUMBER_RANGE = 2**16  # numbers of processes without `[peers]` are below it
-MIN_CLIENTS = 4  # of a front, however small its share is
+SEMANTICS = {"safe": "pure", "keyed": "token", "unsafe": "side_effect"}  # names in the module's settings
+NODE_NUMBER_RANGE = 2**16  # processes without `[peers]` have numbers below it
+MIN_CLIENTS = 4  # of a front, even if its share is smaller
 SEED_BYTES = 6
 
 
 @dataclass(frozen=True, slots=True)
 class StartOptions:
-    """What one start of a process has beside its file.
+    """The options of one start of a process that the operator file does not fix.
 
     Attributes:
-        number: Of this process in the decision module's settings.
-        seed: Of all its random numbers.
-        granted_descriptors: What the system grants the process; None: no bound.
+        number: The number of this process in the decision module's settings.
+        seed: The seed of all its random numbers.
+        granted_descriptors: The number of descriptors that the system grants; None if unbounded.
     """
 
     number: int
@@ -47,7 +47,7 @@
 
 
 def start_options(config: OperatorConfig) -> StartOptions:
-    """Return the options of this start: the file's, and where it is silent the machine's."""
+    """Return the options of this start: those of the file, else those of the machine."""
     seed = config.process.seed
     granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     return StartOptions(
@@ -58,7 +58,7 @@
 
 
 def node_name(config: OperatorConfig) -> str:
-    """Return the name of this process among those of its fleet."""
+    """Return the name of this process in its fleet."""
     return config.process.name or socket.gethostname()
 
 
@@ -72,7 +72,7 @@
 
 
 def pool_options(config: OperatorConfig, name: str) -> ConnectionPoolOptions:
-    """Return the options of a service's pool."""
+    """Return the options of a service's connection pool."""
     service = config.services[name]
     return ConnectionPoolOptions(
         connect_timeout_ms=service.connect_timeout_ms,
@@ -83,7 +83,7 @@
 
 
 def request_names(service: ServiceSpec) -> RequestNames:
-    """Return a service's classes and tenants by the names that requests use."""
+    """Return the classes and tenants of a service by their names in requests."""
     classes = {
         name: RequestClass(number, "GET" if spec.semantics == "safe" else "POST", spec.semantics == "keyed")
         for number, (name, spec) in enumerate(service.classes.items())
@@ -92,13 +92,13 @@
 
 
 def name_indices(service: ServiceSpec) -> NameIndices:
-    """Return a service's zones and kinds of machine by the names that lists use."""
+    """Return the indices of a service's zones and machine kinds by their names in lists."""
     zones = {zone: i for i, zone in enumerate(service.zones)}
     return NameIndices(zones, {kind: i for i, kind in enumerate(service.kinds)})
 
 
 def list_basis(service: ServiceSpec) -> str:
-    """Return 16 hex digits that tell apart by which names the zones and kinds of lists are numbered."""
+    """Return a digest (16 hex digits) of the names by which the zones and kinds of lists are numbered."""
     numbered = json.dumps([service.zones, service.kinds]).encode()
     return blake2b(numbered, digest_size=8).hexdigest()
 
@@ -107,7 +107,7 @@
     """Return the decision module's settings of a service.
 
     Raises:
-        ValueError: A setting makes no sense; the message names the first one.
+        ValueError: A setting is invalid; the message names the first one.
     """
     service = config.services[name]
     source = config.sources[service.source]
@@ -146,7 +146,7 @@
 
 
 def _tenant(spec: TenantSpec) -> dict[str, Any]:
-    """Return a tenant's allowance; only ratios count, so shares of the service will do as well as rates."""
+    """Return a tenant's allowance; only ratios matter, so a share of the service works as well as a rate."""
     return {"AllowancePerS": spec.share if spec.allowance_per_s is None else spec.allowance_per_s}
 
 
@@ -176,9 +176,9 @@
 
 
 def settings_digest(config: OperatorConfig, name: str) -> str:
-    """Return 16 hex digits of a service's settings, alike in all processes with the same settings.
+    """Return a digest (16 hex digits) of a service's settings, equal in all processes with the same settings.
 
-    What is a process's own, such as its zone and its addresses, is left out.
+    Settings specific to a process, such as its zone and its addresses, are left out.
     """
     service = config.services[name]
     source = config.sources[service.source]
@@ -197,7 +197,7 @@
 
 
 def front_options(config: OperatorConfig, name: str, start: StartOptions) -> HttpServerOptions:
-    """Return a front's options; its clients may use its guaranteed share and what is guaranteed to none."""
+    """Return a front's options; its clients may use its guaranteed share and what nobody is guaranteed."""
     limits = config.limits
     common_share = 1.0 - limits.fronts_guaranteed_share - limits.upstreams_guaranteed_share
     share = front_share(config, name) + common_share
@@ -208,12 +208,12 @@
 
 
 def upstream_share(config: OperatorConfig) -> float:
-    """Return what a service's connections to servers are guaranteed of each resource: equal shares."""
+    """Return the share of each resource guaranteed to a service's connections to servers, equal for all."""
     return config.limits.upstreams_guaranteed_share / len(config.services)
 
 
 def front_share(config: OperatorConfig, name: str) -> float:
-    """Return what a front is guaranteed; where the file is silent, an equal part of what the others leave."""
+    """Return the share guaranteed to a front; without one in the file, an equal part of what is left."""
     share = config.fronts[name].guaranteed_share
     if share is None:
         shares = [front.guaranteed_share for front in config.fronts.values()]
@@ -225,14 +225,14 @@
 def discovery_options(
     source: RegistrySpec, service: ServiceSpec, seed: int, known_list: ServerList | None = None
 ) -> DiscoveryOptions:
-    """Return the options of a discovery client; without a known list it starts with an empty one."""
+    """Return the options of a discovery client; without a known list, it starts with an empty one."""
     assert source.address is not None
     known_list = known_list or ServerList(0, True, [], {})
     return DiscoveryOptions(source.address, name_indices(service), source.pushed, known_list, seed)
 
 
 def server_list(source: StaticSpec, service: ServiceSpec, version: int) -> ServerList:
-    """Return a static source's servers as a complete list."""
+    """Return the servers of a static source as a complete list."""
     indices = name_indices(service)
     addresses: Mapping[str, Address | None] = {server.name: server.address for server in source.servers}
     return ServerList(
--- a/fordtrestle/proxy/config/platform_config.py
+++ b/fordtrestle/proxy/config/platform_config.py
@@ -1,4 +1,4 @@
-"""The configuration of the platform's sidecar: JSON and environment parsed into typed values."""
+"""Parses the configuration of the platform's sidecar, JSON and environment, into typed values."""
 
 from __future__ import annotations
 
@@ -19,37 +19,37 @@
 from fordtrestle.proxy.membership.discovery_client import DiscoveryOptions
 from fordtrestle.proxy.membership.list_format import PARSE_ERRORS, NameIndices, parse_amount, parse_list
 
-DEFAULT_SOCKETS = 1024  # Linux' usual soft limit of descriptors
-DEFAULT_MAX_OPEN_CALLS = 2**31  # in effect none
+DEFAULT_SOCKETS = 1024  # the usual soft limit of descriptors on Linux
+DEFAULT_MAX_OPEN_CALLS = 2**31  # in effect no limit
 DEFAULT_CORES = 1.0
-# Figures of the platform past these are taken for none.
+# Limits of the platform at or above these are ignored.
 MEMORY_MB_BELOW = 2**40
 CORES_BELOW = 2**20
-SOCKETS_PER_CLIENT = 3  # the others are for connections to servers and for whatever else opens
+SOCKETS_PER_CLIENT = 3  # the others are for connections to servers and for other files
 MIN_CLIENTS = 4
 
 
 @dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """All that the sidecar knows before its first event.
+    """The configuration of a sidecar at its start.
 
     Attributes:
-        name: Of this sidecar.
-        listen: Where clients connect.
-        discovery: Where the registry listens.
-        seed: Of all random number generators.
-        max_descriptors: Descriptors that this process may have; clients use a third of them at the most.
+        name: The name of this sidecar.
+        listen: The address that clients connect to.
+        discovery: The address of the registry.
+        seed: The seed of all random number generators.
+        max_descriptors: Descriptors that this process may use; clients use a third of them at most.
         cores: CPU time that this process may use, in cores.
-        limits: An operator's, within the platform's.
-        peer_listen: Where messages of other sidecars arrive (UDP).
+        limits: The operator's limits, lowered to those of the platform.
+        peer_listen: The address at which messages of other sidecars are received (UDP).
         peers: The address of each sidecar, by its number.
-        peers_all: An address that reaches them all.
+        peers_all: An address that reaches all sidecars.
         known_list: The endpoint list as last known.
         settings: The settings of the decision module.
-        request_names: Classes and tenants by the names that requests use.
-        name_indices: Zones and kinds of machine by the names that lists use.
-        max_open_calls: Calls that are accepted and not yet answered.
-        drain_grace_ms: For how long new calls may go to a server after the update that it leaves.
+        request_names: Classes and tenants by their names in requests.
+        name_indices: The indices of zones and machine kinds by their names in lists.
+        max_open_calls: The limit of calls in flight, which are accepted and not yet answered.
+        drain_grace_ms: For how long new calls may go to a server after the update that marks it as leaving.
     """
 
     name: str
@@ -74,11 +74,12 @@
     """Read the configuration file that the environment names.
 
     Args:
-        environment: `NODE_CONFIG` is the file; `NODE_NAME`, `NODE_LISTEN` and `NODE_DISCOVERY` override it.
-        limits: An operator's; the platform's figures stay upper bounds of them.
+        environment: `NODE_CONFIG` is the path of the file; `NODE_NAME`, `NODE_LISTEN` and `NODE_DISCOVERY`
+            override its content.
+        limits: The limits of an operator, which are lowered to those of the platform.
 
     Raises:
-        PlatformConfigError: With what is wrong with it.
+        PlatformConfigError: The file can't be read or used; the message says why.
     """
     path = environment.get("NODE_CONFIG")
     if not path:
@@ -95,15 +96,15 @@
 
 
 def reload(environment: Mapping[str, str]) -> PlatformConfig:
-    """Read the file again; its registry now has precedence over the one of the environment."""
+    """Read the file again; the registry in it now takes precedence over that of the environment."""
     return load({name: value for name, value in environment.items() if name != "NODE_DISCOVERY"})
 
 
 def parse(raw: Any, environment: Mapping[str, str], limits: LimitsSpec = DEFAULT_LIMITS) -> PlatformConfig:
-    """Parse the configuration's JSON; the environment overrides names and addresses.
+    """Parse the configuration's JSON; the environment overrides the name and addresses.
 
     Raises:
-        ValueError: A value makes no sense. Values of other types may raise any of `PARSE_ERRORS`.
+        ValueError: A value is invalid. A value of a wrong type may raise any of `PARSE_ERRORS`.
     """
     settings = raw["settings"]
     name_indices = _parse_name_indices(settings)
@@ -131,7 +132,7 @@
 
 
 def _max_descriptors(machine: Mapping[str, Any]) -> int:
-    """Return the smaller of what the platform and the system grant."""
+    """Return the smaller of the numbers that the platform and the system grant."""
     granted = resource.getrlimit(resource.RLIMIT_NOFILE)[0]
     sockets = int(machine.get("sockets", DEFAULT_SOCKETS))
     return sockets if granted < 0 else min(sockets, granted)
@@ -142,12 +143,12 @@
 
 
 def _parse_memory_mb(value: Any) -> int | None:
-    """Return megabytes; None, which is no bound, for whatever is no sensible number."""
+    """Return the limit in megabytes; None, which is no bound, if the value is no number in range."""
     return int(value) if _is_number(value) and 1 <= value < MEMORY_MB_BELOW else None
 
 
 def _parse_cores(value: Any) -> float:
-    """Return cores; the default for whatever is no sensible number."""
+    """Return the number of cores; the default if the value is no number in range."""
     return float(value) if _is_number(value) and 0.0 < value < CORES_BELOW else DEFAULT_CORES
 
 
@@ -178,12 +179,12 @@
 
 
 def engine_options(config: PlatformConfig) -> EngineOptions:
-    """Return the options of the one engine."""
+    """Return the options of the engine."""
     return EngineOptions(config.settings, config.seed, config.max_open_calls)
 
 
 def pool_options(config: PlatformConfig) -> ConnectionPoolOptions:
-    """Return the options of its pool."""
+    """Return the options of the connection pool."""
     settings = config.settings
     return ConnectionPoolOptions(
         connect_timeout_ms=settings.connect_timeout,
@@ -194,7 +195,7 @@
 
 
 def front_options(config: PlatformConfig) -> HttpServerOptions:
-    """Return the options of its front."""
+    """Return the options of the HTTP server."""
     settings = config.settings
     retry_after_ms = min(RETRY_AFTER_MS, settings.max_retry_after) if settings.retry_after else 0.0
     max_clients = max(MIN_CLIENTS, config.max_descriptors // SOCKETS_PER_CLIENT)
@@ -202,6 +203,6 @@
 
 
 def discovery_options(config: PlatformConfig) -> DiscoveryOptions:
-    """Return the options of its discovery client."""
+    """Return the options of the discovery client."""
     is_pushed = config.settings.discovery == "automatic"
     return DiscoveryOptions(config.discovery, config.name_indices, is_pushed, config.known_list, config.seed)
--- a/fordtrestle/proxy/config/services.py
+++ b/fordtrestle/proxy/config/services.py
@@ -1,4 +1,4 @@
-"""The tables `[service.NAME]`: the calls of a service, and the figures for them. Pure."""
+"""The tables `[service.NAME]`: the settings of a service and of its classes of calls. Pure."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 SEMANTICS = ("safe", "keyed", "unsafe")
 GROUPS = ("all", "zone", "cell")
 WORTH_BY = ("request", "work")
-SHARE_TOLERANCE = 1e-9  # shares that make 1 in decimals may make a little more as binary fractions
+SHARE_TOLERANCE = 1e-9  # shares that sum to 1 as decimals may exceed it as binary fractions
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,14 +18,14 @@
     """`[service.NAME.class.CLASS]`: one class of calls; times in milliseconds.
 
     Attributes:
-        aim_ms: The latency target: an answer within it is good.
-        deadline_ms: When a caller gives up that names no deadline (over HTTP each does, by `X-Budget`).
+        aim_ms: The latency target: a response within it is good.
+        deadline_ms: The deadline of a call that names none (over HTTP each call does, by `X-Budget`).
         semantics: `safe` calls may be retried at will, `keyed` ones under their key, `unsafe` ones never
             once they may have run.
-        group: Among which servers a keyed call may be retried after it may have run.
-        key_window_ms: For how long it may be.
-        worth: Its priority weight among the classes.
-        late_worth: The share of it that an answer past the latency target keeps.
+        group: The group of servers among which a keyed call may be retried after it may have run.
+        key_window_ms: For how long such a call may be retried.
+        worth: The priority weight of the class.
+        late_worth: The share of `worth` that a response past the latency target keeps.
         in_turn: Whether calls with one key run one at a time.
     """
 
@@ -41,12 +41,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TenantSpec:
-    """One row of `tenants`: a caller and its allowance, which is one of the two figures; the other is None.
+    """One row of `tenants`: a caller and its allowance.
+
+    Either `share` or `allowance_per_s` is set; the other is None.
 
     Attributes:
-        name: As requests name it.
-        share: Of the service.
-        allowance_per_s: Calls per second.
+        name: The name of the tenant in requests.
+        share: The allowance as a share of the service.
+        allowance_per_s: The allowance in calls per second.
     """
 
     name: str
@@ -62,28 +64,29 @@
         source: The name of the source of its endpoint list.
         classes: Its classes of calls, by name.
         tenants: Its callers that have an allowance.
-        attempts_most: Attempts of one call.
-        open_most: Calls that are accepted and not answered.
-        connect_timeout_ms: For a connection to a server.
-        idle_close_ms: After which an idle connection is closed.
-        retry_after_most_ms: The longest wait that a rejection asks for; 0: it asks for none.
+        attempts_most: The largest number of attempts of one call.
+        open_most: The largest number of calls in flight, which are accepted and not yet answered.
+        connect_timeout_ms: The timeout for a connection to a server.
+        idle_close_ms: The idle time after which a connection is closed.
+        retry_after_most_ms: The longest wait that a rejection asks for; 0 if rejections ask for none.
         zones: All zones of the service's servers.
         zone: The zone of this process, one of `zones`.
-        kinds: All kinds of machine of the service's servers.
-        drain_grace_ms: For how long new calls may go to a server after the update that it leaves.
-        cold_from_share: The share of its capacity that a started server has at first (slow start).
-        warm_up_ms: After which it has all of it.
-        fall_multiple: A server is taken to reject work once asked for this multiple of its capacity ...
-        overload_ms: ... for so long.
-        release_ms: Within which idle connections to a server that leaves are closed; 0: they may stay.
-        settle_ms: The rest of a key after a call of a class `in_turn` that may still be running.
+        kinds: All machine kinds of the service's servers.
+        drain_grace_ms: For how long new calls may go to a server after the update that marks it as leaving.
+        cold_from_share: The share of its capacity that a server has when it starts (slow start).
+        warm_up_ms: The time after which a started server has its whole capacity.
+        fall_multiple: A server is assumed to reject work under a load of this multiple of its capacity ...
+        overload_ms: ... that lasts this long.
+        release_ms: The time within which idle connections to a leaving server are closed; 0 to keep them.
+        settle_ms: The wait before the next call with a key after a call of a class `in_turn` that may still
+            be running.
         probes: Whether servers may be probed.
         cancel: Whether attempts may be cancelled.
         parallel_tries: Whether a call may have several attempts in flight (hedging).
-        warm_keys: Whether servers answer keys that they had before with less work.
-        worth_by: Whether a call's worth counts once, or by its work.
+        warm_keys: Whether a server needs less work for a key that it has served before.
+        worth_by: Whether the worth of a call counts once per call, or by the work of the call.
         over_share_worth: The share of its worth that a call past its tenant's allowance keeps.
-        load_reports: The fields of load reports that answers carry.
+        load_reports: The fields of the load reports in responses.
     """
 
     source: str
@@ -114,7 +117,7 @@
 
 
 def read_services(root: TomlTable) -> dict[str, ServiceSpec]:
-    """Read all services of a file; faults are recorded in its table."""
+    """Read all services of a file, and record their faults in `root`."""
     return {name: _read_service(table) for name, table in root.named_tables("service", required=True)}
 
 
@@ -182,12 +185,12 @@
     names = [tenant.name for tenant in tenants]
     for row, name in zip(rows, names, strict=True):
         if name and names.index(name) < rows.index(row):
-            row.add_error("name", f"{name} is there more than once")
+            row.add_error("name", f"{name} occurs more than once")
     shares = [tenant.share for tenant in tenants if tenant.share is not None]
     if shares and len({tenant.share is None for tenant in tenants}) > 1:
-        table.add_error("tenants", "all with share or all with allowance_per_s")
+        table.add_error("tenants", "either all tenants need share, or all need allowance_per_s")
     if sum(shares) > 1.0 + SHARE_TOLERANCE:
-        table.add_error("tenants", f"their shares make {sum(shares):g}, which is more than 1")
+        table.add_error("tenants", f"the sum of the shares is {sum(shares):g}, more than 1")
     return tenants
 
 
@@ -198,6 +201,6 @@
         allowance_per_s=table.number("allowance_per_s", None, 1e-3, MAX_COUNT),
     )
     if table.has("share") == table.has("allowance_per_s"):
-        table.add_error("share", "one of share and allowance_per_s is needed, and no more")
+        table.add_error("share", "exactly one of share and allowance_per_s is needed")
     table.reject_unknown_keys()
     return spec
--- a/fordtrestle/proxy/config/sources.py
+++ b/fordtrestle/proxy/config/sources.py
@@ -1,4 +1,4 @@
-"""The tables `[source.NAME]`: where a service's endpoint list comes from. Pure."""
+"""The tables `[source.NAME]`: the sources of the services' endpoint lists. Pure."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerSpec:
-    """`[[source.NAME.server]]`: one server; `weight` is its size in relation to the others'."""
+    """`[[source.NAME.server]]`: one server; `weight` is its capacity relative to the other servers."""
 
     name: str
     address: Address | None
@@ -35,9 +35,9 @@
     """`kind = "registry"`: a registry serves the list over HTTP.
 
     Attributes:
-        address: Of the registry; None only if the file is faulty.
-        pushed: Whether changes are watched at all times; otherwise the list is asked for when it is needed.
-        ask_within_ms: Where it is asked for: how late a change may take effect, in milliseconds.
+        address: The address of the registry; None only if the file has a fault.
+        pushed: Whether a watch for changes is always open; otherwise the list is requested when needed.
+        ask_within_ms: The longest delay of a change if the list is requested, in milliseconds.
     """
 
     address: Address | None
@@ -50,13 +50,13 @@
 
 
 def read_sources(root: TomlTable) -> dict[str, SourceSpec]:
-    """Read all sources of a file; faults are recorded in its table."""
+    """Read all sources of a file, and record their faults in `root`."""
     return {name: _read_source(table) for name, table in root.named_tables("source")}
 
 
 def _read_source(table: TomlTable) -> SourceSpec:
     kind = table.choice("kind", KINDS)
-    if not kind:  # the fault is recorded; services that name this source are not faulty for that
+    if not kind:  # the fault is recorded already, and must not make services with this source faulty
         return RegistrySpec(None, True, 0.0)
     return _read_static(table) if kind == "static" else _read_registry(table)
 
@@ -84,11 +84,11 @@
 
 
 def _check_unique(rows: Sequence[TomlTable], key: str, values: Sequence[str | None]) -> None:
-    """Record a fault for each row whose value an earlier one has: one of the two servers would be lost."""
-    first: dict[str, int] = {}
+    """Record a fault for each row that repeats an earlier value: one of the servers would be lost."""
+    first_rows: dict[str, int] = {}
     for i, value in enumerate(values):
-        if value is not None and first.setdefault(value, i) != i:
-            rows[i].add_error(key, f"taken by server[{first[value]}]")
+        if value is not None and first_rows.setdefault(value, i) != i:
+            rows[i].add_error(key, f"already used by server[{first_rows[value]}]")
 
 
 def _read_registry(table: TomlTable) -> RegistrySpec:
@@ -98,6 +98,6 @@
         ask_within_ms=or_nan(table.number("ask_within_ms", DEFAULT_ASK_WITHIN_MS, 1.0)),
     )
     if table.has("ask_within_ms") and spec.pushed:
-        table.add_error("ask_within_ms", "only where pushed = false")
+        table.add_error("ask_within_ms", "only allowed with pushed = false")
     table.reject_unknown_keys()
     return spec
--- a/fordtrestle/proxy/config/state.py
+++ b/fordtrestle/proxy/config/state.py
@@ -1,4 +1,4 @@
-"""The table `[state]`: where state is stored that outlives the process. Pure."""
+"""The table `[state]`: the folder for state that outlives the process. Pure."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
     """`[state]`.
 
     Attributes:
-        folder: Is used by this process alone, and created if it is missing.
+        folder: The path of a folder that only this process uses; created if it is missing.
     """
 
     folder: str
 
 
 def read_state(table: TomlTable) -> StateSpec:
-    """Read the table; faults are recorded in it."""
+    """Read the table, and record its faults in it."""
     if not table.has("folder"):
         table.add_error("folder", "missing")
     spec = StateSpec(table.file("folder") or "")
--- a/fordtrestle/proxy/daemon/runner.py
+++ b/fordtrestle/proxy/daemon/runner.py
@@ -98,4 +98,4 @@
     for _ in range(CLOSING_ITERATIONS):
         await asyncio.sleep(0)
     if program.unreleased():
-        log(f"quotas: not released at exit: {', '.join(program.unreleased())}")
+        log(f"ledgers: not released: {', '.join(program.unreleased())}")
--- a/tests/proxy/config/test_numbering.py
+++ b/tests/proxy/config/test_numbering.py
@@ -48,7 +48,9 @@
 def test_the_number_of_names_is_bounded():
     known = [f"n{i}" for i in range(numbering.MAX_NAMES)]
     assert len(numbering.extend_names(known, known)) == numbering.MAX_NAMES
-    with pytest.raises(ValueError, match="zones: 257 names in the life of this process, at most 256"):
+    with pytest.raises(
+        ValueError, match="zones: 257 names in the lifetime of this process, at most 256 allowed"
+    ):
         numbering.extend_names(known, ["one more"], "zones")
 
 
--- a/tests/proxy/config/test_operator_file.py
+++ b/tests/proxy/config/test_operator_file.py
@@ -123,16 +123,16 @@
 service.shop.kinds: "so big" is no plain word (letters, digits, _ and -)
 share = 0.6
 allowance_per_s = 6
-service.shop.tenants: all with share or all with allowance_per_s
+service.shop.tenants: either all tenants need share, or all need allowance_per_s
 share = 0.6
 share = 0.7
-service.shop.tenants: their shares make 1.1, which is more than 1
+service.shop.tenants: the sum of the shares is 1.1, more than 1
 share = 0.6
 share = 0.6, allowance_per_s = 6
-service.shop.tenants[0].share: one of share and allowance_per_s is needed, and no more
+service.shop.tenants[0].share: exactly one of share and allowance_per_s is needed
 name = "b"
 name = "a"
-service.shop.tenants[1].name: a is there more than once
+service.shop.tenants[1].name: a occurs more than once
 [service.shop.class.look]
 [service.shop.class."a.b\\n"]
 service.shop.class."a.b\\n": a name is a plain word (letters, digits, _ and -)
@@ -153,16 +153,16 @@
 front.web.listen: at least one address is needed
 "127.0.0.1:8080"
 ["127.0.0.1:8080", "0.0.0.0:8080"]
-front.web.listen: 0.0.0.0:8080 is taken by front web
+front.web.listen: 0.0.0.0:8080 is already used by front web
 "127.0.0.1:9000"
 "s0:9000"
 source.fleet.server[0].address: "s0:9000" is not an address (IP:port)
 "[::1]:9001"
 "127.0.0.1:9000"
-source.fleet.server[1].address: taken by server[0]
+source.fleet.server[1].address: already used by server[0]
 "s1"
 "s0"
-source.fleet.server[1].name: taken by server[0]
+source.fleet.server[1].name: already used by server[0]
 weight = 2.5
 weight = 0
 source.fleet.server[0].weight: 0 is not within 0.001 to 1000
@@ -180,19 +180,19 @@
 source.fleet.kind: expected one of static, registry, not "file"
 [front.web]
 [source.r]\nkind = "registry"\naddress = "h:1"\nask_within_ms = 5\n[front.web]
-source.r.ask_within_ms: only where pushed = false
+source.r.ask_within_ms: only allowed with pushed = false
 [front.web]
 [limits]\ndescriptors = 40\nreserved_descriptors = 40\n[front.web]
 limits.reserved_descriptors: leaves fewer than 4 of 40 descriptors
 [front.web]
 [limits]\nfronts_guaranteed_share = 0.7\n[front.web]
-limits.upstreams_guaranteed_share: with fronts_guaranteed_share it makes 1.05, more than 1
+limits.upstreams_guaranteed_share: the sum with fronts_guaranteed_share is 1.05, more than 1
 [front.web]
 [front.web]\nguaranteed_share = 0.5
-front: guaranteed_share makes 0.5 in all, limits.fronts_guaranteed_share is 0.35
+front: guaranteed_share sums to 0.5, more than limits.fronts_guaranteed_share, 0.35
 [front.web]
 [limits]\nfronts_guaranteed_share = 0\n[front.web]
-front: guaranteed_share leaves nothing for the fronts that have none
+front: guaranteed_share leaves nothing for the fronts without guaranteed_share
 [front.web]
 [process]\nseed = 1.5\n[front.web]
 process.seed: expected a whole number, not 1.5
@@ -216,13 +216,13 @@
 peers.listen: "h:1" is not an address (IP:port)
 [front.web]
 [peers]\nlisten = "127.0.0.1:1"\nme = 1\nat = ["127.0.0.1:1"]\n[front.web]
-peers.me: 1 is not among at, which has 1
+peers.me: 1 is not an index of at, whose length is 1
 [front.web]
 [peers]\nlisten = "127.0.0.1:1"\nat = ["127.0.0.1:1"]\n[front.web]
 peers.me: missing
 [front.web]
 [peers]\nlisten = "127.0.0.1:1"\nme = 0\nat = ["127.0.0.1:1", "127.0.0.1:1"]\n[front.web]
-peers.at: 127.0.0.1:1 is there more than once
+peers.at: 127.0.0.1:1 occurs more than once
 """
 
 
@@ -445,7 +445,7 @@
     assert (alone.balancers, alone.peer_messages) == (1, False)
     two = GOOD + '[service.b]\nsource = "fleet"\nzones = ["west"]\nkinds = ["big"]\n'
     two += '[service.b.class.look]\nsemantics = "safe"\ndeadline_ms = 1\n' + PEERS
-    assert lines(tmp_path, two) == ["peers: one service may speak to its peers, and there are 2"]
+    assert lines(tmp_path, two) == ["peers: only one service may have peers, and there are 2 services"]
 
 
 @pytest.mark.parametrize(
@@ -531,7 +531,7 @@
 
 def test_the_platform_reads_limits_and_nothing_else(tmp_path):
     text = "[limits]\ndescriptors = 100\n[process]\nseed = 1\n[limit]\n"
-    reason = "only [limits] is read on the platform, which tells the rest"
+    reason = "only [limits] is read on the platform, which configures the rest"
     assert lines(tmp_path, text, operator_file.read_limits) == [f"process: {reason}", f"limit: {reason}"]
     limits = operator_file.read_limits(written(tmp_path, "[limits]\ndescriptors = 100\nmemory_mb = 64\n"))
     assert limits == LimitsSpec(descriptors=100, memory_mb=64)
