--- a/fordtrestle/proxy/membership/__init__.py
+++ b/fordtrestle/proxy/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Where the endpoint list of a service comes from: a registry over HTTP, or the operator's file."""
+"""The sources of a service's endpoint list: a registry over HTTP, or the operator file."""
--- a/fordtrestle/proxy/membership/discovery_client.py
+++ b/fordtrestle/proxy/membership/discovery_client.py
@@ -1,6 +1,6 @@
-"""The discovery client: keeps a watch on a registry, and fetches complete lists on demand.
+"""The discovery client: watches a registry for changes, and fetches complete lists on demand.
 
-Time-outs and waits are in `timing`, with the reason for each.
+Timeouts and waits are in `timing`, with the reason for each.
 """
 
 from __future__ import annotations
@@ -18,19 +18,20 @@
 from fordtrestle.proxy.membership.registry_protocol import PATH, ListReader, WatchReader, watch_target
 from fordtrestle.proxy.membership.updates import UpdateForm, UpdateListener
 
-MAX_LOGGED_CHARS = 200  # of the text of a fault, which may quote what the registry sent
+MAX_LOGGED_CHARS = 200  # of a fault, which may quote data of the registry
 
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryOptions:
-    """What a discovery client is configured with.
+    """The options of a discovery client.
 
     Attributes:
-        address: Where the registry listens.
-        indices: How zones and kinds of machine are numbered.
-        is_pushed: Whether the client keeps a watch of its own; else the decision module asks for each list.
-        known_list: The list as it was last known, which is reported first.
-        seed: Of the jitter of waits.
+        address: The address of the registry.
+        indices: The indices of zones and machine kinds.
+        is_pushed: Whether the client keeps a watch open by itself; otherwise the decision module requests
+            each watch and list.
+        known_list: The last known list, which is reported first.
+        seed: The seed of the jitter of waits.
     """
 
     address: Address
@@ -41,10 +42,10 @@
 
 
 class DiscoveryClient:
-    """Reports the endpoint list of a service, as a registry serves it, to `on_update`.
+    """Reports the endpoint list of a service, as served by a registry, to `on_update`.
 
-    Where lists are pushed, the watch is this class's own affair and is always restarted. Where they are asked
-    for, the decision module calls `watch` and `fetch`, and is told of each failure.
+    If lists are pushed, this class keeps a watch and restarts it whenever it ends. Otherwise the decision
+    module calls `watch` and `fetch`, and each failure is reported to it.
     """
 
     def __init__(
@@ -60,20 +61,21 @@
         self._random = random.Random(options.seed)
         self._watch_call: RegistryCall | None = None
         self._fetch_calls: set[RegistryCall] = set()
-        self._has_moved = False  # until the new registry has sent its complete list
-        # A list of a watch was malformed: what it said is unknown, so the next watch asks for everything.
+        self._has_moved = False  # until the complete list of the new registry is reported
+        # Set after a malformed list in a watch: its content is unknown, so the next watch requests
+        # everything.
         self._has_missed_list = False
         self._last_fault_at = -timing.FAULT_LOG_QUIET_S
         self._is_closed = False
 
     def start(self) -> None:
-        """Report the list as it was last known, then watch if lists are pushed."""
+        """Report the last known list, then start the watch if lists are pushed."""
         self._on_update(UpdateForm.REMEMBERED, self._known_list)
         if self._is_pushed:
             self._watch_call = RegistryCall(self._loop, self._keep_watching)
 
     def watch(self, on: bool) -> None:
-        """Start or stop a single watch; called by the decision module where lists are asked for."""
+        """Start or stop a single watch; called by the decision module if lists are not pushed."""
         if self._is_pushed or self._is_closed:
             return
         if self._watch_call is not None:
@@ -81,14 +83,14 @@
         self._watch_call = RegistryCall(self._loop, self._watch_once) if on else None
 
     def fetch(self) -> None:
-        """Ask for the complete list once."""
+        """Request the complete list once."""
         if not self._is_closed:
             self._fetch_calls.add(RegistryCall(self._loop, self._fetch_once))
 
     def move(self, address: Address) -> None:
-        """Use another registry from now on; all calls in flight are made again there, at once.
+        """Switch to another registry; all calls in flight are repeated there at once.
 
-        The versions of two registries can't be compared, so the new one is asked for its complete list.
+        The versions of two registries can't be compared, so the complete list of the new one is requested.
         """
         if self._is_closed or address == self._address:
             return
@@ -107,7 +109,7 @@
             self.fetch()
 
     def close(self) -> None:
-        """Cancel all calls; nothing more is reported."""
+        """Cancel all calls; no update is reported afterwards."""
         self._is_closed = True
         for call in self._fetch_calls:
             call.cancel()
@@ -117,7 +119,7 @@
     # --- watches -----------------------------------------------------------------
 
     async def _keep_watching(self, call: RegistryCall) -> None:
-        """Watch for as long as this process runs; the wait doubles after each watch that was not stable."""
+        """Restart the watch whenever it ends; the backoff doubles after each watch that was not stable."""
         wait_s = timing.MIN_BACKOFF_S
         while True:
             if await self._watch(call) >= timing.STABLE_AFTER_S:
@@ -132,15 +134,19 @@
             self._on_update(UpdateForm.FAILED, None)
 
     async def _watch(self, call: RegistryCall) -> float:
-        """Watch until the connection ends or goes silent; return for how many seconds it was alive."""
+        """Watch until the connection ends or goes silent.
+
+        Returns:
+            For how many seconds the watch was alive.
+        """
         try:
             if self._has_moved:
                 self._report(UpdateForm.COMPLETE, await self._fetch_list(call))
             return await self._watch_changes(call)
         except FetchError:
-            return 0.0  # logged already
+            return 0.0  # already logged
         except Exception as error:
-            # Without a watch, this process would go on sending to servers that drain.
+            # The watch must be restarted: without it, this process would go on sending to draining servers.
             self._log_fault(repr(error))
             return 0.0
         finally:
@@ -155,12 +161,12 @@
         await self._wait_until_silent(connection)
         if connection.fault:
             self._log_fault(connection.fault)
-        return connection.alive_at - connection.asked_at
+        return connection.alive_at - connection.requested_at
 
     async def _wait_until_silent(self, connection: RegistryConnection) -> None:
-        """Wait until a connection ends or is past its deadline.
+        """Wait until a connection ends or its deadline has passed.
 
-        The connections of a machine that was cut off from the network stay open, and silent.
+        When a machine is partitioned from the network, its connections stay open and silent.
         """
         while not connection.ended.done() and (left := connection.deadline - self._loop.time()) > 0.0:
             await asyncio.wait((connection.ended,), timeout=left)
@@ -169,7 +175,8 @@
         """Report one list of a watch.
 
         Raises:
-            ListError: It is malformed. That ends the watch, and the next one brings the complete list.
+            ListError: The list is malformed. The error ends the watch, and the next one starts with the
+                complete list.
         """
         try:
             update = decode_list(text, self._indices)
@@ -179,9 +186,9 @@
         if update.is_complete:
             self._report(UpdateForm.COMPLETE, update)
         elif update.version >= self._version:
-            # The version held may come again, without entries: the answer to the request for a watch.
+            # The current version may be sent again without entries, in response to the request for a watch.
             self._report(UpdateForm.CHANGES, update)
-        # Older changes were reported already, by a list that was fetched in the meantime.
+        # Older changes are ignored: a complete list that was fetched in the meantime includes them.
 
     # --- complete lists ----------------------------------------------------------
 
@@ -190,9 +197,9 @@
         try:
             update = await self._fetch_list(call)
         except FetchError:
-            pass  # logged already
+            pass  # already logged
         finally:
-            self._fetch_calls.discard(call)  # before the report: the listener may move the calls in flight
+            self._fetch_calls.discard(call)  # before the report, since the listener may call `move`
         if update is None:
             self._on_update(UpdateForm.FAILED, None)
         else:
@@ -202,12 +209,13 @@
         """Fetch the complete list.
 
         Raises:
-            FetchError: The call failed, or its list is malformed or older than the one held; it is logged.
+            FetchError: The call failed, or its list is malformed or older than the current one. The failure
+                is already logged.
         """
         try:
             update = decode_list(await self._fetch_text(call), self._indices)
             if update.version < self._version:
-                raise FetchError("the list is older than the one held")
+                raise FetchError("the list is older than the current one")
         except MembershipError as error:
             self._log_fault(str(error))
             raise FetchError(str(error)) from error
@@ -235,7 +243,7 @@
         self._on_update(form, update)
 
     def _log_fault(self, reason: str) -> None:
-        """Log the first of faults that follow each other closely."""
+        """Log a fault, unless another one occurred within the last FAULT_LOG_QUIET_S."""
         now = self._loop.time()
         if now - self._last_fault_at >= timing.FAULT_LOG_QUIET_S:
             log(f"discovery: {reason[:MAX_LOGGED_CHARS]}")
--- a/fordtrestle/proxy/membership/endpoint_list.py
+++ b/fordtrestle/proxy/membership/endpoint_list.py
@@ -1,6 +1,6 @@
 """The endpoint list of a service after all updates so far, and digests of its content. Pure.
 
-The cost of an update is that of the entries it names: the digests of all others are kept.
+An update recomputes only the digests of the entries that it names.
 """
 
 from __future__ import annotations
@@ -13,20 +13,18 @@
 from fordtrestle.proxy.engine.ports import Address, ServerList
 from fordtrestle.proxy.membership.updates import UpdateForm
 
-SHOWN_DIGEST_CHARS = (
-    8  # hex digits of an entry's digest in events: enough to tell the states of one server apart
-)
+SHOWN_DIGEST_CHARS = 8  # hex digits of an entry's digest in events: enough to distinguish states of a server
 
 
 @dataclass(frozen=True, slots=True)
 class _Entry:
-    """One server.
+    """One server of the list.
 
     Attributes:
-        listing: Its entry of the list.
-        address: Where it listens, if known.
-        digest: Of all but its name and state.
-        digest_line: Its part of the input of the list's digest.
+        listing: The entry of the server.
+        address: The address of the server, if known.
+        digest: The digest of everything but the server's name and state.
+        digest_line: The server's part of the input of the list's digest.
     """
 
     listing: Listing
@@ -39,8 +37,9 @@
     """The list of one service.
 
     Attributes:
-        version: Of the last update.
-        digest: 16 hex digits of the content alone, the same in every process that holds the same servers.
+        version: The version of the last update.
+        digest: The digest of the content without the version (16 hex digits), equal in all processes with
+            the same servers.
     """
 
     def __init__(self) -> None:
@@ -74,10 +73,10 @@
         }
 
     def _removed_by(self, update: ServerList, is_complete: bool) -> list[str]:
-        """Return which servers an update removes without naming them.
+        """Return the servers that an update removes without naming them.
 
-        These are the servers that a complete list leaves out, and those whose address a new server has got:
-        the engine removes the latter, too.
+        These are the servers missing in a complete list, and those whose address now belongs to a new server,
+        which the engine removes as well.
         """
         named = {entry.server for entry in update.entries}
         taken = {address for name, address in update.addresses.items() if name not in self._entries}
@@ -88,7 +87,7 @@
         ]
 
     def _put(self, listing: Listing, address: Address | None) -> None:
-        """Add or replace an entry; one without an address keeps the address it had."""
+        """Add, replace or remove an entry; one without an address keeps its previous address."""
         known = self._entries.get(listing.server)
         if listing.state == "left":
             self._entries.pop(listing.server, None)
--- a/fordtrestle/proxy/membership/errors.py
+++ b/fordtrestle/proxy/membership/errors.py
@@ -8,12 +8,12 @@
 
 
 class ListError(MembershipError):
-    """A text that is no list of the registry's format, or can't be one."""
+    """A text that is not a list in the registry's format."""
 
 
 class ResponseError(MembershipError):
-    """A response of the registry that is no HTTP, refuses the request, or whose body is rejected."""
+    """A response of the registry that is not HTTP, has an error status, or has a body that is rejected."""
 
 
 class FetchError(MembershipError):
-    """A request for the complete list that failed, or whose list can't be used."""
+    """A failed request for the complete list, or one whose list can't be used."""
--- a/fordtrestle/proxy/membership/registry_call.py
+++ b/fordtrestle/proxy/membership/registry_call.py
@@ -1,4 +1,4 @@
-"""One call of the registry: its task, its connection, and when it counts as broken."""
+"""One call to the registry: its task, its connection, and the deadline of the connection."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 from fordtrestle.proxy.membership.errors import ResponseError
 from fordtrestle.proxy.membership.registry_protocol import ResponseReader, ResponseState, encode_request
 
-# Called with each line of a response; returns whether the line is a proof of liveness.
+# Called with each line of a response; returns whether the line proves that the registry is alive.
 OnLine = Callable[[bytes], bool]
 
 
 class RegistryConnection(asyncio.Protocol):
     """One connection to the registry, for one request.
 
-    Only lines for which `on_line` returns true count as proofs of liveness: a head, half a line or half a
-    list may be all that ever comes.
+    Only lines for which `on_line` returns true are a proof of liveness: a response may stall after its head,
+    or within a line or a list.
 
     Attributes:
-        ended: Done once nothing more is read: the response is complete, or the connection is closed or lost.
-        fault: What was wrong with the response; empty if nothing was.
-        asked_at: When the request was sent, on the loop's clock (seconds).
-        alive_at: When the last proof of liveness came; the same as `asked_at` before the first.
+        ended: Done once the response is complete, or the connection is closed or lost.
+        fault: The fault of the response; empty if there is none.
+        requested_at: When the request was sent, on the loop's clock (seconds).
+        alive_at: When the last proof of liveness was received; the same as `requested_at` before the first.
     """
 
     def __init__(self, on_line: OnLine) -> None:
@@ -34,33 +34,33 @@
         self._transport: asyncio.Transport
         self._loop = asyncio.get_running_loop()
         self._has_been_alive = False
-        self.asked_at = self.alive_at = self._loop.time()
+        self.requested_at = self.alive_at = self._loop.time()
         self.ended = self._loop.create_future()
         self.fault = ""
 
     @property
     def is_complete(self) -> bool:
-        """Whether the whole response has come."""
+        """Whether the whole response has been received."""
         return self._response.state is ResponseState.COMPLETE
 
     @property
     def deadline(self) -> float:
-        """When the next proof of liveness has to have come, on the loop's clock (seconds)."""
+        """The latest time for the next proof of liveness, on the loop's clock (seconds)."""
         timeout_s = timing.WATCH_TIMEOUT_S if self._has_been_alive else timing.ANSWER_TIMEOUT_S
         return self.alive_at + timeout_s
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport; the caller sends the request if it still wants the answer."""
+        """Keep the transport; the caller sends the request, if the response is still needed."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def send(self, request: bytes) -> None:
-        """Send the one request."""
-        self.asked_at = self.alive_at = self._loop.time()
+        """Send the request; a connection has only one."""
+        self.requested_at = self.alive_at = self._loop.time()
         self._transport.write(request)
 
     def data_received(self, data: bytes) -> None:
-        """Read a part of the response; an error in it closes the connection."""
+        """Parse a part of the response; a fault in it closes the connection."""
         if self.ended.done():
             return
         try:
@@ -76,11 +76,11 @@
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Record that nothing more comes."""
+        """Record the end of the connection."""
         self._end()
 
     def close(self) -> None:
-        """Close the connection at once: nothing more of it is delivered."""
+        """Abort the connection; no more lines are delivered."""
         self._transport.abort()
         self._end()
 
@@ -95,11 +95,11 @@
 
 
 class RegistryCall:
-    """One operation on the registry: a task that runs `run(call)`, and the connection that it has open.
+    """One operation on the registry: a task that runs `run(call)`, and its open connection.
 
-    Guards against a race: an update may be at hand when its caller no longer wants it, such as in the turn of
-    the loop in which the client moves to another registry. From `cancel` on the connection delivers nothing,
-    and the task neither connects nor reports.
+    A response may be received after the caller no longer needs it, such as in the same iteration of the event
+    loop in which the client moves to another registry. Therefore, after `cancel`, the connection delivers
+    nothing, and the task neither connects nor reports.
     """
 
     def __init__(
@@ -111,7 +111,11 @@
         self._task = loop.create_task(run(self))
 
     async def request(self, address: Address, target: str, on_line: OnLine) -> RegistryConnection | None:
-        """Connect and send a request; None if nobody accepts it in time, or if the call was cancelled."""
+        """Connect and send a request.
+
+        Returns:
+            The connection; None if it could not be opened in time, or if the call was cancelled.
+        """
         if self.is_cancelled:
             return None
         try:
@@ -119,14 +123,14 @@
                 _, connection = await self._loop.create_connection(
                     lambda: RegistryConnection(on_line), address.host, address.port
                 )
-        except (OSError, ValueError):  # nobody listens, no descriptor is left, or the host is no name
+        except (OSError, ValueError):  # connection refused, no free descriptor, or an invalid host name
             return None
         self._connection = connection
         connection.send(encode_request(address, target))
         return connection
 
     def cancel(self) -> None:
-        """Close the connection and report nothing more."""
+        """Close the connection and stop the task, without any further report."""
         self.is_cancelled = True
         self.close()
         self._task.cancel()
--- a/fordtrestle/proxy/membership/registry_protocol.py
+++ b/fordtrestle/proxy/membership/registry_protocol.py
@@ -1,8 +1,8 @@
 """The registry's protocol without I/O: HTTP/1.1 responses whose bodies are lines of JSON. Pure.
 
-A request is a GET of `PATH`, answered with the complete list. With `watch=1` the response never ends: it
-brings a list whenever something has changed, and an empty line as a heartbeat. Each list is a line of its
-own, or several lines if it is indented.
+A GET of `PATH` returns the complete list. With `watch=1` the response never ends: it delivers a list after
+each change, and empty lines as heartbeats. Each list is a line of its own, or several lines if it is
+indented.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from fordtrestle.proxy.membership.errors import ListError, ResponseError
 
 PATH = "/registry/instances"
-# These bound the memory that a registry can make this process hold.
+# These bound the memory that a registry can make this process use.
 MAX_LINE_BYTES = 4 * 1024 * 1024
 MAX_LIST_BYTES = 4 * 1024 * 1024
 
@@ -27,35 +27,35 @@
 
 
 def watch_target(version: int) -> str:
-    """Return the request target of a watch for changes after `version`; 0 asks for everything."""
+    """Return the request target of a watch for changes after `version`; 0 requests everything."""
     return f"{PATH}?watch=1&from={version}"
 
 
 class ResponseState(Enum):
-    """Where a response stands."""
+    """The state of a response."""
 
     READING = "reading"
-    COMPLETE = "complete"  # its end has been parsed
-    STOPPED = "stopped"  # its lines are no longer wanted
+    COMPLETE = "complete"  # the end of the response has been parsed
+    STOPPED = "stopped"  # the lines are no longer needed
 
 
 class ResponseReader:
-    """Parses one response, and calls `on_line` with each complete line of its body, without its end.
+    """Parses one response, and calls `on_line` with each complete line of its body, without the line end.
 
-    An error that `on_line` raises ends the response with a `ResponseError` of the same text.
+    An error raised by `on_line` ends the response with a `ResponseError` of the same text.
     """
 
     def __init__(self, on_line: Callable[[bytes], None]) -> None:
         self._on_line = on_line
         self._parser = httptools.HttpResponseParser(self)
-        self._rest = bytearray()  # of a line whose end has not come
+        self._partial_line = bytearray()  # a line whose end is not received yet
         self.state = ResponseState.READING
 
     def feed(self, data: bytes) -> None:
-        """Parse a part of the response; does nothing unless it is being read.
+        """Parse a part of the response, unless it is complete or stopped.
 
         Raises:
-            ResponseError: It is no HTTP, has another status than 200, or a line is too long or rejected.
+            ResponseError: The response is not HTTP, its status is not 200, or a line is too long or rejected.
         """
         if self.state is not ResponseState.READING:
             return
@@ -65,35 +65,35 @@
             raise ResponseError(str(error.__context__ or error)) from error
 
     def stop(self) -> None:
-        """Deliver no more lines, not even of data that is being parsed."""
+        """Deliver no more lines, not even those of data that is being parsed."""
         if self.state is ResponseState.READING:
             self.state = ResponseState.STOPPED
 
-    # --- called by the parser, which reports what they raise from `feed_data` --------
+    # --- callbacks of the parser, whose `feed_data` reports the errors that they raise ---
 
     def on_headers_complete(self) -> None:
-        """Check the status."""
+        """Check the status of the response."""
         status = self._parser.get_status_code()
         if status != 200:
             raise ResponseError(f"status {status}")
 
     def on_body(self, data: bytes) -> None:
-        """Deliver all lines that are complete now."""
-        self._rest += data
-        if len(self._rest) > MAX_LINE_BYTES:
+        """Deliver all complete lines."""
+        self._partial_line += data
+        if len(self._partial_line) > MAX_LINE_BYTES:
             raise ResponseError("a line is too long")
-        # Without this, a long line that comes in small pieces would be searched anew for each of them.
+        # Without this check, a long line received in small parts would be searched again for each part.
         if b"\n" not in data:
             return
-        *lines, rest = self._rest.split(b"\n")
-        self._rest = rest
+        *lines, partial_line = self._partial_line.split(b"\n")
+        self._partial_line = partial_line
         for line in lines:
             self._deliver(line)
 
     def on_message_complete(self) -> None:
-        """Deliver the last line, which may lack its end."""
-        self._deliver(self._rest)
-        self._rest = bytearray()
+        """Deliver the last line, which may have no line end."""
+        self._deliver(self._partial_line)
+        self._partial_line = bytearray()
         if self.state is ResponseState.READING:
             self.state = ResponseState.COMPLETE
 
@@ -105,14 +105,14 @@
 class WatchReader:
     """Assembles the lists of a watch from its lines, and calls `on_list` with the text of each.
 
-    A list ends with the line after which all its braces are closed. Braces inside of names are counted as
-    well: a list with an unbalanced one never ends, or ends too soon and is rejected; either way the watch is
-    started anew.
+    A list ends with the line that closes its last brace. Braces inside names are counted as well: with an
+    unbalanced one, a list never ends, or ends too early and is rejected; in both cases the watch is
+    restarted.
     """
 
     def __init__(self, on_list: Callable[[bytes], None]) -> None:
         self._on_list = on_list
-        self._text = bytearray()  # of a list whose end has not come
+        self._text = bytearray()  # a list whose end is not received yet
         self._open_braces = 0
 
     def add_line(self, line: bytes) -> bool:
@@ -122,7 +122,7 @@
             Whether the line is a proof of liveness: a heartbeat, or the end of a list.
 
         Raises:
-            ListError: The list is too long, or a heartbeat came within it.
+            ListError: The list is too long or contains a heartbeat, or `on_list` rejected it.
         """
         if not line.strip():
             if self._text:
@@ -146,7 +146,7 @@
         self.text = bytearray()
 
     def add_line(self, line: bytes) -> bool:
-        """Add a line; always a proof of liveness.
+        """Add a line, which is always a proof of liveness.
 
         Raises:
             ListError: The list is too long.
--- a/fordtrestle/proxy/membership/static_endpoint_list.py
+++ b/fordtrestle/proxy/membership/static_endpoint_list.py
@@ -1,4 +1,4 @@
-"""An endpoint list that is configured, in the place of a discovery client. Pure."""
+"""A configured endpoint list, which replaces a discovery client. Pure."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class StaticEndpointList:
-    """Reports a list at the start, and again whenever it is replaced; there are no other updates."""
+    """Source that reports a configured list at the start, and again whenever it is replaced."""
 
     def __init__(self, loop: Scheduler, server_list: ServerList, on_update: UpdateListener) -> None:
         self._loop = loop
@@ -20,19 +20,22 @@
         self._report()
 
     def replace(self, server_list: ServerList) -> None:
-        """Report another list from now on: servers that are not in it are removed."""
+        """Replace the list and report the new one; servers that are not in it are removed."""
         self._server_list = server_list
         self._report()
 
     def watch(self, on: bool) -> None:
-        """Do nothing: the list does not change by itself."""
+        """Do nothing, since the list does not change by itself."""
 
     def fetch(self) -> None:
-        """Report the list once more, in the next turn: the decision module takes no updates while it asks."""
+        """Report the list again, in the next iteration of the event loop.
+
+        The decision module accepts no updates during its request.
+        """
         self._loop.call_soon(self._report)
 
     def close(self) -> None:
-        """Do nothing: nothing is open."""
+        """Do nothing, since nothing is open."""
 
     def _report(self) -> None:
         self._on_update(UpdateForm.COMPLETE, self._server_list)
--- a/fordtrestle/proxy/membership/updates.py
+++ b/fordtrestle/proxy/membership/updates.py
@@ -1,4 +1,4 @@
-"""What a source of endpoint lists reports, and to whom. Pure."""
+"""The updates that a source of endpoint lists reports. Pure."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class UpdateForm(StrEnum):
-    """How an update relates to what was reported before; the values are those of the decision module."""
+    """How an update relates to earlier ones; the values are those of the decision module."""
 
-    REMEMBERED = "remembered"  # a complete list from before the start of this process
+    REMEMBERED = "remembered"  # a complete list known before the start of this process
     COMPLETE = "all"  # a complete list: servers that are not in it are removed
     CHANGES = "changes"  # the entries that have changed
-    FAILED = "refused"  # no list: a request that the decision module asked for has failed
+    FAILED = "refused"  # no list: a request of the decision module has failed
 
 
-# Called with each update; the list is None where the form is `FAILED`.
+# Called with each update; the list is None if the form is `FAILED`.
 UpdateListener = Callable[[UpdateForm, ServerList | None], None]
--- a/fordtrestle/proxy/state/__init__.py
+++ b/fordtrestle/proxy/state/__init__.py
@@ -1,1 +1,1 @@
-"""State that outlives a process: the only package of the proxy that writes to disk for it."""
+"""Persistent state: the only package of the proxy that stores state on disk."""
--- a/fordtrestle/proxy/state/background_writer.py
+++ b/fordtrestle/proxy/state/background_writer.py
@@ -1,7 +1,7 @@
-"""One thread for all work that may wait for a disk, so that the event loop never does.
+"""Runs all work that may wait for a disk in one thread, so that the event loop never waits for it.
 
-Jobs are queued by key: of each key only the newest one that has not started. The first failure stops the
-writer, since what a disk reports after a failed sync proves nothing.
+The queue holds one job per key, the newest one that has not started. The first failure stops the writer,
+since after a failed sync the results of a disk prove nothing.
 """
 
 from __future__ import annotations
@@ -14,15 +14,15 @@
 from concurrent.futures import Future, wait
 from typing import TypeVar
 
-MAX_QUEUED_KEYS = 1024  # bounds the memory of jobs that wait while a disk is slow
+MAX_QUEUED_KEYS = 1024  # bounds the memory of queued jobs while a disk is slow
 
 T = TypeVar("T")
 Job = Callable[[], object]
-OnDone = Callable[[OSError | None], None]  # with the reason of a failure, or None after success
+OnDone = Callable[[OSError | None], None]  # with the failure, or None after success
 
 
 class BackgroundWriter:
-    """Runs jobs one after another in a thread of its own, which starts with the first job."""
+    """Runs jobs one after another in a separate thread, which starts with the first job."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -35,41 +35,41 @@
     def submit(self, key: str, job: Job, on_done: OnDone) -> None:
         """Queue a job, and call `on_done` in the event loop once it has run or can't be run.
 
-        A job of the same key that has not started is replaced, at its position in the queue: neither it nor
-        its `on_done` is called. After a failure no job runs, and each `on_done` is called with that failure;
-        likewise if there are too many keys, and after `close`.
+        A queued job of the same key is replaced at its position in the queue; neither it nor its `on_done` is
+        called. After a failure, no job runs and each `on_done` is called with an error that names the
+        failure. A job is also rejected with an error if too many keys are queued, and after `close`.
         """
         self._enqueue(key, job, lambda error: self._call_in_loop(on_done, error))
 
     def run(self, job: Callable[[], T], timeout_s: float) -> T:
-        """Run a job and wait for its result in the caller's thread; one call at a time.
+        """Run a job and wait for its result in the caller's thread; only one call may be in progress.
 
-        A failure or a time-out stops the writer as a failed job of `submit` does. A job that timed out may
-        still finish in the writer's thread.
+        A failure or a timeout stops the writer, like a failed job of `submit`. A job that timed out may still
+        complete in the writer's thread.
 
         Raises:
             TimeoutError: The job took longer than `timeout_s`.
             OSError: The job failed; an error of any other type is reported as EIO.
         """
-        answer: Future[T] = Future()
-        results: list[T] = []
+        result: Future[T] = Future()
+        values: list[T] = []
 
         def on_done(error: OSError | None) -> None:
             if error is None:
-                answer.set_result(results[0])
+                result.set_result(values[0])
             else:
-                answer.set_exception(error)
+                result.set_exception(error)
 
-        self._enqueue("", lambda: results.append(job()), on_done)
-        wait((answer,), max(0.0, timeout_s))
-        if not answer.done():
+        self._enqueue("", lambda: values.append(job()), on_done)
+        wait((result,), max(0.0, timeout_s))
+        if not result.done():
             timeout = TimeoutError(errno.ETIMEDOUT, "the disk did not answer in time")
             self._fail(timeout)
             raise timeout
-        return answer.result()
+        return result.result()
 
     def close(self, timeout_s: float) -> bool:
-        """Accept no more jobs and wait for those in the queue.
+        """Accept no more jobs, and wait for the queued ones.
 
         A job that has not started after `timeout_s` is never run.
 
@@ -96,29 +96,29 @@
             on_done(rejection)
 
     def _rejection(self, key: str) -> OSError | None:
-        """Return why a job can't be queued, if it can't."""
+        """Return the reason why a job can't be queued; None if it can."""
         if self._failure is not None:
             return _error_after(self._failure)
         if self._is_closed:
             return OSError(errno.ESHUTDOWN, "the store is closed")
         if key not in self._queue and len(self._queue) >= MAX_QUEUED_KEYS:
-            return OSError(errno.ENOBUFS, f"more than {MAX_QUEUED_KEYS} files wait to be written")
+            return OSError(errno.ENOBUFS, f"more than {MAX_QUEUED_KEYS} files are queued to be written")
         return None
 
     def _start_thread(self) -> OSError | None:
-        """Start the thread unless it runs; return why it can't be started, if it can't."""
+        """Start the thread unless it runs; return the failure, or None after success."""
         if self._thread is None:
             thread = threading.Thread(target=self._run_jobs, name="state", daemon=True)
             try:
                 thread.start()
-            except RuntimeError as error:  # the machine's limit of threads
+            except RuntimeError as error:  # the limit of threads is reached
                 self._failure = OSError(errno.EAGAIN, str(error))
                 return self._failure
             self._thread = thread
         return None
 
     def _run_jobs(self) -> None:
-        """Run jobs until the writer is closed and the queue is empty; this is the thread's function."""
+        """Run jobs until the writer is closed and the queue is empty; the main function of the thread."""
         while True:
             with self._changed:
                 while not self._queue and not self._is_closed:
@@ -127,13 +127,13 @@
                     return
                 job, on_done = self._queue.pop(next(iter(self._queue)))
             error = _run_job(job)
-            # Before the queued jobs fail: their errors say that another one failed before.
+            # Called before the queued jobs fail, whose errors refer to this earlier failure.
             on_done(error)
             if error is not None:
                 self._fail(error)
 
     def _fail(self, error: OSError) -> None:
-        """Run no more jobs, and report the failure to all that are queued."""
+        """Stop running jobs, and report the failure to all queued ones."""
         with self._changed:
             self._failure = self._failure or error
             queued = list(self._queue.values())
@@ -142,20 +142,20 @@
             on_done(_error_after(error))
 
     def _call_in_loop(self, on_done: OnDone, error: OSError | None) -> None:
-        with contextlib.suppress(RuntimeError):  # the loop is closed: nobody waits for the result any more
+        with contextlib.suppress(RuntimeError):  # the loop is closed, so nobody waits for the result
             self._loop.call_soon_threadsafe(on_done, error)
 
 
 def _run_job(job: Job) -> OSError | None:
-    """Run a job and return its failure, if any."""
+    """Run a job; return its failure, or None after success."""
     try:
         job()
     except OSError as error:
         return error
-    except Exception as error:  # a thread that dies would leave all later jobs in the queue
+    except Exception as error:  # if the thread died, all later jobs would stay queued
         return OSError(errno.EIO, repr(error))
     return None
 
 
 def _error_after(error: OSError) -> OSError:
-    return OSError(errno.EIO, f"the store failed before: {error.strerror or error}")
+    return OSError(errno.EIO, f"the store failed earlier: {error.strerror or error}")
--- a/fordtrestle/proxy/state/endpoint_list_store.py
+++ b/fordtrestle/proxy/state/endpoint_list_store.py
@@ -1,8 +1,8 @@
-"""The last endpoint list of each service, stored for the next start, and the count of the starts.
+"""Stores the last endpoint list of each service for the next start, and the number of starts.
 
-Files of the store: `life` (the incarnation), and `list-SERVICE` for each service. A list that can't be read
-is a cold start of its service. A disk that fails or does not answer stops all storing until a restart;
-serving goes on.
+Files of the store: `life` (the incarnation), and `list-SERVICE` for each service. A service whose list can't
+be read starts without one (cold start). After a disk failure or timeout nothing is stored until a restart;
+requests are still served.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 from fordtrestle.proxy.state.errors import SnapshotError
 from fordtrestle.proxy.state.file_store import FileStore
 
-MAX_LIST_BYTES = 16 * 2**20  # bounds what a start reads into memory for one service
+MAX_LIST_BYTES = 16 * 2**20  # bounds the memory that the list of one service takes at a start
 MAX_INCARNATION_BYTES = 64  # a msgpack integer has 9 bytes at most
 INCARNATION_FILE = "life"
-LOAD_TIMEOUT_S = 5.0  # a start waits so long for a disk before it goes on without
-CLOSE_TIMEOUT_S = 1.0  # an end waits so long for a disk
+LOAD_TIMEOUT_S = 5.0  # the longest wait for the disk at a start, which then continues without it
+CLOSE_TIMEOUT_S = 1.0  # the longest wait for the disk when the process ends
 STORING_STOPPED = "nothing is stored until a restart"
 
 OnStored = Callable[[str, int, str], None]  # service, version and digest of the list
@@ -33,13 +33,12 @@
 
 @dataclass(slots=True)
 class RestoredState:
-    """What earlier starts of the process have stored.
+    """The state that earlier incarnations of the process have stored.
 
     Attributes:
-        incarnation: Counts the starts of the process, this one included, from 1 on; 0 if nothing can be
-            stored.
+        incarnation: The number of starts of the process, including this one; 0 if nothing can be stored.
         lists: The last list of each service.
-        log_lines: For the log: which services start without a list, and why.
+        log_lines: Lines for the log that say which services start without a list, and why.
     """
 
     incarnation: int = 0
@@ -49,7 +48,14 @@
 
 @dataclass(slots=True)
 class _ReadResult:
-    """What was read: also the previous incarnation, corrupt files, and whether the disk failed."""
+    """The result of reading all files.
+
+    Attributes:
+        restored: The state for the caller of `load`.
+        incarnation: The previous incarnation.
+        corrupt_files: The names of corrupt files.
+        has_disk_failed: Whether a file could not be read because of a disk failure.
+    """
 
     restored: RestoredState = field(default_factory=RestoredState)
     incarnation: int = 0
@@ -58,16 +64,15 @@
 
 
 class EndpointListStore:
-    """Stores endpoint lists in a file store, which it closes at its end.
+    """Stores endpoint lists in a file store, which is closed with it.
 
     Args:
         loop: The event loop that `on_stored` and `on_failed` are called in.
         store: The folder of files.
         on_stored: Called once a list is on disk, with its service, version and digest.
-        on_failed: Called once, at the first failure after `load`, with a service and the reason.
-        bases: For each service a digest of the names that its zones and kinds are numbered by; a list that
-        was
-            stored under another one is not used.
+        on_failed: Called once, at the first failure after `load`, with the service and the reason.
+        bases: For each service, a digest of the names by which its zones and kinds are numbered; a list
+            stored with a different digest is not used.
     """
 
     def __init__(
@@ -87,10 +92,10 @@
         self._is_closed = False
 
     def load(self, services: Iterable[str], timeout_s: float = LOAD_TIMEOUT_S) -> RestoredState:
-        """Read what is stored, and store the incarnation of this start.
+        """Read the stored state, and store the incarnation of this start.
 
-        Blocks for `timeout_s` at the most and raises nothing. If the disk fails, what could be read is
-        returned, a line for the log says so, and nothing is stored from now on.
+        Blocks for at most `timeout_s`, and raises nothing. If the disk fails, the state that could be read is
+        returned with a log line about the failure, and nothing is stored from then on.
         """
         deadline = time.monotonic() + timeout_s
         names = tuple(services)
@@ -109,7 +114,7 @@
         return restored
 
     def save(self, service: str, server_list: ServerList, digest: str) -> None:
-        """Store a complete list, which must not change afterwards, in place of one that waits to be written.
+        """Store a complete list, which must not change afterwards; it replaces a queued list of the service.
 
         Does nothing after a failure or `close`.
         """
@@ -122,9 +127,10 @@
         )
 
     def close(self, timeout_s: float = CLOSE_TIMEOUT_S) -> None:
-        """Wait for queued lists, for `timeout_s` at the most; what has not started by then is not stored."""
+        """Wait for queued lists for at most `timeout_s`; writes that have not started by then are dropped."""
         self._is_closed = True
-        # A thread that still writes keeps its descriptors: closed, their numbers could become another file's.
+        # A thread that still writes keeps its descriptors: once closed, their numbers could refer to other
+        # files.
         if self._writer.close(timeout_s):
             self._store.close()
 
@@ -135,13 +141,16 @@
             self._has_failed = True
             self._on_failed(service, _reason(error))
 
-    # --- in the writer's thread ------------------------------------------------------
+    # --- called in the writer's thread -------------------------------------------------
 
     def _read_all(self, services: tuple[str, ...]) -> _ReadResult:
-        """Read all files; nothing is written."""
+        """Read all files, without writing anything."""
         result = _ReadResult()
         self._read_file(
-            result, INCARNATION_FILE, "lives count from 1 again", partial(self._read_incarnation, result)
+            result,
+            INCARNATION_FILE,
+            "incarnations count from 1 again",
+            partial(self._read_incarnation, result),
         )
         for service in services:
             consequence = f"service {service} starts without a list"
@@ -150,12 +159,12 @@
         return result
 
     def _read_file(self, result: _ReadResult, name: str, consequence: str, read: Callable[[], None]) -> None:
-        """Call `read`, and record in `result` why a file can't be used and what follows from that."""
+        """Call `read`; if the file can't be used, record the reason and the consequence in `result`."""
         try:
             read()
         except FileNotFoundError:
-            if name != INCARNATION_FILE:  # which is missing at the first start of all
-                result.restored.log_lines.append(f"state: {name}: none kept; {consequence}")
+            if name != INCARNATION_FILE:  # it is missing at the very first start
+                result.restored.log_lines.append(f"state: {name}: not found; {consequence}")
         except SnapshotError as error:
             result.corrupt_files.append(name)
             result.restored.log_lines.append(f"state: {name}: {error}; {consequence}")
@@ -173,7 +182,7 @@
         result.restored.lists[service] = records.decode_list(service, basis, payload)
 
     def _begin_incarnation(self, previous: _ReadResult) -> None:
-        """Set corrupt files aside, and store the incarnation of this start."""
+        """Rename corrupt files, and store the incarnation of this start."""
         for name in previous.corrupt_files:
             snapshots.set_aside(self._store, name)
         payload = records.encode_incarnation(previous.incarnation + 1)
@@ -191,5 +200,5 @@
 
 
 def _reason(error: OSError) -> str:
-    """Return why a disk failed, in one line."""
+    """Return the reason of a disk failure, in one line."""
     return error.strerror or repr(error)
--- a/fordtrestle/proxy/state/errors.py
+++ b/fordtrestle/proxy/state/errors.py
@@ -1,7 +1,7 @@
 """Errors of the state package. Pure.
 
-A disk that fails is reported as `OSError` with the system's errno; the tree here is for content that can't be
-used.
+Disk failures are reported as `OSError` with the system's errno. The classes here are for content that can't
+be used.
 """
 
 from __future__ import annotations
--- a/fordtrestle/proxy/state/file_store.py
+++ b/fordtrestle/proxy/state/file_store.py
@@ -1,22 +1,23 @@
-"""The port to a disk: one folder of files, with the guarantees of POSIX and no more. Pure.
+"""Interface to a folder of files on disk, with the guarantees of POSIX and no others. Pure.
 
-What the user of a store may rely on (POSIX.1-2017, fsync(2), rename(2); Pillai and others, OSDI 2014):
+The guarantees of a store (POSIX.1-2017, fsync(2), rename(2); Pillai and others, OSDI 2014):
 
-- Appended bytes are on disk after a `sync` of that file that returned. Before that they may be there whole,
-  in part or not at all.
-- A change of names (a file created, replaced or removed) is on disk after a `sync_folder` that returned.
-- After a `sync` or `sync_folder` that raised, everything written since the last one is in doubt for good:
-  the kernel may have dropped it, and a second sync that returns proves nothing (Rebello and others,
+- Appended bytes are on disk after a `sync` of the file has returned. Before that, all, some or none of them
+  may be on disk.
+- A change of names (a file created, replaced or removed) is on disk after a `sync_folder` has returned.
+- After a `sync` or `sync_folder` has raised, everything written since the last successful one is in doubt
+  permanently: the kernel may have dropped it, and a later sync that returns proves nothing (Rebello and
+      others,
   ATC 2020).
 
-All calls block, and each may take seconds: they are made from one thread that is not the event loop's.
+All calls block, and each may take seconds, so they are made from one thread other than the event loop's.
 """
 
 from __future__ import annotations
 
 from typing import Protocol
 
-MAX_NAME_CHARS = 128  # half of what Linux allows (255 bytes), which leaves room for suffixes
+MAX_NAME_CHARS = 128  # half of the 255 bytes that Linux allows, which leaves room for suffixes
 
 
 class FileStore(Protocol):
@@ -46,13 +47,13 @@
         """
 
     def sync(self, name: str) -> None:
-        """Return once all that was appended to a file is on disk."""
+        """Return once all bytes appended to a file are on disk."""
 
     def sync_folder(self) -> None:
-        """Return once the names in the folder are on disk."""
+        """Return once all changes of names in the folder are on disk."""
 
     def replace(self, name: str, new_name: str) -> None:
-        """Rename a file atomically, in place of the file that had the new name, if any."""
+        """Rename a file atomically; a file that has the new name is replaced."""
 
     def remove(self, name: str) -> None:
         """Remove a file; does nothing if it is missing."""
--- a/fordtrestle/proxy/state/posix_file_store.py
+++ b/fordtrestle/proxy/state/posix_file_store.py
@@ -1,8 +1,8 @@
-"""The real file store: one folder of this machine, locked by one process at a time.
+"""The file store of a real disk: one folder of this machine, locked by one process at a time.
 
-Linux reports a failed write-back once to each descriptor that was open at the time (since 4.13; fsync(2)). So
-a file is synced through the descriptor that wrote it, and no descriptor with unsynced data is closed as long
-as its file is needed.
+Linux reports a failed write-back once to each descriptor that was open at that time (since 4.13; fsync(2)).
+Therefore a file is synced through the descriptor that wrote it, and a descriptor with unsynced data is not
+closed as long as its file is needed.
 """
 
 from __future__ import annotations
@@ -17,29 +17,27 @@
 from fordtrestle.proxy.state.file_store import MAX_NAME_CHARS
 
 NAME = re.compile(rf"[A-Za-z0-9_-][A-Za-z0-9_.-]{{0,{MAX_NAME_CHARS - 1}}}")
-# Descriptors of appended files that stay open. A list is written to one file at a time, so few are in use at
-# once.
+# Open descriptors of appended files. Lists are written one file at a time, so few are in use at once.
 MAX_OPEN_FILES = 4
-# No symbolic links, which may lead out of the folder; no blocking, since opening a named pipe waits for its
-# other end.
+# No symbolic links, which may point outside the folder; non-blocking, since opening a named pipe waits for
+# its other end.
 OPEN_FLAGS = os.O_CLOEXEC | os.O_NOFOLLOW | os.O_NONBLOCK
 APPEND_FLAGS = OPEN_FLAGS | os.O_WRONLY | os.O_APPEND
 
 
 class PosixFileStore:
-    """A `FileStore` on a folder, which is created for its owner alone if it is missing.
+    """A `FileStore` in a folder, which is created with access for its owner only if it is missing.
 
-    Once a sync has failed, nothing is written any more: appending, syncing and replacing raise EIO, since a
-    later sync proves nothing.
+    After a failed sync nothing is written any more: `append`, `sync`, `sync_folder` and `replace` raise EIO,
+    since a later sync proves nothing.
     """
 
     def __init__(self, folder: str) -> None:
         """Create, open and lock the folder.
 
         Raises:
-            OSError: The folder can't be created or opened; with EBUSY if another process (or another store of
-            this
-                process) has locked it.
+            OSError: The folder can't be created or opened; with EBUSY if another process, or another store of
+                this process, has locked it.
         """
         self._path = os.path.abspath(folder)
         self._descriptors: OrderedDict[str, int] = OrderedDict()  # by name, the most recently used last
@@ -51,11 +49,11 @@
         except OSError as error:
             os.close(self._folder)
             if error.errno == errno.EWOULDBLOCK:
-                raise OSError(errno.EBUSY, "another process holds this folder", self._path) from None
+                raise OSError(errno.EBUSY, "another process has locked this folder", self._path) from None
             raise
 
     def names(self) -> list[str]:
-        """Return the names of all files, sorted; entries that a store can't have created are left out."""
+        """Return the names of all files, sorted; entries that no store can have created are left out."""
         with os.scandir(self._folder) as entries:
             return sorted(
                 entry.name
@@ -90,15 +88,15 @@
             unwritten = unwritten[os.write(descriptor, unwritten) :]
 
     def sync(self, name: str) -> None:
-        """Return once all that was appended to a file is on disk."""
+        """Return once all bytes appended to a file are on disk."""
         self._sync(self._open_descriptor(name, APPEND_FLAGS))
 
     def sync_folder(self) -> None:
-        """Return once the names in the folder are on disk."""
+        """Return once all changes of names in the folder are on disk."""
         self._sync(self._folder)
 
     def replace(self, name: str, new_name: str) -> None:
-        """Rename a file atomically, in place of the file that had the new name, if any."""
+        """Rename a file atomically; a file that has the new name is replaced."""
         self._check_usable()
         os.rename(
             _checked_name(name), _checked_name(new_name), src_dir_fd=self._folder, dst_dir_fd=self._folder
@@ -123,7 +121,7 @@
             self._folder = -1  # every later call raises EBADF
 
     def _open_descriptor(self, name: str, flags: int) -> int:
-        """Return the descriptor of an appended file; the least recently used one may be closed for it."""
+        """Return the descriptor of an appended file; may sync and close the least recently used one."""
         self._check_usable()
         if name not in self._descriptors:
             self._descriptors[name] = os.open(_checked_name(name), flags, 0o600, dir_fd=self._folder)
@@ -141,13 +139,13 @@
         try:
             os.fsync(descriptor)
         except OSError:
-            # A second sync may return although the kernel has dropped what it could not write.
+            # A later sync may succeed although the kernel has dropped the data that it could not write.
             self._has_failed = True
             raise
 
     def _check_usable(self) -> None:
         if self._has_failed:
-            raise OSError(errno.EIO, "a sync failed before", self._path)
+            raise OSError(errno.EIO, "an earlier sync failed", self._path)
 
     def _close_descriptor(self, name: str) -> None:
         """Close the descriptor of a file that was replaced or removed."""
@@ -158,7 +156,7 @@
 
 def _checked_name(name: str) -> str:
     if not NAME.fullmatch(name):
-        raise ValueError(f"{name!r} is no name of a file")
+        raise ValueError(f"{name!r} is not a valid file name")
     return name
 
 
@@ -169,7 +167,7 @@
         return
     if parent != path:
         _make_folder(parent)
-    # Another process may have created it in the meantime; whether it is a folder is seen when it is opened.
+    # Another process may have created it in the meantime; opening it fails if it is not a folder.
     with contextlib.suppress(FileExistsError):
         os.mkdir(path, 0o700)
     descriptor = os.open(parent, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
--- a/fordtrestle/proxy/state/snapshots.py
+++ b/fordtrestle/proxy/state/snapshots.py
@@ -1,4 +1,4 @@
-"""Small files that are replaced whole: after a crash at any point a file is the old or the new one.
+"""Replaces small files atomically: after a crash at any point, a file has the old or the new content.
 
 The new content is written to a temporary file and synced before that file takes the name of the old one
 (Pillai and others, OSDI 2014, on what goes wrong otherwise).
@@ -17,10 +17,10 @@
     """Replace a file, or create it; the new content is on disk when this returns.
 
     Raises:
-        OSError: The file is the old or the new one, whole; which of them is not known.
+        OSError: The write failed; the file has its old or its new content, and it is not known which.
     """
     temporary = f"{name}.tmp"
-    store.remove(temporary)  # what a crash left there would be appended to
+    store.remove(temporary)  # otherwise the content would be appended to a file that a crash left behind
     store.append(temporary, seal(payload))
     store.sync(temporary)
     store.replace(temporary, name)
@@ -44,5 +44,9 @@
 
 
 def set_aside(store: FileStore, name: str) -> None:
-    """Rename a file that can't be used to NAME.damaged, in place of an earlier one, or raise `OSError`."""
+    """Rename a file that can't be used to NAME.damaged, which replaces an earlier file of that name.
+
+    Raises:
+        OSError: The file can't be renamed.
+    """
     store.replace(name, f"{name}.damaged")
--- a/tests/proxy/state/test_background_writer.py
+++ b/tests/proxy/state/test_background_writer.py
@@ -63,7 +63,7 @@
     for key in ("a", "b", "c", "a"):
         recorded.submit(key, key)
     await until(lambda: len(recorded.done) == 1)
-    assert recorded.done == [("c", "more than 2 files wait to be written")]
+    assert recorded.done == [("c", "more than 2 files are queued to be written")]
     recorded.released.set()
     assert recorded.writer.close(30.0)
     assert recorded.ran == ["a", "b"]
@@ -79,11 +79,11 @@
     recorded.released.set()
     await until(lambda: len(recorded.done) == 3)
     recorded.submit("c", "later")
-    with pytest.raises(OSError, match="failed before"):
+    with pytest.raises(OSError, match="failed earlier"):
         recorded.writer.run(lambda: recorded.ran.append("run"), 30.0)
     await until(lambda: len(recorded.done) == 4)
     text = error.strerror if isinstance(error, OSError) else repr(error)
-    after = f"the store failed before: {text}"
+    after = f"the store failed earlier: {text}"
     assert recorded.done[1:] == [("fails", text), ("queued", after), ("later", after)]
     assert recorded.ran == ["fails"]
     assert recorded.writer.close(30.0)
--- a/tests/proxy/state/test_endpoint_list_store.py
+++ b/tests/proxy/state/test_endpoint_list_store.py
@@ -54,7 +54,7 @@
             {} if incarnation == 1 else {name: servers(incarnation - 1) for name in ("a", "b-2")}
         )
         cold = [
-            f"state: list-{name}: none kept; service {name} starts without a list" for name in ("a", "b-2")
+            f"state: list-{name}: not found; service {name} starts without a list" for name in ("a", "b-2")
         ]
         assert restored.log_lines == (cold if incarnation == 1 else [])
         await recorded.save("a", incarnation)
@@ -112,7 +112,7 @@
         found = RecordedStore(store.crash(has_current_names)).lists.load(["a", "b"])
         assert found.incarnation > incarnation
         assert all(found.lists[service].version >= version for service, version in last.items())
-        assert all("none kept" in line for line in found.log_lines)
+        assert all("not found" in line for line in found.log_lines)
     assert not failed, "every call has failed once"
     assert last == {"a": 3, "b": 4}
 
@@ -131,7 +131,7 @@
     restored = recorded.lists.load(["a", "b"])
     assert (restored.incarnation, restored.lists) == (1, {"b": servers(5)})
     assert restored.log_lines == [
-        "state: life: too long: more than 64 bytes; lives count from 1 again",
+        "state: life: too long: more than 64 bytes; incarnations count from 1 again",
         "state: list-a: wrong checksum; service a starts without a list",
     ]
     assert after_crash.names() == ["life", "life.damaged", "list-a.damaged", "list-b"]
--- a/tests/proxy/state/test_posix_file_store.py
+++ b/tests/proxy/state/test_posix_file_store.py
@@ -61,7 +61,7 @@
 def test_a_name_that_leads_out_of_the_folder_is_rejected(store, name):
     calls = (lambda: store.append(name, b""), lambda: store.read(name, 1), lambda: store.remove(name))
     for call in (*calls, lambda: store.replace(name, "a"), lambda: store.replace("a", name)):
-        with pytest.raises(ValueError, match="no name"):
+        with pytest.raises(ValueError, match="not a valid file name"):
             call()
 
 
@@ -145,7 +145,7 @@
     # The kernel would say that all is well now.
     calls = (lambda: store.sync("a"), store.sync_folder, lambda: store.append("b", b"x"))
     for call in (*calls, lambda: store.replace("a", "b")):
-        with pytest.raises(OSError, match="failed before"):
+        with pytest.raises(OSError, match="an earlier sync failed"):
             call()
     assert store.read("a", 9) == b"x"
 
@@ -156,7 +156,7 @@
     )
     command = [sys.executable, "-c", code, str(folder)]
     refused = subprocess.run(command, capture_output=True, text=True, timeout=30.0)
-    assert refused.stderr.splitlines()[-1].endswith(f"another process holds this folder: '{folder}'")
+    assert refused.stderr.splitlines()[-1].endswith(f"another process has locked this folder: '{folder}'")
     store.close()
     assert subprocess.run(command, timeout=30.0).returncode == 0
 
--- a/tests/proxy/state/test_snapshots.py
+++ b/tests/proxy/state/test_snapshots.py
@@ -113,5 +113,5 @@
 def test_a_record_of_something_else_is_rejected(data, reason):
     with pytest.raises(SnapshotError, match=reason):
         records.decode_list("a", "z", data)
-    with pytest.raises(SnapshotError, match="not a number"):
+    with pytest.raises(SnapshotError, match="not an incarnation"):
         records.decode_incarnation(records.encode_incarnation(0))
