--- a/tests/proxy/daemon/test_customers.py
+++ b/tests/proxy/daemon/test_customers.py
@@ -1,4 +1,4 @@
-"""Settings of other customers: the same program beside servers of which some hang, reset or reject."""
+"""The rules hold with the settings of any customer, while some servers hang, reset or reject."""
 
 from __future__ import annotations
 
@@ -37,6 +37,7 @@
     keyed("d", "cell", 60.0),
     kind("e", "side_effect"),
 ]
+# The seeds of the tests contain the names.
 CUSTOMERS = {
     "one safe class": {"Profiles": [kind("only", "pure")]},
     "one unsafe class": {"Profiles": [kind("only", "side_effect")]},
@@ -67,15 +68,15 @@
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("customer", CUSTOMERS)
 @virtual
-async def test_the_rules_hold_by_any_settings(customer, seed):
-    """Six servers in two zones and three cells; drawn from the seed, one of them serves."""
+async def test_the_rules_hold_with_any_settings(customer, seed):
+    """Six servers in two zones and three cells: one serves, the behaviours of the others are random."""
     rng = random.Random(f"{customer}/{seed}")
     settings = {**SETTINGS, **CUSTOMERS[customer]}
     behaviours = [serve, *rng.choices(BEHAVIOURS, k=5)]
     rng.shuffle(behaviours)
     servers = [
-        (f"s{i}", behave, {"zone": ("east", "west")[i % 2], "group": i % 3})
-        for i, behave in enumerate(behaviours)
+        (f"s{i}", behaviour, {"zone": ("east", "west")[i % 2], "group": i % 3})
+        for i, behaviour in enumerate(behaviours)
     ]
 
     async def client(site, address, row, pauses):
@@ -96,12 +97,12 @@
     assert site.got
 
 
-# --- what each limit forbids, where there is every reason to do it ------------------------
+# --- each limit is kept although a violation would serve the request ----------------------
 
 SLOW_RESET = later(0.12, reset)
-# The class; what those have who are allowed more; servers by zone and cell; the fault.
-# An unsafe class can't be told otherwise by settings, since its method follows from its kind.
-EACH_LIMIT = {
+# The class; the changes of a customer who allows more; servers by zone and cell; the fault.
+# Settings can't allow more for an unsafe class, since its method follows from its kind.
+LIMIT_CASES = {
     "cells": (
         keyed("key", "cell", 5000.0),
         {"Group": "all"},
@@ -135,24 +136,26 @@
 }
 
 
-@pytest.mark.parametrize("allowed", [False, True], ids=["as told", "told to do so"])
-@pytest.mark.parametrize("limit", EACH_LIMIT)
+@pytest.mark.parametrize("allowed", [False, True], ids=["forbidden", "allowed"])
+@pytest.mark.parametrize("limit", LIMIT_CASES)
 @virtual
-async def test_what_a_limit_forbids_is_not_done_though_it_would_serve_and_is_found_where_it_is(
-    limit, allowed
-):
-    """Judged by one customer's settings; "told to do so", the sidecar has those of another that allows it."""
-    row, more, servers, fault = EACH_LIMIT[limit]
+async def test_a_limit_is_kept_although_a_violation_would_serve_and_violations_are_detected(limit, allowed):
+    """Judged by one customer's settings; if "allowed", the sidecar has those of one that allows more."""
+    row, changes_if_allowed, servers, fault = LIMIT_CASES[limit]
     settings = {**SETTINGS, "Profiles": [row], "PolicyLimits": {**LIMITS, "MaxAttempts": 2}}
-    told = settings
+    sidecar_settings = settings
     if allowed:
-        most = 3 if limit == "most attempts" else 2
-        told = {**settings, "Profiles": [{**row, **more}], "PolicyLimits": {**LIMITS, "MaxAttempts": most}}
+        max_attempts = 3 if limit == "most attempts" else 2
+        sidecar_settings = {
+            **settings,
+            "Profiles": [{**row, **changes_if_allowed}],
+            "PolicyLimits": {**LIMITS, "MaxAttempts": max_attempts},
+        }
     site = Site(settings)
-    for number, (behave, zone, cell) in enumerate(servers):
-        await site.add(f"s{number}", behave, zone=zone, group=cell)
+    for number, (behaviour, zone, cell) in enumerate(servers):
+        await site.add(f"s{number}", behaviour, zone=zone, group=cell)
     watching = asyncio.create_task(site.lag.watch())
-    async with running(raw={"known": site.known()}, **told) as sidecar:
+    async with running(raw={"known": site.known()}, **sidecar_settings) as sidecar:
         sidecar.front.wake = sidecar.front.lag.wake
         for _ in range(10):
             await site.ask(sidecar.address, row, row["Deadline"] / 1000.0)
@@ -160,5 +163,5 @@
     site.stop()
     broken = site.broken()
     assert [line for line in broken if fault in line] if allowed else broken == []
-    # There was something to break it with.
+    # The limit mattered: some calls went to a server that does not serve.
     assert any(got.server.behave is not serve for got in site.got)
--- a/tests/proxy/daemon/test_descriptors.py
+++ b/tests/proxy/daemon/test_descriptors.py
@@ -1,4 +1,4 @@
-"""Idle clients that fill the descriptors, while discovery is away."""
+"""Idle clients use up the descriptors while the registry is unreachable."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 from tests.proxy.membership.stand_ins import Outage
 
 
-def held(process):
-    """The descriptors that a process holds."""
+def count_descriptors(process):
+    """Return the number of descriptors that a process has open."""
     return len(os.listdir(f"/proc/{process.pid}/fd"))
 
 
-async def crowd(address, count, apps):
-    """So many clients that say nothing; whoever is turned away comes again."""
+async def flood_with_clients(address, count, apps):
+    """Keep `count` silent clients connected; rejected ones connect again."""
     while True:
         for app in [app for app in apps if app.reader.at_eof()]:
             app.close()
@@ -31,42 +31,42 @@
         await asyncio.sleep(0.05)
 
 
-@pytest.mark.parametrize("how", ["hangs", "resets"])
+@pytest.mark.parametrize("kind", ["hangs", "resets"])
 @pytest.mark.parametrize("granted", [32, 64])
 @loopback
-async def test_clients_that_fill_all_places_keep_neither_the_watch_nor_a_first_dial_from_coming_up(
-    granted, how, tmp_path
+async def test_clients_that_use_all_connections_block_neither_the_watch_nor_the_first_connect(
+    granted, kind, tmp_path
 ):
-    """Guards against a list that can't be taken in just when servers drain."""
-    upstream, outage = await Upstream().start(), await Outage(how).start()
+    """Guards against a list that can't be fetched for lack of descriptors, while servers drain."""
+    upstream, outage = await Upstream().start(), await Outage(kind).start()
     outage.complete_list = json.dumps(listed(50, entry("s9", upstream.address))).encode() + b"\n"
     made = await Process.start(tmp_path, limit=f"ulimit -n {granted};", discovery=outage.address)
     apps = [made.app]
-    crowding = asyncio.create_task(crowd(made.address, 2 * granted, apps))
+    flood = asyncio.create_task(flood_with_clients(made.address, 2 * granted, apps))
     await until(lambda: len(apps) == 2 * granted)
     path = tmp_path / "config.json"
-    told = path.read_text()
-    path.write_text(told[: len(told) // 2])
-    made.process.send_signal(signal.SIGHUP)  # its file is opened and can't be read: nothing changes
+    config_text = path.read_text()
+    path.write_text(config_text[: len(config_text) // 2])
+    made.process.send_signal(signal.SIGHUP)  # the file can be opened but not parsed: nothing changes
     for _ in range(50):
-        assert held(made.process) < granted  # one is left also while each place is taken
+        assert count_descriptors(made.process) < granted  # one stays free although all connections are in use
         await asyncio.sleep(0.01)
     await outage.end()
 
     async def served():
-        """Its server is known from that list alone."""
+        """Return whether a call succeeds; the server is known from the fetched list only."""
         client = await App.connect(made.address)
         answer = await client.ask()
         client.close()
         return answer is not None and answer.body == b"done"
 
     await poll(served, interval_s=0.05)
-    # A file that can be read moves it, with all places taken still.
+    # A valid file moves the client, while all connections are still in use.
     second = await Outage("mute").start()
-    path.write_text(json.dumps({**json.loads(told), "discovery": second.address}))
+    path.write_text(json.dumps({**json.loads(config_text), "discovery": second.address}))
     made.process.send_signal(signal.SIGHUP)
     await until(lambda: second.requests)
-    crowding.cancel()
+    flood.cancel()
     made.process.terminate()
     assert await made.process.wait() == 0
     for app in apps:
--- a/tests/proxy/daemon/test_draining.py
+++ b/tests/proxy/daemon/test_draining.py
@@ -1,4 +1,4 @@
-"""The end of a process: what is taken until when, what is told to whom, and how long it lasts at the most."""
+"""Graceful shutdown: until when requests are accepted, how others are answered, and how long it takes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return None if answer is None else int(answer.start.split(" ")[1])
 
 
-def held_until(event):
+def respond_after(event):
     async def wait(reader, writer):
         await event.wait()
         return OK
@@ -33,7 +33,7 @@
 
 
 def queued(address, count, *sent):
-    """Clients that the machine has accepted, each with all that it sends, while the loop stands still."""
+    """Return connected sockets that have sent their data, while the event loop is blocked."""
     socks = []
     for _ in range(count):
         sock = socket.create_connection(tuple(address))
@@ -44,36 +44,36 @@
 
 
 async def statuses(socks):
-    """What each is answered up to the end of its connection, which may not be a reset."""
-    loop, found = asyncio.get_running_loop(), []
+    """Return the statuses that each socket receives until its connection ends, which must not be a reset."""
+    loop, results = asyncio.get_running_loop(), []
     for sock in socks:
-        got = b""
+        received = b""
         async with asyncio.timeout(PATIENCE_S):
             while data := await loop.sock_recv(sock, 65536):
-                got += data
-        found.append([int(row[:3]) for row in got.split(b"HTTP/1.1 ")[1:]])
+                received += data
+        results.append([int(row[:3]) for row in received.split(b"HTTP/1.1 ")[1:]])
         sock.close()
-    return found
+    return results
 
 
-# --- what is taken until when --------------------------------------------------------
+# --- until when requests are accepted ------------------------------------------------
 
 
 @loopback
-async def test_half_of_a_request_is_told_503_once_no_more_is_taken_and_its_rest_is_dropped():
-    """Guards against work begun so late that SIGKILL finds it open, while other calls keep it going."""
+async def test_an_incomplete_request_gets_503_once_none_is_accepted_and_its_remainder_is_dropped():
+    """Guards against a call accepted so late that SIGKILL interrupts it, while others prolong the drain."""
     release = asyncio.Event()
-    upstream = await Upstream([held_until(release)]).start()
+    upstream = await Upstream([respond_after(release)]).start()
     async with running(upstream) as sidecar:
         busy, half = await App.connect(sidecar.address), await App.connect(sidecar.address)
         busy.send()
-        whole = request("POST", "/pay", b"hello")
-        half.writer.write(whole[:-2])
+        complete = request("POST", "/pay", b"hello")
+        half.writer.write(complete[:-2])
         await until(lambda: upstream.seen and sidecar.front.buffers.unfinished)
         drain = asyncio.create_task(sidecar.drain())
         answer = await half.answer()
         assert (status_of(answer), answer.headers["connection"]) == (503, "close")
-        half.writer.write(whole[-2:])
+        half.writer.write(complete[-2:])
         assert await half.answer() is None
         assert len(upstream.seen) == 1
         release.set()
@@ -82,17 +82,17 @@
 
 
 @loopback
-async def test_a_request_that_is_whole_past_the_last_moment_is_refused_in_its_turn_and_not_sent_on():
+async def test_a_request_completed_too_late_is_rejected_in_order_and_not_forwarded():
     release = asyncio.Event()
-    upstream = await Upstream([held_until(release)]).start()
+    upstream = await Upstream([respond_after(release)]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        app.writer.write(request() + (whole := request())[:-2])
+        app.writer.write(request() + (complete := request())[:-2])
         await until(lambda: upstream.seen)
         drain = asyncio.create_task(sidecar.drain())
         late_s = process.ACCEPT_AFTER_SIGNAL_S - process.LISTEN_AFTER_SIGNAL_S
         await asyncio.sleep(late_s + 3 * process.DRAIN_POLL_S)
-        app.writer.write(whole[-2:])
+        app.writer.write(complete[-2:])
         await until(lambda: any(len(entry.owner._waiting) == 2 for entry in sidecar.front.table))
         release.set()
         assert [status_of(await app.answer()) for _ in range(2)] == [200, 503]
@@ -102,24 +102,24 @@
 
 @pytest.mark.parametrize("before", [0, 20])
 @loopback
-async def test_what_is_whole_in_time_gets_its_answer_however_long_the_server_takes(before, monkeypatch):
-    """A newcomer whose first bytes come as the drain has begun, and half a request that is complete then.
+async def test_a_request_completed_in_time_is_answered_however_long_the_server_takes(before, monkeypatch):
+    """A new connection without bytes, or with half a request, when the drain begins.
 
-    Guards against an end that follows the last answer before it by LAST_BYTES_TIMEOUT_S.
+    Guards against a drain that ends LAST_BYTES_TIMEOUT_S after an earlier response.
     """
     monkeypatch.setattr(process, "ACCEPT_AFTER_SIGNAL_S", PATIENCE_S)
     release = asyncio.Event()
-    upstream = await Upstream([held_until(release)]).start()
+    upstream = await Upstream([respond_after(release)]).start()
     async with running(upstream) as sidecar:
         app = await App.connect(sidecar.address)
-        whole = request("POST", "/pay", b"hello")
-        app.writer.write(whole[:before])
+        complete = request("POST", "/pay", b"hello")
+        app.writer.write(complete[:before])
         await until(
             lambda: len(sidecar.front.table) == 1 and (not before or sidecar.front.buffers.unfinished)
         )
         drain = asyncio.create_task(sidecar.drain())
-        await asyncio.sleep(0)  # it stands in its first wait
-        app.writer.write(whole[before:])
+        await asyncio.sleep(0)  # the drain is in its first wait
+        app.writer.write(complete[before:])
         await until(lambda: upstream.seen)
         await asyncio.sleep(2 * process.LAST_BYTES_TIMEOUT_S)
         assert not drain.done()
@@ -129,7 +129,7 @@
 
 
 @loopback
-async def test_a_newcomer_that_never_asks_does_not_keep_a_process_from_ending():
+async def test_a_connection_without_a_request_does_not_delay_the_end():
     async with running() as sidecar:
         silent = await App.connect(sidecar.address)
         await until(lambda: len(sidecar.front.table) == 1)
@@ -139,8 +139,8 @@
 
 
 @loopback
-async def test_what_the_machine_has_accepted_is_told_so_where_it_is_too_late_to_take_it(monkeypatch):
-    """As after a start or a stall that outlasted the time to end: a reset would tell the client nothing."""
+async def test_queued_connections_get_503_when_it_is_too_late_to_accept_them(monkeypatch):
+    """As after a start or stall longer than the time to end; a reset would not inform the client."""
     monkeypatch.setattr(server_module, "BACKLOG_TIMEOUT_S", PATIENCE_S)
     upstream = await Upstream([OK]).start()
     async with running(upstream) as sidecar:
@@ -152,12 +152,12 @@
         assert not upstream.seen
 
 
-# --- how long it lasts ------------------------------------------------------------------
+# --- how long a drain takes -------------------------------------------------------------
 
 
 @loopback
-async def test_a_request_that_is_forgotten_and_its_guard_with_it_is_failed_past_its_time():
-    """Guards against a drain with no bound of its own."""
+async def test_a_request_lost_together_with_its_guard_fails_after_its_deadline():
+    """Guards against a drain without a time limit of its own."""
     module = Scripted(request=lambda now, arrival: [])
     async with running(balancer=module) as sidecar:
         app = await App.connect(sidecar.address)
@@ -172,8 +172,8 @@
 
 
 @loopback
-async def test_a_client_that_does_not_read_its_answer_does_not_keep_a_process_from_ending(monkeypatch):
-    """What it has not read LAST_BYTES_TIMEOUT_S past the last answer is cut, and no quota stays in use."""
+async def test_a_client_that_does_not_read_its_response_does_not_delay_the_end(monkeypatch):
+    """The connection is aborted LAST_BYTES_TIMEOUT_S after the last response, and no quota stays in use."""
     monkeypatch.setattr(server_module, "SEND_BUFFER_BYTES", 4096)
     large = b"HTTP/1.1 200 OK\r\nContent-Length: 65536\r\n\r\n" + b"x" * 65536
     upstream = await Upstream([large]).start()
@@ -195,7 +195,7 @@
 
 
 class Counting:
-    """A program that records its calls, and raises signals as it starts."""
+    """A program that records its calls, and raises signals during its start."""
 
     def __init__(self, signals, *numbers, late_s=0.0):
         self.calls = []
@@ -206,7 +206,7 @@
     async def start(self):
         for number in self._numbers:
             signal.raise_signal(number)
-        self._signals.signalled_at -= self._late_s  # as if the start took so long
+        self._signals.signalled_at -= self._late_s  # as if the start had taken this long
 
     def reload(self):
         self.calls.append("reload")
@@ -222,11 +222,11 @@
 
 
 @loopback
-async def test_signals_that_come_as_it_starts_are_seen_to_and_the_time_to_end_runs_from_the_first(
+async def test_signals_during_the_start_are_handled_and_the_time_to_end_counts_from_the_first(
     handlers,  # noqa: F811
     monkeypatch,
 ):
-    """Guards against listening on for a time that was over before it listened: SIGKILL comes by then."""
+    """Guards against listening for a period that already ended during the start: SIGKILL would follow."""
     monkeypatch.setattr(runner, "LISTEN_AFTER_SIGNAL_S", 3600.0)
     signals = Signals()
     signals.install()
@@ -234,21 +234,21 @@
     program = Counting(signals, *numbers, late_s=3600.0)
     before = time.monotonic()
     await asyncio.wait_for(runner.run(lambda loop: program, signals), PATIENCE_S)
-    told, signalled_at, closed = program.calls
-    assert (told, closed) == ("reload", "close")
+    first_call, signalled_at, closed = program.calls
+    assert (first_call, closed) == ("reload", "close")
     assert before - 3600.0 <= signalled_at <= time.monotonic() - 3600.0
 
 
 def catches(pid, number):
-    """Whether a process handles a signal by now (proc(5))."""
+    """Return whether a process has a handler for a signal (proc(5))."""
     rows = Path(f"/proc/{pid}/status").read_text().splitlines()
     caught = next(row for row in rows if row.startswith("SigCgt:"))
     return bool(int(caught.split()[1], 16) >> (number - 1) & 1)
 
 
 @loopback
-async def test_sigterm_as_it_starts_ends_it_in_order(tmp_path, reaped, monkeypatch):  # noqa: F811
-    """Before it listens: from the first moment in which it handles signals."""
+async def test_sigterm_during_the_start_ends_the_process_gracefully(tmp_path, reaped, monkeypatch):  # noqa: F811
+    """Before the process listens, as soon as it handles signals."""
     made = await started(tmp_path, wait=False)
     reaped.append(made)
     await until(lambda: catches(made.pid, signal.SIGTERM) and catches(made.pid, signal.SIGHUP))
@@ -260,7 +260,7 @@
 
 
 @loopback
-async def test_what_was_queued_while_it_stood_still_is_answered_as_signals_come_with_it(tmp_path):
+async def test_connections_queued_during_a_stop_are_answered_when_signals_follow(tmp_path):
     upstream = await Upstream([SERVED]).start()
     made = await Process.start(tmp_path, upstream)
     made.process.send_signal(signal.SIGSTOP)
--- a/tests/proxy/daemon/test_overload_monitor.py
+++ b/tests/proxy/daemon/test_overload_monitor.py
@@ -1,4 +1,4 @@
-"""The overload monitor: pressure on real HTTP servers and services, stalls, limits that move, two servers."""
+"""The overload monitor on real HTTP servers and services: pressure, stalls, changed limits, two servers."""
 
 from __future__ import annotations
 
@@ -35,12 +35,12 @@
 
 
 @pytest.fixture
-def quick(monkeypatch):
-    """Checks every 20 ms."""
+def fast_checks(monkeypatch):
+    """Run the checks every 20 ms."""
     monkeypatch.setattr(overload_monitor, "CHECK_INTERVAL_S", 0.02)
 
 
-@pytest.mark.usefixtures("quick")
+@pytest.mark.usefixtures("fast_checks")
 @loopback
 async def test_while_nothing_is_open_no_check_is_scheduled():
     upstream = await Upstream([OK]).start()
@@ -54,10 +54,10 @@
         await until(lambda: sidecar.overload._timer is None)
 
 
-@pytest.mark.usefixtures("quick")
+@pytest.mark.usefixtures("fast_checks")
 @loopback
-async def test_resident_memory_near_its_limit_refuses_by_worth_until_what_is_held_is_gone(capsys):
-    """With 200 answers of 64 KiB unread; and all is as before once their clients have gone."""
+async def test_resident_memory_near_its_limit_rejects_by_worth_until_buffers_are_released(capsys):
+    """With 200 unread responses of 64 KiB each; the pressure ends once their clients have disconnected."""
     upstream = await Upstream([LARGE]).start()
     resident = 60 * 2**20
     machine = {"limits": {"sockets": 1024, "memory_mb": 100}}
@@ -65,8 +65,8 @@
     async with running(upstream, raw=machine, limits=NO_GUARANTEES, rules=rules) as sidecar:
         sidecar.overload._resident = lambda: resident
         module = sidecar.driver._balancer
-        deaf = [await narrow(sidecar.address) for _ in range(25)]
-        for app in deaf:
+        non_reading = [await narrow(sidecar.address) for _ in range(25)]
+        for app in non_reading:
             app.writer.transport.pause_reading()
             app.writer.write(b"".join(request() for _ in range(8)))
         await until(lambda: len(sidecar.front.buffers.stalled) == 25)
@@ -77,11 +77,11 @@
         assert sidecar.overload.pressure.is_on(PressureAction.PAUSE_ACCEPTING)
         assert sidecar.driver.allows_optional_work is False
         assert sidecar.front.table.shorten_idle
-        for app in deaf:
+        for app in non_reading:
             app.close()
         await until(lambda: sidecar.limits.buffered.used == other.used)
         assert module._shedder.pressure > 0.8
-        other.release(other.used)  # what is resident stays
+        other.release(other.used)  # resident memory does not shrink
         await until(lambda: module._shedder.pressure == 0.0)
         await until(lambda: sidecar.driver.allows_optional_work and not sidecar.front.table.shorten_idle)
         upstream.replies = [OK]
@@ -94,7 +94,7 @@
     assert "resident memory" in refused[0]
 
 
-@pytest.mark.usefixtures("quick")
+@pytest.mark.usefixtures("fast_checks")
 @loopback
 async def test_under_pressure_pools_shrink_and_probes_are_not_sent():
     upstream = await Upstream([OK]).start()
@@ -117,8 +117,8 @@
 
 
 @loopback
-async def test_a_stall_is_blamed_on_no_server_and_counts_for_those_who_waited():
-    """The process stands still past the time-outs of 100 attempts, and wakes to 120 new requests."""
+async def test_a_stall_is_not_attributed_to_servers_and_counts_as_waiting_time():
+    """The event loop is blocked past the timeouts of 100 attempts, and then receives 120 new requests."""
     answers_at = asyncio.Event()
     timeout = 60_000.0
 
@@ -131,31 +131,31 @@
         request=lambda now, arrival: [Send(arrival.request, "s0", timeout)],
         outcome=lambda now, number, hop, status, spent, last, report: [] if last else [Fail(number)],
     )
-    limits = {**SETTINGS["PolicyLimits"], "ConnectTimeout": timeout}  # 120 come up at once, on one loop
+    limits = {**SETTINGS["PolicyLimits"], "ConnectTimeout": timeout}  # 120 connects at once, in one loop
     async with running(upstream, balancer=module, PolicyLimits=limits) as sidecar:
         upstream.replies = [OK]
-        resting = [await App.connect(sidecar.address) for _ in range(20)]
-        for app in resting:
+        idle_apps = [await App.connect(sidecar.address) for _ in range(20)]
+        for app in idle_apps:
             assert status_of(await app.ask()) == 200
-        upstream.replies, timeout = [soon], 5000.0  # time enough to send all of them on a slow machine
+        upstream.replies, timeout = [soon], 5000.0  # enough time to send all of them on a slow machine
         waiting = [await App.connect(sidecar.address) for _ in range(100)]
         for app in waiting:
             app.send()
         await until(lambda: len(upstream.seen) == 120)
         timeout = 60_000.0
-        comers = []
+        new_sockets = []
 
         def connect():
-            for app in resting:
+            for app in idle_apps:
                 os.write(app.writer.get_extra_info("socket").fileno(), request(X_Budget="9000m"))
             for _ in range(100):
                 sock = socket.create_connection(sidecar.address)
                 sock.sendall(request(X_Budget="9000m"))
-                comers.append(sock)
+                new_sockets.append(sock)
 
         thread = threading.Thread(target=connect)
         thread.start()
-        stall(5.2)  # all that happens meanwhile waits in the kernel
+        stall(5.2)  # events during the stall are queued in the kernel
         thread.join()
         upstream.replies = [OK]
         await until(lambda: len(module.named("request")) == 240)
@@ -168,10 +168,10 @@
         answers_at.set()
         for app in waiting:
             assert status_of(await app.answer()) in (200, 502, 504)
-        for app in resting:
+        for app in idle_apps:
             assert status_of(await app.answer()) == 200
         loop = asyncio.get_running_loop()
-        for sock in comers:
+        for sock in new_sockets:
             sock.setblocking(False)
             assert b"200 OK" in await loop.sock_recv(sock, 1000)
             sock.close()
@@ -203,7 +203,7 @@
 
 
 async def standalone(tmp_path, upstream, descriptors):
-    """A process of two fronts, and where they listen."""
+    """Start a process with two fronts; return it, its file and the addresses of the fronts."""
     file = tmp_path / "operator.toml"
     file.write_text(OPERATOR.format(server=upstream.address, descriptors=descriptors))
     made = Standalone(asyncio.get_running_loop(), str(file), operator_file.read(str(file)))
@@ -216,7 +216,7 @@
 
 
 @loopback
-async def test_a_server_that_was_idle_gets_its_share_at_once_though_the_other_has_borrowed_all(tmp_path):
+async def test_an_idle_front_gets_its_share_at_once_although_the_other_has_borrowed_everything(tmp_path):
     upstream = await Upstream([OK]).start()
     made, _, one, two = await standalone(tmp_path, upstream, 64)
     busy = [await App.connect(one) for _ in range(60)]
@@ -232,7 +232,7 @@
 
 
 @loopback
-async def test_limits_lowered_by_a_reload_below_what_is_held_close_who_is_at_rest_and_lose_nobody(tmp_path):
+async def test_limits_lowered_below_the_current_use_close_idle_connections_and_fail_no_call(tmp_path):
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -241,8 +241,8 @@
 
     upstream = await Upstream([OK]).start()
     made, file, one, _ = await standalone(tmp_path, upstream, 200)
-    resting = [await App.connect(one) for _ in range(40)]
-    for app in resting:
+    idle_apps = [await App.connect(one) for _ in range(40)]
+    for app in idle_apps:
         for _ in range(2):
             assert status_of(await app.ask(**ask())) == 200
     upstream.replies = [wait]
@@ -264,10 +264,10 @@
     upstream.stop()
 
 
-def test_resident_memory_is_that_of_this_process_and_nothing_where_it_can_not_be_read(tmp_path, capsys):
+def test_resident_memory_is_that_of_this_process_and_zero_if_it_can_not_be_read(tmp_path, capsys):
     resident = ResidentMemory()
     before = resident.read()
-    # A mapping of its own: the allocator may hand out pages that are resident since earlier tests.
+    # A separate mapping, since the allocator may return pages that are resident since earlier tests.
     with mmap.mmap(-1, 32 * 2**20) as ballast:
         for offset in range(0, len(ballast), mmap.PAGESIZE):
             ballast[offset] = 1
@@ -292,7 +292,7 @@
 
 
 @loopback
-async def test_a_client_of_a_front_whose_calls_are_all_taken_is_told_when_to_come_back():
+async def test_a_client_gets_retry_after_while_all_open_calls_are_in_use():
     upstream = await Upstream([hang]).start()
     limits = {**partners.SETTINGS["PolicyLimits"], "RetryAfter": True, "MaxRetryAfter": 50.0}
     async with running(upstream, PolicyLimits=limits) as sidecar:
--- a/tests/proxy/daemon/test_process.py
+++ b/tests/proxy/daemon/test_process.py
@@ -1,4 +1,4 @@
-"""The program as it is deployed: started, stopped and told nonsense."""
+"""The program as it is deployed: start, stop, reload and invalid configurations."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def environment(tmp_path, **changes):
-    """A configuration file, and the environment that names it."""
+    """Write a configuration file; return the environment that names it."""
     raw = {
         "name": "n0",
         "listen": "127.0.0.1:0",
@@ -50,7 +50,7 @@
         ({"known": []}, "configuration"),
     ],
 )
-def test_a_bad_configuration_is_one_line_and_an_exit_code(tmp_path, changes, message):
+def test_an_invalid_configuration_is_one_line_and_an_exit_code(tmp_path, changes, message):
     done = subprocess.run(
         [sys.executable, "-m", "fordtrestle"],
         env=environment(tmp_path, **changes),
@@ -64,7 +64,7 @@
     assert message in done.stderr
 
 
-def test_no_configuration_at_all_is_one_line_too(tmp_path):
+def test_a_missing_configuration_is_one_line_too(tmp_path):
     for path in ("", str(tmp_path / "missing.json")):
         env = {**environment(tmp_path), "NODE_CONFIG": path}
         done = subprocess.run(
@@ -85,7 +85,7 @@
 
 
 class Process:
-    """The real program in a process of its own."""
+    """The real program in a separate process."""
 
     @classmethod
     async def start(cls, tmp_path, *upstreams, limit="", words="", **changes):
@@ -106,7 +106,7 @@
 
 
 @loopback
-async def test_at_sigterm_it_goes_on_taking_requests_then_finishes_them_and_exits(tmp_path):
+async def test_after_sigterm_it_still_accepts_requests_then_completes_them_and_exits(tmp_path):
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -117,9 +117,9 @@
     made = await Process.start(tmp_path, upstream)
     made.app.send()
     await until(lambda: upstream.seen)
-    asked = asyncio.get_running_loop().time()
+    signalled_at = asyncio.get_running_loop().time()
     made.process.send_signal(signal.SIGTERM)
-    late = await App.connect(made.address)  # as new connections go on coming
+    late = await App.connect(made.address)  # new connections still arrive
     late.send()
     await until(lambda: len(upstream.seen) == 2)
 
@@ -129,7 +129,7 @@
         except ConnectionError:
             break
         await asyncio.sleep(0.01)
-    assert asyncio.get_running_loop().time() - asked > 0.4
+    assert asyncio.get_running_loop().time() - signalled_at > 0.4
     release.set()
     for app in (made.app, late):
         answer = await app.answer()
@@ -139,8 +139,8 @@
 
 
 @loopback
-async def test_sighup_moves_discovery_and_touches_nothing_else(tmp_path):
-    """Guards against the signal's default, which ends the process, in any state that it is in."""
+async def test_sighup_moves_discovery_and_changes_nothing_else(tmp_path):
+    """Guards against the default action of the signal, which kills the process, in any of its states."""
     release = asyncio.Event()
 
     async def wait(reader, writer):
@@ -157,10 +157,10 @@
     await until(lambda: upstream.seen)
 
     path = tmp_path / "config.json"
-    told = json.loads(path.read_text())
-    path.write_text("{")  # can't be read: nothing changes
+    config = json.loads(path.read_text())
+    path.write_text("{")  # can't be parsed: nothing changes
     made.process.send_signal(signal.SIGHUP)
-    path.write_text(json.dumps({**told, "discovery": second.address}))
+    path.write_text(json.dumps({**config, "discovery": second.address}))
     for _ in range(3):
         made.process.send_signal(signal.SIGHUP)
     await until(lambda: second.watches)
@@ -178,14 +178,14 @@
 @loopback
 async def test_it_survives_running_out_of_descriptors(tmp_path):
     upstream = await Upstream([hang]).start()
-    # Told of more descriptors than the system grants: the smaller figure must count.
+    # Configured with more descriptors than the system grants: the smaller number must apply.
     made = await Process.start(tmp_path, upstream, limit="ulimit -n 64;")
     apps = [await App.connect(made.address) for _ in range(80)]
     for app in apps:
         app.send(X_Budget="400m")
     answers = await asyncio.gather(*(app.answer() for app in apps))
     statuses = [answer.start.split(" ")[1] for answer in answers if answer is not None]
-    assert "503" in statuses  # told so, not cut off
+    assert "503" in statuses  # rejected with a response, not disconnected
     for app in apps:
         app.close()
     upstream.replies = [b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\ndone"]
--- a/tests/proxy/daemon/test_reload.py
+++ b/tests/proxy/daemon/test_reload.py
@@ -1,4 +1,4 @@
-"""Configurations that can't be read, are half written or wrong, at the start and at SIGHUP."""
+"""Configurations that are unreadable, half written or invalid, at the start and at SIGHUP."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     "settings": SETTINGS,
 }
 TEXT = json.dumps(GOOD).encode()
-SPOILT = {
+INVALID = {
     "empty": b"",
     "half written": TEXT[: len(TEXT) // 2],
     "all but its last byte": TEXT[:-1],
@@ -54,17 +54,17 @@
 }
 
 
-@pytest.mark.parametrize("text", SPOILT.values(), ids=SPOILT)
-def test_what_is_wrong_with_a_file_is_told_in_one_line(text, tmp_path):
+@pytest.mark.parametrize("text", INVALID.values(), ids=INVALID)
+def test_a_fault_of_a_file_is_reported_in_one_line(text, tmp_path):
     path = tmp_path / "config.json"
     path.write_bytes(text)
-    with pytest.raises(PlatformConfigError) as told:
+    with pytest.raises(PlatformConfigError) as raised:
         platform_config.load({"NODE_CONFIG": str(path)})
-    assert str(told.value).startswith("configuration: ")
-    assert len(str(told.value).splitlines()) == 1
+    assert str(raised.value).startswith("configuration: ")
+    assert len(str(raised.value).splitlines()) == 1
 
 
-def test_a_file_cut_anywhere_is_no_configuration(tmp_path):
+def test_a_truncated_file_is_rejected(tmp_path):
     path = tmp_path / "config.json"
     for size in range(0, len(TEXT), 13):
         path.write_bytes(TEXT[:size])
@@ -72,10 +72,10 @@
             platform_config.load({"NODE_CONFIG": str(path)})
 
 
-@pytest.mark.parametrize("what", ["half written", "no settings", "no address"])
-def test_a_start_from_a_spoilt_file_is_one_line_and_exit_code_2(what, tmp_path):
+@pytest.mark.parametrize("case", ["half written", "no settings", "no address"])
+def test_a_start_with_an_invalid_file_is_one_line_and_exit_code_2(case, tmp_path):
     env = environment(tmp_path)
-    (tmp_path / "config.json").write_bytes(SPOILT[what])
+    (tmp_path / "config.json").write_bytes(INVALID[case])
     done = subprocess.run(
         [sys.executable, "-m", "fordtrestle"], env=env, cwd=ROOT, capture_output=True, text=True, timeout=60
     )
@@ -83,7 +83,7 @@
 
 
 @virtual
-async def test_reloads_of_spoilt_files_change_nothing_and_a_good_one_still_counts(tmp_path, capfd):
+async def test_reloads_of_invalid_files_change_nothing_and_a_valid_one_still_applies(tmp_path, capfd):
     upstream, old, new = await Upstream().start(), await Registry().start(), await Registry(listed(3)).start()
     path = tmp_path / "config.json"
     raw = {**GOOD, "discovery": old.address, "known": listed(1, entry("s0", upstream.address))}
@@ -97,7 +97,7 @@
         return (await app.ask()).start.startswith("HTTP/1.1 200 ")
 
     await until(lambda: old.watches)
-    for text in SPOILT.values():
+    for text in INVALID.values():
         path.write_bytes(text)
         sidecar.reload()
         assert await served()
@@ -109,11 +109,11 @@
     assert await served()
     assert len(old.asked) == 1
     assert not old.watches[0].is_closing()
-    # A process that is busy for 0.2 s reports so too, in lines of its own.
-    said = [row for row in capfd.readouterr().err.splitlines() if not row.startswith("pressure: ")]
-    assert len(said) == len(SPOILT) + 2
-    assert all(row.endswith("; nothing changes") for row in said)
-    # Other settings than at the start: only discovery moves, and the classes stay.
+    # A process that was busy for 0.2 s may also log lines about pressure.
+    logged = [row for row in capfd.readouterr().err.splitlines() if not row.startswith("pressure: ")]
+    assert len(logged) == len(INVALID) + 2
+    assert all(row.endswith("; nothing changes") for row in logged)
+    # With settings other than at the start, only discovery moves; the classes stay.
     new.listed = listed(3, entry("s0", upstream.address))
     other = {**SETTINGS, "Profiles": [{**SETTINGS["Profiles"][0], "Name": "other"}], "Tenants": []}
     path.write_text(json.dumps({**raw, "discovery": new.address, "settings": other, "listen": "127.0.0.1:1"}))
@@ -129,7 +129,7 @@
 
 
 @loopback
-async def test_the_program_lives_through_sighup_with_a_spoilt_file(tmp_path):
+async def test_the_program_survives_sighup_with_an_invalid_file(tmp_path):
     upstream, old, new = await Upstream().start(), await Registry().start(), await Registry(listed(3)).start()
     sidecar = await Process.start(tmp_path, upstream, discovery=old.address)
     path = tmp_path / "config.json"
--- a/tests/proxy/daemon/test_server_drains.py
+++ b/tests/proxy/daemon/test_server_drains.py
@@ -1,8 +1,7 @@
-"""When a server drains, nothing new reaches it from half a second after the change counts as reported.
+"""A draining server gets no new request later than 0.5 s after the change counts as reported.
 
-That holds whatever of discovery fails just then.
-
-The whole sidecar with the real module, in virtual time over real sockets: what is measured is the same on any
+This must hold whichever part of discovery fails at that moment. The tests run the whole sidecar with
+the real decision module in virtual time over real sockets, so that the measured times are the same on any
 machine.
 """
 
@@ -24,15 +23,16 @@
 from tests.virtual import virtual
 
 GRACE_S = 0.5  # StopSendingWithin
-SLACK_S = 0.05  # each limit is wider on sockets
-COUNTS_S = 6.0  # after discovery had it and could be reached, or after a watch fell silent
-RELOADED_S = 4.0  # after SIGHUP
+SLACK_S = 0.05  # tolerance of each limit on sockets
+# After the registry has the change and is reachable, or after a watch has gone silent.
+REPORTED_WITHIN_S = 6.0
+RELOADED_WITHIN_S = 4.0  # after SIGHUP
 CLIENTS = 2
-REST_S, PAUSE_S = 0.9, 0.1  # between requests of a client: before the fault, and from then on
+INTERVAL_S, FAULT_INTERVAL_S = 0.9, 0.1  # between two requests of a client: before the fault, and after it
 
 
-class Timed(Upstream):
-    """A server that notes when each request has come."""
+class TimedUpstream(Upstream):
+    """A server that records when each request was received."""
 
     def __init__(self):
         super().__init__([OK])
@@ -48,26 +48,26 @@
 
 
 @dataclass
-class Place:
-    """Discovery at one address.
+class DrainRegistry:
+    """A registry at one address.
 
-    `how` is what it does with a call: "well", "ends" (a watch ends and has told nothing, a list call ends
-    unanswered), "resets", "mute". `whole`: a watch begins with the complete list, in pieces and over
-    several lines, and else with what changed.
+    `how` is its behaviour: "well", "ends" (a watch ends without a list, a request for a list ends
+    unanswered), "resets" or "mute". If `is_complete`, a watch starts with the complete list, in chunks and
+    over several lines; otherwise it starts with the changes.
     """
 
     rows: list[dict]
     how: str = "well"
-    whole: bool = True
+    is_complete: bool = True
     index: int = 50
-    asked: list[str] = field(default_factory=list)
+    requests: list[str] = field(default_factory=list)
     open: list[asyncio.StreamWriter] = field(default_factory=list)
     silent: set[asyncio.StreamWriter] = field(default_factory=set)
     changed: list[dict] = field(default_factory=list)
 
-    async def was_asked(self):
-        """Whether anything was asked for."""
-        return bool(self.asked)
+    async def has_request(self):
+        """Return whether any request was received."""
+        return bool(self.requests)
 
     async def start(self):
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -80,14 +80,16 @@
         if message is None:
             return
         target = message.start.split(" ")[1]
-        self.asked.append(target)
+        self.requests.append(target)
         with contextlib.suppress(ConnectionError):
             await getattr(self, "_" + self.how)(reader, writer, "watch=1" in target)
         writer.transport.abort()
 
-    def text(self, whole):
-        rows = self.rows if whole else self.changed
-        return json.dumps(listed(self.index, *rows, snapshot=whole), indent=1 if whole else None).encode()
+    def text(self, is_complete):
+        rows = self.rows if is_complete else self.changed
+        return json.dumps(
+            listed(self.index, *rows, snapshot=is_complete), indent=1 if is_complete else None
+        ).encode()
 
     async def _well(self, reader, writer, watch):
         if not watch:
@@ -95,7 +97,7 @@
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(text), text))
             return
         writer.write(HEAD)
-        text = self.text(self.whole) + b"\n"
+        text = self.text(self.is_complete) + b"\n"
         for at in range(0, len(text), 29):
             writer.write(chunk(text[at : at + 29]))
             await writer.drain()
@@ -117,20 +119,20 @@
     async def _mute(self, reader, writer, watch):
         await reader.read()
 
-    def tell(self, *rows):
-        """A change: who has no row any more is left out of whole lists from now on."""
+    def report(self, *rows):
+        """Report a change over all watches that are not silent."""
         self.index += 1
         self.changed = list(rows)
         for writer in self.open:
             if writer not in self.silent and not writer.is_closing():
                 writer.write(chunk(self.text(False) + b"\n"))
 
-    def fall_silent(self):
+    def go_silent(self):
         self.silent.update(self.open)
 
     def end(self, how):
-        """All open watches end, and none of them has told."""
-        self.fall_silent()
+        """End all open watches, without reporting anything."""
+        self.go_silent()
         for writer in self.open:
             if how == "ends" and not writer.is_closing():
                 writer.write(b"0\r\n\r\n")
@@ -144,17 +146,17 @@
 
 
 class Load:
-    """A sidecar that a few clients ask all the time, with the file that a reload reads at `path`."""
+    """A sidecar under constant load of a few clients; `path` is the file that a reload reads."""
 
-    def __init__(self, place, servers, path, pushed):
+    def __init__(self, registry, servers, path, pushed):
         rows = [entry(f"s{i}", server.address) for i, server in enumerate(servers)]
         self.raw = {
-            **{"name": "n0", "listen": "127.0.0.1:0", "discovery": place.address, "seed": "1"},
+            **{"name": "n0", "listen": "127.0.0.1:0", "discovery": registry.address, "seed": "1"},
             **{"limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}, "known": listed(41, *rows)},
             "settings": {**SETTINGS, "Discovery": "automatic" if pushed else "subscribe"},
         }
         self.path = path
-        self.pause_s = REST_S
+        self.interval_s = INTERVAL_S
 
     @contextlib.asynccontextmanager
     async def running(self):
@@ -177,28 +179,30 @@
         while True:
             if await app.ask() is None:
                 app = await App.connect(address)
-            await asyncio.sleep(self.pause_s)
+            await asyncio.sleep(self.interval_s)
 
     def reload(self, address):
-        """Discovery is at another place from now on."""
+        """Reload with another address of the registry."""
         self.path.write_text(json.dumps({**self.raw, "discovery": address}))
         self.sidecar.reload()
 
 
 async def partners():
-    servers = [await Timed().start() for _ in range(3)]
+    servers = [await TimedUpstream().start() for _ in range(3)]
     rows = [entry(f"s{i}", server.address) for i, server in enumerate(servers)]
     return servers, rows
 
 
-def nothing_new_after(server, others, told_at):
-    """The rule, and that there was something to break it with."""
+def assert_no_late_requests(server, others, reported_at):
+    """Assert that a server got no late request, while others got requests after that time."""
     last = max(server.at)
-    assert last <= told_at + GRACE_S + SLACK_S, f"{last - told_at:.3f} s after it counted as told"
-    assert max(at for other in others for at in other.at) > told_at + 2.0
+    assert last <= reported_at + GRACE_S + SLACK_S, (
+        f"{last - reported_at:.3f} s after the change counts as reported"
+    )
+    assert max(at for other in others for at in other.at) > reported_at + 2.0
 
 
-# What becomes of the watch, how long after it was opened, and how the next one tells of the drain.
+# The fault of the watch, its delay after the start, and how the next watch reports the drain.
 FAULTS = [
     ("falls silent", 0.5, "left out"),
     ("falls silent", 13.0, "left out"),
@@ -210,99 +214,104 @@
 ]
 
 
-@pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
-@pytest.mark.parametrize(("fault", "after_s", "told_as"), FAULTS)
+@pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "requested"])
+@pytest.mark.parametrize(("fault", "after_s", "reported_as"), FAULTS)
 @virtual
-async def test_a_drain_behind_a_watch_that_fails_is_kept_to_in_time(
-    fault, after_s, told_as, pushed, tmp_path
+async def test_a_drain_after_a_watch_fails_takes_effect_in_time(
+    fault, after_s, reported_as, pushed, tmp_path
 ):
-    """The watch falls silent, ends or is reset, soon or late; a server drains right after, and stays up.
+    """The watch goes silent, ends or is reset, early or late; a server drains right after that, and stays up.
 
-    The next watch begins with the complete list or with what changed.
+    The next watch starts with the complete list or with the changes.
     """
     servers, rows = await partners()
-    place = await Place(rows, whole=told_as == "left out").start()
+    registry = await DrainRegistry(rows, is_complete=reported_as == "left out").start()
     loop = asyncio.get_running_loop()
-    async with Load(place, servers, tmp_path / "config.json", pushed).running() as load:
-        await poll(place.was_asked, interval_s=0.05)
+    async with Load(registry, servers, tmp_path / "config.json", pushed).running() as load:
+        await poll(registry.has_request, interval_s=0.05)
         await asyncio.sleep(after_s)
-        load.pause_s = PAUSE_S
+        load.interval_s = FAULT_INTERVAL_S
         if fault == "falls silent":
-            place.fall_silent()
+            registry.go_silent()
         else:
-            place.end(fault)
+            registry.end(fault)
         failed_at = loop.time()
-        place.rows = rows[1:]
-        place.tell({**rows[0], "status": "left" if told_as == "left out" else told_as})
-        await asyncio.sleep(COUNTS_S + 4.0)
-        nothing_new_after(servers[0], servers[1:], failed_at + COUNTS_S)
-    place.stop()
+        registry.rows = rows[1:]
+        registry.report({**rows[0], "status": "left" if reported_as == "left out" else reported_as})
+        await asyncio.sleep(REPORTED_WITHIN_S + 4.0)
+        assert_no_late_requests(servers[0], servers[1:], failed_at + REPORTED_WITHIN_S)
+    registry.stop()
     for server in servers:
         server.stop()
 
 
-@pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
+@pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "requested"])
 @pytest.mark.parametrize("how", ["ends", "resets", "mute"])
 @virtual
-async def test_a_drain_at_the_return_of_discovery_is_kept_to_in_time(how, pushed, tmp_path):
-    """For 8 s each call fails in one way; as it is back a server has drained."""
+async def test_a_drain_when_discovery_returns_takes_effect_in_time(how, pushed, tmp_path):
+    """For 8 s each call to the registry fails; when it is back, a server has drained."""
     servers, rows = await partners()
-    place = await Place(rows).start()
+    registry = await DrainRegistry(rows).start()
     loop = asyncio.get_running_loop()
-    async with Load(place, servers, tmp_path / "config.json", pushed).running() as load:
+    async with Load(registry, servers, tmp_path / "config.json", pushed).running() as load:
         await asyncio.sleep(3.0)
-        load.pause_s = PAUSE_S
-        place.how = how
-        place.end("resets")
+        load.interval_s = FAULT_INTERVAL_S
+        registry.how = how
+        registry.end("resets")
         await asyncio.sleep(8.0)
-        place.how, place.rows = "well", rows[1:]
+        registry.how, registry.rows = "well", rows[1:]
         back_at = loop.time()
-        await asyncio.sleep(COUNTS_S + 4.0)
-        nothing_new_after(servers[0], servers[1:], back_at + COUNTS_S)
-    place.stop()
+        await asyncio.sleep(REPORTED_WITHIN_S + 4.0)
+        assert_no_late_requests(servers[0], servers[1:], back_at + REPORTED_WITHIN_S)
+    registry.stop()
     for server in servers:
         server.stop()
 
 
-@pytest.mark.parametrize("whole", [True, False], ids=["the whole list", "what changed"])
+@pytest.mark.parametrize("is_complete", [True, False], ids=["complete list", "changes"])
 @virtual
-async def test_what_the_agent_has_holds_from_the_first_moment_of_a_process(whole, tmp_path):
-    """Its file knows a server that drains by now: nothing of it is sent there past the grace."""
+async def test_the_list_of_the_registry_applies_from_the_start_of_a_process(is_complete, tmp_path):
+    """The known list has an active server that is draining by now; it gets no request after the grace."""
     servers, rows = await partners()
-    place = await Place(rows[1:], whole=whole, changed=[{**rows[0], "status": "leaving"}]).start()
+    registry = await DrainRegistry(
+        rows[1:], is_complete=is_complete, changed=[{**rows[0], "status": "leaving"}]
+    ).start()
     loop = asyncio.get_running_loop()
-    async with Load(place, servers, tmp_path / "config.json", True).running() as load:
-        load.pause_s = PAUSE_S / 5.0
+    async with Load(registry, servers, tmp_path / "config.json", True).running() as load:
+        load.interval_s = FAULT_INTERVAL_S / 5.0
         started_at = loop.time()
         await asyncio.sleep(5.0)
         assert servers[0].at == [] or max(servers[0].at) <= started_at + GRACE_S + SLACK_S
         assert max(at for server in servers[1:] for at in server.at) > started_at + 4.0
-    place.stop()
+    registry.stop()
     for server in servers:
         server.stop()
 
 
-@pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "asked"])
+@pytest.mark.parametrize("pushed", [True, False], ids=["pushed", "requested"])
 @pytest.mark.parametrize("old", ["well", "silent", "closed"])
 @virtual
-async def test_a_reload_and_a_drain_at_the_same_time_are_both_kept_to(old, pushed, tmp_path):
-    """A new configuration moves discovery as servers begin to drain.
+async def test_a_reload_and_a_drain_at_the_same_time_both_take_effect(old, pushed, tmp_path):
+    """A new configuration moves discovery while servers begin to drain.
 
-    One does just before, reported by the old place alone, one just then and one 0.3 s later, reported by
-    the new place.
+    One server drains just before the reload, reported by the old registry alone; one at the reload and one
+    0.3 s later, reported by the new registry.
     """
     servers, rows = await partners()
-    servers.append(await Timed().start())
+    servers.append(await TimedUpstream().start())
     rows.append(entry("s3", servers[3].address))
-    first, second = await Place(rows, whole=False).start(), await Place(rows[1:]).start()
+    first, second = (
+        await DrainRegistry(rows, is_complete=False).start(),
+        await DrainRegistry(rows[1:]).start(),
+    )
     loop = asyncio.get_running_loop()
     async with Load(first, servers, tmp_path / "config.json", pushed).running() as load:
-        load.pause_s = PAUSE_S
+        load.interval_s = FAULT_INTERVAL_S
         await asyncio.sleep(4.0)
         assert all(server.at for server in servers[:3])
-        first.tell({**rows[0], "status": "leaving"})
+        first.report({**rows[0], "status": "leaving"})
         if old == "silent":
-            first.fall_silent()
+            first.go_silent()
         elif old == "closed":
             first.stop()
         second.rows = [{**rows[1], "status": "leaving"}, *rows[2:]]
@@ -310,10 +319,10 @@
         load.reload(second.address)
         await asyncio.sleep(0.3)
         second.rows = rows[3:]
-        second.tell({**rows[2], "status": "leaving"})
-        await asyncio.sleep(RELOADED_S + 5.0)
+        second.report({**rows[2], "status": "leaving"})
+        await asyncio.sleep(RELOADED_WITHIN_S + 5.0)
         for server in servers[:3]:
-            nothing_new_after(server, servers[3:], reloaded_at + RELOADED_S)
+            assert_no_late_requests(server, servers[3:], reloaded_at + RELOADED_WITHIN_S)
     first.stop()
     second.stop()
     for server in servers:
--- a/tests/proxy/daemon/test_signals.py
+++ b/tests/proxy/daemon/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals in bursts: none is lost, and none ends the process but as it should end."""
+"""Bursts of signals: none is lost, and the process always ends gracefully."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 from tests.proxy.daemon.test_process import ROOT, environment, free_port
 
 BURST = 1000
-MANY = 6000  # servers in the file: reading it anew takes long enough to be signalled meanwhile
+MANY_SERVERS = 6000  # servers in the file: a reload takes long enough for signals to arrive during it
 
 
 def spawn(log_path, env):
-    """Start the sidecar. Not by asyncio, which would reap it: only `poll` of the test may."""
+    """Start the sidecar without asyncio, which would reap it: only the test's `poll` may."""
     with log_path.open("w") as log:
         return subprocess.Popen(
             [sys.executable, "-m", "fordtrestle"], env=env, cwd=ROOT, stderr=log, start_new_session=True
@@ -29,17 +29,17 @@
 
 
 def send_later(number, after_s):
-    """Have another process send this one a signal."""
+    """Start a process that sends this one a signal after a delay."""
     return subprocess.Popen(["/bin/sh", "-c", f"sleep {after_s}; kill -{number} {os.getpid()}"])
 
 
 def pause(seconds):
-    """Wait with the test's loop standing still: it has nothing to do meanwhile."""
+    """Block the test's event loop, which has nothing to do meanwhile."""
     time.sleep(seconds)
 
 
 async def started(tmp_path, servers=0, wait=True):
-    """The sidecar in a process of its own, by default once it accepts connections; it logs to a file."""
+    """Start the sidecar as a process that logs to a file; by default, wait until it accepts connections."""
     port = free_port()
     rows = [entry(f"s{i}", f"127.{i // 200 % 200}.{i % 200}.1:9") for i in range(servers)]
     env = environment(tmp_path, listen=f"127.0.0.1:{port}", known=listed(1, *rows))
@@ -61,8 +61,8 @@
     return process
 
 
-class Virtual:
-    """A loop in virtual time, as far as reloads need one."""
+class VirtualLoop:
+    """An event loop in virtual time, with the methods that `Reloads` uses."""
 
     def __init__(self):
         self.now = 0.0
@@ -85,7 +85,7 @@
 
 @pytest.fixture
 def handlers():
-    """The signals that are handled, whose handlers before the test are put back after it."""
+    """The handled signals; their handlers are restored after the test."""
     before = {number: signal.getsignal(number) for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGINT)}
     yield list(before)
     for number, handler in before.items():
@@ -94,7 +94,7 @@
 
 @pytest.fixture
 def reaped():
-    """Processes that are ended with the test, however it ends."""
+    """A list of processes that are killed and reaped after the test."""
     processes = []
     yield processes
     for process in processes:
@@ -104,8 +104,8 @@
 
 
 @loopback
-async def test_what_comes_while_the_loop_stands_still_is_all_seen_to(handlers):
-    """Guards against a wake-up socket that is full: what it can't take is forgotten, SIGTERM too."""
+async def test_signals_received_while_the_loop_is_blocked_are_all_handled(handlers):
+    """Guards against signals, SIGTERM included, that are lost when the wake-up socket is full."""
     loop, seen = asyncio.get_running_loop(), []
     signals = Signals()
     signals.install()
@@ -118,12 +118,12 @@
     await until(lambda: seen == ["reload", "reload", "stop"])
     signals.finish()
     for number in handlers:
-        signal.raise_signal(number)  # none of them ends this process, with no loop to see to it
+        signal.raise_signal(number)  # none of them ends this process, although no loop handles them
 
 
 @loopback
-async def test_a_signal_wakes_a_loop_that_sleeps(handlers):
-    """Guards against handlers that run and a loop that does not look until its next timer."""
+async def test_a_signal_wakes_a_waiting_loop(handlers):
+    """Guards against a loop that handles a signal only at its next timer."""
     loop, stop = asyncio.get_running_loop(), asyncio.Event()
     signals = Signals()
     signals.install()
@@ -134,18 +134,18 @@
     signals.finish()
 
 
-def test_reloads_are_one_at_a_time_with_a_pause_that_grows_with_what_they_cost():
-    loop, runs = Virtual(), []
+def test_reloads_run_one_at_a_time_with_a_pause_in_proportion_to_their_duration():
+    loop, runs = VirtualLoop(), []
 
     def reload():
         runs.append(round(loop.now, 3))
         loop.now += 0.02
         if len(runs) == 1:
-            raise ValueError("a fault ends no later reload")
+            raise ValueError("a failed reload prevents no later one")
 
     reloads = Reloads(loop, reload)
-    for asked in (0.0, 0.01, 0.05, 0.1, 0.19, 0.21, 5.0):
-        loop.run_until(asked)
+    for requested_at in (0.0, 0.01, 0.05, 0.1, 0.19, 0.21, 5.0):
+        loop.run_until(requested_at)
         reloads.request()
     loop.run_until(9.0)
     assert runs == [0.0, 0.2, 0.4, 5.0]
@@ -153,24 +153,24 @@
 
 @loopback
 async def test_sigterm_is_not_lost_behind_a_burst_of_sighups_while_reloads_run(tmp_path, reaped):
-    """The same on the program as it runs, where each reload takes a while."""
-    process = await started(tmp_path, MANY)
+    """The same in the real program, where each reload takes some time."""
+    process = await started(tmp_path, MANY_SERVERS)
     reaped.append(process)
     for _ in range(BURST):
         process.send_signal(signal.SIGHUP)
-        pause(0.0001)  # one that is still pending would swallow the next
+        pause(0.0001)  # the system merges a signal with a pending one
     process.send_signal(signal.SIGTERM)
     await until(lambda: process.poll() is not None)
     assert process.returncode == 0
 
 
 @loopback
-async def test_sigterm_again_and_again_until_the_end_leaves_the_exit_code_0(tmp_path, reaped):
-    """Guards against the signal's default, which is back once the loop or the interpreter ends."""
+async def test_repeated_sigterm_until_the_end_leaves_exit_code_0(tmp_path, reaped):
+    """Guards against the default action, which is restored when the loop or the interpreter ends."""
     process = await started(tmp_path)
     reaped.append(process)
     until_s = time.monotonic() + PATIENCE_S
-    while process.poll() is None:  # `poll` reaps it, so that no signal goes to another process
+    while process.poll() is None:  # `poll` reaps the process, so no signal reaches another of the same id
         assert time.monotonic() < until_s
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
             process.send_signal(number)
@@ -179,23 +179,23 @@
 
 
 @loopback
-async def test_a_burst_of_sighups_is_few_reloads_and_the_last_word_counts(tmp_path, reaped):
-    """Guards against a reload for each signal, and against one that misses what came during it."""
+async def test_a_burst_of_sighups_causes_few_reloads_and_the_last_file_applies(tmp_path, reaped):
+    """Guards against a reload for each signal, and against one that misses a change during it."""
     process = await started(tmp_path)
     reaped.append(process)
     path = tmp_path / "config.json"
-    told = json.loads(path.read_text())
+    config = json.loads(path.read_text())
 
     def log():
         return (tmp_path / "log").read_text()
 
     for number in range(BURST):
         if number == BURST // 2:
-            path.write_text("{")  # each reload from here on is a line in the log
+            path.write_text("{")  # from now on each reload logs a line
         process.send_signal(signal.SIGHUP)
         pause(0.0001)
     await until(lambda: "nothing changes" in log())
     assert log().count("nothing changes") < BURST // 20
-    path.write_text(json.dumps({**told, "discovery": "127.0.0.1:10"}))
+    path.write_text(json.dumps({**config, "discovery": "127.0.0.1:10"}))
     process.send_signal(signal.SIGHUP)
     await until(lambda: "moves to 127.0.0.1:10" in log())
--- a/tests/proxy/daemon/test_trace_recorder.py
+++ b/tests/proxy/daemon/test_trace_recorder.py
@@ -1,4 +1,4 @@
-"""An HTTP server's requests, recorded as a trace: off by default, bounded, and in nobody's way."""
+"""Recording the requests of an HTTP server as a trace: off by default, bounded and never blocking."""
 
 from __future__ import annotations
 
@@ -22,8 +22,8 @@
 NAMES = RequestNames({"look": RequestClass(0, "GET", False)}, {"acme": 0})
 
 
-class Asked:
-    """As much of a call as is recorded."""
+class RecordedCall:
+    """The fields of a call that are recorded."""
 
     traffic_class = tenant = 0
     key = 7
@@ -31,16 +31,16 @@
     body_size = 12
 
 
-def traced(tmp_path, upstream, name="asked.trace.gz", more=""):
+def traced(tmp_path, upstream, name="asked.trace.gz", extra=""):
     file = tmp_path / "operator.toml"
     text = OPERATOR.format(server=upstream.address, descriptors=200)
-    told = f'service = "a"\ntrace_file = "{tmp_path / name}"\n{more}'
-    file.write_text(text.replace('service = "a"\n', told, 1))
+    front_text = f'service = "a"\ntrace_file = "{tmp_path / name}"\n{extra}'
+    file.write_text(text.replace('service = "a"\n', front_text, 1))
     return file
 
 
 @loopback
-async def test_each_whole_request_of_a_front_is_recorded_and_can_be_replayed(tmp_path):
+async def test_each_complete_request_of_a_front_is_recorded_and_can_be_replayed(tmp_path):
     upstream = await Upstream([OK]).start()
     file = traced(tmp_path, upstream)
     made = Standalone(asyncio.get_running_loop(), str(file), operator_file.read(str(file)))
@@ -52,8 +52,8 @@
     await app.ask("GET", "/nowhere")
     made.close()
     path = tmp_path / "asked.trace.gz"
-    told = trace.inspect(path)
-    assert (told.requests, told.classes) == (5, {"look": 5})
+    summary = trace.inspect(path)
+    assert (summary.requests, summary.classes) == (5, {"look": 5})
     requests = list(trace.TraceReader(path))
     assert len({request.key for request in requests}) == 2
     assert {(request.budget_us, request.size) for request in requests} == {(800_000, 0)}
@@ -62,7 +62,7 @@
 
 
 @loopback
-async def test_without_the_key_nothing_of_it_is_loaded(tmp_path):
+async def test_without_trace_file_the_load_package_is_not_loaded(tmp_path):
     upstream = await Upstream([OK]).start()
     file = tmp_path / "operator.toml"
     file.write_text(OPERATOR.format(server=upstream.address, descriptors=200))
@@ -81,41 +81,41 @@
     upstream.stop()
 
 
-def test_a_trace_ends_at_its_bound_and_is_whole(tmp_path, capsys):
+def test_a_trace_stops_at_its_size_limit_and_is_complete(tmp_path, capsys):
     path, now = tmp_path / "a.trace", iter(range(10**6))
     made = TraceRecorder(path, 2000, NAMES, lambda: float(next(now)))
     for _ in range(1000):
-        made.record(Asked())
+        made.record(RecordedCall())
     made.close()
-    told = trace.inspect(path)
-    assert 20 < told.requests < 100
+    summary = trace.inspect(path)
+    assert 20 < summary.requests < 100
     assert path.stat().st_size < 2200
-    assert f"{1000 - told.requests} requests were not recorded" in capsys.readouterr().err
+    assert f"{1000 - summary.requests} requests were not recorded" in capsys.readouterr().err
 
 
-def test_a_disk_that_stands_still_holds_nobody_up(tmp_path, monkeypatch):
-    """Guards against a request that waits for a write: past what is queued they are not recorded."""
+def test_a_stalled_disk_blocks_no_request(tmp_path, monkeypatch):
+    """Guards against a request that waits for a write; requests beyond the queue's limit are not recorded."""
     monkeypatch.setattr(trace_recorder, "MAX_QUEUED_REQUESTS", 100)
     monkeypatch.setattr(trace_recorder, "WRITE_INTERVAL_S", 0.01)
-    stands_still, goes_on = threading.Event(), threading.Event()
+    is_stalled, released = threading.Event(), threading.Event()
 
     def add(self, request):
-        stands_still.set()
-        goes_on.wait(10.0)
+        is_stalled.set()
+        released.wait(10.0)
 
     monkeypatch.setattr(trace.TraceWriter, "add", add)
     made = TraceRecorder(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
-    made.record(Asked())
-    assert stands_still.wait(10.0)
+    made.record(RecordedCall())
+    assert is_stalled.wait(10.0)
     for _ in range(500):
-        made.record(Asked())
+        made.record(RecordedCall())
     assert len(made._queue) == 100
     assert made._dropped == 400
-    goes_on.set()
+    released.set()
     made.close()
 
 
-def test_a_disk_that_is_full_ends_the_trace_and_nothing_else(tmp_path, monkeypatch, capsys):
+def test_a_full_disk_stops_the_trace_and_nothing_else(tmp_path, monkeypatch, capsys):
     monkeypatch.setattr(trace_recorder, "WRITE_INTERVAL_S", 0.01)
 
     def add(self, request):
@@ -123,27 +123,27 @@
 
     monkeypatch.setattr(trace.TraceWriter, "add", add)
     made = TraceRecorder(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
-    made.record(Asked())
+    made.record(RecordedCall())
     made._thread.join(10.0)
-    made.record(Asked())
+    made.record(RecordedCall())
     made.close()
     assert "No space left on device; no more requests are recorded" in capsys.readouterr().err
 
 
-def test_requests_that_the_format_has_no_place_for_are_counted(tmp_path, capsys):
-    class Hour(Asked):
+def test_requests_that_the_format_can_not_represent_are_counted(tmp_path, capsys):
+    class HourLongCall(RecordedCall):
         budget = 3_600_000.0
 
     made = TraceRecorder(tmp_path / "a.trace", 10**6, NAMES, lambda: 0.0)
-    made.record(Hour())
-    made.record(Asked())
+    made.record(HourLongCall())
+    made.record(RecordedCall())
     made.close()
     assert trace.inspect(tmp_path / "a.trace").requests == 1
     assert "1 requests were not recorded" in capsys.readouterr().err
 
 
 @pytest.mark.parametrize("value", ['""', "7", '"a\\nb"'])
-def test_a_path_that_is_none_is_an_error(tmp_path, value):
+def test_an_invalid_path_is_an_error(tmp_path, value):
     upstream = Upstream(address="127.0.0.1:9")
     file = traced(tmp_path, upstream)
     file.write_text(file.read_text().replace(f'"{tmp_path}/asked.trace.gz"', value))
@@ -153,7 +153,7 @@
 
 
 @loopback
-async def test_a_file_that_can_not_be_made_is_an_error_at_the_start(tmp_path):
+async def test_a_file_that_can_not_be_created_is_an_error_at_the_start(tmp_path):
     upstream = await Upstream([OK]).start()
     file = traced(tmp_path, upstream, name="missing/asked.trace")
     with pytest.raises(OSError, match="No such file"):
--- a/tests/proxy/daemon/test_where_it_runs.py
+++ b/tests/proxy/daemon/test_where_it_runs.py
@@ -1,6 +1,6 @@
-"""What the place where it runs forbids: other programs, forks, splice, sendfile, io_uring.
+"""The platform forbids starting programs, forks, splice, sendfile and io_uring.
 
-It is one process, linked dynamically against the C library.
+The program has to be a single process, linked dynamically against the C library.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from tests.loopback import App, Registry, Upstream, entry, listed, loopback, until
 from tests.proxy.daemon.test_process import ROOT, environment, free_port
 
-# `fordtrestle load` is a program of its own, of which nothing is loaded here (tests/cli/test_cli.py).
+# `fordtrestle load` is a separate program, of which nothing is loaded here (tests/cli/test_cli.py).
 PROGRAM = [path for path in (ROOT / "fordtrestle").rglob("*.py") if path.parent.name != "load"]
 FORBIDDEN = ("sendfile", "splice", "io_uring", "os.fork", "posix_spawn", "subprocess", "multiprocessing")
-# Runs the program, and ends it at once where it starts another or makes a copy of itself.
+# Runs the program, and aborts it if it starts another program or forks.
 WATCHED = """
 import os, runpy, sys
 STARTS = {"os.fork", "os.forkpty", "os.posix_spawn", "os.spawn", "os.exec", "os.system", "subprocess.Popen"}
-def hook(event, told):
+def hook(event, args):
     if event in STARTS:
         os.write(2, f"starts: {event}\\n".encode())
         os._exit(99)
@@ -32,31 +32,31 @@
 
 
 def test_the_deploy_files_run_lines_end_in_one_process():
-    told = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
+    config = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     for name in ("run", "sim"):
-        assert told[name].startswith("exec "), name
-        assert not set("&;|\n") & set(told[name]), name
+        assert config[name].startswith("exec "), name
+        assert not set("&;|\n") & set(config[name]), name
 
 
-def test_nothing_forbidden_is_named_in_the_program():
-    named = [(path.name, word) for path in PROGRAM for word in FORBIDDEN if word in path.read_text("utf-8")]
+def test_the_program_names_nothing_forbidden():
+    found = [(path.name, word) for path in PROGRAM for word in FORBIDDEN if word in path.read_text("utf-8")]
     assert len(PROGRAM) > 80
-    assert named == []
+    assert found == []
 
 
 def children_of(pid):
-    """The processes that a process of one thread has started (proc(5))."""
+    """Return the child processes of a single-threaded process (proc(5))."""
     return Path(f"/proc/{pid}/task/{pid}/children").read_text().split()
 
 
 def mappings_of(pid):
-    """What a process has mapped, the libraries among it."""
+    """Return the memory mappings of a process, which include its libraries."""
     return Path(f"/proc/{pid}/maps").read_text()
 
 
 @loopback
-async def test_from_start_to_end_it_starts_nothing_and_is_one_process(tmp_path):
-    """Through requests, a reload that moves discovery, and a drain."""
+async def test_the_program_starts_no_other_process(tmp_path):
+    """During requests, a reload that moves discovery, and a drain."""
     upstream, first, second = await Upstream().start(), await Registry().start(), await Registry().start()
     known = listed(1, entry("s0", upstream.address))
     second.listed = known
