--- a/tests/proxy/config/test_numbering.py
+++ b/tests/proxy/config/test_numbering.py
@@ -1,4 +1,4 @@
-"""Names keep their indices as settings change; retired ones keep theirs and count for nothing."""
+"""Names keep their indices when settings change; retired names keep theirs without effect."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from fordtrestle.proxy.config import numbering, operator_file
 from fordtrestle.proxy.config import operator_options as options
 from fordtrestle.proxy.config.services import TenantSpec
-from tests.proxy.config.test_operator_file import GOOD, START, written
+from tests.proxy.config.test_operator_file import GOOD, START, write_file
 
 
 def read_shop(tmp_path):
-    config = operator_file.read(written(tmp_path, GOOD))
+    config = operator_file.read(write_file(tmp_path, GOOD))
     return config, config.services["shop"]
 
 
-def without(service, name, **more):
-    """A service without the class, tenant, zone or kind of this name, and with more classes."""
+def without(service, name, **added_classes):
+    """Return a service without the class, tenant, zone or kind of this name, with additional classes."""
     return dataclasses.replace(
         service,
-        classes={**more, **{key: row for key, row in service.classes.items() if key != name}},
+        classes={**added_classes, **{key: row for key, row in service.classes.items() if key != name}},
         tenants=tuple(row for row in service.tenants if row.name != name),
         zones=tuple(zone for zone in service.zones if zone != name),
         kinds=tuple(kind for kind in service.kinds if kind != name),
@@ -54,21 +54,21 @@
         numbering.extend_names(known, ["one more"], "zones")
 
 
-def test_a_retired_class_keeps_its_index_and_has_it_again_when_it_returns(tmp_path):
+def test_a_retired_class_keeps_its_index_also_when_it_returns(tmp_path):
     config, service = read_shop(tmp_path)
-    now = without(service, "look", new=service.classes["book"])
-    numbered = numbering.keep_indices(service, now)
+    current = without(service, "look", new=service.classes["book"])
+    numbered = numbering.keep_indices(service, current)
     assert list(numbered.classes) == ["look", "book", "new"]
     assert numbered.classes["look"].worth == 0.0
     settings = options.settings(dataclasses.replace(config, services={"shop": numbered}), "shop", START)
-    settings = numbering.mark_retired(settings, numbered, now.classes)
+    settings = numbering.mark_retired(settings, numbered, current.classes)
     assert [profile.gone for profile in settings.profiles] == [True, False, False]
-    names = numbering.renumber(options.request_names(now), numbered)
+    names = numbering.renumber(options.request_names(current), numbered)
     assert {name: kind.traffic_class for name, kind in names.classes.items()} == {"new": 2, "book": 1}
-    back = numbering.keep_indices(numbered, service)
-    assert list(back.classes) == ["look", "book", "new"]
-    assert back.classes["look"] == service.classes["look"]
-    assert numbering.renumber(options.request_names(service), back) == options.request_names(service)
+    restored = numbering.keep_indices(numbered, service)
+    assert list(restored.classes) == ["look", "book", "new"]
+    assert restored.classes["look"] == service.classes["look"]
+    assert numbering.renumber(options.request_names(service), restored) == options.request_names(service)
 
 
 def test_tenants_zones_and_kinds_keep_their_indices(tmp_path):
@@ -88,6 +88,6 @@
     assert numbering.keep_indices(service, without(service, "big")).kinds == ("big",)
 
 
-def test_a_service_that_has_not_changed_stays_as_it_is(tmp_path):
+def test_an_unchanged_service_stays_equal(tmp_path):
     _, service = read_shop(tmp_path)
     assert numbering.keep_indices(service, service) == service
--- a/tests/proxy/config/test_operator_file.py
+++ b/tests/proxy/config/test_operator_file.py
@@ -1,4 +1,4 @@
-"""The operator file: strict, all faults at once, and the options that its keys become."""
+"""The operator file: strict reading, reports of all faults at once, and the options derived from it."""
 
 from __future__ import annotations
 
@@ -45,22 +45,22 @@
 START = StartOptions(number=7, seed=1, granted_descriptors=1024)
 
 
-def written(tmp_path, text):
+def write_file(tmp_path, text):
     path = tmp_path / "file.toml"
     path.write_bytes(text if isinstance(text, bytes) else text.encode())
     return str(path)
 
 
-def lines(tmp_path, text, read=operator_file.read):
+def fault_lines(tmp_path, text, read=operator_file.read):
     """Return the faults of a text, without the file's name, which each line must start with."""
-    path = written(tmp_path, text)
+    path = write_file(tmp_path, text)
     with pytest.raises(OperatorFileError) as raised:
         read(path)
     assert all(line.startswith(f"{path}: ") and "\n" not in line for line in raised.value.lines)
     return [line.removeprefix(f"{path}: ") for line in raised.value.lines]
 
 
-def instead(old, new):
+def replace_in_good(old, new):
     assert GOOD.count(old) == 1, old
     return GOOD.replace(old, new)
 
@@ -68,7 +68,7 @@
 # --- strictness -----------------------------------------------------------------------
 
 
-# Three lines each: a part of the good file, what replaces it, and the line of the fault.
+# Three lines each: a part of the valid file, its replacement, and the line of the fault.
 FAULTS = r"""
 [front.web]
 [stat]\n[front.web]
@@ -226,15 +226,15 @@
 """
 
 
-def threes(text):
-    """Every three lines."""
+def groups_of_three(text):
+    """Split a text into groups of three lines."""
     rows = [row.replace("\\n", "\n").replace("\\\n", "\\n") for row in text.strip().split("\n")]
     return list(zip(rows[::3], rows[1::3], rows[2::3], strict=True))
 
 
-@pytest.mark.parametrize(("old", "new", "line"), threes(FAULTS))
+@pytest.mark.parametrize(("old", "new", "line"), groups_of_three(FAULTS))
 def test_a_fault_is_one_line_that_names_the_key_and_the_reason(tmp_path, old, new, line):
-    assert lines(tmp_path, instead(old, new)) == [line]
+    assert fault_lines(tmp_path, replace_in_good(old, new)) == [line]
 
 
 @pytest.mark.parametrize(
@@ -248,14 +248,14 @@
     ],
 )
 def test_invalid_toml_is_reported_with_its_line(tmp_path, text, line):
-    assert lines(tmp_path, text) == [line]
+    assert fault_lines(tmp_path, text) == [line]
 
 
 def test_all_faults_are_reported_at_once_and_one_fault_causes_no_others(tmp_path):
-    """A missing deadline is not also one that is less than the latency target."""
-    text = instead("deadline_ms = 1000", "deadline_s = 1").replace('"http"', '"htp"')
+    """A missing deadline is not reported as less than the latency target, too."""
+    text = replace_in_good("deadline_ms = 1000", "deadline_s = 1").replace('"http"', '"htp"')
     text = text.replace('kind = "static"', 'kind = "list"').replace("deadline_ms = 2000", "deadline_ms = 0")
-    assert lines(tmp_path, text) == [
+    assert fault_lines(tmp_path, text) == [
         "service.shop.class.look.deadline_ms: missing",
         "service.shop.class.look.deadline_s: no such key; did you mean deadline_ms?",
         "service.shop.class.book.deadline_ms: 0 is not within 1 to 8.64e+07",
@@ -266,11 +266,11 @@
 
 def test_an_empty_file_lacks_a_service_and_a_front(tmp_path):
     needed = ["service: at least one is needed", "front: at least one is needed"]
-    assert lines(tmp_path, "") == needed
-    assert lines(tmp_path, "[front]\n[service]\n") == needed
+    assert fault_lines(tmp_path, "") == needed
+    assert fault_lines(tmp_path, "[front]\n[service]\n") == needed
     empty = '[service.a]\nsource = "r"\n[service.a.class]\n[source.r]\nkind = "static"\nserver = []\n'
-    assert "service.a.class: at least one is needed" in lines(tmp_path, empty)
-    assert "source.r.server: at least one is needed" in lines(tmp_path, empty)
+    assert "service.a.class: at least one is needed" in fault_lines(tmp_path, empty)
+    assert "source.r.server: at least one is needed" in fault_lines(tmp_path, empty)
 
 
 @pytest.mark.parametrize("place", ["missing.toml", ".", "/dev/zero"])
@@ -296,7 +296,7 @@
 
 
 def read_raw(raw):
-    """Read a file of such content; return its configuration or its error, and None for the other."""
+    """Read a file with this content; return its configuration and its error, one of them None."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(operator_file, "_load", lambda file: raw)
         try:
@@ -307,7 +307,7 @@
 
 @given(st.data())
 def test_a_file_of_any_content_is_good_or_rejected_in_lines(data):
-    """No content raises another error, and the engine can start with each file that passes."""
+    """No content raises another error, and each accepted file gives valid settings of an engine."""
     raw = tomllib.loads(GOOD)
     for path in data.draw(st.lists(st.sampled_from(list(paths(raw))), min_size=1, max_size=3)):
         *way, last = path
@@ -329,11 +329,11 @@
         assert options.front_options(config, name, START).clients_most >= 4
 
 
-# --- the options that its keys become ------------------------------------------------------------
+# --- the options derived from the file -----------------------------------------------------------
 
 
-def test_a_service_becomes_the_settings_of_an_engine(tmp_path):
-    config = operator_file.read(written(tmp_path, GOOD))
+def test_settings_of_an_engine_follow_from_a_service(tmp_path):
+    config = operator_file.read(write_file(tmp_path, GOOD))
     settings = options.settings(config, "shop", START)
     look, book = settings.profiles
     assert (look.semantics, look.objective, look.deadline) == ("pure", 100.0, 1000.0)
@@ -350,8 +350,8 @@
 
 
 def test_every_key_of_a_service_reaches_its_setting(tmp_path):
-    """No key is read, checked and forgotten."""
-    figures = {
+    """Guards against a key that is read and checked but has no effect."""
+    expected = {
         "attempts_most": ("max_attempts", 5),
         "connect_timeout_ms": ("connect_timeout", 77.0),
         "idle_close_ms": ("idle_close", 78.0),
@@ -368,11 +368,13 @@
         "parallel_tries": ("parallel_tries", True),
         "warm_keys": ("warm_keys", True),
     }
-    rows = "\n".join(f"{key} = {str(value).lower()}" for key, (_, value) in figures.items())
+    rows = "\n".join(f"{key} = {str(value).lower()}" for key, (_, value) in expected.items())
     rows += '\nworth_by = "work"\nload_reports = ["inflight", "queue"]'
-    config = operator_file.read(written(tmp_path, instead('source = "fleet"', f'source = "fleet"\n{rows}')))
+    config = operator_file.read(
+        write_file(tmp_path, replace_in_good('source = "fleet"', f'source = "fleet"\n{rows}'))
+    )
     settings = options.settings(config, "shop", START)
-    assert {name: getattr(settings, name) for name, _ in figures.values()} == dict(figures.values())
+    assert {name: getattr(settings, name) for name, _ in expected.values()} == dict(expected.values())
     assert settings.retry_after
     assert settings.worth_by_work
     assert (settings.report_how, settings.report_fields) == ("inline", ("inflight", "queue"))
@@ -382,7 +384,7 @@
 
 
 def test_a_static_source_becomes_a_complete_list(tmp_path):
-    config = operator_file.read(written(tmp_path, GOOD))
+    config = operator_file.read(write_file(tmp_path, GOOD))
     update = options.server_list(config.sources["fleet"], config.services["shop"], 4)
     first, second = update.entries
     assert (update.version, update.is_complete) == (4, True)
@@ -391,22 +393,22 @@
     assert update.addresses == {"s0": Address("127.0.0.1", 9000), "s1": Address("::1", 9001)}
 
 
-def test_a_registry_that_is_not_pushed_is_asked_when_the_engine_says(tmp_path):
+def test_a_registry_that_is_not_pushed_is_queried_on_demand_of_the_engine(tmp_path):
     source = (
         '[source.r]\nkind = "registry"\naddress = "registry.local:80"\npushed = false\nask_within_ms = 700\n'
     )
-    config = operator_file.read(written(tmp_path, GOOD.replace('"fleet"', '"r"') + source))
+    config = operator_file.read(write_file(tmp_path, GOOD.replace('"fleet"', '"r"') + source))
     settings = options.settings(config, "shop", START)
     assert (settings.discovery, settings.ask_within) == ("subscribe", 700.0)
     registry = options.discovery_options(config.sources["r"], config.services["shop"], 1)
     assert (registry.address, registry.is_pushed) == (("registry.local", 80), False)
 
 
-def test_descriptors_are_shared_out_and_never_overcommitted(tmp_path):
-    """What one front is guaranteed is not another's."""
+def test_descriptors_are_divided_and_never_overcommitted(tmp_path):
+    """The guarantee of one front is not available to others."""
     more = '[front.{0}]\nprotocol = "http"\nlisten = "127.0.0.1:0"\nservice = "shop"\n'
     text = GOOD + more.format("b") + "guaranteed_share = 0.24\n" + more.format("c")
-    config = operator_file.read(written(tmp_path, text + "[limits]\nopen_calls_most = 9\n"))
+    config = operator_file.read(write_file(tmp_path, text + "[limits]\nopen_calls_most = 9\n"))
     limits = config.limits.make_limits(1024)
     parts = {name: make_budget(limits, name, options.front_share(config, name)) for name in config.fronts}
     parts["servers"] = make_budget(limits, "servers", options.upstream_share(config))
@@ -437,43 +439,49 @@
 
 
 def test_peers_become_their_settings(tmp_path):
-    config = operator_file.read(written(tmp_path, GOOD + PEERS))
+    config = operator_file.read(write_file(tmp_path, GOOD + PEERS))
     settings = options.settings(config, "shop", START)
     assert (settings.me, settings.balancers, settings.peer_messages) == (1, 2, True)
     assert (config.peers.listen, config.peers.at[1]) == (Address("127.0.0.1", 7), Address("127.0.0.1", 7))
-    alone = options.settings(operator_file.read(written(tmp_path, GOOD)), "shop", START)
+    alone = options.settings(operator_file.read(write_file(tmp_path, GOOD)), "shop", START)
     assert (alone.balancers, alone.peer_messages) == (1, False)
     two = GOOD + '[service.b]\nsource = "fleet"\nzones = ["west"]\nkinds = ["big"]\n'
     two += '[service.b.class.look]\nsemantics = "safe"\ndeadline_ms = 1\n' + PEERS
-    assert lines(tmp_path, two) == ["peers: only one service may have peers, and there are 2 services"]
+    assert fault_lines(tmp_path, two) == ["peers: only one service may have peers, and there are 2 services"]
 
 
 @pytest.mark.parametrize(
     ("old", "new", "same"),
     [
-        ('zone = "west"\ntenants', 'zone = "east"\ntenants', True),  # each process has its own
+        ('zone = "west"\ntenants', 'zone = "east"\ntenants', True),  # differs between processes
         ("127.0.0.1:8080", "127.0.0.1:8081", True),
-        ("weight = 2.5", "weight = 3", True),  # lists have digests of their own
+        ("weight = 2.5", "weight = 3", True),  # lists have their own digests
         ("aim_ms = 100", "aim_ms = 101", False),
         ("[front.web]", "[limits]\nopen_calls_most = 7\n[front.web]", False),
     ],
 )
-def test_settings_that_are_the_same_for_a_fleet_have_one_digest(tmp_path, old, new, same):
-    before = options.settings_digest(operator_file.read(written(tmp_path, GOOD)), "shop")
-    after = options.settings_digest(operator_file.read(written(tmp_path, instead(old, new))), "shop")
+def test_the_digest_of_settings_ignores_what_is_specific_to_a_process(tmp_path, old, new, same):
+    before = options.settings_digest(operator_file.read(write_file(tmp_path, GOOD)), "shop")
+    after = options.settings_digest(
+        operator_file.read(write_file(tmp_path, replace_in_good(old, new))), "shop"
+    )
     assert (before == after) is same
 
 
 def test_the_basis_of_lists_differs_with_the_numbering_of_zones_and_kinds(tmp_path):
-    texts = (GOOD, instead('["east", "west"]', '["west", "east"]'), instead('["big"]', '["small", "big"]'))
-    services = [operator_file.read(written(tmp_path, text)).services["shop"] for text in texts]
+    texts = (
+        GOOD,
+        replace_in_good('["east", "west"]', '["west", "east"]'),
+        replace_in_good('["big"]', '["small", "big"]'),
+    )
+    services = [operator_file.read(write_file(tmp_path, text)).services["shop"] for text in texts]
     assert len({options.list_basis(service) for service in services}) == 3
 
 
 # --- what a reload may change ------------------------------------------------------------
 
 
-# Three lines each: a part of the file, what replaces it, and the keys that need a restart.
+# Three lines each: a part of the file, its replacement, and the keys that need a restart.
 CHANGES = """
 aim_ms = 100
 aim_ms = 90
@@ -510,29 +518,32 @@
 -"""
 
 
-@pytest.mark.parametrize(("old", "new", "keys"), threes(CHANGES))
+@pytest.mark.parametrize(("old", "new", "keys"), groups_of_three(CHANGES))
 def test_a_change_that_needs_a_restart_is_named_by_its_key(tmp_path, old, new, keys):
-    before = operator_file.read(written(tmp_path, GOOD))
-    found = changes.changed_keys(before, operator_file.read(written(tmp_path, instead(old, new))))
+    before = operator_file.read(write_file(tmp_path, GOOD))
+    found = changes.changed_keys(before, operator_file.read(write_file(tmp_path, replace_in_good(old, new))))
     assert changes.keys_needing_restart(found) == keys.strip("-").split()
     assert found == changes.keys_needing_restart(found) or found == ["source.fleet.server"]
 
 
 def test_another_kind_of_source_needs_a_restart_and_another_address_does_not(tmp_path):
     registry = '[source.{}]\nkind = "registry"\naddress = "127.0.0.1:{}"\n'
-    before = operator_file.read(written(tmp_path, GOOD + registry.format("r", 1)))
-    moved = operator_file.read(written(tmp_path, GOOD + registry.format("r", 2)))
+    before = operator_file.read(write_file(tmp_path, GOOD + registry.format("r", 1)))
+    moved = operator_file.read(write_file(tmp_path, GOOD + registry.format("r", 2)))
     found = changes.changed_keys(before, moved)
     assert (found, changes.keys_needing_restart(found)) == (["source.r.address"], [])
     static = GOOD[: GOOD.index("[source.fleet]")] + registry.format("fleet", 1) + registry.format("r", 1)
-    found = changes.changed_keys(before, operator_file.read(written(tmp_path, static)))
+    found = changes.changed_keys(before, operator_file.read(write_file(tmp_path, static)))
     assert changes.keys_needing_restart(found) == found == ["source.fleet"]
 
 
 def test_the_platform_reads_limits_and_nothing_else(tmp_path):
     text = "[limits]\ndescriptors = 100\n[process]\nseed = 1\n[limit]\n"
     reason = "only [limits] is read on the platform, which configures the rest"
-    assert lines(tmp_path, text, operator_file.read_limits) == [f"process: {reason}", f"limit: {reason}"]
-    limits = operator_file.read_limits(written(tmp_path, "[limits]\ndescriptors = 100\nmemory_mb = 64\n"))
+    assert fault_lines(tmp_path, text, operator_file.read_limits) == [
+        f"process: {reason}",
+        f"limit: {reason}",
+    ]
+    limits = operator_file.read_limits(write_file(tmp_path, "[limits]\ndescriptors = 100\nmemory_mb = 64\n"))
     assert limits == LimitsSpec(descriptors=100, memory_mb=64)
-    assert operator_file.read_limits(written(tmp_path, "")) == LimitsSpec()
+    assert operator_file.read_limits(write_file(tmp_path, "")) == LimitsSpec()
--- a/tests/proxy/membership/conftest.py
+++ b/tests/proxy/membership/conftest.py
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def connections(monkeypatch):
-    """Every connection to a registry that was made."""
+    """All connections to registries, in the order in which they were opened."""
     made = []
     connection_made = RegistryConnection.connection_made
 
--- a/tests/proxy/membership/stand_ins.py
+++ b/tests/proxy/membership/stand_ins.py
@@ -1,4 +1,4 @@
-"""Stand-ins for a registry that fails in stated ways, and for the listener of a discovery client."""
+"""Test doubles: a registry that fails in specified ways, and a listener of a discovery client."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def line(index, *names, snapshot=False):
-    """One line of a watch."""
+    """Return one line of a watch, with entries of these names."""
     return json.dumps(listed(index, *map(entry, names), snapshot=snapshot)).encode() + b"\n"
 
 
@@ -34,28 +34,28 @@
 class UpdateRecorder:
     """A listener that records the form, version and server names of each update, and the time of the last.
 
-    `react` is called with the form of each update, at once.
+    `react` is called immediately with the form of each update.
     """
 
     def __init__(self):
         self.updates = []
         self.last_at = 0.0
         self.react = lambda form: None
-        self._has_come = asyncio.Event()
+        self._has_update = asyncio.Event()
 
     def __call__(self, form, update):
         servers = [row.server for row in update.entries] if update else []
         self.updates.append((form, update and update.version, servers))
         self.last_at = asyncio.get_running_loop().time()
-        self._has_come.set()
+        self._has_update.set()
         self.react(form)
 
     async def until(self, condition):
-        """Wait until the last update fulfils a condition."""
+        """Wait until the last update meets a condition."""
         async with asyncio.timeout(60.0):
             while not (self.updates and condition(self.updates[-1])):
-                self._has_come.clear()
-                await self._has_come.wait()
+                self._has_update.clear()
+                await self._has_update.wait()
 
     def since_start(self):
         """Return all updates but the remembered list."""
@@ -68,7 +68,7 @@
 
 
 def make_client(address, recorder, is_pushed=True, version=41, seed=1):
-    """Return a discovery client as a sidecar has it, not yet started."""
+    """Return a discovery client, not yet started, with the options of a sidecar."""
     known_list = ServerList(version, True, [], {})
     options = DiscoveryOptions(
         parse_address(address), NameIndices({"west": 0}, {}), is_pushed, known_list, seed
@@ -77,12 +77,12 @@
 
 
 class Outage:
-    """A registry that can't be used until `end`, in the way that `kind` says.
+    """A registry that fails in the way `kind` until `end` is called.
 
-    "hangs": a connect never succeeds; "refuses": it is refused; "mute": it is accepted and never answered;
-    "half": only a head and half a line come, bit by bit; "resets": the request is answered by a reset;
-    "busy": by 503; "malformed": by a line that is none. From `end` on new requests are answered after
-    `queue_s`, while those from before stay as they were.
+    "hangs": a connect never completes; "refuses": it is refused; "mute": it is accepted and never answered;
+    "half": only a head and an incomplete line are sent, in small parts; "resets": the connection is reset;
+    "busy": the response is 503; "malformed": the response is not a valid list. After `end`, new requests are
+    answered after `queue_s`, while earlier requests go on failing.
     """
 
     def __init__(self, kind, index=50, queue_s=0.0):
@@ -90,10 +90,10 @@
         self.index = index
         self.complete_list = line(index, "new", snapshot=True)
         self.queue_s = queue_s
-        self.requests = []  # time and target
+        self.requests = []  # the time and target of each request
         self.has_request = asyncio.Event()
         self.writers = []
-        self._filler = []
+        self._fillers = []
         self._sock = socket.socket()
         self._sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self._sock.bind(("127.0.0.1", 0))
@@ -104,12 +104,12 @@
     async def start(self):
         if self.kind == "hangs":
             self._sock.listen(0)
-            for _ in range(3):  # the system accepts one; the others hang as the next one will
+            for _ in range(3):  # the system accepts one; the others hang, like later connects
                 filler = socket.socket()
                 filler.setblocking(False)
                 with contextlib.suppress(BlockingIOError):
                     filler.connect(("127.0.0.1", self.port))
-                self._filler.append(filler)
+                self._fillers.append(filler)
         elif self.kind != "refuses":
             self._server = await asyncio.start_server(self._serve, sock=self._sock)
         return self
@@ -118,7 +118,7 @@
         kind, self.kind = self.kind, "well"
         if kind in ("hangs", "refuses"):
             self._sock.close()
-            for filler in self._filler:
+            for filler in self._fillers:
                 filler.close()
             self._server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, reuse_address=True)
 
@@ -173,6 +173,6 @@
             self._server.close()
         for writer in self.writers:
             writer.transport.abort()
-        for filler in self._filler:
+        for filler in self._fillers:
             filler.close()
         self._sock.close()
--- a/tests/proxy/membership/test_discovery_client.py
+++ b/tests/proxy/membership/test_discovery_client.py
@@ -1,4 +1,4 @@
-"""The discovery client and peers on real sockets."""
+"""The discovery client and the messages between peers, on real sockets."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 @loopback
-async def test_the_known_list_comes_first_and_a_pushed_one_is_watched_from_there():
+async def test_the_known_list_is_reported_first_and_a_watch_starts_from_its_version():
     registry = await Registry().start()
     module = Scripted()
     known = listed(41, entry("s0"))
@@ -35,7 +35,7 @@
 
 
 @loopback
-async def test_lines_are_assembled_however_they_are_cut_into_chunks():
+async def test_lines_are_assembled_from_any_chunks():
     registry = await Registry().start()
     module = Scripted()
     async with running(balancer=module, registry=registry):
@@ -59,7 +59,7 @@
 
 
 @loopback
-async def test_older_changes_are_not_reported_again_and_the_version_held_answers_a_watch():
+async def test_older_changes_are_not_reported_but_the_current_version_is_accepted():
     registry = await Registry().start()
     module = Scripted()
     async with running(balancer=module, registry=registry):
@@ -71,11 +71,11 @@
         assert updates_of(module)[1:] == [("changes", []), ("changes", ["new"])]
 
 
-@pytest.mark.parametrize("how", ["ended", "garbage", "silent"])
+@pytest.mark.parametrize("fault", ["ended", "garbage", "silent"])
 @loopback
-async def test_a_watch_that_breaks_is_opened_again_where_lists_are_pushed(how, monkeypatch):
+async def test_a_failed_watch_is_restarted_if_lists_are_pushed(fault, monkeypatch):
     monkeypatch.setattr(timing, "MIN_BACKOFF_S", 0.01)
-    if how == "silent":
+    if fault == "silent":
         monkeypatch.setattr(timing, "WATCH_TIMEOUT_S", 1.0)
     registry = await Registry().start()
     module = Scripted()
@@ -83,19 +83,19 @@
         await until(lambda: registry.watches)
         registry.tell(44, entry("s1"))
         await until(lambda: len(updates_of(module)) == 2)
-        if how == "ended":
+        if fault == "ended":
             registry.watches[0].close()
-        elif how == "garbage":
+        elif fault == "garbage":
             registry.write(b'{"endpoints": 7}\n')
         await until(lambda: len(registry.asked) > 1)
-        after = 0 if how == "garbage" else 44
-        assert registry.asked[1] == f"/registry/instances?watch=1&from={after}"
+        expected_version = 0 if fault == "garbage" else 44
+        assert registry.asked[1] == f"/registry/instances?watch=1&from={expected_version}"
         assert "refused" not in [form for form, _ in updates_of(module)]
 
 
 @loopback
-async def test_a_watch_that_moves_takes_a_complete_list_at_once_whatever_its_version(monkeypatch):
-    """The client waits for no backoff, and compares no versions of the two: the new one has its own."""
+async def test_a_moved_watch_accepts_a_complete_list_of_any_version_at_once(monkeypatch):
+    """The client does not wait for a backoff, and does not compare the versions of the two registries."""
     monkeypatch.setattr(timing, "MIN_BACKOFF_S", 3600.0)
     monkeypatch.setattr(timing, "MAX_BACKOFF_S", 3600.0)
     old, new = await Registry().start(), await Registry(listed(3, entry("s1"))).start()
@@ -116,7 +116,7 @@
 
 
 @loopback
-async def test_a_fetch_in_flight_is_made_again_where_the_registry_has_moved():
+async def test_a_fetch_in_flight_is_repeated_at_the_new_registry():
     old, new = await Registry().start(), await Registry(listed(3, entry("s1"))).start()
     module = Scripted()
     raw = {"known": listed(41, entry("s0"))}
@@ -129,7 +129,7 @@
 
 
 @loopback
-async def test_where_lists_are_asked_for_the_module_says_when_and_gets_failures():
+async def test_if_lists_are_not_pushed_the_module_requests_them_and_gets_failures():
     registry = await Registry(listed(60, entry("s5"))).start()
     module = Scripted()
     async with running(balancer=module, registry=registry, Discovery="subscribe") as sidecar:
@@ -155,17 +155,19 @@
 
 
 @loopback
-async def test_peers_are_known_by_their_address_and_junk_is_dropped():
-    me, peer, stranger, everyone = udp(), udp(), udp(), udp()
-    address, other, broadcast = (f"127.0.0.1:{sock.getsockname()[1]}" for sock in (me, peer, everyone))
-    me.close()
+async def test_peers_are_identified_by_their_address_and_invalid_messages_are_dropped():
+    own_socket, peer, stranger, everyone = udp(), udp(), udp(), udp()
+    address, other, broadcast = (
+        f"127.0.0.1:{sock.getsockname()[1]}" for sock in (own_socket, peer, everyone)
+    )
+    own_socket.close()
     raw = {"peer_listen": address, "peers": [address, other], "peers_all": broadcast}
     module = Scripted()
     async with running(balancer=module, raw=raw) as sidecar:
-        here = (address.split(":")[0], int(address.split(":")[1]))
-        stranger.sendto(b"who", here)
-        peer.sendto(b"x" * 257, here)
-        peer.sendto(b"x" * 256, here)
+        own_address = (address.split(":")[0], int(address.split(":")[1]))
+        stranger.sendto(b"who", own_address)
+        peer.sendto(b"x" * 257, own_address)
+        peer.sendto(b"x" * 256, own_address)
         await until(lambda: module.named("peer_message"))
         assert module.named("peer_message") == [[1, b"x" * 256]]
         sidecar.driver._perform(Tell(1, b"x" * 257))
--- a/tests/proxy/membership/test_discovery_races.py
+++ b/tests/proxy/membership/test_discovery_races.py
@@ -1,4 +1,4 @@
-"""Two events of the discovery client that race, in each order."""
+"""Races between two events of the discovery client, in both orders."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 
 async def two_registries():
-    """Return a registry that is watched from version 41, and one that counts from its own start."""
+    """Return a registry that is watched from version 41, and one with a version sequence of its own."""
     return await Registry().start(), await Registry(listed(3, entry("s1"))).start()
 
 
 @virtual
-async def test_an_update_of_the_old_registry_at_hand_at_a_move_is_not_reported(connections, recorder):
-    """Otherwise all lists of the new registry would be older than the version of the old one."""
+async def test_an_update_of_the_old_registry_received_at_a_move_is_not_reported(connections, recorder):
+    """Otherwise all lists of the new registry would look older than those of the old one."""
     old, new = await two_registries()
     client = make_client(old.address, recorder)
     client.start()
@@ -53,11 +53,13 @@
     new.stop()
 
 
-@pytest.mark.parametrize("how", ["off", "closed"])
-@pytest.mark.parametrize("when", ["before", "by its own news"])
+@pytest.mark.parametrize("stop", ["off", "closed"])
+@pytest.mark.parametrize("when", ["before", "in the listener"])
 @virtual
-async def test_a_watch_stopped_with_its_answer_at_hand_reports_nothing_more(when, how, connections, recorder):
-    """Neither an update nor a failure."""
+async def test_a_watch_stopped_when_its_response_arrives_reports_nothing_more(
+    when, stop, connections, recorder
+):
+    """Guards against a late update as well as a late failure."""
     registry = await Registry().start()
     client = make_client(registry.address, recorder, is_pushed=False)
     client.start()
@@ -66,7 +68,7 @@
     await asyncio.sleep(0.05)
 
     def end(form):
-        if how == "off":
+        if stop == "off":
             client.watch(False)
         else:
             client.close()
@@ -86,7 +88,7 @@
 
 
 @virtual
-async def test_a_watch_that_breaks_in_the_turn_in_which_it_is_stopped_is_no_failure(connections, recorder):
+async def test_a_watch_that_fails_in_the_loop_iteration_of_its_stop_is_no_failure(connections, recorder):
     registry = await Registry().start()
     client = make_client(registry.address, recorder, is_pushed=False)
     client.watch(True)
@@ -101,7 +103,7 @@
 
 
 @virtual
-async def test_a_list_that_is_complete_in_the_turn_of_a_move_is_not_reported(connections, recorder):
+async def test_a_list_completed_in_the_loop_iteration_of_a_move_is_not_reported(connections, recorder):
     old, new = await Outage("mute").start(), await Registry(listed(3, entry("s1"))).start()
     client = make_client(old.address, recorder, is_pushed=False)
     client.fetch()
@@ -118,9 +120,11 @@
     new.stop()
 
 
-@pytest.mark.parametrize("what", ["move", "off", "close"])
+@pytest.mark.parametrize("action", ["move", "off", "close"])
 @virtual
-async def test_a_connect_that_succeeds_in_the_turn_in_which_it_is_cancelled_sends_nothing(what, monkeypatch):
+async def test_a_connect_that_succeeds_in_the_loop_iteration_of_its_cancellation_sends_nothing(
+    action, monkeypatch
+):
     old, new = await two_registries()
     client = make_client(old.address, UpdateRecorder(), is_pushed=False)
     connection_made = RegistryConnection.connection_made
@@ -130,9 +134,9 @@
         connection_made(self, transport)
         if not cancelled:
             cancelled.append(transport)
-            if what == "move":
+            if action == "move":
                 client.move(parse_address(new.address))
-            elif what == "off":
+            elif action == "off":
                 client.watch(False)
             else:
                 client.close()
@@ -143,7 +147,7 @@
     await asyncio.sleep(1.0)
     assert old.asked == []
     assert cancelled[0].is_closing()
-    assert bool(new.watches) == (what == "move")
+    assert bool(new.watches) == (action == "move")
     client.close()
     old.stop()
     new.stop()
@@ -151,7 +155,7 @@
 
 @virtual
 async def test_a_list_older_than_what_a_malformed_watch_reported_is_rejected(connections, capfd, recorder):
-    """Otherwise servers that leave would be listed as active again."""
+    """Otherwise leaving servers would be listed as active again."""
     registry = await Registry(listed(45, entry("old"))).start()
     client = make_client(registry.address, recorder, is_pushed=False)
     client.watch(True)
@@ -166,7 +170,7 @@
     await until_virtual(lambda: len(registry.watches) == 2)
     assert (
         registry.asked[-1] == "/registry/instances?watch=1&from=0"
-    )  # what the malformed line said is unknown
+    )  # the content of the malformed line is unknown
     assert len(capfd.readouterr().err.splitlines()) == 1
     client.close()
     registry.stop()
@@ -186,8 +190,8 @@
 
 
 @virtual
-async def test_moves_in_a_row_end_at_the_last_registry_whatever_is_in_flight(recorder):
-    """There and back while a connect hangs; then to a registry that counts from its own start."""
+async def test_repeated_moves_end_at_the_last_registry_with_any_calls_in_flight(recorder):
+    """Moves back and forth while a connect hangs, then to a registry with a version sequence of its own."""
     old, new = await two_registries()
     hangs = await Outage("hangs").start()
     client = make_client(old.address, recorder)
@@ -202,7 +206,7 @@
     client.move(parse_address(new.address))
     moved_at = asyncio.get_running_loop().time()
     await recorder.until(lambda update: update[1] == 3)
-    assert recorder.last_at - moved_at < 0.1  # at once, not after the wait
+    assert recorder.last_at - moved_at < 0.1  # at once, without a backoff
     assert recorder.versions() == [("remembered", 41), ("all", 3)]
     client.close()
     for registry in (old, new, hangs):
--- a/tests/proxy/membership/test_endpoint_list.py
+++ b/tests/proxy/membership/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""An endpoint list after updates: the same content is the same list, whatever the way there."""
+"""An endpoint list after updates: equal content gives an equal list, regardless of the updates."""
 
 from __future__ import annotations
 
@@ -56,19 +56,19 @@
     )
     assert made.to_server_list() == at_once.to_server_list()
     assert sorted(made.entry_digests()) == sorted(row.server for row in stay)
-    again = list_after(("remembered", made.to_server_list()))  # as the next start of the process uses it
+    again = list_after(("remembered", made.to_server_list()))  # as the next start of the process does
     assert (again.digest, again.to_server_list()) == (made.digest, made.to_server_list())
 
 
-def test_each_field_and_the_address_tell_lists_apart():
-    """Two contents never have the same digest."""
+def test_the_digest_covers_each_field_and_the_address():
+    """Different contents have different digests."""
     rows = [Listing("a"), *(Listing("a")._replace(**{name: value}) for name, value in FIELDS.items())]
     made = [list_after(("all", update(1, row))) for row in (*rows, Listing("b"))]
     made.append(list_after(("all", update(1, Listing("a"), ports={"a": 2}))))
     assert len({endpoints.digest for endpoints in made}) == len(made)
-    shown = [endpoints.entry_digests() for endpoints in made[:-2]]
-    assert shown[-1]["a"] == shown[0]["a"].replace("active", "leaving")
-    assert len({str(entries) for entries in shown}) == len(shown)
+    digests = [endpoints.entry_digests() for endpoints in made[:-2]]
+    assert digests[-1]["a"] == digests[0]["a"].replace("active", "leaving")
+    assert len({str(entries) for entries in digests}) == len(digests)
 
 
 def test_apply_returns_whether_the_version_or_the_content_has_changed():
@@ -86,7 +86,7 @@
     assert sorted(made.entry_digests()) == ["b", "c"]
 
 
-def test_an_entry_without_an_address_keeps_the_one_it_had():
+def test_an_entry_without_an_address_keeps_its_previous_address():
     made = list_after(("all", update(1, Listing("a"), ports={"a": 4})))
     made.apply("changes", ServerList(2, False, [Listing("a", weight=2.0)], {}))
     assert made.to_server_list().addresses == {"a": Address("127.0.0.1", 4)}
--- a/tests/proxy/membership/test_hostile_registry.py
+++ b/tests/proxy/membership/test_hostile_registry.py
@@ -1,4 +1,4 @@
-"""Responses of a registry that are malformed, cut into any pieces, or never end."""
+"""Responses of a registry that are malformed, split into arbitrary parts, or endless."""
 
 from __future__ import annotations
 
@@ -66,13 +66,11 @@
 }
 
 
-@pytest.mark.parametrize("what", MALFORMED)
+@pytest.mark.parametrize("case", MALFORMED)
 @virtual
-async def test_a_watch_whose_response_is_always_malformed_is_one_log_line_and_few_requests(
-    what, capfd, recorder
-):
-    """What was good stays in force, and the first good response is applied."""
-    hostile = await HostileRegistry(MALFORMED[what]).start()
+async def test_a_watch_with_malformed_responses_causes_one_log_line_and_few_requests(case, capfd, recorder):
+    """The valid part stays in force, and the first valid response is applied."""
+    hostile = await HostileRegistry(MALFORMED[case]).start()
     client = make_client(hostile.address, recorder)
     client.start()
     await asyncio.sleep(20.0)
@@ -107,10 +105,10 @@
         data_received(self, data)
 
     monkeypatch.setattr(RegistryConnection, "data_received", record)
-    began = asyncio.get_running_loop().time()
+    started_at = asyncio.get_running_loop().time()
     client.fetch()
     await recorder.until(lambda update: update[0] == "refused")
-    assert recorder.last_at - began <= timing.CONNECT_TIMEOUT_S + timing.ANSWER_TIMEOUT_S
+    assert recorder.last_at - started_at <= timing.CONNECT_TIMEOUT_S + timing.ANSWER_TIMEOUT_S
     assert sum(read_bytes) <= registry_protocol.MAX_LIST_BYTES + 2 * 256 * 1024  # a read is of 256 KiB
     await until_virtual(lambda: connections[0].ended.done())
     assert len(capfd.readouterr().err.splitlines()) == 1
@@ -125,12 +123,12 @@
     client.start()
     await until_virtual(lambda: registry.watches)
     await asyncio.sleep(0.05)
-    pieces, began = chunk(b" ") * 40_000, time.process_time()
+    pieces, started_at = chunk(b" ") * 40_000, time.process_time()
     for _ in range(4):
         connections[0].data_received(pieces)
     assert (
-        time.process_time() - began < 5.0
-    )  # some 0.1 s; 25 s where all that came before is searched again for each piece
+        time.process_time() - started_at < 5.0
+    )  # about 0.1 s; 25 s if all earlier data is searched again for each piece
     client.close()
     registry.stop()
 
@@ -147,7 +145,7 @@
 
 
 @virtual
-async def test_lists_of_a_watch_may_come_indented_in_any_pieces(recorder):
+async def test_lists_of_a_watch_may_be_indented_and_split_into_any_pieces(recorder):
     registry = await Registry().start()
     client = make_client(registry.address, recorder)
     client.start()
@@ -164,8 +162,8 @@
 
 
 @virtual
-async def test_a_list_cut_off_by_a_heartbeat_ends_its_watch_and_is_asked_for_again(recorder):
-    """A heartbeat can't come within a list: what came before it is all that comes."""
+async def test_a_list_interrupted_by_a_heartbeat_ends_its_watch_and_is_requested_again(recorder):
+    """No heartbeat is sent within a list, so the rest of the list will not follow."""
     registry = await Registry().start()
     client = make_client(registry.address, recorder)
     client.start()
@@ -182,18 +180,18 @@
 
 
 @virtual
-async def test_a_list_that_comes_line_by_line_without_an_end_is_no_sign_of_life():
+async def test_a_list_sent_line_by_line_without_an_end_is_no_proof_of_liveness():
     registry = await Registry().start()
     client = make_client(registry.address, UpdateRecorder())
     client.start()
     await until_virtual(lambda: registry.watches)
     loop = asyncio.get_running_loop()
     registry.write(b"\n")
-    began = loop.time()
+    started_at = loop.time()
     registry.write(b"{\n")
     while len(registry.watches) == 1:
         registry.write(b' "more": 1,\n')
         await asyncio.sleep(0.5)
-        assert loop.time() - began < timing.WATCH_TIMEOUT_S + timing.MAX_BACKOFF_S + 1.0
+        assert loop.time() - started_at < timing.WATCH_TIMEOUT_S + timing.MAX_BACKOFF_S + 1.0
     client.close()
     registry.stop()
--- a/tests/proxy/membership/test_list_forms.py
+++ b/tests/proxy/membership/test_list_forms.py
@@ -1,4 +1,4 @@
-"""Lists in all forms that the protocol allows, at once and in pieces, fetched and over a watch."""
+"""Lists in all forms that the protocol allows, in one or many pieces, fetched and watched."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def chunks(raw, size, form):
-    """Raw bytes as chunks of one size, written in one of several forms."""
+    """Return raw bytes as chunks of one size, whose headers have the given form."""
     pieces = [raw[at : at + size] for at in range(0, len(raw), size)]
     return b"".join(form % len(piece) + b"\r\n" + piece + b"\r\n" for piece in pieces)
 
@@ -56,7 +56,7 @@
 
 
 class ScriptedRegistry:
-    """A registry that answers with given bytes, in pieces, and leaves the connection open behind them."""
+    """A registry that responds with given bytes, in pieces, and then keeps the connection open."""
 
     def __init__(self, response, size):
         self.response, self.size = response, size
@@ -99,18 +99,18 @@
 
 
 @pytest.mark.parametrize("frame", FRAMES)
-@pytest.mark.parametrize("what", TEXTS)
+@pytest.mark.parametrize("case", TEXTS)
 @virtual
-async def test_a_list_of_any_form_over_a_watch_is_reported_as_it_stands(what, frame):
-    text = TEXTS[what]
+async def test_a_list_of_any_form_in_a_watch_is_reported(case, frame):
+    text = TEXTS[case]
     for size in (1, 7, 100_000):
         assert await first_update(FRAMES[frame](text.encode() + b"\n"), size, True) == expected(text)
 
 
 @pytest.mark.parametrize("frame", BODIES)
-@pytest.mark.parametrize("what", TEXTS)
+@pytest.mark.parametrize("case", TEXTS)
 @virtual
-async def test_a_complete_list_of_any_form_is_reported_as_it_stands(what, frame):
-    text = TEXTS[what]
+async def test_a_complete_list_of_any_form_is_reported(case, frame):
+    text = TEXTS[case]
     for size in (1, 7, 100_000):
         assert await first_update(BODIES[frame](text.encode()), size, False) == expected(text)
--- a/tests/proxy/membership/test_malformed_lists.py
+++ b/tests/proxy/membership/test_malformed_lists.py
@@ -1,4 +1,4 @@
-"""Malformed lists over a watch: the last good list stays in force, with one line in the log."""
+"""Malformed lists in a watch: the last valid list stays in force, and one line is logged."""
 
 from __future__ import annotations
 
@@ -54,7 +54,7 @@
 
 @pytest.mark.parametrize("line", LINES, ids=[*MALFORMED, *(ascii(fields)[:40] for fields in FIELDS)])
 @loopback
-async def test_a_malformed_list_changes_nothing_and_the_complete_list_is_asked_for(line, monkeypatch, capfd):
+async def test_a_malformed_list_changes_nothing_and_the_complete_list_is_requested(line, monkeypatch, capfd):
     monkeypatch.setattr(timing, "MIN_BACKOFF_S", 0.01)
     upstream, registry = await Upstream().start(), await Registry().start()
     async with running(upstream, registry=registry) as sidecar:
@@ -70,18 +70,18 @@
         await until(lambda: set(sidecar.pool._servers) == {"s0", "s1"})
         assert (await app.ask()).start.startswith("HTTP/1.1 200 ")
         app.close()
-    said = capfd.readouterr().err
-    assert [row for row in said.splitlines() if row.startswith("discovery: ")] == said.splitlines()[:1]
-    assert "fordtrestle/" not in said  # no trace of an error that nothing caught
+    logged = capfd.readouterr().err
+    assert [row for row in logged.splitlines() if row.startswith("discovery: ")] == logged.splitlines()[:1]
+    assert "fordtrestle/" not in logged  # no traceback of an uncaught error
 
 
 @loopback
-async def test_half_a_list_and_a_reset_change_nothing(monkeypatch):
+async def test_an_incomplete_list_and_a_reset_change_nothing(monkeypatch):
     monkeypatch.setattr(timing, "MIN_BACKOFF_S", 0.01)
     upstream, registry = await Upstream().start(), await Registry().start()
     async with running(upstream, registry=registry) as sidecar:
         await until(lambda: registry.watches)
-        registry.write(json.dumps(listed(44, entry("s9"), snapshot=True)).encode())  # all but the line's end
+        registry.write(json.dumps(listed(44, entry("s9"), snapshot=True)).encode())  # without the line end
         sock = registry.watches[0].get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         registry.watches[0].transport.abort()
@@ -92,7 +92,7 @@
 
 @loopback
 async def test_a_complete_list_without_servers_is_accepted_and_so_is_the_next():
-    """The protocol gives it no other meaning, and to refuse requests without servers does no harm."""
+    """The protocol gives it no other meaning, and rejecting requests without servers is harmless."""
     upstream, registry = await Upstream().start(), await Registry().start()
     async with running(upstream, registry=registry) as sidecar:
         await until(lambda: registry.watches)
@@ -108,7 +108,7 @@
 
 
 @loopback
-async def test_of_two_entries_of_one_name_the_last_holds():
+async def test_of_two_entries_with_one_name_the_last_applies():
     upstream, registry = await Upstream().start(), await Registry().start()
     async with running(upstream, registry=registry) as sidecar:
         await until(lambda: registry.watches)
--- a/tests/proxy/membership/test_registry_protocol.py
+++ b/tests/proxy/membership/test_registry_protocol.py
@@ -1,4 +1,4 @@
-"""The registry's protocol without I/O: bytes in, lines, lists and states out."""
+"""The registry's protocol without I/O: requests, and the lines, lists and states read from responses."""
 
 from __future__ import annotations
 
@@ -80,7 +80,7 @@
         ResponseReader(reject).feed(HEAD + b"Content-Length: 2\r\n\r\nx\n")
 
 
-def test_a_watch_is_alive_by_heartbeats_and_ends_of_lists_only(lines):
+def test_only_heartbeats_and_ends_of_lists_prove_that_a_watch_is_alive(lines):
     reader = WatchReader(lines.append)
     assert [reader.add_line(line) for line in (b"", b"{", b' "a": {}', b"}", b"{}", b" ")] == [
         *(True, False, False, True, True, True)
--- a/tests/proxy/state/memory_file_store.py
+++ b/tests/proxy/state/memory_file_store.py
@@ -1,4 +1,4 @@
-"""A file store in memory with no more than the guarantees of POSIX; it fails and blocks on demand."""
+"""A file store in memory with the guarantees of POSIX and no others, which fails and blocks on demand."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class MemoryFileStore:
-    """A `FileStore` whose `fail_at`-th call raises EIO and does half of its work; `calls` lists all calls."""
+    """A `FileStore` whose `fail_at`-th call raises EIO after half of its work; `calls` lists all calls."""
 
     def __init__(self, fail_at: int = 0) -> None:
         self.calls: list[tuple[str, ...]] = []
         self.fail_at = fail_at
-        self.released = threading.Event()  # syncs wait until it is set
+        self.released = threading.Event()  # syncs wait until this is set
         self.released.set()
-        self.blocked = threading.Event()  # a sync waits
+        self.blocked = threading.Event()  # set when a sync waits
         self.files: dict[str, bytearray] = {}  # by name, as reads see them
         self.synced: dict[int, bytes] = {}  # synced content, by the identity of the file
         self.on_disk: dict[str, bytearray] = {}  # the names as of the last `sync_folder`
         self.closed = False
 
     def crash(self, has_current_names: bool) -> MemoryFileStore:
-        """Return what a power cut leaves: synced bytes, under the current names or those last synced."""
+        """Return the store after a power failure: synced bytes, under the current or last synced names."""
         after = MemoryFileStore()
         for name, file in (self.files if has_current_names else self.on_disk).items():
             after.files[name] = bytearray(self.synced.get(id(file), b""))
         return after
 
     def _record(self, *call: str) -> bool:
-        """Record a call; return whether it has to fail, half done."""
+        """Record a call; return whether it has to fail after half of its work."""
         assert not self.closed
         self.calls.append(call)
         return len(self.calls) == self.fail_at
--- a/tests/proxy/state/test_background_writer.py
+++ b/tests/proxy/state/test_background_writer.py
@@ -1,4 +1,4 @@
-"""The thread that waits for disks: the newest job of a key wins, and the first failure stops it."""
+"""The background writer: only the newest job of a key runs, and the first failure stops the writer."""
 
 from __future__ import annotations
 
--- a/tests/proxy/state/test_endpoint_list_store.py
+++ b/tests/proxy/state/test_endpoint_list_store.py
@@ -1,4 +1,4 @@
-"""Lists over restarts: a list reported as stored is there after a crash, and no disk prevents a start."""
+"""Stored lists: one reported as stored survives a crash, and no disk failure prevents a start."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
     def on_stored(self, service, version, digest):
         self.reports.append((service, version, digest))
 
-    def on_failed(self, service, why):
-        self.reports.append((service, why))
+    def on_failed(self, service, reason):
+        self.reports.append((service, reason))
 
     @property
     def failures(self):
@@ -77,7 +77,7 @@
     store.released.clear()
     recorded.lists.save("a", servers(1), "d1")
     assert store.blocked.wait(30.0)
-    for version in (2, 3, 4):  # while the disk is busy with the first
+    for version in (2, 3, 4):  # while the first list is being written
         recorded.lists.save("a", servers(version), f"d{version}")
     await asyncio.sleep(0)
     assert recorded.reports == []
@@ -163,18 +163,18 @@
     await first.save("a", 1)
     store.released.clear()
     recorded = RecordedStore(store)
-    began = time.monotonic()
+    started_at = time.monotonic()
     restored = recorded.lists.load(["a"], 0.2)
     recorded.lists.save("a", servers(2), "d2")
     recorded.lists.close(0.2)
-    assert time.monotonic() - began < 5.0
+    assert time.monotonic() - started_at < 5.0
     assert restored.incarnation == 0
-    assert restored.lists == {"a": servers(1)}  # read before the disk stood still
+    assert restored.lists == {"a": servers(1)}  # read before the disk stalled
     assert restored.log_lines == [
         "state: the disk did not answer in time",
         "state: nothing is stored until a restart",
     ]
-    assert not store.closed, "a store is not closed under the thread that waits in it"
+    assert not store.closed, "a store is not closed while a thread waits in it"
     store.released.set()
     recorded.lists.close(30.0)
     assert store.closed
@@ -183,7 +183,7 @@
 
 @loopback
 async def test_a_list_that_can_not_be_stored_is_reported_once(monkeypatch):
-    for version, why in ((2**70, "OverflowError"), (1, "more than 10 bytes")):
+    for version, reason in ((2**70, "OverflowError"), (1, "more than 10 bytes")):
         recorded = RecordedStore(MemoryFileStore())
         recorded.lists.load(["a"])
         if version == 1:
@@ -193,4 +193,4 @@
         recorded.lists.close(30.0)
         await asyncio.sleep(0)
         assert len(recorded.reports) == 1
-        assert why in recorded.reports[0][1]
+        assert reason in recorded.reports[0][1]
--- a/tests/proxy/state/test_posix_file_store.py
+++ b/tests/proxy/state/test_posix_file_store.py
@@ -1,4 +1,4 @@
-"""The file store on a real folder: files are synced through what wrote them, and one process locks it."""
+"""The file store on a real folder: syncs use the writing descriptor, and only one process has the lock."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
     store.append("b", b"old")
     store.sync("a")
     store.replace("a", "b")
-    store.append("b", b"!")  # goes on in the file that took the name
+    store.append("b", b"!")  # appended to the renamed file
     store.sync("b")
     store.sync_folder()
     assert store.names() == store.names() == ["b"]
@@ -130,8 +130,8 @@
         store.read("a", 1)
 
 
-@pytest.mark.parametrize("what", ["file", "folder", "oldest"])
-def test_nothing_is_written_after_a_failed_sync(store, monkeypatch, what):
+@pytest.mark.parametrize("case", ["file", "folder", "oldest"])
+def test_nothing_is_written_after_a_failed_sync(store, monkeypatch, case):
     def fails(descriptor):
         raise OSError(errno.EIO, "Input/output error")
 
@@ -141,8 +141,8 @@
         broken.setattr(os, "fsync", fails)
         failing = {"file": lambda: store.sync("a"), "folder": store.sync_folder}
         with pytest.raises(OSError, match="Input/output error"):
-            failing.get(what, lambda: store.append("e", b"x"))()
-    # The kernel would say that all is well now.
+            failing.get(case, lambda: store.append("e", b"x"))()
+    # The kernel would report success from now on.
     calls = (lambda: store.sync("a"), store.sync_folder, lambda: store.append("b", b"x"))
     for call in (*calls, lambda: store.replace("a", "b")):
         with pytest.raises(OSError, match="an earlier sync failed"):
@@ -155,8 +155,8 @@
         "import sys; from fordtrestle.proxy.state.posix_file_store import PosixFileStore as S; S(sys.argv[1])"
     )
     command = [sys.executable, "-c", code, str(folder)]
-    refused = subprocess.run(command, capture_output=True, text=True, timeout=30.0)
-    assert refused.stderr.splitlines()[-1].endswith(f"another process has locked this folder: '{folder}'")
+    rejected = subprocess.run(command, capture_output=True, text=True, timeout=30.0)
+    assert rejected.stderr.splitlines()[-1].endswith(f"another process has locked this folder: '{folder}'")
     store.close()
     assert subprocess.run(command, timeout=30.0).returncode == 0
 
--- a/tests/proxy/state/test_snapshots.py
+++ b/tests/proxy/state/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Files replaced whole: a file corrupt in any bit or byte is rejected, and a list comes back as it was."""
+"""Atomically replaced files: any corruption is rejected, and a stored list is read back unchanged."""
 
 from __future__ import annotations
 
@@ -110,7 +110,7 @@
         (b"\xa1\xff", "not a list"),
     ],
 )
-def test_a_record_of_something_else_is_rejected(data, reason):
+def test_a_record_of_another_kind_is_rejected(data, reason):
     with pytest.raises(SnapshotError, match=reason):
         records.decode_list("a", "z", data)
     with pytest.raises(SnapshotError, match="not an incarnation"):
