--- a/fordtrestle/proxy/daemon/overload_monitor.py
+++ b/fordtrestle/proxy/daemon/overload_monitor.py
@@ -21,7 +21,7 @@
 class ServerControls(Protocol):
     """The controls of an HTTP server that are used under pressure."""
 
-    def shorten_idle_timeout(self, on: bool) -> None:
+    def shorten_idle_timeouts(self, on: bool) -> None:
         """Close idle connections after a shorter time, or after the usual one."""
 
     def pause(self) -> None:
@@ -142,7 +142,7 @@
         """Perform an action that takes effect once when it goes on, and is undone when it goes off."""
         if change.action is PressureAction.SHORTEN_IDLE:
             for front in self._fronts:
-                front.shorten_idle_timeout(change.is_on)
+                front.shorten_idle_timeouts(change.is_on)
         elif change.action is PressureAction.STOP_OPTIONAL:
             for service in self._services:
                 service.allow_optional_work(not change.is_on)
