--- a/fordtrestle/proxy/daemon/append_file.py
+++ b/fordtrestle/proxy/daemon/append_file.py
@@ -26,7 +26,7 @@
         """Open the file and start the thread.
 
         Args:
-            path: The file; it is created with read access for its owner only if it does not exist.
+            path: The file; if it is missing, it is created with access for its owner alone.
             on_failure: Called once, from any thread, with the reason of the first failure.
 
         Raises:
--- a/fordtrestle/proxy/membership/errors.py
+++ b/fordtrestle/proxy/membership/errors.py
@@ -8,7 +8,7 @@
 
 
 class ListError(MembershipError):
-    """A text that is not a list in the registry's format."""
+    """A text that is not a list in the registry's format, or exceeds its limits."""
 
 
 class ResponseError(MembershipError):
--- a/fordtrestle/proxy/membership/registry_call.py
+++ b/fordtrestle/proxy/membership/registry_call.py
@@ -114,7 +114,8 @@
         """Connect and send a request.
 
         Returns:
-            The connection; None if it could not be opened in time, or if the call was cancelled.
+            The connection; None if it could not be opened within CONNECT_TIMEOUT_S, or if the call was
+            cancelled.
         """
         if self.is_cancelled:
             return None
--- a/fordtrestle/proxy/state/file_store.py
+++ b/fordtrestle/proxy/state/file_store.py
@@ -7,8 +7,7 @@
 - A change of names (a file created, replaced or removed) is on disk after a `sync_folder` has returned.
 - After a `sync` or `sync_folder` has raised, everything written since the last successful one is in doubt
   permanently: the kernel may have dropped it, and a later sync that returns proves nothing (Rebello and
-      others,
-  ATC 2020).
+  others, ATC 2020).
 
 All calls block, and each may take seconds, so they are made from one thread other than the event loop's.
 """
--- a/fordtrestle/proxy/state/posix_file_store.py
+++ b/fordtrestle/proxy/state/posix_file_store.py
@@ -26,7 +26,7 @@
 
 
 class PosixFileStore:
-    """A `FileStore` in a folder, which is created with access for its owner only if it is missing.
+    """A `FileStore` in a folder; if the folder is missing, it is created with access for its owner alone.
 
     After a failed sync nothing is written any more: `append`, `sync`, `sync_folder` and `replace` raise EIO,
     since a later sync proves nothing.
--- a/tests/proxy/config/test_operator_file.py
+++ b/tests/proxy/config/test_operator_file.py
@@ -307,7 +307,7 @@
 
 @given(st.data())
 def test_a_file_of_any_content_is_good_or_rejected_in_lines(data):
-    """No content raises another error, and each accepted file gives valid settings of an engine."""
+    """No content raises another error, and the engine can start with each file that passes."""
     raw = tomllib.loads(GOOD)
     for path in data.draw(st.lists(st.sampled_from(list(paths(raw))), min_size=1, max_size=3)):
         *way, last = path
--- a/tests/proxy/membership/test_timing.py
+++ b/tests/proxy/membership/test_timing.py
@@ -60,7 +60,8 @@
 @virtual
 async def test_a_change_is_reported_in_time_once_the_registry_is_reachable(way, kind, end_s, recorder):
     is_pushed = not way.startswith("asked")
-    # Who was never answered while it could be reached has more time: that of the queue.
+    # The bound has one allowance of QUEUE_S. A request that was accepted during the outage and never answered
+    # uses it up, so the registry simulates no queue for these kinds.
     queue_s = 0.0 if is_pushed or kind in ("mute", "half", "malformed") else QUEUE_S
     outage = await Outage(kind, queue_s=queue_s).start()
     before = await Outage("mute").start()
