--- a/tests/proxy/daemon/test_customers.py
+++ b/tests/proxy/daemon/test_customers.py
@@ -93,8 +93,8 @@
         await asyncio.gather(
             *(client(site, sidecar.address, row, [rng.uniform(0.0, 0.05) for _ in range(8)]) for row in rows)
         )
-    assert len(site.asked) == 8 * len(rows)
-    assert site.got
+    assert len(site.calls) == 8 * len(rows)
+    assert site.attempts
 
 
 # --- each limit is kept although a violation would serve the request ----------------------
@@ -161,7 +161,7 @@
             await site.ask(sidecar.address, row, row["Deadline"] / 1000.0)
     watching.cancel()
     site.stop()
-    broken = site.broken()
+    broken = site.violations()
     assert [line for line in broken if fault in line] if allowed else broken == []
     # The limit mattered: some calls went to a server that does not serve.
-    assert any(got.server.behave is not serve for got in site.got)
+    assert any(got.server.behave is not serve for got in site.attempts)
--- a/tests/proxy/daemon/test_reload.py
+++ b/tests/proxy/daemon/test_reload.py
@@ -107,7 +107,7 @@
     sidecar.reload()
     path.rmdir()
     assert await served()
-    assert len(old.asked) == 1
+    assert len(old.targets) == 1
     assert not old.watches[0].is_closing()
     # A process that was busy for 0.2 s may also log lines about pressure.
     logged = [row for row in capfd.readouterr().err.splitlines() if not row.startswith("pressure: ")]
--- a/tests/proxy/membership/test_hostile_registry.py
+++ b/tests/proxy/membership/test_hostile_registry.py
@@ -153,7 +153,7 @@
     text = indented(42, entry("s1"), entry("s2")) + indented(43, entry("s3", status="leaving")) + b"\n"
     for at in range(0, len(text), 11):
         registry.write(text[at : at + 11])
-    registry.tell(44, entry("s4"))
+    registry.send_update(44, entry("s4"))
     await until_virtual(lambda: len(recorder.updates) == 4)
     assert recorder.versions()[1:] == [("changes", 42), ("changes", 43), ("changes", 44)]
     assert len(registry.watches) == 1
@@ -171,9 +171,9 @@
     registry.write(indented(42, entry("s1"))[:-4] + b"\n")
     registry.write(b"\n")
     await until_virtual(lambda: len(registry.watches) == 2)
-    registry.tell(42, entry("s1"))
+    registry.send_update(42, entry("s1"))
     await until_virtual(lambda: len(recorder.updates) == 2)
-    assert registry.asked[-1].endswith("from=41")
+    assert registry.targets[-1].endswith("from=41")
     assert recorder.versions()[1:] == [("changes", 42)]
     client.close()
     registry.stop()
--- a/tests/proxy/membership/test_timing.py
+++ b/tests/proxy/membership/test_timing.py
@@ -95,7 +95,7 @@
     if not is_pushed:
         repeat_watch_late(client, recorder)
     await until_virtual(lambda: first.watches)
-    first.tell(42)
+    first.send_update(42)
     for _ in range(8):  # kept alive by heartbeats only
         await asyncio.sleep(timing.HEARTBEAT_INTERVAL_S)
         first.write(b"\n")
@@ -105,9 +105,9 @@
         for _ in range(3):
             await asyncio.sleep(1.0)
             first.watches[0].write(last_bytes)
-    assert len(first.asked) == 1
+    assert len(first.targets) == 1
     await until_virtual(lambda: len(first.watches) == 2)
-    first.tell(43)
+    first.send_update(43)
     await recorder.until(lambda update: update[1] == 43)
     assert recorder.last_at - silent_at <= BOUND_S + CLOCK_TOLERANCE_S
     client.close()
