--- a/benchmarks/fleet_size.py
+++ b/benchmarks/fleet_size.py
@@ -34,7 +34,7 @@
 from fordtrestle.balancer import model
 from fordtrestle.balancer.model import Settings
 from rig.model import Make
-from rig.sim.policy import Asked, Flow, World
+from rig.sim.policy import ClientRequest, Flow, World
 
 ZONES = ("north", "middle", "south")
 SERVERS, QUICK_SERVERS = 120, 36
@@ -214,7 +214,7 @@
         """Play the day to its end and return its figures: shares of 1, unless their names say otherwise."""
         self.world.run(self.size.length_ms + GRACE_MS)
         rows = [request for request in self.world.asked if request.at_ms < self.size.length_ms]
-        by_window: dict[int, list[Asked]] = {}
+        by_window: dict[int, list[ClientRequest]] = {}
         for request in rows:
             by_window.setdefault(int(request.at_ms // WINDOW_MS), []).append(request)
         opened, requests = self.world.counts.opened, max(1, len(rows))
@@ -232,7 +232,7 @@
         }
 
 
-def _served(rows: list[Asked]) -> float:
+def _served(rows: list[ClientRequest]) -> float:
     """Return the worth served over the worth requested.
 
     Late responses count half. The worth of a request is proportional to its work.
--- a/benchmarks/lock_in.py
+++ b/benchmarks/lock_in.py
@@ -72,7 +72,7 @@
 from fordtrestle.balancer.model import Settings
 from rig.model import Make
 from rig.sim.plain import Plain
-from rig.sim.policy import Asked, Decides, End, Flow, Host, World
+from rig.sim.policy import ClientRequest, DecisionModule, End, Flow, Host, World
 
 MAX_P95_S = 3.0
 MIN_KEPT = 0.5
@@ -360,7 +360,7 @@
             kept=self._kept(after) if is_overload else None,
         )
 
-    def _kept(self, rows: Sequence[Asked]) -> float:
+    def _kept(self, rows: Sequence[ClientRequest]) -> float:
         """Return the worth served in an overload over the largest worth that its servers can serve."""
         worth_share = {"served": 1.0, "late": LATE_WORTH}
         served = sum(a.flow.worth * a.work_ms * worth_share.get(a.end or "", 0.0) for a in rows)
@@ -373,12 +373,12 @@
         return served / best
 
 
-def in_time(request: Asked) -> bool:
+def in_time(request: ClientRequest) -> bool:
     """Return whether the first try of a request succeeded within its aim."""
     return request.end == "served" and request.tries == 1
 
 
-def recovery_s(rows: Sequence[Asked], end_ms: float) -> float | None:
+def recovery_s(rows: Sequence[ClientRequest], end_ms: float) -> float | None:
     """Return the seconds from the end of the trigger until all later windows are in time.
 
     Args:
@@ -490,7 +490,7 @@
 # --- all runs --------------------------------------------------------------------------
 
 
-def plain(now: float, settings: Settings, seed: int) -> Decides:
+def plain(now: float, settings: Settings, seed: int) -> DecisionModule:
     """Create the policy that rejects nothing, instead of the module."""
     return Plain(settings.max_attempts, seed)
 
