--- a/rig/cluster/breaching.py
+++ b/rig/cluster/breaching.py
@@ -1,8 +1,8 @@
-"""Planted breaches: the program's source is changed as it is loaded, and nothing on disk is.
+"""Planted breaches: the program's source is changed as it is loaded; nothing on disk changes.
 
-A breach is a JSON file in `breaches/`: what it is called, the edits, why that is wrong, and the checker that
-must find it. Each edit's `old` must stand exactly once in its file, so that a breach which the program has
-moved away from is refused rather than played as if it were one.
+A breach is a JSON file in `breaches/` with its name, its edits, the promise that it breaks, and the checker
+that must find it. The `old` text of each edit must occur exactly once in its file, so that a breach that no
+longer fits the program is refused rather than played as if it were planted.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 
 class BreachError(ValueError):
-    """A breach that is none, or can't be planted; its text is one line."""
+    """A breach that is invalid or can't be planted. The text is one line."""
 
 
 class Edit(Struct, frozen=True, forbid_unknown_fields=True):
-    """In the source of `file`, a path under the tree, `new` stands for `old`."""
+    """Replaces `old` by `new` in the source of `file`, a path under the tree."""
 
     file: str
     old: str
@@ -39,7 +39,7 @@
 
 
 class Breach(Struct, frozen=True, forbid_unknown_fields=True):
-    """What is planted. `why`: the promise that it breaks. `checker`: who must find it."""
+    """One planted breach. `why`: the promise that it breaks. `checker`: the checker that must find it."""
 
     name: str
     edits: tuple[Edit, ...]
@@ -48,12 +48,16 @@
 
 
 def names(folder: Path = FOLDER) -> list[str]:
-    """All breaches there are, sorted."""
+    """Return the names of all breaches, sorted."""
     return sorted(path.stem for path in folder.glob("*.json"))
 
 
 def read(name: str, folder: Path = FOLDER) -> Breach:
-    """A breach by its name; `BreachError` names the file and the field."""
+    """Read a breach by its name.
+
+    Raises:
+        BreachError: The breach is unknown or its file is invalid; the text names the file and the field.
+    """
     path = folder / f"{name}.json"
     if NAME.fullmatch(name) is None or not path.is_file():
         raise BreachError(f"breach: no {name!r}; there are {', '.join(names(folder)) or 'none'}")
@@ -72,12 +76,16 @@
     except msgspec.DecodeError as error:
         raise BreachError(f"{path}: {error}") from None
     if breach.name != name:
-        raise BreachError(f"{path}: name: {breach.name!r} is not the file's")
+        raise BreachError(f"{path}: name: {breach.name!r}, expected the file's name, {name!r}")
     return breach
 
 
 def install(breach: Breach, tree: Path = TREE) -> None:
-    """Plant it in what this process loads from now on; `BreachError` where that can't be."""
+    """Plant a breach in the modules that this process loads from now on.
+
+    Raises:
+        BreachError: An edit does not fit, or a module that it changes is loaded already.
+    """
     finder = Finder(breached(breach, tree))
     loaded = [module for module in finder.sources if module in sys.modules]
     if loaded:
@@ -86,14 +94,18 @@
 
 
 def breached(breach: Breach, tree: Path = TREE) -> dict[str, CodeType]:
-    """The changed code of each module, by its name; `BreachError` where an edit does not fit."""
+    """Return the changed code of each module, by the module's name.
+
+    Raises:
+        BreachError: An edit does not fit.
+    """
     if not breach.edits:
-        raise BreachError(f"breach {breach.name}: edits: none")
+        raise BreachError(f"breach {breach.name}: edits: empty, expected at least one")
     texts: dict[str, str] = {}
     for index, edit in enumerate(breach.edits):
         at = f"breach {breach.name}: edits[{index}]"
         if FILE.fullmatch(edit.file) is None:
-            raise BreachError(f"{at}.file: {edit.file!r} is no module's path under the tree")
+            raise BreachError(f"{at}.file: {edit.file!r} is not the path of a module under the tree")
         try:
             text = texts.get(edit.file) or (tree / edit.file).read_text()
         except (OSError, UnicodeDecodeError) as error:
@@ -101,7 +113,7 @@
             raise BreachError(f"{at}.file: {edit.file}: {reason}") from None
         count = text.count(edit.old) if edit.old else 0
         if count != 1 or edit.new == edit.old:
-            wrong = "changes nothing" if count == 1 else f"stands {count} times in {edit.file}, not once"
+            wrong = "equal to new" if count == 1 else f"found {count} times in {edit.file}, expected once"
             raise BreachError(f"{at}.old: {wrong}")
         texts[edit.file] = text.replace(edit.old, edit.new)
     return {module_of(file): _compiled(breach, file, text, tree) for file, text in texts.items()}
@@ -115,12 +127,12 @@
 
 
 def module_of(file: str) -> str:
-    """The name of the module in a file under the tree."""
+    """Return the name of the module in a file under the tree."""
     return file.removesuffix(".py").removesuffix("/__init__").replace("/", ".")
 
 
 class Finder(importlib.abc.MetaPathFinder):
-    """Finds the changed modules, and only them."""
+    """Import finder for the changed modules, and only them."""
 
     def __init__(self, sources: dict[str, CodeType]) -> None:
         self.sources = sources
@@ -128,7 +140,7 @@
     def find_spec(
         self, fullname: str, path: Sequence[str] | None, target: ModuleType | None = None
     ) -> importlib.machinery.ModuleSpec | None:
-        """The spec of a changed module, as if it came from its file; None for any other."""
+        """Return the spec of a changed module, as if it came from its file; None for any other."""
         code = self.sources.get(fullname)
         if code is None:
             return None
@@ -137,12 +149,12 @@
 
 
 class Loader(importlib.machinery.SourceFileLoader):
-    """Loads code that is handed in: no compiled file is read or written for it."""
+    """Loader of given code: it neither reads nor writes a compiled file."""
 
     def __init__(self, fullname: str, path: str, code: CodeType) -> None:
         super().__init__(fullname, path)
         self._code = code
 
     def get_code(self, fullname: str) -> CodeType:
-        """The changed one."""
+        """Return the changed code."""
         return self._code
--- a/rig/cluster/links.py
+++ b/rig/cluster/links.py
@@ -1,24 +1,24 @@
-"""The ways between nodes: a relay for each pair, UDP and TCP, with faults of each direction to be switched.
+"""Relays between nodes: one for each link, UDP or TCP, with faults that are switched per direction.
 
-Every node reaches each other one under an address of the relay's, so that both directions of each pair can
-fail by themselves. What a sender's kernel took and the relay did not pass on is counted, so that a cut can be
-seen to be one. TCP keeps its promises: what is held back arrives later in order, or its connection is reset.
-A fault that delays or holds lets go of all that waits as soon as it is over.
+Every node reaches each other node by an address of the relay, so that the two directions of a pair can fail
+independently. What a sender's kernel accepted and the relay did not pass on is counted, so that a cut is
+visible in the counts. TCP keeps its guarantees: held bytes arrive later in order, or the connection is reset.
+When a fault that delays or holds is over, everything that waits is sent at once.
 
 | way | TCP | UDP |
 | --- | --- | --- |
-| cut | held, at most `MAX_HELD_BYTES` of a direction; so are ends and resets | lost, what is on its way too |
-| stall | as a cut | held, `MAX_STALLED_DATAGRAMS` datagrams of a direction, what is more is lost |
-| loss | later by `RETRANSMIT_MS` for each time that it is lost | lost |
-| late | later | later; what comes behind may overtake |
-| reorder, double | none: TCP puts that right | 5 to 50 ms later; twice |
-| narrow | in pieces at that rate | at that rate; what would wait longer than `MAX_NARROW_WAIT_S` is lost |
-| reset | the connection ends at both ends with half a read passed | none: it has no connections |
-| half_open | the connection is gone at its far end only | none |
+| cut | held, at most `MAX_HELD_BYTES` per direction; so are ends and resets | lost, also in flight |
+| stall | as a cut | held, `MAX_STALLED_DATAGRAMS` per direction; more are lost |
+| loss | delayed by `RETRANSMIT_MS` for each time that it is lost | lost |
+| late | delayed | delayed; a later datagram may overtake |
+| reorder, double | no effect: TCP corrects it | delayed by 5 to 50 ms; sent twice |
+| narrow | in pieces at that rate | at that rate; a wait above `MAX_NARROW_WAIT_S` means lost |
+| reset | reset at both ends with half a read passed on | no effect: there are no connections |
+| half_open | the connection is gone at its far end only | no effect |
 | flip | one bit of a read | one bit of a datagram |
 
-What the relay can't do: keep a connection from coming up, since the kernel accepts it. Through a cut a new
-connection comes up and stays silent, as behind many middle boxes, and is reset after `HELD_CONNECT_S` of it.
+The relay can't keep a connection from being established, since the kernel accepts it. Through a cut a new
+connection is established and stays silent, as behind many middleboxes, and is reset after `HELD_CONNECT_S`.
 """
 
 from __future__ import annotations
@@ -40,35 +40,35 @@
 from rig.cluster.schedules import Link, Way
 from rig.lag import LagWatch
 
-MAX_HELD_BYTES = 256 * 1024  # bytes of one direction of a connection that the relay holds
-CHUNK = 64 * 1024  # bytes of one read, of a datagram too
-MAX_PENDING_DATAGRAMS = 20_000  # datagrams on their way
+MAX_HELD_BYTES = 256 * 1024  # per direction of a connection
+CHUNK = 64 * 1024  # bytes per read, also the largest datagram
+MAX_PENDING_DATAGRAMS = 20_000  # in flight
 MAX_PENDING_BYTES = 64 * 2**20
-MAX_STALLED_DATAGRAMS = 1000  # datagrams of one direction that a stall holds
+MAX_STALLED_DATAGRAMS = 1000  # held by a stall, per direction
 MAX_CONNECTIONS = 20_000
 MAX_FAULTS = 10_000
 BACKLOG = 1024
-MAX_READ_ROUNDS = 32  # rounds of datagrams that are read before anything else has its turn
-MAX_EVENTS_A_ROUND = 64  # sockets of one round
-RETRANSMIT_MS = 200.0  # what a lost segment costs on TCP
+MAX_READ_ROUNDS = 32  # rounds of reading datagrams before the loop runs anything else
+MAX_EVENTS_A_ROUND = 64  # sockets per round
+RETRANSMIT_MS = 200.0  # delay of a lost segment on TCP
 REORDER_MS = (5.0, 50.0)
-MAX_LAG_MS = 10.0  # at the 99th percentile: a relay that is later than that was the fault itself
+MAX_LAG_MS = 10.0  # at the 99th percentile; a slower relay is a fault itself
 DIAL_S = 5.0
-HELD_CONNECT_S = 60.0  # that a new connection waits for a cut to end
-IDLE_S = 600.0  # that a connection may carry nothing
+HELD_CONNECT_S = 60.0  # how long a new connection waits for a cut to end
+IDLE_S = 600.0  # how long a connection may be idle
 SWEEP_S = 5.0
 MAX_NARROW_WAIT_S = 2.0
-PIECE_S, MIN_PIECE_BYTES = 0.02, 16  # of a narrow link: time and bytes of what goes on at once
-TIMER_S = 0.0002  # timers may fire so much early
+PIECE_S, MIN_PIECE_BYTES = 0.02, 16  # of a narrow link: duration and least size of one piece
+TIMER_S = 0.0002  # how early timers may fire
 NO_LINGER = struct.pack("ii", 1, 0)
-SO_MEMINFO, MEMINFO, DROPS = 55, struct.Struct("9I"), 8  # of Linux: what a socket's full buffer dropped
+SO_MEMINFO, MEMINFO, DROPS = 55, struct.Struct("9I"), 8  # Linux: where to read the drops of a full buffer
 
 Address = tuple[str, int]
 DELAYS: frozenset[Way] = frozenset({"late", "reorder", "narrow", "loss"})
 
 
 class TcpLink(Struct, frozen=True, tag=True):
-    """Where `src` reaches `dst`, which listens at `target`; a port is chosen where it is 0."""
+    """Address at which `src` reaches `dst`, which listens at `target`. Port 0: any free port."""
 
     src: str
     dst: str
@@ -78,12 +78,12 @@
 
     @property
     def ends(self) -> tuple[str, str]:
-        """Whose link it is."""
+        """The names of both ends."""
         return self.src, self.dst
 
 
 class UdpLink(Struct, frozen=True, tag=True):
-    """Both directions of a pair: what comes from `one_at` goes to `other_at`, and back."""
+    """Both directions of a pair: datagrams from `one_at` are sent to `other_at`, and back."""
 
     one: str
     other: str
@@ -92,31 +92,31 @@
 
     @property
     def ends(self) -> tuple[str, str]:
-        """Whose link it is."""
+        """The names of both ends."""
         return self.one, self.other
 
 
 def wrong_address(address: Address) -> str:
-    """What is wrong with where an end is; empty where nothing is. Names are none: they would be looked up."""
+    """Return what is wrong with an end's address; empty if nothing is. Host names are refused: no lookups."""
     host, port = address
     try:
         socket.inet_pton(socket.AF_INET, host)
     except OSError:
-        return f"{host!r} is no IPv4 address"
-    return "" if 0 < port < 65536 else f"{port} is no port"
+        return f"{host!r} is not an IPv4 address"
+    return "" if 0 < port < 65536 else f"{port} is not a port from 1 to 65535"
 
 
 @dataclass(slots=True)
 class Counts:
-    """What one direction of one link carried, for both protocols."""
-
-    taken: int = 0  # bytes that the sender's side gave
-    passed: int = 0  # bytes that the other side was given
-    lost: int = 0  # bytes that it will never be given
-    doubled: int = 0  # bytes that a fault added
-    came: int = 0  # datagrams that the sender's side gave
-    messages: int = 0  # datagrams passed on
-    dropped: int = 0  # datagrams that were not
+    """What one direction of one link carried, of both protocols."""
+
+    taken: int = 0  # bytes received from the sender
+    passed: int = 0  # bytes sent to the receiver
+    lost: int = 0  # bytes that will never be sent
+    doubled: int = 0  # bytes added by a fault
+    came: int = 0  # datagrams received from the sender
+    messages: int = 0  # datagrams sent to the receiver
+    dropped: int = 0  # datagrams not sent
     resets: int = 0
 
     @property
@@ -126,7 +126,7 @@
 
 
 class State:
-    """How one direction of one link is now."""
+    """Current state of one direction of one link."""
 
     __slots__ = (
         "_relay",
@@ -134,17 +134,17 @@
         "_timer",
         "_waiting",
         "amounts",
-        "clear",
+        "is_clear",
         "counts",
-        "cut",
-        "delays",
+        "is_cut",
+        "has_delays",
         "dst",
         "faults",
         "flows",
         "free_at",
-        "held",
+        "is_held",
         "src",
-        "stalled",
+        "is_stalled",
     )
 
     def __init__(self, relay: Relay, src: str, dst: str, faults: Iterable[Link]) -> None:
@@ -152,51 +152,54 @@
         self.src, self.dst = src, dst
         self.faults = list(faults)
         self.counts = Counts()
-        self.free_at = 0.0  # of a narrow link: when it can carry the next byte
-        self.flows: set[Flow] = set()  # that hold something
+        self.free_at = 0.0  # of a narrow link: when it can send the next byte
+        self.flows: set[Flow] = set()  # flows that hold data
         self._rngs: dict[Way, random.Random] = {}
-        self._waiting: list[tuple[float, int, bytes, UdpSocket, Address]] = []  # a heap of datagrams
+        self._waiting: list[tuple[float, int, bytes, UdpSocket, Address]] = []  # heap by due time
         self._timer: asyncio.TimerHandle | None = None
-        self.changed()
+        self.apply_faults()
 
-    def changed(self) -> None:
-        """Act on the faults as they are now."""
+    def apply_faults(self) -> None:
+        """Apply the faults as they are now."""
         amounts: dict[Way, float] = {}
         for fault in self.faults:
             amounts[fault.way] = max(amounts.get(fault.way, 0.0), fault.amount or 1.0)
         self.amounts = amounts
-        self.clear = not amounts  # read for each message
-        self.cut = "cut" in amounts
-        self.stalled = "stall" in amounts
-        self.held = self.cut or self.stalled  # whether nothing passes
-        self.delays = not DELAYS.isdisjoint(amounts)
+        self.is_clear = not amounts  # precomputed: read for each message
+        self.is_cut = "cut" in amounts
+        self.is_stalled = "stall" in amounts
+        self.is_held = self.is_cut or self.is_stalled  # whether nothing is forwarded
+        self.has_delays = not DELAYS.isdisjoint(amounts)
         if "narrow" not in amounts:
             self.free_at = 0.0
         if self._waiting:
-            self._due()
+            self._send_due()
         if self.flows:
             for flow in list(self.flows):
                 flow.pump()
 
     def rng(self, way: Way) -> random.Random:
-        """The random stream of one way of one direction, named after them: others don't move it."""
+        """Return the random stream of one way in one direction.
+
+        It is named after both, so that no other draw shifts it.
+        """
         if way not in self._rngs:
             self._rngs[way] = random.Random(f"{self._relay.seed}/link/{self.src}/{self.dst}/{way}")
         return self._rngs[way]
 
     def strikes(self, way: Way) -> bool:
-        """Whether a fault strikes this time."""
+        """Draw whether a fault hits this time."""
         share = self.amounts.get(way)
         return share is not None and self.rng(way).random() < share
 
     def late_ms(self) -> float:
-        """How late the next one is to be."""
+        """Draw the delay of the next read or datagram, in milliseconds."""
         late_ms = self.amounts.get("late")
         return late_ms * self.rng("late").uniform(0.7, 1.3) if late_ms else 0.0
 
-    def datagram(self, data: bytes, udp: UdpSocket, to: Address) -> None:
-        """Let a datagram that came go its way, or not, where there is a fault."""
-        if self.cut or self.strikes("loss"):
+    def on_datagram(self, data: bytes, udp: UdpSocket, to: Address) -> None:
+        """Forward a received datagram, or treat it as the faults say."""
+        if self.is_cut or self.strikes("loss"):
             self._drop(len(data))
             return
         if self.strikes("flip"):
@@ -217,61 +220,61 @@
                 return
             self.free_at = max(now, self.free_at) + len(data) / narrow
             wait_ms += (self.free_at - now) * 1000.0
-        if not wait_ms and not self.stalled:
+        if not wait_ms and not self.is_stalled:
             udp.send(self, data, to)
             return
-        full = self.stalled and len(self._waiting) >= MAX_STALLED_DATAGRAMS
+        full = self.is_stalled and len(self._waiting) >= MAX_STALLED_DATAGRAMS
         if full or not self._relay.reserve_pending(len(data)):
             self._drop(len(data))
             return
         row = (now + wait_ms / 1000.0, self._relay.next_number(), data, udp, to)
         heapq.heappush(self._waiting, row)
         if self._waiting[0] is row:
-            self._due()
+            self._send_due()
 
-    def _due(self) -> None:
-        """Send what has waited for as long as it was to."""
+    def _send_due(self) -> None:
+        """Send the datagrams that are due."""
         self.stop()
         now = self._relay.loop.time() + TIMER_S
         waiting = self._waiting
-        while waiting and not self.stalled and (not self.delays or waiting[0][0] <= now):
+        while waiting and not self.is_stalled and (not self.has_delays or waiting[0][0] <= now):
             _, _, data, udp, to = heapq.heappop(waiting)
             self._relay.release_pending(len(data))
-            if self.cut:
-                self._drop(len(data))  # it was on its way as the link was cut
+            if self.is_cut:
+                self._drop(len(data))  # in flight when the link was cut
             else:
                 udp.send(self, data, to)
-        if waiting and not self.stalled:
-            self._timer = self._relay.loop.call_at(waiting[0][0], self._due)
+        if waiting and not self.is_stalled:
+            self._timer = self._relay.loop.call_at(waiting[0][0], self._send_due)
 
     def _drop(self, size: int) -> None:
         self.counts.dropped += 1
         self.counts.lost += size
 
     def stop(self) -> None:
-        """Send nothing by itself any more."""
+        """Cancel the timer, so that nothing more is sent."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
 
 class Relay:
-    """All links between some ends. `start` first; then `tcp` and `udp` for each pair that is wanted."""
+    """All links between some ends. Call `start` first, then `tcp` and `udp` for each pair."""
 
     def __init__(self, seed: int) -> None:
         self.loop = asyncio.get_running_loop()
         self.seed = seed
-        self.buffer = bytearray(CHUNK)  # what is read goes through it, one read at a time
+        self.buffer = bytearray(CHUNK)  # for all reads, one at a time
         self.view = memoryview(self.buffer)
         self.pairs: set[Pair] = set()
         self.unknown_senders = 0  # datagrams from neither end of a pair
-        self.pending = 0  # datagrams that wait
+        self.pending = 0  # waiting datagrams
         self._pending_bytes = 0
         self._number = 0
-        self._refused = 0  # connections past the bound
-        self._overflowed = 0  # datagrams past the bound
-        self._idle = 0  # connections that the relay itself ended
-        self._overrun = 0  # datagrams that the kernel had dropped when the judging began
+        self._refused = 0  # connections refused beyond MAX_CONNECTIONS
+        self._overflowed = 0  # datagrams dropped beyond the pending bounds
+        self._idle = 0  # idle connections that the relay reset
+        self._overrun = 0  # datagrams that the kernel had dropped by the last `forget_lag`
         self._states: dict[str, dict[str, State]] = {}  # by source, by destination
         self._faults: list[Link] = []
         self._change = asyncio.Event()
@@ -281,13 +284,13 @@
         self._epoll = select.epoll()
         self._sweeping: asyncio.TimerHandle | None = None
         self._lag = LagWatch()
-        # Told what TCP bytes go on, from whom and to whom, as they do.
+        # Called with source, destination and data when TCP bytes are forwarded.
         self.watch: Callable[[str, str, bytes], None] | None = None
 
     def start(self) -> Relay:
-        """Watch the loop that runs."""
+        """Begin to read datagrams and to watch the running loop."""
         self._lag.start()
-        # An epoll in the loop's own: one callback for all sockets that are ready, not one for each.
+        # An epoll within the loop's own: one callback for all ready sockets instead of one for each.
         self.loop.add_reader(self._epoll.fileno(), self._read_datagrams)
         self._sweeping = self.loop.call_later(SWEEP_S, self._sweep)
         return self
@@ -314,34 +317,34 @@
         for pair in list(self.pairs):
             pair.reset()
         await asyncio.gather(*dials, return_exceptions=True)
-        await asyncio.sleep(0)  # transports that were aborted close in the next turn
+        await asyncio.sleep(0)  # aborted transports close in the next iteration
 
     def forget_lag(self) -> None:
-        """Judge from now on only."""
+        """Judge lag and bounds from now on only."""
         self._lag.clear()
         self._refused = self._overflowed = self._idle = 0
         self._overrun = self._dropped_by_kernel()
 
     @property
     def lag_p99_ms(self) -> float:
-        """How late the loop was at the 99th percentile."""
+        """Lag of the loop at the 99th percentile, in milliseconds."""
         return self._lag.summary()["p99_ms"]
 
     @property
     def unsound(self) -> str:
-        """Why a run can't be believed: the relay itself was a fault; empty where it was not."""
+        """Why a run can't be trusted, because the relay itself was a fault; empty if it was not."""
         late_ms, overrun = self.lag_p99_ms, self._dropped_by_kernel() - self._overrun
         wrong = (
-            (late_ms > MAX_LAG_MS, f"the relay was late by {late_ms:.1f} ms at the 99th percentile"),
+            (late_ms > MAX_LAG_MS, f"the relay lagged by {late_ms:.1f} ms at the 99th percentile"),
             (overrun, f"{overrun} datagrams were lost before the relay read them"),
-            (self._overflowed, f"{self._overflowed} datagrams more than the relay holds were lost"),
-            (self._refused, f"{self._refused} connections more than the relay holds were refused"),
-            (self._idle, f"{self._idle} connections were ended that carried nothing for {IDLE_S:.0f} s"),
+            (self._overflowed, f"{self._overflowed} datagrams beyond the relay's bounds were lost"),
+            (self._refused, f"{self._refused} connections beyond the relay's bound were refused"),
+            (self._idle, f"{self._idle} connections were reset after {IDLE_S:.0f} s without data"),
         )
         return "; ".join(text for is_so, text in wrong if is_so)
 
     def state(self, src: str, dst: str) -> State:
-        """One direction of a pair."""
+        """Return the state of one direction of a pair."""
         row = self._states.setdefault(src, {})
         if dst not in row:
             on = [fault for fault in self._faults if src in fault.src and dst in fault.dst and src != dst]
@@ -349,25 +352,29 @@
         return row[dst]
 
     def counts(self) -> dict[tuple[str, str], Counts]:
-        """What each direction that was made or asked for carried."""
+        """Return what each direction that was made or asked for carried, by source and destination."""
         rows = self._states.items()
         return {(src, dst): state.counts for src, row in rows for dst, state in row.items()}
 
     # --- faults --------------------------------------------------------------------
 
     def begin(self, fault: Link) -> None:
-        """From now on."""
+        """Begin a fault."""
         self.change([(True, fault)])
 
     def end(self, fault: Link) -> None:
-        """No more; one that has not begun, or has ended, changes nothing."""
+        """End a fault. One that has not begun, or has ended, changes nothing."""
         self.change([(False, fault)])
 
     def prepare(self, faults: Sequence[Link]) -> None:
-        """Hear of faults to come: nothing is to be done for them here."""
+        """Do nothing: here no fault needs preparation."""
 
     def change(self, rows: Sequence[tuple[bool, Link]]) -> None:
-        """Begin (True) and end faults in this order; `ValueError` for one more than `MAX_FAULTS` at once."""
+        """Begin (True) and end faults in the given order.
+
+        Raises:
+            ValueError: There would be more than `MAX_FAULTS` at once.
+        """
         touched: dict[State, None] = {}
         for begins, fault in rows:
             if begins and len(self._faults) >= MAX_FAULTS:
@@ -375,16 +382,16 @@
             if not begins and fault not in self._faults:
                 continue
             (self._faults.append if begins else self._faults.remove)(fault)
-            for state in self._of(fault):
+            for state in self._existing_states(fault):
                 (state.faults.append if begins else state.faults.remove)(fault)
                 touched[state] = None
         for state in touched:
-            state.changed()
+            state.apply_faults()
         self._change.set()
         self._change = asyncio.Event()
 
-    def _of(self, fault: Link) -> list[State]:
-        """The directions that are there and have this fault; later ones look for themselves."""
+    def _existing_states(self, fault: Link) -> list[State]:
+        """Return the existing directions that a fault applies to; `state` applies it to later ones."""
         made = []
         for src in fault.src:
             if row := self._states.get(src):
@@ -392,9 +399,9 @@
         return made
 
     async def wait_until_passable(self, src: str, dst: str) -> None:
-        """Wait until both directions of a pair let something pass."""
+        """Wait until neither direction of a pair is cut or stalled."""
         one, other = self.state(src, dst), self.state(dst, src)
-        while one.held or other.held:
+        while one.is_held or other.is_held:
             await self._change.wait()
 
     # --- TCP -----------------------------------------------------------------------
@@ -402,15 +409,34 @@
     async def tcp(
         self, src: str, dst: str, target: Address, host: str = "127.0.0.1", port: int = 0
     ) -> Address:
-        """Where `src` reaches `dst`, which listens at `target`, from now on; `OSError` where it can't be."""
+        """Make a link and return the address at which `src` reaches `dst`, which listens at `target`.
+
+        Raises:
+            OSError: The address can't be bound.
+        """
         return self.make(TcpLink(src, dst, target, host, port))
 
     async def udp(self, one: str, other: str, one_at: Address, other_at: Address) -> Address:
-        """Where `one`, which sends from `one_at`, reaches `other`, and where that one reaches it."""
+        """Make a link and return the address at which `one` and `other` reach each other.
+
+        Args:
+            one: One end, which sends from `one_at`.
+            other: The other end, which sends from `other_at`.
+            one_at: Address of `one`.
+            other_at: Address of `other`.
+
+        Raises:
+            OSError: No address can be bound.
+        """
         return self.make(UdpLink(one, other, one_at, other_at))
 
     def make(self, link: TcpLink | UdpLink) -> Address:
-        """Make a link at once; its address. `OSError` where it can't be, `ValueError` for a wrong end."""
+        """Make a link at once and return its address.
+
+        Raises:
+            OSError: The address can't be bound.
+            ValueError: The address of an end is invalid.
+        """
         ends = [link.one_at, link.other_at] if isinstance(link, UdpLink) else [link.target]
         for wrong in filter(None, map(wrong_address, ends)):
             raise ValueError(wrong)
@@ -422,14 +448,14 @@
         for end, other in ((link.src, link.dst), (link.dst, link.src)):
             self.state(end, other)
         sock = socket.create_server((link.host, link.port), backlog=BACKLOG)
-        # It listens by now: what connects before the loop serves it waits in the backlog.
+        # The socket listens already: a connection made before the loop serves it waits in the backlog.
         serving = self.loop.create_server(lambda: Pair(self, link).near, sock=sock, backlog=BACKLOG)
         self._listeners.append(sock)
         self._serving.append(self.loop.create_task(serving))
         return cast(Address, sock.getsockname())
 
-    def opened(self, pair: Pair) -> bool:
-        """A new connection; whether it is within the bound."""
+    def register(self, pair: Pair) -> bool:
+        """Register a new connection; return whether it is within `MAX_CONNECTIONS`."""
         if len(self.pairs) >= MAX_CONNECTIONS:
             self._refused += 1
             return False
@@ -437,7 +463,7 @@
         return True
 
     def _sweep(self) -> None:
-        """End connections that have carried nothing for too long."""
+        """Reset connections that have been idle for too long."""
         bound = self.loop.time() - IDLE_S
         for pair in [pair for pair in self.pairs if pair.used_at < bound]:
             self._idle += not pair.half_open
@@ -455,12 +481,12 @@
                 return
 
     def next_number(self) -> int:
-        """1 more each time: what is due at one time goes in the order in which it came."""
+        """Return the next sequence number: datagrams due at the same time are sent in the order received."""
         self._number += 1
         return self._number
 
     def reserve_pending(self, size: int) -> bool:
-        """Whether one more datagram may wait."""
+        """Reserve space for a waiting datagram; return whether there was any."""
         if self.pending >= MAX_PENDING_DATAGRAMS or self._pending_bytes + size > MAX_PENDING_BYTES:
             self._overflowed += 1
             return False
@@ -469,7 +495,7 @@
         return True
 
     def release_pending(self, size: int) -> None:
-        """One waits no more."""
+        """Release the space of a datagram that no longer waits."""
         self.pending -= 1
         self._pending_bytes -= size
 
@@ -478,13 +504,13 @@
 
 
 class UdpSocket:
-    """The address of one pair: the same for both directions."""
+    """Socket of one pair, used for both directions."""
 
     __slots__ = ("_relay", "_ways", "sock")
 
     def __init__(self, relay: Relay, link: UdpLink) -> None:
         if link.one_at == link.other_at:
-            raise ValueError(f"{link.one} and {link.other} are both at {link.one_at}")
+            raise ValueError(f"{link.one} and {link.other} have the same address {link.one_at}")
         self._relay = relay
         self._ways: dict[Address, tuple[State, Address]] = {
             link.one_at: (relay.state(link.one, link.other), link.other_at),
@@ -498,7 +524,7 @@
             raise
 
     def read(self) -> None:
-        """Take one datagram that is there; with no fault it goes straight on."""
+        """Read one datagram; without a fault it is sent on directly."""
         relay = self._relay
         try:
             size, at = self.sock.recvfrom_into(relay.buffer)
@@ -511,17 +537,17 @@
         state, to = way
         state.counts.came += 1
         state.counts.taken += size
-        if state.clear:
+        if state.is_clear:
             self.send(state, relay.view[:size], to)
         else:
-            state.datagram(bytes(relay.view[:size]), self, to)
+            state.on_datagram(bytes(relay.view[:size]), self, to)
 
     def send(self, state: State, data: bytes | memoryview, to: Address) -> None:
-        """Pass a datagram on."""
+        """Send a datagram to its destination."""
         counts = state.counts
         try:
             self.sock.sendto(data, to)
-        except OSError:  # nobody is there, or its buffer is full
+        except OSError:  # nobody listens, or the buffer is full
             counts.dropped += 1
             counts.lost += len(data)
             return
@@ -536,62 +562,62 @@
 
 
 class End(asyncio.BufferedProtocol):
-    """One socket of a connection: what it says goes `out`, and what `into` carries goes to it."""
+    """One socket of a connection. What it sends goes to the flow `out`; the flow `into` is written to it."""
 
     def __init__(self, pair: Pair) -> None:
         self._pair = pair
         self.transport: asyncio.Transport | None = None
         self.out: Flow
         self.into: Flow
-        self.full = False  # it takes no more for now
-        self.gone = False
+        self.is_full = False  # whether its write buffer is full
+        self.is_gone = False
         self._ended = False
 
     def connection_made(self, transport: Any) -> None:
-        """It is up."""
+        """Store the transport and notify the pair."""
         self.transport = transport
-        self._pair.up(self)
+        self._pair.on_connected(self)
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        """Where the next read goes."""
+        """Return the buffer of the next read."""
         return self._pair.relay.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Something was read."""
+        """Pass the bytes that were read to the outgoing flow."""
         self.out.feed(bytes(self._pair.relay.view[:nbytes]))
 
     def eof_received(self) -> bool:
-        """It says nothing more, and still hears."""
+        """Note that the end sends nothing more; it can still receive."""
         self._ended = True
         if self._pair.half_open:
-            self._pair.reset()  # nobody is left to say anything to it
+            self._pair.reset()  # nobody is left to send it anything
         else:
             self.out.finish(whole=True)
         return True
 
     def connection_lost(self, error: Exception | None) -> None:
-        """It is gone."""
-        self.gone = True
-        self._pair.lost(self)
+        """Notify the pair that the socket is gone."""
+        self.is_gone = True
+        self._pair.on_disconnected(self)
 
     def pause_writing(self) -> None:
-        """It takes no more for now."""
-        self.full = True
+        """Stop writing to the end: its buffer is full."""
+        self.is_full = True
         self.into.update_reading()
 
     def resume_writing(self) -> None:
-        """It takes more."""
-        self.full = False
+        """Continue to write to the end."""
+        self.is_full = False
         self.into.pump()
 
-    def read_on(self, on: bool) -> None:
-        """Read what it says, or leave that to its kernel."""
-        if self.transport is not None and not self._ended and not self.gone:
-            (self.transport.resume_reading if on else self.transport.pause_reading)()
+    def set_reading(self, is_enabled: bool) -> None:
+        """Read from the socket, or leave what arrives to its kernel's buffer."""
+        if self.transport is not None and not self._ended and not self.is_gone:
+            (self.transport.resume_reading if is_enabled else self.transport.pause_reading)()
 
     def reset(self) -> int:
-        """End it with a reset; how many bytes it was never given."""
-        if self.transport is None or self.gone:
+        """Reset the socket; return the number of bytes written to it that were not sent."""
+        if self.transport is None or self.is_gone:
             return 0
         unsent = self.transport.get_write_buffer_size()
         with contextlib.suppress(OSError):
@@ -602,7 +628,7 @@
 
 
 class Flow:
-    """One direction of one connection: what is held of it, in order, and how it ended."""
+    """One direction of one connection: the bytes held, in order, and how it ended."""
 
     __slots__ = (
         "_last_due",
@@ -622,37 +648,41 @@
     def __init__(self, pair: Pair, state: State, source: End, target: End) -> None:
         self._pair, self._state = pair, state
         self._source, self._target = source, target
-        # When it is due, what it is, and whether it was drawn what becomes of it; no bytes are the end.
+        # Due time, data, and whether the faults that hit it are drawn already; empty data is the end.
         self._queue: deque[tuple[float, bytes, bool]] = deque()
         self._size = 0
         self._last_due = 0.0
-        self._slot: float | None = None  # of a narrow link: when the piece that is next has gone
+        self._slot: float | None = None  # of a narrow link: when the next piece may be sent
         self._timer: asyncio.TimerHandle | None = None
         self._ended_cleanly = True
-        self._discards = False  # what comes goes nowhere
+        self._discards = False  # whether further data is dropped
         self.ended = False
 
     def feed(self, data: bytes) -> None:
-        """What was said: on its way, or held."""
+        """Forward or hold bytes that were read."""
         state = self._state
         state.counts.taken += len(data)
         self._pair.used_at = self._pair.relay.loop.time()
         if self._discards:
             state.counts.lost += len(data)
-        elif state.clear and not self._queue:
+        elif state.is_clear and not self._queue:
             self._write(data)
         else:
             self._size += len(data)
             self._add(data)
 
     def finish(self, whole: bool) -> None:
-        """Nothing more comes: its end is news, too, and waits like any other. Not `whole`: it was reset."""
+        """Queue the end of the flow, which waits like data.
+
+        Args:
+            whole: Whether the flow ended in order; False if it was reset.
+        """
         self._ended_cleanly = self._ended_cleanly and whole
         self._add(b"")
 
     def _add(self, data: bytes) -> None:
         state = self._state
-        if not state.delays:
+        if not state.has_delays:
             self._last_due = 0.0
         else:
             wait_ms = state.late_ms()
@@ -664,19 +694,19 @@
         self.pump()
 
     def pump(self) -> None:
-        """Pass on what may go now."""
+        """Forward what may be sent now."""
         self.stop()
-        while self._queue and not self._state.held and not self._target.full and self._next():
+        while self._queue and not self._state.is_held and not self._target.is_full and self._forward_next():
             pass
         if not self._queue:
             self._state.flows.discard(self)
         self.update_reading()
 
-    def _next(self) -> bool:
-        """Pass on the first of what is held, or a piece of it; whether to go on."""
+    def _forward_next(self) -> bool:
+        """Forward the first held read or a piece of it; return whether to go on."""
         due, data, drawn = self._queue[0]
         now = self._pair.relay.loop.time() + TIMER_S
-        if self._state.delays and due > now:
+        if self._state.has_delays and due > now:
             self._later(due)
             return False
         if not data:
@@ -706,7 +736,7 @@
         return True
 
     def _breaks_connection(self, data: bytes) -> bool:
-        """Whether a fault ends the connection here."""
+        """Draw whether a fault ends the connection here; if so, end it."""
         state = self._state
         if state.strikes("reset"):
             state.counts.resets += 1
@@ -717,14 +747,14 @@
             self._pair.reset()
             return True
         if state.strikes("half_open"):
-            # The far end is gone and the near one is not told; what it sends goes nowhere.
+            # The target is gone and the source is not notified; what the source sends is dropped.
             self._pair.abort_one_end(self._target)
             return True
         return False
 
     def _write(self, data: bytes) -> None:
         state, target = self._state, self._target
-        if target.gone or target.transport is None:
+        if target.is_gone or target.transport is None:
             state.counts.lost += len(data)
             return
         if self._pair.relay.watch is not None:
@@ -737,26 +767,30 @@
             self._pair.reset()
             return
         self.ended = True
-        if self._target.transport is not None and not self._target.gone:
-            with contextlib.suppress(OSError):  # the kernel knows of a reset that the loop has yet to hear of
+        if self._target.transport is not None and not self._target.is_gone:
+            with contextlib.suppress(OSError):  # a reset that the kernel knows and the loop does not yet
                 self._target.transport.write_eof()
-        self._pair.ended()
+        self._pair.on_flow_ended()
 
     def _later(self, at: float) -> None:
         self._timer = self._pair.relay.loop.call_at(at, self.pump)
 
     def stop(self) -> None:
-        """Do nothing by itself until something comes."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def update_reading(self) -> None:
-        """Leave what is more than may be held to the sender's kernel."""
-        self._source.read_on(not self._target.full and self._size <= MAX_HELD_BYTES - CHUNK)
+        """Read from the source only while its target takes data and `MAX_HELD_BYTES` is not reached."""
+        self._source.set_reading(not self._target.is_full and self._size <= MAX_HELD_BYTES - CHUNK)
 
     def drop(self, unsent: int) -> None:
-        """What is held, and so many bytes that were passed and did not get there, are lost; more will be."""
+        """Drop what is held now and what arrives later, and count it as lost.
+
+        Args:
+            unsent: Bytes already passed to the target's socket that were not sent.
+        """
         self.stop()
         self._state.counts.lost += self._size + unsent
         self._state.counts.passed -= unsent
@@ -764,38 +798,38 @@
         self._queue.clear()
         self._size = 0
         self._discards = True
-        self._source.read_on(True)  # so that its end is seen
+        self._source.set_reading(True)  # so that its end is noticed
 
 
 class Pair:
-    """One connection through the relay: its two sockets, and the flows between them."""
+    """One connection through the relay: its two sockets and the flows between them."""
 
     def __init__(self, relay: Relay, link: TcpLink) -> None:
         self.relay = relay
         self._link = link
         self.used_at = relay.loop.time()
-        self.half_open = False  # gone at one end, and the other is not told
+        self.half_open = False  # gone at one end without notice to the other
         self.dialling: asyncio.Task[None] | None = None
         self._gone_end: End | None = None
-        self._over = False
+        self._is_over = False
         self.near, self.far = End(self), End(self)
         there, back = relay.state(link.src, link.dst), relay.state(link.dst, link.src)
         self.near.out = self.far.into = Flow(self, there, self.near, self.far)
         self.far.out = self.near.into = Flow(self, back, self.far, self.near)
 
-    def up(self, end: End) -> None:
-        """One of its sockets is up; the near one waits for the far one."""
-        if self._over or (end is self.near and not self.relay.opened(self)):
+    def on_connected(self, end: End) -> None:
+        """Handle a socket that is connected; the near one starts the connection of the far one."""
+        if self._is_over or (end is self.near and not self.relay.register(self)):
             end.reset()
         elif end is self.near:
-            end.read_on(False)
+            end.set_reading(False)
             self.dialling = self.relay.loop.create_task(self._dial())
 
     async def _dial(self) -> None:
         link = self._link
         try:
             async with asyncio.timeout(HELD_CONNECT_S):
-                await self.relay.wait_until_passable(link.src, link.dst)  # its handshake needs both ways
+                await self.relay.wait_until_passable(link.src, link.dst)  # for its handshake
             async with asyncio.timeout(DIAL_S):
                 await self.relay.loop.create_connection(lambda: self.far, *link.target)
         except (OSError, TimeoutError):
@@ -803,19 +837,22 @@
             return
         finally:
             self.dialling = None
-        self.near.read_on(True)
+        self.near.set_reading(True)
 
-    def ended(self) -> None:
-        """A flow has come to its end; with both, so has the connection."""
+    def on_flow_ended(self) -> None:
+        """Close the connection once both flows have ended."""
         if self.near.out.ended and self.far.out.ended:
             for end in (self.near, self.far):
                 if end.transport is not None:
                     end.transport.close()
 
-    def lost(self, end: End) -> None:
-        """One of its sockets is gone: what was to go to it is lost, and the other hears of it in time."""
+    def on_disconnected(self, end: End) -> None:
+        """Handle a socket that is gone.
+
+        What was to be sent to it is lost, and the other end is reset once all that is held for it was sent.
+        """
         self._forget()
-        if self._over:
+        if self._is_over:
             return
         if self.half_open:
             if end is not self._gone_end:
@@ -826,18 +863,18 @@
             end.out.finish(whole=False)
 
     def abort_one_end(self, end: End) -> None:
-        """This end is gone, and the other is not told."""
+        """Reset one end without notifying the other."""
         other = self.far if end is self.near else self.near
         self.half_open, self._gone_end = True, end
         end.into.drop(end.reset())
-        end.gone = True
+        end.is_gone = True
         other.into.drop(0)
 
     def reset(self) -> None:
-        """End it now at both ends."""
-        if self._over:
+        """Reset both ends now."""
+        if self._is_over:
             return
-        self._over = True
+        self._is_over = True
         if self.dialling is not None and self.dialling is not asyncio.current_task():
             self.dialling.cancel()
         for end in (self.near, self.far):
@@ -845,12 +882,12 @@
         self._forget()
 
     def _forget(self) -> None:
-        if self._over or all(end.gone or end.transport is None for end in (self.near, self.far)):
+        if self._is_over or all(end.is_gone or end.transport is None for end in (self.near, self.far)):
             self.relay.pairs.discard(self)
 
 
 def flipped(data: bytes, rng: random.Random) -> bytes:
-    """The same with one bit changed; of nothing, nothing."""
+    """Return the data with one bit changed; empty data stays empty."""
     if not data:
         return data
     made = bytearray(data)
@@ -859,27 +896,27 @@
 
 
 def address_of(number: int) -> str:
-    """A loopback address of a node's own; the first thousand nodes have one."""
+    """Return the loopback address of a node; the first thousand nodes have one each."""
     if not 0 <= number < 1000:
-        raise ValueError(f"{number} is not from 0 to 999")
+        raise ValueError(f"node number {number} is not from 0 to 999")
     return f"127.77.{number // 250}.{number % 250 + 1}"
 
 
 def free_port(host: str) -> int:
-    """A port at an address that nobody holds now."""
+    """Return a port of the address that is not in use now."""
     with socket.socket() as sock:
         sock.bind((host, 0))
         return int(sock.getsockname()[1])
 
 
 class Changes(Protocol):
-    """What has faults that begin and end: a `Relay`, or `Relays`."""
+    """Anything whose faults begin and end: a `Relay` or `Relays`."""
 
     def prepare(self, faults: Sequence[Link], /) -> Awaitable[None] | None:
-        """Hear of faults to come."""
+        """Announce faults to come."""
 
     def change(self, rows: Sequence[tuple[bool, Link]], /) -> Awaitable[None] | None:
-        """Begin (True) and end faults in this order."""
+        """Begin (True) and end faults in the given order."""
 
 
 async def _done(asked: Awaitable[None] | None) -> None:
@@ -888,7 +925,7 @@
 
 
 class Player:
-    """Begins and ends the faults of links at their times, on a loop's clock."""
+    """Begins and ends the faults of links at their times, by the loop's clock."""
 
     def __init__(self, relay: Changes, faults: Iterable[Link]) -> None:
         self._relay = relay
@@ -900,10 +937,10 @@
                 key=lambda row: (row[0], row[1]),
             )
         )
-        self.late_ms = 0.0  # the most that a change was late
+        self.late_ms = 0.0  # largest delay of a change
 
     async def run(self) -> None:
-        """Play all of them; times count from now, and what is due at once is changed at once."""
+        """Play all faults. Times count from now, and changes that are due together are applied together."""
         loop = asyncio.get_running_loop()
         await _done(self._relay.prepare(self._faults))
         began = loop.time()
--- a/rig/cluster/relayhost.py
+++ b/rig/cluster/relayhost.py
@@ -1,7 +1,7 @@
 """`python -m rig.cluster.relayhost --seed N`: one process of `rig.cluster.relays`, with a relay of its own.
 
-It takes one JSON line and answers with one, and ends when its owner hangs up or dies. Times that it tells are
-seconds of CLOCK_MONOTONIC, which is one for all processes of a machine.
+It reads one JSON line per command and answers each with one line. It exits when its owner closes the pipe or
+dies. The times that it reports are seconds of CLOCK_MONOTONIC, which all processes of a machine share.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
 
 
 class Host:
-    """A relay, and the commands that it takes."""
+    """Relay and the commands that control it."""
 
     def __init__(self, seed: int) -> None:
         self._relay = Relay(seed)
-        self._known: list[Link] = []  # faults that are told by their number
+        self._known: list[Link] = []  # faults that a change may name by number
 
     async def run(self) -> None:
         """Relay until the owner hangs up."""
@@ -44,7 +44,11 @@
             await self._relay.stop()
 
     def obey(self, do: str, **command: Any) -> Any:
-        """One command; what can't be done is told as `refused`. No such command: `ValueError`."""
+        """Run one command and return its answer; `refused` in the answer says what was wrong with it.
+
+        Raises:
+            ValueError: There is no such command.
+        """
         try:
             match do:
                 case "make":
@@ -59,7 +63,7 @@
                     return self._report()
         except (msgspec.DecodeError, ValueError) as error:
             return {"refused": str(error)}
-        raise ValueError(f"no command {do!r}")
+        raise ValueError(f"unknown command {do!r}")
 
     def _make(self, links: Sequence[TcpLink | UdpLink]) -> list[Address]:
         made = []
@@ -71,11 +75,11 @@
         return made
 
     def _know(self, faults: list[Link], first: int) -> None:
-        """Faults that are told by their numbers from now on, `first` and on; later ones are forgotten."""
+        """Store faults that changes then name by number, from `first` on; those stored there are replaced."""
         self._known[first:] = faults
 
     def _change(self, rows: Sequence[tuple[bool, int | Link]]) -> float:
-        """When the change had taken effect."""
+        """Apply a change; return when it had taken effect."""
         known = self._known
         self._relay.change(
             [(begins, known[fault] if isinstance(fault, int) else fault) for begins, fault in rows]
@@ -97,12 +101,12 @@
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Relay until standard input ends; the exit code."""
+    """Relay until standard input ends; return the exit code."""
     made = argparse.ArgumentParser(prog="python -m rig.cluster.relayhost", description=__doc__)
     made.add_argument("--seed", type=int, required=True)
     given = made.parse_args(arguments)
     prepare()
-    # Guards against collections over all links, whose pauses would be taken for the network's.
+    # Collections over all links would pause the relay, which would look like delays of the network.
     gc.set_threshold(50_000, 50, 1000)
 
     async def run() -> None:
--- a/rig/cluster/relays.py
+++ b/rig/cluster/relays.py
@@ -1,7 +1,7 @@
-"""The relay of `rig.cluster.links` in several processes: both directions of a pair are in one of them.
+"""The relay of `rig.cluster.links` in several processes; both directions of a pair are in the same one.
 
-All of them are told of each fault at the same time, and say when it had taken effect. One that dies, or says
-nothing for so long, is a `ProgramError` of one line to whoever asks next: nothing waits for it for good.
+Each fault is sent to all processes at the same time, and they report when it had taken effect. If one dies or
+does not answer in time, the next caller gets a `ProgramError` of one line: nothing waits for it forever.
 """
 
 from __future__ import annotations
@@ -24,55 +24,59 @@
 T = TypeVar("T")
 
 SHARDS = 4
-LINKS_A_TIME = 1000  # that are made by one command: its lines stay far below a helper's bound
+LINKS_A_TIME = 1000  # per command, which keeps its line far below the bound of a helper
 FAULTS_A_TIME = 200
-MAX_LATE_MS = 10.0  # at the 99th percentile of the changes, each counted once a process
+MAX_LATE_MS = 10.0  # at the 99th percentile of the changes, each counted once per process
 MAX_CHANGES = 100_000
 
 
 @dataclass(frozen=True, slots=True)
 class RelaysReport:
-    """What all links carried, and how the processes did. Directions that carried nothing are absent."""
+    """What all links carried, and how the processes kept up. Directions that carried nothing are absent."""
 
     counts: dict[tuple[str, str], Counts]
     lag_p99_ms: tuple[float, ...]  # by process
     cpu_s: float  # of all
-    change_late_ms: float  # the most that a change came into effect after it was asked for
+    change_late_ms: float  # largest delay from a request of a change to its effect
     unsound: str
 
     def of(self, src: str, dst: str) -> Counts:
-        """One direction's counts, all 0 where it carried nothing."""
+        """Return one direction's counts, all 0 if it carried nothing."""
         return self.counts.get((src, dst)) or Counts()
 
 
 def shard_of(one: str, other: str, shards: int) -> int:
-    """The process of a pair of ends; the same for both directions, and in each run."""
+    """Return the process of a pair of ends: the same for both directions, and in each run."""
     name = "\0".join(sorted((one, other))).encode()
     return int.from_bytes(hashlib.blake2b(name, digest_size=8).digest(), "big") % shards
 
 
 class Shard:
-    """One process, as its owner sees it: commands one after another."""
+    """One relay process, as its owner sees it. Commands are sent one after another."""
 
     def __init__(self, name: str, helper: Helper) -> None:
         self._name = name
         self._helper = helper
         self._turn = asyncio.Lock()
-        self._asked: set[asyncio.Task[Any]] = set()
-        self._dead = ""  # why it is asked no more
+        self._tasks: set[asyncio.Task[Any]] = set()
+        self._dead = ""  # why no further command is sent
 
     async def ask(self, **command: Any) -> Any:
-        """A command's answer; `ProgramError` if it has none, or says what was wrong with it."""
+        """Send a command and return its answer.
+
+        Raises:
+            ProgramError: There is no answer, or the command was refused.
+        """
         task = asyncio.create_task(self._ask(command))
-        self._asked.add(task)
+        self._tasks.add(task)
         task.add_done_callback(self._forget)
-        # Guards against an answer left in the pipe, which the next command would take for its own.
+        # A cancelled caller must not leave its answer in the pipe: the next command would take it.
         return await asyncio.shield(task)
 
     def _forget(self, task: asyncio.Task[Any]) -> None:
-        self._asked.discard(task)
+        self._tasks.discard(task)
         if not task.cancelled():
-            task.exception()  # whoever asked may be gone
+            task.exception()  # the caller may be gone; marks the error as retrieved
 
     async def _ask(self, command: dict[str, Any]) -> Any:
         async with self._turn:
@@ -88,25 +92,28 @@
         return answer
 
     async def stop(self) -> None:
-        """End it."""
-        for task in list(self._asked):
+        """Stop the process."""
+        for task in list(self._tasks):
             task.cancel()
         await self._helper.stop()
 
 
 class Relays:
-    """All links between some ends, in several processes. `start` first; `ProgramError` where one has died."""
+    """All links between some ends, in several processes. Call `start` first.
+
+    Every method raises `ProgramError` if a process has died.
+    """
 
     def __init__(self, seed: int, shards: int = SHARDS) -> None:
         self._seed = seed
         self._count = shards
         self._shards: list[Shard] = []
-        self._numbers: dict[Link, int] = {}  # of faults that all processes know
+        self._numbers: dict[Link, int] = {}  # faults that all processes know, by number
         self._late_ms: list[float] = []  # of each change in each process
         self._unsound = "the relays have not reported yet"
 
     async def start(self) -> Relays:
-        """Start the processes; if one can't be, none is left."""
+        """Start the processes; if one can't be started, the others are stopped."""
         begun = await asyncio.gather(*map(self._begin, range(self._count)), return_exceptions=True)
         self._shards = [shard for shard in begun if isinstance(shard, Shard)]
         for shard in begun:
@@ -125,7 +132,7 @@
         return Shard(f"relay {number + 1} of {self._count}", helper)
 
     async def stop(self) -> None:
-        """End all links and processes."""
+        """Close all links and stop all processes."""
         await asyncio.gather(*(shard.stop() for shard in self._shards), return_exceptions=True)
         self._shards = []
 
@@ -134,15 +141,15 @@
     async def tcp(
         self, src: str, dst: str, target: Address, host: str = "127.0.0.1", port: int = 0
     ) -> Address:
-        """Where `src` reaches `dst`, which listens at `target`, from now on."""
+        """Make a link and return the address at which `src` reaches `dst`, which listens at `target`."""
         return (await self.make([TcpLink(src, dst, target, host, port)]))[0]
 
     async def udp(self, one: str, other: str, one_at: Address, other_at: Address) -> Address:
-        """Where `one`, which sends from `one_at`, reaches `other`, and where that one reaches it."""
+        """Make a link and return the address at which `one` and `other` reach each other; see `Relay.udp`."""
         return (await self.make([UdpLink(one, other, one_at, other_at)]))[0]
 
     async def make(self, links: Sequence[TcpLink | UdpLink]) -> list[Address]:
-        """Make many links at once; their addresses in the same order."""
+        """Make many links at once; return their addresses in the same order."""
         parts: list[list[int]] = [[] for _ in range(self._count)]
         for index, link in enumerate(links):
             parts[shard_of(*link.ends, self._count)].append(index)
@@ -155,50 +162,53 @@
                 for index, (host, port) in zip(part, await shard.ask(do="make", links=data), strict=True):
                     made[index] = (host, port)
 
-        await _all(fill(shard, part) for shard, part in zip(self._asked(), parts, strict=True) if part)
+        await _all(
+            fill(shard, part) for shard, part in zip(self._running_shards(), parts, strict=True) if part
+        )
         return made
 
     # --- faults ----------------------------------------------------------------------
 
     async def begin(self, fault: Link) -> None:
-        """From now on."""
+        """Begin a fault."""
         await self.change([(True, fault)])
 
     async def end(self, fault: Link) -> None:
-        """No more; one that has not begun, or has ended, changes nothing."""
+        """End a fault. One that has not begun, or has ended, changes nothing."""
         await self.change([(False, fault)])
 
     async def prepare(self, faults: Sequence[Link]) -> None:
-        """Tell all processes of faults to come, so that their begin and end are short words; replaces others.
+        """Announce faults to come to all processes, so that a change names them by number.
 
-        One that was not told is sent whole, which takes longer with many ends.
+        It replaces the faults announced before. A fault that was not announced is sent whole, which takes
+        longer if it has many ends.
         """
         self._numbers = {}
         for first in range(0, len(faults), FAULTS_A_TIME):
             part = msgspec.json.encode(faults[first : first + FAULTS_A_TIME]).decode()
-            await _all(shard.ask(do="know", faults=part, first=first) for shard in self._asked())
+            await _all(shard.ask(do="know", faults=part, first=first) for shard in self._running_shards())
         self._numbers = {fault: number for number, fault in enumerate(faults)}
 
     async def change(self, rows: Sequence[tuple[bool, Link]]) -> None:
-        """Begin (True) and end faults in this order, in all processes at once."""
+        """Begin (True) and end faults in the given order, in all processes at once."""
         asked_s = time.monotonic()
         numbers = self._numbers
         data = msgspec.json.encode([(begins, numbers.get(fault, fault)) for begins, fault in rows]).decode()
-        done_s = await _all(shard.ask(do="change", rows=data) for shard in self._asked())
+        done_s = await _all(shard.ask(do="change", rows=data) for shard in self._running_shards())
         if len(self._late_ms) < MAX_CHANGES:
             self._late_ms += [(at_s - asked_s) * 1000.0 for at_s in done_s]
 
-    # --- what they tell ----------------------------------------------------------------
+    # --- reports -----------------------------------------------------------------------
 
     async def forget_lag(self) -> None:
-        """Judge from now on only."""
-        await _all(shard.ask(do="forget") for shard in self._asked())
+        """Judge lag from now on only."""
+        await _all(shard.ask(do="forget") for shard in self._running_shards())
         self._late_ms.clear()
 
     async def report(self) -> RelaysReport:
-        """What all links carried so far."""
+        """Return what all links carried so far."""
         try:
-            answers = await _all(shard.ask(do="report") for shard in self._asked())
+            answers = await _all(shard.ask(do="report") for shard in self._running_shards())
         except ProgramError as error:
             self._unsound = str(error)
             raise
@@ -209,7 +219,7 @@
         ]
         late_ms = sorted(self._late_ms)
         if late_ms and (p99_ms := late_ms[math.ceil(0.99 * len(late_ms)) - 1]) > MAX_LATE_MS:
-            wrong.append(f"a fault came into effect {p99_ms:.1f} ms late at the 99th percentile")
+            wrong.append(f"a fault took effect {p99_ms:.1f} ms late at the 99th percentile")
         self._unsound = "; ".join(wrong)
         return RelaysReport(
             counts={
@@ -223,17 +233,17 @@
 
     @property
     def unsound(self) -> str:
-        """Why a run can't be believed, as of the last `report`; empty where it can."""
+        """Why a run can't be trusted, as of the last `report`; empty if it can."""
         return self._unsound
 
-    def _asked(self) -> list[Shard]:
+    def _running_shards(self) -> list[Shard]:
         if not self._shards:
-            raise ProgramError("the relays do not run")
+            raise ProgramError("the relays are not running")
         return self._shards
 
 
 async def _all(asked: Iterable[Coroutine[Any, Any, T]]) -> list[T]:
-    """All answers; the first error if there is one, once all have ended."""
+    """Return all answers; once all have ended, raise the first error if there is one."""
     answers = await asyncio.gather(*asked, return_exceptions=True)
     for answer in answers:
         if isinstance(answer, BaseException):
--- a/tests/rig/cluster/test_breaching.py
+++ b/tests/rig/cluster/test_breaching.py
@@ -74,16 +74,19 @@
 @pytest.mark.parametrize(
     ("edits", "wrong"),
     [
-        ([(FILE, "no such line", "x")], r"edits\[0\].old: stands 0 times in pack/deep/thing.py, not once"),
-        ([(FILE, "LIMIT", "x")], r"edits\[0\].old: stands 2 times"),
-        ([(FILE, "", "x")], r"edits\[0\].old: stands 0 times"),
-        ([(FILE, "LIMIT = 3", "LIMIT = 3")], r"edits\[0\].old: changes nothing"),
-        ([(FILE, "LIMIT = 3", "LIMIT = 4"), (FILE, "= 3", "= 5")], r"edits\[1\].old: stands 0 times"),
+        (
+            [(FILE, "no such line", "x")],
+            r"edits\[0\].old: found 0 times in pack/deep/thing.py, expected once",
+        ),
+        ([(FILE, "LIMIT", "x")], r"edits\[0\].old: found 2 times"),
+        ([(FILE, "", "x")], r"edits\[0\].old: found 0 times"),
+        ([(FILE, "LIMIT = 3", "LIMIT = 3")], r"edits\[0\].old: equal to new"),
+        ([(FILE, "LIMIT = 3", "LIMIT = 4"), (FILE, "= 3", "= 5")], r"edits\[1\].old: found 0 times"),
         ([(FILE, "return", "return (")], "pack/deep/thing.py: "),
-        ([("../secret.py", "a", "b")], r"edits\[0\].file: '../secret.py' is no module"),
-        ([("/etc/passwd", "a", "b")], r"edits\[0\].file: '/etc/passwd' is no module"),
+        ([("../secret.py", "a", "b")], r"edits\[0\].file: '../secret.py' is not the path of a module"),
+        ([("/etc/passwd", "a", "b")], r"edits\[0\].file: '/etc/passwd' is not the path of a module"),
         ([("pack/none.py", "a", "b")], r"edits\[0\].file: pack/none.py: No such file"),
-        ([], "edits: none"),
+        ([], "edits: empty, expected at least one"),
     ],
 )
 def test_an_edit_that_does_not_fit_is_refused_in_one_line(tree, edits, wrong):
@@ -119,7 +122,7 @@
 @pytest.mark.parametrize(
     ("changes", "wrong"),
     [
-        ({"name": "other"}, "tiny.json: name: 'other' is not the file's"),
+        ({"name": "other"}, "tiny.json: name: 'other', expected the file's name, 'tiny'"),
         ({"edits": [{"file": FILE, "old": 3, "new": ""}]}, r"tiny.json: edits\[0\].old: Expected"),
         ({"more": 1}, "tiny.json: breach: Object contains unknown field `more`"),
         ({"why": None}, "tiny.json: why: Expected"),
--- a/tests/rig/cluster/test_command.py
+++ b/tests/rig/cluster/test_command.py
@@ -91,7 +91,7 @@
 def test_each_kind_of_fault_comes_to_what_its_file_states(name):
     """A schedule on 3 to 5 processes; a test each, which workers share out between them."""
     given = command.parser().parse_args(["ci"])
-    report = asyncio.run(command._one(command.REGRESSIONS / f"{name}.jsonl", given))
+    report = asyncio.run(command._play_in_process(command.REGRESSIONS / f"{name}.jsonl", given))
     UNSOUND.extend(report.unsound)
     assert report.verdict == report.stated, report.findings
 
--- a/tests/rig/cluster/test_links.py
+++ b/tests/rig/cluster/test_links.py
@@ -247,7 +247,7 @@
         link.relay.begin(fault("late", 1000.0, "n1", "n0"))
         await link.send("n1", "n0", MESSAGES[:10])
         assert link.relay.pending == 8
-        assert "7 datagrams more than the relay holds" in link.relay.unsound
+        assert "7 datagrams beyond the relay's bounds" in link.relay.unsound
     async with Udp.open() as link:  # a narrow link's buffer is one too
         link.relay.begin(fault("narrow", 4.0))
         await link.send("n0", "n1", MESSAGES[:10])
@@ -421,11 +421,11 @@
         link.relay._sweep()
         await asyncio.sleep(QUIET_S)
         assert len(link.relay.pairs) == 1
-        assert "carried nothing" not in link.relay.unsound
+        assert "s without data" not in link.relay.unsound
         monkeypatch.setattr(links, "IDLE_S", 0.05)
         await until(lambda: link.ends["n0"].end == link.ends["n1"].end == "reset")
         assert not link.relay.pairs
-        assert "carried nothing" in link.relay.unsound
+        assert "s without data" in link.relay.unsound
 
 
 @pytest.mark.parametrize("end", ["reset", "closed"])
@@ -521,7 +521,7 @@
         monkeypatch.setattr(links, "MAX_CONNECTIONS", 1)
         near = Peer(*await asyncio.open_connection(*link.at))
         await until(lambda: near.end == "reset")
-        assert "1 connections more" in link.relay.unsound
+        assert "1 connections beyond" in link.relay.unsound
         assert link.ends["n0"].end == ""
 
 
@@ -570,15 +570,15 @@
     relay.begin(fault("cut"))
     relay.begin(fault("cut"))
     state = relay.state("n0", "n1")
-    assert state.held
+    assert state.is_held
     assert state.amounts["late"] == 30.0
-    assert relay.state("n1", "n0").clear
+    assert relay.state("n1", "n0").is_clear
     relay.end(fault("cut"))
-    assert state.held
+    assert state.is_held
     for _ in range(2):
         relay.end(fault("cut"))  # one more than began
     relay.end(fault("late", 30.0))
-    assert not state.held
+    assert not state.is_held
     assert state.amounts == {"late": 10.0}
     await relay.stop()
 
@@ -587,10 +587,10 @@
 async def test_ends_that_are_none():
     relay = Relay(1).start()
     for link, wrong in (
-        (UdpLink("n0", "n1", ("localhost", 9), ("127.0.0.1", 9)), "no IPv4 address"),
-        (UdpLink("n0", "n1", ("127.0.0.1", 9), ("127.0.0.1", 70_000)), "70000 is no port"),
-        (UdpLink("n0", "n1", ("127.0.0.1", 9), ("127.0.0.1", 9)), "both at"),
-        (TcpLink("n0", "n1", ("127.0.0.1", 0)), "0 is no port"),
+        (UdpLink("n0", "n1", ("localhost", 9), ("127.0.0.1", 9)), "not an IPv4 address"),
+        (UdpLink("n0", "n1", ("127.0.0.1", 9), ("127.0.0.1", 70_000)), "70000 is not a port"),
+        (UdpLink("n0", "n1", ("127.0.0.1", 9), ("127.0.0.1", 9)), "have the same address"),
+        (TcpLink("n0", "n1", ("127.0.0.1", 0)), "0 is not a port"),
     ):
         with pytest.raises(ValueError, match=wrong):
             relay.make(link)
@@ -603,15 +603,15 @@
     cut = Link(20, 30, "cut", ("n0",), ("n1", "n2"))
     player = Player(relay, [cut, fault("late", 5.0)])
     playing = asyncio.create_task(player.run())
-    await until(lambda: relay.state("n0", "n2").held)
-    assert not relay.state("n2", "n0").held
+    await until(lambda: relay.state("n0", "n2").is_held)
+    assert not relay.state("n2", "n0").is_held
     await playing
-    assert relay.state("n0", "n1").clear
+    assert relay.state("n0", "n1").is_clear
     assert 0.0 < player.late_ms < 1000.0
     relay.forget_lag()
     assert relay.unsound == ""
     relay._lag._late_ms.extend([80.0] * 200)
-    assert "late by 80.0 ms" in relay.unsound
+    assert "lagged by 80.0 ms" in relay.unsound
     await relay.stop()
 
 
--- a/tests/rig/cluster/test_relays.py
+++ b/tests/rig/cluster/test_relays.py
@@ -147,7 +147,7 @@
         await made.forget_lag()
         made._late_ms += [1.0, relays.MAX_LATE_MS + 2.5]
         await made.report()
-        assert "came into effect 12.5 ms late" in made.unsound
+        assert "took effect 12.5 ms late" in made.unsound
         with sockets(["n0", "n1"]) as ends:
             at = (await linked(made, ends))["n0", "n1"]
             number = shard_of("n0", "n1", 2)
@@ -161,7 +161,7 @@
         await made.forget_lag()
         unsound = (await made.report()).unsound
         assert "lost" not in unsound
-        assert "came into effect" not in unsound
+        assert "took effect" not in unsound
 
 
 @loopback
@@ -171,7 +171,7 @@
         wrong = r"^relay 1 of 2: link of n0 and n1: [^\n]*already in use[^\n]*$"
         with socket.create_server(("127.0.0.1", port)), pytest.raises(ProgramError, match=wrong):
             await made.tcp("n0", "n1", ("127.0.0.1", 9), "127.0.0.1", port)
-        with pytest.raises(ProgramError, match="is no IPv4 address"):
+        with pytest.raises(ProgramError, match="is not an IPv4 address"):
             await made.make([TcpLink("n0", "n1", ("nowhere", 9))])
         assert (await made.tcp("n0", "n1", ("127.0.0.1", 9)))[1] > 0
 
@@ -213,7 +213,7 @@
         address = await made.tcp("n0", "n1", ("127.0.0.1", 9))
         assert address[0] == "127.0.0.1"
         assert (await made.report()).counts == {}
-    with pytest.raises(ProgramError, match="do not run"):
+    with pytest.raises(ProgramError, match="are not running"):
         await made.report()
 
 
