--- a/rig/cluster/__main__.py
+++ b/rig/cluster/__main__.py
@@ -31,7 +31,7 @@
 from rig.cluster.checkers import Finding, verdict
 from rig.cluster.cluster import Cluster
 from rig.cluster.judging import Played, judge
-from rig.cluster.live import Watch
+from rig.cluster.live import LiveDisplay
 from rig.cluster.report import Report
 from rig.cluster.schedules import KINDS, MAX_NODES, Schedule, ScheduleError, line_of
 from rig.helper import ROOT
@@ -65,7 +65,7 @@
     try:
         await made.start()
         if how.live:
-            watching = asyncio.create_task(Watch(made, sys.stderr).run())
+            watching = asyncio.create_task(LiveDisplay(made, sys.stderr).run())
         return await made.play()
     finally:
         if watching is not None:
--- a/rig/cluster/checkers.py
+++ b/rig/cluster/checkers.py
@@ -14,7 +14,7 @@
 from typing import Literal, TypeVar
 
 from rig.cluster.history import Acted, Event, Learned, Started, Stored
-from rig.cluster.lives import Missing, lives
+from rig.cluster.lives import Gap, lives
 from rig.ledger import Breach, Ledger
 
 Key = TypeVar("Key")
@@ -143,7 +143,7 @@
     A node whose history has a gap may have acted, until the end of the gap, on the rules that were in force
     for it when the gap began.
     """
-    gaps = [gap for life in lives(events) for gap in life.missing]
+    gaps = [gap for life in lives(events) for gap in life.gaps]
     unseen = [
         Acted(by.node, by.number, at_ms, by.rule, by.version, by.digest, UNSEEN)
         for gap in gaps
@@ -154,7 +154,7 @@
     ) + missing_starts(gaps)
 
 
-def missing_starts(gaps: Iterable[Missing]) -> list[Finding]:
+def missing_starts(gaps: Iterable[Gap]) -> list[Finding]:
     """Report lives whose beginning is missing: such a node may have acted on any rule."""
     texts = {
         f"how a life of {gap.node} that was at work at {gap.until_ms:.0f} began"
--- a/rig/cluster/clocks.py
+++ b/rig/cluster/clocks.py
@@ -1,6 +1,7 @@
 """Faulty clocks of a node: the wall clock jumps and drifts; the loop's clock drifts and never goes back.
- The loop's timers are due in drifted time, and its selector converts each wait into real time. So a timer is
-late by as much as any loop's timer (epoll waits in whole milliseconds), and the drift adds nothing to that.
+
+The loop's timers are due in drifted time, and its selector converts each wait into real time. So a timer is
+late by as much as any loop's timer (epoll waits in whole milliseconds); the drift adds nothing to that.
 """
 
 from __future__ import annotations
--- a/rig/cluster/cluster.py
+++ b/rig/cluster/cluster.py
@@ -1,12 +1,12 @@
-"""A cluster that a schedule is played on: nodes, their links, a registry, servers and callers, all bounded.
+"""Cluster that a schedule is played on: nodes, their links, a registry, servers and callers, all bounded.
 
-Nodes are processes of the unchanged program, each by an operator file of its own. They hear the registry, are
-asked by callers and speak to one another through relays in processes of their own. The servers keep records
-of what they are sent, and the nodes tell which rules they acted on.
+Nodes are processes of the unchanged program, each with an operator file of its own. The registry, the callers
+and the other nodes reach them through relays that run in processes of their own. The servers record the
+requests that they receive, and the nodes report which rules they acted on.
 
-Links: the registry's and the callers' to each node, and both ways between any two nodes that speak to one
-another (all up to 20 nodes, past that four neighbours on either side of a ring). Nodes reach servers
-directly, but where a schedule has a fault on these ways and there are `SERVERS_RELAYED` nodes or fewer: then
+Links: from the registry and from the callers to each node, and both ways between any two nodes that exchange
+messages (all of up to 20 nodes; beyond that, four neighbours on either side of a ring). Nodes reach servers
+directly, unless the schedule has a fault on these links and there are `SERVERS_RELAYED` nodes or fewer: then
 each node reaches each server through a relay.
 """
 
@@ -34,18 +34,18 @@
 from rig.registry import Entry, Registry
 
 REGISTRY, CLIENTS, SERVERS_END = "registry", "clients", "servers"
-SERVERS_RELAYED = 10  # nodes
+SERVERS_RELAYED = 10  # nodes at most
 MAX_WATCH_WAIT_S = 20.0  # until every node watches the registry
 SETTLE_S = 0.3
-MAX_OVERRUN_S = 60.0  # past a schedule's length, for all that it began to end
+MAX_OVERRUN_S = 60.0  # beyond a schedule's length, until all that it began must have ended
 MAX_LAG_MS = 10.0  # of this process, at the 99th percentile
-MAX_LATE_MS = 10.0  # of a change by the schedule
+MAX_LATE_MS = 10.0  # delay of a change by the schedule
 MAX_PAST_LISTS = 1000  # lists that a registry can go back to
-RATE_A_NODE = 20.0  # calls a second
+RATE_A_NODE = 20.0  # calls per second
 
 
 class Restorable(Registry):
-    """A registry that can go back to what it was before its last change, as from an older disk."""
+    """Registry that can return to its state before the last change, as if restored from an older disk."""
 
     def __init__(self, rows: list[Entry]) -> None:
         super().__init__(rows)
@@ -57,7 +57,7 @@
         super().change(*rows)
 
     def rewind(self) -> None:
-        """Be as before the last change, index and all; who watches is cut off, and asks again."""
+        """Restore the list and the index from before the last change; watches are cut off and begin again."""
         if not self._past:
             return
         self._index, self._rows = self._past.pop()
@@ -67,10 +67,15 @@
 
 
 class Cluster:
-    """A cluster for one schedule: `start`, `play`, and `stop` whatever came of it.
-
-    `rate_a_node`: calls a second at each node. `static`: the servers stand in the nodes' files, and only a
-    reload changes them.
+    """Cluster for one schedule: call `start`, then `play`, and `stop` in any case.
+
+    Args:
+        schedule: The schedule to play.
+        tree: The checkout whose program runs.
+        breach: Name of the breach to plant in each node; empty for none.
+        rate_a_node: Calls per second at each node.
+        servers: Number of servers.
+        static: Whether the servers stand in the nodes' files, so that only a reload changes them.
     """
 
     def __init__(
@@ -86,7 +91,7 @@
         self.schedule = schedule
         self.names = names(schedule.head.nodes)
         self.nodes: dict[str, Node] = {}
-        self.registries: dict[str, Restorable] = {}  # one for all nodes, or one for each
+        self.registries: dict[str, Restorable] = {}  # one for all nodes under "", or one per node
         self.changes: list[Change] = []
         self.answers: Counter[str] = Counter()
         self.began_ms = 0.0
@@ -99,10 +104,8 @@
         self._hosts: list[PortHost] = []
         self._callers: dict[str, Caller] = {}
         self._rows: list[Entry] = []
-        self._own_rows: dict[
-            str, list[Entry]
-        ] = {}  # where each node reaches servers through relays of its own
-        self._registry_at: dict[str, Address] = {}  # where each node reaches the registry
+        self._own_rows: dict[str, list[Entry]] = {}  # by node: the servers at the relays' addresses
+        self._registry_at: dict[str, Address] = {}  # by node: the address of its registry
         self._peers: dict[int, site.Peers] = {}
         self._seen = Seen()
         self._before: dict[str, Used] = {}
@@ -118,7 +121,7 @@
 
     @property
     def not_played(self) -> list[Step]:
-        """Steps that have nothing to act on here."""
+        """Steps that have nothing to act on in this cluster."""
         return [step for step in self.schedule.steps if self._is_unplayable(step)]
 
     def _is_unplayable(self, step: Step) -> bool:
@@ -129,10 +132,10 @@
         outside = SERVERS_END in (*step.src, *step.dst) and not self.relayed
         return outside or (self._static and REGISTRY in (*step.src, *step.dst))
 
-    # --- standing up -----------------------------------------------------------------
+    # --- starting --------------------------------------------------------------------
 
     async def start(self) -> Cluster:
-        """All relays, servers, registries and nodes; `ProgramError` if one can't be started."""
+        """Start all relays, servers, registries and nodes; `ProgramError` if one can't be started."""
         await self._relays.start()
         await self._start_servers()
         for number, name in enumerate(self.names):
@@ -169,7 +172,7 @@
         return made
 
     async def _link(self, name: str) -> None:
-        """The ways of one node to what is outside of the cluster."""
+        """Make the links of one node to the ends outside of the cluster."""
         if self.relayed and not self._static:
             ways = [await self._relays.tcp(name, SERVERS_END, _address(row["address"])) for row in self._rows]
             self._own_rows[name] = [
@@ -188,7 +191,7 @@
         return self.registries[name if self.relayed else ""]
 
     def _operator(self, life: Life) -> str:
-        """The options of one start of a node."""
+        """Return the operator file of one start of a node."""
         options = site.StartOptions(
             name=life.name,
             number=life.number,
@@ -204,7 +207,7 @@
         return site.operator(options)
 
     async def _link_peers(self) -> None:
-        """One way for both directions of each pair of nodes that speak to one another."""
+        """Make one link for both directions of each pair of nodes that exchange messages."""
         count = len(self.names)
         if count < 2:
             return
@@ -219,19 +222,19 @@
             self._peers[number] = site.Peers(own[number], others.index(number), at)
 
     async def _wait_for_watches(self) -> None:
-        """Wait until every node watches its registry; `ProgramError` if one does not."""
+        """Wait until every node watches its registry; `ProgramError` if one does not in time."""
         until_s = self._loop.time() + MAX_WATCH_WAIT_S
         wanted = 0 if self._static else len(self.names)
         while sum(registry.watches for registry in self.registries.values()) < wanted:
             if self._loop.time() > until_s:
-                raise ProgramError(f"not every node watches the registry after {MAX_WATCH_WAIT_S:g} s")
+                raise ProgramError(f"some nodes do not watch the registry after {MAX_WATCH_WAIT_S:g} s")
             await asyncio.sleep(0.02)
         await asyncio.sleep(SETTLE_S)
 
     # --- playing ---------------------------------------------------------------------
 
     async def play(self) -> Played:
-        """Play the schedule to its length, end the nodes in order, and read all records."""
+        """Play the schedule to its length, shut the nodes down in order, and read all records."""
         head = self.schedule.head
         steps = [step for step in self.schedule.steps if not self._is_unplayable(step)]
         links = Player(self._relays, [step for step in steps if isinstance(step, Link)])
@@ -253,7 +256,7 @@
         except* ProgramError as errors:
             raise ProgramError(str(errors.exceptions[0])) from None
         except* TimeoutError:
-            raise ProgramError(f"the schedule has no end {MAX_OVERRUN_S:g} s after its length") from None
+            raise ProgramError(f"the schedule has not ended {MAX_OVERRUN_S:g} s after its length") from None
         finally:
             lag.stop()
         self._late_ms |= {"links": links.late_ms, "nodes": processes.late_ms}
@@ -261,7 +264,7 @@
         return await self._played(processes, lag, wall_s, spent_s)
 
     async def _play_news(self, steps: Sequence[News]) -> None:
-        """The registry's news, at their times."""
+        """Change the registry's list at the times of the steps."""
         began_s, late_ms = self._loop.time(), 0.0
         for step in steps:
             await asyncio.sleep(max(0.0, began_s + step.at_ms / 1000.0 - self._loop.time()))
@@ -283,10 +286,10 @@
     def _rows_of(self, name: str) -> list[Entry]:
         return self._own_rows.get(name, self._rows)
 
-    # --- what it showed ----------------------------------------------------------------
+    # --- results -----------------------------------------------------------------------
 
     async def _played(self, processes: Processes, lag: LagWatch, wall_s: float, spent_s: float) -> Played:
-        fallen = {name: node.fallen for name, node in self.nodes.items() if node.fallen}
+        fallen = {name: node.exit_error for name, node in self.nodes.items() if node.exit_error}
         used = {name: _since(await _used(node), self._before[name]) for name, node in self.nodes.items()}
         for caller in self._callers.values():
             caller.close()
@@ -296,7 +299,7 @@
         for name, at_s in zip(self.nodes, ends, strict=True):
             if at_s is not None:
                 kills.append((name, at_s * 1000.0))
-                fallen.setdefault(name, "did not end in order when it was told to")
+                fallen.setdefault(name, "did not shut down in order when it was told to")
         files = [node.events for node in self.nodes.values() if node.events.exists()]
         histories = [list(history.parse(file.read_bytes(), str(file))) for file in files]
         events = history.with_kills(history.merged(histories), kills)
@@ -320,9 +323,11 @@
             late[f"servers {zone}"] = zone_servers["lag"]["p99_ms"]
             spent_s += zone_servers["cpu_s"]
         unsound = [self._relays.unsound] if self._relays.unsound else []
-        unsound += [f"{what} late by {ms:.1f} ms" for what, ms in late.items() if ms > MAX_LAG_MS]
+        unsound += [f"{part} lagged by {ms:.1f} ms" for part, ms in late.items() if ms > MAX_LAG_MS]
         unsound += [
-            f"a change of {w} late by {ms:.1f} ms" for w, ms in self._late_ms.items() if ms > MAX_LATE_MS
+            f"a change of {part} late by {ms:.1f} ms"
+            for part, ms in self._late_ms.items()
+            if ms > MAX_LATE_MS
         ]
         return Played(
             schedule=self.schedule,
@@ -344,7 +349,7 @@
         )
 
     async def stop(self) -> None:
-        """End all; no process outlives it."""
+        """Stop everything; no process is left."""
         for caller in self._callers.values():
             caller.close()
         for ends in (
@@ -357,7 +362,7 @@
 
 
 def shards(nodes: int) -> int:
-    """Relay processes for so many nodes."""
+    """Return the number of relay processes for so many nodes."""
     return 1 if nodes <= 5 else 2 if nodes <= 20 else 4
 
 
@@ -367,15 +372,18 @@
 
 
 async def _used(node: Node) -> Used:
-    """What a node used so far."""
-    if node.ready:
-        await node.tell()
+    """Return what a node has used so far."""
+    if node.is_ready:
+        await node.read_figures()
     cost = node.cost()
     return Used(cost.lives, cost.cpu_s, cost.peak_rss_mb, cost.syncs, cost.written_bytes)
 
 
 def _killed_s(down: Down, killed: Sequence[tuple[str, float]]) -> float:
-    """When its process was gone: one that was told to end first went on taking calls until then."""
+    """Return when the node's process was gone.
+
+    A process that was shut down in order went on accepting calls until then.
+    """
     times = [at_s for node, at_s in killed if node == down.node and down.from_s <= at_s <= down.until_s]
     return min(times, default=down.from_s)
 
--- a/rig/cluster/entries.py
+++ b/rig/cluster/entries.py
@@ -28,7 +28,7 @@
     recovered_ms,
 )
 from rig.cluster.history import ACTIVE, LIST, SETTINGS, Acted, Event, Learned
-from rig.cluster.lives import Missing, lives
+from rig.cluster.lives import Gap, lives
 
 ENTRY = "entry:"
 NOT_ACTIVE = "pick without"  # kind of an act by a list in which a server is not active
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class View:
+class ListView:
     """One version of a list, reduced to the servers whose entries change during the run."""
 
     entries: dict[str, str]  # by server: "STATE/DIGEST"
@@ -78,7 +78,7 @@
         self._positions: dict[tuple[str, str], int] = {}
         for rule, digests in unversioned.items():
             self._set_order(rule, digests, orders.get(rule, ()))
-        self._views: dict[str, dict[int, View]] = {}
+        self._views: dict[str, dict[int, ListView]] = {}
         self._listed: dict[str, set[str]] = {}
         self._about: dict[str, tuple[str, str]] = {}  # by rule of a row: its list and server
         for rule, lists in learned.items():
@@ -104,9 +104,9 @@
         for server in changing:
             self._about[row_rule(rule, server)] = self._about[row_rule(rule, server, ENTRY)] = (rule, server)
         views = self._views[rule] = {}
-        before = View({})
+        before = ListView({})
         for position, entries in order:
-            made = View({server: entries[server] for server in changing if server in entries})
+            made = ListView({server: entries[server] for server in changing if server in entries})
             for server in changing:
                 since = before.active_since.get(server, position)
                 same = made.active(server) == before.active(server)
@@ -123,7 +123,7 @@
         """Return the position of a version of a rule in its order; None if no order was given."""
         return version or self._positions.get((rule, digest))
 
-    def view(self, rule: str, position: int | None) -> View | None:
+    def view(self, rule: str, position: int | None) -> ListView | None:
         """Return the list at a position; None if no node reported it."""
         return None if position is None else self._views.get(rule, {}).get(position)
 
@@ -131,7 +131,7 @@
         """Whether a server is in any version of a list."""
         return server in self._listed.get(rule, ())
 
-    def newest(self, rule: str) -> View | None:
+    def newest(self, rule: str) -> ListView | None:
         """Return the newest list that any node learned."""
         views = self._views.get(rule)
         return views[max(views)] if views else None
@@ -204,7 +204,7 @@
             for act in pair:
                 self.acts += self._by_settings(act, act.at_ms, settings_rule(rule), digest, act.what)
         self._add_sends(ends.sends)
-        gaps = [gap for life in lives(events) for gap in life.missing]
+        gaps = [gap for life in lives(events) for gap in life.gaps]
         for gap in gaps:
             self._add_unseen(gap)
         texts = sorted(self._unknown)[:MAX_FINDINGS]
@@ -257,7 +257,7 @@
         if position is not None:
             yield _row(by, at_ms, rule, position, what, digest)
 
-    def _add_unseen(self, gap: Missing) -> None:
+    def _add_unseen(self, gap: Gap) -> None:
         """Add what a node may have done first and last in a gap, by all rules that were in force for it."""
         for at_ms, by in gap.acts():
             if by.rule.startswith(SETTINGS):
@@ -267,7 +267,7 @@
             if view is not None:
                 self.unseen += _by_view(by, at_ms, view)
             own = settings_rule(by.rule)
-            learned = gap.standing.get(own)
+            learned = gap.in_force.get(own)
             if isinstance(by, Acted) and (learned is None or learned.number < by.number):
                 self.unseen += self._by_settings(by, at_ms, own, by.settings, UNSEEN)
 
@@ -277,7 +277,7 @@
     return Acted(by.node, by.number, at_ms, rule, version, digest, what, call)
 
 
-def _by_view(by: Acted | Learned, at_ms: float, view: View) -> Iterator[Acted]:
+def _by_view(by: Acted | Learned, at_ms: float, view: ListView) -> Iterator[Acted]:
     """Yield a hidden act on each server whose entry changes."""
     for server, since in view.active_since.items():
         yield _row(by, at_ms, row_rule(by.rule, server), since, UNSEEN)
--- a/rig/cluster/live.py
+++ b/rig/cluster/live.py
@@ -1,7 +1,8 @@
-"""The state of a cluster on a terminal, while it is played: a line a node, written anew each half second.
+"""Live display of a cluster while a schedule is played.
 
-What is shown is what the nodes themselves tell: the last lines of their events. Off a terminal it is one line
-a second. Reading is bounded, so that showing costs a run little, and nothing where it is off.
+On a terminal it is one line per node, rewritten twice a second; elsewhere one line is written per second. The
+figures come from the nodes' own event files. Reading is bounded, so that the display costs a run little, and
+nothing when it is off.
 """
 
 from __future__ import annotations
@@ -21,14 +22,14 @@
     from rig.cluster.cluster import Cluster
 
 TERMINAL_PERIOD_S, PLAIN_PERIOD_S = 0.5, 1.0
-MAX_READ_BYTES = 256 * 1024  # bytes of one node's events at a time; older ones are passed over
-MAX_NODES = 40  # lines on a terminal
+MAX_READ_BYTES = 256 * 1024  # of one node's events per update; older events are skipped
+MAX_NODES = 40  # shown on a terminal
 UP_AND_CLEAR = "\x1b[{lines}F\x1b[J"
 
 
 @dataclass(slots=True)
-class View:
-    """What is known of one node."""
+class NodeView:
+    """State of one node, from its events."""
 
     version: int = 0
     life: int = 0
@@ -38,8 +39,8 @@
     state: str = "begins"
     read_to: int = 0
 
-    def take(self, event: Event) -> None:
-        """One more event."""
+    def apply(self, event: Event) -> None:
+        """Apply one event."""
         if isinstance(event, Started):
             self.life, self.state = event.life, "serves"
         elif isinstance(event, Learned) and event.rule.startswith(LIST):
@@ -52,7 +53,7 @@
             self.state = "ended"
 
     def line(self, name: str, state: str) -> str:
-        """As people read it."""
+        """Format the state as one line."""
         return (
             f"{name:<5} {state:<7} life {self.life:<3} list {self.version:<5} active {self.active:<3} "
             f"leaving {self.leaving:<3} acts {self.acts}"
@@ -60,49 +61,52 @@
 
 
 @dataclass
-class Watch:
-    """All nodes of a cluster, and where they are shown."""
+class LiveDisplay:
+    """Display of all nodes of a cluster."""
 
     cluster: Cluster
     out: TextIO
-    views: dict[str, View] = field(default_factory=dict)
-    lines: int = 0  # that were written last
+    views: dict[str, NodeView] = field(default_factory=dict)
+    lines_written: int = 0  # written by the last update
 
     async def run(self) -> None:
-        """Show until it is cancelled."""
+        """Update the display until cancelled."""
         terminal = self.out.isatty()
         while True:
             await asyncio.sleep(TERMINAL_PERIOD_S if terminal else PLAIN_PERIOD_S)
-            self.look()
+            self.read_events()
             self._show(terminal)
 
-    def look(self) -> None:
-        """Read what the nodes have told since the last time."""
+    def read_events(self) -> None:
+        """Read the events that the nodes have written since the last call."""
         for name, node in self.cluster.nodes.items():
-            view = self.views.setdefault(name, View())
+            view = self.views.setdefault(name, NodeView())
             for event in tail(node.events, view):
-                view.take(event)
+                view.apply(event)
 
     def _show(self, terminal: bool) -> None:
         if not terminal:
             views = " ".join(f"{name}:{view.version}/{view.acts}" for name, view in self.views.items())
-            self.out.write(f"list/acts {views}; {self.on()}\n")
+            self.out.write(f"list/acts {views}; {self.schedule_line()}\n")
         else:
             lines = [view.line(name, self._state(name, view)) for name, view in self.views.items()]
-            lines = [*lines[:MAX_NODES], self.on()]
-            self.out.write((UP_AND_CLEAR.format(lines=self.lines) if self.lines else "") + "\n".join(lines))
+            lines = [*lines[:MAX_NODES], self.schedule_line()]
+            self.out.write(
+                (UP_AND_CLEAR.format(lines=self.lines_written) if self.lines_written else "")
+                + "\n".join(lines)
+            )
             self.out.write("\n")
-            self.lines = len(lines)
+            self.lines_written = len(lines)
         self.out.flush()
 
-    def _state(self, name: str, view: View) -> str:
+    def _state(self, name: str, view: NodeView) -> str:
         node = self.cluster.nodes[name]
-        return "away" if node.program is None else "still" if node.standing else view.state
+        return "away" if node.program is None else "still" if node.is_paused else view.state
 
-    def on(self) -> str:
-        """The time of the schedule, and the steps that are on."""
+    def schedule_line(self) -> str:
+        """Return the time of the schedule and the steps that are active."""
         if not self.cluster.began_ms:
-            return "it begins"
+            return "starting"
         now_ms = asyncio.get_running_loop().time() * 1000.0 - self.cluster.began_ms
         steps = [
             line_of(step).strip()
@@ -112,8 +116,11 @@
         return f"{now_ms / 1000.0:.1f} s: {'; '.join(steps) or 'no fault is on'}"
 
 
-def tail(path: Path, view: View) -> Sequence[Event]:
-    """The whole events that a file has past what was read of it; what is none is passed over."""
+def tail(path: Path, view: NodeView) -> Sequence[Event]:
+    """Return the complete events of a file beyond what was read before.
+
+    Lines that are no events are skipped.
+    """
     try:
         with path.open("rb") as opened:
             size = opened.seek(0, 2)
--- a/rig/cluster/node.py
+++ b/rig/cluster/node.py
@@ -1,16 +1,16 @@
-"""One node: the unchanged program of an operator file, over a disk and clocks that its owner makes go wrong.
+"""One node: the unchanged program of an operator file, on a disk and clocks that its owner can make fail.
 
     python -m rig.cluster.node FILE --name n3 --seed 7 [--breach NAME] [--disk WRITES ...] [--jump-ms X] ...
 
-Commands are lines of JSON on standard input, each answered by a line on standard output:
+Commands are lines of JSON on standard input; each is answered by a line on standard output:
 
-    {"do": "disk", "writes": "eio", "on": true}           that fault begins, or ends
-    {"do": "clock", "jump_ms": 300, "drift_ppm": -500}    from now on it is so far off and runs so fast; 0 and
-                                                          0 put it right
-    {"do": "tell"}                                        figures of its store, loop and memory
+    {"do": "disk", "writes": "eio", "on": true}           begin a fault of the disk, or end it
+    {"do": "clock", "jump_ms": 300, "drift_ppm": -500}    set the error and the drift of the clock from now
+        on; 0 and 0 reset it to the real time
+    {"do": "tell"}                                        report figures of the store, the loop and memory
 
-Faults that are given as arguments are there before the program opens its disk or looks at its clock. SIGTERM
-and SIGHUP are the program's. Exit codes: the program's own, 2 for bad input, and 3 once its owner hangs up.
+Faults given as arguments are active before the program opens its disk or reads its clock. SIGTERM and SIGHUP
+are handled by the program. Exit codes: the program's own, 2 for bad input, 3 once the owner closes the pipe.
 """
 
 from __future__ import annotations
@@ -33,17 +33,17 @@
 from rig.helper import obey_until_hung_up
 from rig.process import usage
 
-if TYPE_CHECKING:  # a breach must be planted before anything of the program is loaded
+if TYPE_CHECKING:  # a breach must be planted before any module of the program is loaded
     from rig.cluster.disks import FaultyStore
 
 BAD_INPUT, HUNG_UP = 2, 3
-MAX_DATA_MB = 512  # RLIMIT_DATA; past it an allocation fails
+MAX_DATA_MB = 512  # RLIMIT_DATA; allocations beyond it fail
 LAG_PERIOD_S = 0.1
 WRITES: tuple[Writes, ...] = get_args(Writes)
 
 
 class Control:
-    """What the owner does to the node: its disk, its clocks, and questions."""
+    """The owner's control over the node: its disk, its clocks, and reports."""
 
     def __init__(self, seed: int, name: str, disk: Sequence[Writes], clock: SkewedClock) -> None:
         self._seed = seed
@@ -51,17 +51,17 @@
         self._on = set(disk)
         self._clock = clock
         self._store: FaultyStore | None = None
-        self._lag_ms = 0.0  # the most since it was last told
+        self._lag_ms = 0.0  # largest since the last report
 
     def store(self, folder: str) -> FaultyStore:
-        """Open the program's folder, with the faults that are on now."""
+        """Open the program's folder, with the faults that are active now."""
         from rig.cluster.disks import FaultyStore
 
         self._store = FaultyStore(Path(folder), self._seed, self._name, sorted(self._on))
         return self._store
 
     def act(self, do: str, **given: Any) -> dict[str, Any]:
-        """One command's answer; `ValueError`, `TypeError` or `KeyError` for one that is none."""
+        """Run a command and return its answer; `ValueError`, `TypeError` or `KeyError` if it is invalid."""
         acts: dict[str, Callable[..., dict[str, Any]]] = {
             "disk": self._disk,
             "clock": self._set_clock,
@@ -71,7 +71,7 @@
 
     def _disk(self, writes: Writes, on: bool) -> dict[str, Any]:
         if writes not in WRITES:
-            raise ValueError(f"writes: no {writes!r}; there are {', '.join(WRITES)}")
+            raise ValueError(f"writes: unknown {writes!r}, expected one of {', '.join(WRITES)}")
         if on != (writes in self._on):
             (self._on.add if on else self._on.discard)(writes)
             if self._store is not None:
@@ -80,7 +80,7 @@
 
     def _set_clock(self, jump_ms: float, drift_ppm: float) -> dict[str, Any]:
         if not (abs(jump_ms) <= MAX_JUMP_MS and abs(drift_ppm) <= MAX_DRIFT_PPM):
-            raise ValueError("jump_ms, drift_ppm: no clock jumps or drifts so far")
+            raise ValueError("jump_ms, drift_ppm: beyond the limits of a clock")
         self._clock.reset_to_real_time()
         self._clock.jump(jump_ms)
         self._clock.drift(drift_ppm)
@@ -107,14 +107,14 @@
     # --- in the program's loop -----------------------------------------------------
 
     def begin(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Take commands, and watch the loop, as soon as it runs and for as long as it does."""
+        """Read commands and measure the loop's lag, as soon as the loop runs and for as long as it does."""
         self._obeying = loop.create_task(self._obey())
         loop.call_soon(self._measure_lag, loop, loop.time())
 
     async def _obey(self) -> None:
         try:
             await obey_until_hung_up(self.act)
-        except (OSError, ValueError) as error:  # nobody reads its answers, or a line has no end
+        except (OSError, ValueError) as error:  # its answers are not read, or a line is too long
             print(f"commands: {error}", file=sys.stderr, flush=True)
         os._exit(HUNG_UP)
 
@@ -125,7 +125,7 @@
 
 
 class Policy(asyncio.DefaultEventLoopPolicy):
-    """Gives the program a loop in skewed time, with the owner's commands in it."""
+    """Event loop policy that gives the program a loop in skewed time that also runs the owner's commands."""
 
     def __init__(self, clock: SkewedClock, control: Control) -> None:
         super().__init__()
@@ -133,30 +133,41 @@
         self._control = control
 
     def new_event_loop(self) -> asyncio.AbstractEventLoop:
-        """A loop that takes commands once it runs."""
+        """Create a loop that reads commands once it runs."""
         loop = skewed_loop(self._clock)
         self._control.begin(loop)
         return loop
 
 
 class Parser(argparse.ArgumentParser):
-    """One that says what is wrong in one line."""
+    """Argument parser that reports an error in one line."""
 
     def error(self, message: str) -> NoReturn:
-        """End with exit code 2."""
+        """Exit with code 2."""
         self.exit(BAD_INPUT, f"{self.prog}: {message}\n")
 
 
 def parser() -> Parser:
-    """The command line."""
+    """Return the parser of the command line."""
     made = Parser(prog="rig.cluster.node", description=__doc__, allow_abbrev=False)
     made.add_argument("file", metavar="FILE", help="the operator file")
-    made.add_argument("--name", required=True, help="the node's name: its disk's faults are drawn by it")
-    made.add_argument("--seed", type=int, default=1, help="what its disk's faults are drawn by")
+    made.add_argument("--name", required=True, help="the node's name; the faults of its disk are drawn by it")
+    made.add_argument("--seed", type=int, default=1, help="seed of the faults of its disk")
     made.add_argument("--breach", default="", metavar="NAME", help="the planted breach")
-    made.add_argument("--disk", action="append", default=[], choices=WRITES, help="a fault of its disk")
-    made.add_argument("--jump-ms", type=_within(MAX_JUMP_MS), default=0.0, help="its wall clock is off")
-    made.add_argument("--drift-ppm", type=_within(MAX_DRIFT_PPM), default=0.0, help="its clocks run fast")
+    made.add_argument(
+        "--disk",
+        action="append",
+        default=[],
+        choices=WRITES,
+        help="an initial fault of its disk",
+    )
+    made.add_argument("--jump-ms", type=_within(MAX_JUMP_MS), default=0.0, help="error of its wall clock")
+    made.add_argument(
+        "--drift-ppm",
+        type=_within(MAX_DRIFT_PPM),
+        default=0.0,
+        help="drift of its clocks",
+    )
     return made
 
 
@@ -171,11 +182,11 @@
 
 
 def main(words: Sequence[str] | None = None) -> int:
-    """Run until SIGTERM; the exit code."""
+    """Run until SIGTERM; return the exit code."""
     given = parser().parse_args(words)
     kind = os.fstat(sys.stdin.fileno()).st_mode
     if not (stat.S_ISFIFO(kind) or stat.S_ISSOCK(kind)):
-        print("standard input: no pipe, which commands come by", file=sys.stderr)
+        print("standard input: not a pipe; commands are read from one", file=sys.stderr)
         return BAD_INPUT
     try:
         if given.breach:
@@ -183,7 +194,7 @@
     except BreachError as error:
         print(error, file=sys.stderr)
         return BAD_INPUT
-    # Guards against a node that takes the whole machine's memory; of address space threads take much more.
+    # Keeps a node from using up the machine's memory. Not RLIMIT_AS: threads take much more of that.
     resource.setrlimit(resource.RLIMIT_DATA, (MAX_DATA_MB * 2**20, MAX_DATA_MB * 2**20))
     return _run(given)
 
@@ -192,7 +203,7 @@
     from fordtrestle.proxy.daemon.signals import Signals
 
     signals = Signals()
-    signals.install()  # before the rest is loaded, which takes a while, as the program does
+    signals.install()  # as in the program, before the rest is loaded, which takes a while
     from fordtrestle.proxy.daemon import standalone
     from fordtrestle.proxy.daemon.seams import Seams
 
--- a/rig/cluster/nodes.py
+++ b/rig/cluster/nodes.py
@@ -1,8 +1,8 @@
 """Nodes: the program in processes of their own, each with an address, a folder and bounded memory.
 
-What a node is told goes through its links; what happens to its process, its disk and its clocks is done here:
-killed, stopped and woken, starved, ended in order, and started again with its disk kept, emptied, or put back
-to an older copy. A disk's faults and a clock's error outlive the process, as those of a machine do.
+What a node receives passes its links. Faults of its process, its disk and its clocks are applied here: it is
+killed, stopped and continued, starved, shut down in order, and started again with its disk kept, emptied, or
+replaced by an older copy. Faults of a disk and errors of a clock outlive the process, as a machine's do.
 """
 
 from __future__ import annotations
@@ -41,18 +41,18 @@
 ENDED_S = 10.0
 MAX_LIFE_S = 7200.0
 POLL_S = 0.02
-STARVE_PERIOD_S = 0.1  # of which a starved process stands still for its share
-MAX_STOP_WAIT_S = 0.2  # until each of its threads has stopped
-START_AT_ONCE = 8  # nodes that start side by side
-MAX_PENDING_ANSWERS = 1000  # commands that a node has not answered
+STARVE_PERIOD_S = 0.1  # a starved process is paused for its share of each period
+MAX_STOP_WAIT_S = 0.2  # until each thread of a process has stopped
+START_AT_ONCE = 8  # nodes started side by side
+MAX_PENDING_ANSWERS = 1000  # per process
 DESCRIPTORS = 256
 PORT_FIRST, PORTS = 21_000, 1000
-DISK = "disk"  # a node's folder for what must outlive its process
-OLDER = "older"  # where the older copy of it lies
+DISK = "disk"  # folder that outlives a node's process
+OLDER = "older"  # folder of its older copy
 
 
 class Machine(ABC):
-    """Where one process of the program runs: its address, its folder, its disk, and the process if any."""
+    """Where one process of the program runs: its address, its folder, its disk, and the process, if any."""
 
     def __init__(self, number: int, tree: Path) -> None:
         self.number = number
@@ -62,49 +62,52 @@
         self.life = -1
         self.program: Program | None = None
         self.gone_cpu_s = 0.0
-        self.copied_ms = -math.inf  # on the loop's clock: when its disk was copied last
+        self.copied_ms = -math.inf  # by the loop's clock: when the disk was copied last
         self._ready: Program | None = None
-        self._ending: Program | None = None  # is told to end, and has not
+        self._ending: Program | None = None  # is shutting down
         self._tree = tree
         self._folder = tempfile.TemporaryDirectory(prefix="rig-node-")
-        self._changing = asyncio.Lock()  # while a process comes or goes
-        self._held = 0
+        self._changing = asyncio.Lock()  # held while a process starts or ends
+        self._pauses = 0
         self.disk.mkdir()
 
     @property
     def path(self) -> Path:
-        """A folder of its own."""
+        """The node's own folder."""
         return Path(self._folder.name)
 
     @property
     def disk(self) -> Path:
-        """What must outlive its process."""
+        """The folder that outlives the process."""
         return self.path / DISK
 
     # --- its process ---------------------------------------------------------------
 
     @abstractmethod
     async def _spawn(self) -> Program:
-        """Start a process; `ProgramError` if it can't be."""
+        """Start a process; `ProgramError` if it can't be started."""
 
     async def start(self) -> None:
-        """Start it and wait until it is ready, or was killed; `ProgramError` if it can't be.
+        """Start the process and wait until it is ready or was killed. Do nothing if it runs.
 
-        Nothing where it runs. Time for which it stands still does not count.
+        Time for which it is paused does not count towards `READY_S`.
+
+        Raises:
+            ProgramError: The process can't be started, exits, or is not ready in time.
         """
         async with self._changing:
             if self.program is not None:
                 return
             self.life += 1
             program = self.program = await self._spawn()
-            if self.standing:
+            if self.is_paused:
                 program.signal(signal.SIGSTOP)
             await self._started()
         bound = time.monotonic() + READY_S
         while self.program is program and not await answers_ready(*self.address):
             if program.code is not None:
                 raise program.ended()
-            if self.standing:
+            if self.is_paused:
                 bound = time.monotonic() + READY_S
             if time.monotonic() > bound:
                 raise ProgramError(f"process {program.pid} ({self.name}) is not ready after {READY_S:g} s")
@@ -113,12 +116,13 @@
 
     @abstractmethod
     async def _started(self) -> None:
-        """It runs, and is not ready yet."""
+        """Handle a process that runs and is not ready yet."""
 
     async def kill(self) -> float | None:
-        """End it amid whatever it does; nothing it held in memory is kept.
+        """Kill the process; nothing that it held in memory is kept.
 
-        The loop time at which it was surely gone, None where it did not run.
+        Returns:
+            The loop time by which it was surely gone; None if it did not run.
         """
         if self._ending is not None:
             self._ending.signal(signal.SIGKILL)
@@ -134,7 +138,11 @@
             return gone
 
     async def terminate(self) -> float | None:
-        """End it in order. None, or the loop time by which it had to be killed, or had ended by itself."""
+        """Shut the process down in order.
+
+        Returns:
+            None, or the loop time by which it had to be killed or had exited by itself.
+        """
         async with self._changing:
             program, self.program = self.program, None
             if program is None:
@@ -148,47 +156,50 @@
             return None if code == 0 else asyncio.get_running_loop().time()
 
     async def stop(self) -> None:
-        """End it in order, for good, and remove its folder."""
+        """Shut the process down in order, for good, and remove the folder."""
         self.signal(signal.SIGCONT)
         await self.terminate()
         self._folder.cleanup()
 
     def signal(self, number: signal.Signals) -> None:
-        """SIGSTOP, SIGCONT, SIGHUP and the like; none where it does not run."""
+        """Send a signal such as SIGSTOP, SIGCONT or SIGHUP; do nothing if no process runs."""
         program = self.program or self._ending
         if program is not None:
             program.signal(number)
 
-    def hold(self) -> None:
-        """Let it stand still, until it was released as often as held; so does a process yet to start."""
-        self._held += 1
-        if self._held == 1:
+    def pause(self) -> None:
+        """Pause the process until it was resumed as often as paused.
+
+        A process that starts meanwhile is paused, too.
+        """
+        self._pauses += 1
+        if self._pauses == 1:
             self.signal(signal.SIGSTOP)
 
-    def release(self) -> None:
-        """See `hold`."""
-        self._held -= 1
-        if self._held == 0:
+    def resume(self) -> None:
+        """Undo one `pause`."""
+        self._pauses -= 1
+        if self._pauses == 0:
             self.signal(signal.SIGCONT)
 
     @property
-    def standing(self) -> bool:
-        """Whether it stands still."""
-        return self._held > 0
+    def is_paused(self) -> bool:
+        """Whether the process is paused."""
+        return self._pauses > 0
 
     @property
-    def ready(self) -> bool:
-        """Whether its process, if any, has been ready."""
+    def is_ready(self) -> bool:
+        """Whether there is a process and it has been ready."""
         return self.program is not None and self._ready is self.program
 
     @property
-    def fallen(self) -> str:
-        """What is told of a process that has ended by itself; empty for any other."""
+    def exit_error(self) -> str:
+        """The error of a process that has exited by itself; empty for any other."""
         program = self.program
         return str(program.ended()) if program is not None and program.code is not None else ""
 
     def usage(self) -> Usage | None:
-        """What its process holds; None where it does not run."""
+        """Return what the process uses; None if none runs."""
         if self.program is not None:
             with contextlib.suppress(ProcessLookupError):
                 return self.program.usage()
@@ -201,21 +212,21 @@
     # --- its disk ------------------------------------------------------------------
 
     def copy_disk(self) -> None:
-        """Keep a copy of its disk as it is now, for an older one to come back later.
+        """Copy the disk as it is now, for `replace_disk` to bring back later.
 
-        It stands still meanwhile, so that the copy is of one moment.
+        The process is paused meanwhile, so that the copy shows one moment.
         """
-        self.hold()
+        self.pause()
         try:
             self._wait_until_stopped()
             shutil.rmtree(self.path / OLDER, ignore_errors=True)
             shutil.copytree(self.disk, self.path / OLDER)
             self.copied_ms = time.monotonic() * 1000.0
         finally:
-            self.release()
+            self.resume()
 
     def _wait_until_stopped(self) -> None:
-        """Until each of its threads has stopped; one that waits for a real disk has after its call."""
+        """Wait until each thread has stopped. A thread that waits for a real disk stops after its call."""
         bound = time.monotonic() + MAX_STOP_WAIT_S
         while (
             self.program is not None
@@ -224,21 +235,21 @@
         ):
             time.sleep(0.0005)
 
-    def replace_disk(self, how: Disk) -> None:
-        """Between a kill and the next start: what its disk is then."""
+    def replace_disk(self, state: Disk) -> None:
+        """Set the disk between a kill and the next start: kept, emptied, or the older copy."""
         if self.program is not None or self._ending is not None:
-            raise ProgramError(f"{self.name} runs: its disk can't be changed under it")
-        if how == "kept":
+            raise ProgramError(f"{self.name} runs: its disk can be replaced only while it does not")
+        if state == "kept":
             return
         shutil.rmtree(self.disk)
-        if how == "older" and (self.path / OLDER).is_dir():
+        if state == "older" and (self.path / OLDER).is_dir():
             shutil.copytree(self.path / OLDER, self.disk)
         else:
             self.disk.mkdir()
 
 
 def _all_threads_stopped(pid: int) -> bool:
-    """Whether all threads of a process are stopped, or it is gone."""
+    """Return whether all threads of a process are stopped, or the process is gone."""
     with contextlib.suppress(OSError):
         for status in Path(f"/proc/{pid}/task").glob("*/stat"):
             if status.read_text().rpartition(")")[2].split()[0] not in "TtZX":
@@ -247,7 +258,7 @@
 
 
 class PlatformNode(Machine):
-    """One process of the platform's program. `config(life)` gives what each of its starts is told."""
+    """One process of the platform's program. `config(life)` returns the configuration of each start."""
 
     def __init__(self, number: int, config: Callable[[int], Mapping[str, Any]], tree: Path = ROOT) -> None:
         super().__init__(number, tree)
@@ -266,7 +277,7 @@
         )
 
     async def _started(self) -> None:
-        """It takes no commands."""
+        """Do nothing: the process takes no commands."""
 
 
 # --- nodes of an operator file ------------------------------------------------------------
@@ -274,10 +285,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Life:
-    """What a node knows of itself as one of its lives begins, or its file is written anew.
-
-    `life` counts starts from 0 on; `settings` is the number of those that its file is to have, from 1 on.
-    It listens at `listen` (TCP) and hears other nodes at `peers` (UDP). All paths are absolute.
+    """What a node's operator file is written from, at a start or when the file changes.
+
+    Attributes:
+        number: The node's number.
+        name: The node's name.
+        life: Number of the start, from 0.
+        settings: Number of the settings that the file has, from 1.
+        listen: Where the node listens (TCP).
+        peers: Where it receives from other nodes (UDP).
+        folder: Its folder; all paths are absolute.
+        state: Its disk.
+        events: The file of its events.
     """
 
     number: int
@@ -295,7 +314,7 @@
 class Cost:
     """What a node has used over all of its lives, and what its process holds now.
 
-    The store's figures are those that each life told last: of one that was killed, less than it did.
+    The store's figures are those that each life reported last; a killed life did more than it reported.
     """
 
     cpu_s: float
@@ -309,7 +328,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ActiveFaults:
-    """What is wrong with a machine's disk and clocks."""
+    """The faults of a machine's disk and clocks that are active."""
 
     disk: frozenset[Writes] = frozenset()
     jump_ms: int = 0
@@ -317,9 +336,9 @@
 
 
 class Node(Machine):
-    """One process of an operator file, which `operator(life)` writes, under `rig.cluster.node`.
+    """One process of an operator file, which `operator(life)` writes, run by `rig.cluster.node`.
 
-    Its address and port are its own for good: no connection of others takes the port while it is away.
+    Its address and port are reserved for it: no connection of others takes the port while it is away.
     """
 
     def __init__(
@@ -332,28 +351,28 @@
     ) -> None:
         super().__init__(number, tree)
         self._reserved, self.address = reserve_port(self.host)
-        self.peers_address: Address = self.address  # of UDP, whose ports are others
+        self.peers_address: Address = self.address  # the UDP port of the same number
         self.settings = 1
         self._operator = operator
         self._seed = seed
         self._breach = breach
-        self._active: list[DiskFault | Clock] = []  # that are on
-        self._sent = ActiveFaults()  # what its process was told last
+        self._active: list[DiskFault | Clock] = []
+        self._sent = ActiveFaults()  # those sent to its process last
         self._channel: CommandChannel | None = None
-        self._stored: dict[int, dict[str, Any]] = {}  # what each life told last
+        self._stored: dict[int, dict[str, Any]] = {}  # by life: its last figures
 
     @property
     def file(self) -> Path:
-        """Its operator file."""
+        """The operator file."""
         return self.path / "operator.toml"
 
     @property
     def events(self) -> Path:
-        """Where it tells what it did; all of its lives append to it."""
+        """The file that the node writes its events to; all of its lives append to it."""
         return self.path / "events.jsonl"
 
-    def about(self) -> Life:
-        """What its operator file is written of."""
+    def life_options(self) -> Life:
+        """Return what the operator file is written from."""
         return Life(
             number=self.number,
             name=self.name,
@@ -368,7 +387,7 @@
 
     async def _spawn(self) -> Program:
         self._write_file()
-        self._sent = self.wrong
+        self._sent = self.active_faults
         words = [str(self.file), "--name", self.name, "--seed", str(self._seed + self.life)]
         words += [f"--breach={self._breach}"] if self._breach else []
         words += [f"--disk={writes}" for writes in sorted(self._sent.disk)]
@@ -384,15 +403,15 @@
     async def _started(self) -> None:
         assert self.program is not None
         self._channel = CommandChannel(self.program)
-        await self._send_faults()  # what began while it was being started
+        await self._send_faults()  # those that began while it was being started
 
     async def stop(self) -> None:
-        """End it in order, for good, and remove its folder."""
+        """Shut the process down in order, for good, and remove the folder."""
         await super().stop()
         self._reserved.close()
 
     def cost(self) -> Cost:
-        """What it has used; `tell` first for the store's newest figures."""
+        """Return what the node has used. Call `read_figures` before for the store's newest figures."""
         now = self.usage() or Usage(0, 0.0, 0.0, 0.0)
         return Cost(
             cpu_s=self.gone_cpu_s + now.cpu_s,
@@ -404,10 +423,13 @@
             written_bytes=sum(counts["written_bytes"] for counts in self._stored.values()),
         )
 
-    # --- what it is told -------------------------------------------------------------
+    # --- commands --------------------------------------------------------------------
 
-    async def tell(self) -> dict[str, Any] | None:
-        """Figures of its store, loop and memory, see `rig.cluster.node`; otherwise as `command`."""
+    async def read_figures(self) -> dict[str, Any] | None:
+        """Ask the process for figures of its store, loop and memory.
+
+        See `rig.cluster.node` for the figures, and `command` for what is returned and raised.
+        """
         life = self.life
         counts = await self.command(do="tell")
         if counts is not None:
@@ -415,15 +437,19 @@
         return counts
 
     async def command(self, **command: Any) -> dict[str, Any] | None:
-        """A command's answer; None where it stands still and answers later, or was killed meanwhile.
+        """Send a command and return its answer.
+
+        Returns:
+            The answer; None if the process is paused and answers later, or was killed meanwhile.
 
-        `ProgramError` if it does not run, gives no answer in time, or says what was wrong.
+        Raises:
+            ProgramError: The process does not run, does not answer in time, or refused the command.
         """
         program = self.program
         answer = await self._send(**command)
         bound = time.monotonic() + COMMAND_S
         while not answer.done():
-            if self.standing:
+            if self.is_paused:
                 return None
             if time.monotonic() > bound:
                 raise ProgramError(f"{self.name} has not answered {command} after {COMMAND_S:g} s")
@@ -437,7 +463,7 @@
         return said
 
     async def _send(self, **command: Any) -> asyncio.Future[dict[str, Any] | None]:
-        """Send a command; its answer comes when it does, None if the process ends before."""
+        """Send a command; the future is set to its answer, or to None if the process exits before."""
         if self.program is None or self._channel is None:
             raise ProgramError(f"{self.name} does not run")
         return await self._channel.ask(json.dumps(command).encode() + b"\n")
@@ -445,8 +471,8 @@
     # --- its disk and its clocks -----------------------------------------------------
 
     @property
-    def wrong(self) -> ActiveFaults:
-        """All that is wrong now."""
+    def active_faults(self) -> ActiveFaults:
+        """All active faults, those of the clock added up."""
         clocks = [step for step in self._active if isinstance(step, Clock)]
         return ActiveFaults(
             frozenset(step.writes for step in self._active if isinstance(step, DiskFault)),
@@ -455,19 +481,31 @@
         )
 
     async def begin(self, fault: DiskFault | Clock) -> asyncio.Future[Any]:
-        """From now on, over its next lives too; what is given back is done once it holds."""
+        """Begin a fault, which also lasts over the next lives.
+
+        Returns:
+            A future that is done once the process has applied the fault.
+        """
         self._active.append(fault)
         return await self._send_faults()
 
     async def end(self, fault: DiskFault | Clock) -> asyncio.Future[Any]:
-        """No more; what is given back is done once that holds. One that is not on changes nothing."""
+        """End a fault; one that is not active changes nothing.
+
+        Returns:
+            A future that is done once the process has applied the change.
+        """
         if fault in self._active:
             self._active.remove(fault)
         return await self._send_faults()
 
     async def _send_faults(self) -> asyncio.Future[Any]:
-        """Let its process, if any, hear what has changed; what is given back is done once it has."""
-        before, self._sent = self._sent, self.wrong
+        """Send the changes of the active faults to the process, if there is one.
+
+        Returns:
+            A future that is done once the process has applied them.
+        """
+        before, self._sent = self._sent, self.active_faults
         now = self._sent
         if self.program is None or self._channel is None:
             return asyncio.gather()
@@ -481,10 +519,11 @@
 
     # --- its settings ----------------------------------------------------------------
 
-    def set(self, settings: int) -> bool:
-        """Its file has those settings from now on; whether its process must be started again for that.
+    def change_settings(self, settings: int) -> bool:
+        """Write the operator file with these settings; return whether they take effect only by a restart.
 
-        `ProgramError` where the file is none.
+        Raises:
+            ProgramError: The operator file is invalid.
         """
         old = _read(self.file) if self.file.exists() else None
         self.settings = settings
@@ -493,9 +532,9 @@
         return old is None or bool(changes.keys_needing_restart(changes.changed_keys(old, new)))
 
     def _write_file(self) -> None:
-        """Whole at any time, since its process may read it just now."""
+        """Replace the file by a rename, so that a process that reads it now sees a whole one."""
         new = self.file.with_suffix(".new")
-        new.write_text(self._operator(self.about()))
+        new.write_text(self._operator(self.life_options()))
         new.replace(self.file)
 
 
@@ -511,7 +550,7 @@
 
 
 class CommandChannel:
-    """Commands to one process, and its answers in the same order."""
+    """Commands to one process, and its answers, which come in the same order."""
 
     def __init__(self, program: Program) -> None:
         self._program = program
@@ -520,15 +559,15 @@
         self._reading = asyncio.create_task(self._read_answers())
 
     async def ask(self, line: bytes) -> asyncio.Future[dict[str, Any] | None]:
-        """Send one; its answer, which is None if the process ends before it gives any."""
+        """Send a command; the future is set to its answer, or to None if the process exits before."""
         answer: asyncio.Future[dict[str, Any] | None] = asyncio.get_running_loop().create_future()
         if self._ended:
             answer.set_result(None)
             return answer
         if len(self._unanswered) >= MAX_PENDING_ANSWERS:
-            raise ProgramError(f"process {self._program.pid} owes {MAX_PENDING_ANSWERS} answers")
+            raise ProgramError(f"process {self._program.pid}: {MAX_PENDING_ANSWERS} unanswered commands")
         self._unanswered.append(answer)
-        # One that ends as it is told says so by its output's end.
+        # If the process exits meanwhile, the end of its output resolves the answer.
         with contextlib.suppress(ProgramError):
             await self._program.say(line, COMMAND_S)
         return answer
@@ -553,10 +592,16 @@
 
 
 def reserve_port(host: str) -> tuple[socket.socket, Address]:
-    """A port of an address, the same each time where no other rig has it, and the socket that reserves it.
+    """Reserve a port of an address.
 
-    It is one that no outgoing connection is given. Others can't bind it; listeners with SO_REUSEADDR can,
-    as the program's are. `ProgramError` if there is none.
+    The port is the same each time unless another rig has it, and lies outside of the range of outgoing
+    connections. Others can't bind it; listeners with SO_REUSEADDR can, as the program's are.
+
+    Returns:
+        The socket that reserves the port, and the address.
+
+    Raises:
+        ProgramError: No port is free.
     """
     low, high = map(int, Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split())
     for port in range(PORT_FIRST, PORT_FIRST + PORTS):
@@ -570,7 +615,7 @@
                 datagrams.bind((host, port))
             except OSError:
                 continue
-            # Set only now: bound without it, it was refused where another rig has reserved the port.
+            # Set after the bind: without it, the bind fails where another rig has reserved the port.
             reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             datagrams.close()
             held.pop_all()
@@ -580,7 +625,7 @@
 
 @contextlib.asynccontextmanager
 async def _task_group() -> AsyncIterator[asyncio.TaskGroup]:
-    """Tasks that end together; the first error ends the others, and is raised alone."""
+    """Run tasks that end together: the first error cancels the others, and is raised alone."""
     try:
         async with asyncio.TaskGroup() as group:
             yield group
@@ -592,7 +637,11 @@
 
 
 async def start_all(nodes: Iterable[Machine], at_once: int = START_AT_ONCE) -> None:
-    """Start them, so many side by side, and wait until all are ready; `ProgramError` if one can't be."""
+    """Start nodes, `at_once` side by side, and wait until all are ready.
+
+    Raises:
+        ProgramError: A node can't be started.
+    """
     gate = asyncio.Semaphore(at_once)
 
     async def begin(node: Machine) -> None:
@@ -607,32 +656,36 @@
 # --- steps of a schedule ------------------------------------------------------------------
 
 
-Act = Callable[[float], Coroutine[Any, Any, None]]  # given the loop time at which it is to be over
+Act = Callable[[float], Coroutine[Any, Any, None]]  # called with the loop time at which it must end
 
 
 class Processes:
-    """Plays the steps of a schedule that happen to processes, their disks and clocks.
+    """Plays the steps of a schedule that concern processes, their disks and clocks.
 
-    Steps overlap as their times say, also on one node: where two kill it, it starts as the later one ends,
-    and what stands still starts nothing. For a kill that puts an older disk back, the copy is made at half
-    of its time. The platform's nodes take kills and stops only.
+    Steps overlap as their times say, also on one node: if two steps kill it, it starts when the later one
+    ends, and a paused node starts nothing. For a kill that puts an older disk back, the disk is copied at
+    half of the kill's time. Nodes of the platform take kills and stops only.
     """
 
     def __init__(self, nodes: Mapping[str, Machine], steps: tuple[Step, ...]) -> None:
         self._nodes = nodes
         self._steps = [step for step in steps if isinstance(step, Kill | Stop | DiskFault | Clock | Reload)]
-        self._down: Counter[str] = Counter()  # steps that keep a node from running
+        self._down: Counter[str] = Counter()  # by node: the number of steps that keep it down
         self._away: dict[
             str, tuple[float, bool]
-        ] = {}  # since when a node does not run, and whether by a kill
+        ] = {}  # by node that does not run: since when, and whether by a kill
         self._gate = asyncio.Semaphore(START_AT_ONCE)
-        self.killed: list[tuple[str, float]] = []  # node and the loop time by which it was gone
-        self.downs: list[Down] = []  # by loop time; several that overlap are one
+        self.killed: list[tuple[str, float]] = []  # node, and loop time by which it was gone
+        self.downs: list[Down] = []  # in loop time; overlapping ones are merged
         self.faulted: list[Faulted] = []
-        self.late_ms = 0.0  # the most that a step began late
+        self.late_ms = 0.0  # largest delay of a step's begin
 
     async def run(self) -> None:
-        """Play all; times count from now. `ProgramError` where a node can't be started again."""
+        """Play all steps; times count from now.
+
+        Raises:
+            ProgramError: A node can't be started again.
+        """
         by_node: dict[str, list[tuple[int, int, Act]]] = {}
         for step in self._steps:
             by_node.setdefault(step.node, []).extend(self._acts(self._nodes[step.node], step))
@@ -642,7 +695,7 @@
                 group.create_task(self._play(group, acts, began))
 
     def _acts(self, node: Machine, step: Step) -> Iterator[tuple[int, int, Act]]:
-        """What a step does: when it begins, when it is over, in milliseconds, and how."""
+        """Yield the acts of a step: when each begins and ends, in milliseconds, and how it is done."""
         span = step.at_ms, step.at_ms + step.lasts_ms
         if isinstance(step, Kill):
             if step.disk == "older":
@@ -662,7 +715,7 @@
             self.late_ms = max(self.late_ms, late_s * 1000.0)
             group.create_task(act(began + until_ms / 1000.0))
 
-    # --- away and back ---------------------------------------------------------------
+    # --- kills and restarts ----------------------------------------------------------
 
     async def _remember(self, node: Machine, until: float) -> None:
         node.copy_disk()
@@ -684,10 +737,13 @@
             self.faulted.append(Faulted(node.name, disk, begin_ms, now_ms))
 
     async def _reload(self, node: Node, settings: int, until: float) -> None:
-        """By SIGHUP where that is enough; a process that is away reads its file as it starts."""
-        while node.program is not None and not node.ready:  # SIGHUP would end one that has hardly begun
+        """Change the settings, by SIGHUP where that is enough.
+
+        A process that is away reads its file as it starts.
+        """
+        while node.program is not None and not node.is_ready:  # before that, SIGHUP would end the process
             await asyncio.sleep(POLL_S)
-        again = node.set(settings)
+        again = node.change_settings(settings)
         if node.program is None:
             return
         if not again:
@@ -700,34 +756,34 @@
         await self._bring_back(node)
 
     def _mark_down(self, node: Machine, killed: bool) -> None:
-        """It does not run from now on, until as many steps have it back."""
+        """Mark a node as not running, until as many steps have brought it back."""
         self._down[node.name] += 1
         since, by_kill = self._away.get(node.name, (asyncio.get_running_loop().time(), False))
         self._away[node.name] = since, by_kill or killed
 
     async def _bring_back(self, node: Machine) -> None:
-        """Start it, unless another step keeps it away."""
+        """Start the node, unless another step keeps it down."""
         self._down[node.name] -= 1
-        while node.standing:  # it would hold up the starts of others
+        while node.is_paused:  # its start would block those of others at the gate
             await asyncio.sleep(POLL_S)
         async with self._gate:
             if self._down[node.name]:
                 return
             await node.start()
-        if node.ready and node.name in self._away:
+        if node.is_ready and node.name in self._away:
             since, killed = self._away.pop(node.name)
             self.downs.append(Down(node.name, since, asyncio.get_running_loop().time(), killed))
 
-    # --- standing still, disks and clocks ----------------------------------------------
+    # --- pauses, disks and clocks -------------------------------------------------------
 
     async def _pause(self, node: Machine, share: float, until: float) -> None:
         loop = asyncio.get_running_loop()
         while (left := until - loop.time()) > 0.0:
-            node.hold()
+            node.pause()
             try:
                 await asyncio.sleep(left if share >= 1.0 else min(left, STARVE_PERIOD_S * share))
             finally:
-                node.release()
+                node.resume()
             await asyncio.sleep(min(max(0.0, until - loop.time()), STARVE_PERIOD_S * (1.0 - share)))
 
     async def _fault(self, node: Node, fault: DiskFault | Clock, until: float) -> None:
--- a/rig/cluster/promises.py
+++ b/rig/cluster/promises.py
@@ -80,7 +80,7 @@
             yield Finding(said, "durable", text, (confirmed, event))
     for rule, confirmed in floor.items():
         # The gap may hide the first event about the rule.
-        if rule not in reported and any(rule not in gap.standing for gap in life.missing):
+        if rule not in reported and any(rule not in gap.in_force for gap in life.gaps):
             text = f"{rule}: the version that {life.node} started with at {life.started_ms:.0f} is missing"
             yield Finding("unknown", "durable", text, (confirmed,))
 
@@ -104,7 +104,7 @@
             and event.version > _version(floor, event.rule)
         ):
             learned.setdefault(event.rule, event)
-    seen_until = life.missing[0].since_ms if life.missing else life.until_ms
+    seen_until = life.gaps[0].since_ms if life.gaps else life.until_ms
     for rule, event in learned.items():
         if life.until_ms - event.at_ms <= within_ms:
             continue
@@ -179,7 +179,7 @@
 
 
 def _unseen_sends(life: Life, drains: _Drains, grace_ms: float) -> Iterator[Finding]:
-    for gap in life.missing:
+    for gap in life.gaps:
         for rule, server, since_ms, until_ms in drains.all():
             if gap.until_ms > since_ms + grace_ms and gap.since_ms < until_ms:
                 text = (
--- a/tests/rig/cluster/test_checkers.py
+++ b/tests/rig/cluster/test_checkers.py
@@ -143,13 +143,13 @@
 def test_lives_are_told_apart_over_restarts():
     log = Log().start("a", 0.0).act("a", 1.0, 1).end("a", 2.0).start("a", 5.0, 1).act("a", 6.0, 1)
     first, second = lives(log.events)
-    assert first.whole
+    assert first.is_whole
     assert first.until_ms == 2.0
-    assert not second.whole
+    assert not second.is_whole
     assert second.until_ms == math.inf
     # One whose end is missing lasts until the next begins, at the most.
     first, _ = lives(Log().start("a", 0.0).act("a", 1.0, 1).start("a", 5.0, 1).events)
-    assert not first.whole
+    assert not first.is_whole
     assert first.until_ms == 5.0
 
 
--- a/tests/rig/cluster/test_cluster.py
+++ b/tests/rig/cluster/test_cluster.py
@@ -21,7 +21,7 @@
 from rig.cluster.cluster import REGISTRY, Cluster, Restorable, _killed_s
 from rig.cluster.history import Started
 from rig.cluster.judging import Change, Disks, Excuses, Played, judge, notifications, without_addresses
-from rig.cluster.live import View, Watch, tail
+from rig.cluster.live import LiveDisplay, NodeView, tail
 from rig.cluster.nodes import PlatformNode, Processes
 from rig.cluster.outages import Down, Faulted
 from rig.cluster.schedules import FORMAT, Head, Kill, Link, News, Reload, Schedule, Stop
@@ -433,18 +433,18 @@
         b"no event at all",
         b'{"event":"acted","node":"n0","number":3,"at_ms":3.0,"rule":"list:shop","version":7}',
     ]
-    path, view = tmp_path / "events.jsonl", View()
+    path, view = tmp_path / "events.jsonl", NodeView()
     path.write_bytes(b"\n".join(lines))  # the last one is not whole yet
     for event in tail(path, view):
-        view.take(event)
+        view.apply(event)
     assert view.line("n0", view.state).split() == [
         *("n0", "serves", "life", "2", "list", "7", "active", "1", "leaving", "1", "acts", "0")
     ]
     path.write_bytes(b"\n".join(lines) + b"\n")
     for event in tail(path, view):
-        view.take(event)
+        view.apply(event)
     assert view.acts == 1
-    assert tail(tmp_path / "none", View()) == ()
+    assert tail(tmp_path / "none", NodeView()) == ()
 
 
 @pytest.mark.parametrize("terminal", [False, True])
@@ -453,7 +453,7 @@
     cluster = Cluster(schedule(Stop(500, 59_000, "n0"), length_ms=60_000))
     cluster.began_ms = asyncio.get_running_loop().time() * 1000.0 - 1000.0
     cluster.nodes["n0"] = PlatformNode(0, lambda life: {})
-    watch = Watch(cluster, io.StringIO(), {"n0": View()})
+    watch = LiveDisplay(cluster, io.StringIO(), {"n0": NodeView()})
     for _ in range(2):
         watch._show(terminal)
     told = watch.out.getvalue()
--- a/tests/rig/cluster/test_node.py
+++ b/tests/rig/cluster/test_node.py
@@ -84,7 +84,7 @@
 async def told(node, holds):
     """What a node tells, once that holds; `until` would need a condition that does not wait."""
     async with asyncio.timeout(PATIENCE_S):
-        while not holds(said := await node.tell()):
+        while not holds(said := await node.read_figures()):
             await asyncio.sleep(0.01)
     return said
 
@@ -137,7 +137,7 @@
         limits = {row[:26].strip(): row[26:].split()[0] for row in rows}
         assert int(limits["Max data size"]) == MAX_DATA_MB * 2**20
         assert int(limits["Max open files"]) == 256
-        assert (await node.tell())["rss_mb"] < 64
+        assert (await node.read_figures())["rss_mb"] < 64
 
 
 @bounded
@@ -152,7 +152,7 @@
         ):
             with pytest.raises(ProgramError, match="n0: "):
                 await node.command(**wrong)
-        assert (await node.tell())["on"] == []
+        assert (await node.read_figures())["on"] == []
 
 
 @bounded
@@ -160,9 +160,9 @@
     async with running() as node:
         node.program.hang_up()
         assert await node.program.wait(PATIENCE_S) == HUNG_UP
-        assert "ended with code 3" in node.fallen
+        assert "ended with code 3" in node.exit_error
         with pytest.raises(ProgramError, match="ended with code 3"):
-            await node.tell()
+            await node.read_figures()
 
 
 @pytest.mark.parametrize(
@@ -211,21 +211,21 @@
         async with running(f'kind = "static"\n{rows}') as node:
             before = [asyncio.create_task(asked(node.address, number)) for number in range(20)]
             await until(lambda: servers[0].seen)  # some wait for a server that never answers
-            node.hold()
+            node.pause()
             stood_from = time.monotonic()
             during = [asyncio.create_task(asked(node.address, 100 + number)) for number in range(40)]
             assert await node.command(do="tell") is None  # sent, and not waited for
             while time.monotonic() < stood_from + 1.2:  # longer than deadline and budget
                 await asyncio.sleep(0.05)
             assert not any(task.done() for task in during)
-            node.release()
+            node.resume()
             woke = time.monotonic()
             answers = await asyncio.gather(*before, *during)
             assert time.monotonic() - woke < 3.0
             assert all(not line or line.startswith(b"HTTP/1.1 ") for line in answers)
             assert any(line.startswith(b"HTTP/1.1 ") for line in answers)
             # The clock went on while it stood: its loop was late by all of that.
-            last = await node.tell()
+            last = await node.read_figures()
             assert last["monotonic_ms"] >= stood_from * 1000.0 + 1200.0
             # 503 is an answer that a woken node may give; that it serves again is what counts.
             async with asyncio.timeout(PATIENCE_S):
@@ -239,14 +239,14 @@
 @bounded
 async def test_the_clock_goes_on_while_it_stands_and_commands_are_heard_as_it_wakes():
     async with running() as node:
-        await node.tell()
-        node.hold()
+        await node.read_figures()
+        node.pause()
         over = await node.begin(DiskFault(0, 1, "n0", "lie"))
         await asyncio.sleep(0.5)
         assert not over.done()
-        node.release()
+        node.resume()
         assert [said["on"] for said in await over] == [["lie"]]
-        assert (await node.tell())["lag_ms"] > 300.0
+        assert (await node.read_figures())["lag_ms"] > 300.0
 
 
 # --- killed amid a write -------------------------------------------------------------------
@@ -263,7 +263,7 @@
     try:
         async with running(f'kind = "registry"\naddress = "{registry.address}"') as node:
             await until(lambda: stored(node) == [41])
-            before = await node.tell()
+            before = await node.read_figures()
             await (await node.begin(DiskFault(0, 1, "n0", "slow")))  # it holds
             registry.change(entry("s1", "127.0.0.1:10"))
 
@@ -354,7 +354,7 @@
         played = Processes({"n0": node}, steps)
         await played.run()
         assert node.life == 1
-        assert node.ready
+        assert node.is_ready
         assert len(played.killed) == 1
         (down,) = played.downs
         assert down.until_s - down.from_s >= least_s
@@ -368,8 +368,8 @@
         steps = tuple(Kill(at_ms, 1, "n0") for at_ms in (0, 120, 240, 360))
         played = Processes({"n0": node}, steps)
         await played.run()
-        assert node.ready
-        assert not node.fallen
+        assert node.is_ready
+        assert not node.exit_error
         assert len(played.downs) <= len(played.killed)
 
 
@@ -447,7 +447,7 @@
 async def main():
     nodes = [Node(number, operator(static())) for number in range(3)]
     await start_all(nodes)
-    nodes[1].hold()
+    nodes[1].pause()
     print(*[node.program.pid for node in nodes], flush=True)
     print(*[node.path for node in nodes], flush=True)
     await asyncio.sleep(60)
