--- a/rig/cluster/cluster.py
+++ b/rig/cluster/cluster.py
@@ -155,7 +155,7 @@
             own = servers(self._servers)[index :: len(site.ZONES)]
             host = await PortHost.start(
                 zone,
-                dict.fromkeys(own, site.make()),
+                dict.fromkeys(own, site.server_model()),
                 seed=self.schedule.head.seed,
                 window_ms=site.KEY_WINDOW_MS,
                 idle_close_ms=site.IDLE_CLOSE_MS,
@@ -204,7 +204,7 @@
             events=str(life.events),
             peers=self._peers.get(life.number),
         )
-        return site.operator(options)
+        return site.operator_file(options)
 
     async def _link_peers(self) -> None:
         """Make one link for both directions of each pair of nodes that exchange messages."""
@@ -217,7 +217,7 @@
             way = await self._relays.udp(self.names[one], self.names[other], own[one], own[other])
             ways[one, other] = ways[other, one] = way
         for number in range(count):
-            others = site.near(number, count)
+            others = site.neighbours(number, count)
             at = tuple(own[number] if other == number else ways[number, other] for other in others)
             self._peers[number] = site.Peers(own[number], others.index(number), at)
 
--- a/rig/cluster/report.py
+++ b/rig/cluster/report.py
@@ -1,4 +1,4 @@
-"""The report of a play, as JSON of one documented form: `python -m rig.cluster form` prints its schema."""
+"""The report of a play, as JSON of one documented form; `python -m rig.cluster form` prints its schema."""
 
 from __future__ import annotations
 
@@ -15,13 +15,13 @@
 
 FORMAT = 2
 MAX_FINDINGS = 200
-MAX_SHOWN_EVENTS = 8  # events of one finding
+MAX_SHOWN_EVENTS = 8  # per finding
 
 Ms = Annotated[float, Meta(description="milliseconds", ge=0.0)]
 
 
 class Found(Struct, frozen=True):
-    """One thing that a checker found. `shown`: the events that show it, as the nodes wrote them."""
+    """One finding of a checker. `shown`: the events that show it, as the nodes wrote them."""
 
     verdict: Verdict
     checker: str
@@ -30,7 +30,7 @@
 
 
 class Longest(Struct, frozen=True):
-    """The longest contradictions: of any server's entry in the lists, and of any settings."""
+    """The longest contradictions: on any server's entry of the lists, and on any settings."""
 
     lists_ms: Ms
     settings_ms: Ms
@@ -50,7 +50,7 @@
 
 
 class NodeUse(Struct, frozen=True):
-    """What one node used, over all its lives; its memory is the most of its last."""
+    """What one node used over all of its lives. `rss_mb` is the peak memory of its last life."""
 
     node: str
     lives: int
@@ -61,7 +61,10 @@
 
 
 class Report(Struct, frozen=True):
-    """One play. `unsound`: why nothing here can be believed. `recovery_ms`: none where a node never did."""
+    """One play.
+
+    `unsound`: why nothing in the report can be trusted. `recovery_ms`: absent if a node never recovered.
+    """
 
     format: int
     seed: int
@@ -85,7 +88,7 @@
 
 
 def longest(played: Played) -> Longest:
-    """The longest contradictions of lists and of settings."""
+    """Return the longest contradictions of lists and of settings."""
     spans = played.longest()
     lists = [span.ms for span in spans if span.rule.startswith(LIST)]
     settings = [span.ms for span in spans if span.rule.startswith(SETTINGS)]
@@ -95,7 +98,7 @@
 
 
 def report(played: Played, findings: list[Finding], bound_ms: float) -> Report:
-    """What there is to tell of a play and of what its checkers found."""
+    """Return the report of a play and of the findings of its checkers."""
     head = played.schedule.head
     recovered = played.recovery_ms()
     return Report(
@@ -133,15 +136,15 @@
 
 
 def encode(made: Report) -> bytes:
-    """As a file holds it."""
+    """Encode a report as the content of a file."""
     return msgspec.json.format(msgspec.json.encode(made), indent=1) + b"\n"
 
 
 def decode(data: bytes) -> Report:
-    """From a file; `msgspec.MsgspecError` where it is none."""
+    """Decode the content of a file; `msgspec.MsgspecError` if it is no report."""
     return msgspec.json.decode(data, type=Report)
 
 
 def schema() -> bytes:
-    """The form of a report, as JSON Schema 2020-12."""
+    """Return the JSON Schema 2020-12 of a report."""
     return msgspec.json.format(msgspec.json.encode(msgspec.json.schema(Report)), indent=1) + b"\n"
--- a/rig/cluster/schedules.py
+++ b/rig/cluster/schedules.py
@@ -1,8 +1,8 @@
 """Schedules of faults between nodes, as data: read, written, drawn by a seed, and shrunk. Pure.
 
-A file is JSON, one object a line: the first line is the `Head`, each further one a `Step`, in the order of
-their times. The same schedule is written byte for byte alike, and the same seed draws the same one. Bad input
-raises `ScheduleError`, whose text is one line that names the file, the line and the field.
+A file has one JSON object per line: the first line is the `Head`, each further line a `Step`, in the order of
+their times. A schedule is always written with the same bytes, and a seed always draws the same schedule.
+Invalid input raises `ScheduleError`; its text is one line that names the file, the line and the field.
 """
 
 from __future__ import annotations
@@ -22,27 +22,27 @@
 MAX_STEPS = 10_000
 MAX_LENGTH_MS = 3_600_000
 SHRINK_TRIES = 400
-DRAWN_NEWS = 5  # steps that a draw adds
-SERVERS = 8  # that every cluster has: s0 and on
+DRAWN_NEWS = 5  # steps that `draw` adds for the registry
+SERVERS = 8  # of every cluster, named s0 and up
 MAX_SETTINGS = 1000
 
 Disk = Literal["kept", "emptied", "older"]
 Way = Literal[
     "cut", "stall", "loss", "late", "reorder", "double", "narrow", "reset", "half_open", "flip"
-]  # what a link does to what it carries
+]  # faults of a link
 Writes = Literal["lose", "torn", "lie", "eio_once", "eio", "full", "slow", "changed", "lost_rename"]
-Status = Literal["leaving", "left", "active", "rewind"]  # what the registry tells
+Status = Literal["leaving", "left", "active", "rewind"]  # changes by the registry
 Verdict = Literal["kept", "unknown", "broken"]
 
 
 class ScheduleError(ValueError):
-    """A schedule that is none; its text is one line."""
+    """An invalid schedule. The text is one line."""
 
 
 class Head(Struct, frozen=True, forbid_unknown_fields=True, omit_defaults=True):
-    """What a schedule is for: so many nodes, n0 and on, for so long. Times are milliseconds.
+    """What a schedule is played on: `nodes` nodes, named n0 and up, for `length_ms`. Times are milliseconds.
 
-    `verdict` is what it must come to, with contradictions of `bound_ms` at most; 0: who plays it says.
+    `verdict` is the expected result, with contradictions of at most `bound_ms`; 0: the player sets the bound.
     """
 
     format: int
@@ -56,8 +56,8 @@
 class Link(Struct, frozen=True, tag_field="kind", tag="link", forbid_unknown_fields=True):
     """A fault on each link from one of `src` to one of `dst`, in that direction only.
 
-    `amount`: a share of messages or connections for loss, reorder, double, reset, half_open and flip,
-    milliseconds for late, bytes a second for narrow; cut and stall have none.
+    `amount` is a share of messages or connections for loss, reorder, double, reset, half_open and flip,
+    milliseconds for late, and bytes per second for narrow; cut and stall have none.
     """
 
     at_ms: int
@@ -69,7 +69,7 @@
 
 
 class Kill(Struct, frozen=True, tag_field="kind", tag="kill", forbid_unknown_fields=True):
-    """SIGKILL, and a start after `lasts_ms` with its disk kept, emptied, or put back to an older copy."""
+    """SIGKILL, and a start after `lasts_ms` with the disk kept, emptied, or replaced by an older copy."""
 
     at_ms: int
     lasts_ms: int
@@ -78,7 +78,10 @@
 
 
 class Stop(Struct, frozen=True, tag_field="kind", tag="stop", forbid_unknown_fields=True):
-    """SIGSTOP and SIGCONT. With a `share` below 1 it stands still for that part of each 100 ms: starved."""
+    """SIGSTOP and SIGCONT.
+
+    With a `share` below 1 the node is starved: it is stopped for that part of each 100 ms.
+    """
 
     at_ms: int
     lasts_ms: int
@@ -87,7 +90,7 @@
 
 
 class DiskFault(Struct, frozen=True, tag_field="kind", tag="disk", forbid_unknown_fields=True):
-    """What a node's disk does to what is written, synced and read."""
+    """A fault of a node's disk, for what is written, synced and read."""
 
     at_ms: int
     lasts_ms: int
@@ -96,7 +99,7 @@
 
 
 class Clock(Struct, frozen=True, tag_field="kind", tag="clock", forbid_unknown_fields=True):
-    """A node's clock jumps by `jump_ms` and drifts by `drift_ppm` until it is put right at the end."""
+    """A node's clock jumps by `jump_ms` and drifts by `drift_ppm`, and is reset at the end."""
 
     at_ms: int
     lasts_ms: int
@@ -106,8 +109,10 @@
 
 
 class News(Struct, frozen=True, tag_field="kind", tag="news", forbid_unknown_fields=True):
-    """The registry tells that a server is leaving, has left or is active; `rewind`, which names no server:
-    its list and its index go back to what they were before its last change.
+    """The registry reports that a server is leaving, has left or is active.
+
+    `rewind`, which names no server: the registry's list and index return to their state before the last
+    change.
     """
 
     at_ms: int
@@ -117,7 +122,7 @@
 
 
 class Reload(Struct, frozen=True, tag_field="kind", tag="reload", forbid_unknown_fields=True):
-    """A node's file changes to the settings of that number, from 1 on, which all nodes begin with."""
+    """A node's file changes to the settings of that number; all nodes begin with number 1."""
 
     at_ms: int
     lasts_ms: int = 1
@@ -164,33 +169,37 @@
 
     @property
     def healed_ms(self) -> int:
-        """When the last fault is over; 0 where there is none. News of servers are no faults."""
+        """The end of the last fault; 0 if there is none. Changes of servers are no faults."""
         faults = [step for step in self.steps if not isinstance(step, News) or step.status == "rewind"]
         return max((step.at_ms + step.lasts_ms for step in faults), default=0)
 
     def encode(self) -> bytes:
-        """As a file holds it."""
+        """Return the schedule as the content of a file."""
         lines = [msgspec.json.encode(part) for part in (self.head, *self.steps)]
         return b"\n".join(lines) + b"\n"
 
 
 def names(count: int) -> list[str]:
-    """n0, n1 and on."""
+    """Return the names of nodes: n0, n1 and up."""
     return [f"n{number}" for number in range(count)]
 
 
 def servers(count: int = SERVERS) -> list[str]:
-    """s0, s1 and on."""
+    """Return the names of servers: s0, s1 and up."""
     return [f"s{number}" for number in range(count)]
 
 
 def read(text: bytes, file: str) -> Schedule:
-    """A schedule from what a file holds; `ScheduleError` names the file, the line and the field."""
+    """Parse the content of a file.
+
+    Raises:
+        ScheduleError: It is invalid; the text names the file, the line and the field.
+    """
     lines = text.split(b"\n")
     if lines and not lines[-1]:
         lines.pop()
     if not lines:
-        raise ScheduleError(f"{file}:1: empty: a line with format, seed, nodes and length_ms is wanted")
+        raise ScheduleError(f"{file}:1: empty, expected a line with format, seed, nodes and length_ms")
     if len(lines) > MAX_STEPS + 1:
         raise ScheduleError(f"{file}:{MAX_STEPS + 2}: more than {MAX_STEPS} steps")
     head = _decoded(lines[0], file, 1, lambda line: msgspec.json.decode(line, type=Head))
@@ -221,7 +230,7 @@
 
 def _wrong_head(head: Head) -> str:
     if head.format != FORMAT:
-        return f"format: {head.format} is not known, only {FORMAT}"
+        return f"format: {head.format} is unknown, expected {FORMAT}"
     if not 1 <= head.nodes <= MAX_NODES:
         return f"nodes: {head.nodes} is not from 1 to {MAX_NODES}"
     if not 1 <= head.length_ms <= MAX_LENGTH_MS:
@@ -232,11 +241,11 @@
 
 
 def wrong_step(step: Step, head: Head) -> str:
-    """The first field that makes no sense, and why; empty where all do."""
+    """Return the first invalid field and what is wrong with it; empty if the step is valid."""
     if not 0 <= step.at_ms < head.length_ms:
-        return f"at_ms: {step.at_ms} is not from 0 to before {head.length_ms}"
+        return f"at_ms: {step.at_ms} is not from 0 to below {head.length_ms}"
     if not 1 <= step.lasts_ms <= head.length_ms - step.at_ms:
-        return f"lasts_ms: {step.lasts_ms} is not from 1 to the end, {head.length_ms - step.at_ms} later"
+        return f"lasts_ms: {step.lasts_ms} is not from 1 to {head.length_ms - step.at_ms}, the schedule's end"
     if isinstance(step, News):
         return _wrong_news(step)
     known = set(names(head.nodes))
@@ -249,7 +258,7 @@
     if isinstance(step, Clock) and not (
         abs(step.drift_ppm) <= 100_000 and abs(step.jump_ms) <= MAX_LENGTH_MS
     ):
-        return "drift_ppm: no clock drifts or jumps so far"
+        return "drift_ppm: beyond 100000 ppm, or jump_ms beyond 3600000 ms"
     if isinstance(step, Reload) and not 1 <= step.settings <= MAX_SETTINGS:
         return f"settings: {step.settings} is not from 1 to {MAX_SETTINGS}"
     return ""
@@ -257,7 +266,9 @@
 
 def _wrong_news(step: News) -> str:
     if step.status == "rewind":
-        return f"server: {step.server!r}, but a rewind is of the whole list" if step.server else ""
+        return (
+            f"server: {step.server!r}, expected none: a rewind concerns the whole list" if step.server else ""
+        )
     return "" if step.server in servers() else f"server: no {step.server!r} of {SERVERS}"
 
 
@@ -269,27 +280,27 @@
         if not ends:
             return f"{field}: empty"
     if step.way in SHARES and not 0.0 < step.amount <= 1.0:
-        return f"amount: {step.amount:g} of {step.way} is not a share above 0"
+        return f"amount: {step.amount:g} of {step.way} is not a share above 0 and up to 1"
     if step.way in ("late", "narrow") and not 0.0 < step.amount <= 1e9:
-        return f"amount: {step.amount:g} of {step.way} is not above 0"
+        return f"amount: {step.amount:g} of {step.way} is not above 0 and up to 1e9"
     return ""
 
 
-OUTSIDE = ("registry", "clients", "servers")  # ends of links that are no nodes
+OUTSIDE = ("registry", "clients", "servers")  # ends of links that are not nodes
 
 
 def line_of(step: Step) -> str:
-    """A step as people read it."""
+    """Format a step as one line for people."""
     if isinstance(step, Link):
         amount = f" {step.amount:g}" if step.amount else ""
-        what = f"{step.way}{amount} from {','.join(step.src)} to {','.join(step.dst)}"
+        action = f"{step.way}{amount} from {','.join(step.src)} to {','.join(step.dst)}"
     elif isinstance(step, News):
-        what = f"news {step.server} {step.status}" if step.server else f"news {step.status}"
+        action = f"news {step.server} {step.status}" if step.server else f"news {step.status}"
     else:
         fields = {name: getattr(step, name) for name in step.__struct_fields__[2:]}
         fields_text = " ".join(f"{name}={value}" for name, value in fields.items() if name != "node")
-        what = f"{type(step).__name__.lower()} {step.node} {fields_text}".rstrip()
-    return f"{step.at_ms:>8} .. {step.at_ms + step.lasts_ms:<8} {what}"
+        action = f"{type(step).__name__.lower()} {step.node} {fields_text}".rstrip()
+    return f"{step.at_ms:>8} .. {step.at_ms + step.lasts_ms:<8} {action}"
 
 
 # --- drawing -----------------------------------------------------------------------------------
@@ -303,15 +314,27 @@
     steps: int = 12,
     news: bool = True,
 ) -> Schedule:
-    """A schedule by swarm testing: a random part of the kinds is on, and faults overlap more often than not.
+    """Draw a schedule by swarm testing: a random subset of the kinds is used, and most faults overlap.
 
-    `news`: rules change amid the faults, by `DRAWN_NEWS` steps more. Each draw has a random stream of its
-    named after what it is for, so that taking one step out changes no other. All faults are over at three
-    quarters of the length.
+    Each step has a random stream of its own, named after its number, so that taking one step out changes no
+    other. All faults are over at three quarters of the length.
+
+    Args:
+        seed: The seed.
+        nodes: The number of nodes.
+        length_ms: The length of the schedule.
+        kinds: The kinds of faults to choose from.
+        steps: The number of faults.
+        news: Whether rules change amid the faults, by `DRAWN_NEWS` further steps.
+
+    Raises:
+        ScheduleError: A kind is unknown, or a size is out of range.
     """
     unknown = [kind for kind in kinds if kind not in KINDS]
     if unknown or not kinds:
-        raise ScheduleError(f"faults: no {', '.join(unknown) or 'kinds'}; there are {', '.join(KINDS)}")
+        raise ScheduleError(
+            f"faults: no {', '.join(unknown) or 'kinds'}, expected some of {', '.join(KINDS)}"
+        )
     head = Head(FORMAT, seed, nodes, length_ms)
     wrong = _wrong_head(head)
     if wrong:
@@ -319,7 +342,7 @@
     swarm = random.Random(f"{seed}/swarm")
     on = [kind for kind in kinds if swarm.random() < 0.6] or [swarm.choice(list(kinds))]
     ways = [way for way in WAYS if swarm.random() < 0.5] or [swarm.choice(WAYS)]
-    # Faults meet in a few stretches of time rather than anywhere.
+    # Faults are concentrated in a few stretches of time, so that they overlap.
     centres = [swarm.uniform(0.1, 0.5) * length_ms for _ in range(2)]
     made: list[Step] = _draw_news(seed, length_ms) if news else []
     for number in range(steps):
@@ -332,12 +355,15 @@
 
 
 def in_order(steps: Iterable[Step]) -> tuple[Step, ...]:
-    """Steps as a schedule holds them: by time, and at one time always alike."""
+    """Return steps as a schedule has them: by time, and at the same time in a fixed order."""
     return tuple(sorted(steps, key=lambda step: (step.at_ms, msgspec.json.encode(step))))
 
 
 def _draw_news(seed: int, length_ms: int) -> list[Step]:
-    """Three servers begin to leave; one of them has left in the end, and another is active again."""
+    """Draw changes of the registry's list.
+
+    Three servers begin to leave; in the end one of them has left, and another is active again.
+    """
     rng = random.Random(f"{seed}/news")
     gone = rng.sample(servers(), 3)
     times = sorted(round(rng.uniform(0.1, 0.6) * length_ms) for _ in gone)
@@ -376,7 +402,7 @@
 
 
 def draw_ends(rng: random.Random, every: Sequence[str]) -> tuple[list[str], list[str]]:
-    """Which links: one, all to or from a node, between two halves one way, or from outside."""
+    """Draw the links of a fault: one, all to or from a node, one way between two halves, or from outside."""
     shape = rng.choice(("one", "to", "from", "split", "outside"))
     node = rng.choice(every)
     others = [name for name in every if name != node] or [node]
@@ -396,7 +422,7 @@
 
 
 def split(at_ms: int, lasts_ms: int, groups: Sequence[Sequence[str]], way: Way = "cut") -> list[Link]:
-    """No way between groups, in either direction."""
+    """Return faults that cut groups off from one another, in both directions."""
     made = []
     for one, other in itertools.permutations(groups, 2):
         made.append(Link(at_ms, lasts_ms, way, tuple(one), tuple(other)))
@@ -404,12 +430,12 @@
 
 
 def bridge(at_ms: int, lasts_ms: int, left: Sequence[str], middle: str, right: Sequence[str]) -> list[Link]:
-    """Two groups that only reach one another's bridge, which reaches both."""
+    """Return faults that leave two groups connected only through one node, which reaches both."""
     return split(at_ms, lasts_ms, ([n for n in left if n != middle], [n for n in right if n != middle]))
 
 
 def ring(at_ms: int, lasts_ms: int, every: Sequence[str]) -> list[Link]:
-    """Each node reaches only the two next to it."""
+    """Return faults that leave each node connected only to its two neighbours."""
     count = len(every)
     made = []
     for index, node in enumerate(every):
@@ -423,7 +449,7 @@
 # --- one of each -------------------------------------------------------------------------------
 
 ONE_OF_EACH_LENGTH_MS = 3_500
-ONE_OF_EACH_BOUND_MS = 5_000  # past a fault's own length: what stands until contradictions are bounded
+ONE_OF_EACH_BOUND_MS = 5_000  # beyond a fault's length, until contradictions themselves are bounded
 ONE_OF_EACH_AT_MS, ONE_OF_EACH_LASTS_MS = 500, 1_500
 ONE_OF_EACH_NEWS: tuple[Step, ...] = (
     News(300, 1, "s1", "leaving"),
@@ -431,8 +457,8 @@
     News(1300, 1, "s1", "left"),
     News(2400, 1, "s2", "active"),
 )
-# What the disk itself lost can't be held against a node. And a registry that goes back in its index is
-# believed: nodes go back with it, and one version has two contents.
+# A loss by the disk itself is no breach of the node. Nodes follow a registry whose index goes back, so that
+# one version has two contents.
 ONE_OF_EACH_VERDICTS: dict[str, Verdict] = {
     "disk-lie": "unknown", "disk-lost-rename": "unknown", "disk-changed": "unknown",
     "kill-emptied": "unknown", "kill-older": "unknown", "rewind": "broken",
@@ -444,16 +470,21 @@
 
 
 def one_of_each(seed: int, nodes: int = 3) -> dict[str, Schedule]:
-    """One short schedule for each kind of fault, by name, for `nodes` nodes; a few need up to 5.
+    """Return one short schedule for each kind of fault, by name.
+
+    Servers leave before, during and after each fault. A fault of a disk overlaps changes that are stored, and
+    the node is killed and restarted after it.
 
-    Servers leave before, amid and after each fault. What a disk does meets news that are stored, and the node
-    is killed and back after it.
+    Args:
+        seed: The seed of the schedules.
+        nodes: The number of nodes; a few schedules need up to 5.
     """
     every = names(nodes)
     at_ms, lasts_ms = ONE_OF_EACH_AT_MS, ONE_OF_EACH_LASTS_MS
     made: dict[str, tuple[Step, ...]] = {}
     for way in WAYS:
-        # Both ways between one node and all but its callers and servers: those are judged by the rules.
+        # Both directions between one node and all ends but its callers and servers; those are judged by the
+        # rules.
         own, ends = ("n0",), ("registry", *every[1:])
         amount = AMOUNTS.get(way, 0.0)
         made[f"link-{way.replace('_', '-')}"] = (
@@ -465,7 +496,7 @@
     made["stop"] = (Stop(at_ms, lasts_ms, "n0"),)
     made["starved"] = (Stop(at_ms, lasts_ms, "n0", 0.8),)
     for writes in WRITES:
-        # What is changed shows when it is read: as the node begins again.
+        # Changed bytes show when they are read, as the node starts again.
         until_ms = 2300 if writes == "changed" else 1500
         made[f"disk-{writes.replace('_', '-')}"] = (
             DiskFault(at_ms, until_ms - at_ms, "n0", writes),
@@ -498,9 +529,12 @@
 
 
 def shrink(schedule: Schedule, fails: Callable[[Schedule], bool], tries: int = SHRINK_TRIES) -> Schedule:
-    """A smaller schedule that still fails: steps are taken out, then times and ends made smaller.
+    """Return a smaller schedule that still fails: steps are removed, then times and ends are made smaller.
 
-    `fails` plays one; it is asked `tries` times at most. What is given must fail, or it comes back whole.
+    Args:
+        schedule: A schedule that fails; if it does not, it is returned unchanged.
+        fails: Plays a schedule and returns whether it fails.
+        tries: How often `fails` is called at most.
     """
     left = tries
     best = schedule
@@ -518,7 +552,7 @@
 
 
 def _smaller(schedule: Schedule) -> Iterator[Schedule]:
-    """Each schedule one move smaller, the largest moves first."""
+    """Yield each schedule that is one reduction smaller, the largest reductions first."""
     steps = schedule.steps
     size = len(steps) // 2
     while size >= 1:
--- a/rig/cluster/site.py
+++ b/rig/cluster/site.py
@@ -1,6 +1,6 @@
-"""What the nodes of a cluster are told: one service with three classes, by a number of settings.
+"""Configuration of a cluster's nodes: one service with three classes, by a settings number.
 
-Each node has a file of its own; settings number 1 is what all begin with.
+Each node has a file of its own; all begin with settings number 1.
 """
 
 from __future__ import annotations
@@ -28,13 +28,19 @@
 MEMORY_MB = 96
 DESCRIPTORS = 256
 EVENTS_MB = 64
-PEERS_ALL = 20  # up to so many nodes all speak to one another,
-PEERS_NEAR = 4  # past that each to so many on either side of it on a ring
+PEERS_ALL = 20  # up to so many nodes, all exchange messages with one another;
+PEERS_NEAR = 4  # beyond that, each with so many on either side on a ring
 
 
 @dataclass(frozen=True, slots=True)
 class Peers:
-    """Where a node hears other nodes, and where it reaches each, by number; `me` is its own."""
+    """Where a node receives from other nodes, and where it reaches each of them.
+
+    Attributes:
+        listen: Its own address.
+        me: Its own index in `at`.
+        at: The addresses at which it reaches the nodes, by index.
+    """
 
     listen: Address
     me: int
@@ -43,44 +49,44 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOptions:
-    """The options of one start of a node."""
+    """Options of one start of a node."""
 
     name: str
     number: int
     seed: int
     listen: Address
     settings: int
-    registry: Address | None  # None: the servers stand in the file
+    registry: Address | None  # None: the file lists the servers
     servers: Sequence[Entry]
     state: str
     events: str
     peers: Peers | None
 
 
-def near(number: int, count: int) -> list[int]:
-    """The nodes that a node speaks to, itself included, sorted."""
+def neighbours(number: int, count: int) -> list[int]:
+    """Return the nodes that a node exchanges messages with, itself included, sorted."""
     if count <= PEERS_ALL:
         return list(range(count))
     return sorted({(number + step) % count for step in range(-PEERS_NEAR, PEERS_NEAR + 1)})
 
 
 def pairs(count: int) -> list[tuple[int, int]]:
-    """The pairs of nodes that speak to one another, the lower number first."""
-    return [(one, other) for one in range(count) for other in near(one, count) if one < other]
+    """Return the pairs of nodes that exchange messages, the lower number first."""
+    return [(one, other) for one in range(count) for other in neighbours(one, count) if one < other]
 
 
-def make() -> Make:
-    """What each server is: quick and roomy, so that what goes wrong is the nodes' doing."""
+def server_model() -> Make:
+    """Return the model of each server: fast and with spare capacity, so that nodes cause what goes wrong."""
     return Make(slots=64, handshake_ms=0.2, probe_ms=0.2)
 
 
 def zone(number: int) -> str:
-    """The data centre of the n-th server or node."""
+    """Return the data centre of the n-th server or node."""
     return ZONES[number % len(ZONES)]
 
 
 def rows(addresses: Mapping[str, str]) -> list[Entry]:
-    """The registry's entries of servers at these addresses, by name."""
+    """Return the registry's entries of servers at these addresses, by name."""
     return [
         entry(name, address, zone=zone(number), group=number % len(ZONES))
         for number, (name, address) in enumerate(addresses.items())
@@ -88,7 +94,7 @@
 
 
 def demand(seed: int, nodes: int, rate_a_node: float, length_s: float) -> Demand:
-    """What the callers of all nodes want."""
+    """Return the load of all callers."""
     return Demand(
         rate_per_s=rate_a_node * nodes,
         duration_s=length_s,
@@ -101,17 +107,23 @@
     )
 
 
-def listed(servers: Sequence[Entry], settings: int) -> list[Entry]:
-    """Of servers that stand in a file: past settings 1 the first ones have left, one more with each."""
+def listed_servers(servers: Sequence[Entry], settings: int) -> list[Entry]:
+    """Return the servers that a static file lists.
+
+    Each settings number above 1 leaves out one more of the first ones.
+    """
     return list(servers[min(settings - 1, len(servers) - 1) :])
 
 
-def operator(start: StartOptions) -> str:
-    """The operator file, as TOML. Settings change what a class is worth, which only a restart takes up."""
+def operator_file(start: StartOptions) -> str:
+    """Return the operator file, as TOML.
+
+    Settings change the priority weight (`worth`) of the classes, which only a restart applies.
+    """
     parts = [
         f'[process]\nname = "{start.name}"\nseed = {start.seed}',
         f"[limits]\ndescriptors = {DESCRIPTORS}\nmemory_mb = {MEMORY_MB}",
-        f'[front.web]\nprotocol = "http"\nlisten = "{_text(start.listen)}"\nservice = "{SERVICE}"',
+        f'[front.web]\nprotocol = "http"\nlisten = "{_host_port(start.listen)}"\nservice = "{SERVICE}"',
         _service(start),
         *(_class(kind, start) for kind in CLASSES),
         *_source(start),
@@ -119,8 +131,10 @@
         f'[events]\nfile = "{start.events}"\nmb_most = {EVENTS_MB}',
     ]
     if start.peers is not None:
-        at = ", ".join(f'"{_text(address)}"' for address in start.peers.at)
-        parts.append(f'[peers]\nlisten = "{_text(start.peers.listen)}"\nme = {start.peers.me}\nat = [{at}]')
+        at = ", ".join(f'"{_host_port(address)}"' for address in start.peers.at)
+        parts.append(
+            f'[peers]\nlisten = "{_host_port(start.peers.listen)}"\nme = {start.peers.me}\nat = [{at}]'
+        )
     return "\n\n".join(parts) + "\n"
 
 
@@ -139,27 +153,27 @@
 
 
 def _class(kind: CallClass, start: StartOptions) -> str:
-    # Where the servers stand in the file, settings are these, and change by SIGHUP.
-    worth = kind.worth * (start.settings if start.registry is not None else 1)
+    # If the file lists the servers, the settings change that list, which SIGHUP applies.
+    priority_weight = kind.worth * (start.settings if start.registry is not None else 1)
     keyed = f'\ngroup = "zone"\nkey_window_ms = {KEY_WINDOW_MS:g}' if kind.semantics == "keyed" else ""
     return (
         f'[service.{SERVICE}.class.{kind.name}]\nsemantics = "{kind.semantics}"\naim_ms = {kind.aim_ms:g}\n'
-        f"deadline_ms = {kind.deadline_ms:g}\nworth = {worth:g}{keyed}"
+        f"deadline_ms = {kind.deadline_ms:g}\nworth = {priority_weight:g}{keyed}"
     )
 
 
 def _source(start: StartOptions) -> list[str]:
     if start.registry is not None:
-        return [f'[source.fleet]\nkind = "registry"\naddress = "{_text(start.registry)}"']
+        return [f'[source.fleet]\nkind = "registry"\naddress = "{_host_port(start.registry)}"']
     return [
         '[source.fleet]\nkind = "static"',
         *(
             f'[[source.fleet.server]]\nname = "{row["name"]}"\naddress = "{row["address"]}"\n'
             f'zone = "{row["zone"]}"\nkind = "small"\ncell = {row["group"]}'
-            for row in listed(start.servers, start.settings)
+            for row in listed_servers(start.servers, start.settings)
         ),
     ]
 
 
-def _text(address: Address) -> str:
+def _host_port(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
--- a/rig/cluster/timeline.py
+++ b/rig/cluster/timeline.py
@@ -1,4 +1,7 @@
-"""The nodes of a play over time, as SVG: faults as shades, news as bars, acts on old rules as dots."""
+"""The nodes of a play over time, as SVG.
+
+Faults are shades, changes by the registry and learned lists are bars, and acts on old lists are dots.
+"""
 
 from __future__ import annotations
 
@@ -16,14 +19,19 @@
 
 
 def draw(played: Played, path: Path) -> None:
-    """Draw a play; `ProgramError` where the library for it is missing, `OSError` where the file can't be."""
+    """Draw a play.
+
+    Raises:
+        ProgramError: The drawing library is missing.
+        OSError: The file can't be written.
+    """
     import_library("matplotlib", "plot").use("Agg")
     pyplot = import_library("matplotlib.pyplot", "plot")
     figure, axes = pyplot.subplots(figsize=(11.0, 1.2 + ROW_INCHES * len(played.nodes)))
     row_of = {name: number for number, name in enumerate(played.nodes)}
     for step in played.schedule.steps:
-        _shade(axes, step, row_of)
-    _marks(axes, played, row_of)
+        _draw_step(axes, step, row_of)
+    _draw_marks(axes, played, row_of)
     axes.set_yticks(range(len(row_of)), list(row_of))
     axes.set_ylim(len(row_of) - 0.4, -0.6)
     axes.set_xlim(0.0, played.schedule.head.length_ms / 1000.0)
@@ -35,7 +43,7 @@
     pyplot.close(figure)
 
 
-def _shade(axes: Any, step: Step, row_of: dict[str, int]) -> None:
+def _draw_step(axes: Any, step: Step, row_of: dict[str, int]) -> None:
     at_s, width_s = step.at_ms / 1000.0, max(step.lasts_ms, 20) / 1000.0
     if isinstance(step, News):
         axes.axvline(at_s, color="#999999", linewidth=0.7, linestyle="--")
@@ -47,8 +55,8 @@
         axes.barh(row_of[name], width_s, left=at_s, height=0.8, color=color, alpha=0.25)
 
 
-def _marks(axes: Any, played: Played, row_of: dict[str, int]) -> None:
-    """Lists learned, and acts on a list older than the newest that any node had acted on by then."""
+def _draw_marks(axes: Any, played: Played, row_of: dict[str, int]) -> None:
+    """Draw learned lists, and acts on a list older than the newest that any node had acted on by then."""
     newest = 0
     learned: list[tuple[float, int]] = []
     old: list[tuple[float, int]] = []
--- a/tests/rig/cluster/test_cluster.py
+++ b/tests/rig/cluster/test_cluster.py
@@ -182,8 +182,8 @@
 
 def test_up_to_twenty_nodes_all_speak_and_more_speak_to_eight_each():
     assert len(site.pairs(20)) == 190
-    assert site.near(3, 20) == list(range(20))
-    assert site.near(0, 100) == [0, 1, 2, 3, 4, 96, 97, 98, 99]
+    assert site.neighbours(3, 20) == list(range(20))
+    assert site.neighbours(0, 100) == [0, 1, 2, 3, 4, 96, 97, 98, 99]
     pairs = site.pairs(100)
     assert len(pairs) == len(set(pairs)) == 400
     assert (0, 99) in pairs
--- a/tests/rig/cluster/test_schedules.py
+++ b/tests/rig/cluster/test_schedules.py
@@ -62,7 +62,10 @@
         (HEAD + b'{"kind":"news","at_ms":1,"server":"s8"}\n', "f:2: server: no 's8' of 8"),
         (HEAD + b'{"kind":"news","at_ms":1}\n', "f:2: server: no ''"),
         (HEAD + b'{"kind":"news","at_ms":1,"server":"s1","status":"gone"}\n', "f:2: status: Invalid enum"),
-        (HEAD + b'{"kind":"news","at_ms":1,"server":"s1","status":"rewind"}\n', "f:2: server: 's1', but"),
+        (
+            HEAD + b'{"kind":"news","at_ms":1,"server":"s1","status":"rewind"}\n',
+            "f:2: server: 's1', expected none: ",
+        ),
         (HEAD + b'{"kind":"reload","at_ms":1,"node":"n7"}\n', "f:2: node: no 'n7'"),
         (HEAD + b'{"kind":"reload","at_ms":1,"node":"n1","settings":0}\n', "f:2: settings: 0"),
         (HEAD.replace(b"1000}", b'1000,"bound_ms":-1}'), "f:1: bound_ms: -1"),
@@ -129,7 +132,7 @@
 
 
 def test_unknown_faults_are_told():
-    with pytest.raises(ScheduleError, match="no storms; there are links"):
+    with pytest.raises(ScheduleError, match="no storms, expected some of links"):
         draw(1, 3, 1000, kinds=["storms"])
 
 
