--- a/rig/cluster/__main__.py
+++ b/rig/cluster/__main__.py
@@ -1,16 +1,16 @@
-"""`python -m rig.cluster draw | show | run | shrink | ci | form`: schedules of faults, played on processes.
+"""`python -m rig.cluster draw | show | run | shrink | ci | form`: play schedules of faults on real processes.
 
     python -m rig.cluster draw --seed 7 --nodes 5 --faults links,processes > a.jsonl
-    python -m rig.cluster show a.jsonl                      # what happens when, a step a line
+    python -m rig.cluster show a.jsonl                      # the steps and their times, one per line
     python -m rig.cluster run a.jsonl --bound-ms 2000 --live --json out.json --svg out.svg
-    python -m rig.cluster run a.jsonl --times 10            # whether it comes to the same each time
+    python -m rig.cluster run a.jsonl --times 10            # whether the verdict is the same each time
     python -m rig.cluster shrink a.jsonl --bound-ms 2000 > small.jsonl
-    python -m rig.cluster ci                                # a schedule for each kind of fault, side by side
+    python -m rig.cluster ci                                # one schedule per kind of fault, side by side
     python -m rig.cluster form                              # the JSON Schema of reports
 
-Exit codes: 0 kept, 1 a breach, an unsound run, or other than what its file states (for `shrink`: none to
-shrink), 2 bad input or a program that can't be started, with one line that names the file, the line and the
-field.
+Exit codes: 0 kept; 1 a breach, an unsound run, or a verdict that differs from the file's (for `shrink`:
+nothing to shrink); 2 bad input or a program that can't be started, with one line that names the file, the
+line and the field.
 """
 
 from __future__ import annotations
@@ -42,29 +42,29 @@
 SHRINK_TRIES = 40
 MAX_TIMES = 100
 REGRESSIONS_FOLDER = ROOT / "tests" / "regressions" / "cluster"
-AT_ONCE = 3  # schedules that `ci` plays side by side,
-MAX_PLAYS = 3  # and again alone, so often in all, while the machine is too busy
+AT_ONCE = 3  # schedules that `ci` plays side by side;
+MAX_PLAYS = 3  # plays of one schedule in all, while the machine is too busy for a sound one
 PLAY_S = 180.0
 FINDINGS_SHOWN = 20
 
 
 @dataclass(frozen=True, slots=True)
 class PlayOptions:
-    """What a play is made with."""
+    """Options of a play."""
 
     tree: Path = ROOT
     breach: str = ""
-    bound_ms: float | None = None  # None: as the schedule's file says
+    bound_ms: float | None = None  # None: the bound of the schedule's file
     live: bool = False
 
 
-async def play(schedule: Schedule, how: PlayOptions) -> Played:
+async def play(schedule: Schedule, options: PlayOptions) -> Played:
     """Play a schedule on real processes; `ProgramError` if one can't be started."""
-    made = Cluster(schedule, how.tree, breach=how.breach)
+    made = Cluster(schedule, options.tree, breach=options.breach)
     watching: asyncio.Task[None] | None = None
     try:
         await made.start()
-        if how.live:
+        if options.live:
             watching = asyncio.create_task(LiveDisplay(made, sys.stderr).run())
         return await made.play()
     finally:
@@ -74,21 +74,21 @@
         await made.stop()
 
 
-def bound_of(schedule: Schedule, how: PlayOptions) -> float:
-    """The longest contradiction that is allowed: as asked, or as the file states, or the usual one."""
-    return how.bound_ms if how.bound_ms is not None else float(schedule.head.bound_ms) or BOUND_MS
+def bound_of(schedule: Schedule, options: PlayOptions) -> float:
+    """Return the longest contradiction allowed: the option, else the file's bound, else the default."""
+    return options.bound_ms if options.bound_ms is not None else float(schedule.head.bound_ms) or BOUND_MS
 
 
-async def played(schedule: Schedule, how: PlayOptions) -> tuple[Played, list[Finding], Report]:
-    """Play it, and what its checkers and its report say."""
-    seen = await play(schedule, how)
-    bound_ms = bound_of(schedule, how)
+async def play_and_judge(schedule: Schedule, options: PlayOptions) -> tuple[Played, list[Finding], Report]:
+    """Play a schedule; return what it showed, the findings of the checkers, and the report."""
+    seen = await play(schedule, options)
+    bound_ms = bound_of(schedule, options)
     findings = judge(seen, bound_ms)
     return seen, findings, reports.report(seen, findings, bound_ms)
 
 
-def line(report: Report) -> str:
-    """A play in one line."""
+def summary_line(report: Report) -> str:
+    """Format a report as one line."""
     recovery = "none" if report.recovery_ms is None else f"{report.recovery_ms:.0f} ms"
     longest = report.longest
     return (
@@ -101,10 +101,10 @@
 
 
 def parser() -> argparse.ArgumentParser:
-    """The command line."""
+    """Return the parser of the command line."""
     made = argparse.ArgumentParser(prog="python -m rig.cluster", description=__doc__)
     words = made.add_subparsers(dest="word", required=True)
-    draw = words.add_parser("draw", help="print a schedule that a seed draws")
+    draw = words.add_parser("draw", help="draw a schedule by a seed and print it")
     draw.add_argument("--seed", type=int, required=True)
     draw.add_argument("--nodes", type=int, default=5, help=f"up to {MAX_NODES}")
     draw.add_argument(
@@ -112,23 +112,25 @@
     )
     draw.add_argument("--length-ms", type=int, default=12_000)
     draw.add_argument("--steps", type=int, default=8)
-    draw.add_argument("--no-news", action="store_true", help="the registry tells nothing meanwhile")
-    draw.add_argument("--each", type=Path, metavar="FOLDER", help="write one for each kind of fault there")
+    draw.add_argument("--no-news", action="store_true", help="without changes by the registry")
+    draw.add_argument("--each", type=Path, metavar="FOLDER", help="write one per kind of fault there")
     words.add_parser("show", help="print a schedule").add_argument("file")
     for word, text in (("run", "play one"), ("shrink", "find a smaller one that fails")):
         one = words.add_parser(word, help=text)
         one.add_argument("file")
-        one.add_argument("--bound-ms", type=float, help="the longest contradiction allowed, not the file's")
+        one.add_argument("--bound-ms", type=float, help="longest contradiction allowed")
         _program(one)
     run = words.choices["run"]
-    run.add_argument("--times", type=_times, default=1, help="play it so often; all must come to the same")
+    run.add_argument(
+        "--times", type=_times, default=1, help="number of plays; all must have the same verdict"
+    )
     run.add_argument("--json", type=Path, metavar="FILE", help="write the report there")
     run.add_argument("--svg", type=Path, metavar="FILE", help="draw the nodes over time")
-    run.add_argument("--live", action="store_true", help="show the nodes on standard error meanwhile")
-    ci = words.add_parser("ci", help="play all schedules of a folder; each must come to what its file states")
+    run.add_argument("--live", action="store_true", help="show the nodes on standard error during the play")
+    ci = words.add_parser("ci", help="play all schedules of a folder; each must have its file's verdict")
     ci.add_argument("folder", nargs="?", type=Path, default=REGRESSIONS_FOLDER)
-    ci.add_argument("--at-once", type=_times, default=AT_ONCE, metavar="K", help="so many side by side")
-    ci.add_argument("--only", metavar="NAME[,NAME]", help="these only")
+    ci.add_argument("--at-once", type=_times, default=AT_ONCE, metavar="K", help="plays side by side")
+    ci.add_argument("--only", metavar="NAME[,NAME]", help="only these schedules")
     _program(ci)
     words.add_parser("form", help="print the JSON Schema of reports")
     return made
@@ -142,13 +144,13 @@
 def _tree(text: str) -> Path:
     path = Path(text).resolve()
     if not (path / "fordtrestle" / "__main__.py").is_file():
-        raise argparse.ArgumentTypeError(f"{text}: no checkout with fordtrestle/__main__.py")
+        raise argparse.ArgumentTypeError(f"{text}: not a checkout with fordtrestle/__main__.py")
     return path
 
 
 def _times(text: str) -> int:
     if not text.isdigit() or not 1 <= int(text) <= MAX_TIMES:
-        raise argparse.ArgumentTypeError(f"{text} is not from 1 to {MAX_TIMES}")
+        raise argparse.ArgumentTypeError(f"{text} is not a number from 1 to {MAX_TIMES}")
     return int(text)
 
 
@@ -187,12 +189,14 @@
 
 
 def _run(schedule: Schedule, given: argparse.Namespace) -> int:
-    how, verdicts = _play_options(given), set()
+    options, verdicts = _play_options(given), set()
     for number in range(1, given.times + 1):
-        seen, findings, report = asyncio.run(played(schedule, how))
+        seen, findings, report = asyncio.run(play_and_judge(schedule, options))
         for finding in findings[:FINDINGS_SHOWN]:
             print(f"{finding.verdict}: {finding.checker}: {finding.text}")
-        print(line(report) if given.times == 1 else f"{number} of {given.times}: {line(report)}")
+        print(
+            summary_line(report) if given.times == 1 else f"{number} of {given.times}: {summary_line(report)}"
+        )
         for text in report.not_played:
             print(f"not played: {text.strip()}")
         if report.unsound:
@@ -208,14 +212,14 @@
 
 
 def _shrink(schedule: Schedule, given: argparse.Namespace) -> int:
-    how = _play_options(given)
+    options = _play_options(given)
 
     def fails(made: Schedule) -> bool:
-        _, findings, _ = asyncio.run(played(made, how))
+        _, findings, _ = asyncio.run(play_and_judge(made, options))
         return verdict(findings) == "broken"
 
     if not fails(schedule):
-        print(f"{given.file}: keeps its bound: nothing to shrink", file=sys.stderr)
+        print(f"{given.file}: the schedule does not fail, nothing to shrink", file=sys.stderr)
         return BROKEN
     sys.stdout.buffer.write(schedules.shrink(schedule, fails, SHRINK_TRIES).encode())
     return KEPT
@@ -225,8 +229,13 @@
 
 
 async def _play_in_process(file: Path, given: argparse.Namespace) -> Report:
-    """Play one in a process of its own, since what starts others is late itself; `ProgramError` if it
-    can't be.
+    """Play a schedule in a process of its own, since a process that starts others lags itself.
+
+    Returns:
+        The report of the play.
+
+    Raises:
+        ProgramError: It can't be played.
     """
     with tempfile.TemporaryDirectory(prefix="rig-cluster-") as folder:
         out = Path(folder) / "report.json"
@@ -240,12 +249,12 @@
         code = await program.wait(PLAY_S)
         await program.stop()
         if code is None or not out.exists():
-            raise ProgramError(f"{file}: {program.tail[-1] if program.tail else 'has no end'}")
+            raise ProgramError(f"{file}: {program.tail[-1] if program.tail else 'neither report nor output'}")
         return reports.decode(out.read_bytes())
 
 
 async def _play_all(files: Sequence[Path], given: argparse.Namespace) -> int:
-    """Play all, so many side by side, and alone what was unsound so; how many failed."""
+    """Play schedules side by side, and those that were unsound again, alone; return how many failed."""
     gate = asyncio.Semaphore(given.at_once)
     again: list[Path] = []
     failed = 0
@@ -263,7 +272,7 @@
         passed = report.verdict == report.stated and not report.unsound
         failed += not passed
         stated = "" if report.verdict == report.stated else f", where its file states {report.stated}"
-        print(f"{'ok  ' if passed else 'FAIL'} {file.stem}: {line(report)}{stated}")
+        print(f"{'ok  ' if passed else 'FAIL'} {file.stem}: {summary_line(report)}{stated}")
         for found in () if passed else report.findings[:FINDINGS_SHOWN]:
             print(f"     {found.verdict}: {found.checker}: {found.text}")
         for text in report.unsound:
@@ -304,7 +313,7 @@
 
 
 def main(words: list[str] | None = None) -> int:
-    """Do what the words ask; the exit code."""
+    """Run the command; return the exit code."""
     given = parser().parse_args(words)
     try:
         if given.word == "form":
--- a/rig/cluster/disks.py
+++ b/rig/cluster/disks.py
@@ -1,33 +1,34 @@
-"""A disk that fails: the program's store port over a real folder, with what POSIX promises and no more.
+"""A failing disk: the program's store port over a real folder, with what POSIX guarantees and no more.
 
-The folder is the platter: what a power cut would leave. What was appended and not synced, and names that
-`sync_folder` has not put there, live in the process's memory only: a SIGKILL loses them as a power cut loses
-the page cache. A sync of a new file puts its bytes down, not its name. Reads see memory over platter. With no
-fault a kill loses all that was not synced; what reaches the platter early all the same is `torn`.
+The folder stands for the platter, that is, what a power cut would leave. Bytes that were appended and not
+synced, and names that `sync_folder` has not written, exist in the process's memory only: a SIGKILL loses them
+as a power cut loses the page cache. A sync of a new file writes its bytes, not its name. Reads see memory
+first, then the platter. Without a fault a kill loses everything that was not synced; `torn` writes some of it
+early.
 
-    word         while it is on                                         what the caller is told
+    word         while it is active                                     result for the caller
     -----------  -----------------------------------------------------  ---------------------------------
-    lose         unsynced bytes are dropped: of all files as it         nothing, then EIO once by the
-                 begins, of one after one append to it in two           next sync of the file, then OK
-    torn         an append puts any prefix, or all but some sectors,    nothing
-                 on the platter, and all names; one replace or remove
-                 in two puts the names there
+    lose         unsynced bytes are dropped: of all files as it         no error, then EIO once by the
+                 begins, of a file after one append to it in two        next sync of the file, then OK
+    torn         an append writes any prefix, or all but some sectors,  no error
+                 to the platter, and all names; one replace or remove
+                 in two writes the names
     lie          a sync of a file does nothing: a kill loses the        OK
-                 bytes, an honest sync later still puts them down
-    eio_once     one call in three fails until one has; a sync that     EIO once; a later sync says OK
-                 does drops the file's bytes, or the folder's names
-    eio          each call fails, and a sync drops likewise             EIO to its end; later syncs say OK
-    full         an append fails, any part of it written                ENOSPC
+                 bytes, a later honest sync still writes them
+    eio_once     one call in three fails until one has; a failed sync   EIO once; a later sync returns OK
+                 drops the file's bytes, or the folder's names
+    eio          each call fails, and a sync drops likewise             EIO until it ends; then OK
+    full         an append fails after writing any part                 ENOSPC
     slow         each sync stalls first, 0.5 to 1.5 times `slow_ms`     OK, late
-    changed      each read has one bit flipped, or gives the version    OK
-                 that the last replace put away
+    changed      each read has one bit flipped, or returns the version  OK
+                 before the last replace
     lost_rename  a sync of the folder leaves out the first replace and  OK; reads show the new names
-                 all after it, and one time in two all names            until the kill
+                 all later changes, one time in two all changes         until the kill
 
 Dropped bytes read as the platter has them: gone, or zeros to the old length (Rebello and others, ATC 2020).
-`lose` and the two of EIO differ in when that shows: with `lose` reads miss the bytes before any call failed,
-and only a sync tells; with the others the call itself fails, and until then reads are whole.
-Names that begin with a dot are the rig's own: `.new` for an instant, `.older.NAME` for `changed`.
+`lose` differs from the two EIO faults in when the loss shows: with `lose`, reads miss the bytes before any
+call has failed, and only a sync reports it; with the others the call itself fails, and reads are complete
+until then. Names that begin with a dot are the rig's own: `.new` for an instant, `.older.NAME` for `changed`.
 """
 
 from __future__ import annotations
@@ -48,11 +49,11 @@
 from rig.cluster.links import flipped
 from rig.cluster.schedules import WRITES, Writes
 
-MAX_HELD_BYTES = 64 * 2**20  # bytes in memory: not synced, or of files with no name on the platter
-MAX_NAMES = 4096  # files, and changes of names that are not synced
-SECTOR = 512  # bytes that a disk writes whole or not at all
+MAX_HELD_BYTES = 64 * 2**20  # in memory: not synced, or of files without a name on the platter
+MAX_NAMES = 4096  # of files, and of changes of names that are not synced
+SECTOR = 512  # bytes that a disk writes atomically
 SLOW_MS = 3000.0
-EIO_ONCE_PROBABILITY = 1 / 3  # of a call to be the one that `eio_once` fails
+EIO_ONCE_PROBABILITY = 1 / 3  # that a call is the one that `eio_once` fails
 NEW = ".new"
 OLDER = ".older."
 PLAIN = re.compile(r"[A-Za-z0-9_-][A-Za-z0-9._-]*")
@@ -60,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Counters:
-    """What a store was asked for: calls, whether they failed or not, bytes taken, and faults played by word.
+    """Calls to a store, failed ones included, bytes written, and faults played, by word.
 
     `syncs` are those of files and of the folder.
     """
@@ -74,47 +75,47 @@
 
 @dataclass(slots=True, eq=False)
 class Inode:
-    """One file, whatever its name."""
+    """One file, independent of its name."""
 
-    platter_name: str = ""  # its name on the platter; empty where it has none
-    synced: int = 0  # bytes that are down
-    cache: bytearray = field(default_factory=bytearray)  # what comes after those; all where it has no name
-    failed: bool = False  # a drop that the next sync tells
+    platter_name: str = ""  # its name on the platter; empty if it has none
+    synced: int = 0  # bytes that were synced
+    cache: bytearray = field(default_factory=bytearray)  # the bytes after those; all if it has no name
+    has_unreported_loss: bool = False  # whether the next sync reports a drop
 
     @property
-    def dirty(self) -> bool:
-        """Whether a kill would lose bytes of it."""
+    def is_dirty(self) -> bool:
+        """Whether a kill would lose some of its bytes."""
         return len(self.cache) > (0 if self.platter_name else self.synced)
 
     @property
     def size(self) -> int:
-        """Bytes, as reads see it."""
+        """Its size in bytes, as reads see it."""
         return len(self.cache) + (self.synced if self.platter_name else 0)
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One change of names: a new file has no `old`, one that is taken away no `new`."""
+    """One change of names: a new file has no `old`, a removed one no `new`."""
 
     inode: Inode
     old: str
     new: str
 
     @property
-    def moves(self) -> bool:
+    def is_replace(self) -> bool:
         """Whether it is a replace."""
         return bool(self.old and self.new)
 
 
 class Platter:
-    """The real folder. A SIGKILL amid a call leaves what was there, what is wanted, or part of a `write`."""
+    """The real folder. A SIGKILL during a call leaves the old state, the new state, or part of a `write`."""
 
     def __init__(self, folder: Path) -> None:
         folder.mkdir(parents=True, exist_ok=True)
         self._folder = folder
 
     def sizes(self) -> dict[str, int]:
-        """Its files, in bytes."""
+        """Return its files and their sizes in bytes."""
         with os.scandir(self._folder) as entries:
             return {
                 entry.name: entry.stat().st_size
@@ -123,7 +124,7 @@
             }
 
     def read(self, name: str, start: int, size: int) -> bytes:
-        """Some of a file's bytes, or all from `start` on where there are fewer."""
+        """Return `size` bytes of a file from `start` on, or fewer if the file ends before."""
         with open(self._folder / name, "rb", buffering=0) as file:
             file.seek(start)
             made = bytearray()
@@ -132,7 +133,7 @@
             return bytes(made)
 
     def write(self, name: str, start: int, data: bytes | bytearray) -> None:
-        """Put bytes into a file that is there."""
+        """Write bytes into an existing file."""
         descriptor = os.open(self._folder / name, os.O_WRONLY | os.O_CLOEXEC)
         try:
             _pwrite(descriptor, data, start)
@@ -140,7 +141,7 @@
             os.close(descriptor)
 
     def make(self, name: str, data: bytes | bytearray) -> None:
-        """A new file, there with all of its bytes at once."""
+        """Create a file that appears with all of its bytes at once."""
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC
         descriptor = os.open(self._folder / NEW, flags, 0o644)
         try:
@@ -150,21 +151,21 @@
         os.replace(self._folder / NEW, self._folder / name)
 
     def rename(self, name: str, other: str) -> None:
-        """Give a file another name; what had that is kept as its older version."""
+        """Rename a file; the file that had the new name is kept as its older version."""
         if (self._folder / other).exists():
             (self._folder / (OLDER + other)).unlink(missing_ok=True)
-            # Where links can't be made there is no older version, and `changed` flips bits only.
+            # Without hard links there is no older version, and `changed` only flips bits.
             with contextlib.suppress(OSError):
                 os.link(self._folder / other, self._folder / (OLDER + other))
         os.replace(self._folder / name, self._folder / other)
 
     def remove(self, name: str) -> None:
-        """Take a file and its older version away."""
+        """Remove a file and its older version."""
         (self._folder / name).unlink(missing_ok=True)
         (self._folder / (OLDER + name)).unlink(missing_ok=True)
 
     def older(self, name: str, most: int) -> bytes | None:
-        """The version before the last replace; None where there is none of `most` bytes or fewer."""
+        """Return the version before the last replace; None if there is none of at most `most` bytes."""
         with contextlib.suppress(FileNotFoundError):
             data = self.read(OLDER + name, 0, most + 1)
             return data if len(data) <= most else None
@@ -179,11 +180,19 @@
 
 
 class FaultyStore:
-    """The store port over `folder`, see the table above. Each fault draws from a stream of its own, named
-    after `seed`, `name` and its word: the same calls get the same faults.
-
-    The store's calls come from one thread; `begin`, `end` and `counters` from any, also while one stalls.
-    `faults` are on from the first call on, `slow_ms` is the middle of a stall, `sleep` (seconds) makes it.
+    """Store port over `folder` with faults, see the table above.
+
+    Each fault draws from a random stream of its own, named after `seed`, `name` and its word: the same calls
+    get the same faults. The store is called from one thread; `begin`, `end` and `counters` may be called from
+    any thread, also during a stall.
+
+    Args:
+        folder: The folder that stands for the platter.
+        seed: The seed of the faults.
+        name: The name of the disk.
+        faults: Faults that are active from the first call on.
+        slow_ms: Mean length of a stall, in milliseconds.
+        sleep: Sleeps for a stall, in seconds.
     """
 
     def __init__(
@@ -200,10 +209,10 @@
         self._slow_ms, self._sleep = slow_ms, sleep
         self._random = {word: random.Random(f"{seed}/disk/{name}/{word}") for word in WRITES}
         self._on: Counter[Writes] = Counter()
-        self._eio_once_left = 0  # calls that `eio_once` has still to fail
+        self._eio_once_left = 0  # calls that `eio_once` still has to fail
         self._platter_names = {file: Inode(file, size) for file, size in self._platter.sizes().items()}
         self._names = dict(self._platter_names)  # as reads see them
-        self._changes: list[Change] = []  # from those that are down to those that are seen, in order
+        self._changes: list[Change] = []  # from the platter's names to those that reads see, in order
         self._appends = self._syncs = self._reads = self._written_bytes = 0
         self._faults: Counter[str] = Counter()
         for word in faults:
@@ -212,9 +221,9 @@
     # --- faults --------------------------------------------------------------------
 
     def begin(self, writes: Writes) -> None:
-        """From now on, until as many ends; `ValueError` for a word that is none."""
+        """Begin a fault; it is active until ended as often as begun. `ValueError` if it is unknown."""
         if writes not in WRITES:
-            raise ValueError(f"writes: no {writes!r}; there are {', '.join(WRITES)}")
+            raise ValueError(f"writes: unknown {writes!r}, expected one of {', '.join(WRITES)}")
         with self._lock:
             self._on[writes] += 1
             if writes == "eio_once":
@@ -224,13 +233,13 @@
                     self._lose(inode)
 
     def end(self, writes: Writes) -> None:
-        """No more; one that is not on changes nothing. What it has done to bytes and names stays done."""
+        """End a fault; an inactive one changes nothing. Its effects on bytes and names stay."""
         with self._lock:
             self._on[writes] = max(0, self._on[writes] - 1)
             self._eio_once_left = min(self._eio_once_left, self._on["eio_once"])
 
     def counters(self) -> Counters:
-        """What it did until now."""
+        """Return the counters so far."""
         with self._lock:
             return Counters(self._appends, self._syncs, self._reads, self._written_bytes, dict(self._faults))
 
@@ -253,10 +262,10 @@
             data = bytes(inode.cache)
             if inode.platter_name:
                 data = self._platter.read(inode.platter_name, 0, inode.synced) + data
-            return self._changed(name, data, most) if self._on["changed"] else data
+            return self._altered(name, data, most) if self._on["changed"] else data
 
     def append(self, name: str, data: bytes) -> None:
-        """See `FileStore`; ENOSPC as well past `MAX_HELD_BYTES` bytes in memory or `MAX_NAMES` names."""
+        """See `FileStore`; also ENOSPC beyond `MAX_HELD_BYTES` bytes in memory or `MAX_NAMES` names."""
         with self._lock:
             self._appends += 1
             _check(name)
@@ -270,7 +279,7 @@
             inode.cache += part
             self._written_bytes += len(part)
             if self._on["torn"]:
-                self._tear(inode)
+                self._write_part(inode)
             if self._on["lose"] and self._random["lose"].random() < 0.5:
                 self._lose(inode)
             if rng is not None:
@@ -285,10 +294,10 @@
             rng = self._injected_eio()
             if rng is not None:
                 self._drop(inode, rng)
-            if rng is not None or inode.failed:
-                inode.failed = False  # told once, as the kernel does
+            if rng is not None or inode.has_unreported_loss:
+                inode.has_unreported_loss = False  # reported once, as by the kernel
                 raise _error(errno.EIO, name)
-            if self._on["lie"] and inode.dirty:
+            if self._on["lie"] and inode.is_dirty:
                 self._count_fault("lie")
             elif inode.platter_name:
                 self._platter.write(inode.platter_name, inode.synced, inode.cache)
@@ -309,7 +318,7 @@
             self._write_names()
 
     def replace(self, name: str, other: str) -> None:
-        """See `FileStore`; ENOSPC past `MAX_NAMES` changes that were not synced."""
+        """See `FileStore`; also ENOSPC beyond `MAX_NAMES` changes that were not synced."""
         with self._lock:
             _check(other)
             inode = self._inode(name)
@@ -318,7 +327,7 @@
                 self._change(inode, name, other)
 
     def remove(self, name: str) -> None:
-        """See `FileStore`; ENOSPC past `MAX_NAMES` changes that were not synced."""
+        """See `FileStore`; also ENOSPC beyond `MAX_NAMES` changes that were not synced."""
         with self._lock:
             _check(name)
             self._raise_injected(name)
@@ -326,7 +335,7 @@
                 self._change(self._names[name], name, "")
 
     def close(self) -> None:
-        """Nothing: it holds no descriptors between calls."""
+        """Do nothing: no descriptor is open between calls."""
 
     # --- names ---------------------------------------------------------------------
 
@@ -343,9 +352,9 @@
         return made
 
     def _change(self, inode: Inode, old: str, new: str) -> None:
-        """A change of names as reads see them, of which the platter does not know yet."""
+        """Change names as reads see them; the platter does not have the change yet."""
         name = new or old
-        changes = self._without(self._names.get(name), name) if old else self._changes
+        changes = self._changes_without(self._names.get(name), name) if old else self._changes
         if len(changes) >= MAX_NAMES:
             raise _error(errno.ENOSPC, name)
         self._changes = [*changes, Change(inode, old, new)]
@@ -357,22 +366,22 @@
             self._count_fault("torn")
             self._write_names()
 
-    def _without(self, gone: Inode | None, name: str) -> list[Change]:
-        """The changes once the file that has a name loses it, and with it its last one.
+    def _changes_without(self, gone: Inode | None, name: str) -> list[Change]:
+        """Return the changes without those of a file that loses its last name.
 
-        A file that the platter never knew is forgotten whole, unless it took another's name before.
+        Changes of a file that was never on the platter are dropped, unless one replaced another file before.
         """
-        moved = {change.new for change in self._changes if change.inode is gone and change.moves}
+        moved = {change.new for change in self._changes if change.inode is gone and change.is_replace}
         if gone is None or gone.platter_name or not moved <= {name}:
             return self._changes
         return [change for change in self._changes if change.inode is not gone]
 
     def _write_names(self) -> None:
-        """Bring the platter's names up to date, one change after the other."""
+        """Write the pending changes of names to the platter, one after the other."""
         last = len(self._changes)
         if self._on["lost_rename"] and last:
             rng = self._count_fault("lost_rename")
-            moves = [number for number, change in enumerate(self._changes) if change.moves]
+            moves = [number for number, change in enumerate(self._changes) if change.is_replace]
             last = 0 if rng.random() < 0.5 else min(moves, default=last)
         for change in self._changes[:last]:
             self._write_name(change)
@@ -400,12 +409,12 @@
         return sum(len(inode.cache) for inode in inodes.values())
 
     def _lose(self, inode: Inode) -> None:
-        if inode.dirty:
+        if inode.is_dirty:
             self._drop(inode, self._count_fault("lose"))
-            inode.failed = True
+            inode.has_unreported_loss = True
 
     def _drop(self, inode: Inode, rng: random.Random) -> None:
-        """Forget what was not synced, and at times leave zeros for it."""
+        """Drop what was not synced, and at times leave zeros in its place."""
         size = len(inode.cache)
         if inode.platter_name:
             inode.cache[:] = self._platter.read(inode.platter_name, inode.synced, size)
@@ -414,8 +423,8 @@
         if rng.random() < 0.5:
             inode.cache += bytes(size - len(inode.cache))
 
-    def _tear(self, inode: Inode) -> None:
-        """Put part of what was not synced on the platter now, since a kill gives no time to."""
+    def _write_part(self, inode: Inode) -> None:
+        """Write part of what was not synced to the platter now, since a kill leaves no time to do it."""
         self._write_names()
         if not inode.platter_name or not inode.cache:
             return
@@ -427,11 +436,11 @@
             first, last = inode.synced // SECTOR, (inode.size - 1) // SECTOR
             begin = rng.randint(first, last)
             end = rng.randint(begin, last) + 1
-            hole = slice(max(0, begin * SECTOR - inode.synced), end * SECTOR - inode.synced)
-            torn[hole] = bytes(len(torn[hole]))
+            missing_sectors = slice(max(0, begin * SECTOR - inode.synced), end * SECTOR - inode.synced)
+            torn[missing_sectors] = bytes(len(torn[missing_sectors]))
         self._platter.write(inode.platter_name, inode.synced, torn)
 
-    def _changed(self, name: str, data: bytes, most: int) -> bytes:
+    def _altered(self, name: str, data: bytes, most: int) -> bytes:
         rng = self._random["changed"]
         older = self._platter.older(name, most)
         if older is not None and older != data and rng.random() < 0.5:
@@ -442,14 +451,14 @@
         self._count_fault("changed")
         return flipped(data, rng)
 
-    # --- refusals ------------------------------------------------------------------
+    # --- injected errors -----------------------------------------------------------
 
     def _count_fault(self, word: Writes) -> random.Random:
         self._faults[word] += 1
         return self._random[word]
 
     def _injected_eio(self) -> random.Random | None:
-        """The stream of the fault that fails this call with EIO; None where none does."""
+        """Return the random stream of the fault that fails this call with EIO; None if no fault does."""
         if self._on["eio"]:
             return self._count_fault("eio")
         if self._eio_once_left and self._random["eio_once"].random() < EIO_ONCE_PROBABILITY:
@@ -472,7 +481,7 @@
 
 def _check(name: str) -> None:
     if len(name) > MAX_NAME_CHARS or not PLAIN.fullmatch(name):
-        raise ValueError(f"{name!r} is no plain name of {MAX_NAME_CHARS} characters at most")
+        raise ValueError(f"{name!r} is not a plain name of at most {MAX_NAME_CHARS} characters")
 
 
 def _error(number: int, name: str) -> OSError:
--- a/rig/cluster/site.py
+++ b/rig/cluster/site.py
@@ -123,7 +123,7 @@
     parts = [
         f'[process]\nname = "{start.name}"\nseed = {start.seed}',
         f"[limits]\ndescriptors = {DESCRIPTORS}\nmemory_mb = {MEMORY_MB}",
-        f'[front.web]\nprotocol = "http"\nlisten = "{_host_port(start.listen)}"\nservice = "{SERVICE}"',
+        f'[front.web]\nprotocol = "http"\nlisten = "{_address(start.listen)}"\nservice = "{SERVICE}"',
         _service(start),
         *(_class(kind, start) for kind in CLASSES),
         *_source(start),
@@ -131,9 +131,9 @@
         f'[events]\nfile = "{start.events}"\nmb_most = {EVENTS_MB}',
     ]
     if start.peers is not None:
-        at = ", ".join(f'"{_host_port(address)}"' for address in start.peers.at)
+        at = ", ".join(f'"{_address(address)}"' for address in start.peers.at)
         parts.append(
-            f'[peers]\nlisten = "{_host_port(start.peers.listen)}"\nme = {start.peers.me}\nat = [{at}]'
+            f'[peers]\nlisten = "{_address(start.peers.listen)}"\nme = {start.peers.me}\nat = [{at}]'
         )
     return "\n\n".join(parts) + "\n"
 
@@ -164,7 +164,7 @@
 
 def _source(start: StartOptions) -> list[str]:
     if start.registry is not None:
-        return [f'[source.fleet]\nkind = "registry"\naddress = "{_host_port(start.registry)}"']
+        return [f'[source.fleet]\nkind = "registry"\naddress = "{_address(start.registry)}"']
     return [
         '[source.fleet]\nkind = "static"',
         *(
@@ -175,5 +175,5 @@
     ]
 
 
-def _host_port(address: Address) -> str:
+def _address(address: Address) -> str:
     return f"{address[0]}:{address[1]}"
--- a/tests/rig/cluster/test_breaches.py
+++ b/tests/rig/cluster/test_breaches.py
@@ -10,7 +10,7 @@
 from benchmarks import cluster_breaches
 from benchmarks.cluster_breaches import Row, Seen
 from rig.cluster import breaching, schedules
-from rig.cluster.__main__ import PlayOptions, played
+from rig.cluster.__main__ import PlayOptions, play_and_judge
 from rig.cluster.checkers import Finding
 from rig.cluster.history import Acted
 from rig.cluster.judging import Played
@@ -54,7 +54,7 @@
 
     async def play(name, planted):
         how = PlayOptions(breach=name if planted else "")
-        seen, findings, _ = await played(cluster_breaches.schedule_of(name), how)
+        seen, findings, _ = await play_and_judge(cluster_breaches.schedule_of(name), how)
         UNSOUND.extend(seen.unsound)
         return {finding.checker for finding in findings if finding.verdict == "broken"}
 
--- a/tests/rig/cluster/test_command.py
+++ b/tests/rig/cluster/test_command.py
@@ -17,7 +17,7 @@
 from tests.rig.cluster.logs import Log
 from tests.rig.waiting import UNSOUND, believed
 
-SCHEDULES = sorted(file.stem for file in command.REGRESSIONS.glob("*.jsonl"))
+SCHEDULES = sorted(file.stem for file in command.REGRESSIONS_FOLDER.glob("*.jsonl"))
 HEAD = Head(FORMAT, 3, 3, 4500)
 CUT = Schedule(HEAD, (Link(300, 3800, "cut", ("registry",), ("n0",)), News(800, 1, "s1")))
 
@@ -91,7 +91,7 @@
 def test_each_kind_of_fault_comes_to_what_its_file_states(name):
     """A schedule on 3 to 5 processes; a test each, which workers share out between them."""
     given = command.parser().parse_args(["ci"])
-    report = asyncio.run(command._play_in_process(command.REGRESSIONS / f"{name}.jsonl", given))
+    report = asyncio.run(command._play_in_process(command.REGRESSIONS_FOLDER / f"{name}.jsonl", given))
     UNSOUND.extend(report.unsound)
     assert report.verdict == report.stated, report.findings
 
@@ -234,7 +234,7 @@
     words = ["ci", str(tmp_path), "--tree", str(command.ROOT)]
     monkeypatch.setattr(command, "PLAY_S", 0.0)
     assert command.main(words) == 2
-    assert "has no end" in capsys.readouterr().err
+    assert "neither report nor output" in capsys.readouterr().err
 
 
 def test_the_form_of_reports_is_a_schema_that_names_each_field(capfdbinary):
