--- a/rig/cluster/__main__.py
+++ b/rig/cluster/__main__.py
@@ -118,7 +118,7 @@
     for word, text in (("run", "play one"), ("shrink", "find a smaller one that fails")):
         one = words.add_parser(word, help=text)
         one.add_argument("file")
-        one.add_argument("--bound-ms", type=float, help="longest contradiction allowed")
+        one.add_argument("--bound-ms", type=float, help="longest contradiction, overrides the file's")
         _program(one)
     run = words.choices["run"]
     run.add_argument(
--- a/tests/rig/cluster/logs.py
+++ b/tests/rig/cluster/logs.py
@@ -1,4 +1,4 @@
-"""Histories for tests, numbered as a node numbers its own."""
+"""Histories for tests, with events numbered as nodes number them."""
 
 from __future__ import annotations
 
--- a/tests/rig/cluster/test_breaches.py
+++ b/tests/rig/cluster/test_breaches.py
@@ -1,4 +1,4 @@
-"""Planted breaches: each fits the program of today, and its checker finds it on a short schedule."""
+"""Planted breaches: each fits the current program, and its checker finds it on a short schedule."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("name", NAMES)
 def test_a_breach_is_small_and_in_the_program_and_its_schedule_is_short(name):
-    """Guards against one that changes the rig, that no longer fits, or that says nothing of its own."""
+    """Guards against a breach that changes the rig, no longer fits, or has no reason of its own."""
     breach = breaching.read(name)
     assert breaching.breached(breach)
     assert all(edit.file.startswith("fordtrestle/") for edit in breach.edits)
@@ -42,7 +42,7 @@
 
 
 def test_there_are_breaches_for_each_checker_and_a_schedule_for_each():
-    """Guards against a checker that is shown to find nothing, and files that nobody plays."""
+    """Guards against a checker that no breach proves, and against files that are never played."""
     assert len(NAMES) >= 18
     assert {breaching.read(name).checker for name in NAMES} == CHECKERS
     assert {path.stem for path in breaching.FOLDER.glob("*.jsonl")} == set(NAMES)
@@ -50,24 +50,22 @@
 
 @believed
 def test_breaches_are_found_on_processes_and_the_program_as_it_is_keeps_its_promises():
-    """Two of the quickest, side by side: one by what a disk kept, one by how a process ends."""
+    """Plays two of the quickest breaches side by side: one of the disk, one of how a process exits."""
 
     async def play(name, planted):
-        how = PlayOptions(breach=name if planted else "")
-        seen, findings, _ = await play_and_judge(cluster_breaches.schedule_of(name), how)
+        options = PlayOptions(breach=name if planted else "")
+        seen, findings, _ = await play_and_judge(cluster_breaches.schedule_of(name), options)
         UNSOUND.extend(seen.unsound)
         return {finding.checker for finding in findings if finding.verdict == "broken"}
 
     async def plays():
-        wanted = [
-            (name, planted) for name in ("file-not-synced", "sigterm-kills") for planted in (True, False)
-        ]
-        return await asyncio.gather(*(play(*one) for one in wanted))
+        runs = [(name, planted) for name in ("file-not-synced", "sigterm-kills") for planted in (True, False)]
+        return await asyncio.gather(*(play(*one) for one in runs))
 
     assert asyncio.run(plays()) == [{"durable"}, set(), {"process"}, set()]
 
 
-# --- how they are judged -----------------------------------------------------------------
+# --- judging -----------------------------------------------------------------------------
 
 HIT = Seen("broken", {"rules": 2, "drains": 1}, 400.0, (), ("broken: rules: x",))
 MISS = Seen("broken", {"drains": 1}, None, (), ())
@@ -112,7 +110,7 @@
 
 
 def test_a_play_on_a_busy_machine_is_made_again():
-    """Guards against a verdict on a rig that was late itself: as often as is allowed, and no more."""
+    """Guards against a verdict by a rig that lagged itself: it plays again, up to the bound."""
     busy = Seen("kept", {}, None, ("late",), ())
     told = iter(())
 
--- a/tests/rig/cluster/test_breaching.py
+++ b/tests/rig/cluster/test_breaching.py
@@ -1,4 +1,4 @@
-"""Planted breaches: the module that is loaded is changed, its file is not; what does not fit is refused."""
+"""Planted breaches change a module as it is loaded and not its file; an edit that does not fit is refused."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 def tree(tmp_path):
-    """A tree with one module, and nothing compiled."""
+    """A tree with one module and no compiled files."""
     path = tmp_path / FILE
     path.parent.mkdir(parents=True)
     (path.parent / "__init__.py").write_text("AT = 1\n")
@@ -32,12 +32,12 @@
 
 
 def files(tree):
-    """All files of a tree, with their bytes."""
+    """Return all files of a tree with their bytes."""
     return {str(path.relative_to(tree)): path.read_bytes() for path in tree.rglob("*") if path.is_file()}
 
 
 def python(tree, code):
-    """What a process that runs in a tree prints."""
+    """Return the output of a process that runs code in a tree."""
     return subprocess.run(
         [sys.executable, "-c", code],
         cwd=tree,
@@ -61,9 +61,9 @@
 
 
 def test_a_breach_changes_what_is_loaded_and_nothing_on_disk(tree):
-    """Guards against a compiled file that is read in its place, or left for the next run."""
+    """Guards against a compiled file that is read instead of the changed code, or left for the next run."""
     path = str(tree / FILE)
-    assert python(tree, ASK) == f"1 False {path}"  # leaves its compiled files there
+    assert python(tree, ASK) == f"1 False {path}"  # leaves its compiled files in the tree
     before = files(tree)
     assert any(name.endswith(".pyc") for name in before)
     assert python(tree, PLANT + ASK).split()[:2] == ["2", "True"]
@@ -99,7 +99,7 @@
 
 
 def test_a_module_that_is_loaded_already_can_not_be_changed(tree):
-    """Guards against a breach that is planted too late, and would seem to go unnoticed."""
+    """Guards against a breach that is planted too late and then seems to go unnoticed by its checker."""
     made = breach(("rig/cluster/breaching.py", "MAX_BYTES = 64", "MAX_BYTES = 65"))
     with pytest.raises(BreachError, match=r"rig\.cluster\.breaching: loaded already"):
         breaching.install(made)
--- a/tests/rig/cluster/test_checkers.py
+++ b/tests/rig/cluster/test_checkers.py
@@ -1,4 +1,4 @@
-"""Checkers of histories: what each must find, what each must not call well, and what none may be led by."""
+"""Checkers of histories: which breaches each must find, what stays unknown, and what changes no answer."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 def test_the_newer_of_two_nodes_that_act_on_both_is_another_ones():
-    # The first on the newer is a itself: b's first counts, not its own.
+    # The first act on the newer version is a's own: for a's old act, b's first one counts.
     log = Log().start("a", 0.0).start("b", 0.0)
     log.act("a", 100.0, 2).act("b", 300.0, 2).act("a", 500.0, 1)
     (span,) = contradictions(log.events)
@@ -96,7 +96,7 @@
     (found,) = check_contradiction(log.events, 2000.0)
     assert found.verdict == "unknown"
     assert "a unseen by version 1 at 5000" in found.text
-    # Killed before the bound was over it can't have broken it.
+    # A node killed before the bound was over can't have broken it.
     short = Log().start("a", 0.0).start("b", 0.0).act("a", 10.0, 1).act("b", 100.0, 2)
     short.end("a", 1500.0, clean=False).end("b", 9000.0)
     assert check_contradiction(short.events, 2000.0) == []
@@ -107,7 +107,7 @@
     log.act("a", 120.0, 1).lose("a", 3).end("a", 8000.0).end("b", 9000.0)
     assert gaps(log.events) == {"a": 3}
     assert verdict(check_contradiction(log.events, 2000.0)) == "unknown"
-    # A gap hides no more than what was done in it.
+    # A gap hides only acts within it.
     log = Log().start("a", 0.0).start("b", 0.0).act("a", 10.0, 1).lose("a", 3).act("b", 100.0, 2)
     log.act("a", 120.0, 1).end("a", 8000.0).end("b", 9000.0)
     assert verdict(check_contradiction(log.events, 2000.0)) == "kept"
@@ -121,11 +121,11 @@
 
 
 def test_a_gap_hides_acts_by_what_was_left_and_by_what_was_learned_in_it():
-    # a is on the newer again after the gap; in it, it may have been on the older for as long.
+    # a acts on the newer version after the gap; within the gap it may have acted on the older one.
     log = Log().start("a", 0.0).start("b", 0.0).act("a", 10.0, 1).act("b", 100.0, 2).lose("a", 2)
     log.act("a", 5000.0, 2).end("a", 8000.0).end("b", 9000.0)
     assert verdict(check_contradiction(log.events, 2000.0)) == "unknown"
-    # a learned the newer somewhere in the gap, and may have been the first to act on it.
+    # a learned the newer version somewhere in the gap, and may have been the first to act on it.
     log = Log().start("a", 0.0).start("b", 0.0).act("a", 10.0, 1).lose("a", 2).act("a", 5000.0, 2)
     log.act("b", 4900.0, 1).end("a", 8000.0).end("b", 9000.0)
     assert verdict(check_contradiction(log.events, 2000.0)) == "unknown"
@@ -147,7 +147,7 @@
     assert first.until_ms == 2.0
     assert not second.is_whole
     assert second.until_ms == math.inf
-    # One whose end is missing lasts until the next begins, at the most.
+    # A life without an end lasts until the next one begins, at most.
     first, _ = lives(Log().start("a", 0.0).act("a", 1.0, 1).start("a", 5.0, 1).events)
     assert not first.is_whole
     assert first.until_ms == 5.0
@@ -198,10 +198,10 @@
         ([write("x", 0, 1), reading("x", 2, 3)], "kept"),
         ([write("x", 0, 1), reading("", 2, 3)], "broken"),  # confirmed and lost
         ([write("x", 0, 5), reading("", 2, 3)], "kept"),  # not confirmed yet
-        ([write("x", 0, 1, ok=False), reading("x", 2, 3)], "broken"),  # refused and there
-        ([write("x", 0), reading("x", 2, 3), reading("", 4, 5)], "broken"),  # seen, then gone
-        ([write("x", 0), reading("", 2, 3), reading("x", 4, 5)], "kept"),  # open: late
-        ([write("x", 0), reading("", 2, 3)], "kept"),  # open: never
+        ([write("x", 0, 1, ok=False), reading("x", 2, 3)], "broken"),  # refused, but read
+        ([write("x", 0), reading("x", 2, 3), reading("", 4, 5)], "broken"),  # read, then gone
+        ([write("x", 0), reading("", 2, 3), reading("x", 4, 5)], "kept"),  # open: takes effect late
+        ([write("x", 0), reading("", 2, 3)], "kept"),  # open: never takes effect
         ([write("x", 0, 9), write("y", 0, 9), reading("x", 10, 11), reading("y", 12, 13)], "broken"),
         ([write("x", 0, 9), write("y", 0, 9), reading("x", 1, 4), reading("y", 5, 8)], "kept"),
     ],
@@ -235,10 +235,12 @@
 @given(operations())
 @settings(max_examples=300, deadline=None)
 def test_the_search_says_what_all_orders_tried_one_by_one_say(made):
-    must = [op for op in made if op.end_ms < math.inf and (op.kind == "read" or op.ok)]
-    may = [op for op in made if op.end_ms == math.inf and op.kind == "write"]
-    chosen = itertools.chain.from_iterable(itertools.combinations(may, n) for n in range(len(may) + 1))
-    valid = any(explained(order) for some in chosen for order in itertools.permutations([*must, *some]))
+    completed = [op for op in made if op.end_ms < math.inf and (op.kind == "read" or op.ok)]
+    pending = [op for op in made if op.end_ms == math.inf and op.kind == "write"]
+    chosen = itertools.chain.from_iterable(
+        itertools.combinations(pending, n) for n in range(len(pending) + 1)
+    )
+    valid = any(explained(order) for some in chosen for order in itertools.permutations([*completed, *some]))
     assert verdict(check_register(made)) == ("kept" if valid else "broken")
 
 
@@ -264,7 +266,7 @@
     assert verdict([]) == "kept"
 
 
-# --- what must not change an answer ------------------------------------------------------------
+# --- changes that must not affect an answer ----------------------------------------------------
 
 acts = st.lists(
     st.tuples(st.sampled_from("abc"), st.integers(0, 9), st.integers(1, 3), st.integers(0, 5)),
@@ -274,7 +276,7 @@
 
 
 def nodes_of(rows, killed):
-    """The histories of a, b and c: some of their acts, some lost before one, and ends or kills."""
+    """Return the histories of a, b and c: acts, lost events before some of them, and ends or kills."""
     log = Log().start("a", 0.0).start("b", 0.0).start("c", 0.0)
     for node, at, version, lost in sorted(rows, key=lambda row: row[1]):
         log.lose(node, lost == 5).act(node, float(at), version)
@@ -298,7 +300,7 @@
 @given(acts, st.integers(0, 9), st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 9)), max_size=5))
 @settings(max_examples=200, deadline=None)
 def test_what_keeps_a_rule_breaks_none(rows, bound, more):
-    """Acts on the newest version by any node after all others, and acts on another rule that all agree on."""
+    """Adds acts on the newest version after all others, and acts on another rule on which all nodes agree."""
     before = merged(nodes_of(rows, ()).values())
     after = [act for act in before if isinstance(act, Acted)]
     after += [Acted(node, 99, 10.0, "list:s1", 3) for node, _ in more]
@@ -359,8 +361,8 @@
 
 @pytest.mark.parametrize("name", ["checkers", "lives", "entries", "promises", "costs"])
 def test_checkers_reach_nothing_of_the_world(name):
-    met = names(ROOT / "rig" / "cluster" / f"{name}.py")
-    assert not {one.split(".")[0] for one in met} & FORBIDDEN
+    imported = names(ROOT / "rig" / "cluster" / f"{name}.py")
+    assert not {one.split(".")[0] for one in imported} & FORBIDDEN
     allowed = {"rig.ledger", *(f"rig.cluster.{one}" for one in ("checkers", "lives", "history"))}
-    ours = {one for one in met if one.startswith("rig.")}
+    ours = {one for one in imported if one.startswith("rig.")}
     assert all(any(one.startswith(may) for may in allowed) for one in ours)
--- a/tests/rig/cluster/test_clocks.py
+++ b/tests/rig/cluster/test_clocks.py
@@ -1,4 +1,4 @@
-"""Clocks that go wrong: they drift as told, never go back in the loop, and timers fire when they are due."""
+"""Faulty clocks: they drift as set, the loop's clock never goes back, and timers fire when they are due."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Hands:
-    """Clocks that a test moves on."""
+    """Clocks that a test moves forward."""
 
     def __init__(self):
         self.monotonic, self.unix = 1000.0, 1.7e9
--- a/tests/rig/cluster/test_cluster.py
+++ b/tests/rig/cluster/test_cluster.py
@@ -1,4 +1,4 @@
-"""The cluster itself: what it stands on, what it makes of what was seen, and that nothing outlives it."""
+"""The cluster: its links and disks, what it makes of the records of a play, and that no process is left."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 def play(made, **more):
-    """What a cluster showed of a schedule."""
+    """Return what a cluster showed of a schedule."""
 
     async def run():
         cluster = Cluster(made, **more)
@@ -96,7 +96,7 @@
     assert served["n0"] < 0.7 * min(served["n1"], served["n2"])
     assert played.counts["n0", "servers"].passed
     assert played.counts["n1", "servers"].passed
-    assert judge(played, 60_000.0) == []  # one version has one content, though each has addresses of its own
+    assert judge(played, 60_000.0) == []  # equal content, though each node has addresses of its own
 
 
 @believed
@@ -104,7 +104,7 @@
     steps = [Reload(500, 1, "n0"), Reload(1500, 1, "n1")]
     static = play(schedule(*steps), static=True)
     spans = [span for span in static.longest() if span.rule == f"{LIST}/s0"]
-    assert len(spans) == 1  # no unpacking: only what an assertion finds is weighed against an unsound play
+    assert len(spans) == 1  # not unpacked: an unsound play excuses assertions only
     span = spans[0]
     assert 300.0 < span.ms < 2500.0
     assert all(use.lives == 1 for use in static.used.values())
@@ -129,7 +129,7 @@
 
 
 def test_the_rig_killed_itself_leaves_no_process():
-    """Guards against orphans: the rig's own process dies by SIGKILL amid a run."""
+    """Guards against orphans when the rig's own process is killed by SIGKILL during a run."""
     code = (
         "import asyncio\n"
         "from rig.cluster.cluster import Cluster\n"
@@ -146,7 +146,7 @@
         pids = [int(pid) for pid in rig.stdout.readline().split()]
         assert len(pids) == 2
         pids += [pid for pid in children(rig.pid) if pid not in pids]
-        assert len(pids) >= 5  # two data centres and a relay, too
+        assert len(pids) >= 5  # also two data centres and a relay
     finally:
         rig.kill()
         rig.wait()
@@ -158,7 +158,7 @@
 
 
 def children(pid):
-    """The processes that a process has started."""
+    """Return the processes that a process has started."""
     made = []
     for path in Path("/proc").glob("[0-9]*/stat"):
         try:
@@ -170,14 +170,14 @@
 
 
 def runs(pid):
-    """Whether a process is there and is no zombie."""
+    """Return whether a process exists and is not a zombie."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
         return False
 
 
-# --- what it stands on -----------------------------------------------------------------------
+# --- links, registry and disks ---------------------------------------------------------------
 
 
 def test_up_to_twenty_nodes_all_speak_and_more_speak_to_eight_each():
@@ -203,13 +203,13 @@
     registry.rewind()
     assert await reader.read() == b""
     assert registry.snapshot() == before
-    registry.rewind()  # no further than its first list
+    registry.rewind()  # has no effect on the first list
     assert registry.snapshot() == before
     reader, writer = await asyncio.open_connection(host, int(port))
     writer.write(b"GET /registry/instances?watch=1&from=42 HTTP/1.1\r\n\r\n")
     await reader.readuntil(b"\r\n\r\n")
     await reader.readline()
-    assert json.loads(await reader.readline()) == before  # the whole of an older list
+    assert json.loads(await reader.readline()) == before  # the complete older list
     writer.transport.abort()
     await registry.stop()
 
@@ -219,8 +219,8 @@
     (node.disk / "log").write_text("old")
     node.copy_disk()
     (node.disk / "log").write_text("new")
-    for how, holds in (("kept", ["new"]), ("older", ["old"]), ("emptied", [])):
-        node.replace_disk(how)
+    for state, holds in (("kept", ["new"]), ("older", ["old"]), ("emptied", [])):
+        node.replace_disk(state)
         assert [file.read_text() for file in node.disk.iterdir()] == holds
     node.program = Stub()
     with pytest.raises(ProgramError, match="n0 runs"):
@@ -231,7 +231,7 @@
 
 
 class Stub:
-    """A process that only notes its signals."""
+    """Process that only records its signals."""
 
     code = None
     pid = os.getpid()
@@ -254,7 +254,7 @@
     asyncio.run(node.stop())
 
 
-# --- what it makes of what was seen ----------------------------------------------------------
+# --- judging of recorded plays ---------------------------------------------------------------
 
 
 def test_a_node_counts_as_told_when_it_learned_so_and_again_after_an_older_disk():
@@ -283,7 +283,7 @@
     one, other, acted, stored, left, changed = made
     assert one.digest == other.digest == acted.digest == stored.digest
     assert one.entries == other.entries
-    assert left.digest != changed.digest  # an entry that is another one than before
+    assert left.digest != changed.digest  # n1's entry has changed, n0's has not
 
 
 def call_ledger(**changes):
@@ -315,18 +315,22 @@
         (Link(1000, 1500, "cut", ("registry",), ("n0",)), ANSWERED, False),  # another link
         (Link(9000, 1500, "cut", ("clients",), ("n0",)), ANSWERED, False),  # later
         (Link(100, 1500, "cut", ("clients",), ("n0",)), ANSWERED, False),  # before
-        (Link(100, 1500, "half_open", ("clients",), ("n0",), 1.0), ANSWERED, True),  # what it left behind
-        (Link(1000, 1500, "reorder", ("clients",), ("n0",), 1.0), ANSWERED, False),  # nothing on TCP
-        (LATE, ANSWERED, False),  # its own affair
+        (
+            Link(100, 1500, "half_open", ("clients",), ("n0",), 1.0),
+            ANSWERED,
+            True,
+        ),  # its effect outlasts the fault
+        (Link(1000, 1500, "reorder", ("clients",), ("n0",), 1.0), ANSWERED, False),  # no effect on TCP
+        (LATE, ANSWERED, False),  # the program must cope
         (LATE, EFFECTS, False),
         (LATE, DRAINS, True),
         (Link(1000, 1500, "reset", ("n0",), ("servers",), 0.5), DRAINS, False),
         (Link(1000, 1500, "flip", ("n0",), ("servers",), 0.5), EFFECTS, True),
         (Stop(1000, 2500, "n0"), ANSWERED, True),
         (Stop(1000, 2500, "n0"), DRAINS, False),
-        (Stop(1000, 1500, "n0"), ANSWERED, False),  # it was awake as it was due
+        (Stop(1000, 1500, "n0"), ANSWERED, False),  # it was running when the answer was due
         (Stop(1000, 2500, "n1"), ANSWERED, False),
-        (Kill(2500, 500, "n0"), ANSWERED, False),  # the ledger's own affair
+        (Kill(2500, 500, "n0"), ANSWERED, False),  # the ledger excuses crashes itself
     ],
 )
 def test_a_breach_is_excused_by_what_its_call_met_only(step, rule, excused):
@@ -342,15 +346,15 @@
 def test_a_call_that_an_absent_node_never_took_is_excused_and_one_it_took_is_not():
     downs = [Down("n0", 9.5, 10.5, False)]
     assert Excuses(of(call_ledger(), downs=downs)).excuse(Breach(ANSWERED, "", "c1", ()))
-    took = Log().start("n0", 0.0).act("n0", 10_000.0, 1, LIST).events
-    took[1] = type(took[1])("n0", 2, 10_000.0, LIST, 1, call="c1")
+    accepted = Log().start("n0", 0.0).act("n0", 10_000.0, 1, LIST).events
+    accepted[1] = type(accepted[1])("n0", 2, 10_000.0, LIST, 1, call="c1")
     played = of(call_ledger(), downs=downs)
-    played.events = took
+    played.events = accepted
     assert not Excuses(played).excuse(Breach(ANSWERED, "", "c1", ()))
 
 
 def test_the_servers_books_tell_what_a_killed_node_sent_past_the_grace():
-    """Its history ends before; only the ledger can know."""
+    """Its own history ends before the send, so that only the ledger can show it."""
     log = Log().start("n0", 0.0).learn("n0", 9000.0, 1, LIST, s1="active/a")
     log.learn("n0", 9100.0, 2, LIST, s1="leaving/a").kill("n0", 10_500.0)
     run = Execution("c1", "", "s1", "east", "unsafe", 10.0, 10.0, began_s=10.0, end="served", ended_s=10.1)
@@ -401,7 +405,7 @@
 
 
 def test_a_disk_that_lied_excuses_the_one_write_that_it_may_have_been_amid_and_no_later_one():
-    """Guards against a verdict that hangs on how late a busy machine confirms."""
+    """Guards against a verdict that depends on how late a busy machine confirms a write."""
     log = Log().start("n0", 0.0)
     for version, at_ms in enumerate((900.0, 2100.0, 2200.0), 1):
         log.store("n0", at_ms, version)
@@ -422,7 +426,7 @@
     assert played.orders() == {"settings:shop": ["one", "two", "three"]}
 
 
-# --- shown live ------------------------------------------------------------------------------
+# --- live display ----------------------------------------------------------------------------
 
 
 def test_what_is_shown_is_what_the_nodes_told_last(tmp_path):
@@ -434,7 +438,7 @@
         b'{"event":"acted","node":"n0","number":3,"at_ms":3.0,"rule":"list:shop","version":7}',
     ]
     path, view = tmp_path / "events.jsonl", NodeView()
-    path.write_bytes(b"\n".join(lines))  # the last one is not whole yet
+    path.write_bytes(b"\n".join(lines))  # the last line is incomplete
     for event in tail(path, view):
         view.apply(event)
     assert view.line("n0", view.state).split() == [
@@ -502,7 +506,7 @@
 
 
 def test_a_node_that_was_told_to_end_and_then_killed_is_gone_from_the_kill_on():
-    """Guards against calls that it took meanwhile being held for taken by a dead process."""
+    """Guards against calls accepted during a shutdown that count as accepted by a dead process."""
     down = Down("n0", 1.0, 3.0, killed=True)
     killed = [("n0", 0.5), ("n1", 1.2), ("n0", 1.6), ("n0", 9.0)]
     assert _killed_s(down, killed) == 1.6
--- a/tests/rig/cluster/test_command.py
+++ b/tests/rig/cluster/test_command.py
@@ -1,4 +1,4 @@
-"""`python -m rig.cluster`: schedules drawn, shown, played on processes, judged and shrunk."""
+"""`python -m rig.cluster`: draws, shows, plays on processes, verdicts and shrinking."""
 
 from __future__ import annotations
 
@@ -82,14 +82,14 @@
     assert told.answers["served"] > 100
     said = capsys.readouterr()
     assert "broken: contradiction: list:shop/s1" in said.out
-    assert "cut from registry to n0" in said.err  # shown live
+    assert "cut from registry to n0" in said.err  # the live display
     assert picture.read_text().count("<path") > 10
 
 
 @pytest.mark.parametrize("name", SCHEDULES)
 @believed
 def test_each_kind_of_fault_comes_to_what_its_file_states(name):
-    """A schedule on 3 to 5 processes; a test each, which workers share out between them."""
+    """Plays a schedule on 3 to 5 processes; one test each, so that pytest workers share them."""
     given = command.parser().parse_args(["ci"])
     report = asyncio.run(command._play_in_process(command.REGRESSIONS_FOLDER / f"{name}.jsonl", given))
     UNSOUND.extend(report.unsound)
@@ -115,7 +115,7 @@
 
 
 def seen(*acts, schedule=CUT, **more):
-    """A play in which so many acts on s1's entry were seen: node, time, and whether by the newer list."""
+    """Return a play with acts on s1's entry: the node, the time, and whether by the newer list."""
     log = Log()
     for node in ("n0", "n1"):
         log.start(node, 0.0)
--- a/tests/rig/cluster/test_disks.py
+++ b/tests/rig/cluster/test_disks.py
@@ -1,4 +1,4 @@
-"""What a faulty disk leaves behind: probes killed at stated points, and a model of strict POSIX."""
+"""What a faulty disk leaves behind: probes killed at given points, and a model of strict POSIX."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 class Probe:
-    """A process with a store, told one call a line; `kill` ends it where it stands, by SIGKILL."""
+    """Process with a store, called by one line per call; `kill` ends it at once by SIGKILL."""
 
     def __init__(self, folder, seed=1):
         self.folder = folder
@@ -97,7 +97,7 @@
         assert [self.ask(*call) for call in calls] == [None] * len(calls)
 
     def kill(self):
-        """What the folder holds then, and the lines that it had said unheard."""
+        """Kill the process; return what the folder holds and the lines that were not read."""
         self._process.kill()
         unheard = self._process.stdout.read().split(b"\n")[:-1]
         self._process.wait(WAIT_S)
@@ -115,7 +115,7 @@
 
 @contextmanager
 def probe(folder, word="", seed=1):
-    """One whose file `a` is safely "old", with a fault on."""
+    """Run a probe whose file `a` is durably "old", with a fault active."""
     with Probe(folder, seed) as made:
         made.play(OLD)
         if word:
@@ -123,7 +123,7 @@
         yield made
 
 
-# --- each instant and each word, by SIGKILL ------------------------------------------------------
+# --- each instant and each fault, by SIGKILL -----------------------------------------------------
 
 LAST = {
     "between write and sync": ([("append", "a", "+")], {"a": b"old"}),
@@ -271,7 +271,7 @@
 
 
 def losses(folder, leave_out=""):
-    """Kill a writer after each of its calls: where neither version, or not the confirmed one, is left."""
+    """Kill a writer after each of its calls; return the calls after which no valid version is left."""
     calls = [call for call in snapshot("new") if call[0] != leave_out]
     found = []
     for count in range(len(calls) + 1):
@@ -311,7 +311,7 @@
 
 
 def played(folder, seed):
-    """What came of a run of calls under all faults but the slow one, errors included, and what is left."""
+    """Return the results of calls under all faults but the slow one, errors included, and what is left."""
     store, told = FaultyStore(folder, seed, "n0"), []
     for number, word in enumerate([*WRITES, *WRITES, "", ""]):
         if word not in ("", "slow"):
@@ -367,7 +367,7 @@
         store.append(name, b"x")
     with pytest.raises(OSError, match="No space"):
         store.append("d", b"x")
-    for _ in range(500):  # files that come and go between two syncs of the folder cost nothing
+    for _ in range(500):  # files created and removed between two syncs of the folder use up no names
         store.replace("c", "b")
         store.append("c", b"x")
     with pytest.raises(OSError, match="No space"):
@@ -390,7 +390,7 @@
         self.data, self.synced = data, len(data)
 
     def may_be(self, left):
-        """Whether a crash may leave this of it: what was synced, and of the rest any byte or zero."""
+        """Return whether a crash may leave these bytes: all synced ones, others as written or zero."""
         if left == self.data[: len(left)]:
             return len(left) >= self.synced
         return (
@@ -401,12 +401,12 @@
 
 
 class Killed(BaseException):
-    """Stands for SIGKILL amid a change of the platter."""
+    """Stands for a SIGKILL during a change of the platter."""
 
 
 @contextmanager
 def killed_at(change):
-    """Die at the so many-th change of the real folder, half a write done; -1: never."""
+    """Die at the n-th change of the real folder, with half of a write done; -1: never."""
     left = itertools.count(change, -1)
 
     def dies(real):
@@ -428,7 +428,7 @@
 
 NAMES = st.sampled_from(["a", "b", "c"])
 KILLS = st.sampled_from([-1] * 12 + [0, 1, 2, 3])
-DURING = st.sampled_from([-1] * 4 + [0, 1, 2, 3])  # of calls that mostly change the folder
+DURING = st.sampled_from([-1] * 4 + [0, 1, 2, 3])  # for calls that mostly change the folder
 
 
 @pytest.mark.parametrize("word", ["", "torn"])
@@ -455,7 +455,7 @@
 
 
 class Posix(RuleBasedStateMachine):
-    """The store beside a model: which names and bytes a crash may leave."""
+    """Compares the store with a model of the names and bytes that a crash may leave."""
 
     def __init__(self):
         super().__init__()
@@ -474,7 +474,7 @@
         self.changes = []  # (old name or "", new name or "", file), since the last sync of the folder
 
     def tables(self):
-        """All tables of names that a crash may leave: any of the changes may be down."""
+        """Yield all tables of names that a crash may leave: any of the changes may be on the platter."""
         for picks in itertools.product((False, True), repeat=len(self.changes)):
             table = dict(self.down)
             for old, new, file in itertools.compress(self.changes, picks):
@@ -497,7 +497,7 @@
 
     @invariant()
     def check(self):
-        """The folder is at any time what a kill leaves."""
+        """Check that the folder is at any time what a kill may leave."""
         left = held(self.folder)
         assert any(
             table.keys() == left.keys() and all(file.may_be(left[name]) for name, file in table.items())
@@ -539,7 +539,7 @@
         self.run(kill, "remove", name)
 
     def run(self, kill, call, *args):
-        """Whether it lived to the call's end."""
+        """Call the store; return whether it survived the call."""
         try:
             with killed_at(kill):
                 getattr(self.store, call)(*args)
@@ -550,7 +550,7 @@
         assert {name: self.store.read(name, 99_999) for name in self.seen} == {
             name: file.data for name, file in self.seen.items()
         }
-        if len(self.changes) > 5 and call != "sync_folder":  # `tables` doubles with each
+        if len(self.changes) > 5 and call != "sync_folder":  # each change doubles `tables`
             self.sync_folder(-1)
         return True
 
--- a/tests/rig/cluster/test_entries.py
+++ b/tests/rig/cluster/test_entries.py
@@ -1,4 +1,4 @@
-"""Contradiction by entry: which acts contradict, in which order, and what no history tells."""
+"""Contradiction by entry: which acts contradict, in which order, and what a history leaves unknown."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def begun():
-    """Two nodes that know a list, version 1, of s1 and s2."""
+    """Return a log of two nodes that know version 1 of a list of s1 and s2."""
     log = Log().start("a", 0.0).start("b", 0.0)
     return log.learn("a", 1.0, 1, s1=A, s2=A).learn("b", 1.0, 1, s1=A, s2=A)
 
@@ -43,7 +43,7 @@
     log = begun().learn("b", 100.0, 2, s1=LEFT, s2=A).act("b", 200.0, 2, server="s2")
     log.act("a", 900.0, 1, server="s2").act("a", 910.0, 1, what="refusal").act("a", 920.0, 1, what="failure")
     assert contradictions_by_entry(log.events) == []
-    # Refusals are no news of a list, either.
+    # A refusal is no send by the newer list, either.
     log = begun().learn("b", 100.0, 2, s1=LEFT, s2=A).act("b", 200.0, 2, what="refusal")
     assert contradictions_by_entry(log.act("a", 900.0, 1, server="s1").events) == []
 
@@ -70,7 +70,7 @@
 
 
 def test_a_rewound_registry_is_ordered_by_versions_and_not_by_time():
-    # a goes on by version 2, which is right; b goes back to 1 and sends to what has left.
+    # a rightly stays on version 2; b goes back to version 1 and sends to a server that has left.
     log = begun().learn("a", 2.0, 2, s2=A).learn("b", 2.0, 2, s2=A).act("a", 3.0, 2, server="s2")
     log.learn("b", 500.0, 1, s1=A, s2=A).act("b", 600.0, 1, server="s1").act("a", 700.0, 2, server="s2")
     (span,) = contradictions_by_entry(log.events)
@@ -150,7 +150,7 @@
     assert check_entries(ended(log), 2000.0) == []
 
 
-# --- all acts one by one -----------------------------------------------------------------------
+# --- against a comparison of all pairs ---------------------------------------------------------
 
 LISTS = {
     1: {"s1": A, "s2": A},
@@ -185,7 +185,7 @@
 
 
 def pairs(acts):
-    """Each contradiction of two acts, by its rule: the obvious way."""
+    """Yield each contradiction of two acts, by its rule, by comparing all pairs."""
     for old in acts:
         for new in acts:
             ms = old[1] - new[1]
@@ -234,7 +234,7 @@
     log.act("a", 1200.0, 1, server="s1").act("a", 1300.0, 1, server="s2")
     assert recovery_by_entry_ms(log.events, 1000.0, ["a", "b"]) == math.inf
     log.learn("a", 1400.0, 2, s2=A).act("a", 1500.0, 2, server="s2")
-    # An old list shows only in what it says of what has changed.
+    # An act on an old list counts only if it used an entry that has changed.
     log.act("b", 1550.0, 1, server="s2")
     assert recovery_by_entry_ms(log.events, 1000.0, ["a", "b"]) == 500.0
     assert recovery_by_entry_ms(log.events, 1000.0, ["a", "b", "c"]) == math.inf
--- a/tests/rig/cluster/test_history.py
+++ b/tests/rig/cluster/test_history.py
@@ -1,4 +1,4 @@
-"""Histories: what nodes write is read back, over kills and restarts, and what is damaged is told."""
+"""Histories: what nodes write is read back, also over kills and restarts, and damage is reported."""
 
 from __future__ import annotations
 
@@ -66,7 +66,7 @@
         events = list(parse(whole[:cut] + between + lines(second), "a.jsonl"))
         assert events[-3:] == second
         assert events[:2] == first[:2]
-        # Only the end of its line was lost: it is whole.
+        # Only the end of the line was lost: the event is complete.
         assert len(events) == (6 if cut == len(whole) - 1 else 5)
 
 
@@ -77,7 +77,7 @@
         (lines(life()) + b"{oops}\n", 4),
         (lines(life()) + b"{oops\n" + lines(life()[2:]) + lines(life(2)), 4),
         (lines(life()[:1]) + b'{"event":"acted","node":"a"}\n' + lines(life()[2:]), 2),
-        (lines(life()[:2]) + b'{"event":"act' + lines(life()[2:]), 3),  # no life begins there
+        (lines(life()[:2]) + b'{"event":"act' + lines(life()[2:]), 3),  # no life begins after the damage
         (b'{"event":"sung","node":"a","number":1,"at_ms":0}\n' + lines(life()[1:]), 1),
     ],
 )
@@ -111,7 +111,7 @@
     log.start("b", 0.0).act("b", 80.0, 1)
     events = with_kills(log.events, [("a", 10.0), ("a", 75.0), ("b", 90.0), ("c", 5.0)])
     kills = [event for event in events if isinstance(event, Ended) and not event.clean]
-    # The rig's clock was read before the kill: what is told after it came before it took effect.
+    # The rig's clock was read before the kill, so events after that time came before the kill took effect.
     assert kills == [Ended("a", 0, 11.0, False), Ended("b", 0, 90.0, False)]
     assert events.index(kills[0]) == events.index(Started("a", 1, 50.0, 2)) - 1
     assert [event.at_ms for event in events] == sorted(event.at_ms for event in events)
--- a/tests/rig/cluster/test_links.py
+++ b/tests/rig/cluster/test_links.py
@@ -1,4 +1,4 @@
-"""Each fault of a link, as probes at both ends see it, in both directions. None of it uses the program."""
+"""Each fault of a link, as probes at both ends see it, in both directions, without the program."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 BOTH = [("n0", "n1"), ("n1", "n0")]
 MESSAGES = [b"%04d" % number for number in range(60)]
-QUIET_S = 0.03  # that nothing comes is believed after so long
+QUIET_S = 0.03  # after so long without data, none is expected
 
 
 class Peer:
-    """One end of a connection: what came, and how it ended."""
+    """One end of a connection: the bytes received, and how it ended."""
 
     def __init__(self, reader, writer):
         self.writer = writer
@@ -45,7 +45,7 @@
 
 
 class Listener:
-    """Takes connections."""
+    """Accepts connections."""
 
     def __init__(self):
         self.peers = []
@@ -65,10 +65,10 @@
 
 
 class Tcp:
-    """n0 reaches n1 through a relay; `ends` are those of the first connection."""
+    """n0 reaches n1 through a relay; `ends` are the ends of the first connection."""
 
     async def connect(self):
-        """One more connection, its near and its far end."""
+        """Open another connection; return its near and its far end."""
         count = len(self.listener.peers)
         near = Peer(*await asyncio.open_connection(*self.at))
         self._near.append(near)
@@ -115,7 +115,7 @@
 
 
 class Udp:
-    """Some ends, and a relay between each two of them."""
+    """Several ends with a relay between each two of them."""
 
     @classmethod
     @contextlib.asynccontextmanager
@@ -138,7 +138,7 @@
         return self.relay.state(src, dst).counts
 
     async def send(self, src, dst, messages=MESSAGES):
-        """Send these one by one, and wait until the relay has read them."""
+        """Send messages one by one, each once the relay has read the one before."""
         counts = self.counts(src, dst)
         async with asyncio.timeout(PATIENCE_S):
             for came, message in enumerate(messages, counts.came + 1):
@@ -147,7 +147,7 @@
                     await asyncio.sleep(0)
 
     async def settled(self):
-        """Nothing is on its way, and the ends have read what came."""
+        """Wait until nothing is in flight and the ends have read everything."""
         await until(lambda: self.relay.pending == 0)
         pairs = itertools.permutations(self.ends, 2)
         sent = sum(self.counts(*pair).messages for pair in pairs)
@@ -159,11 +159,11 @@
 
 
 def bits(one, other):
-    """How many bits of two texts differ."""
+    """Return how many bits of two texts differ."""
     return sum(bin(a ^ b).count("1") for a, b in zip(one, other, strict=True))
 
 
-# --- datagrams: way, amount, and what has come of `MESSAGES` while it is on and once nothing waits ---------
+# --- datagrams: by way, the amount, and a check of what arrives during the fault ---------------------------
 
 UDP = {
     "cut": (0.0, lambda came: came == []),
@@ -174,10 +174,10 @@
     "double": (1.0, lambda came: came == [one for one in MESSAGES for _ in range(2)]),
     "narrow": (1000.0, lambda came: came == MESSAGES),
     "flip": (1.0, lambda came: [bits(*two) for two in zip(came, MESSAGES, strict=True)] == [1] * 60),
-    "reset": (1.0, lambda came: came == MESSAGES),  # no meaning: there are no connections
+    "reset": (1.0, lambda came: came == MESSAGES),  # no effect: there are no connections
     "half_open": (1.0, lambda came: came == MESSAGES),  # as reset
 }
-LEAST_S = {"late": 0.042, "narrow": 0.23}  # until the last one has come: 240 bytes, or 0.7 of 60 ms
+MIN_S = {"late": 0.042, "narrow": 0.23}  # until the last one arrives: 0.7 of 60 ms, or 240 bytes
 
 
 @pytest.mark.parametrize("way", WAYS)
@@ -192,7 +192,7 @@
         began = asyncio.get_running_loop().time()
         await link.send(src, dst)
         await link.send(dst, src)
-        await until(lambda: link.ends[src].came == MESSAGES)  # the other direction: all, in order
+        await until(lambda: link.ends[src].came == MESSAGES)  # the other direction is not affected
         if way == "stall":
             assert link.ends[dst].came == []
             assert there.held == 240
@@ -200,8 +200,8 @@
             await link.settled()
         came = list(link.ends[dst].came)
         assert holds(came)
-        if way in LEAST_S:
-            assert link.ends[dst].at_s[-1] - began >= LEAST_S[way]
+        if way in MIN_S:
+            assert link.ends[dst].at_s[-1] - began >= MIN_S[way]
         assert there.taken == 240
         assert there.passed == sum(map(len, came))
         assert there.messages == len(came)
@@ -243,15 +243,17 @@
         await link.send("n0", "n1", MESSAGES[:10])
         assert link.relay.pending == 5
         assert link.counts("n0", "n1").dropped == 5
-        assert "than the relay holds" not in link.relay.unsound  # a stall has a buffer, as a switch
+        assert (
+            "beyond the relay's bounds" not in link.relay.unsound
+        )  # a stall has a bounded buffer, as a switch has
         link.relay.begin(fault("late", 1000.0, "n1", "n0"))
         await link.send("n1", "n0", MESSAGES[:10])
         assert link.relay.pending == 8
         assert "7 datagrams beyond the relay's bounds" in link.relay.unsound
-    async with Udp.open() as link:  # a narrow link's buffer is one too
+    async with Udp.open() as link:  # a narrow link has a bounded buffer, too
         link.relay.begin(fault("narrow", 4.0))
         await link.send("n0", "n1", MESSAGES[:10])
-        assert link.counts("n0", "n1").dropped == 7  # the three that are through within 2 s, or next after
+        assert link.counts("n0", "n1").dropped == 7  # all but the three sent within 2 s or next after that
 
 
 @loopback
@@ -265,7 +267,7 @@
         udp = next(iter(link.relay._udp_sockets.values()))
         udp.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 0)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
-            for _ in range(50):  # with no turn of the loop between them
+            for _ in range(50):  # within one iteration of the loop
                 sock.sendto(b"x" * 1000, link.at["n0", "n1"])
         assert "datagrams were lost before the relay read them" in link.relay.unsound
         link.relay.forget_lag()
@@ -293,7 +295,7 @@
 
 HELD = ("cut", "stall")
 SLOW = {"loss": (0.5, 0.2), "late": (80.0, 0.055), "narrow": (2000.0, 0.1)}  # amount, least s of 200 bytes
-SAME = ("reorder", "double")  # no meaning: TCP puts that right
+SAME = ("reorder", "double")  # no effect: TCP corrects it
 
 
 @pytest.mark.parametrize("way", [*HELD, *SLOW, *SAME, "flip"])
@@ -303,7 +305,7 @@
     amount = SLOW[way][0] if way in SLOW else 1.0 if way in (*SAME, "flip") else 0.0
     made = fault(way, amount, src, dst)
     text = bytes(range(200))
-    async with Tcp.open(seed=26) as link:  # which loses the first read once, in either direction
+    async with Tcp.open(seed=26) as link:  # with this seed, the first read is lost once in each direction
         sender, taker = link.ends[src], link.ends[dst]
         there, back = link.counts(src, dst), link.counts(dst, src)
         link.relay.begin(made)
@@ -357,13 +359,13 @@
         link.ends[dst].say(b"back")
         await until(lambda: link.ends[src].came == b"back")
         link.relay.begin(fault("cut", 0.0, dst, src))
-        link.ends[dst].say(b"held")  # which is gone with its end
+        link.ends[dst].say(b"held")  # lost with its end
         await until(lambda: link.counts(dst, src).held == 4)
         link.ends[src].say(b"void")
         await until(lambda: link.ends[dst].end == "reset")
         link.relay.end(fault("cut", 0.0, dst, src))
         link.relay.end(fault("half_open", 1.0, src, dst))
-        link.ends[src].say(b"void")  # that connection stays as it is
+        link.ends[src].say(b"void")  # the connection stays half-open
         await until(lambda: counts.taken == 8)
         await asyncio.sleep(QUIET_S)
         assert (link.ends[src].came, link.ends[src].end, link.ends[dst].came) == (b"back", "", b"")
@@ -379,7 +381,7 @@
 @loopback
 async def test_a_connection_begun_through_a_cut_stays_silent_and_serves_after_it(cut):
     async with Tcp.open() as link:
-        link.relay.begin(fault("cut", 0.0, *cut))  # its handshake needs both ways
+        link.relay.begin(fault("cut", 0.0, *cut))  # a handshake needs both directions
         near = Peer(*await asyncio.open_connection(*link.at))
         near.say(b"late")
         await asyncio.sleep(QUIET_S)
@@ -446,7 +448,7 @@
         assert (far.came, far.end) == (b"", "")
         link.relay.end(fault("cut"))
         await until(lambda: (far.came, far.end) == (b"last", end))
-        if end == "closed":  # the other half goes on
+        if end == "closed":  # the other direction still works
             far.say(b"still")
             await until(lambda: near.came == b"still")
             far.writer.write_eof()
@@ -456,7 +458,7 @@
 
 @loopback
 async def test_the_end_of_one_half_meets_a_peer_that_has_just_reset_the_connection():
-    """Guards against a relay that raises: the kernel knows of the reset, and its loop does not yet."""
+    """Guards against an exception in the relay when the kernel knows of a reset and the loop does not yet."""
     loop, raised = asyncio.get_running_loop(), []
     loop.set_exception_handler(lambda loop, context: raised.append(context["message"]))
     relay, server = Relay(1).start(), socket.create_server(("127.0.0.1", 0))
@@ -468,7 +470,7 @@
     await until(lambda: relay.state("n0", "n1").flows)
     far.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, links.NO_LINGER)
     far.close()
-    relay.end(fault("late", amount=60_000.0))  # in the same turn of the loop
+    relay.end(fault("late", amount=60_000.0))  # in the same iteration of the loop
     await until(lambda: not relay.pairs)
     assert raised == []
     near.close()
@@ -544,7 +546,7 @@
     faults, wanted = GROUPS[group]
 
     async def reached(link):
-        """By the number of each end, those that it hears, itself included."""
+        """Return, for each end, the numbers of the ends that reach it, itself included."""
         before = {me: len(end.came) for me, end in link.ends.items()}
         for src, dst in link.at:
             await link.send(src, dst, [src[1:].encode()])
--- a/tests/rig/cluster/test_node.py
+++ b/tests/rig/cluster/test_node.py
@@ -1,4 +1,4 @@
-"""Nodes as processes: told and killed at any instant, stopped and woken, disks and clocks made wrong."""
+"""Nodes as processes: commands, kills at any instant, pauses, and faulty disks and clocks."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def operator(source, deadline_ms=500):
-    """What writes the operator file of a node whose servers come from this source."""
+    """Return a function that writes the operator file of a node whose servers come from `source`."""
 
     def write(life):
         listen = f"{life.listen[0]}:{life.listen[1]}"
@@ -54,7 +54,7 @@
 
 @contextlib.asynccontextmanager
 async def running(source=None, number=0, **given):
-    """A node that is ready; it is stopped, whatever happens."""
+    """Run a node that is ready, and stop it in any case."""
     node = Node(number, operator(source or static(), **given))
     try:
         await node.start()
@@ -69,20 +69,21 @@
 
 
 def lists(node):
-    """What it has told of the lists that it learned."""
+    """Return the lists that the node reported as learned."""
     return [event for event in events(node, Learned) if event.rule == "list:shop"]
 
 
 async def has_told(node, lives):
-    """Wait until the starts of these lives are in its file: it is ready sooner, and a kill loses what is not.
+    """Wait until the starts of these lives are in the node's file.
 
-    Events are written by a thread of their own (`daemon/events.py`), up to 0.1 s and the disk's time later.
+    The node is ready earlier, and a kill loses events that are not written: a thread of its own
+    (`daemon/events.py`) writes them up to 0.1 s and the disk's time later.
     """
     await until(lambda: [event.life for event in events(node, Started)] == lives)
 
 
 async def told(node, holds):
-    """What a node tells, once that holds; `until` would need a condition that does not wait."""
+    """Return a node's figures once a condition holds; `until` takes no condition that has to be awaited."""
     async with asyncio.timeout(PATIENCE_S):
         while not holds(said := await node.read_figures()):
             await asyncio.sleep(0.01)
@@ -94,7 +95,7 @@
 
 @bounded
 async def test_five_lives_have_the_same_address_folder_and_file_of_events():
-    """Guards against a port that another connection takes, or that old ones keep, while the node is away."""
+    """Guards against a port that another connection takes, or old ones keep, while the node is away."""
     async with running() as node:
         address, first = node.address, node.program.pid
         low, high = map(int, Path("/proc/sys/net/ipv4/ip_local_port_range").read_text().split())
@@ -184,11 +185,11 @@
     assert not done.stdout
 
 
-# --- standing still ------------------------------------------------------------------------
+# --- pauses --------------------------------------------------------------------------------
 
 
 async def asked(address, number):
-    """A request's first line of answer, and empty where its connection is closed without one."""
+    """Send requests and return the first line of an answer; empty if the connection closes without one."""
     reader, writer = await asyncio.open_connection(*address)
     try:
         writer.write(LOOK % number * 3)
@@ -201,7 +202,7 @@
 
 @bounded
 async def test_a_node_that_wakes_past_all_time_outs_answers_or_closes_each_connection():
-    """Guards against timers that were all due amid the stop, and requests that waited in full buffers."""
+    """Guards against timers that all came due during the pause, and requests that waited in full buffers."""
     servers = [await Upstream([hang]).start(), await Upstream().start()]
     rows = "\n".join(
         f'[[source.fleet.server]]\nname = "s{i}"\naddress = "{server.address}"\nzone = "west"\nkind = "small"'
@@ -210,24 +211,24 @@
     try:
         async with running(f'kind = "static"\n{rows}') as node:
             before = [asyncio.create_task(asked(node.address, number)) for number in range(20)]
-            await until(lambda: servers[0].seen)  # some wait for a server that never answers
+            await until(lambda: servers[0].seen)  # some requests wait for a server that never answers
             node.pause()
-            stood_from = time.monotonic()
+            paused_s = time.monotonic()
             during = [asyncio.create_task(asked(node.address, 100 + number)) for number in range(40)]
-            assert await node.command(do="tell") is None  # sent, and not waited for
-            while time.monotonic() < stood_from + 1.2:  # longer than deadline and budget
+            assert await node.command(do="tell") is None  # sent, and its answer is not awaited
+            while time.monotonic() < paused_s + 1.2:  # longer than deadline and budget
                 await asyncio.sleep(0.05)
             assert not any(task.done() for task in during)
             node.resume()
-            woke = time.monotonic()
+            resumed_s = time.monotonic()
             answers = await asyncio.gather(*before, *during)
-            assert time.monotonic() - woke < 3.0
+            assert time.monotonic() - resumed_s < 3.0
             assert all(not line or line.startswith(b"HTTP/1.1 ") for line in answers)
             assert any(line.startswith(b"HTTP/1.1 ") for line in answers)
-            # The clock went on while it stood: its loop was late by all of that.
+            # The clock went on during the pause, and the loop lagged by the whole of it.
             last = await node.read_figures()
-            assert last["monotonic_ms"] >= stood_from * 1000.0 + 1200.0
-            # 503 is an answer that a woken node may give; that it serves again is what counts.
+            assert last["monotonic_ms"] >= paused_s * 1000.0 + 1200.0
+            # A resumed node may answer 503 at first; it must serve again.
             async with asyncio.timeout(PATIENCE_S):
                 while not (await asked(node.address, 999)).startswith(b"HTTP/1.1 200"):
                     await asyncio.sleep(0.05)
@@ -249,7 +250,7 @@
         assert (await node.read_figures())["lag_ms"] > 300.0
 
 
-# --- killed amid a write -------------------------------------------------------------------
+# --- kills during a write ------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
@@ -264,7 +265,7 @@
         async with running(f'kind = "registry"\naddress = "{registry.address}"') as node:
             await until(lambda: stored(node) == [41])
             before = await node.read_figures()
-            await (await node.begin(DiskFault(0, 1, "n0", "slow")))  # it holds
+            await (await node.begin(DiskFault(0, 1, "n0", "slow")))  # the fault is applied now
             registry.change(entry("s1", "127.0.0.1:10"))
 
             def there(said):
@@ -277,9 +278,9 @@
             await node.kill()
             assert stored(node) == ([41, 42] if kept == 42 else [41])
             files = {path.name for path in node.disk.iterdir() if not path.name.startswith(".")}
-            assert files == {"life", "list-shop"}  # nothing half-written has a name
+            assert files == {"life", "list-shop"}  # no incomplete file has a name
             await node.end(DiskFault(0, 1, "n0", "slow"))
-            await registry.stop()  # what it begins with is from its disk alone
+            await registry.stop()  # the next life has only its disk to start from
             await node.start()
             await has_told(node, [1, 2])
             await until(lambda: lists(node)[-1].form == "remembered")
@@ -289,7 +290,7 @@
 
 
 def stored(node):
-    """The versions that a node has told to be on disk; a line that is being written is left out."""
+    """Return the versions that the node reported as stored; a line that is being written is skipped."""
     rows = [json.loads(row) for row in node.events.read_bytes().split(b"\n")[:-1]]
     return [row["version"] for row in rows if row["event"] == "stored"]
 
@@ -329,7 +330,7 @@
         assert said["on"] == []
         right = await node.command(do="clock", jump_ms=0, drift_ppm=0)
         assert abs(right["wall_ms"] - time.time() * 1000.0) < 1000.0
-        # Ended while the node was away, and while it ran.
+        # One fault ended while the node was away, the other while it ran.
         assert [(row.writes, row.end_ms < float("inf")) for row in played.faulted] == [
             ("lie", True),
             ("changed", True),
@@ -359,7 +360,7 @@
         (down,) = played.downs
         assert down.until_s - down.from_s >= least_s
         assert [row.writes for row in played.faulted] == ["emptied"]
-        await has_told(node, [1, 1])  # a disk that was emptied counts lives from 1 again
+        await has_told(node, [1, 1])  # lives are counted from 1 again on an emptied disk
 
 
 @bounded
@@ -475,7 +476,7 @@
 
 
 def runs(pid):
-    """Whether a process is there and is no zombie."""
+    """Return whether a process exists and is not a zombie."""
     try:
         return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except OSError:
--- a/tests/rig/cluster/test_promises.py
+++ b/tests/rig/cluster/test_promises.py
@@ -1,4 +1,4 @@
-"""What a node promises by itself: what is confirmed outlives it, and what drains is sent nothing."""
+"""Promises of one node: what it confirmed survives a restart, and nothing is sent to a drained server."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def confirmed():
-    """A life of a that learned versions 4 and 5, confirmed 5, and was killed."""
+    """Return a log of a life of a that learned versions 4 and 5, stored both, and was killed."""
     log = Log().start("a", 0.0, 1).learn("a", 1.0, 4).store("a", 2.0, 4).learn("a", 3.0, 5).store("a", 4.0, 5)
     return log.kill("a", 50.0)
 
@@ -65,7 +65,7 @@
 
     log = confirmed().start("a", 100.0, 1).learn("a", 101.0, 2).store("a", 102.0, 2).end("a", 110.0)
     assert verdict(check_durable(again(log, 200.0, 2, 2).events, emptied)) == "unknown"
-    log.events = log.events[7:]  # what is left is the new disk's
+    log.events = log.events[7:]  # only the events of the new disk
     assert check_durable(log.events, emptied) == []
     assert verdict(check_durable(again(log, 300.0, 3, 1).events, emptied)) == "broken"
 
@@ -96,12 +96,12 @@
     (found,) = check_durable(learned().end("a", 5002.0).events, never)
     assert found.verdict == "broken"
     assert "never stored" in found.text
-    assert check_durable(learned().end("a", 5000.0).events, never) == []  # it had no time to
+    assert check_durable(learned().end("a", 5000.0).events, never) == []  # within the time allowed
     assert check_durable(learned().store("a", 4000.0, 4).end("a", 9000.0).events, never) == []
     assert check_durable(learned().fail("a", 4000.0).end("a", 9000.0).events, never) == []
-    assert check_durable(learned(life=0).end("a", 9000.0).events, never) == []  # it has no disk
+    assert check_durable(learned(life=0).end("a", 9000.0).events, never) == []  # no disk
     assert check_durable(learned(form="remembered").end("a", 9000.0).events, never) == []
-    # What is missing may be the word of it.
+    # The missing events may report that it was stored.
     assert verdict(check_durable(learned().kill("a", 9000.0).events, never)) == "unknown"
     assert verdict(check_durable(learned().act("a", 8000.0, 4).kill("a", 9000.0).events, never)) == "broken"
 
@@ -126,7 +126,7 @@
 def test_a_server_that_is_back_may_be_sent_to_and_others_always():
     log = drained(300.0).learn("a", 700.0, 4, s1=A, s2=A).act("a", 800.0, 4, server="s1")
     assert check_drains(log.act("a", 801.0, 4, server="s2").end("a", 900.0).events, 500.0) == []
-    # One that was never listed is none that may be sent to.
+    # A server that was never listed may not be sent to.
     log = drained(300.0).act("a", 850.0, 3, server="s9").end("a", 900.0)
     assert verdict(check_drains(log.events, 500.0)) == "broken"
 
--- a/tests/rig/cluster/test_relays.py
+++ b/tests/rig/cluster/test_relays.py
@@ -1,4 +1,4 @@
-"""The relay in several processes: links and faults across them, what they tell, and how they end."""
+"""The relay in several processes: links and faults across them, their reports, and how they end."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 @contextlib.contextmanager
 def sockets(every):
-    """A socket by name."""
+    """Open one datagram socket per name."""
     made = {name: socket.socket(socket.AF_INET, socket.SOCK_DGRAM) for name in every}
     try:
         for sock in made.values():
@@ -53,7 +53,7 @@
 
 
 async def linked(made, ends):
-    """An address for each pair of these ends, under both orders."""
+    """Return the address of each pair of these ends, under both orders."""
     pairs = list(itertools.combinations(ends, 2))
     links = [UdpLink(*pair, *(ends[end].getsockname() for end in pair)) for pair in pairs]
     at = dict(zip(pairs, await made.make(links), strict=True))
@@ -61,7 +61,7 @@
 
 
 async def heard(sock, most=100):
-    """What has come, once nothing more comes."""
+    """Return the datagrams received until no more arrive."""
     came = []
     with contextlib.suppress(TimeoutError):
         while len(came) < most:
@@ -90,7 +90,7 @@
             at = await linked(made, ends)
             assert len({shard_of(*pair, 3) for pair in at}) == 3
             cut = Link(0, 1, "cut", ("n0",), tuple(EVERY))
-            for known in (False, True):  # a fault that is sent whole, and one that was told before
+            for known in (False, True):  # a fault that is sent whole, and one that was announced
                 if known:
                     await made.prepare([Link(0, 1, "stall", ("n1",), ("n2",)), cut])
                 await made.begin(cut)
@@ -152,7 +152,7 @@
             at = (await linked(made, ends))["n0", "n1"]
             number = shard_of("n0", "n1", 2)
             os.kill(pid_of(made, number), signal.SIGSTOP)
-            for _ in range(2000):  # more than a socket takes that nobody reads
+            for _ in range(2000):  # more than the buffer of a socket that is not read
                 ends["n0"].sendto(b"x" * 200, at)
             os.kill(pid_of(made, number), signal.SIGCONT)
             told = await made.report()
@@ -185,7 +185,7 @@
             with pytest.raises(ProgramError, match=r"^relay 3 of 3: .*says nothing for 0.3 s$"):
                 await made.report()
         os.kill(pid_of(made, 2), signal.SIGCONT)
-        # Its late answer must not be taken for that of the next command.
+        # Its late answer must not be taken as the answer to the next command.
         with pytest.raises(ProgramError, match="relay 3 of 3"):
             await made.forget_lag()
     async with running(3) as made:
--- a/tests/rig/cluster/test_schedules.py
+++ b/tests/rig/cluster/test_schedules.py
@@ -1,4 +1,4 @@
-"""Schedules of the cluster rig: bad input, draws, groups, and shrinking."""
+"""Schedules of the cluster rig: invalid input, draws, groups, and shrinking."""
 
 from __future__ import annotations
 
@@ -111,7 +111,7 @@
 def test_a_schedule_of_each_kind_is_short_valid_and_as_its_file_has_it():
     made = one_of_each(1)
     folder = ROOT / "tests" / "regressions" / "cluster"
-    assert {file.stem for file in folder.glob("*.jsonl")} >= set(made)  # and those that once failed
+    assert {file.stem for file in folder.glob("*.jsonl")} >= set(made)  # and schedules that once failed
     for name, schedule in made.items():
         assert (folder / f"{name}.jsonl").read_bytes() == schedule.encode(), name
         assert read(schedule.encode(), name) == schedule
@@ -137,7 +137,7 @@
 
 
 def reaches(links, count):
-    """Which node reaches which, with no help of others."""
+    """Return which nodes each node reaches directly."""
     every = schedules.names(count)
     cut = {(src, dst) for link in links for src in link.src for dst in link.dst}
     return {src: {dst for dst in every if dst != src and (src, dst) not in cut} for src in every}
