--- a/rig/cluster/__main__.py
+++ b/rig/cluster/__main__.py
@@ -42,8 +42,8 @@
 SHRINK_TRIES = 40
 MAX_TIMES = 100
 REGRESSIONS_FOLDER = ROOT / "tests" / "regressions" / "cluster"
-AT_ONCE = 3  # schedules that `ci` plays side by side;
-MAX_PLAYS = 3  # plays of one schedule in all, while the machine is too busy for a sound one
+AT_ONCE = 3  # schedules that `ci` plays side by side
+MAX_PLAYS = 3  # of one schedule: an unsound play is repeated alone, as the machine was too busy
 PLAY_S = 180.0
 FINDINGS_SHOWN = 20
 
--- a/rig/cluster/checkers.py
+++ b/rig/cluster/checkers.py
@@ -149,7 +149,7 @@
         for gap in gaps
         for at_ms, by in gap.acts()
     ]
-    return judged(
+    return judge_acts(
         [act for act in events if isinstance(act, Acted)], unseen, bound_ms, contradicts
     ) + missing_starts(gaps)
 
@@ -164,7 +164,7 @@
     return [Finding("unknown", "contradiction", f"missing: {text}") for text in sorted(texts)][:MAX_FINDINGS]
 
 
-def judged(
+def judge_acts(
     acts: list[Acted], unseen: list[Acted], bound_ms: float, contradicts: Callable[[str, int, int], bool]
 ) -> list[Finding]:
     """Return breaches of the bound by recorded acts, and possible breaches by acts that a gap may hide.
--- a/rig/cluster/cluster.py
+++ b/rig/cluster/cluster.py
@@ -24,7 +24,7 @@
 from rig.cluster.judging import Change, Played, Used, notifications, without_addresses
 from rig.cluster.links import Address, Player
 from rig.cluster.nodes import Life, Node, Processes, start_all
-from rig.cluster.outages import Down
+from rig.cluster.outages import Downtime
 from rig.cluster.relays import Relays
 from rig.cluster.schedules import SERVERS, Link, News, Schedule, Step, line_of, names, servers
 from rig.helper import ROOT
@@ -310,7 +310,7 @@
             notifications=notifications(events, self.changes),
             crashes=[
                 ledger.Crash(down.node, _killed_s(down, processes.killed), down.until_s)
-                for down in processes.downs
+                for down in processes.downtimes
                 if down.killed
             ],
             strays=sum(caller.strays for caller in self._callers.values()),
@@ -336,8 +336,8 @@
             events=events,
             call_ledger=call_ledger,
             changes=self.changes,
-            downs=processes.downs,
-            faulted=processes.faulted,
+            downtimes=processes.downtimes,
+            disk_faults=processes.disk_faults,
             answers=dict(Counter(row.result for row in self._seen.asked)),
             counts=relays.counts,
             used=used,
@@ -379,7 +379,7 @@
     return Used(cost.lives, cost.cpu_s, cost.peak_rss_mb, cost.syncs, cost.written_bytes)
 
 
-def _killed_s(down: Down, killed: Sequence[tuple[str, float]]) -> float:
+def _killed_s(down: Downtime, killed: Sequence[tuple[str, float]]) -> float:
     """Return when the node's process was gone.
 
     A process that was shut down in order went on accepting calls until then.
--- a/rig/cluster/entries.py
+++ b/rig/cluster/entries.py
@@ -22,7 +22,7 @@
     Finding,
     Span,
     contradictions,
-    judged,
+    judge_acts,
     missing_starts,
     record_first_and_last,
     recovered_ms,
@@ -80,7 +80,7 @@
             self._set_order(rule, digests, orders.get(rule, ()))
         self._views: dict[str, dict[int, ListView]] = {}
         self._listed: dict[str, set[str]] = {}
-        self._about: dict[str, tuple[str, str]] = {}  # by rule of a row: its list and server
+        self._about: dict[str, tuple[str, str]] = {}  # by rule of an entry: its list and server
         for rule, lists in learned.items():
             if rule.startswith(LIST):
                 self._add_lists(rule, lists)
@@ -102,22 +102,25 @@
         listed = self._listed[rule] = {server for _, entries in order for server in entries}
         changing = [s for s in sorted(listed) if len({entries.get(s) for _, entries in order}) > 1]
         for server in changing:
-            self._about[row_rule(rule, server)] = self._about[row_rule(rule, server, ENTRY)] = (rule, server)
+            self._about[entry_rule(rule, server)] = self._about[entry_rule(rule, server, ENTRY)] = (
+                rule,
+                server,
+            )
         views = self._views[rule] = {}
         before = ListView({})
         for position, entries in order:
-            made = ListView({server: entries[server] for server in changing if server in entries})
+            view = ListView({server: entries[server] for server in changing if server in entries})
             for server in changing:
                 since = before.active_since.get(server, position)
-                same = made.active(server) == before.active(server)
-                made.active_since[server] = since if same else position
+                same = view.active(server) == before.active(server)
+                view.active_since[server] = since if same else position
                 if server in entries:
                     since = before.content_since.get(server, position)
-                    made.content_since[server] = (
-                        since if made.content(server) == before.content(server) else position
+                    view.content_since[server] = (
+                        since if view.content(server) == before.content(server) else position
                     )
-            made.inactive = [server for server in changing if not made.active(server)]
-            views[position] = before = made
+            view.inactive = [server for server in changing if not view.active(server)]
+            views[position] = before = view
 
     def position(self, rule: str, version: int, digest: str) -> int | None:
         """Return the position of a version of a rule in its order; None if no order was given."""
@@ -144,7 +147,7 @@
         return made
 
     def contradicts(self, rule: str, older: int, newer: int) -> bool:
-        """Whether acts on two versions of a rule of `Rows` contradict each other."""
+        """Whether acts on two versions of a rule of `EntryActs` contradict each other."""
         if rule not in self._about:
             return older != newer
         name, server = self._about[rule]
@@ -154,7 +157,7 @@
         return old.active(server) and not new.active(server)
 
 
-def row_rule(rule: str, server: str, prefix: str = LIST) -> str:
+def entry_rule(rule: str, server: str, prefix: str = LIST) -> str:
     """Return the rule of one server of a list."""
     return f"{prefix}{rule.removeprefix(LIST)}/{server}"
 
@@ -184,7 +187,7 @@
                 record_first_and_last(self.by_settings, (event.node, event.rule, event.settings), event)
 
 
-class Rows:
+class EntryActs:
     """Acts by entry: the first and the last of each node on each version, and those that gaps may hide.
 
     Attributes:
@@ -215,7 +218,7 @@
 
         Each is an act on its server's entry, and on the state of all servers that are not active in its list.
         """
-        made: dict[tuple[str, int, str], list[Acted]] = {}  # by rule of one server, version and node =>
+        made: dict[tuple[str, int, str], list[Acted]] = {}  # by rule of one server, version and node
         first: dict[tuple[str, int, str], list[Acted]] = {}  # by list, version and node
         for (node, rule, version, digest, server), pair in sends.items():
             position = self.lists.position(rule, version, digest)
@@ -229,14 +232,14 @@
                 record_first_and_last(first, (rule, position, node), act)
                 if server in view.active_since:
                     record_first_and_last(
-                        made, (row_rule(rule, server), view.active_since[server], node), act
+                        made, (entry_rule(rule, server), view.active_since[server], node), act
                     )
                 if server in view.content_since:
                     record_first_and_last(
-                        made, (row_rule(rule, server, ENTRY), view.content_since[server], node), act
+                        made, (entry_rule(rule, server, ENTRY), view.content_since[server], node), act
                     )
         for (about, since, _), pair in made.items():
-            self.acts += [_row(act, act.at_ms, about, since, act.what) for act in pair]
+            self.acts += [_entry_act(act, act.at_ms, about, since, act.what) for act in pair]
         self._add_changes_of_state(first)
 
     def _add_changes_of_state(self, first: Mapping[tuple[str, int, str], list[Acted]]) -> None:
@@ -245,17 +248,17 @@
             if (view := self.lists.view(rule, position)) is not None:
                 for server in view.inactive:
                     record_first_and_last(
-                        made, (row_rule(rule, server), view.active_since[server], node), pair[0]
+                        made, (entry_rule(rule, server), view.active_since[server], node), pair[0]
                     )
         for (about, since, _), (act, _) in made.items():
-            self.acts.append(_row(act, act.at_ms, about, since, NOT_ACTIVE))
+            self.acts.append(_entry_act(act, act.at_ms, about, since, NOT_ACTIVE))
 
     def _by_settings(
         self, by: Acted | Learned, at_ms: float, rule: str, digest: str, what: str
     ) -> Iterator[Acted]:
         position = self.lists.position(rule, 0, digest) if digest else None
         if position is not None:
-            yield _row(by, at_ms, rule, position, what, digest)
+            yield _entry_act(by, at_ms, rule, position, what, digest)
 
     def _add_unseen(self, gap: Gap) -> None:
         """Add what a node may have done first and last in a gap, by all rules that were in force for it."""
@@ -272,7 +275,9 @@
                 self.unseen += self._by_settings(by, at_ms, own, by.settings, UNSEEN)
 
 
-def _row(by: Acted | Learned, at_ms: float, rule: str, version: int, what: str, digest: str = "") -> Acted:
+def _entry_act(
+    by: Acted | Learned, at_ms: float, rule: str, version: int, what: str, digest: str = ""
+) -> Acted:
     call = by.call if isinstance(by, Acted) else ""
     return Acted(by.node, by.number, at_ms, rule, version, digest, what, call)
 
@@ -280,9 +285,9 @@
 def _by_view(by: Acted | Learned, at_ms: float, view: ListView) -> Iterator[Acted]:
     """Yield a hidden act on each server whose entry changes."""
     for server, since in view.active_since.items():
-        yield _row(by, at_ms, row_rule(by.rule, server), since, UNSEEN)
+        yield _entry_act(by, at_ms, entry_rule(by.rule, server), since, UNSEEN)
     for server, since in view.content_since.items():
-        yield _row(by, at_ms, row_rule(by.rule, server, ENTRY), since, UNSEEN)
+        yield _entry_act(by, at_ms, entry_rule(by.rule, server, ENTRY), since, UNSEEN)
 
 
 # --- checks ------------------------------------------------------------------------------------
@@ -290,8 +295,8 @@
 
 def contradictions_by_entry(events: Sequence[Event], orders: Orders | None = None) -> list[Span]:
     """Return the longest contradiction of each entry and of the settings, longest first."""
-    made = Rows(events, orders or {})
-    return contradictions(made.acts, made.lists.contradicts)
+    entry_acts = EntryActs(events, orders or {})
+    return contradictions(entry_acts.acts, entry_acts.lists.contradicts)
 
 
 def check_entries(events: Sequence[Event], bound_ms: float, orders: Orders | None = None) -> list[Finding]:
@@ -300,8 +305,11 @@
     The answer is unknown where a gap may hide a contradiction, where an act is based on a list that no node
     reported, or where it is based on rules without an order.
     """
-    made = Rows(events, orders or {})
-    return judged(made.acts, made.unseen, bound_ms, made.lists.contradicts) + made.unknown
+    entry_acts = EntryActs(events, orders or {})
+    return (
+        judge_acts(entry_acts.acts, entry_acts.unseen, bound_ms, entry_acts.lists.contradicts)
+        + entry_acts.unknown
+    )
 
 
 def recovery_by_entry_ms(
--- a/rig/cluster/judging.py
+++ b/rig/cluster/judging.py
@@ -21,7 +21,7 @@
 from rig.cluster.checkers import Finding, breaches_first, check_rules, check_versions
 from rig.cluster.entries import check_entries, contradictions_by_entry, recovery_by_entry_ms
 from rig.cluster.history import LIST, Acted, Event, Learned, Started, Stored
-from rig.cluster.outages import Down, Faulted
+from rig.cluster.outages import DiskFaultSpan, Downtime
 from rig.cluster.promises import check_drains, check_durable
 from rig.cluster.schedules import Link, Reload, Schedule, Step, Stop
 
@@ -66,8 +66,8 @@
     events: list[Event]
     call_ledger: ledger.Ledger
     changes: list[Change] = field(default_factory=list)
-    downs: list[Down] = field(default_factory=list)
-    faulted: list[Faulted] = field(default_factory=list)
+    downtimes: list[Downtime] = field(default_factory=list)
+    disk_faults: list[DiskFaultSpan] = field(default_factory=list)
     answers: dict[str, int] = field(default_factory=dict)
     counts: dict[tuple[str, str], Counts] = field(default_factory=dict)
     used: dict[str, Used] = field(default_factory=dict)
@@ -230,7 +230,7 @@
                 starts[event.node].append(event.at_ms)
             elif isinstance(event, Stored):
                 stores[event.node].append(event.at_ms)
-        for fault in played.faulted:
+        for fault in played.disk_faults:
             own = starts[fault.node]
             if fault.writes in UNRELIABLE_DISKS:
                 end_ms = fault.end_ms
@@ -270,7 +270,7 @@
 
     def __init__(self, played: Played) -> None:
         self._began_s = played.began_ms / 1000.0
-        self._downs = played.downs
+        self._downs = played.downtimes
         self._steps = played.schedule.steps
         self._asked = {row.call: row for row in played.call_ledger.asked}
         self._acted = {event.call for event in played.events if isinstance(event, Acted)}
--- a/rig/cluster/links.py
+++ b/rig/cluster/links.py
@@ -42,7 +42,7 @@
 
 MAX_HELD_BYTES = 256 * 1024  # per direction of a connection
 CHUNK = 64 * 1024  # bytes per read, also the largest datagram
-MAX_PENDING_DATAGRAMS = 20_000  # in flight
+MAX_PENDING_DATAGRAMS = 20_000  # waiting in the relay
 MAX_PENDING_BYTES = 64 * 2**20
 MAX_STALLED_DATAGRAMS = 1000  # held by a stall, per direction
 MAX_CONNECTIONS = 20_000
@@ -114,7 +114,7 @@
     passed: int = 0  # bytes sent to the receiver
     lost: int = 0  # bytes that will never be sent
     doubled: int = 0  # bytes added by a fault
-    came: int = 0  # datagrams received from the sender
+    received: int = 0  # datagrams received from the sender
     messages: int = 0  # datagrams sent to the receiver
     dropped: int = 0  # datagrams not sent
     resets: int = 0
@@ -535,7 +535,7 @@
             relay.unknown_senders += 1
             return
         state, to = way
-        state.counts.came += 1
+        state.counts.received += 1
         state.counts.taken += size
         if state.is_clear:
             self.send(state, relay.view[:size], to)
--- a/rig/cluster/nodes.py
+++ b/rig/cluster/nodes.py
@@ -31,7 +31,7 @@
 from rig.balancers import answers_ready
 from rig.cluster.clocks import MAX_DRIFT_PPM, MAX_JUMP_MS
 from rig.cluster.links import Address, address_of, free_port
-from rig.cluster.outages import Down, Faulted
+from rig.cluster.outages import DiskFaultSpan, Downtime
 from rig.cluster.schedules import Clock, Disk, DiskFault, Kill, Reload, Step, Stop, Writes
 from rig.helper import ROOT
 from rig.process import Program, ProgramError, Usage, clean_environment
@@ -676,8 +676,8 @@
         ] = {}  # by node that does not run: since when, and whether by a kill
         self._gate = asyncio.Semaphore(START_AT_ONCE)
         self.killed: list[tuple[str, float]] = []  # node, and loop time by which it was gone
-        self.downs: list[Down] = []  # in loop time; overlapping ones are merged
-        self.faulted: list[Faulted] = []
+        self.downtimes: list[Downtime] = []  # in loop time; overlapping ones are merged
+        self.disk_faults: list[DiskFaultSpan] = []
         self.late_ms = 0.0  # largest delay of a step's begin
 
     async def run(self) -> None:
@@ -734,7 +734,7 @@
         if disk != "kept":
             begin_ms = node.copied_ms if disk == "older" else -math.inf
             now_ms = asyncio.get_running_loop().time() * 1000.0
-            self.faulted.append(Faulted(node.name, disk, begin_ms, now_ms))
+            self.disk_faults.append(DiskFaultSpan(node.name, disk, begin_ms, now_ms))
 
     async def _reload(self, node: Node, settings: int, until: float) -> None:
         """Change the settings, by SIGHUP where that is enough.
@@ -772,7 +772,7 @@
             await node.start()
         if node.is_ready and node.name in self._away:
             since, killed = self._away.pop(node.name)
-            self.downs.append(Down(node.name, since, asyncio.get_running_loop().time(), killed))
+            self.downtimes.append(Downtime(node.name, since, asyncio.get_running_loop().time(), killed))
 
     # --- pauses, disks and clocks -------------------------------------------------------
 
@@ -788,17 +788,17 @@
 
     async def _fault(self, node: Node, fault: DiskFault | Clock, until: float) -> None:
         loop = asyncio.get_running_loop()
-        noted = None
+        span = None
         if isinstance(fault, DiskFault):
-            noted = Faulted(node.name, fault.writes, loop.time() * 1000.0)
-            self.faulted.append(noted)
+            span = DiskFaultSpan(node.name, fault.writes, loop.time() * 1000.0)
+            self.disk_faults.append(span)
         await node.begin(fault)
         await _sleep_until(until)
         over = await node.end(fault)
 
         def note(_: asyncio.Future[Any]) -> None:
-            if noted is not None:
-                noted.end_ms = loop.time() * 1000.0
+            if span is not None:
+                span.end_ms = loop.time() * 1000.0
 
         over.add_done_callback(note)
 
--- a/rig/cluster/outages.py
+++ b/rig/cluster/outages.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 
-class Down(NamedTuple):
+class Downtime(NamedTuple):
     """A time in which a node's process did not run: from when the rig ended it to when it was ready again."""
 
     node: str
@@ -17,7 +17,7 @@
 
 
 @dataclass(slots=True)
-class Faulted:
+class DiskFaultSpan:
     """A time in which a node's disk did not keep its promises, in milliseconds of the loop's clock.
 
     Attributes:
--- a/tests/rig/cluster/test_breaches.py
+++ b/tests/rig/cluster/test_breaches.py
@@ -49,7 +49,7 @@
 
 
 @believed
-def test_breaches_are_found_on_processes_and_the_program_as_it_is_keeps_its_promises():
+def test_breaches_are_found_on_processes_and_the_unchanged_program_keeps_its_promises():
     """Plays two of the quickest breaches side by side: one of the disk, one of how a process exits."""
 
     async def play(name, planted):
@@ -91,7 +91,9 @@
         ),
     ],
 )
-def test_a_breach_is_met_where_its_checker_found_it_each_time_and_only_it(planted, plain, met, shown):
+def test_a_row_passes_if_its_checker_found_the_breach_in_each_run_and_never_without_it(
+    planted, plain, met, shown
+):
     made = row(planted, plain)
     assert made.met == met
     cells = cluster_breaches.cells(made)
@@ -99,7 +101,7 @@
 
 
 @pytest.mark.parametrize(("plain", "code"), [(KEPT, 0), (HIT, 1)])
-def test_the_exit_code_tells_of_a_breach_in_the_program_as_it_is(plain, code, monkeypatch, capsys):
+def test_the_exit_code_reports_a_breach_in_the_unchanged_program(plain, code, monkeypatch, capsys):
     async def apart(name, planted, tree):
         return HIT if planted else plain
 
@@ -109,7 +111,7 @@
     assert name in capsys.readouterr().out
 
 
-def test_a_play_on_a_busy_machine_is_made_again():
+def test_a_play_on_a_busy_machine_is_repeated():
     """Guards against a verdict by a rig that lagged itself: it plays again, up to the bound."""
     busy = Seen("kept", {}, None, ("late",), ())
     told = iter(())
@@ -125,7 +127,7 @@
     assert len(list(told)) == 9 - cluster_breaches.ALONE_MOST
 
 
-def test_the_first_breach_is_dated_by_what_shows_it():
+def test_the_first_breach_is_dated_by_the_events_that_show_it():
     schedule = Schedule(Head(FORMAT, 1, 2, 3000, 1000))
     new, old = Acted("n1", 1, 10_200.0, "list:shop/s1", 42), Acted("n0", 1, 12_900.0, "list:shop/s1", 41)
     run = Execution("c1", "", "s1", "west", "unsafe", 10.3, 10.3, began_s=10.3)
--- a/tests/rig/cluster/test_breaching.py
+++ b/tests/rig/cluster/test_breaching.py
@@ -60,7 +60,7 @@
 """
 
 
-def test_a_breach_changes_what_is_loaded_and_nothing_on_disk(tree):
+def test_a_breach_changes_the_loaded_module_and_nothing_on_disk(tree):
     """Guards against a compiled file that is read instead of the changed code, or left for the next run."""
     path = str(tree / FILE)
     assert python(tree, ASK) == f"1 False {path}"  # leaves its compiled files in the tree
@@ -129,7 +129,7 @@
         ({"why": "x" * 70_000}, "tiny.json: larger than"),
     ],
 )
-def test_a_file_that_is_no_breach_is_one_line(tmp_path, changes, wrong):
+def test_an_invalid_breach_file_is_reported_in_one_line(tmp_path, changes, wrong):
     (tmp_path / "tiny.json").write_text(json.dumps({**WHOLE, **changes}))
     with pytest.raises(BreachError, match=wrong) as refused:
         breaching.read("tiny", tmp_path)
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize("name", ["none", "../tiny", "", "a/b"])
-def test_a_name_that_is_none_is_one_line(tmp_path, name):
+def test_an_unknown_breach_is_reported_in_one_line(tmp_path, name):
     with pytest.raises(BreachError, match="breach: no "):
         breaching.read(name, tmp_path)
 
--- a/tests/rig/cluster/test_checkers.py
+++ b/tests/rig/cluster/test_checkers.py
@@ -55,13 +55,13 @@
     assert not contradictions(log.events)
 
 
-def test_knowing_is_not_acting_and_versions_that_agree_do_not_contradict():
+def test_learning_is_no_act_and_versions_that_agree_do_not_contradict():
     log = Log().start("a", 0.0).start("b", 0.0).learn("b", 100.0, 2).act("a", 900.0, 1)
     assert not contradictions(log.events)
     assert not contradictions(two(900.0, 500.0).events, lambda rule, old, new: rule != "list:s1")
 
 
-def test_the_newer_of_two_nodes_that_act_on_both_is_another_ones():
+def test_the_first_act_on_the_newer_version_is_taken_from_another_node():
     # The first act on the newer version is a's own: for a's old act, b's first one counts.
     log = Log().start("a", 0.0).start("b", 0.0)
     log.act("a", 100.0, 2).act("b", 300.0, 2).act("a", 500.0, 1)
@@ -75,7 +75,7 @@
     )
 )
 @settings(max_examples=200, deadline=None)
-def test_the_longest_span_is_that_of_all_pairs_tried_one_by_one(rows):
+def test_the_longest_span_equals_that_of_a_comparison_of_all_pairs(rows):
     log = Log()
     for node, at, version in sorted(rows, key=lambda row: row[1]):
         log.act(node, float(at), version)
@@ -90,7 +90,7 @@
     assert (found[0].ms if found else 0.0) == max(spans, default=0.0)
 
 
-def test_a_killed_node_whose_last_events_are_missing_is_unknown_and_never_well():
+def test_a_killed_node_whose_last_events_are_missing_is_unknown():
     log = Log().start("a", 0.0).start("b", 0.0).act("a", 10.0, 1).act("b", 100.0, 2)
     log.end("a", 5000.0, clean=False).end("b", 9000.0)
     (found,) = check_contradiction(log.events, 2000.0)
@@ -113,14 +113,14 @@
     assert verdict(check_contradiction(log.events, 2000.0)) == "kept"
 
 
-def test_what_a_gap_hides_may_be_the_first_act_on_the_newer_too():
+def test_a_gap_may_hide_the_first_act_on_the_newer_version():
     log = Log().start("a", 0.0).start("b", 0.0).act("a", 10.0, 1).learn("b", 20.0, 2)
     log.end("b", 50.0, clean=False).act("a", 3000.0, 1).end("a", 9000.0)
     assert verdict(check_contradiction(log.events, 2960.0)) == "unknown"
     assert verdict(check_contradiction(log.events, 2980.0)) == "kept"
 
 
-def test_a_gap_hides_acts_by_what_was_left_and_by_what_was_learned_in_it():
+def test_a_gap_may_hide_acts_on_the_version_before_and_on_one_learned_within_it():
     # a acts on the newer version after the gap; within the gap it may have acted on the older one.
     log = Log().start("a", 0.0).start("b", 0.0).act("a", 10.0, 1).act("b", 100.0, 2).lose("a", 2)
     log.act("a", 5000.0, 2).end("a", 8000.0).end("b", 9000.0)
@@ -140,7 +140,7 @@
     assert "a life of a" in found.text
 
 
-def test_lives_are_told_apart_over_restarts():
+def test_lives_are_split_at_restarts():
     log = Log().start("a", 0.0).act("a", 1.0, 1).end("a", 2.0).start("a", 5.0, 1).act("a", 6.0, 1)
     first, second = lives(log.events)
     assert first.is_whole
@@ -153,7 +153,7 @@
     assert first.until_ms == 5.0
 
 
-def test_versions_that_go_back_also_over_a_restart():
+def test_versions_that_go_back_are_broken_also_across_a_restart():
     log = Log().start("a", 0.0).act("a", 1.0, 5).end("a", 2.0, clean=False).start("a", 3.0, 1)
     log.learn("a", 4.0, 4)
     (found,) = check_versions(log.events)
@@ -168,7 +168,7 @@
     assert "version 3 is x at a and y at b" in found.text
 
 
-def test_what_has_no_version_has_no_order_and_a_life_may_count_for_itself():
+def test_rules_without_a_version_have_no_order_and_lives_can_be_checked_separately():
     log = Log().start("a", 0.0).learn("a", 1.0, 5).act("a", 2.0, 0, digest="x").act("a", 3.0, 0, digest="y")
     assert check_versions(log.act("a", 4.0, 5).events) == []
     log.end("a", 5.0).start("a", 6.0).act("a", 7.0, 4)
@@ -178,7 +178,7 @@
     assert verdict(check_versions(log.events, over_restarts=False)) == "broken"
 
 
-def test_what_is_stored_is_what_was_learned():
+def test_a_stored_version_has_the_content_that_was_learned():
     log = Log().start("a", 0.0).learn("a", 1.0, 4).learn("a", 2.0, 5, digest="x").store("a", 3.0, 4)
     assert check_versions(log.events) == []
     assert verdict(check_versions(log.store("a", 4.0, 5, digest="y").events)) == "broken"
@@ -206,7 +206,7 @@
         ([write("x", 0, 9), write("y", 0, 9), reading("x", 1, 4), reading("y", 5, 8)], "kept"),
     ],
 )
-def test_what_was_confirmed_is_kept_and_what_was_refused_never_appears(operations, said):
+def test_confirmed_writes_are_kept_and_refused_ones_never_read(operations, said):
     assert verdict(check_register(operations)) == said
 
 
@@ -234,7 +234,7 @@
 
 @given(operations())
 @settings(max_examples=300, deadline=None)
-def test_the_search_says_what_all_orders_tried_one_by_one_say(made):
+def test_the_search_agrees_with_an_enumeration_of_all_orders(made):
     completed = [op for op in made if op.end_ms < math.inf and (op.kind == "read" or op.ok)]
     pending = [op for op in made if op.end_ms == math.inf and op.kind == "write"]
     chosen = itertools.chain.from_iterable(
@@ -244,13 +244,13 @@
     assert verdict(check_register(made)) == ("kept" if valid else "broken")
 
 
-def test_a_search_that_would_not_end_is_unknown():
+def test_a_search_beyond_its_bound_is_unknown():
     many = [write(str(number), 0.0, 100.0) for number in range(18)] + [reading("none", 1.0, 99.0)]
     (found,) = check_register(many, most=500)
     assert found.verdict == "unknown"
 
 
-def test_recovery_counts_from_the_last_heal_to_the_last_stale_act():
+def test_recovery_lasts_from_the_last_fault_to_the_last_stale_act():
     log = Log().start("a", 0.0).start("b", 0.0).act("a", 100.0, 1).act("b", 150.0, 2)
     log.act("a", 1200.0, 1).act("b", 1300.0, 2).act("a", 1500.0, 2)
     assert recovery_ms(log.events, 1000.0, ["a", "b"]) == 500.0
@@ -299,7 +299,7 @@
 
 @given(acts, st.integers(0, 9), st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 9)), max_size=5))
 @settings(max_examples=200, deadline=None)
-def test_what_keeps_a_rule_breaks_none(rows, bound, more):
+def test_acts_that_keep_a_rule_break_none(rows, bound, more):
     """Adds acts on the newest version after all others, and acts on another rule on which all nodes agree."""
     before = merged(nodes_of(rows, ()).values())
     after = [act for act in before if isinstance(act, Acted)]
@@ -319,7 +319,7 @@
     return Ledger(executions=[run], asked=[asked], crashes=[Crash(node, at) for node, at in crashes.items()])
 
 
-def test_a_broken_rule_is_told_with_the_beginning_of_its_story():
+def test_a_broken_rule_is_reported_with_its_first_event():
     (found,) = check_rules(call_ledger())
     assert found.verdict == "broken"
     assert found.text.startswith("one final answer: call c1 was taken and not answered: 1.000 client of n0")
@@ -328,7 +328,7 @@
     assert check_rules(call_ledger(), lambda breach: "a link" if breach.call == "c1" else "") == []
 
 
-def test_what_a_node_costs_is_what_it_sent_and_got_a_second():
+def test_the_cost_of_a_node_counts_sent_and_received_traffic_per_second():
     links = {
         ("n0", "n1"): SimpleNamespace(passed=1000, messages=10),
         ("registry", "n0"): SimpleNamespace(passed=500, messages=0),
@@ -345,7 +345,7 @@
     return NodeCost("n0", messages, 1.0, syncs, 1.0, 1.0)
 
 
-def test_a_cost_a_node_that_grows_with_the_number_of_nodes_is_broken():
+def test_a_cost_per_node_that_grows_with_the_number_of_nodes_is_broken():
     rows = {3: [cost(1.0), cost(3.0)], 10: [cost(9.0)], 40: [cost(2.4)]}
     assert growth(rows)["messages_s"] == pytest.approx(0.2)
     assert growth(rows)["syncs_s"] == 0.0
@@ -360,7 +360,7 @@
 
 
 @pytest.mark.parametrize("name", ["checkers", "lives", "entries", "promises", "costs"])
-def test_checkers_reach_nothing_of_the_world(name):
+def test_checkers_import_only_pure_modules(name):
     imported = names(ROOT / "rig" / "cluster" / f"{name}.py")
     assert not {one.split(".")[0] for one in imported} & FORBIDDEN
     allowed = {"rig.ledger", *(f"rig.cluster.{one}" for one in ("checkers", "lives", "history"))}
--- a/tests/rig/cluster/test_clocks.py
+++ b/tests/rig/cluster/test_clocks.py
@@ -30,7 +30,7 @@
 
 
 @given(st.lists(st.tuples(st.floats(0.0, 1e6), PPM), max_size=30))
-def test_a_drifting_clock_never_goes_back_nor_jumps_as_its_drift_changes(changes):
+def test_a_drifting_clock_never_goes_back_or_jumps_when_its_drift_changes(changes):
     drift, real, before = Drift(), 5.0, 5.0
     for passed, ppm in changes:
         rate, real = drift.rate, real + passed
@@ -43,13 +43,13 @@
 
 
 @given(PPM, st.floats(0.001, 1e5))
-def test_a_span_of_its_seconds_takes_the_real_time_in_which_it_passes(ppm, span):
+def test_a_drifted_duration_is_converted_to_real_time(ppm, span):
     drift = Drift()
     drift.change(ppm, 0.0)
     assert math.isclose(drift.at(drift.real_s(span)), span, rel_tol=1e-9)
 
 
-def test_the_wall_clock_jumps_and_drifts_and_is_put_right_while_the_loop_goes_on():
+def test_the_wall_clock_jumps_drifts_and_is_reset_while_the_loop_continues():
     hands = Hands()
     clock = hands.clock()
     clock.jump(-10_000)
@@ -68,7 +68,7 @@
 
 
 @pytest.mark.parametrize("wrong", [math.nan, math.inf, 1e12])
-def test_no_clock_jumps_or_drifts_so_far(wrong):
+def test_jumps_and_drifts_beyond_the_limits_are_refused(wrong):
     clock = SkewedClock()
     with pytest.raises(ClockError, match="jump_ms"):
         clock.jump(wrong)
--- a/tests/rig/cluster/test_cluster.py
+++ b/tests/rig/cluster/test_cluster.py
@@ -23,7 +23,7 @@
 from rig.cluster.judging import Change, Disks, Excuses, Played, judge, notifications, without_addresses
 from rig.cluster.live import LiveDisplay, NodeView, tail
 from rig.cluster.nodes import PlatformNode, Processes
-from rig.cluster.outages import Down, Faulted
+from rig.cluster.outages import DiskFaultSpan, Downtime
 from rig.cluster.schedules import FORMAT, Head, Kill, Link, News, Reload, Schedule, Stop
 from rig.helper import ROOT
 from rig.ledger import Asked, Breach, Crash, Execution, Ledger
@@ -65,7 +65,7 @@
 
 
 @believed
-def test_with_no_fault_all_serve_hear_and_hardly_contradict():
+def test_without_faults_all_nodes_serve_learn_and_hardly_contradict():
     played = play(schedule(News(800, 1, "s1"), News(1500, 1, "s1", "left")))
     assert broken(played) == []
     assert played.fallen == []
@@ -88,7 +88,7 @@
 
 
 @believed
-def test_a_node_whose_ways_to_the_servers_are_cut_is_the_only_one_that_fails():
+def test_only_the_node_whose_links_to_the_servers_are_cut_fails():
     played = play(schedule(Link(500, 2000, "cut", ("n0",), ("servers",)), News(800, 1, "s1")))
     assert not played.not_played
     assert broken(played) == []
@@ -120,7 +120,7 @@
 
 
 @believed
-def test_the_same_schedule_comes_to_the_same_each_time():
+def test_the_same_schedule_has_the_same_verdict_each_time():
     made = schedule(Link(300, 2500, "cut", (REGISTRY,), ("n0",)), News(600, 1, "s1"), Kill(900, 300, "n1"))
     seen = {
         (tuple(broken(played)), played.longest()[0].old.node) for played in (play(made) for _ in range(3))
@@ -180,7 +180,7 @@
 # --- links, registry and disks ---------------------------------------------------------------
 
 
-def test_up_to_twenty_nodes_all_speak_and_more_speak_to_eight_each():
+def test_up_to_twenty_nodes_are_all_linked_and_more_are_linked_to_eight_each():
     assert len(site.pairs(20)) == 190
     assert site.neighbours(3, 20) == list(range(20))
     assert site.neighbours(0, 100) == [0, 1, 2, 3, 4, 96, 97, 98, 99]
@@ -191,7 +191,7 @@
 
 
 @bounded
-async def test_a_registry_goes_back_and_cuts_off_who_watches():
+async def test_a_rewound_registry_restores_its_list_and_cuts_off_watches():
     registry = await Restorable(entries(["127.0.0.1:1", "127.0.0.1:2"])).start()
     host, port = registry.address.split(":")
     before = registry.snapshot()
@@ -214,7 +214,7 @@
     await registry.stop()
 
 
-def test_a_disk_is_kept_emptied_or_put_back_and_not_under_a_process():
+def test_a_disk_is_kept_emptied_or_restored_but_not_under_a_process():
     node = PlatformNode(0, lambda life: {})
     (node.disk / "log").write_text("old")
     node.copy_disk()
@@ -243,7 +243,7 @@
         self.signals.append(number)
 
 
-def test_a_starved_process_is_stopped_again_and_again_and_ends_awake():
+def test_a_starved_process_is_stopped_repeatedly_and_runs_in_the_end():
     node = PlatformNode(0, lambda life: {})
     node.program = Stub()
     asyncio.run(Processes({"n0": node}, (Stop(0, 350, "n0", 0.5),)).run())
@@ -257,7 +257,7 @@
 # --- judging of recorded plays ---------------------------------------------------------------
 
 
-def test_a_node_counts_as_told_when_it_learned_so_and_again_after_an_older_disk():
+def test_a_node_counts_as_notified_when_it_learned_and_again_after_an_older_disk():
     log = Log().start("n0", 0.0)
     log.learn("n0", 1000.0, 1, LIST, s1="active/a", s2="active/b")
     log.learn("n0", 9000.0, 2, LIST, s1="leaving/a", s2="active/b").kill("n0", 9100.0)
@@ -274,7 +274,7 @@
     assert rows == sorted(rows, key=lambda row: row.changed_s)
 
 
-def test_lists_that_differ_in_addresses_only_are_alike_and_no_others():
+def test_only_lists_that_differ_in_nothing_but_addresses_become_equal():
     log = Log().start("n0", 0.0).start("n1", 0.0)
     log.learn("n0", 1.0, 1, LIST, "d0", s1="active/a").learn("n1", 1.0, 1, LIST, "d1", s1="active/b")
     log.act("n0", 2.0, 1, LIST, "d0").store("n1", 2.0, 1, LIST, "d1")
@@ -333,7 +333,7 @@
         (Kill(2500, 500, "n0"), ANSWERED, False),  # the ledger excuses crashes itself
     ],
 )
-def test_a_breach_is_excused_by_what_its_call_met_only(step, rule, excused):
+def test_a_breach_is_excused_only_by_faults_that_its_call_met(step, rule, excused):
     assert bool(Excuses(of(call_ledger(), step)).excuse(Breach(rule, "", "c1", ()))) == excused
 
 
@@ -343,17 +343,17 @@
     assert not excuses.excuse(Breach(EFFECTS, "call c1 was sent to s1 after s2: another group", "c1", ()))
 
 
-def test_a_call_that_an_absent_node_never_took_is_excused_and_one_it_took_is_not():
-    downs = [Down("n0", 9.5, 10.5, False)]
-    assert Excuses(of(call_ledger(), downs=downs)).excuse(Breach(ANSWERED, "", "c1", ()))
+def test_a_call_that_an_absent_node_never_accepted_is_excused_and_an_accepted_one_is_not():
+    downtimes = [Downtime("n0", 9.5, 10.5, False)]
+    assert Excuses(of(call_ledger(), downtimes=downtimes)).excuse(Breach(ANSWERED, "", "c1", ()))
     accepted = Log().start("n0", 0.0).act("n0", 10_000.0, 1, LIST).events
     accepted[1] = type(accepted[1])("n0", 2, 10_000.0, LIST, 1, call="c1")
-    played = of(call_ledger(), downs=downs)
+    played = of(call_ledger(), downtimes=downtimes)
     played.events = accepted
     assert not Excuses(played).excuse(Breach(ANSWERED, "", "c1", ()))
 
 
-def test_the_servers_books_tell_what_a_killed_node_sent_past_the_grace():
+def test_the_servers_records_show_what_a_killed_node_sent_after_the_grace_period():
     """Its own history ends before the send, so that only the ledger can show it."""
     log = Log().start("n0", 0.0).learn("n0", 9000.0, 1, LIST, s1="active/a")
     log.learn("n0", 9100.0, 2, LIST, s1="leaving/a").kill("n0", 10_500.0)
@@ -369,7 +369,7 @@
         assert found == (["rules"] if wrong else [])
 
 
-def test_after_a_restart_that_forgot_news_the_grace_begins_anew():
+def test_the_grace_period_begins_anew_after_a_restart_with_an_older_list():
     log = Log().start("n0", 0.0).learn("n0", 9000.0, 1, LIST, s1="active/a")
     log.learn("n0", 9100.0, 2, LIST, s1="leaving/a").kill("n0", 9700.0)
     log.start("n0", 9800.0).learn("n0", 9850.0, 1, LIST, s1="active/a")
@@ -382,13 +382,16 @@
         assert bool(found and not Excuses(of(asked)).excuse(found)) == wrong
 
 
-def test_a_disk_excuses_what_it_lost_by_its_own_fault_only():
+def test_a_disk_excuses_only_losses_by_its_own_faults():
     log = Log()
     for at_ms in (0.0, 5000.0, 9000.0):
         log.start("n0", at_ms)
-    faulted = [Faulted("n0", "lie", 1000.0, 2000.0), Faulted("n0", "eio", 3000.0, 3500.0)]
-    faulted += [Faulted("n0", "emptied", -math.inf, 4500.0), Faulted("n1", "lie", 0.0, 9999.0)]
-    played = of(Ledger(), faulted=faulted[:2])
+    disk_faults = [DiskFaultSpan("n0", "lie", 1000.0, 2000.0), DiskFaultSpan("n0", "eio", 3000.0, 3500.0)]
+    disk_faults += [
+        DiskFaultSpan("n0", "emptied", -math.inf, 4500.0),
+        DiskFaultSpan("n1", "lie", 0.0, 9999.0),
+    ]
+    played = of(Ledger(), disk_faults=disk_faults[:2])
     played.events = log.events
     disks = Disks(played)
     assert [disks.excuse("n0", at_ms) for at_ms in (500.0, 1500.0, 2500.0, 3200.0, 5000.0)] == [
@@ -398,20 +401,20 @@
         False,
         False,
     ]
-    played.faulted = faulted
+    played.disk_faults = disk_faults
     disks = Disks(played)
     assert disks.excuse("n0", 5000.0)
     assert not disks.excuse("n0", 9000.0)
 
 
-def test_a_disk_that_lied_excuses_the_one_write_that_it_may_have_been_amid_and_no_later_one():
+def test_a_disk_that_lied_excuses_the_write_in_flight_and_no_later_one():
     """Guards against a verdict that depends on how late a busy machine confirms a write."""
     log = Log().start("n0", 0.0)
     for version, at_ms in enumerate((900.0, 2100.0, 2200.0), 1):
         log.store("n0", at_ms, version)
     log.store("n1", 2050.0, 1)
     for kind, late in (("lie", True), ("lost_rename", True), ("emptied", False), ("older", False)):
-        played = of(Ledger(), faulted=[Faulted("n0", kind, 1000.0, 2000.0)])
+        played = of(Ledger(), disk_faults=[DiskFaultSpan("n0", kind, 1000.0, 2000.0)])
         played.events = log.events
         disks = Disks(played)
         found = [disks.excuse("n0", at_ms) for at_ms in (900.0, 1500.0, 2100.0, 2200.0)]
@@ -429,7 +432,7 @@
 # --- live display ----------------------------------------------------------------------------
 
 
-def test_what_is_shown_is_what_the_nodes_told_last(tmp_path):
+def test_the_display_shows_the_last_events_of_the_nodes(tmp_path):
     lines = [
         b'{"event":"started","node":"n0","number":1,"at_ms":1.0,"life":2}',
         b'{"event":"learned","node":"n0","number":2,"at_ms":2.0,"rule":"list:shop","version":7,'
@@ -453,7 +456,7 @@
 
 @pytest.mark.parametrize("terminal", [False, True])
 @bounded
-async def test_a_terminal_is_written_anew_and_a_file_is_appended_to(terminal):
+async def test_the_display_rewrites_a_terminal_and_appends_to_a_file(terminal):
     cluster = Cluster(schedule(Stop(500, 59_000, "n0"), length_ms=60_000))
     cluster.began_ms = asyncio.get_running_loop().time() * 1000.0 - 1000.0
     cluster.nodes["n0"] = PlatformNode(0, lambda life: {})
@@ -484,7 +487,7 @@
     ("bound", "broken", "unsound", "code"),
     [("2000", (), (), 1), ("2200", (), (), 0), ("2200", ("rules: one",), (), 1), ("2200", (), ("late",), 1)],
 )
-def test_what_does_not_hold_is_exit_code_1(bound, broken, unsound, code, monkeypatch, capsys):
+def test_a_figure_beyond_its_bound_is_exit_code_1(bound, broken, unsound, code, monkeypatch, capsys):
     cost = (cluster_faults.NodeCost("n0", 1.0, 2.0, 0.5, 30.0, 10.0),)
     row = cluster_faults.Row("cut", 3, 500.0, 2100.0, "", math.nan, 1.0, 10, cost, 0.0, broken, unsound)
 
@@ -505,9 +508,9 @@
             assert schedules.read(made.encode(), name) == made
 
 
-def test_a_node_that_was_told_to_end_and_then_killed_is_gone_from_the_kill_on():
+def test_a_node_killed_during_its_shutdown_is_gone_from_the_kill_on():
     """Guards against calls accepted during a shutdown that count as accepted by a dead process."""
-    down = Down("n0", 1.0, 3.0, killed=True)
+    down = Downtime("n0", 1.0, 3.0, killed=True)
     killed = [("n0", 0.5), ("n1", 1.2), ("n0", 1.6), ("n0", 9.0)]
     assert _killed_s(down, killed) == 1.6
     assert _killed_s(down, []) == 1.0
--- a/tests/rig/cluster/test_command.py
+++ b/tests/rig/cluster/test_command.py
@@ -28,7 +28,7 @@
     return str(path)
 
 
-def test_a_draw_is_what_its_seed_says_and_can_be_shown(tmp_path, capfdbinary):
+def test_a_draw_depends_on_its_seed_only_and_can_be_shown(tmp_path, capfdbinary):
     words = ["draw", "--seed", "4", "--nodes", "3", "--steps", "5", "--no-news"]
     assert command.main(words) == 0
     first = capfdbinary.readouterr().out
@@ -68,7 +68,7 @@
         assert capsys.readouterr().err.startswith(f"{path}:4: ")
 
 
-def test_a_run_finds_the_breach_that_its_schedule_makes_and_draws_it(tmp_path, capsys):
+def test_a_run_finds_the_breach_of_its_schedule_and_draws_it(tmp_path, capsys):
     path, out, picture = write(tmp_path, CUT), tmp_path / "out.json", tmp_path / "out.svg"
     words = ["run", path, "--bound-ms", "600", "--live", "--json", str(out), "--svg", str(picture)]
     assert command.main(words) == 1
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("name", SCHEDULES)
 @believed
-def test_each_kind_of_fault_comes_to_what_its_file_states(name):
+def test_each_kind_of_fault_has_the_verdict_of_its_file(name):
     """Plays a schedule on 3 to 5 processes; one test each, so that pytest workers share them."""
     given = command.parser().parse_args(["ci"])
     report = asyncio.run(command._play_in_process(command.REGRESSIONS_FOLDER / f"{name}.jsonl", given))
@@ -137,7 +137,7 @@
     monkeypatch.setattr(command, "play", run)
 
 
-def test_a_bound_is_as_asked_or_as_the_file_states(tmp_path, capsys, monkeypatch):
+def test_the_bound_is_that_of_the_option_or_of_the_file(tmp_path, capsys, monkeypatch):
     playing(monkeypatch, lambda made: seen(("n1", 10.0, True), ("n0", 3000.0, False)))
     loose = Schedule(Head(FORMAT, 3, 3, 4500, bound_ms=4000), CUT.steps)
     assert command.main(["run", write(tmp_path, loose)]) == 0
@@ -146,14 +146,14 @@
     assert "n0 pick by version 1" in capsys.readouterr().out
 
 
-def test_what_a_process_did_by_itself_and_an_unsound_run_are_failures(tmp_path, capsys, monkeypatch):
+def test_a_process_that_exits_by_itself_and_an_unsound_run_are_failures(tmp_path, capsys, monkeypatch):
     for more, said in (({"fallen": ["n0: ended"]}, "process: n0"), ({"unsound": ["late"]}, "UNSOUND: late")):
         playing(monkeypatch, lambda made, more=more: seen(("n0", 5.0, True), **more))
         assert command.main(["run", write(tmp_path, CUT)]) == 1
         assert said in capsys.readouterr().out
 
 
-def test_plays_that_come_to_different_verdicts_are_told(tmp_path, capsys, monkeypatch):
+def test_plays_with_different_verdicts_are_reported(tmp_path, capsys, monkeypatch):
     ends = iter([5.0, 3000.0])
     playing(monkeypatch, lambda made: seen(("n1", 10.0, True), ("n0", next(ends), False)))
     assert command.main(["run", write(tmp_path, CUT), "--times", "2"]) == 1
@@ -190,7 +190,9 @@
         ({"unsound": ("late",)}, False),
     ],
 )
-def test_each_of_a_folder_must_come_to_what_its_file_states(changes, passes, tmp_path, capsys, monkeypatch):
+def test_each_schedule_of_a_folder_must_have_the_verdict_of_its_file(
+    changes, passes, tmp_path, capsys, monkeypatch
+):
     async def one(file, given):
         return told(**changes)
 
@@ -201,7 +203,7 @@
 
 
 @pytest.mark.parametrize(("unsound_plays", "plays", "code"), [(0, 1, 0), (1, 2, 0), (2, 3, 0), (99, 3, 1)])
-def test_an_unsound_play_is_played_again_alone_and_not_for_ever(
+def test_an_unsound_play_is_repeated_alone_a_bounded_number_of_times(
     unsound_plays, plays, code, tmp_path, monkeypatch
 ):
     played = []
@@ -229,7 +231,7 @@
     assert len(played) == plays
 
 
-def test_a_play_that_can_not_be_is_exit_code_2(tmp_path, capsys, monkeypatch):
+def test_a_play_that_does_not_end_in_time_is_exit_code_2(tmp_path, capsys, monkeypatch):
     write(tmp_path, CUT)
     words = ["ci", str(tmp_path), "--tree", str(command.ROOT)]
     monkeypatch.setattr(command, "PLAY_S", 0.0)
--- a/tests/rig/cluster/test_disks.py
+++ b/tests/rig/cluster/test_disks.py
@@ -156,7 +156,7 @@
         assert made.kill()[0] == left
 
 
-def test_lose_drops_bytes_unseen_and_only_one_sync_tells(tmp_path):
+def test_lose_drops_bytes_silently_and_only_one_sync_reports_it(tmp_path):
     with probe(tmp_path) as made:
         made.play([("append", "a", "new")])
         made.ask("begin", "lose")
@@ -178,14 +178,14 @@
     assert all(byte in (0, whole[at]) for at, byte in enumerate(left))
 
 
-def test_a_lie_says_that_bytes_are_down_and_a_kill_loses_them(tmp_path):
+def test_a_lie_reports_bytes_as_synced_and_a_kill_loses_them(tmp_path):
     with probe(tmp_path, "lie") as made:
         made.play([("append", "a", "+"), ("sync", "a"), ("sync_folder",)])
         assert made.ask("read", "a", 9) == "old+"
         assert made.kill()[0] == {"a": b"old"}
 
 
-def test_after_a_failed_sync_the_next_one_is_content_with_the_bytes_gone(tmp_path):
+def test_after_a_failed_sync_the_next_one_succeeds_with_the_bytes_gone(tmp_path):
     seed = next(n for n in range(99) if disks.random.Random(f"{n}/disk/n0/eio_once").random() < 1 / 3)
     with probe(tmp_path, seed=seed) as made:
         made.play([("append", "a", "new")])
@@ -216,7 +216,7 @@
     assert left["c"].rstrip(b"\0") == b"old"
 
 
-def test_full_writes_part_and_says_so(tmp_path):
+def test_full_writes_part_and_fails(tmp_path):
     with probe(tmp_path, "full") as made:
         assert made.ask("append", "a", "+" * 99) == ENOSPC
         stands = made.ask("read", "a", 999)
@@ -225,7 +225,7 @@
         assert made.kill()[0] == {"a": stands.encode()}
 
 
-def test_a_kill_amid_a_stalled_sync_loses_what_it_was_for(tmp_path):
+def test_a_kill_during_a_stalled_sync_loses_its_bytes(tmp_path):
     with probe(tmp_path, "slow") as made:
         made.play([("append", "a", "+")])
         made.tell("sync", "a")
@@ -235,7 +235,7 @@
         assert made.kill()[0] == {"a": b"old"}
 
 
-def test_changed_flips_a_bit_or_gives_the_version_before_also_in_the_next_life(tmp_path):
+def test_changed_flips_a_bit_or_returns_the_previous_version_also_in_the_next_life(tmp_path):
     with probe(tmp_path) as made:
         made.play([("append", "b", "new"), ("sync", "b"), ("replace", "b", "a"), ("sync_folder",)])
         made.kill()
@@ -249,7 +249,7 @@
         assert (int.from_bytes(other, "big") ^ int.from_bytes(b"new", "big")).bit_count() == 1
 
 
-def test_a_lost_rename_is_seen_until_the_kill(tmp_path):
+def test_a_lost_rename_is_visible_until_the_kill(tmp_path):
     with probe(tmp_path, "lost_rename") as made:
         made.play([("append", "b", "new"), ("sync", "b"), ("replace", "b", "a"), ("sync_folder",)])
         assert made.ask("read", "a", 9) == "new"
@@ -331,7 +331,7 @@
     assert set(one[2].faults) == set(WRITES) - {"slow"}
 
 
-def test_a_stall_holds_no_lock_and_is_drawn(tmp_path):
+def test_a_stall_holds_no_lock_and_its_length_is_drawn(tmp_path):
     seen = []
 
     def sleep(seconds):
@@ -435,7 +435,7 @@
 @pytest.mark.parametrize(
     ("calls", "new"), [(snapshot(b"new"), b"new"), ([("append", "a", b"+"), ("sync", "a")], b"old+")]
 )
-def test_a_kill_amid_any_change_of_the_folder_leaves_one_version_whole(tmp_path, word, calls, new):
+def test_a_kill_during_any_change_of_the_folder_leaves_one_complete_version(tmp_path, word, calls, new):
     for change in range(99):
         store, lived = FaultyStore(tmp_path / str(change), change, "n0"), False
         for call, *args in snapshot(b"old"):
--- a/tests/rig/cluster/test_entries.py
+++ b/tests/rig/cluster/test_entries.py
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("second", [{"s1": LEFT, "s2": A}, {"s2": A}])
-def test_a_send_by_the_old_list_after_a_send_to_anyone_by_the_newer_contradicts(second):
+def test_a_send_by_the_old_list_after_any_send_by_the_newer_one_contradicts(second):
     log = (
         begun().learn("b", 100.0, 2, **second).act("b", 200.0, 2, server="s2").act("a", 900.0, 1, server="s1")
     )
@@ -48,7 +48,7 @@
     assert contradictions_by_entry(log.act("a", 900.0, 1, server="s1").events) == []
 
 
-def test_a_version_counts_from_the_lowest_since_which_an_entry_stands_so():
+def test_the_version_of_an_entry_is_the_lowest_since_which_it_has_not_changed():
     log = (
         begun()
         .learn("a", 2.0, 2, s1=A, s2=A, s3=A)
@@ -60,7 +60,7 @@
     assert (span.old.version, span.new.version, span.ms) == (1, 7, 100.0)
 
 
-def test_an_entry_that_is_made_otherwise_is_a_rule_for_sends_to_it():
+def test_an_entry_with_another_content_is_a_rule_for_sends_to_its_server():
     log = begun().learn("a", 2.0, 2, s1=LEFT, s2=A).learn("b", 100.0, 3, s1="active/2", s2=A)
     log.act("b", 150.0, 3, server="s2").act("a", 900.0, 2, server="s1")
     assert contradictions_by_entry(log.events) == []
@@ -102,7 +102,7 @@
     assert check_entries(log.events, 500.0, {"list:s1": ["old", "other"]}) == []
 
 
-def test_what_no_node_told_is_unknown():
+def test_acts_on_lists_that_no_node_reported_are_unknown():
     log = begun().act("a", 10.0, 5, server="s1").act("b", 10.0, 1, server="s9")
     found = check_entries(ended(log), 500.0)
     assert [finding.verdict for finding in found] == ["unknown", "unknown"]
@@ -112,7 +112,7 @@
 # --- gaps --------------------------------------------------------------------------------------
 
 
-def test_a_killed_node_may_have_gone_on_by_its_last_list():
+def test_a_killed_node_may_have_acted_on_its_last_list_until_the_kill():
     log = begun().act("a", 10.0, 1, server="s2").learn("b", 100.0, 2, s2=A).act("b", 110.0, 2, server="s2")
     log.kill("a", 3000.0).end("b", 9000.0)
     (found,) = check_entries(log.events, 2000.0)
@@ -122,20 +122,20 @@
     assert check_entries(log.events, 2890.0) == []
 
 
-def test_a_killed_node_that_knew_better_is_no_doubt():
+def test_a_killed_node_that_had_learned_the_newer_list_is_kept():
     log = begun().learn("b", 100.0, 2, s2=A).act("b", 110.0, 2, server="s2").act("a", 150.0, 1, server="s1")
     log.learn("a", 200.0, 2, s2=A).kill("a", 8000.0).end("b", 9000.0)
     assert check_entries(log.events, 2000.0) == []
 
 
-def test_a_killed_node_may_have_been_the_first_to_act_on_the_news():
+def test_a_killed_node_may_have_been_the_first_to_act_on_the_newer_list():
     log = (
         begun().learn("b", 100.0, 2, s2=A).kill("b", 150.0).act("a", 5000.0, 1, server="s1").end("a", 9000.0)
     )
     assert verdict(check_entries(log.events, 2000.0)) == "unknown"
 
 
-def test_a_killed_node_may_have_gone_on_by_its_settings():
+def test_a_killed_node_may_have_acted_on_its_last_settings_until_the_kill():
     order = {"settings:s1": ["x", "y"]}
     log = begun().act("a", 10.0, 1, server="s2", settings="x").act("b", 500.0, 1, server="s2", settings="y")
     log.kill("a", 4000.0).end("b", 9000.0)
@@ -145,7 +145,7 @@
     assert check_entries(log.events, 2000.0, order) == []
 
 
-def test_a_node_that_stood_still_has_no_gap():
+def test_a_paused_node_has_no_gap():
     log = begun().learn("b", 100.0, 2, s2=A).act("b", 110.0, 2, server="s2").learn("a", 8000.0, 2, s2=A)
     assert check_entries(ended(log), 2000.0) == []
 
@@ -205,7 +205,7 @@
 
 @given(rows)
 @settings(max_examples=500, deadline=None)
-def test_the_longest_of_each_entry_is_that_of_all_acts_tried_one_by_one(acts):
+def test_the_longest_span_of_each_entry_equals_that_of_a_comparison_of_all_pairs(acts):
     longest: dict[str, float] = {}
     for rule, ms in pairs(acts):
         longest[rule] = max(ms, longest.get(rule, 0.0))
@@ -215,7 +215,7 @@
 
 @given(rows, st.integers(0, 30), st.permutations("abc"))
 @settings(max_examples=100, deadline=None)
-def test_neither_the_order_of_nodes_nor_acts_on_what_is_newest_change_a_verdict(acts, bound, order):
+def test_neither_the_order_of_nodes_nor_acts_on_the_newest_list_change_a_verdict(acts, bound, order):
     events = history(acts)
     by_node = {node: [event for event in events if event.node == node] for node in "abc"}
     given_order = {"settings:s1": ["x", "y"]}
@@ -242,7 +242,7 @@
     assert recovery_by_entry_ms(log.events, 1000.0, ["a", "b"]) == math.inf
 
 
-def test_recovery_takes_the_newest_settings_too():
+def test_recovery_needs_the_newest_settings_too():
     order = {"settings:s1": ["x", "y"]}
     log = (
         begun().act("a", 1100.0, 1, server="s2", settings="x").act("b", 1200.0, 1, server="s2", settings="y")
--- a/tests/rig/cluster/test_history.py
+++ b/tests/rig/cluster/test_history.py
@@ -32,7 +32,7 @@
     return log.act("a", at + 2.0, 7, server="s1").events
 
 
-def test_all_that_a_node_tells_is_read_back():
+def test_all_events_of_a_node_are_read_back():
     log = Log().start("a", 1.0, 3).learn("a", 2.0, 5, form="changes", s1="active/1f")
     log.act("a", 3.0, 5, digest="d", server="s1", what="retry", settings="e").store("a", 4.0, 5)
     log.fail("a", 5.0).drain("a", 6.0).end("a", 7.0)
@@ -41,7 +41,7 @@
     assert [type(event) for event in read] == [Started, Learned, Acted, Stored, Unstored, Draining, Ended]
 
 
-def test_the_programs_own_words_are_read_and_further_fields_passed_over():
+def test_the_programs_own_events_are_read_and_unknown_fields_ignored():
     text = (
         b'{"node":"n3","number":4,"at_ms":12.5,"rule":"list:s","version":9,"digest":"ab","what":"repeat",'
         b'"call":"c1","server":"s2","hop":0,"settings":"cd","more":[1],"event":"acted"}\n'
@@ -50,7 +50,7 @@
     assert event == Acted("n3", 4, 12.5, "list:s", 9, "ab", "repeat", "c1", "s2", 0, "cd")
 
 
-def test_what_a_kill_leaves_is_read_but_for_its_torn_end():
+def test_a_file_cut_off_by_a_kill_is_read_but_for_its_incomplete_end():
     whole = lines(life())
     for cut in range(len(whole) + 1):
         events = list(parse(whole[:cut], "a.jsonl"))
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("between", [b"", b"\n"])
-def test_a_line_torn_before_the_next_life_is_a_gap_and_no_error(between):
+def test_an_incomplete_line_before_the_next_life_is_a_gap_and_no_error(between):
     first, second = life(), life(2, at=100.0)
     whole = lines(first)
     for cut in range(whole.rindex(b"\n", 0, -1) + 2, len(whole)):
@@ -106,7 +106,7 @@
     assert order == [("a", 1), ("b", 1), ("a", 2), ("a", 3), ("b", 2), ("b", 3)]
 
 
-def test_a_kill_ends_the_life_that_it_met_after_all_that_this_one_told():
+def test_a_kill_ends_its_life_after_all_events_of_that_life():
     log = Log().start("a", 0.0).act("a", 11.0, 1).start("a", 50.0, 2).act("a", 60.0, 1).end("a", 70.0)
     log.start("b", 0.0).act("b", 80.0, 1)
     events = with_kills(log.events, [("a", 10.0), ("a", 75.0), ("b", 90.0), ("c", 5.0)])
--- a/tests/rig/cluster/test_links.py
+++ b/tests/rig/cluster/test_links.py
@@ -141,9 +141,9 @@
         """Send messages one by one, each once the relay has read the one before."""
         counts = self.counts(src, dst)
         async with asyncio.timeout(PATIENCE_S):
-            for came, message in enumerate(messages, counts.came + 1):
+            for came, message in enumerate(messages, counts.received + 1):
                 self.ends[src].transport.sendto(message, self.at[src, dst])
-                while counts.came < came:
+                while counts.received < came:
                     await asyncio.sleep(0)
 
     async def settled(self):
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("way", WAYS)
 @pytest.mark.parametrize(("src", "dst"), BOTH)
 @loopback
-async def test_a_fault_of_datagrams_is_what_it_says_one_way_only_and_over_when_ended(way, src, dst):
+async def test_a_fault_of_datagrams_has_its_effect_in_one_direction_until_it_ends(way, src, dst):
     amount, holds = UDP[way]
     made = fault(way, amount, src, dst)
     async with Udp.open() as link:
@@ -218,7 +218,7 @@
 
 @pytest.mark.parametrize(("way", "amount"), [("late", 60_000.0), ("narrow", 5.0), ("stall", 0.0)])
 @loopback
-async def test_datagrams_that_a_fault_delays_go_when_it_ends_and_are_lost_when_they_are_cut(way, amount):
+async def test_delayed_datagrams_are_sent_when_the_fault_ends_and_lost_by_a_cut(way, amount):
     async with Udp.open() as link:
         counts = link.counts("n0", "n1")
         for cut in (False, True):
@@ -235,7 +235,7 @@
 
 
 @loopback
-async def test_what_waits_is_bounded(monkeypatch):
+async def test_waiting_datagrams_are_bounded(monkeypatch):
     monkeypatch.setattr(links, "MAX_STALLED_DATAGRAMS", 5)
     monkeypatch.setattr(links, "MAX_PENDING_DATAGRAMS", 8)
     async with Udp.open() as link:
@@ -257,12 +257,12 @@
 
 
 @loopback
-async def test_datagrams_of_neither_end_and_such_that_the_kernel_dropped():
+async def test_datagrams_of_unknown_senders_and_datagrams_dropped_by_the_kernel_are_counted():
     async with Udp.open() as link:
         stranger = await UdpEnd.open()
         stranger.transport.sendto(b"who", link.at["n0", "n1"])
         await until(lambda: link.relay.unknown_senders == 1)
-        assert link.counts("n0", "n1").came == link.counts("n1", "n0").came == 0
+        assert link.counts("n0", "n1").received == link.counts("n1", "n0").received == 0
         stranger.transport.close()
         udp = next(iter(link.relay._udp_sockets.values()))
         udp.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 0)
@@ -275,7 +275,7 @@
 
 
 @loopback
-async def test_what_a_link_does_depends_on_its_own_seed_and_way_only():
+async def test_the_draws_of_a_link_depend_on_its_own_seed_and_way_only():
     async def kept(others):
         async with Udp.open(3, seed=9) as link:
             for way in ("late", "flip") if others else ():
@@ -301,7 +301,7 @@
 @pytest.mark.parametrize("way", [*HELD, *SLOW, *SAME, "flip"])
 @pytest.mark.parametrize(("src", "dst"), BOTH)
 @loopback
-async def test_a_fault_of_a_connection_is_what_it_says_one_way_only_and_over_when_ended(way, src, dst):
+async def test_a_fault_of_a_connection_has_its_effect_in_one_direction_until_it_ends(way, src, dst):
     amount = SLOW[way][0] if way in SLOW else 1.0 if way in (*SAME, "flip") else 0.0
     made = fault(way, amount, src, dst)
     text = bytes(range(200))
@@ -334,7 +334,7 @@
 
 @pytest.mark.parametrize(("src", "dst"), BOTH)
 @loopback
-async def test_a_reset_comes_in_the_middle_of_what_is_said_and_both_ends_see_it(src, dst):
+async def test_a_reset_cuts_a_read_in_half_and_both_ends_see_it(src, dst):
     async with Tcp.open() as link:
         counts = link.counts(src, dst)
         link.relay.begin(fault("reset", 1.0, src, dst))
@@ -379,7 +379,7 @@
 
 @pytest.mark.parametrize("cut", BOTH)
 @loopback
-async def test_a_connection_begun_through_a_cut_stays_silent_and_serves_after_it(cut):
+async def test_a_connection_opened_through_a_cut_stays_silent_and_works_after_it(cut):
     async with Tcp.open() as link:
         link.relay.begin(fault("cut", 0.0, *cut))  # a handshake needs both directions
         near = Peer(*await asyncio.open_connection(*link.at))
@@ -432,7 +432,7 @@
 
 @pytest.mark.parametrize("end", ["reset", "closed"])
 @loopback
-async def test_the_end_of_a_connection_waits_for_the_end_of_a_cut_behind_what_was_said(end):
+async def test_the_end_of_a_connection_waits_behind_its_data_for_the_end_of_a_cut(end):
     async with Tcp.open() as link:
         link.relay.begin(fault("cut"))
         near, far = link.ends.values()
@@ -480,7 +480,7 @@
 
 @pytest.mark.parametrize("way", HELD)
 @loopback
-async def test_a_held_link_takes_a_bounded_amount_and_gives_all_of_it_later(way):
+async def test_a_held_link_accepts_a_bounded_amount_and_forwards_all_of_it_later(way):
     async with Tcp.open() as link:
         counts = link.counts("n0", "n1")
         text = random.Random(1).randbytes(4 * 2**20)
@@ -497,7 +497,7 @@
 
 
 @loopback
-async def test_what_one_end_does_not_read_stays_with_the_other():
+async def test_data_that_one_end_does_not_read_stays_at_the_other():
     async with Tcp.open() as link:
         near, far = link.ends.values()
         far.writer.transport.pause_reading()
@@ -542,7 +542,7 @@
 
 @pytest.mark.parametrize("group", GROUPS)
 @loopback
-async def test_who_reaches_whom_in_groups(group):
+async def test_groups_reach_only_their_own_members(group):
     faults, wanted = GROUPS[group]
 
     async def reached(link):
@@ -565,7 +565,7 @@
 
 
 @loopback
-async def test_a_fault_is_on_links_that_are_made_later_and_two_of_a_kind_end_one_by_one():
+async def test_a_fault_applies_to_links_made_later_and_equal_faults_end_one_by_one():
     relay = Relay(1).start()
     relay.begin(fault("late", 10.0))
     relay.begin(fault("late", 30.0))
@@ -586,7 +586,7 @@
 
 
 @loopback
-async def test_ends_that_are_none():
+async def test_invalid_addresses_of_ends_are_refused():
     relay = Relay(1).start()
     for link, wrong in (
         (UdpLink("n0", "n1", ("localhost", 9), ("127.0.0.1", 9)), "not an IPv4 address"),
@@ -600,7 +600,7 @@
 
 
 @loopback
-async def test_a_player_changes_what_is_due_at_once_and_a_late_relay_is_unsound():
+async def test_a_player_applies_changes_that_are_due_together_and_a_lagging_relay_is_unsound():
     relay = Relay(1).start()
     cut = Link(20, 30, "cut", ("n0",), ("n1", "n2"))
     player = Player(relay, [cut, fault("late", 5.0)])
--- a/tests/rig/cluster/test_node.py
+++ b/tests/rig/cluster/test_node.py
@@ -142,7 +142,7 @@
 
 
 @bounded
-async def test_a_command_that_is_none_is_told_so_and_the_node_serves_on():
+async def test_an_invalid_command_is_refused_and_the_node_continues():
     async with running() as node:
         for wrong in (
             {"do": "dance"},
@@ -157,7 +157,7 @@
 
 
 @bounded
-async def test_it_ends_once_its_owner_hangs_up():
+async def test_it_exits_once_its_owner_closes_the_pipe():
     async with running() as node:
         node.program.hang_up()
         assert await node.program.wait(PATIENCE_S) == HUNG_UP
@@ -201,7 +201,7 @@
 
 
 @bounded
-async def test_a_node_that_wakes_past_all_time_outs_answers_or_closes_each_connection():
+async def test_a_node_resumed_after_all_timeouts_answers_or_closes_each_connection():
     """Guards against timers that all came due during the pause, and requests that waited in full buffers."""
     servers = [await Upstream([hang]).start(), await Upstream().start()]
     rows = "\n".join(
@@ -238,7 +238,7 @@
 
 
 @bounded
-async def test_the_clock_goes_on_while_it_stands_and_commands_are_heard_as_it_wakes():
+async def test_a_paused_nodes_clock_continues_and_commands_run_when_it_resumes():
     async with running() as node:
         await node.read_figures()
         node.pause()
@@ -259,7 +259,7 @@
     ids=["before the sync", "between replace and folder's sync", "after both"],
 )
 @bounded
-async def test_a_node_killed_amid_a_write_has_the_old_list_or_the_new_one_whole(stalls, syncs, kept):
+async def test_a_node_killed_during_a_write_has_the_complete_old_or_new_list(stalls, syncs, kept):
     registry = await Registry(entries(["127.0.0.1:9"])).start()
     try:
         async with running(f'kind = "registry"\naddress = "{registry.address}"') as node:
@@ -299,7 +299,7 @@
 
 
 @bounded
-async def test_a_wall_clock_jumps_and_is_put_right():
+async def test_a_wall_clock_jumps_and_is_reset():
     async with running() as node:
 
         def off_ms(said):
@@ -311,7 +311,7 @@
 
 
 @bounded
-async def test_faults_of_disk_and_clock_go_on_over_a_kill_and_end_at_their_time():
+async def test_faults_of_disk_and_clock_outlast_a_kill_and_end_at_their_time():
     async with running() as node:
         steps = (
             DiskFault(0, 1800, "n0", "lie"),
@@ -331,11 +331,11 @@
         right = await node.command(do="clock", jump_ms=0, drift_ppm=0)
         assert abs(right["wall_ms"] - time.time() * 1000.0) < 1000.0
         # One fault ended while the node was away, the other while it ran.
-        assert [(row.writes, row.end_ms < float("inf")) for row in played.faulted] == [
+        assert [(row.writes, row.end_ms < float("inf")) for row in played.disk_faults] == [
             ("lie", True),
             ("changed", True),
         ]
-        (down,) = played.downs
+        (down,) = played.downtimes
         assert down.killed
         assert down.until_s - down.from_s >= 0.4
         assert [name for name, _ in played.killed] == ["n0"]
@@ -350,32 +350,32 @@
     ids=["another kill", "a stop"],
 )
 @bounded
-async def test_a_node_that_is_kept_away_starts_once_when_the_last_step_is_over(steps, least_s):
+async def test_a_node_kept_down_by_two_steps_starts_once_when_the_last_one_is_over(steps, least_s):
     async with running() as node:
         played = Processes({"n0": node}, steps)
         await played.run()
         assert node.life == 1
         assert node.is_ready
         assert len(played.killed) == 1
-        (down,) = played.downs
+        (down,) = played.downtimes
         assert down.until_s - down.from_s >= least_s
-        assert [row.writes for row in played.faulted] == ["emptied"]
+        assert [row.writes for row in played.disk_faults] == ["emptied"]
         await has_told(node, [1, 1])  # lives are counted from 1 again on an emptied disk
 
 
 @bounded
-async def test_a_node_killed_as_it_starts_is_started_again():
+async def test_a_node_killed_during_its_start_is_started_again():
     async with running() as node:
         steps = tuple(Kill(at_ms, 1, "n0") for at_ms in (0, 120, 240, 360))
         played = Processes({"n0": node}, steps)
         await played.run()
         assert node.is_ready
         assert not node.exit_error
-        assert len(played.downs) <= len(played.killed)
+        assert len(played.downtimes) <= len(played.killed)
 
 
 @bounded
-async def test_an_older_disk_is_that_of_half_the_kills_time():
+async def test_an_older_disk_is_a_copy_from_half_of_the_kills_time():
     registry = await Registry(entries(["127.0.0.1:9"])).start()
     try:
         async with running(f'kind = "registry"\naddress = "{registry.address}"') as node:
@@ -389,7 +389,7 @@
             await task
             await until(lambda: lists(node)[-1].form == "remembered")
             assert lists(node)[-1].version == 41
-            (row,) = played.faulted
+            (row,) = played.disk_faults
             assert row.writes == "older"
             assert row.begin_ms == node.copied_ms < row.end_ms
     finally:
@@ -420,7 +420,7 @@
         await played.run()
         assert node.life == 1
         assert not played.killed
-        assert [(down.node, down.killed) for down in played.downs] == [("n0", False)]
+        assert [(down.node, down.killed) for down in played.downtimes] == [("n0", False)]
         assert [row["event"] for row in map(json.loads, node.events.open())].count("ended") == 1
         assert "deadline_ms = 502" in node.file.read_text()
     finally:
@@ -431,7 +431,7 @@
 
 
 @bounded
-async def test_a_node_that_can_not_start_says_why_and_ends_the_others_starts():
+async def test_a_node_that_can_not_start_reports_why_and_cancels_the_other_starts():
     nodes = [Node(0, operator(static())), Node(1, operator("kind = 'none'"))]
     try:
         with pytest.raises(ProgramError, match=r"ended with code 2: .*source\.fleet\.kind"):
@@ -457,7 +457,7 @@
 
 
 @bounded
-async def test_an_owner_that_is_killed_leaves_no_process_not_even_one_that_stands_still():
+async def test_a_killed_owner_leaves_no_process_not_even_a_paused_one():
     owner = await asyncio.create_subprocess_exec(
         sys.executable, "-c", OWNER, cwd=ROOT, stdout=asyncio.subprocess.PIPE
     )
--- a/tests/rig/cluster/test_promises.py
+++ b/tests/rig/cluster/test_promises.py
@@ -29,7 +29,7 @@
 
 
 @pytest.mark.parametrize(("version", "said"), [(4, "broken"), (5, "kept"), (6, "kept"), (0, "broken")])
-def test_the_next_life_goes_by_what_was_confirmed_or_by_newer(version, said):
+def test_the_next_life_starts_from_the_confirmed_version_or_a_newer_one(version, said):
     found = check_durable(again(confirmed(), 100.0, 2, version).events, never)
     assert verdict(found) == said
     assert said == "kept" or f"went by version {version} after it had confirmed 5" in found[0].text
@@ -42,12 +42,12 @@
     assert verdict(check_durable(log.events, never)) == "broken"
 
 
-def test_the_newest_that_was_confirmed_counts():
+def test_the_newest_confirmed_version_counts():
     log = Log().start("a", 0.0, 1).store("a", 1.0, 5).store("a", 2.0, 4).end("a", 3.0)
     assert verdict(check_durable(again(log, 100.0, 2, 4).events, never)) == "broken"
 
 
-def test_what_was_not_confirmed_may_be_lost():
+def test_an_unconfirmed_version_may_be_lost():
     log = Log().start("a", 0.0, 1).learn("a", 1.0, 4).store("a", 2.0, 4).learn("a", 3.0, 5).kill("a", 4.0)
     assert check_durable(again(log, 100.0, 2, 4).events, never) == []
 
@@ -59,7 +59,7 @@
     assert verdict(check_durable(log.events, lambda node, at_ms: node == "b")) == "broken"
 
 
-def test_after_a_disk_was_emptied_what_it_confirmed_counts_anew():
+def test_after_a_disk_was_emptied_confirmed_versions_count_anew():
     def emptied(node, at_ms):
         return at_ms == 100.0
 
@@ -70,7 +70,7 @@
     assert verdict(check_durable(again(log, 300.0, 3, 1).events, emptied)) == "broken"
 
 
-def test_a_life_that_was_killed_before_it_told_by_what_it_began_is_unknown():
+def test_a_life_killed_before_it_reported_its_first_version_is_unknown():
     log = confirmed().start("a", 100.0, 2).kill("a", 110.0)
     (found,) = check_durable(log.events, never)
     assert found.verdict == "unknown"
@@ -116,14 +116,14 @@
 
 
 @pytest.mark.parametrize("what", ["pick", "retry", "repeat"])
-def test_nothing_is_sent_past_the_grace_after_the_news(what):
+def test_nothing_is_sent_after_the_grace_period_of_a_drain(what):
     (found,) = check_drains(drained(601.0, what).end("a", 900.0).events, 500.0)
     assert found.verdict == "broken"
     assert "s1 501 ms after" in found.text
     assert check_drains(drained(600.0, what).end("a", 900.0).events, 500.0) == []
 
 
-def test_a_server_that_is_back_may_be_sent_to_and_others_always():
+def test_sends_to_a_server_that_is_active_again_and_to_other_servers_are_allowed():
     log = drained(300.0).learn("a", 700.0, 4, s1=A, s2=A).act("a", 800.0, 4, server="s1")
     assert check_drains(log.act("a", 801.0, 4, server="s2").end("a", 900.0).events, 500.0) == []
     # A server that was never listed may not be sent to.
@@ -131,7 +131,7 @@
     assert verdict(check_drains(log.events, 500.0)) == "broken"
 
 
-def test_a_new_life_is_told_anew():
+def test_a_new_life_has_a_grace_period_of_its_own():
     log = drained(300.0).end("a", 400.0).start("a", 500.0).learn("a", 501.0, 3, s2=A)
     assert check_drains(log.act("a", 900.0, 3, server="s1").end("a", 950.0).events, 500.0) == []
     log = drained(300.0).end("a", 400.0).start("a", 500.0).learn("a", 501.0, 3, s2=A)
@@ -140,7 +140,7 @@
     )
 
 
-def test_what_a_killed_node_sent_as_a_server_drained_is_unknown():
+def test_sends_of_a_killed_node_during_a_drain_are_unknown():
     (found,) = check_drains(drained(300.0).kill("a", 700.0).events, 500.0)
     assert found.verdict == "unknown"
     assert "s1 drained" in found.text
--- a/tests/rig/cluster/test_relays.py
+++ b/tests/rig/cluster/test_relays.py
@@ -108,7 +108,7 @@
     assert told.of("n0", "n3").messages == 2
     assert told.of("n3", "n0").messages == 2
     assert told.of("n3", "n0").passed == 4
-    assert told.of("n0", "nobody").came == 0
+    assert told.of("n0", "nobody").received == 0
     assert len(told.lag_p99_ms) == 3
     assert told.cpu_s > 0.0
     assert 0.0 < told.change_late_ms < 1000.0
@@ -140,7 +140,7 @@
 
 
 @loopback
-async def test_what_makes_a_run_unsound_and_what_is_forgotten():
+async def test_lag_and_drops_make_a_run_unsound_until_they_are_forgotten():
     async with running() as made:
         assert made.unsound == "the relays have not reported yet"
         await made.report()
@@ -165,7 +165,7 @@
 
 
 @loopback
-async def test_a_link_that_can_not_be_made_is_told_in_one_line_and_harms_nothing():
+async def test_a_link_that_can_not_be_made_is_reported_in_one_line_and_affects_no_other():
     async with running() as made:
         port = free_port("127.0.0.1")
         wrong = r"^relay 1 of 2: link of n0 and n1: [^\n]*already in use[^\n]*$"
@@ -177,7 +177,7 @@
 
 
 @loopback
-async def test_a_relay_that_dies_or_says_nothing_is_an_error_of_one_line(monkeypatch):
+async def test_a_relay_that_dies_or_does_not_answer_is_an_error_of_one_line(monkeypatch):
     async with running(3) as made:
         os.kill(pid_of(made, 2), signal.SIGSTOP)
         with monkeypatch.context() as patched:
@@ -199,7 +199,7 @@
 
 
 @loopback
-async def test_a_command_that_its_asker_gives_up_leaves_no_answer_for_the_next():
+async def test_a_cancelled_command_leaves_no_answer_for_the_next_one():
     async with running() as made:
         for number in range(2):
             os.kill(pid_of(made, number), signal.SIGSTOP)
@@ -280,14 +280,14 @@
 # --- the benchmark ---------------------------------------------------------------------------------------
 
 
-def test_percentiles_of_what_was_counted_in_bins():
+def test_percentiles_of_binned_counts():
     assert p_ms(Counter(), 0.99) == 0.0
     assert p_ms(Counter({0: 98, 199: 2}), 0.5) == BINS_MS
     assert p_ms(Counter({0: 98, 199: 2}), 0.99) == pytest.approx(200 * BINS_MS)
 
 
 @loopback
-async def test_a_row_is_judged_by_who_was_late(monkeypatch):
+async def test_a_row_names_the_part_that_lagged(monkeypatch):
     setting = Setting(8, 2, 1)
     try:
         await setting.start()
--- a/tests/rig/cluster/test_schedules.py
+++ b/tests/rig/cluster/test_schedules.py
@@ -34,7 +34,7 @@
 CUT = b'{"kind":"link","at_ms":10,"lasts_ms":50,"way":"cut","src":["n0"],"dst":["n1"]}\n'
 
 
-def test_a_schedule_is_read_and_written_alike():
+def test_a_schedule_is_the_same_after_writing_and_reading():
     made = read(HEAD + CUT, "a.jsonl")
     assert made.steps == (Link(10, 50, "cut", ("n0",), ("n1",)),)
     assert read(made.encode(), "b") == made
@@ -81,7 +81,7 @@
 
 @given(st.integers(0, 2**32), st.integers(1, 40), st.integers(1, 30))
 @settings(max_examples=60, deadline=None)
-def test_a_draw_is_valid_repeats_byte_for_byte_and_heals_in_time(seed, nodes, steps):
+def test_a_draw_is_valid_and_reproducible_and_its_faults_end_in_time(seed, nodes, steps):
     made = draw(seed, nodes, 20_000, steps=steps)
     assert made.encode() == draw(seed, nodes, 20_000, steps=steps).encode()
     assert read(made.encode(), "drawn") == made
@@ -98,7 +98,7 @@
     assert set(fewer.steps) < set(more.steps)
 
 
-def test_rules_change_amid_the_faults_alike_whatever_else_is_drawn():
+def test_changes_of_rules_do_not_depend_on_the_faults_drawn():
     news = [step for step in draw(3, 5, 10_000).steps if isinstance(step, News)]
     assert [step.status for step in news].count("leaving") == 3
     assert {"left", "active"} < {step.status for step in news}
@@ -108,7 +108,7 @@
     assert {step.settings for step in drawn if isinstance(step, Reload)} == {2, 3}
 
 
-def test_a_schedule_of_each_kind_is_short_valid_and_as_its_file_has_it():
+def test_a_schedule_of_each_kind_is_short_valid_and_equal_to_its_file():
     made = one_of_each(1)
     folder = ROOT / "tests" / "regressions" / "cluster"
     assert {file.stem for file in folder.glob("*.jsonl")} >= set(made)  # and schedules that once failed
@@ -131,7 +131,7 @@
         assert kill.at_ms > max(step.at_ms for step in news if step.at_ms < over_ms)
 
 
-def test_unknown_faults_are_told():
+def test_unknown_faults_are_reported():
     with pytest.raises(ScheduleError, match="no storms, expected some of links"):
         draw(1, 3, 1000, kinds=["storms"])
 
@@ -155,7 +155,7 @@
     assert round_["n0"] == {"n1", "n4"}
 
 
-def test_shrinking_leaves_what_fails_and_little_else():
+def test_shrinking_keeps_the_steps_that_fail_and_little_else():
     head = Head(1, 1, 5, 10_000)
     noise = tuple(Stop(100 * index, 1000, "n4") for index in range(10))
     guilty = (Link(300, 4000, "cut", ("n0", "n1"), ("n2", "n3")), Kill(700, 2000, "n2"))
@@ -174,7 +174,7 @@
     assert link.lasts_ms < 1000
 
 
-def test_news_shrink_by_what_they_tell():
+def test_changes_by_the_registry_shrink_by_status():
     whole = Schedule(Head(1, 1, 3, 9000), (News(5, 1, "s1", "left"), Reload(9, 1, "n1"), News(9, 1, "s2")))
     small = shrink(whole, lambda made: any(isinstance(step, News) for step in made.steps))
     assert small.steps == (News(5, 1, "s1", "leaving"),) or small.steps == (News(9, 1, "s2"),)
