--- a/rig/cluster/__main__.py
+++ b/rig/cluster/__main__.py
@@ -60,18 +60,18 @@
 
 async def play(schedule: Schedule, options: PlayOptions) -> Played:
     """Play a schedule on real processes; `ProgramError` if one can't be started."""
-    made = Cluster(schedule, options.tree, breach=options.breach)
+    cluster = Cluster(schedule, options.tree, breach=options.breach)
     watching: asyncio.Task[None] | None = None
     try:
-        await made.start()
+        await cluster.start()
         if options.live:
-            watching = asyncio.create_task(LiveDisplay(made, sys.stderr).run())
-        return await made.play()
+            watching = asyncio.create_task(LiveDisplay(cluster, sys.stderr).run())
+        return await cluster.play()
     finally:
         if watching is not None:
             watching.cancel()
             await asyncio.gather(watching, return_exceptions=True)
-        await made.stop()
+        await cluster.stop()
 
 
 def bound_of(schedule: Schedule, options: PlayOptions) -> float:
@@ -102,9 +102,9 @@
 
 def parser() -> argparse.ArgumentParser:
     """Return the parser of the command line."""
-    made = argparse.ArgumentParser(prog="python -m rig.cluster", description=__doc__)
-    words = made.add_subparsers(dest="word", required=True)
-    draw = words.add_parser("draw", help="draw a schedule by a seed and print it")
+    command_line = argparse.ArgumentParser(prog="python -m rig.cluster", description=__doc__)
+    commands = command_line.add_subparsers(dest="word", required=True)
+    draw = commands.add_parser("draw", help="draw a schedule by a seed and print it")
     draw.add_argument("--seed", type=int, required=True)
     draw.add_argument("--nodes", type=int, default=5, help=f"up to {MAX_NODES}")
     draw.add_argument(
@@ -114,31 +114,33 @@
     draw.add_argument("--steps", type=int, default=8)
     draw.add_argument("--no-news", action="store_true", help="without changes by the registry")
     draw.add_argument("--each", type=Path, metavar="FOLDER", help="write one per kind of fault there")
-    words.add_parser("show", help="print a schedule").add_argument("file")
-    for word, text in (("run", "play one"), ("shrink", "find a smaller one that fails")):
-        one = words.add_parser(word, help=text)
-        one.add_argument("file")
-        one.add_argument("--bound-ms", type=float, help="longest contradiction, overrides the file's")
-        _program(one)
-    run = words.choices["run"]
+    commands.add_parser("show", help="print a schedule").add_argument("file")
+    for name, text in (("run", "play one"), ("shrink", "find a smaller one that fails")):
+        command = commands.add_parser(name, help=text)
+        command.add_argument("file")
+        command.add_argument("--bound-ms", type=float, help="longest contradiction, overrides the file's")
+        _program(command)
+    run = commands.choices["run"]
     run.add_argument(
         "--times", type=_times, default=1, help="number of plays; all must have the same verdict"
     )
     run.add_argument("--json", type=Path, metavar="FILE", help="write the report there")
     run.add_argument("--svg", type=Path, metavar="FILE", help="draw the nodes over time")
     run.add_argument("--live", action="store_true", help="show the nodes on standard error during the play")
-    ci = words.add_parser("ci", help="play all schedules of a folder; each must have its file's verdict")
+    ci = commands.add_parser("ci", help="play all schedules of a folder; each must have its file's verdict")
     ci.add_argument("folder", nargs="?", type=Path, default=REGRESSIONS_FOLDER)
     ci.add_argument("--at-once", type=_times, default=AT_ONCE, metavar="K", help="plays side by side")
     ci.add_argument("--only", metavar="NAME[,NAME]", help="only these schedules")
     _program(ci)
-    words.add_parser("form", help="print the JSON Schema of reports")
-    return made
+    commands.add_parser("form", help="print the JSON Schema of reports")
+    return command_line
 
 
-def _program(made: argparse.ArgumentParser) -> None:
-    made.add_argument("--breach", default="", metavar="NAME", help="plant this breach in each node")
-    made.add_argument("--tree", type=_tree, default=ROOT, metavar="DIR", help="the checkout that is played")
+def _program(command: argparse.ArgumentParser) -> None:
+    command.add_argument("--breach", default="", metavar="NAME", help="plant this breach in each node")
+    command.add_argument(
+        "--tree", type=_tree, default=ROOT, metavar="DIR", help="the checkout that is played"
+    )
 
 
 def _tree(text: str) -> Path:
@@ -164,13 +166,13 @@
 def _draw(given: argparse.Namespace) -> int:
     if given.each is not None:
         given.each.mkdir(parents=True, exist_ok=True)
-        for name, made in schedules.one_of_each(given.seed).items():
-            (given.each / f"{name}.jsonl").write_bytes(made.encode())
+        for name, schedule in schedules.one_of_each(given.seed).items():
+            (given.each / f"{name}.jsonl").write_bytes(schedule.encode())
         return KEPT
-    made = schedules.draw(
+    schedule = schedules.draw(
         given.seed, given.nodes, given.length_ms, given.faults.split(","), given.steps, not given.no_news
     )
-    sys.stdout.buffer.write(made.encode())
+    sys.stdout.buffer.write(schedule.encode())
     return KEPT
 
 
@@ -214,8 +216,8 @@
 def _shrink(schedule: Schedule, given: argparse.Namespace) -> int:
     options = _play_options(given)
 
-    def fails(made: Schedule) -> bool:
-        _, findings, _ = asyncio.run(play_and_judge(made, options))
+    def fails(candidate: Schedule) -> bool:
+        _, findings, _ = asyncio.run(play_and_judge(candidate, options))
         return verdict(findings) == "broken"
 
     if not fails(schedule):
@@ -239,10 +241,10 @@
     """
     with tempfile.TemporaryDirectory(prefix="rig-cluster-") as folder:
         out = Path(folder) / "report.json"
-        words = ["run", str(file), "--json", str(out), "--tree", str(given.tree)]
-        words += ["--breach", given.breach] if given.breach else []
+        arguments = ["run", str(file), "--json", str(out), "--tree", str(given.tree)]
+        arguments += ["--breach", given.breach] if given.breach else []
         program = await Program.start(
-            [sys.executable, "-m", "rig.cluster", *words],
+            [sys.executable, "-m", "rig.cluster", *arguments],
             cwd=ROOT,
             environment=clean_environment(PYTHONPATH=str(ROOT)),
         )
@@ -255,15 +257,15 @@
 
 async def _play_all(files: Sequence[Path], given: argparse.Namespace) -> int:
     """Play schedules side by side, and those that were unsound again, alone; return how many failed."""
-    gate = asyncio.Semaphore(given.at_once)
-    again: list[Path] = []
+    slots = asyncio.Semaphore(given.at_once)
+    unsound_files: list[Path] = []
     failed = 0
 
     async def one(file: Path) -> None:
-        async with gate:
+        async with slots:
             report = await _play_in_process(file, given)
         if report.unsound:
-            again.append(file)
+            unsound_files.append(file)
         else:
             end(file, report)
 
@@ -282,10 +284,10 @@
     async with asyncio.TaskGroup() as group:
         for file in files:
             group.create_task(one(file))
-    for file in again:
-        for left in reversed(range(MAX_PLAYS - 1)):
+    for file in unsound_files:
+        for retries_left in reversed(range(MAX_PLAYS - 1)):
             report = await _play_in_process(file, given)
-            if not (report.unsound and left):
+            if not (report.unsound and retries_left):
                 break
         end(file, report)
     return failed
@@ -312,9 +314,9 @@
     return BROKEN if failed else KEPT
 
 
-def main(words: list[str] | None = None) -> int:
+def main(arguments: list[str] | None = None) -> int:
     """Run the command; return the exit code."""
-    given = parser().parse_args(words)
+    given = parser().parse_args(arguments)
     try:
         if given.word == "form":
             sys.stdout.buffer.write(reports.schema())
--- a/rig/cluster/cluster.py
+++ b/rig/cluster/cluster.py
@@ -150,26 +150,26 @@
         return self
 
     async def _start_servers(self) -> None:
-        made: dict[str, str] = {}
+        addresses: dict[str, str] = {}
         for index, zone in enumerate(site.ZONES):
-            own = servers(self._servers)[index :: len(site.ZONES)]
+            zone_servers = servers(self._servers)[index :: len(site.ZONES)]
             host = await PortHost.start(
                 zone,
-                dict.fromkeys(own, site.server_model()),
+                dict.fromkeys(zone_servers, site.server_model()),
                 seed=self.schedule.head.seed,
                 window_ms=site.KEY_WINDOW_MS,
                 idle_close_ms=site.IDLE_CLOSE_MS,
             )
             self._hosts.append(host)
-            made |= host.addresses
-        self._rows = site.rows({name: made[name] for name in servers(self._servers)})
+            addresses |= host.addresses
+        self._rows = site.rows({name: addresses[name] for name in servers(self._servers)})
         if not self._static and not self.relayed:
             self.registries[""] = await self._registry(self._rows)
 
     async def _registry(self, rows: list[Entry]) -> Restorable:
-        made = Restorable([dict(row) for row in rows])
-        await made.start()
-        return made
+        registry = Restorable([dict(row) for row in rows])
+        await registry.start()
+        return registry
 
     async def _link(self, name: str) -> None:
         """Make the links of one node to the ends outside of the cluster."""
@@ -211,15 +211,17 @@
         count = len(self.names)
         if count < 2:
             return
-        own = [node.peers_address for node in self.nodes.values()]
+        addresses = [node.peers_address for node in self.nodes.values()]
         ways: dict[tuple[int, int], Address] = {}
         for one, other in site.pairs(count):
-            way = await self._relays.udp(self.names[one], self.names[other], own[one], own[other])
+            way = await self._relays.udp(self.names[one], self.names[other], addresses[one], addresses[other])
             ways[one, other] = ways[other, one] = way
         for number in range(count):
-            others = site.neighbours(number, count)
-            at = tuple(own[number] if other == number else ways[number, other] for other in others)
-            self._peers[number] = site.Peers(own[number], others.index(number), at)
+            neighbours = site.neighbours(number, count)
+            reached_at = tuple(
+                addresses[number] if other == number else ways[number, other] for other in neighbours
+            )
+            self._peers[number] = site.Peers(addresses[number], neighbours.index(number), reached_at)
 
     async def _wait_for_watches(self) -> None:
         """Wait until every node watches its registry; `ProgramError` if one does not in time."""
@@ -289,7 +291,7 @@
     # --- results -----------------------------------------------------------------------
 
     async def _played(self, processes: Processes, lag: LagWatch, wall_s: float, spent_s: float) -> Played:
-        fallen = {name: node.exit_error for name, node in self.nodes.items() if node.exit_error}
+        exit_errors = {name: node.exit_error for name, node in self.nodes.items() if node.exit_error}
         used = {name: _since(await _used(node), self._before[name]) for name, node in self.nodes.items()}
         for caller in self._callers.values():
             caller.close()
@@ -299,7 +301,7 @@
         for name, at_s in zip(self.nodes, ends, strict=True):
             if at_s is not None:
                 kills.append((name, at_s * 1000.0))
-                fallen.setdefault(name, "did not shut down in order when it was told to")
+                exit_errors.setdefault(name, "did not shut down in order when it was told to")
         files = [node.events for node in self.nodes.values() if node.events.exists()]
         histories = [list(history.parse(file.read_bytes(), str(file))) for file in files]
         events = history.with_kills(history.merged(histories), kills)
@@ -316,14 +318,14 @@
             strays=sum(caller.strays for caller in self._callers.values()),
             limits=ledger.Limits(site.DRAIN_GRACE_MS / 1000.0, site.KEY_WINDOW_MS / 1000.0),
         )
-        late = {"this process": lag.summary()["p99_ms"]}
+        lag_ms = {"this process": lag.summary()["p99_ms"]}
         for zone, host in zip(site.ZONES, self._hosts, strict=True):
             zone_servers = await host.summary()
             call_ledger.executions += await host.executions()
-            late[f"servers {zone}"] = zone_servers["lag"]["p99_ms"]
+            lag_ms[f"servers {zone}"] = zone_servers["lag"]["p99_ms"]
             spent_s += zone_servers["cpu_s"]
         unsound = [self._relays.unsound] if self._relays.unsound else []
-        unsound += [f"{part} lagged by {ms:.1f} ms" for part, ms in late.items() if ms > MAX_LAG_MS]
+        unsound += [f"{part} lagged by {ms:.1f} ms" for part, ms in lag_ms.items() if ms > MAX_LAG_MS]
         unsound += [
             f"a change of {part} late by {ms:.1f} ms"
             for part, ms in self._late_ms.items()
@@ -341,7 +343,7 @@
             answers=dict(Counter(row.result for row in self._seen.asked)),
             counts=relays.counts,
             used=used,
-            fallen=[f"{name}: {why}" for name, why in fallen.items()],
+            exit_errors=[f"{name}: {why}" for name, why in exit_errors.items()],
             unsound=unsound,
             not_played=[line_of(step) for step in self.not_played],
             wall_s=wall_s,
--- a/rig/cluster/costs.py
+++ b/rig/cluster/costs.py
@@ -107,11 +107,11 @@
     if len(rows) < 2 or not all(rows.values()):
         raise ValueError("growth needs costs of at least two numbers of nodes, each with rows")
     small, large = rows[min(rows)], rows[max(rows)]
-    made = {}
+    growths = {}
     for name in FIGURES:
-        before, after = (fmean(getattr(row, name) for row in some) for some in (small, large))
-        made[name] = after / before - 1.0 if before else math.inf if after else 0.0
-    return made
+        before, after = (fmean(getattr(row, name) for row in group) for group in (small, large))
+        growths[name] = after / before - 1.0 if before else math.inf if after else 0.0
+    return growths
 
 
 def check_flat(
--- a/rig/cluster/disks.py
+++ b/rig/cluster/disks.py
@@ -127,10 +127,10 @@
         """Return `size` bytes of a file from `start` on, or fewer if the file ends before."""
         with open(self._folder / name, "rb", buffering=0) as file:
             file.seek(start)
-            made = bytearray()
-            while part := file.read(size - len(made)):
-                made += part
-            return bytes(made)
+            data = bytearray()
+            while part := file.read(size - len(data)):
+                data += part
+            return bytes(data)
 
     def write(self, name: str, start: int, data: bytes | bytearray) -> None:
         """Write bytes into an existing file."""
@@ -348,8 +348,8 @@
     def _make(self, name: str) -> Inode:
         if len(self._names) >= MAX_NAMES:
             raise _error(errno.ENOSPC, name)
-        self._change(made := Inode(), "", name)
-        return made
+        self._change(inode := Inode(), "", name)
+        return inode
 
     def _change(self, inode: Inode, old: str, new: str) -> None:
         """Change names as reads see them; the platter does not have the change yet."""
--- a/rig/cluster/entries.py
+++ b/rig/cluster/entries.py
@@ -141,10 +141,10 @@
 
     def newest_settings(self) -> dict[str, int]:
         """Return the position of the newest settings that any node reported, by rule."""
-        made: dict[str, int] = {}
+        newest: dict[str, int] = {}
         for (rule, _), position in self._positions.items():
-            made[rule] = max(position, made.get(rule, position))
-        return made
+            newest[rule] = max(position, newest.get(rule, position))
+        return newest
 
     def contradicts(self, rule: str, older: int, newer: int) -> bool:
         """Whether acts on two versions of a rule of `EntryActs` contradict each other."""
@@ -218,8 +218,8 @@
 
         Each is an act on its server's entry, and on the state of all servers that are not active in its list.
         """
-        made: dict[tuple[str, int, str], list[Acted]] = {}  # by rule of one server, version and node
-        first: dict[tuple[str, int, str], list[Acted]] = {}  # by list, version and node
+        acts_by_entry: dict[tuple[str, int, str], list[Acted]] = {}  # by rule of one server, version and node
+        acts_by_list: dict[tuple[str, int, str], list[Acted]] = {}  # by list, version and node
         for (node, rule, version, digest, server), pair in sends.items():
             position = self.lists.position(rule, version, digest)
             if position is None:
@@ -229,28 +229,30 @@
                 self._unknown.add(f"{rule}: no node reported {server} in version {version}")
                 continue
             for act in pair:
-                record_first_and_last(first, (rule, position, node), act)
+                record_first_and_last(acts_by_list, (rule, position, node), act)
                 if server in view.active_since:
                     record_first_and_last(
-                        made, (entry_rule(rule, server), view.active_since[server], node), act
+                        acts_by_entry, (entry_rule(rule, server), view.active_since[server], node), act
                     )
                 if server in view.content_since:
                     record_first_and_last(
-                        made, (entry_rule(rule, server, ENTRY), view.content_since[server], node), act
+                        acts_by_entry,
+                        (entry_rule(rule, server, ENTRY), view.content_since[server], node),
+                        act,
                     )
-        for (about, since, _), pair in made.items():
+        for (about, since, _), pair in acts_by_entry.items():
             self.acts += [_entry_act(act, act.at_ms, about, since, act.what) for act in pair]
-        self._add_changes_of_state(first)
+        self._add_changes_of_state(acts_by_list)
 
-    def _add_changes_of_state(self, first: Mapping[tuple[str, int, str], list[Acted]]) -> None:
-        made: dict[tuple[str, int, str], list[Acted]] = {}
-        for (rule, position, node), pair in first.items():
+    def _add_changes_of_state(self, acts_by_list: Mapping[tuple[str, int, str], list[Acted]]) -> None:
+        acts_by_entry: dict[tuple[str, int, str], list[Acted]] = {}
+        for (rule, position, node), pair in acts_by_list.items():
             if (view := self.lists.view(rule, position)) is not None:
                 for server in view.inactive:
                     record_first_and_last(
-                        made, (entry_rule(rule, server), view.active_since[server], node), pair[0]
+                        acts_by_entry, (entry_rule(rule, server), view.active_since[server], node), pair[0]
                     )
-        for (about, since, _), (act, _) in made.items():
+        for (about, since, _), (act, _) in acts_by_entry.items():
             self.acts.append(_entry_act(act, act.at_ms, about, since, NOT_ACTIVE))
 
     def _by_settings(
--- a/rig/cluster/history.py
+++ b/rig/cluster/history.py
@@ -119,21 +119,21 @@
     """
     lines = text.split(b"\n")
     last = lines.pop()
-    torn = ""  # the error of an incomplete line, until a life begins after it
+    pending_error = ""  # the error of an incomplete line, until a life begins after it
     for number, line in enumerate(lines, 1):
         try:
             event = DECODER.decode(line)
         except msgspec.MsgspecError as error:
             joined = _joined(line)
             yield from joined
-            torn = "" if joined else torn or f"{file}:{number}: {error}"
+            pending_error = "" if joined else pending_error or f"{file}:{number}: {error}"
             continue
-        if torn and not isinstance(event, Started):
-            raise HistoryError(torn)
-        torn = ""
+        if pending_error and not isinstance(event, Started):
+            raise HistoryError(pending_error)
+        pending_error = ""
         yield event
-    if torn and not last:
-        raise HistoryError(torn)
+    if pending_error and not last:
+        raise HistoryError(pending_error)
     if last:
         try:
             yield DECODER.decode(last)
@@ -148,15 +148,15 @@
     """
     brace = line.rfind(b"{")
     try:
-        began = DECODER.decode(line[brace:])
+        started = DECODER.decode(line[brace:])
     except msgspec.MsgspecError:
         return []
-    if brace < 1 or not isinstance(began, Started):
+    if brace < 1 or not isinstance(started, Started):
         return []
     try:
-        return [DECODER.decode(line[:brace]), began]  # only the line's end was lost
+        return [DECODER.decode(line[:brace]), started]  # only the line's end was lost
     except msgspec.MsgspecError:
-        return [began]
+        return [started]
 
 
 def read_folder(folder: Path) -> list[Event]:
--- a/rig/cluster/judging.py
+++ b/rig/cluster/judging.py
@@ -71,9 +71,8 @@
     answers: dict[str, int] = field(default_factory=dict)
     counts: dict[tuple[str, str], Counts] = field(default_factory=dict)
     used: dict[str, Used] = field(default_factory=dict)
-    fallen: list[str] = field(
-        default_factory=list
-    )  # processes that exited by themselves, or did not when told to
+    # Processes that exited by themselves, or did not when told to.
+    exit_errors: list[str] = field(default_factory=list)
     unsound: list[str] = field(default_factory=list)
     not_played: list[str] = field(default_factory=list)
     wall_s: float = 0.0
@@ -130,7 +129,7 @@
             *check_durable(played.events, Disks(played).excuse),
             *_drains(played, grace_ms),
             *check_rules(played.call_ledger, excuses.excuse),
-            *(Finding("broken", "process", text) for text in played.fallen),
+            *(Finding("broken", "process", text) for text in played.exit_errors),
         ]
     )
 
@@ -158,31 +157,31 @@
     A node counts as notified when it says that it learned the change. A node that receives no updates is
     judged by how long it contradicts others, not by a rule that it can't know of.
     """
-    held: dict[str, dict[str, str]] = defaultdict(dict)
+    known_statuses: dict[str, dict[str, str]] = defaultdict(dict)
     last_s: dict[tuple[str, str], float] = {}
-    when: dict[tuple[str, str], list[float]] = defaultdict(list)
+    change_times_s: dict[tuple[str, str], list[float]] = defaultdict(list)
     for change in changes:
-        when[change.server, change.status].append(change.at_ms / 1000.0)
-    made = []
+        change_times_s[change.server, change.status].append(change.at_ms / 1000.0)
+    rows = []
     for event in events:
         if not isinstance(event, Learned) or not event.rule.startswith(LIST):
             continue
         at_s = event.at_ms / 1000.0
-        for server, status in _changed(held[event.node], event.entries):
-            before = [changed_s for changed_s in when[server, status] if changed_s <= at_s]
+        for server, status in _changed(known_statuses[event.node], event.entries):
+            before = [changed_s for changed_s in change_times_s[server, status] if changed_s <= at_s]
             changed_s = max(before[-1] if before else at_s, at_s - ledger.NOTIFIED_MOST_S)
             changed_s = max(changed_s, last_s.get((event.node, server), changed_s))
-            made.append(ledger.Notification(event.node, server, status, changed_s, at_s))
+            rows.append(ledger.Notification(event.node, server, status, changed_s, at_s))
             last_s[event.node, server] = at_s
-    return made
+    return rows
 
 
-def _changed(held: dict[str, str], entries: Mapping[str, str]) -> Iterator[tuple[str, str]]:
-    """Yield the servers whose status differs from the one in `held`, with the new status; update `held`."""
-    for server in sorted({*held, *entries}):
+def _changed(known_statuses: dict[str, str], entries: Mapping[str, str]) -> Iterator[tuple[str, str]]:
+    """Yield the servers whose status is not the known one, with the new status, and update the known one."""
+    for server in sorted({*known_statuses, *entries}):
         status = entries[server].partition("/")[0] if server in entries else "left"
-        if held.get(server) != status:
-            held[server] = status
+        if known_statuses.get(server) != status:
+            known_statuses[server] = status
             yield server, status
 
 
@@ -194,7 +193,7 @@
     """
     numbers: dict[tuple[str, str], dict[str, int]] = defaultdict(dict)
     digests: dict[tuple[str, str], str] = {}
-    made: list[Event] = []
+    rewritten: list[Event] = []
     for event in events:
         if isinstance(event, Learned) and event.rule.startswith(LIST):
             entries = {}
@@ -202,14 +201,14 @@
                 state, _, digest = entry.partition("/")
                 known = numbers[event.node, server]
                 entries[server] = f"{state}/{known.setdefault(digest, len(known))}"
-            whole = blake2b(repr(sorted(entries.items())).encode(), digest_size=8).hexdigest()
-            digests[event.node, event.digest] = whole
-            made.append(replace(event, entries=entries, digest=whole))
+            list_digest = blake2b(repr(sorted(entries.items())).encode(), digest_size=8).hexdigest()
+            digests[event.node, event.digest] = list_digest
+            rewritten.append(replace(event, entries=entries, digest=list_digest))
         elif isinstance(event, Acted | Stored) and event.rule.startswith(LIST):
-            made.append(replace(event, digest=digests.get((event.node, event.digest), event.digest)))
+            rewritten.append(replace(event, digest=digests.get((event.node, event.digest), event.digest)))
         else:
-            made.append(event)
-    return made
+            rewritten.append(event)
+    return rewritten
 
 
 # --- what the rig itself did to disks --------------------------------------------------------------
@@ -220,9 +219,8 @@
 
     def __init__(self, played: Played) -> None:
         self._spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        self._excused_starts: set[tuple[str, float]] = (
-            set()
-        )  # node and start: what was on disk before may be gone
+        # Node and start: what was on disk before that start may be gone.
+        self._excused_starts: set[tuple[str, float]] = set()
         starts: dict[str, list[float]] = defaultdict(list)
         stores: dict[str, list[float]] = defaultdict(list)
         for event in played.events:
@@ -231,20 +229,20 @@
             elif isinstance(event, Stored):
                 stores[event.node].append(event.at_ms)
         for fault in played.disk_faults:
-            own = starts[fault.node]
+            node_starts = starts[fault.node]
             if fault.writes in UNRELIABLE_DISKS:
                 end_ms = fault.end_ms
                 if fault.writes not in REPLACED_DISKS:
                     # A node has one write in flight: the next one confirmed may have begun in the fault.
-                    later = stores[fault.node]
-                    end_ms = max(later[bisect_left(later, end_ms) :][:1], default=end_ms)
+                    later_stores_ms = stores[fault.node]
+                    end_ms = max(later_stores_ms[bisect_left(later_stores_ms, end_ms) :][:1], default=end_ms)
                 self._spans[fault.node].append((fault.begin_ms, end_ms))
             if fault.writes in REPLACED_DISKS:
                 self._excused_starts |= {
-                    (fault.node, at_ms) for at_ms in own[bisect_left(own, fault.end_ms) :][:1]
+                    (fault.node, at_ms) for at_ms in node_starts[bisect_left(node_starts, fault.end_ms) :][:1]
                 }
             # A life whose number could not be stored as it began is unknown to the next life.
-            for began_ms, next_ms in itertools.pairwise(own):
+            for began_ms, next_ms in itertools.pairwise(node_starts):
                 if fault.begin_ms <= began_ms <= fault.end_ms:
                     self._excused_starts.add((fault.node, next_ms))
 
@@ -253,8 +251,8 @@
 
         That is a loss of what was confirmed at `at_ms`, or of what was on disk before a life that began then.
         """
-        within = any(begin_ms <= at_ms <= end_ms for begin_ms, end_ms in self._spans[node])
-        return within or (node, at_ms) in self._excused_starts
+        is_in_fault = any(begin_ms <= at_ms <= end_ms for begin_ms, end_ms in self._spans[node])
+        return is_in_fault or (node, at_ms) in self._excused_starts
 
 
 # --- what the rig itself did to calls --------------------------------------------------------------
--- a/rig/cluster/links.py
+++ b/rig/cluster/links.py
@@ -347,8 +347,8 @@
         """Return the state of one direction of a pair."""
         row = self._states.setdefault(src, {})
         if dst not in row:
-            on = [fault for fault in self._faults if src in fault.src and dst in fault.dst and src != dst]
-            row[dst] = State(self, src, dst, on)
+            faults = [fault for fault in self._faults if src in fault.src and dst in fault.dst and src != dst]
+            row[dst] = State(self, src, dst, faults)
         return row[dst]
 
     def counts(self) -> dict[tuple[str, str], Counts]:
@@ -392,11 +392,11 @@
 
     def _existing_states(self, fault: Link) -> list[State]:
         """Return the existing directions that a fault applies to; `state` applies it to later ones."""
-        made = []
+        states = []
         for src in fault.src:
             if row := self._states.get(src):
-                made += [row[dst] for dst in fault.dst if dst in row and dst != src]
-        return made
+                states += [row[dst] for dst in fault.dst if dst in row and dst != src]
+        return states
 
     async def wait_until_passable(self, src: str, dst: str) -> None:
         """Wait until neither direction of a pair is cut or stalled."""
@@ -890,9 +890,9 @@
     """Return the data with one bit changed; empty data stays empty."""
     if not data:
         return data
-    made = bytearray(data)
-    made[rng.randrange(len(made))] ^= 1 << rng.randrange(8)
-    return bytes(made)
+    changed = bytearray(data)
+    changed[rng.randrange(len(changed))] ^= 1 << rng.randrange(8)
+    return bytes(changed)
 
 
 def address_of(number: int) -> str:
--- a/rig/cluster/live.py
+++ b/rig/cluster/live.py
@@ -131,10 +131,10 @@
         return ()
     whole, _, _ = data.rpartition(b"\n")
     view.read_to = start + len(whole) + (1 if whole else 0)
-    made: list[Event] = []
+    events: list[Event] = []
     for line in whole.split(b"\n"):
         try:
-            made.append(DECODER.decode(line))
+            events.append(DECODER.decode(line))
         except msgspec.MsgspecError:
             continue
-    return made
+    return events
--- a/rig/cluster/lives.py
+++ b/rig/cluster/lives.py
@@ -95,20 +95,20 @@
 
 def lives(events: Iterable[Event]) -> list[Life]:
     """Return each run of each node, in the order of their starts. A run without an end is not whole."""
-    made: list[Life] = []
-    now: dict[str, Life] = {}
+    runs: list[Life] = []
+    current: dict[str, Life] = {}
     for event in events:
-        life = now.get(event.node)
+        life = current.get(event.node)
         if life is None or isinstance(event, Started):
             if life is not None:
                 life.end_early(event.at_ms)
             if isinstance(event, Ended):
                 continue  # a life without events
-            life = now[event.node] = Life(event.node, event.at_ms)
-            made.append(life)
+            life = current[event.node] = Life(event.node, event.at_ms)
+            runs.append(life)
         life.add(event)
         if isinstance(event, Ended):
-            del now[event.node]
-    for life in now.values():
+            del current[event.node]
+    for life in current.values():
         life.end_early(math.inf)
-    return made
+    return runs
--- a/rig/cluster/node.py
+++ b/rig/cluster/node.py
@@ -149,26 +149,30 @@
 
 def parser() -> Parser:
     """Return the parser of the command line."""
-    made = Parser(prog="rig.cluster.node", description=__doc__, allow_abbrev=False)
-    made.add_argument("file", metavar="FILE", help="the operator file")
-    made.add_argument("--name", required=True, help="the node's name; the faults of its disk are drawn by it")
-    made.add_argument("--seed", type=int, default=1, help="seed of the faults of its disk")
-    made.add_argument("--breach", default="", metavar="NAME", help="the planted breach")
-    made.add_argument(
+    command_line = Parser(prog="rig.cluster.node", description=__doc__, allow_abbrev=False)
+    command_line.add_argument("file", metavar="FILE", help="the operator file")
+    command_line.add_argument(
+        "--name", required=True, help="the node's name; the faults of its disk are drawn by it"
+    )
+    command_line.add_argument("--seed", type=int, default=1, help="seed of the faults of its disk")
+    command_line.add_argument("--breach", default="", metavar="NAME", help="the planted breach")
+    command_line.add_argument(
         "--disk",
         action="append",
         default=[],
         choices=WRITES,
         help="an initial fault of its disk",
     )
-    made.add_argument("--jump-ms", type=_within(MAX_JUMP_MS), default=0.0, help="error of its wall clock")
-    made.add_argument(
+    command_line.add_argument(
+        "--jump-ms", type=_within(MAX_JUMP_MS), default=0.0, help="error of its wall clock"
+    )
+    command_line.add_argument(
         "--drift-ppm",
         type=_within(MAX_DRIFT_PPM),
         default=0.0,
         help="drift of its clocks",
     )
-    return made
+    return command_line
 
 
 def _within(most: float) -> Any:
@@ -181,11 +185,11 @@
     return figure
 
 
-def main(words: Sequence[str] | None = None) -> int:
+def main(arguments: Sequence[str] | None = None) -> int:
     """Run until SIGTERM; return the exit code."""
-    given = parser().parse_args(words)
-    kind = os.fstat(sys.stdin.fileno()).st_mode
-    if not (stat.S_ISFIFO(kind) or stat.S_ISSOCK(kind)):
+    given = parser().parse_args(arguments)
+    mode = os.fstat(sys.stdin.fileno()).st_mode
+    if not (stat.S_ISFIFO(mode) or stat.S_ISSOCK(mode)):
         print("standard input: not a pipe; commands are read from one", file=sys.stderr)
         return BAD_INPUT
     try:
--- a/rig/cluster/nodes.py
+++ b/rig/cluster/nodes.py
@@ -133,9 +133,9 @@
             self._note_cpu(program)
             program.signal(signal.SIGKILL)
             await program.wait(ENDED_S)
-            gone = asyncio.get_running_loop().time()
+            gone_s = asyncio.get_running_loop().time()
             await program.stop()
-            return gone
+            return gone_s
 
     async def terminate(self) -> float | None:
         """Shut the process down in order.
@@ -388,12 +388,12 @@
     async def _spawn(self) -> Program:
         self._write_file()
         self._sent = self.active_faults
-        words = [str(self.file), "--name", self.name, "--seed", str(self._seed + self.life)]
-        words += [f"--breach={self._breach}"] if self._breach else []
-        words += [f"--disk={writes}" for writes in sorted(self._sent.disk)]
-        words += [f"--jump-ms={self._sent.jump_ms}", f"--drift-ppm={self._sent.drift_ppm}"]
+        arguments = [str(self.file), "--name", self.name, "--seed", str(self._seed + self.life)]
+        arguments += [f"--breach={self._breach}"] if self._breach else []
+        arguments += [f"--disk={writes}" for writes in sorted(self._sent.disk)]
+        arguments += [f"--jump-ms={self._sent.jump_ms}", f"--drift-ppm={self._sent.drift_ppm}"]
         return await Program.start(
-            [sys.executable, "-m", "rig.cluster.node", *words],
+            [sys.executable, "-m", "rig.cluster.node", *arguments],
             cwd=self._tree,
             environment=clean_environment(TMPDIR=self._folder.name),
             descriptors=DESCRIPTORS,
@@ -454,13 +454,13 @@
             if time.monotonic() > bound:
                 raise ProgramError(f"{self.name} has not answered {command} after {COMMAND_S:g} s")
             await asyncio.wait([answer], timeout=POLL_S)
-        said = answer.result()
-        if said is None and program is not None and self.program is program:
+        reply = answer.result()
+        if reply is None and program is not None and self.program is program:
             await program.wait(ENDED_S)
             raise program.ended()
-        if said is not None and "wrong" in said:
-            raise ProgramError(f"{self.name}: {said['wrong']}")
-        return said
+        if reply is not None and "wrong" in reply:
+            raise ProgramError(f"{self.name}: {reply['wrong']}")
+        return reply
 
     async def _send(self, **command: Any) -> asyncio.Future[dict[str, Any] | None]:
         """Send a command; the future is set to its answer, or to None if the process exits before."""
@@ -506,15 +506,15 @@
             A future that is done once the process has applied them.
         """
         before, self._sent = self._sent, self.active_faults
-        now = self._sent
+        current = self._sent
         if self.program is None or self._channel is None:
             return asyncio.gather()
         answers = [
-            await self._send(do="disk", writes=writes, on=writes in now.disk)
-            for writes in sorted(before.disk ^ now.disk)
+            await self._send(do="disk", writes=writes, on=writes in current.disk)
+            for writes in sorted(before.disk ^ current.disk)
         ]
-        if (before.jump_ms, before.drift_ppm) != (now.jump_ms, now.drift_ppm):
-            answers.append(await self._send(do="clock", jump_ms=now.jump_ms, drift_ppm=now.drift_ppm))
+        if (before.jump_ms, before.drift_ppm) != (current.jump_ms, current.drift_ppm):
+            answers.append(await self._send(do="clock", jump_ms=current.jump_ms, drift_ppm=current.drift_ppm))
         return asyncio.gather(*answers)
 
     # --- its settings ----------------------------------------------------------------
@@ -525,11 +525,11 @@
         Raises:
             ProgramError: The operator file is invalid.
         """
-        old = _read(self.file) if self.file.exists() else None
+        before = _read(self.file) if self.file.exists() else None
         self.settings = settings
         self._write_file()
-        new = _read(self.file)
-        return old is None or bool(changes.keys_needing_restart(changes.changed_keys(old, new)))
+        after = _read(self.file)
+        return before is None or bool(changes.keys_needing_restart(changes.changed_keys(before, after)))
 
     def _write_file(self) -> None:
         """Replace the file by a rename, so that a process that reads it now sees a whole one."""
@@ -575,9 +575,9 @@
     async def _read_answers(self) -> None:
         try:
             while True:
-                said = json.loads(await self._program.hear(MAX_LIFE_S))
+                reply = json.loads(await self._program.hear(MAX_LIFE_S))
                 if self._unanswered:
-                    self._resolve(self._unanswered.popleft(), said)
+                    self._resolve(self._unanswered.popleft(), reply)
         except (ProgramError, ValueError):
             pass
         finally:
@@ -586,9 +586,9 @@
                 self._resolve(self._unanswered.popleft(), None)
 
     @staticmethod
-    def _resolve(answer: asyncio.Future[dict[str, Any] | None], said: dict[str, Any] | None) -> None:
+    def _resolve(answer: asyncio.Future[dict[str, Any] | None], reply: dict[str, Any] | None) -> None:
         if not answer.done():
-            answer.set_result(said)
+            answer.set_result(reply)
 
 
 def reserve_port(host: str) -> tuple[socket.socket, Address]:
@@ -671,9 +671,8 @@
         self._nodes = nodes
         self._steps = [step for step in steps if isinstance(step, Kill | Stop | DiskFault | Clock | Reload)]
         self._down: Counter[str] = Counter()  # by node: the number of steps that keep it down
-        self._away: dict[
-            str, tuple[float, bool]
-        ] = {}  # by node that does not run: since when, and whether by a kill
+        # By node that does not run: since when, and whether by a kill.
+        self._away: dict[str, tuple[float, bool]] = {}
         self._gate = asyncio.Semaphore(START_AT_ONCE)
         self.killed: list[tuple[str, float]] = []  # node, and loop time by which it was gone
         self.downtimes: list[Downtime] = []  # in loop time; overlapping ones are merged
@@ -722,9 +721,9 @@
 
     async def _kill(self, node: Machine, disk: Disk, until: float) -> None:
         self._mark_down(node, killed=True)
-        gone = await node.kill()
-        if gone is not None:
-            self.killed.append((node.name, gone))
+        gone_s = await node.kill()
+        if gone_s is not None:
+            self.killed.append((node.name, gone_s))
         self._put_disk(node, disk)
         await _sleep_until(until)
         await self._bring_back(node)
@@ -743,16 +742,16 @@
         """
         while node.program is not None and not node.is_ready:  # before that, SIGHUP would end the process
             await asyncio.sleep(POLL_S)
-        again = node.change_settings(settings)
+        needs_restart = node.change_settings(settings)
         if node.program is None:
             return
-        if not again:
+        if not needs_restart:
             node.signal(signal.SIGHUP)
             return
         self._mark_down(node, killed=False)
-        gone = await node.terminate()
-        if gone is not None:
-            self.killed.append((node.name, gone))
+        gone_s = await node.terminate()
+        if gone_s is not None:
+            self.killed.append((node.name, gone_s))
         await self._bring_back(node)
 
     def _mark_down(self, node: Machine, killed: bool) -> None:
@@ -778,10 +777,10 @@
 
     async def _pause(self, node: Machine, share: float, until: float) -> None:
         loop = asyncio.get_running_loop()
-        while (left := until - loop.time()) > 0.0:
+        while (left_s := until - loop.time()) > 0.0:
             node.pause()
             try:
-                await asyncio.sleep(left if share >= 1.0 else min(left, STARVE_PERIOD_S * share))
+                await asyncio.sleep(left_s if share >= 1.0 else min(left_s, STARVE_PERIOD_S * share))
             finally:
                 node.resume()
             await asyncio.sleep(min(max(0.0, until - loop.time()), STARVE_PERIOD_S * (1.0 - share)))
@@ -794,13 +793,13 @@
             self.disk_faults.append(span)
         await node.begin(fault)
         await _sleep_until(until)
-        over = await node.end(fault)
+        applied = await node.end(fault)
 
         def note(_: asyncio.Future[Any]) -> None:
             if span is not None:
                 span.end_ms = loop.time() * 1000.0
 
-        over.add_done_callback(note)
+        applied.add_done_callback(note)
 
 
 async def _sleep_until(when: float) -> None:
--- a/rig/cluster/relayhost.py
+++ b/rig/cluster/relayhost.py
@@ -66,13 +66,13 @@
         raise ValueError(f"unknown command {do!r}")
 
     def _make(self, links: Sequence[TcpLink | UdpLink]) -> list[Address]:
-        made = []
+        addresses = []
         for link in links:
             try:
-                made.append(self._relay.make(link))
+                addresses.append(self._relay.make(link))
             except (OSError, ValueError, OverflowError) as error:
                 raise ValueError(f"link of {' and '.join(link.ends)}: {error}") from error
-        return made
+        return addresses
 
     def _know(self, faults: list[Link], first: int) -> None:
         """Store faults that changes then name by number, from `first` on; those stored there are replaced."""
@@ -102,9 +102,9 @@
 
 def main(arguments: Sequence[str] | None = None) -> int:
     """Relay until standard input ends; return the exit code."""
-    made = argparse.ArgumentParser(prog="python -m rig.cluster.relayhost", description=__doc__)
-    made.add_argument("--seed", type=int, required=True)
-    given = made.parse_args(arguments)
+    command_line = argparse.ArgumentParser(prog="python -m rig.cluster.relayhost", description=__doc__)
+    command_line.add_argument("--seed", type=int, required=True)
+    given = command_line.parse_args(arguments)
     prepare()
     # Collections over all links would pause the relay, which would look like delays of the network.
     gc.set_threshold(50_000, 50, 1000)
--- a/rig/cluster/relays.py
+++ b/rig/cluster/relays.py
@@ -150,22 +150,24 @@
 
     async def make(self, links: Sequence[TcpLink | UdpLink]) -> list[Address]:
         """Make many links at once; return their addresses in the same order."""
-        parts: list[list[int]] = [[] for _ in range(self._count)]
+        indices_by_shard: list[list[int]] = [[] for _ in range(self._count)]
         for index, link in enumerate(links):
-            parts[shard_of(*link.ends, self._count)].append(index)
-        made: list[Address] = [("", 0)] * len(links)
+            indices_by_shard[shard_of(*link.ends, self._count)].append(index)
+        addresses: list[Address] = [("", 0)] * len(links)
 
         async def fill(shard: Shard, indices: list[int]) -> None:
             for start in range(0, len(indices), LINKS_A_TIME):
                 part = indices[start : start + LINKS_A_TIME]
                 data = msgspec.json.encode([links[index] for index in part]).decode()
                 for index, (host, port) in zip(part, await shard.ask(do="make", links=data), strict=True):
-                    made[index] = (host, port)
+                    addresses[index] = (host, port)
 
         await _all(
-            fill(shard, part) for shard, part in zip(self._running_shards(), parts, strict=True) if part
+            fill(shard, part)
+            for shard, part in zip(self._running_shards(), indices_by_shard, strict=True)
+            if part
         )
-        return made
+        return addresses
 
     # --- faults ----------------------------------------------------------------------
 
@@ -212,15 +214,15 @@
         except ProgramError as error:
             self._unsound = str(error)
             raise
-        wrong = [
+        unsound = [
             f"relay {number} of {self._count}: {answer['unsound']}"
             for number, answer in enumerate(answers, 1)
             if answer["unsound"]
         ]
         late_ms = sorted(self._late_ms)
         if late_ms and (p99_ms := late_ms[math.ceil(0.99 * len(late_ms)) - 1]) > MAX_LATE_MS:
-            wrong.append(f"a fault took effect {p99_ms:.1f} ms late at the 99th percentile")
-        self._unsound = "; ".join(wrong)
+            unsound.append(f"a fault took effect {p99_ms:.1f} ms late at the 99th percentile")
+        self._unsound = "; ".join(unsound)
         return RelaysReport(
             counts={
                 (src, dst): Counts(*figures) for answer in answers for src, dst, *figures in answer["counts"]
@@ -242,9 +244,9 @@
         return self._shards
 
 
-async def _all(asked: Iterable[Coroutine[Any, Any, T]]) -> list[T]:
+async def _all(requests: Iterable[Coroutine[Any, Any, T]]) -> list[T]:
     """Return all answers; once all have ended, raise the first error if there is one."""
-    answers = await asyncio.gather(*asked, return_exceptions=True)
+    answers = await asyncio.gather(*requests, return_exceptions=True)
     for answer in answers:
         if isinstance(answer, BaseException):
             raise answer
--- a/rig/cluster/schedules.py
+++ b/rig/cluster/schedules.py
@@ -340,18 +340,18 @@
     if wrong:
         raise ScheduleError(f"draw: {wrong}")
     swarm = random.Random(f"{seed}/swarm")
-    on = [kind for kind in kinds if swarm.random() < 0.6] or [swarm.choice(list(kinds))]
+    enabled_kinds = [kind for kind in kinds if swarm.random() < 0.6] or [swarm.choice(list(kinds))]
     ways = [way for way in WAYS if swarm.random() < 0.5] or [swarm.choice(WAYS)]
     # Faults are concentrated in a few stretches of time, so that they overlap.
     centres = [swarm.uniform(0.1, 0.5) * length_ms for _ in range(2)]
-    made: list[Step] = _draw_news(seed, length_ms) if news else []
+    drawn: list[Step] = _draw_news(seed, length_ms) if news else []
     for number in range(steps):
         rng = random.Random(f"{seed}/step/{number}")
-        kind = rng.choice(on)
+        kind = rng.choice(enabled_kinds)
         at_ms = round(min(0.6 * length_ms, max(0.0, rng.gauss(rng.choice(centres), 0.06 * length_ms))))
         lasts_ms = max(1, min(round(rng.uniform(0.02, 0.25) * length_ms), round(0.75 * length_ms) - at_ms))
-        made.append(_draw_step(rng, kind, at_ms, lasts_ms, nodes, ways))
-    return Schedule(head, in_order(made))
+        drawn.append(_draw_step(rng, kind, at_ms, lasts_ms, nodes, ways))
+    return Schedule(head, in_order(drawn))
 
 
 def in_order(steps: Iterable[Step]) -> tuple[Step, ...]:
@@ -365,13 +365,15 @@
     Three servers begin to leave; in the end one of them has left, and another is active again.
     """
     rng = random.Random(f"{seed}/news")
-    gone = rng.sample(servers(), 3)
-    times = sorted(round(rng.uniform(0.1, 0.6) * length_ms) for _ in gone)
-    made: list[Step] = [News(at_ms, 1, server, "leaving") for at_ms, server in zip(times, gone, strict=True)]
-    ends: tuple[tuple[str, Status], ...] = ((gone[0], "left"), (gone[1], "active"))
+    leaving = rng.sample(servers(), 3)
+    times = sorted(round(rng.uniform(0.1, 0.6) * length_ms) for _ in leaving)
+    news: list[Step] = [
+        News(at_ms, 1, server, "leaving") for at_ms, server in zip(times, leaving, strict=True)
+    ]
+    ends: tuple[tuple[str, Status], ...] = ((leaving[0], "left"), (leaving[1], "active"))
     for server, status in ends:
-        made.append(News(round(rng.uniform(0.62, 0.74) * length_ms), 1, server, status))
-    return made
+        news.append(News(round(rng.uniform(0.62, 0.74) * length_ms), 1, server, status))
+    return news
 
 
 def _draw_step(
@@ -423,10 +425,10 @@
 
 def split(at_ms: int, lasts_ms: int, groups: Sequence[Sequence[str]], way: Way = "cut") -> list[Link]:
     """Return faults that cut groups off from one another, in both directions."""
-    made = []
+    links = []
     for one, other in itertools.permutations(groups, 2):
-        made.append(Link(at_ms, lasts_ms, way, tuple(one), tuple(other)))
-    return made
+        links.append(Link(at_ms, lasts_ms, way, tuple(one), tuple(other)))
+    return links
 
 
 def bridge(at_ms: int, lasts_ms: int, left: Sequence[str], middle: str, right: Sequence[str]) -> list[Link]:
@@ -437,13 +439,13 @@
 def ring(at_ms: int, lasts_ms: int, every: Sequence[str]) -> list[Link]:
     """Return faults that leave each node connected only to its two neighbours."""
     count = len(every)
-    made = []
+    links = []
     for index, node in enumerate(every):
         near = {node, every[(index + 1) % count], every[(index - 1) % count]}
         far = tuple(name for name in every if name not in near)
         if far:
-            made.append(Link(at_ms, lasts_ms, "cut", (node,), far))
-    return made
+            links.append(Link(at_ms, lasts_ms, "cut", (node,), far))
+    return links
 
 
 # --- one of each -------------------------------------------------------------------------------
@@ -481,40 +483,42 @@
     """
     every = names(nodes)
     at_ms, lasts_ms = ONE_OF_EACH_AT_MS, ONE_OF_EACH_LASTS_MS
-    made: dict[str, tuple[Step, ...]] = {}
+    steps_by_name: dict[str, tuple[Step, ...]] = {}
     for way in WAYS:
         # Both directions between one node and all ends but its callers and servers; those are judged by the
         # rules.
         own, ends = ("n0",), ("registry", *every[1:])
         amount = AMOUNTS.get(way, 0.0)
-        made[f"link-{way.replace('_', '-')}"] = (
+        steps_by_name[f"link-{way.replace('_', '-')}"] = (
             Link(at_ms, lasts_ms, way, ends, own, amount),
             Link(at_ms, lasts_ms, way, own, ends, amount),
         )
     for disk in DISKS:
-        made[f"kill-{disk}"] = (Kill(1000, 500, "n0", disk),)
-    made["stop"] = (Stop(at_ms, lasts_ms, "n0"),)
-    made["starved"] = (Stop(at_ms, lasts_ms, "n0", 0.8),)
+        steps_by_name[f"kill-{disk}"] = (Kill(1000, 500, "n0", disk),)
+    steps_by_name["stop"] = (Stop(at_ms, lasts_ms, "n0"),)
+    steps_by_name["starved"] = (Stop(at_ms, lasts_ms, "n0", 0.8),)
     for writes in WRITES:
         # Changed bytes show when they are read, as the node starts again.
         until_ms = 2300 if writes == "changed" else 1500
-        made[f"disk-{writes.replace('_', '-')}"] = (
+        steps_by_name[f"disk-{writes.replace('_', '-')}"] = (
             DiskFault(at_ms, until_ms - at_ms, "n0", writes),
             Kill(1600, 300, "n0"),
         )
-    made["clock-jump"] = (Clock(at_ms, lasts_ms, "n0", jump_ms=-10_000),)
-    made["clock-drift"] = (Clock(at_ms, lasts_ms, "n0", drift_ppm=50_000),)
-    made["reload"] = (Reload(at_ms, 1, "n0", 2),)
-    made["silent-registry"] = (Link(at_ms, lasts_ms, "stall", ("registry",), tuple(every)),)
-    made["rewind"] = (News(1600, 1, "", "rewind"),)
+    steps_by_name["clock-jump"] = (Clock(at_ms, lasts_ms, "n0", jump_ms=-10_000),)
+    steps_by_name["clock-drift"] = (Clock(at_ms, lasts_ms, "n0", drift_ppm=50_000),)
+    steps_by_name["reload"] = (Reload(at_ms, 1, "n0", 2),)
+    steps_by_name["silent-registry"] = (Link(at_ms, lasts_ms, "stall", ("registry",), tuple(every)),)
+    steps_by_name["rewind"] = (News(1600, 1, "", "rewind"),)
     schedules = {
         name: _each(seed, nodes, steps, ONE_OF_EACH_VERDICTS.get(name, "kept"))
-        for name, steps in made.items()
+        for name, steps in steps_by_name.items()
     }
-    more = names(5)
-    schedules["split"] = _each(seed, 4, split(at_ms, lasts_ms, (more[:2], more[2:4])))
-    schedules["bridge"] = _each(seed, 5, bridge(at_ms, lasts_ms, more[:2], more[2], more[3:]))
-    schedules["ring"] = _each(seed, 5, ring(at_ms, lasts_ms, more))
+    five_names = names(5)
+    schedules["split"] = _each(seed, 4, split(at_ms, lasts_ms, (five_names[:2], five_names[2:4])))
+    schedules["bridge"] = _each(
+        seed, 5, bridge(at_ms, lasts_ms, five_names[:2], five_names[2], five_names[3:])
+    )
+    schedules["ring"] = _each(seed, 5, ring(at_ms, lasts_ms, five_names))
     return schedules
 
 
@@ -536,17 +540,17 @@
         fails: Plays a schedule and returns whether it fails.
         tries: How often `fails` is called at most.
     """
-    left = tries
+    tries_left = tries
     best = schedule
-    going = True
-    while going and left > 0:
-        going = False
+    has_shrunk = True
+    while has_shrunk and tries_left > 0:
+        has_shrunk = False
         for smaller in _smaller(best):
-            if left <= 0:
+            if tries_left <= 0:
                 break
-            left -= 1
+            tries_left -= 1
             if fails(smaller):
-                best, going = smaller, True
+                best, has_shrunk = smaller, True
                 break
     return best
 
--- a/tests/rig/cluster/test_breaches.py
+++ b/tests/rig/cluster/test_breaches.py
@@ -114,17 +114,17 @@
 def test_a_play_on_a_busy_machine_is_repeated():
     """Guards against a verdict by a rig that lagged itself: it plays again, up to the bound."""
     busy = Seen("kept", {}, None, ("late",), ())
-    told = iter(())
+    plays = iter(())
 
     async def play():
-        return next(told)
+        return next(plays)
 
     assert asyncio.run(cluster_breaches.again(HIT, play)) == HIT
-    told = iter((HIT, KEPT))
+    plays = iter((HIT, KEPT))
     assert asyncio.run(cluster_breaches.again(busy, play)) == HIT
-    told = iter([busy] * 9)
+    plays = iter([busy] * 9)
     assert asyncio.run(cluster_breaches.again(busy, play)) == busy
-    assert len(list(told)) == 9 - cluster_breaches.ALONE_MOST
+    assert len(list(plays)) == 9 - cluster_breaches.ALONE_MOST
 
 
 def test_the_first_breach_is_dated_by_the_events_that_show_it():
--- a/tests/rig/cluster/test_checkers.py
+++ b/tests/rig/cluster/test_checkers.py
@@ -31,23 +31,23 @@
 from tests.test_layout import FORBIDDEN, names
 
 
-def two(old_until, new_from):
+def two_nodes(old_until, new_from):
     log = Log().start("a", 0.0).start("b", 0.0).act("a", 10.0, 1).act("b", 10.0, 1)
     log.act("b", new_from, 2).act("a", old_until, 1).act("a", old_until + 1.0, 2)
     return log.end("a", 9000.0).end("b", 9000.0)
 
 
 def test_the_longest_contradiction_its_nodes_and_its_acts():
-    (span,) = contradictions(two(900.0, 500.0).events)
+    (span,) = contradictions(two_nodes(900.0, 500.0).events)
     assert (span.ms, span.old.node, span.new.node, span.old.version) == (400.0, "a", "b", 1)
     assert "400 ms" in span.line()
     assert "a pick by version 1" in span.line()
-    assert not contradictions(two(400.0, 500.0).events)
+    assert not contradictions(two_nodes(400.0, 500.0).events)
 
 
-@pytest.mark.parametrize(("bound", "said"), [(399.0, "broken"), (400.0, "kept")])
-def test_a_bound_is_kept_or_broken(bound, said):
-    assert verdict(check_contradiction(two(900.0, 500.0).events, bound)) == said
+@pytest.mark.parametrize(("bound", "expected"), [(399.0, "broken"), (400.0, "kept")])
+def test_a_bound_is_kept_or_broken(bound, expected):
+    assert verdict(check_contradiction(two_nodes(900.0, 500.0).events, bound)) == expected
 
 
 def test_one_node_alone_never_contradicts_itself():
@@ -58,7 +58,7 @@
 def test_learning_is_no_act_and_versions_that_agree_do_not_contradict():
     log = Log().start("a", 0.0).start("b", 0.0).learn("b", 100.0, 2).act("a", 900.0, 1)
     assert not contradictions(log.events)
-    assert not contradictions(two(900.0, 500.0).events, lambda rule, old, new: rule != "list:s1")
+    assert not contradictions(two_nodes(900.0, 500.0).events, lambda rule, old, new: rule != "list:s1")
 
 
 def test_the_first_act_on_the_newer_version_is_taken_from_another_node():
@@ -159,7 +159,7 @@
     (found,) = check_versions(log.events)
     assert found.verdict == "broken"
     assert "from version 5 back to 4" in found.text
-    assert check_versions(two(900.0, 500.0).events) == []
+    assert check_versions(two_nodes(900.0, 500.0).events) == []
 
 
 def test_one_version_has_one_content():
@@ -193,7 +193,7 @@
 
 
 @pytest.mark.parametrize(
-    ("operations", "said"),
+    ("operations", "expected"),
     [
         ([write("x", 0, 1), reading("x", 2, 3)], "kept"),
         ([write("x", 0, 1), reading("", 2, 3)], "broken"),  # confirmed and lost
@@ -206,8 +206,8 @@
         ([write("x", 0, 9), write("y", 0, 9), reading("x", 1, 4), reading("y", 5, 8)], "kept"),
     ],
 )
-def test_confirmed_writes_are_kept_and_refused_ones_never_read(operations, said):
-    assert verdict(check_register(operations)) == said
+def test_confirmed_writes_are_kept_and_refused_ones_never_read(operations, expected):
+    assert verdict(check_register(operations)) == expected
 
 
 @st.composite
--- a/tests/rig/cluster/test_cluster.py
+++ b/tests/rig/cluster/test_cluster.py
@@ -68,7 +68,7 @@
 def test_without_faults_all_nodes_serve_learn_and_hardly_contradict():
     played = play(schedule(News(800, 1, "s1"), News(1500, 1, "s1", "left")))
     assert broken(played) == []
-    assert played.fallen == []
+    assert played.exit_errors == []
     assert played.answers["served"] > 100
     assert played.answers["served"] > 0.95 * sum(played.answers.values())
     assert sum(span.ms for span in played.longest()) < 500.0
@@ -247,9 +247,9 @@
     node = PlatformNode(0, lambda life: {})
     node.program = Stub()
     asyncio.run(Processes({"n0": node}, (Stop(0, 350, "n0", 0.5),)).run())
-    told = node.program.signals
-    assert told.count(signal.SIGSTOP) >= 3
-    assert told[-1] == signal.SIGCONT
+    signals = node.program.signals
+    assert signals.count(signal.SIGSTOP) >= 3
+    assert signals[-1] == signal.SIGCONT
     node.program = None
     asyncio.run(node.stop())
 
@@ -463,10 +463,10 @@
     watch = LiveDisplay(cluster, io.StringIO(), {"n0": NodeView()})
     for _ in range(2):
         watch._show(terminal)
-    told = watch.out.getvalue()
-    assert "stop n0" in told
-    assert ("n0    away" in told) == terminal
-    assert told.count("\x1b[2F\x1b[J") == (1 if terminal else 0)
+    output = watch.out.getvalue()
+    assert "stop n0" in output
+    assert ("n0    away" in output) == terminal
+    assert output.count("\x1b[2F\x1b[J") == (1 if terminal else 0)
 
 
 # --- the measurement -------------------------------------------------------------------------
--- a/tests/rig/cluster/test_command.py
+++ b/tests/rig/cluster/test_command.py
@@ -41,7 +41,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("words", "expected"),
     [
         (["draw", "--seed", "1", "--faults", "storms"], "faults: no storms"),
         (["draw", "--seed", "1", "--nodes", "900"], "draw: nodes: 900"),
@@ -52,11 +52,11 @@
         (["ci", "--breach", "no-such-breach"], "breach: no 'no-such-breach'"),
     ],
 )
-def test_bad_input_is_one_line_and_exit_code_2(words, said, capsys):
+def test_bad_input_is_one_line_and_exit_code_2(words, expected, capsys):
     assert command.main(words) == 2
-    told = capsys.readouterr().err
-    assert said in told
-    assert told.count("\n") == 1
+    error = capsys.readouterr().err
+    assert expected in error
+    assert error.count("\n") == 1
 
 
 def test_a_bad_line_is_named_and_nothing_is_started(tmp_path, capsys, monkeypatch):
@@ -72,17 +72,17 @@
     path, out, picture = write(tmp_path, CUT), tmp_path / "out.json", tmp_path / "out.svg"
     words = ["run", path, "--bound-ms", "600", "--live", "--json", str(out), "--svg", str(picture)]
     assert command.main(words) == 1
-    told = reports.decode(out.read_bytes())
-    assert told.verdict == "broken"
-    assert told.longest.lists_ms > 600.0
-    assert "n0" in told.longest.lines[0]
-    assert told.findings[0].checker == "contradiction"
-    assert told.findings[0].shown
-    assert {use.node for use in told.used} == {"n0", "n1", "n2"}
-    assert told.answers["served"] > 100
-    said = capsys.readouterr()
-    assert "broken: contradiction: list:shop/s1" in said.out
-    assert "cut from registry to n0" in said.err  # the live display
+    report = reports.decode(out.read_bytes())
+    assert report.verdict == "broken"
+    assert report.longest.lists_ms > 600.0
+    assert "n0" in report.longest.lines[0]
+    assert report.findings[0].checker == "contradiction"
+    assert report.findings[0].shown
+    assert {use.node for use in report.used} == {"n0", "n1", "n2"}
+    assert report.answers["served"] > 100
+    output = capsys.readouterr()
+    assert "broken: contradiction: list:shop/s1" in output.out
+    assert "cut from registry to n0" in output.err  # the live display
     assert picture.read_text().count("<path") > 10
 
 
@@ -99,12 +99,12 @@
 def test_schedules_of_a_folder_are_played_side_by_side(capsys, monkeypatch):
     monkeypatch.setattr(command, "MAX_PLAYS", 2)
     code = command.main(["ci", "--only", "link-cut,split"])
-    said = capsys.readouterr().out
-    assert "where its file states" not in said, said
-    if code and "UNSOUND" in said:
+    output = capsys.readouterr().out
+    assert "where its file states" not in output, output
+    if code and "UNSOUND" in output:
         pytest.skip("this machine is too busy: an unsound play says nothing")
     assert code == 0
-    assert "2 passed, 0 failed" in said
+    assert "2 passed, 0 failed" in output
 
 
 def test_there_is_a_schedule_of_each_kind_of_fault():
@@ -114,7 +114,7 @@
 # --- judging without processes ------------------------------------------------------------
 
 
-def seen(*acts, schedule=CUT, **more):
+def a_play(*acts, schedule=CUT, **more):
     """Return a play with acts on s1's entry: the node, the time, and whether by the newer list."""
     log = Log()
     for node in ("n0", "n1"):
@@ -131,14 +131,14 @@
 
 
 def playing(monkeypatch, play):
-    async def run(schedule, how):
+    async def run(schedule, options):
         return play(schedule)
 
     monkeypatch.setattr(command, "play", run)
 
 
 def test_the_bound_is_that_of_the_option_or_of_the_file(tmp_path, capsys, monkeypatch):
-    playing(monkeypatch, lambda made: seen(("n1", 10.0, True), ("n0", 3000.0, False)))
+    playing(monkeypatch, lambda made: a_play(("n1", 10.0, True), ("n0", 3000.0, False)))
     loose = Schedule(Head(FORMAT, 3, 3, 4500, bound_ms=4000), CUT.steps)
     assert command.main(["run", write(tmp_path, loose)]) == 0
     assert command.main(["run", write(tmp_path, loose), "--bound-ms", "2000"]) == 1
@@ -147,15 +147,18 @@
 
 
 def test_a_process_that_exits_by_itself_and_an_unsound_run_are_failures(tmp_path, capsys, monkeypatch):
-    for more, said in (({"fallen": ["n0: ended"]}, "process: n0"), ({"unsound": ["late"]}, "UNSOUND: late")):
-        playing(monkeypatch, lambda made, more=more: seen(("n0", 5.0, True), **more))
+    for more, expected in (
+        ({"exit_errors": ["n0: ended"]}, "process: n0"),
+        ({"unsound": ["late"]}, "UNSOUND: late"),
+    ):
+        playing(monkeypatch, lambda made, more=more: a_play(("n0", 5.0, True), **more))
         assert command.main(["run", write(tmp_path, CUT)]) == 1
-        assert said in capsys.readouterr().out
+        assert expected in capsys.readouterr().out
 
 
 def test_plays_with_different_verdicts_are_reported(tmp_path, capsys, monkeypatch):
     ends = iter([5.0, 3000.0])
-    playing(monkeypatch, lambda made: seen(("n1", 10.0, True), ("n0", next(ends), False)))
+    playing(monkeypatch, lambda made: a_play(("n1", 10.0, True), ("n0", next(ends), False)))
     assert command.main(["run", write(tmp_path, CUT), "--times", "2"]) == 1
     assert "not the same each time: broken, kept" in capsys.readouterr().out
 
@@ -165,7 +168,7 @@
 
     def play(schedule):
         cut = any(isinstance(step, Link) for step in schedule.steps)
-        return seen(("n1", 10.0, True), ("n0", 3000.0 if cut else 5.0, False), schedule=schedule)
+        return a_play(("n1", 10.0, True), ("n0", 3000.0 if cut else 5.0, False), schedule=schedule)
 
     playing(monkeypatch, play)
     assert command.main(["shrink", write(tmp_path, Schedule(HEAD, (noise, *CUT.steps)))]) == 0
@@ -175,8 +178,8 @@
     assert b"nothing to shrink" in capfdbinary.readouterr().err
 
 
-def told(**changes):
-    made = reports.report(seen(("n0", 5.0, True)), [], 1000.0)
+def a_report(**changes):
+    made = reports.report(a_play(("n0", 5.0, True)), [], 1000.0)
     return msgspec.structs.replace(made, **changes)
 
 
@@ -194,7 +197,7 @@
     changes, passes, tmp_path, capsys, monkeypatch
 ):
     async def one(file, given):
-        return told(**changes)
+        return a_report(**changes)
 
     monkeypatch.setattr(command, "_play_in_process", one)
     write(tmp_path, CUT)
@@ -212,11 +215,11 @@
         tail = ()
 
         @classmethod
-        async def start(cls, argv, **how):
+        async def start(cls, argv, **options):
             played.append(argv)
             unsound = ("late",) if len(played) <= unsound_plays else ()
             with open(argv[argv.index("--json") + 1], "wb") as file:
-                file.write(reports.encode(told(unsound=unsound)))
+                file.write(reports.encode(a_report(unsound=unsound)))
             return cls()
 
         async def wait(self, within_s):
@@ -244,6 +247,6 @@
     schema = json.loads(capfdbinary.readouterr().out)
     fields = schema["$defs"]["Report"]["properties"]
     assert set(fields) == set(reports.Report.__struct_fields__)
-    whole = told(recovery_ms=None)
+    whole = a_report(recovery_ms=None)
     assert reports.decode(reports.encode(whole)) == whole
-    assert math.isnan(seen(schedule=Schedule(HEAD)).recovery_ms())
+    assert math.isnan(a_play(schedule=Schedule(HEAD)).recovery_ms())
--- a/tests/rig/cluster/test_disks.py
+++ b/tests/rig/cluster/test_disks.py
@@ -312,16 +312,16 @@
 
 def played(folder, seed):
     """Return the results of calls under all faults but the slow one, errors included, and what is left."""
-    store, told = FaultyStore(folder, seed, "n0"), []
+    store, results = FaultyStore(folder, seed, "n0"), []
     for number, word in enumerate([*WRITES, *WRITES, "", ""]):
         if word not in ("", "slow"):
             (store.begin if number < len(WRITES) else store.end)(word)
         for call, *args in [("read", "a", 9999), *snapshot(bytes([number]) * 1500), ("names",)]:
             try:
-                told.append(getattr(store, call)(*args))
+                results.append(getattr(store, call)(*args))
             except OSError as error:
-                told.append(error.errno)
-    return told, held(folder), store.counters()
+                results.append(error.errno)
+    return results, held(folder), store.counters()
 
 
 def test_the_same_seed_and_calls_meet_the_same_faults(tmp_path):
@@ -348,9 +348,9 @@
     assert len(seen) == 2
     assert len(set(stalls)) == 2
     assert all(1.5 <= stall <= 4.5 for stall in stalls)
-    told = store.counters()
-    assert (told.appends, told.syncs, told.written_bytes) == (1, 2, 1)
-    assert told.faults == {"slow": 2, "lie": 1}
+    counters = store.counters()
+    assert (counters.appends, counters.syncs, counters.written_bytes) == (1, 2, 1)
+    assert counters.faults == {"slow": 2, "lie": 1}
 
 
 def test_memory_and_names_are_bounded_and_bad_names_refused(tmp_path, monkeypatch):
--- a/tests/rig/cluster/test_links.py
+++ b/tests/rig/cluster/test_links.py
@@ -17,7 +17,7 @@
 
 BOTH = [("n0", "n1"), ("n1", "n0")]
 MESSAGES = [b"%04d" % number for number in range(60)]
-QUIET_S = 0.03  # after so long without data, none is expected
+SILENCE_S = 0.03  # after so long without data, none is expected
 
 
 class Peer:
@@ -25,19 +25,19 @@
 
     def __init__(self, reader, writer):
         self.writer = writer
-        self.came = bytearray()
+        self.received = bytearray()
         self.end = ""
         self._reading = asyncio.create_task(self._read(reader))
 
     async def _read(self, reader):
         try:
             while data := await reader.read(65536):
-                self.came += data
+                self.received += data
             self.end = "closed"
         except ConnectionResetError:
             self.end = "reset"
 
-    def say(self, data):
+    def send_bytes(self, data):
         self.writer.write(data)
 
     def close(self):
@@ -97,7 +97,7 @@
 
 class UdpEnd(asyncio.DatagramProtocol):
     def __init__(self):
-        self.came = []
+        self.received = []
         self.at_s = []
 
     @classmethod
@@ -110,7 +110,7 @@
         self.address = transport.get_extra_info("sockname")
 
     def datagram_received(self, data, addr):
-        self.came.append(data)
+        self.received.append(data)
         self.at_s.append(asyncio.get_running_loop().time())
 
 
@@ -151,7 +151,7 @@
         await until(lambda: self.relay.pending == 0)
         pairs = itertools.permutations(self.ends, 2)
         sent = sum(self.counts(*pair).messages for pair in pairs)
-        await until(lambda: sum(len(end.came) for end in self.ends.values()) == sent)
+        await until(lambda: sum(len(end.received) for end in self.ends.values()) == sent)
 
 
 def fault(way, amount=0.0, src="n0", dst="n1"):
@@ -192,13 +192,13 @@
         began = asyncio.get_running_loop().time()
         await link.send(src, dst)
         await link.send(dst, src)
-        await until(lambda: link.ends[src].came == MESSAGES)  # the other direction is not affected
+        await until(lambda: link.ends[src].received == MESSAGES)  # the other direction is not affected
         if way == "stall":
-            assert link.ends[dst].came == []
+            assert link.ends[dst].received == []
             assert there.held == 240
         else:
             await link.settled()
-        came = list(link.ends[dst].came)
+        came = list(link.ends[dst].received)
         assert holds(came)
         if way in MIN_S:
             assert link.ends[dst].at_s[-1] - began >= MIN_S[way]
@@ -212,7 +212,7 @@
         link.relay.end(made)
         await link.send(src, dst, [b"over"])
         await link.settled()
-        assert link.ends[dst].came == came + (MESSAGES if way == "stall" else []) + [b"over"]
+        assert link.ends[dst].received == came + (MESSAGES if way == "stall" else []) + [b"over"]
         assert there.held == 0
 
 
@@ -230,7 +230,7 @@
                 link.relay.begin(fault("cut"))
             link.relay.end(fault(way, amount))
             await link.settled()
-            assert sorted(link.ends["n1"].came) == MESSAGES[:3]
+            assert sorted(link.ends["n1"].received) == MESSAGES[:3]
             assert counts.dropped == 3 * cut
 
 
@@ -310,24 +310,24 @@
         there, back = link.counts(src, dst), link.counts(dst, src)
         link.relay.begin(made)
         began = asyncio.get_running_loop().time()
-        sender.say(text)
-        taker.say(b"back")
-        await until(lambda: sender.came == b"back" and there.taken == 200)
+        sender.send_bytes(text)
+        taker.send_bytes(b"back")
+        await until(lambda: sender.received == b"back" and there.taken == 200)
         if way in HELD:
-            await asyncio.sleep(QUIET_S)
-            assert taker.came == b""
+            await asyncio.sleep(SILENCE_S)
+            assert taker.received == b""
             assert (there.passed, there.held) == (0, 200)
         else:
-            await until(lambda: len(taker.came) == 200)
+            await until(lambda: len(taker.received) == 200)
             assert asyncio.get_running_loop().time() - began >= (SLOW[way][1] if way in SLOW else 0.0)
-            assert bits(taker.came, text) == (way == "flip")
+            assert bits(taker.received, text) == (way == "flip")
             assert (there.passed, there.held) == (200, 0)
         assert (back.taken, back.passed, back.held) == (4, 4, 0)
         link.relay.end(made)
-        await until(lambda: len(taker.came) == 200)
-        sender.say(b"over")
-        await until(lambda: taker.came.endswith(b"over"))
-        assert way == "flip" or taker.came == text + b"over"
+        await until(lambda: len(taker.received) == 200)
+        sender.send_bytes(b"over")
+        await until(lambda: taker.received.endswith(b"over"))
+        assert way == "flip" or taker.received == text + b"over"
         assert there.passed == 204
         assert there.lost == there.held == 0
 
@@ -338,16 +338,16 @@
     async with Tcp.open() as link:
         counts = link.counts(src, dst)
         link.relay.begin(fault("reset", 1.0, src, dst))
-        link.ends[dst].say(b"back")
-        await until(lambda: link.ends[src].came == b"back")
-        link.ends[src].say(b"0123456789")
+        link.ends[dst].send_bytes(b"back")
+        await until(lambda: link.ends[src].received == b"back")
+        link.ends[src].send_bytes(b"0123456789")
         await until(lambda: link.ends[src].end == link.ends[dst].end == "reset")
-        assert link.ends[dst].came == b"01234"
+        assert link.ends[dst].received == b"01234"
         assert (counts.taken, counts.passed, counts.lost, counts.resets) == (10, 5, 5, 1)
         link.relay.end(fault("reset", 1.0, src, dst))
         near, far = await link.connect()
-        (near if src == "n0" else far).say(b"0123456789")
-        await until(lambda: (far if src == "n0" else near).came == b"0123456789")
+        (near if src == "n0" else far).send_bytes(b"0123456789")
+        await until(lambda: (far if src == "n0" else near).received == b"0123456789")
 
 
 @pytest.mark.parametrize(("src", "dst"), BOTH)
@@ -356,23 +356,23 @@
     async with Tcp.open() as link:
         counts = link.counts(src, dst)
         link.relay.begin(fault("half_open", 1.0, src, dst))
-        link.ends[dst].say(b"back")
-        await until(lambda: link.ends[src].came == b"back")
+        link.ends[dst].send_bytes(b"back")
+        await until(lambda: link.ends[src].received == b"back")
         link.relay.begin(fault("cut", 0.0, dst, src))
-        link.ends[dst].say(b"held")  # lost with its end
+        link.ends[dst].send_bytes(b"held")  # lost with its end
         await until(lambda: link.counts(dst, src).held == 4)
-        link.ends[src].say(b"void")
+        link.ends[src].send_bytes(b"void")
         await until(lambda: link.ends[dst].end == "reset")
         link.relay.end(fault("cut", 0.0, dst, src))
         link.relay.end(fault("half_open", 1.0, src, dst))
-        link.ends[src].say(b"void")  # the connection stays half-open
+        link.ends[src].send_bytes(b"void")  # the connection stays half-open
         await until(lambda: counts.taken == 8)
-        await asyncio.sleep(QUIET_S)
-        assert (link.ends[src].came, link.ends[src].end, link.ends[dst].came) == (b"back", "", b"")
+        await asyncio.sleep(SILENCE_S)
+        assert (link.ends[src].received, link.ends[src].end, link.ends[dst].received) == (b"back", "", b"")
         assert (counts.passed, counts.lost, counts.held) == (0, 8, 0)
         near, far = await link.connect()
-        (near if src == "n0" else far).say(b"well")
-        await until(lambda: (far if src == "n0" else near).came == b"well")
+        (near if src == "n0" else far).send_bytes(b"well")
+        await until(lambda: (far if src == "n0" else near).received == b"well")
         link.ends[src].close()
         await until(lambda: len(link.relay.pairs) == 1)
 
@@ -383,12 +383,12 @@
     async with Tcp.open() as link:
         link.relay.begin(fault("cut", 0.0, *cut))  # a handshake needs both directions
         near = Peer(*await asyncio.open_connection(*link.at))
-        near.say(b"late")
-        await asyncio.sleep(QUIET_S)
+        near.send_bytes(b"late")
+        await asyncio.sleep(SILENCE_S)
         assert len(link.listener.peers) == 1
         assert near.end == ""
         link.relay.end(fault("cut", 0.0, *cut))
-        await until(lambda: len(link.listener.peers) == 2 and link.listener.peers[1].came == b"late")
+        await until(lambda: len(link.listener.peers) == 2 and link.listener.peers[1].received == b"late")
         near.close()
 
 
@@ -398,7 +398,7 @@
     async with Tcp.open() as link:
         link.relay.begin(fault("cut"))
         near = Peer(*await asyncio.open_connection(*link.at))
-        near.say(b"late")
+        near.send_bytes(b"late")
         await until(lambda: near.end == "reset")
         assert len(link.relay.pairs) == 1
         assert len(link.listener.peers) == 1
@@ -417,11 +417,11 @@
 async def test_an_idle_connection_is_ended_at_its_bound_which_makes_a_run_unsound(monkeypatch):
     async with Tcp.open() as link:
         next(iter(link.relay.pairs)).used_at -= 2 * links.IDLE_S
-        link.ends["n0"].say(b"hello")
-        await until(lambda: link.ends["n1"].came == b"hello")
+        link.ends["n0"].send_bytes(b"hello")
+        await until(lambda: link.ends["n1"].received == b"hello")
         monkeypatch.setattr(links, "SWEEP_S", 0.01)
         link.relay._sweep()
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(SILENCE_S)
         assert len(link.relay.pairs) == 1
         assert "s without data" not in link.relay.unsound
         monkeypatch.setattr(links, "IDLE_S", 0.05)
@@ -436,7 +436,7 @@
     async with Tcp.open() as link:
         link.relay.begin(fault("cut"))
         near, far = link.ends.values()
-        near.say(b"last")
+        near.send_bytes(b"last")
         await until(lambda: link.counts("n0", "n1").held == 4)
         if end == "reset":
             sock = near.writer.get_extra_info("socket")
@@ -444,13 +444,13 @@
             near.close()
         else:
             near.writer.write_eof()
-        await asyncio.sleep(QUIET_S)
-        assert (far.came, far.end) == (b"", "")
+        await asyncio.sleep(SILENCE_S)
+        assert (far.received, far.end) == (b"", "")
         link.relay.end(fault("cut"))
-        await until(lambda: (far.came, far.end) == (b"last", end))
+        await until(lambda: (far.received, far.end) == (b"last", end))
         if end == "closed":  # the other direction still works
-            far.say(b"still")
-            await until(lambda: near.came == b"still")
+            far.send_bytes(b"still")
+            await until(lambda: near.received == b"still")
             far.writer.write_eof()
             await until(lambda: near.end == "closed")
         await until(lambda: not link.relay.pairs)
@@ -485,14 +485,14 @@
         counts = link.counts("n0", "n1")
         text = random.Random(1).randbytes(4 * 2**20)
         link.relay.begin(fault(way))
-        link.ends["n0"].say(text)
+        link.ends["n0"].send_bytes(text)
         await until(lambda: counts.taken > MAX_HELD_BYTES - links.CHUNK)
-        await asyncio.sleep(QUIET_S)
+        await asyncio.sleep(SILENCE_S)
         assert counts.taken <= MAX_HELD_BYTES
-        assert link.ends["n1"].came == b""
+        assert link.ends["n1"].received == b""
         link.relay.end(fault(way))
-        await until(lambda: len(link.ends["n1"].came) == len(text))
-        assert link.ends["n1"].came == text
+        await until(lambda: len(link.ends["n1"].received) == len(text))
+        assert link.ends["n1"].received == text
         assert counts.passed == len(text)
 
 
@@ -501,12 +501,12 @@
     async with Tcp.open() as link:
         near, far = link.ends.values()
         far.writer.transport.pause_reading()
-        near.say(b"x" * 64 * 2**20)
+        near.send_bytes(b"x" * 64 * 2**20)
         counts = link.counts("n0", "n1")
 
         async def still():
             taken = counts.taken
-            await asyncio.sleep(QUIET_S)
+            await asyncio.sleep(SILENCE_S)
             return taken == counts.taken > 0
 
         async with asyncio.timeout(10.0):
@@ -547,11 +547,11 @@
 
     async def reached(link):
         """Return, for each end, the numbers of the ends that reach it, itself included."""
-        before = {me: len(end.came) for me, end in link.ends.items()}
+        before = {me: len(end.received) for me, end in link.ends.items()}
         for src, dst in link.at:
             await link.send(src, dst, [src[1:].encode()])
         await link.settled()
-        heard = {me: b"".join(end.came[before[me] :]).decode() for me, end in link.ends.items()}
+        heard = {me: b"".join(end.received[before[me] :]).decode() for me, end in link.ends.items()}
         return ["".join(sorted(me[1] + heard[me])) for me in heard]
 
     async with Udp.open(6) as link:
--- a/tests/rig/cluster/test_node.py
+++ b/tests/rig/cluster/test_node.py
@@ -58,7 +58,7 @@
     node = Node(number, operator(source or static(), **given))
     try:
         await node.start()
-        await has_told(node, [1])
+        await wait_for_starts(node, [1])
         yield node
     finally:
         await node.stop()
@@ -73,7 +73,7 @@
     return [event for event in events(node, Learned) if event.rule == "list:shop"]
 
 
-async def has_told(node, lives):
+async def wait_for_starts(node, lives):
     """Wait until the starts of these lives are in the node's file.
 
     The node is ready earlier, and a kill loses events that are not written: a thread of its own
@@ -82,12 +82,12 @@
     await until(lambda: [event.life for event in events(node, Started)] == lives)
 
 
-async def told(node, holds):
+async def figures_once(node, holds):
     """Return a node's figures once a condition holds; `until` takes no condition that has to be awaited."""
     async with asyncio.timeout(PATIENCE_S):
-        while not holds(said := await node.read_figures()):
+        while not holds(figures := await node.read_figures()):
             await asyncio.sleep(0.01)
-    return said
+    return figures
 
 
 # --- one process -------------------------------------------------------------------------
@@ -109,7 +109,7 @@
             with pytest.raises(OSError, match="in use"), socket.socket() as other:
                 other.bind(address)
             await node.start()
-            await has_told(node, list(range(1, node.cost().lives + 1)))
+            await wait_for_starts(node, list(range(1, node.cost().lives + 1)))
         assert node.address == address
         assert node.program.pid != first
         assert [event.life for event in events(node, Started)] == [1, 2, 3, 4, 5]
@@ -188,7 +188,7 @@
 # --- pauses --------------------------------------------------------------------------------
 
 
-async def asked(address, number):
+async def first_line_of_answer(address, number):
     """Send requests and return the first line of an answer; empty if the connection closes without one."""
     reader, writer = await asyncio.open_connection(*address)
     try:
@@ -210,11 +210,13 @@
     )
     try:
         async with running(f'kind = "static"\n{rows}') as node:
-            before = [asyncio.create_task(asked(node.address, number)) for number in range(20)]
+            before = [asyncio.create_task(first_line_of_answer(node.address, number)) for number in range(20)]
             await until(lambda: servers[0].seen)  # some requests wait for a server that never answers
             node.pause()
             paused_s = time.monotonic()
-            during = [asyncio.create_task(asked(node.address, 100 + number)) for number in range(40)]
+            during = [
+                asyncio.create_task(first_line_of_answer(node.address, 100 + number)) for number in range(40)
+            ]
             assert await node.command(do="tell") is None  # sent, and its answer is not awaited
             while time.monotonic() < paused_s + 1.2:  # longer than deadline and budget
                 await asyncio.sleep(0.05)
@@ -230,7 +232,7 @@
             assert last["monotonic_ms"] >= paused_s * 1000.0 + 1200.0
             # A resumed node may answer 503 at first; it must serve again.
             async with asyncio.timeout(PATIENCE_S):
-                while not (await asked(node.address, 999)).startswith(b"HTTP/1.1 200"):
+                while not (await first_line_of_answer(node.address, 999)).startswith(b"HTTP/1.1 200"):
                     await asyncio.sleep(0.05)
     finally:
         for server in servers:
@@ -246,7 +248,7 @@
         await asyncio.sleep(0.5)
         assert not over.done()
         node.resume()
-        assert [said["on"] for said in await over] == [["lie"]]
+        assert [figures["on"] for figures in await over] == [["lie"]]
         assert (await node.read_figures())["lag_ms"] > 300.0
 
 
@@ -268,11 +270,11 @@
             await (await node.begin(DiskFault(0, 1, "n0", "slow")))  # the fault is applied now
             registry.change(entry("s1", "127.0.0.1:10"))
 
-            def there(said):
-                done = said["syncs"] - before["syncs"]
-                return (said["faults"].get("slow", 0), done) == (stalls, syncs)
+            def there(figures):
+                done = figures["syncs"] - before["syncs"]
+                return (figures["faults"].get("slow", 0), done) == (stalls, syncs)
 
-            await told(node, there)
+            await figures_once(node, there)
             if kept == 42:
                 await until(lambda: stored(node) == [41, 42])
             await node.kill()
@@ -282,7 +284,7 @@
             await node.end(DiskFault(0, 1, "n0", "slow"))
             await registry.stop()  # the next life has only its disk to start from
             await node.start()
-            await has_told(node, [1, 2])
+            await wait_for_starts(node, [1, 2])
             await until(lambda: lists(node)[-1].form == "remembered")
             assert lists(node)[-1].version == kept
     finally:
@@ -302,8 +304,8 @@
 async def test_a_wall_clock_jumps_and_is_reset():
     async with running() as node:
 
-        def off_ms(said):
-            return said["wall_ms"] - time.time() * 1000.0
+        def off_ms(figures):
+            return figures["wall_ms"] - time.time() * 1000.0
 
         jumped = await node.command(do="clock", jump_ms=-60_000, drift_ppm=500)
         assert -61_000 < off_ms(jumped) < -59_000
@@ -326,8 +328,8 @@
         assert {"--disk=lie", "--jump-ms=10000", "--drift-ppm=300"} <= set(words)
         assert "--disk=changed" not in words
         await task
-        said = await told(node, lambda said: said["on"] == [])
-        assert said["on"] == []
+        figures = await figures_once(node, lambda figures: figures["on"] == [])
+        assert figures["on"] == []
         right = await node.command(do="clock", jump_ms=0, drift_ppm=0)
         assert abs(right["wall_ms"] - time.time() * 1000.0) < 1000.0
         # One fault ended while the node was away, the other while it ran.
@@ -360,7 +362,7 @@
         (down,) = played.downtimes
         assert down.until_s - down.from_s >= least_s
         assert [row.writes for row in played.disk_faults] == ["emptied"]
-        await has_told(node, [1, 1])  # lives are counted from 1 again on an emptied disk
+        await wait_for_starts(node, [1, 1])  # lives are counted from 1 again on an emptied disk
 
 
 @bounded
--- a/tests/rig/cluster/test_promises.py
+++ b/tests/rig/cluster/test_promises.py
@@ -28,11 +28,11 @@
     return log.end("a", at + 10.0)
 
 
-@pytest.mark.parametrize(("version", "said"), [(4, "broken"), (5, "kept"), (6, "kept"), (0, "broken")])
-def test_the_next_life_starts_from_the_confirmed_version_or_a_newer_one(version, said):
+@pytest.mark.parametrize(("version", "expected"), [(4, "broken"), (5, "kept"), (6, "kept"), (0, "broken")])
+def test_the_next_life_starts_from_the_confirmed_version_or_a_newer_one(version, expected):
     found = check_durable(again(confirmed(), 100.0, 2, version).events, never)
-    assert verdict(found) == said
-    assert said == "kept" or f"went by version {version} after it had confirmed 5" in found[0].text
+    assert verdict(found) == expected
+    assert expected == "kept" or f"went by version {version} after it had confirmed 5" in found[0].text
 
 
 def test_each_act_of_the_next_life_counts_and_each_life_after_it():
--- a/tests/rig/cluster/test_relays.py
+++ b/tests/rig/cluster/test_relays.py
@@ -52,7 +52,7 @@
             sock.close()
 
 
-async def linked(made, ends):
+async def link_all(made, ends):
     """Return the address of each pair of these ends, under both orders."""
     pairs = list(itertools.combinations(ends, 2))
     links = [UdpLink(*pair, *(ends[end].getsockname() for end in pair)) for pair in pairs]
@@ -60,7 +60,7 @@
     return at | {(other, one): place for (one, other), place in at.items()}
 
 
-async def heard(sock, most=100):
+async def received(sock, most=100):
     """Return the datagrams received until no more arrive."""
     came = []
     with contextlib.suppress(TimeoutError):
@@ -87,7 +87,7 @@
 async def test_links_in_all_processes_fail_and_heal_together_and_are_counted():
     async with running(3) as made:
         with sockets(EVERY) as ends:
-            at = await linked(made, ends)
+            at = await link_all(made, ends)
             assert len({shard_of(*pair, 3) for pair in at}) == 3
             cut = Link(0, 1, "cut", ("n0",), tuple(EVERY))
             for known in (False, True):  # a fault that is sent whole, and one that was announced
@@ -98,20 +98,20 @@
                     ends[src].sendto(src.encode(), at[src, dst])
                 for name in EVERY[1:]:
                     wanted = sorted(other.encode() for other in EVERY[1:] if other != name)
-                    assert sorted(await heard(ends[name], 4)) == wanted
-                assert len(await heard(ends["n0"], 5)) == 5
+                    assert sorted(await received(ends[name], 4)) == wanted
+                assert len(await received(ends["n0"], 5)) == 5
                 await made.end(cut)
                 ends["n0"].sendto(b"over", at["n0", "n3"])
-                assert await heard(ends["n3"], 1) == [b"over"]
-            told = await made.report()
-    assert [told.of("n0", dst).dropped for dst in EVERY[1:]] == [2] * 5
-    assert told.of("n0", "n3").messages == 2
-    assert told.of("n3", "n0").messages == 2
-    assert told.of("n3", "n0").passed == 4
-    assert told.of("n0", "nobody").received == 0
-    assert len(told.lag_p99_ms) == 3
-    assert told.cpu_s > 0.0
-    assert 0.0 < told.change_late_ms < 1000.0
+                assert await received(ends["n3"], 1) == [b"over"]
+            report = await made.report()
+    assert [report.of("n0", dst).dropped for dst in EVERY[1:]] == [2] * 5
+    assert report.of("n0", "n3").messages == 2
+    assert report.of("n3", "n0").messages == 2
+    assert report.of("n3", "n0").passed == 4
+    assert report.of("n0", "nobody").received == 0
+    assert len(report.lag_p99_ms) == 3
+    assert report.cpu_s > 0.0
+    assert 0.0 < report.change_late_ms < 1000.0
 
 
 @loopback
@@ -149,15 +149,15 @@
         await made.report()
         assert "took effect 12.5 ms late" in made.unsound
         with sockets(["n0", "n1"]) as ends:
-            at = (await linked(made, ends))["n0", "n1"]
+            at = (await link_all(made, ends))["n0", "n1"]
             number = shard_of("n0", "n1", 2)
             os.kill(pid_of(made, number), signal.SIGSTOP)
             for _ in range(2000):  # more than the buffer of a socket that is not read
                 ends["n0"].sendto(b"x" * 200, at)
             os.kill(pid_of(made, number), signal.SIGCONT)
-            told = await made.report()
-            assert f"relay {number + 1} of 2: " in told.unsound
-            assert "were lost before the relay read them" in told.unsound == made.unsound
+            report = await made.report()
+            assert f"relay {number + 1} of 2: " in report.unsound
+            assert "were lost before the relay read them" in report.unsound == made.unsound
         await made.forget_lag()
         unsound = (await made.report()).unsound
         assert "lost" not in unsound
--- a/tests/rig/cluster/test_schedules.py
+++ b/tests/rig/cluster/test_schedules.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "said"),
+    ("text", "expected"),
     [
         (b"", "f:1: empty"),
         (b"{}\n", "f:1: line: Object missing required field `format`"),
@@ -72,10 +72,10 @@
         (HEAD.replace(b"1000}", b'1000,"verdict":"fine"}'), "f:1: verdict: Invalid enum"),
     ],
 )
-def test_bad_input_is_one_line_with_file_line_and_field(text, said):
+def test_bad_input_is_one_line_with_file_line_and_field(text, expected):
     with pytest.raises(ScheduleError) as error:
         read(text, "f")
-    assert str(error.value).startswith(said)
+    assert str(error.value).startswith(expected)
     assert "\n" not in str(error.value)
 
 
