--- a/rig/cluster/nodes.py
+++ b/rig/cluster/nodes.py
@@ -615,7 +615,7 @@
                 datagrams.bind((host, port))
             except OSError:
                 continue
-            # Set after the bind: without it, the bind fails where another rig has reserved the port.
+            # Set only after the bind, which must fail where another rig has reserved the port.
             reserved.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             datagrams.close()
             held.pop_all()
--- a/rig/cluster/relays.py
+++ b/rig/cluster/relays.py
@@ -101,7 +101,7 @@
 class Relays:
     """All links between some ends, in several processes. Call `start` first.
 
-    Every method raises `ProgramError` if a process has died.
+    Requests to the processes raise `ProgramError` if one has died.
     """
 
     def __init__(self, seed: int, shards: int = SHARDS) -> None:
--- a/rig/cluster/report.py
+++ b/rig/cluster/report.py
@@ -63,7 +63,7 @@
 class Report(Struct, frozen=True):
     """One play.
 
-    `unsound`: why nothing in the report can be trusted. `recovery_ms`: absent if a node never recovered.
+    `unsound`: why nothing in the report can be trusted. `recovery_ms`: null if a node never recovered.
     """
 
     format: int
