--- a/rig/cluster/schedules.py
+++ b/rig/cluster/schedules.py
@@ -22,7 +22,7 @@
 MAX_STEPS = 10_000
 MAX_LENGTH_MS = 3_600_000
 SHRINK_TRIES = 400
-DRAWN_NEWS = 5  # steps that `draw` adds for the registry
+NEWS = 5  # steps that `draw` adds for the registry
 SERVERS = 8  # of every cluster, named s0 and up
 MAX_SETTINGS = 1000
 
@@ -325,7 +325,7 @@
         length_ms: The length of the schedule.
         kinds: The kinds of faults to choose from.
         steps: The number of faults.
-        news: Whether rules change amid the faults, by `DRAWN_NEWS` further steps.
+        news: Whether rules change amid the faults, by `NEWS` further steps.
 
     Raises:
         ScheduleError: A kind is unknown, or a size is out of range.
--- a/tests/rig/cluster/test_breaches.py
+++ b/tests/rig/cluster/test_breaches.py
@@ -102,10 +102,10 @@
 
 @pytest.mark.parametrize(("plain", "code"), [(KEPT, 0), (HIT, 1)])
 def test_the_exit_code_reports_a_breach_in_the_unchanged_program(plain, code, monkeypatch, capsys):
-    async def apart(name, planted, tree):
+    async def play_in_process(name, planted, tree):
         return HIT if planted else plain
 
-    monkeypatch.setattr(cluster_breaches, "apart", apart)
+    monkeypatch.setattr(cluster_breaches, "play_in_process", play_in_process)
     name = next(name for name in NAMES if breaching.read(name).checker == "rules")
     assert cluster_breaches.main(["--only", name]) == code
     assert name in capsys.readouterr().out
@@ -119,12 +119,12 @@
     async def play():
         return next(plays)
 
-    assert asyncio.run(cluster_breaches.again(HIT, play)) == HIT
+    assert asyncio.run(cluster_breaches.repeat_if_busy(HIT, play)) == HIT
     plays = iter((HIT, KEPT))
-    assert asyncio.run(cluster_breaches.again(busy, play)) == HIT
+    assert asyncio.run(cluster_breaches.repeat_if_busy(busy, play)) == HIT
     plays = iter([busy] * 9)
-    assert asyncio.run(cluster_breaches.again(busy, play)) == busy
-    assert len(list(plays)) == 9 - cluster_breaches.ALONE_MOST
+    assert asyncio.run(cluster_breaches.repeat_if_busy(busy, play)) == busy
+    assert len(list(plays)) == 9 - cluster_breaches.MAX_REPEATS
 
 
 def test_the_first_breach_is_dated_by_the_events_that_show_it():
--- a/tests/rig/cluster/test_checkers.py
+++ b/tests/rig/cluster/test_checkers.py
@@ -28,7 +28,7 @@
 from rig.helper import ROOT
 from rig.ledger import Asked, Crash, Execution, Ledger
 from tests.rig.cluster.logs import Log
-from tests.test_layout import FORBIDDEN, names
+from tests.test_layout import FORBIDDEN, imported_names
 
 
 def two_nodes(old_until, new_from):
@@ -75,7 +75,7 @@
     )
 )
 @settings(max_examples=200, deadline=None)
-def test_the_longest_span_equals_that_of_a_comparison_of_all_pairs(rows):
+def test_the_longest_span_is_that_of_all_pairs_tried_one_by_one(rows):
     log = Log()
     for node, at, version in sorted(rows, key=lambda row: row[1]):
         log.act(node, float(at), version)
@@ -234,13 +234,11 @@
 
 @given(operations())
 @settings(max_examples=300, deadline=None)
-def test_the_search_agrees_with_an_enumeration_of_all_orders(made):
-    completed = [op for op in made if op.end_ms < math.inf and (op.kind == "read" or op.ok)]
-    pending = [op for op in made if op.end_ms == math.inf and op.kind == "write"]
-    chosen = itertools.chain.from_iterable(
-        itertools.combinations(pending, n) for n in range(len(pending) + 1)
-    )
-    valid = any(explained(order) for some in chosen for order in itertools.permutations([*completed, *some]))
+def test_the_search_says_what_all_orders_tried_one_by_one_say(made):
+    must = [op for op in made if op.end_ms < math.inf and (op.kind == "read" or op.ok)]
+    may = [op for op in made if op.end_ms == math.inf and op.kind == "write"]
+    chosen = itertools.chain.from_iterable(itertools.combinations(may, n) for n in range(len(may) + 1))
+    valid = any(explained(order) for some in chosen for order in itertools.permutations([*must, *some]))
     assert verdict(check_register(made)) == ("kept" if valid else "broken")
 
 
@@ -299,8 +297,8 @@
 
 @given(acts, st.integers(0, 9), st.lists(st.tuples(st.sampled_from("abc"), st.integers(0, 9)), max_size=5))
 @settings(max_examples=200, deadline=None)
-def test_acts_that_keep_a_rule_break_none(rows, bound, more):
-    """Adds acts on the newest version after all others, and acts on another rule on which all nodes agree."""
+def test_what_keeps_a_rule_breaks_none(rows, bound, more):
+    """Acts on the newest version by any node after all others, and acts on another rule that all agree on."""
     before = merged(nodes_of(rows, ()).values())
     after = [act for act in before if isinstance(act, Acted)]
     after += [Acted(node, 99, 10.0, "list:s1", 3) for node, _ in more]
@@ -361,7 +359,7 @@
 
 @pytest.mark.parametrize("name", ["checkers", "lives", "entries", "promises", "costs"])
 def test_checkers_import_only_pure_modules(name):
-    imported = names(ROOT / "rig" / "cluster" / f"{name}.py")
+    imported = imported_names(ROOT / "rig" / "cluster" / f"{name}.py")
     assert not {one.split(".")[0] for one in imported} & FORBIDDEN
     allowed = {"rig.ledger", *(f"rig.cluster.{one}" for one in ("checkers", "lives", "history"))}
     ours = {one for one in imported if one.startswith("rig.")}
--- a/tests/rig/cluster/test_disks.py
+++ b/tests/rig/cluster/test_disks.py
@@ -455,7 +455,7 @@
 
 
 class Posix(RuleBasedStateMachine):
-    """Compares the store with a model of the names and bytes that a crash may leave."""
+    """The store beside a model: which names and bytes a crash may leave."""
 
     def __init__(self):
         super().__init__()
@@ -474,7 +474,7 @@
         self.changes = []  # (old name or "", new name or "", file), since the last sync of the folder
 
     def tables(self):
-        """Yield all tables of names that a crash may leave: any of the changes may be on the platter."""
+        """All tables of names that a crash may leave: any of the changes may be down."""
         for picks in itertools.product((False, True), repeat=len(self.changes)):
             table = dict(self.down)
             for old, new, file in itertools.compress(self.changes, picks):
@@ -497,7 +497,7 @@
 
     @invariant()
     def check(self):
-        """Check that the folder is at any time what a kill may leave."""
+        """The folder is at any time what a kill leaves."""
         left = held(self.folder)
         assert any(
             table.keys() == left.keys() and all(file.may_be(left[name]) for name, file in table.items())
@@ -539,7 +539,7 @@
         self.run(kill, "remove", name)
 
     def run(self, kill, call, *args):
-        """Call the store; return whether it survived the call."""
+        """Whether it lived to the call's end."""
         try:
             with killed_at(kill):
                 getattr(self.store, call)(*args)
@@ -550,7 +550,7 @@
         assert {name: self.store.read(name, 99_999) for name in self.seen} == {
             name: file.data for name, file in self.seen.items()
         }
-        if len(self.changes) > 5 and call != "sync_folder":  # each change doubles `tables`
+        if len(self.changes) > 5 and call != "sync_folder":  # `tables` doubles with each
             self.sync_folder(-1)
         return True
 
--- a/tests/rig/cluster/test_entries.py
+++ b/tests/rig/cluster/test_entries.py
@@ -205,7 +205,7 @@
 
 @given(rows)
 @settings(max_examples=500, deadline=None)
-def test_the_longest_span_of_each_entry_equals_that_of_a_comparison_of_all_pairs(acts):
+def test_the_longest_of_each_entry_is_that_of_all_acts_tried_one_by_one(acts):
     longest: dict[str, float] = {}
     for rule, ms in pairs(acts):
         longest[rule] = max(ms, longest.get(rule, 0.0))
@@ -215,7 +215,7 @@
 
 @given(rows, st.integers(0, 30), st.permutations("abc"))
 @settings(max_examples=100, deadline=None)
-def test_neither_the_order_of_nodes_nor_acts_on_the_newest_list_change_a_verdict(acts, bound, order):
+def test_neither_the_order_of_nodes_nor_acts_on_what_is_newest_change_a_verdict(acts, bound, order):
     events = history(acts)
     by_node = {node: [event for event in events if event.node == node] for node in "abc"}
     given_order = {"settings:s1": ["x", "y"]}
--- a/tests/rig/cluster/test_schedules.py
+++ b/tests/rig/cluster/test_schedules.py
@@ -9,7 +9,7 @@
 from rig.cluster import schedules
 from rig.cluster.schedules import (
     DISKS,
-    DRAWN_NEWS,
+    NEWS,
     WAYS,
     WRITES,
     DiskFault,
@@ -81,11 +81,11 @@
 
 @given(st.integers(0, 2**32), st.integers(1, 40), st.integers(1, 30))
 @settings(max_examples=60, deadline=None)
-def test_a_draw_is_valid_and_reproducible_and_its_faults_end_in_time(seed, nodes, steps):
+def test_a_draw_is_valid_repeats_byte_for_byte_and_heals_in_time(seed, nodes, steps):
     made = draw(seed, nodes, 20_000, steps=steps)
     assert made.encode() == draw(seed, nodes, 20_000, steps=steps).encode()
     assert read(made.encode(), "drawn") == made
-    assert len(made.steps) == steps + DRAWN_NEWS
+    assert len(made.steps) == steps + NEWS
     assert made.healed_ms <= 15_000
 
 
